--- a/core/stage/action.go
+++ b/core/stage/action.go
@@ -5,20 +5,21 @@
 // Action is something that the caller of Machine.Step has to do.
 type Action interface{ isAction() }
 
-// Piece names one piece of a call.
+// Piece identifies one piece of work in a call.
 type Piece struct {
 	Job   string
 	Stage int
 	Index int
-	// Left is the time after which the result is of no use.
+	// Left is the time after which the result is no longer useful.
 	Left time.Duration
-	// Key is set for stages that come first, Inputs for all others.
+	// Key is set for pieces of stages without inputs, Inputs (result handles) for all
+	// others.
 	Key    string
 	Inputs []string
 }
 
-// Run is one call to a replica. It is given up after Timeout, when no job of it
-// waits any more.
+// Run starts one call to a replica. The call is abandoned after Timeout if no job needs any
+// of its pieces any more.
 type Run struct {
 	Call    uint64
 	Service string
@@ -28,77 +29,78 @@
 	Timeout time.Duration
 }
 
-// Abandon gives a call up that nobody waits for any more, and on which its replica is
-// not at work.
+// Abandon cancels a call that no job needs any more and that its replica is not executing.
 type Abandon struct{ Call uint64 }
 
-// Free gives up results at the replica that made them. The calls to that replica
-// which come with it or after it rely on their room: they are made once the
-// replica has answered.
+// Free releases results at the replica that holds them. Calls to that replica that are
+// issued in the same step or later rely on the memory that this frees, so the caller sends
+// them only after the replica has answered the release.
 type Free struct {
 	Replica string
 	Address string
 	Handles []string
 }
 
-// Inspect asks a replica how much room it has; it is answered by one Inspected,
-// or by nothing when the replica does not tell.
+// Inspect asks a replica how much memory it has free for results. The caller reports one
+// Inspected in return, or nothing if the replica does not answer.
 type Inspect struct {
 	Service string
 	Replica string
 	Address string
 }
 
-// Progress tells that a piece of a job has been made.
+// Progress reports that a piece of a job is completed.
 type Progress struct {
 	Job   string
 	Piece MadePiece
 }
 
-// Inform asks for the owner of a job to be told of the job's progress at once:
-// results that it was told of have been read, and are given up once it has heard that.
+// Inform asks the caller to report a job's progress to the job's owner at once: results
+// that the owner was told of have been read, and are released once the owner has
+// acknowledged that.
 type Inform struct{ Job string }
 
-// Ready hands the results of a job over: those of the stages that no other
-// stage reads, ordered by stage and piece.
+// Ready delivers the results of a job: those of the stages that no other stage reads,
+// ordered by stage and piece.
 type Ready struct {
 	Job     string
 	Handles []string
-	// Domain is the failure domain in which most bytes of the results lie, and
-	// DomainBytes their number.
+	// Domain is the failure domain that holds most bytes of the results, and DomainBytes
+	// the number of bytes there.
 	Domain      string
 	DomainBytes int64
-	// Timings tell where the time went, one entry for each stage with pieces.
+	// Timings has one entry for each stage with pieces.
 	Timings []Timing
-	// Took is the time since the job came, Predicted what admission expected.
+	// Took is the time since the job was submitted, Predicted the time that admission
+	// predicted.
 	Took, Predicted time.Duration
-	// Early is how long before the job's due time it is ready; negative when it
-	// is late.
+	// Early is the time from now to the job's due time; negative if the job is late.
 	Early time.Duration
 }
 
-// Timing is the course of one stage of a job.
+// Timing is the time that one stage of a job spent waiting and executing.
 type Timing struct {
 	Stage int
-	// Wait is the time from the last input to the start of the last call, Work
-	// that call's.
+	// Wait is the time from the last input to the start of the last call, Work the duration
+	// of that call.
 	Wait, Work time.Duration
-	// Crossed says that the results were made outside the stage's home.
+	// Crossed says that some results were made outside the stage's preferred failure
+	// domain.
 	Crossed bool
 }
 
-// Reason says why a job was refused.
+// Reason is the reason for which a job was refused.
 type Reason string
 
 // The reasons.
 const (
-	// ReasonOverload jobs could not have been ready in time.
+	// ReasonOverload means that the job could not be completed in time.
 	ReasonOverload Reason = "overload"
-	// ReasonExpired jobs passed their deadline.
+	// ReasonExpired means that the job passed its deadline.
 	ReasonExpired Reason = "expired"
-	// ReasonNoReplica jobs need a service without a usable replica.
+	// ReasonNoReplica means that the job needs a service without a usable replica.
 	ReasonNoReplica Reason = "no_replica"
-	// ReasonFailed jobs had a piece that failed too often.
+	// ReasonFailed means that a piece of the job failed too often.
 	ReasonFailed Reason = "failed"
 )
 
@@ -106,28 +108,30 @@
 type Refused struct {
 	Job    string
 	Reason Reason
-	// RetryAfter is when the job would have been admitted, as far as can be
-	// seen; 0 when trying again is of no use.
+	// RetryAfter is the estimated time until the job would be admitted; 0 if a retry is
+	// useless.
 	RetryAfter time.Duration
-	// Predicted is when the results were expected, counted from now; 0 when no
-	// prediction was made.
+	// Predicted is the predicted time from now until the results; 0 if no prediction was
+	// made.
 	Predicted time.Duration
-	// Held says that results which the job's owner was told of wait for its word:
-	// Cancelled is due.
+	// Held says that results which the job's owner was told of are kept until the owner has
+	// acknowledged the refusal, which the caller reports with Cancelled.
 	Held bool
 }
 
-// Suspected tells that a replica is avoided for a while.
+// Suspected reports that no calls are made to a replica for a while.
 type Suspected struct {
 	Replica, Service string
-	// Why is how its call ended, or "overdue" or "lapsed" while it has not.
+	// Why is the outcome of the replica's call, or "overdue" or "lapsed" if the call has
+	// not ended.
 	Why string
-	// Failures counts those in a row.
+	// Failures is the number of consecutive failures, For the time for which the replica is
+	// avoided.
 	Failures int
 	For      time.Duration
 }
 
-// Trusted tells that a replica that had failed has answered.
+// Trusted reports that a replica has answered a call after failures.
 type Trusted struct{ Replica, Service string }
 
 func (Suspected) isAction() {}
--- a/core/stage/admit.go
+++ b/core/stage/admit.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// unhurried is the multiple of the least time of a job that it may always take:
-// one that could hardly be on time if nothing else ran is not refused for that,
-// unless it is due already.
-const unhurried = 1.3
+// alwaysAllowedFactor is the multiple of a job's minimum time that admission always allows.
+// A job that could hardly be on time on an idle fleet is not refused for that, unless it is
+// already due.
+const alwaysAllowedFactor = 1.3
 
-// admit predicts when the results of a job would be ready and returns a
-// refusal when that is too late, unless the job goes on here.
+// admit predicts when the results of a job would be ready. It returns a refusal if that is
+// too late, unless the job was already started by an earlier planner.
 func (m *Machine) admit(now time.Time, j *job) *Refused {
 	for i := range j.stages {
-		if st := &j.stages[i]; st.left > 0 && !st.service.anyUsable(now) {
-			return &Refused{Job: j.ID, Reason: ReasonNoReplica, RetryAfter: max(m.cfg.MinRetryAfter, st.service.opensIn(now))}
+		if st := &j.stages[i]; st.remaining > 0 && !st.service.anyUsable(now) {
+			return &Refused{Job: j.ID, Reason: ReasonNoReplica, RetryAfter: max(m.cfg.MinRetryAfter, st.service.reopenDelay(now))}
 		}
 	}
 	j.predicted = m.predict(now, j)
 	j.expected = time.Duration(m.bias * float64(j.predicted))
-	excess := j.expected - m.allowed(now, j)
-	if excess <= 0 || j.goesOn(now) {
+	excess := j.expected - m.allowedTime(now, j)
+	if excess <= 0 || j.resumable(now) {
 		return nil
 	}
 	return &Refused{
@@ -27,42 +27,43 @@
 	}
 }
 
-// goesOn says whether an earlier planner admitted and began the job, and may still
-// be at it: what it has made is not given up for a prediction.
-func (j *job) goesOn(now time.Time) bool { return len(j.Made) > 0 && now.Before(j.ends) }
-
-// allowed returns how long the job may be expected to take and still be admitted:
-// the less of its slack, the more urgent ranks want the same services. What is over
-// capacity is so refused when it comes, from the least urgent rank on, and what is
-// admitted is made in about the order in which it is due. An order by rank alone has
-// less urgent jobs overtaken after they have begun, and wastes their calls and rooms.
-func (m *Machine) allowed(now time.Time, j *job) time.Duration {
+// resumable says whether an earlier planner admitted and started the job, and the job may
+// still be in time: completed pieces are not discarded because of a prediction.
+func (j *job) resumable(now time.Time) bool { return len(j.Made) > 0 && now.Before(j.refuseAt) }
+
+// allowedTime returns the longest predicted time with which a job is admitted. The more
+// ranks of higher priority use the same services, the less of its slack a job may use. Load
+// above capacity is therefore refused on arrival, starting with the lowest priority, and
+// admitted jobs run roughly in the order in which they are due. Ordering by rank alone
+// would let started jobs be overtaken, which wastes their calls and the memory that their
+// results take.
+func (m *Machine) allowedTime(now time.Time, j *job) time.Duration {
 	left := j.Due.Sub(now)
 	if left <= 0 {
 		return left
 	}
-	shortest, _ := j.shortest()
-	slack := float64(max(0, left-shortest)) * (1 - m.reserved(now, j))
-	return max(shortest+time.Duration(slack), time.Duration(unhurried*float64(shortest)))
+	shortest, _ := j.minTime()
+	slack := float64(max(0, left-shortest)) * (1 - m.reservedShare(now, j))
+	return max(shortest+time.Duration(slack), time.Duration(alwaysAllowedFactor*float64(shortest)))
 }
 
-// reserveMost bounds the part of the slack that is left to more urgent ranks: the
-// least urgent have a part of their own.
-const reserveMost = 0.6
+// maxReservedShare bounds the share of the slack that is reserved for ranks of higher
+// priority, so that the lowest priority keeps a share.
+const maxReservedShare = 0.6
 
-// reserved is the part of a job's slack that is left to more urgent ranks.
-func (m *Machine) reserved(now time.Time, j *job) float64 {
+// reservedShare returns the share of a job's slack that is reserved for ranks of higher
+// priority.
+func (m *Machine) reservedShare(now time.Time, j *job) float64 {
 	ranks := 0
 	for i := range j.stages {
-		if st := &j.stages[i]; st.left > 0 {
-			ranks = max(ranks, st.service.ranks.before(now, j.Rank))
+		if st := &j.stages[i]; st.remaining > 0 {
+			ranks = max(ranks, st.service.recentRanks.countMoreUrgent(now, j.Rank))
 		}
 	}
-	return min(reserveMost, m.cfg.ReservePerRank*float64(ranks))
+	return min(maxReservedShare, m.cfg.ReservedSharePerRank*float64(ranks))
 }
 
-// anyUsable says whether any replica may be called, now or when a suspicion
-// ends.
+// anyUsable says whether the service has a usable replica.
 func (s *service) anyUsable(now time.Time) bool {
 	for _, r := range s.replicas {
 		if r.usable(now) {
@@ -72,12 +73,12 @@
 	return false
 }
 
-// opensIn is how long it takes at least until a replica is called again that no call may
-// be made to for now; 0 where none is of that kind.
-func (s *service) opensIn(now time.Time) time.Duration {
+// reopenDelay returns the shortest time until a replica that currently accepts no calls of
+// this host accepts them again; 0 if there is no such replica.
+func (s *service) reopenDelay(now time.Time) time.Duration {
 	var least time.Duration
 	for _, r := range s.replicas {
-		if !r.takesWork() || !r.closed(now) {
+		if !r.acceptsWork() || !r.closedForLong(now) {
 			continue
 		}
 		if wait := r.gate.Opens(now).Sub(now); least == 0 || wait < least {
@@ -87,9 +88,9 @@
 	return least
 }
 
-// predict returns the time until the results of a job would be ready: along
-// its chain, each stage starts when its inputs are there and the pieces placed
-// before it have drained, and takes a call after half a call's wait.
+// predict returns the time until the results of a job would be ready. Along the chain of
+// stages, each stage starts once its inputs are there and the pieces that are ordered
+// before it have drained, and then takes one call.
 func (m *Machine) predict(now time.Time, j *job) time.Duration {
 	var ends [maxStages]time.Duration
 	var most time.Duration
@@ -100,9 +101,9 @@
 		}
 		st := &j.stages[i]
 		end := start
-		if st.left > 0 {
-			drained := st.service.drainTime(now, st.service.backlog.upTo(j.place))
-			end = max(start, drained) + st.service.callTime(min(st.left, st.service.figures.Batch))
+		if st.remaining > 0 {
+			drained := st.service.drainTime(now, st.service.backlog.countUpTo(j.effectiveDue))
+			end = max(start, drained) + st.service.callTime(min(st.remaining, st.service.params.Batch))
 		}
 		ends[i] = end
 		most = max(most, end)
@@ -110,40 +111,40 @@
 	return most
 }
 
-// drainTime is how long the usable replicas take for n pieces in full calls.
+// drainTime returns how long the usable replicas take to execute n pieces in full calls.
 func (s *service) drainTime(now time.Time, n int) time.Duration {
 	var perSecond float64
-	full := s.callTime(s.figures.Batch).Seconds()
+	full := s.callTime(s.params.Batch).Seconds()
 	for _, r := range s.replicas {
 		if r.usable(now) && full > 0 {
-			calls := float64(s.figures.Concurrency) / full
+			calls := float64(s.params.Concurrency) / full
 			if rate, bounded := r.gate.Rate(now); bounded && rate > 0 {
 				calls = min(calls, rate)
 			}
-			perSecond += r.roomShare(now) * calls * float64(s.figures.Batch)
+			perSecond += r.freeMemoryShare(now) * calls * float64(s.params.Batch)
 		}
 	}
 	if perSecond == 0 {
-		return never
+		return unavailableWait
 	}
 	return time.Duration(float64(n) / perSecond * float64(time.Second))
 }
 
-// leastRoomShare keeps a replica whose room others' results take in the count: they go.
-const leastRoomShare = 0.1
+// minFreeMemoryShare is the share that a replica counts for even if its memory is full of
+// other planners' results, since these are released in time.
+const minFreeMemoryShare = 0.1
 
-// roomShare is the part of a full call for which the replica has room beside the
-// results that this planner does not know of.
-func (r *replica) roomShare(now time.Time) float64 {
-	f := r.service.figures
-	full := float64(f.Batch) * r.service.usualBytes
+// freeMemoryShare returns the share of a full call's results that fits into the replica's
+// memory beside the results of other planners.
+func (r *replica) freeMemoryShare(now time.Time) float64 {
+	f := r.service.params
+	full := float64(f.Batch) * r.service.meanResultBytes
 	if f.RoomBytes == 0 || full == 0 {
 		return 1
 	}
-	return min(1, max(leastRoomShare, float64(f.RoomBytes-r.foreignNow(now))/full))
+	return min(1, max(minFreeMemoryShare, float64(f.RoomBytes-r.currentForeignBytes(now))/full))
 }
 
-// usableByDomain counts the usable replicas of each failure domain.
 func (s *service) usableByDomain(now time.Time) map[string]int {
 	n := map[string]int{}
 	for _, r := range s.replicas {
@@ -154,15 +155,16 @@
 	return n
 }
 
-// The bounds and the weight of a measurement of the bias.
+// The weight of a new sample of the prediction bias, and the bounds of a sample.
 const (
 	biasWeight = 0.05
 	biasMin    = 0.7
 	biasMax    = 2.0
 )
 
-// learn compares the time that a job took with its prediction.
-func (m *Machine) learn(now time.Time, j *job) {
+// updateBias updates the prediction bias with the ratio of a job's actual to its predicted
+// time.
+func (m *Machine) updateBias(now time.Time, j *job) {
 	if j.predicted <= 0 {
 		return
 	}
--- a/core/stage/bench_test.go
+++ b/core/stage/bench_test.go
@@ -15,7 +15,7 @@
 	now := time.Unix(1000, 0)
 	e := Configured{Services: map[string]*catalog.Service{}}
 	for _, name := range []string{"a", "b", "c"} {
-		e.Services[name] = figures(30, 3_000_000)
+		e.Services[name] = pieceParams(30, 3_000_000)
 		for i := range 17 {
 			id := fmt.Sprint(name, i)
 			e.Replicas = append(e.Replicas, catalog.Replica{ID: id, Service: name, FailureDomain: fmt.Sprint(i % 4), Concurrency: 1})
--- a/core/stage/calls.go
+++ b/core/stage/calls.go
@@ -6,78 +6,79 @@
 	"time"
 )
 
-// ended takes the end of a call.
-func (m *Machine) ended(now time.Time, e CallEnded) {
+// callEnded handles the end of a call.
+func (m *Machine) callEnded(now time.Time, e CallEnded) {
 	c := m.calls[e.Call]
 	if c == nil {
 		return
 	}
 	delete(m.calls, c.id)
-	if c.lapsed {
-		m.endedLate(now, c, e)
+	if c.timedOut {
+		m.timedOutCallEnded(now, c, e)
 		return
 	}
 	r := c.replica
-	r.leave(c)
+	r.removeCall(c)
 	if r.replaced {
-		// Who answered is not known, and the results may be gone.
-		m.again(c, false)
+		// The answer may come from the replica's successor at the same address, and the
+		// results may be lost.
+		m.requeueCall(c, false)
 		return
 	}
 	switch e.Outcome {
 	case CallAnswered:
-		m.trust(now, c)
-		m.take(now, c, e.Results)
+		m.markTrusted(now, c)
+		m.acceptResults(now, c, e.Results)
 	case CallNotExecuted:
-		r.refuse(now, m.cfg)
-		m.again(c, false)
+		r.noteRefusal(now, m.cfg)
+		m.requeueCall(c, false)
 	case CallUnreachable:
-		m.suspect(now, r, e.Outcome.String())
-		m.again(c, false)
+		m.markSuspected(now, r, e.Outcome.String())
+		m.requeueCall(c, false)
 	case CallFailed:
-		m.suspect(now, r, e.Outcome.String())
-		m.again(c, true)
+		m.markSuspected(now, r, e.Outcome.String())
+		m.requeueCall(c, true)
 	}
 }
 
-// trust notes that the replica of a call has answered it.
-func (m *Machine) trust(now time.Time, c *call) {
+// markTrusted records that the replica of a call has answered it.
+func (m *Machine) markTrusted(now time.Time, c *call) {
 	r := c.replica
 	if r.failures > 0 {
-		m.act(Trusted{Replica: r.ID, Service: r.service.name})
+		m.emit(Trusted{Replica: r.ID, Service: r.service.name})
 	}
 	r.failures, r.refusals = 0, 0
-	r.suspect = time.Time{}
-	r.pass(c)
-	r.measure(now, now.Sub(c.started), len(c.pieces))
+	r.suspectUntil = time.Time{}
+	r.noteAnswered(c)
+	r.recordLatency(now, now.Sub(c.started), len(c.pieces))
 }
 
-// suspect avoids a replica for a while.
-func (m *Machine) suspect(now time.Time, r *replica, why string) {
-	r.fail(now, m.cfg)
-	m.act(Suspected{Replica: r.ID, Service: r.service.name, Why: why, Failures: r.failures, For: r.suspect.Sub(now)})
+// markSuspected excludes a replica from new calls for a while.
+func (m *Machine) markSuspected(now time.Time, r *replica, why string) {
+	r.noteFailure(now, m.cfg)
+	m.emit(Suspected{Replica: r.ID, Service: r.service.name, Why: why, Failures: r.failures, For: r.suspectUntil.Sub(now)})
 }
 
-// again queues the pieces of a call that brought nothing. count says that the
-// call counts against their tries.
-func (m *Machine) again(c *call, count bool) {
+// requeueCall queues the pieces of a call that returned no results. countAttempt says
+// whether the call counts as an attempt for its pieces.
+func (m *Machine) requeueCall(c *call, count bool) {
 	for _, p := range c.pieces {
-		c.replica.used = max(0, c.replica.used-p.bytes())
+		c.replica.usedBytes = max(0, c.replica.usedBytes-p.resultBytes())
 		if count {
-			p.tries++
+			p.attempts++
 		}
 		m.requeue(p)
 	}
 }
 
-// requeue queues a piece that is in no running call. One that was tried too often
-// ends its job, unless a lapsed call may still bring it.
+// requeue queues a piece that is in no running call. If its attempts are used up its job is
+// refused, unless a timed-out call may still return the result.
 func (m *Machine) requeue(p *piece) {
-	if !m.current(p) || p.state == made || p.state == queued || p.calls > 0 {
+	if !m.isPlanned(p) || p.state == completed || p.state == queued || p.runningCalls > 0 {
 		return
 	}
-	if p.tries >= m.cfg.MaxTries {
-		if p.heard > 0 {
+	if p.attempts >= m.cfg.MaxAttempts {
+		if p.timedOutCalls > 0 {
 			return
 		}
 		m.refuse(p.job, ReasonFailed, m.cfg.MinRetryAfter)
@@ -86,14 +87,14 @@
 	p.enqueue()
 }
 
-// take takes the results of an answered call.
-func (m *Machine) take(now time.Time, c *call, results []Result) {
+// acceptResults handles the results of an answered call.
+func (m *Machine) acceptResults(now time.Time, c *call, results []Result) {
 	var advanced []*job
 	for i, p := range c.pieces {
 		if i >= len(results) {
 			break
 		}
-		if m.takeOne(now, c.replica, p, results[i]) && !slices.Contains(advanced, p.job) {
+		if m.acceptResult(now, c.replica, p, results[i]) && !slices.Contains(advanced, p.job) {
 			advanced = append(advanced, p.job)
 		}
 	}
@@ -104,62 +105,62 @@
 	}
 }
 
-// takeOne takes the result of one piece and says whether it was made and is
-// wanted.
-func (m *Machine) takeOne(now time.Time, r *replica, p *piece, res Result) bool {
+// acceptResult handles the result of one piece. It returns true if the piece was completed
+// by it.
+func (m *Machine) acceptResult(now time.Time, r *replica, p *piece, res Result) bool {
 	if res.Kind != Made {
-		r.used = max(0, r.used-p.bytes())
+		r.usedBytes = max(0, r.usedBytes-p.resultBytes())
 	}
 	switch res.Kind {
 	case Made:
-		if p.state == made && p.holder == r && p.handle == res.Handle {
-			r.used = max(0, r.used-p.bytes())
+		if p.state == completed && p.holder == r && p.handle == res.Handle {
+			r.usedBytes = max(0, r.usedBytes-p.resultBytes())
 			return false
 		}
-		if !m.current(p) || p.state == made {
-			// Nobody waits any more, or another call was faster.
-			m.freeHandle(r, res.Handle, p.bytes())
+		if !m.isPlanned(p) || p.state == completed {
+			// The job has ended, or another call returned the result first.
+			m.releaseHandle(r, res.Handle, p.resultBytes())
 			return false
 		}
 		if p.state == queued {
 			p.job.stages[p.stage].service.queue.remove(p)
 		}
-		p.state, p.handle, p.holder = made, res.Handle, r
+		p.state, p.handle, p.holder = completed, res.Handle, r
 		st := &p.job.stages[p.stage]
-		p.job.count(p.stage, -1)
-		st.madeAt = now
-		m.act(Progress{Job: p.job.ID, Piece: MadePiece{Stage: p.stage, Index: p.index, Handle: res.Handle, Replica: r.ID}})
+		p.job.addRemaining(p.stage, -1)
+		st.completedAt = now
+		m.emit(Progress{Job: p.job.ID, Piece: MadePiece{Stage: p.stage, Index: p.index, Handle: res.Handle, Replica: r.ID}})
 		return true
 	case InputGone:
-		m.remake(now, p)
+		m.recomputeInputs(now, p)
 	case NoRoom:
-		r.full(now)
-		m.nextInspect.by(now)
+		r.noteOutOfMemory(now)
+		m.nextMemoryQuery.schedule(now)
 		m.requeue(p)
 	case TooLate:
 		m.requeue(p)
 	case Broken:
-		p.tries++
+		p.attempts++
 		m.requeue(p)
 	}
 	return false
 }
 
-// maxRemakes bounds how often a job's lost inputs are made again.
-const maxRemakes = 2
+// maxRecomputations bounds how often the lost inputs of a job are computed again.
+const maxRecomputations = 2
 
-// remake makes the inputs of a piece again: one of them is gone, and which is
-// not known.
-func (m *Machine) remake(now time.Time, p *piece) {
+// recomputeInputs recomputes all inputs of a piece: one of them is gone, and the replica
+// does not say which.
+func (m *Machine) recomputeInputs(now time.Time, p *piece) {
 	j := p.job
-	if !m.current(p) || p.state != running || p.calls > 0 {
+	if !m.isPlanned(p) || p.state != running || p.runningCalls > 0 {
 		return
 	}
-	if j.remakes >= maxRemakes {
+	if j.recomputations >= maxRecomputations {
 		m.refuse(j, ReasonFailed, m.cfg.MinRetryAfter)
 		return
 	}
-	j.remakes++
+	j.recomputations++
 	for k := range j.stages[p.stage].pieces {
 		if o := &j.stages[p.stage].pieces[k]; o.state == queued || o.state == running {
 			if o.state == queued {
@@ -174,52 +175,52 @@
 	m.advance(now, j)
 }
 
-// resetStage makes all results of a stage again, and what those need.
+// resetStage has all results of a stage computed again, and the inputs that were released.
 func (m *Machine) resetStage(j *job, i int) {
 	st := &j.stages[i]
-	if st.left > 0 {
+	if st.remaining > 0 {
 		return
 	}
 	if j.Shared {
-		m.leaveStage(st) // the owner may hand them to another planner
+		m.forgetResults(st) // the owner may hand them to another planner
 	}
-	m.freeStage(st)
-	st.freed = false
-	j.count(i, len(st.pieces)-st.left)
+	m.releaseStage(st)
+	st.released = false
+	j.addRemaining(i, len(st.pieces)-st.remaining)
 	for k := range st.pieces {
 		p := &st.pieces[k]
-		p.state, p.told, p.known = blocked, false, false
+		p.state, p.reported, p.acked = blocked, false, false
 	}
 	for _, a := range j.Stages[i].After {
-		if j.stages[a].freed {
+		if j.stages[a].released {
 			m.resetStage(j, a)
 		}
 	}
 }
 
-// overdue queues the pieces of calls that take too long a second time, for
-// another replica. The first result counts.
-func (m *Machine) overdue(now time.Time) {
+// hedgeOverdueCalls queues the pieces of calls that take too long a second time, for
+// another replica. The first result is used.
+func (m *Machine) hedgeOverdueCalls(now time.Time) {
 	if !m.nextOverdue.due(now) {
 		return
 	}
 	var over []*call
 	for _, c := range m.calls {
 		switch {
-		case c.given:
-		case now.Before(c.overdue):
-			m.nextOverdue.by(c.overdue)
+		case c.hedged:
+		case now.Before(c.overdueAt):
+			m.nextOverdue.schedule(c.overdueAt)
 		default:
 			over = append(over, c)
 		}
 	}
 	slices.SortFunc(over, func(a, b *call) int { return cmp.Compare(a.id, b.id) })
 	for _, c := range over {
-		c.given = true
-		m.suspect(now, c.replica, "overdue")
+		c.hedged = true
+		m.markSuspected(now, c.replica, "overdue")
 		for _, p := range c.pieces {
-			if m.current(p) && p.state == running && p.calls == 1 && p.tries+1 < m.cfg.MaxTries {
-				p.tries++
+			if m.isPlanned(p) && p.state == running && p.runningCalls == 1 && p.attempts+1 < m.cfg.MaxAttempts {
+				p.attempts++
 				p.enqueue()
 			}
 		}
--- a/core/stage/config.go
+++ b/core/stage/config.go
@@ -6,52 +6,52 @@
 	"github.com/wheatseam/wheatseam/core/intake"
 )
 
-// Config holds the constants of a Machine. The zero value of a field takes its
-// default.
+// Config holds the parameters of a Machine. A field that is zero takes its default.
 type Config struct {
-	// CrossingRate is the bytes of results that may cross failure domains to
-	// spare a millisecond of waiting. Default 600: results that cross are
-	// paid for, and a wait that does not make a job late costs nothing.
-	CrossingRate float64
-	// SlackShare is the part of a job's slack that may be spent on waiting for
-	// its own failure domain. Default 0.8.
-	SlackShare float64
-	// CustomerStep is how much later a job is made whose customer is the next less
-	// urgent. Default 2 s: the more urgent one goes first unless the other has waited
-	// for long.
-	CustomerStep time.Duration
-	// ReservePerRank is the part of a job's slack that is left to each more urgent rank
-	// that asks for the same services. Default 0.35.
-	ReservePerRank float64
-	// OverdueFactor and OverdueSlack say when a running call counts as overdue
-	// and its pieces are made elsewhere too. Defaults 1.6 and 120 ms.
+	// CrossDomainBytesPerMs is the number of result bytes that may cross failure domains to
+	// save one millisecond of waiting. Default 600: traffic across failure domains is paid
+	// for, and a wait that does not make a job late costs nothing.
+	CrossDomainBytesPerMs float64
+	// DomainWaitSlackShare is the share of a job's slack that may be spent on waiting for a
+	// replica in the preferred failure domain. Default 0.8.
+	DomainWaitSlackShare float64
+	// CustomerPriorityDelay is added to a job's effective due time for each step by which
+	// its customer's priority is lower. Default 2 s: the more urgent customer goes first
+	// unless the other job has waited long.
+	CustomerPriorityDelay time.Duration
+	// ReservedSharePerRank is the share of a job's slack that is reserved for each rank of
+	// higher priority that uses the same services. Default 0.35.
+	ReservedSharePerRank float64
+	// OverdueFactor and OverdueSlack set when a running call is overdue, so that its pieces
+	// are also queued for another replica: after OverdueFactor times the expected time plus
+	// OverdueSlack. Defaults 1.6 and 120 ms.
 	OverdueFactor float64
 	OverdueSlack  time.Duration
-	// TimeoutFactor and TimeoutSlack say when a call is no longer counted on: its
-	// pieces are made anew, and its results are taken if they come all the same.
-	// Defaults 4 and 500 ms: a call may wait behind another planner's.
+	// TimeoutFactor and TimeoutSlack set when a call times out, in the same way. Its pieces
+	// are queued again, and its results are still accepted if they arrive. Defaults 4 and
+	// 500 ms: a call may queue at the replica behind another planner's.
 	TimeoutFactor float64
 	TimeoutSlack  time.Duration
-	// MaxTries bounds the calls for one piece. Default 4.
-	MaxTries int
-	// SuspectBase and SuspectMax bound the time for which a replica that
-	// failed is avoided; it doubles with each failure. Defaults 500 ms and 8 s.
+	// MaxAttempts bounds the calls for one piece. Default 4.
+	MaxAttempts int
+	// SuspectBase and SuspectMax bound the time for which a failed replica is avoided; the
+	// time doubles with each consecutive failure. Defaults 500 ms and 8 s.
 	SuspectBase, SuspectMax time.Duration
-	// BusyWait is the wait before a replica that refused a call is tried
-	// again. Default 40 ms.
-	BusyWait time.Duration
-	// SplitShare is the share of a call's fixed time that a call's pieces must
-	// take before work is split over idle replicas. Default 0.8: in bursts
-	// many small calls leave no replica for the next stage.
-	SplitShare float64
-	// LateGrace is how long after Latest a job is refused if calls are still to be
-	// made for it. Default 3 s: jobs that are late are made last, and in a long burst
-	// those were held until their callers left.
+	// RefusalBackoff is the wait before the next call to a replica that refused one.
+	// Default 40 ms.
+	RefusalBackoff time.Duration
+	// MinSplitShare is the smallest share of a call's fixed time that its pieces must take
+	// before work is split over several available replicas. Default 0.8: in bursts, many
+	// small calls would leave no replica for the next stage.
+	MinSplitShare float64
+	// LateGrace is the time after Latest at which a job is refused if it still needs calls.
+	// Default 3 s: late jobs are executed last, and in a long burst they were held until
+	// their callers left.
 	LateGrace time.Duration
-	// Gates bound the calls at replicas; others of this host that call the same
-	// replicas share them. Default: gates of the Machine's own.
+	// Gates limit the calls to replicas, together with the calls of other components of
+	// this host. Default: gates that only this Machine uses.
 	Gates *intake.Gates
-	// MinRetryAfter is the least wait told to a refused job. Default 300 ms.
+	// MinRetryAfter is the shortest retry delay returned to a refused job. Default 300 ms.
 	MinRetryAfter time.Duration
 }
 
@@ -65,19 +65,19 @@
 	if c.Gates == nil {
 		c.Gates = intake.NewGates()
 	}
-	orDefault(&c.CrossingRate, 600)
-	orDefault(&c.SlackShare, 0.8)
-	orDefault(&c.CustomerStep, 2*time.Second)
-	orDefault(&c.ReservePerRank, 0.35)
+	orDefault(&c.CrossDomainBytesPerMs, 600)
+	orDefault(&c.DomainWaitSlackShare, 0.8)
+	orDefault(&c.CustomerPriorityDelay, 2*time.Second)
+	orDefault(&c.ReservedSharePerRank, 0.35)
 	orDefault(&c.OverdueFactor, 1.6)
 	orDefault(&c.OverdueSlack, 120*time.Millisecond)
 	orDefault(&c.TimeoutFactor, 4)
 	orDefault(&c.TimeoutSlack, 500*time.Millisecond)
-	orDefault(&c.MaxTries, 4)
+	orDefault(&c.MaxAttempts, 4)
 	orDefault(&c.SuspectBase, 500*time.Millisecond)
 	orDefault(&c.SuspectMax, 8*time.Second)
-	orDefault(&c.BusyWait, 40*time.Millisecond)
-	orDefault(&c.SplitShare, 0.8)
+	orDefault(&c.RefusalBackoff, 40*time.Millisecond)
+	orDefault(&c.MinSplitShare, 0.8)
 	orDefault(&c.LateGrace, 3*time.Second)
 	orDefault(&c.MinRetryAfter, 300*time.Millisecond)
 	return c
--- a/core/stage/dispatch.go
+++ b/core/stage/dispatch.go
@@ -11,62 +11,63 @@
 	slices.SortFunc(rs, func(a, b *replica) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// pass is one pass over the queue of a service.
-type pass struct {
-	now    time.Time
-	s      *service
-	groups []*group
-	idle   []*replica
-	// ahead counts, by home, the pieces that wait there before the group that
-	// is looked at.
-	ahead map[string]int
+// dispatchPass is one pass over the queue of a service.
+type dispatchPass struct {
+	now       time.Time
+	service   *service
+	groups    []*group
+	available []*replica
+	// waitingBefore counts, by preferred domain, the pieces that wait there before the
+	// group under consideration.
+	waitingBefore map[string]int
 }
 
-// dispatch calls idle replicas while there is work that should not wait.
+// dispatch starts calls at available replicas while there is work that should not wait.
 func (m *Machine) dispatch(now time.Time, s *service) {
-	if len(s.queue.groups) == 0 || now.Before(s.passDue()) {
+	if len(s.queue.groups) == 0 || now.Before(s.nextPassTime()) {
 		return
 	}
-	s.passed(now, m.cfg.BusyWait)
-	idle := s.idleReplicas(now)
+	s.recordPass(now, m.cfg.RefusalBackoff)
+	idle := s.availableReplicas(now)
 	if len(idle) == 0 {
 		return
 	}
-	ps := &pass{now: now, s: s, groups: s.queue.order(now), idle: idle, ahead: map[string]int{}}
-	for i := 0; i < len(ps.groups) && len(ps.idle) > 0; {
+	ps := &dispatchPass{now: now, service: s, groups: s.queue.byUrgency(now), available: idle, waitingBefore: map[string]int{}}
+	for i := 0; i < len(ps.groups) && len(ps.available) > 0; {
 		g := ps.groups[i]
 		if len(g.pieces) == 0 {
 			i++
 			continue
 		}
-		r := m.choose(ps, g)
+		r := m.chooseReplica(ps, g)
 		if r == nil {
-			ps.ahead[g.home] += len(g.pieces)
+			ps.waitingBefore[g.preferredDomain] += len(g.pieces)
 			i++
 			continue
 		}
-		m.run(now, r, m.fill(ps, r, ps.groups[i:]))
-		ps.idle = slices.DeleteFunc(ps.idle, func(o *replica) bool { return !o.idle(now) })
+		m.startCall(now, r, m.takePieces(ps, r, ps.groups[i:]))
+		ps.available = slices.DeleteFunc(ps.available, func(o *replica) bool { return !o.available(now) })
 	}
 	s.queue.compact()
 }
 
-// passDue returns when the next pass is due: at once after something happened that
-// may allow a call, but not too often.
-func (s *service) passDue() time.Time {
+// nextPassTime returns when the next pass is due. After an event that may allow a call it
+// is due at once, subject to the minimum pause between passes.
+func (s *service) nextPassTime() time.Time {
 	if s.dirty {
-		return s.lastPass.Add(pauseFor(len(s.queue.groups)))
+		return s.lastPass.Add(passPause(len(s.queue.groups)))
 	}
 	return s.nextPass
 }
 
-// passed notes a pass, and when the next one is due though nothing happens: a
-// replica may be called again, or a piece that waits for its own domain may cross.
-func (s *service) passed(now time.Time, wait time.Duration) {
+// recordPass records a pass and schedules the next one for the case that no event comes
+// before: a replica may become available again, or a piece that waits for its preferred
+// domain may have to go to another one.
+func (s *service) recordPass(now time.Time, wait time.Duration) {
 	s.dirty, s.lastPass = false, now
-	s.nextPass = now.Add(max(wait, pauseFor(len(s.queue.groups))))
+	s.nextPass = now.Add(max(wait, passPause(len(s.queue.groups))))
 	for _, r := range s.replicas {
-		for _, t := range [...]time.Time{r.busy, r.suspect, r.noRoom, r.gate.Opens(now)} {
+		for _, t := range [...]time.Time{r.busyUntil, r.suspectUntil, r.noMemoryUntil, r.gate.Opens(now)} {
 			if t.After(now) && t.Before(s.nextPass) {
 				s.nextPass = t
 			}
@@ -74,9 +75,9 @@
 	}
 }
 
-// idleReplicas returns the replicas that may be called now. Slow ones are left
-// out unless half of the usable ones are.
-func (s *service) idleReplicas(now time.Time) []*replica {
+// availableReplicas returns the replicas that can start a call now. Slow replicas are left
+// out unless at least half of the usable ones are slow.
+func (s *service) availableReplicas(now time.Time) []*replica {
 	var idle, slow []*replica
 	usable, slowUsable := 0, 0
 	for _, r := range s.replicas {
@@ -89,7 +90,7 @@
 			slowUsable++
 		}
 		switch {
-		case !r.idle(now):
+		case !r.available(now):
 		case isSlow:
 			slow = append(slow, r)
 		default:
@@ -102,56 +103,56 @@
 	return idle
 }
 
-// chunk is the number of pieces of the next call: work is split over the idle
-// replicas once each has pieces for a good share of a call's fixed time.
-func (ps *pass) chunk(splitShare float64) int {
-	f := ps.s.figures
+// callSize returns the number of pieces of the next call. Work is split over the available
+// replicas once each gets enough pieces to take a good share of a call's fixed time.
+func (ps *dispatchPass) callSize(splitShare float64) int {
+	f := ps.service.params
 	least := 1
 	if f.PieceTime > 0 {
 		least = int(float64(f.CallTime)*splitShare/float64(f.PieceTime)) + 1
 	}
-	each := (ps.s.queue.pieces + len(ps.idle) - 1) / len(ps.idle)
+	each := (ps.service.queue.pieces + len(ps.available) - 1) / len(ps.available)
 	return min(f.Batch, max(each, least))
 }
 
-// choose returns the idle replica for a group, or nil when waiting for one of
-// its home is better, or none has room.
-func (m *Machine) choose(ps *pass, g *group) *replica {
+// chooseReplica returns the available replica for a group. It returns nil if waiting for a
+// replica in the preferred domain is better, or if no replica has enough memory.
+func (m *Machine) chooseReplica(ps *dispatchPass, g *group) *replica {
 	var home, other *replica
 	load := m.readerLoad(ps.now, g)
-	for _, r := range ps.idle {
-		if !r.fits(ps.now, ps.s.firstBytes(g)) || r.has(g.pieces[0]) {
+	for _, r := range ps.available {
+		if !r.fits(ps.now, ps.service.initialBytes(g)) || r.runs(g.pieces[0]) {
 			continue
 		}
-		if g.home == "" || r.FailureDomain == g.home {
-			home = better(ps.now, home, r, load)
+		if g.preferredDomain == "" || r.FailureDomain == g.preferredDomain {
+			home = preferred(ps.now, home, r, load)
 		} else {
-			other = better(ps.now, other, r, load)
+			other = preferred(ps.now, other, r, load)
 		}
 	}
 	if home != nil {
 		return home
 	}
-	if other != nil && ps.s.homeWait(ps.now, g, ps.ahead[g.home]) > m.crossing(g) {
+	if other != nil && ps.service.domainWait(ps.now, g, ps.waitingBefore[g.preferredDomain]) > m.maxDomainWait(g) {
 		return other
 	}
 	return nil
 }
 
-// firstBytes is the size of what a call takes of a group at once: all of it
-// unless a call or a replica's room cannot hold that.
-func (s *service) firstBytes(g *group) int64 {
+// initialBytes returns the size of the results that one call takes on of a group: all of
+// it, unless a call or a replica's memory cannot hold that.
+func (s *service) initialBytes(g *group) int64 {
 	each := g.job.Stages[g.stage].ResultBytes
-	n := int64(min(len(g.pieces), s.figures.Batch)) * each
-	if s.figures.RoomBytes > 0 && n > s.figures.RoomBytes {
+	n := int64(min(len(g.pieces), s.params.Batch)) * each
+	if s.params.RoomBytes > 0 && n > s.params.RoomBytes {
 		return each
 	}
 	return n
 }
 
-// has says whether a running call at r has the piece.
-func (r *replica) has(p *piece) bool {
-	if p.calls == 0 {
+// runs says whether a running call at r contains the piece.
+func (r *replica) runs(p *piece) bool {
+	if p.runningCalls == 0 {
 		return false
 	}
 	for _, c := range r.calls {
@@ -162,47 +163,49 @@
 	return false
 }
 
-// better returns the replica with the better pace, then in the failure domain
-// with less work for the readers of the results, then with fewer bytes held.
-func better(now time.Time, a, b *replica, load map[string]float64) *replica {
+// preferred returns the better of two replicas: the faster one, then the one in the failure
+// domain with less work for the readers of the results, then the one that holds fewer
+// bytes.
+func preferred(now time.Time, a, b *replica, load map[string]float64) *replica {
 	switch {
 	case a == nil:
 		return b
 	case b == nil:
 		return a
 	}
-	const notable = 1.3 // paces closer than this count as equal
+	const notable = 1.3 // latency ratios closer than this count as equal
 	switch {
-	case b.paceNow(now)*notable < a.paceNow(now):
+	case b.currentLatencyRatio(now)*notable < a.currentLatencyRatio(now):
 		return b
-	case a.paceNow(now)*notable < b.paceNow(now):
+	case a.currentLatencyRatio(now)*notable < b.currentLatencyRatio(now):
 		return a
 	}
-	if c := cmp.Or(cmp.Compare(load[a.FailureDomain], load[b.FailureDomain]), cmp.Compare(a.used, b.used)); c > 0 {
+	if c := cmp.Or(cmp.Compare(load[a.FailureDomain], load[b.FailureDomain]), cmp.Compare(a.usedBytes, b.usedBytes)); c > 0 {
 		return b
 	}
 	return a
 }
 
-// readerLoad returns, for each failure domain, the pieces that wait or will
-// wait there for each replica of the service that reads the group's results.
-// It is nil when no stage reads them: then the domain does not matter. It depends on
-// the reading service alone, as services whose results that one reads share it.
+// readerLoad returns, for each failure domain, the pieces that wait or will wait there,
+// divided by the domain's replicas of the service that reads the group's results. It
+// returns nil if no stage reads them, since the domain then does not matter. The value
+// depends only on the reading service, so all services whose results it reads share one
+// cached value.
 func (m *Machine) readerLoad(now time.Time, g *group) map[string]float64 {
 	reader := g.job.reader(g.stage)
 	if reader == nil {
 		return nil
 	}
-	if reader.load != nil && now.Before(reader.loadAt.Add(pauseFor(len(m.jobs)))) {
-		return reader.load
+	if reader.readerLoad != nil && now.Before(reader.readerLoadAt.Add(passPause(len(m.jobs)))) {
+		return reader.readerLoad
 	}
 	load := map[string]float64{}
-	reader.load, reader.loadAt = load, now
+	reader.readerLoad, reader.readerLoadAt = load, now
 	for _, j := range m.jobs {
 		for i := range j.stages {
 			st := &j.stages[i]
-			if st.service == reader && st.left > 0 {
-				load[j.comesTo(i)] += float64(st.left)
+			if st.service == reader && st.remaining > 0 {
+				load[j.expectedDomain(i)] += float64(st.remaining)
 			}
 		}
 	}
@@ -210,7 +213,7 @@
 	for domain := range load {
 		load[domain] /= float64(max(1, replicas[domain]))
 	}
-	const unserved = 1e9 // a domain without a replica of the reader comes last
+	const unserved = 1e9 // ranks domains without a replica of the reading service last
 	for _, r := range m.replicas {
 		if replicas[r.FailureDomain] == 0 {
 			load[r.FailureDomain] = unserved
@@ -219,8 +222,7 @@
 	return load
 }
 
-// reader returns the service that reads the results of stage i; nil when no
-// other stage does.
+// reader returns the service that reads the results of stage i, or nil if there is none.
 func (j *job) reader(i int) *service {
 	readers := j.stages[i].readers
 	if len(readers) == 0 {
@@ -229,115 +231,115 @@
 	return j.stages[readers[0]].service
 }
 
-// comeTo counts the work for the readers of a group that is made in a domain.
-func (g *group) comeTo(domain string) {
+// addReaderLoad adds the work for the readers of a group that is executed in a domain.
+func (g *group) addReaderLoad(domain string) {
 	reader := g.job.reader(g.stage)
-	if reader == nil || reader.load == nil {
+	if reader == nil || reader.readerLoad == nil {
 		return
 	}
 	each := max(1, len(reader.replicas)/max(1, reader.domains))
-	reader.load[domain] += float64(g.job.stages[g.job.stages[g.stage].readers[0]].left) / float64(each)
+	reader.readerLoad[domain] += float64(g.job.stages[g.job.stages[g.stage].readers[0]].remaining) / float64(each)
 }
 
-// crossing is the wait that is better than to let a group's bytes cross failure
-// domains, both what it reads and what its readers will: longer the more bytes
-// there are, and never so long that the job is late for it.
-func (m *Machine) crossing(g *group) time.Duration {
-	worth := time.Duration(float64(g.job.moved(g.stage)) / m.cfg.CrossingRate * float64(time.Millisecond))
-	return min(worth, time.Duration(m.cfg.SlackShare*float64(g.slack))/time.Duration(max(1, g.calls)))
+// maxDomainWait returns how long to wait for a replica in the preferred domain before the
+// group goes to another one. It grows with the bytes that would cross failure domains, both
+// the group's inputs and its results for its readers, and never makes the job late.
+func (m *Machine) maxDomainWait(g *group) time.Duration {
+	worth := time.Duration(float64(g.job.crossDomainBytes(g.stage)) / m.cfg.CrossDomainBytesPerMs * float64(time.Millisecond))
+	return min(worth, time.Duration(m.cfg.DomainWaitSlackShare*float64(g.slack))/time.Duration(max(1, g.calls)))
 }
 
-// never is the wait for a domain without a usable replica.
-const never = time.Hour
+// unavailableWait is the wait for a domain without a usable replica.
+const unavailableWait = time.Hour
 
-// homeWait is the expected wait for a replica of the group's home.
-func (s *service) homeWait(now time.Time, g *group, ahead int) time.Duration {
-	wait, usable := never, 0
+// domainWait returns the expected wait for a replica in the group's preferred domain.
+func (s *service) domainWait(now time.Time, g *group, ahead int) time.Duration {
+	wait, usable := unavailableWait, 0
 	for _, r := range s.replicas {
-		if r.FailureDomain != g.home || !r.usable(now) {
+		if r.FailureDomain != g.preferredDomain || !r.usable(now) {
 			continue
 		}
 		usable++
-		w := r.freeAt(now).Sub(now)
-		if !r.fits(now, s.firstBytes(g)) {
-			w += s.callTime(s.figures.Batch)
+		w := r.availableAt(now).Sub(now)
+		if !r.fits(now, s.initialBytes(g)) {
+			w += s.callTime(s.params.Batch)
 		}
 		wait = min(wait, w)
 	}
 	if usable == 0 {
-		return never
+		return unavailableWait
 	}
-	rounds := ahead / (usable * s.figures.Batch)
-	return wait + time.Duration(rounds)*s.callTime(s.figures.Batch)
+	rounds := ahead / (usable * s.params.Batch)
+	return wait + time.Duration(rounds)*s.callTime(s.params.Batch)
 }
 
-// fill takes the pieces of a call to r out of the groups, best first: whole
-// groups as long as the call can hold them.
-func (m *Machine) fill(ps *pass, r *replica, groups []*group) []*piece {
+// takePieces removes the pieces of a call to r from the groups, in order. Whole groups are
+// added as long as the call can hold them.
+func (m *Machine) takePieces(ps *dispatchPass, r *replica, groups []*group) []*piece {
 	var pieces []*piece
 	var bytes int64
-	limit := ps.chunk(m.cfg.SplitShare)
+	limit := ps.callSize(m.cfg.MinSplitShare)
 	for i, g := range groups {
 		if len(pieces) >= limit {
 			break
 		}
-		space := ps.s.figures.Batch - len(pieces)
-		if len(g.pieces) == 0 || i > 0 && (len(g.pieces) > space || !r.fits(ps.now, bytes+g.bytes()) || m.waitsForHome(ps, r, g)) {
+		space := ps.service.params.Batch - len(pieces)
+		if len(g.pieces) == 0 || i > 0 && (len(g.pieces) > space || !r.fits(ps.now, bytes+g.resultBytes()) || m.shouldWaitForDomain(ps, r, g)) {
 			continue
 		}
 		var left []*piece
 		for k, p := range g.pieces {
-			if k >= space || r.has(p) || len(pieces) > 0 && !r.fits(ps.now, bytes+p.bytes()) {
+			if k >= space || r.runs(p) || len(pieces) > 0 && !r.fits(ps.now, bytes+p.resultBytes()) {
 				left = append(left, p)
 				continue
 			}
 			pieces = append(pieces, p)
-			bytes += p.bytes()
+			bytes += p.resultBytes()
 		}
 		if len(left) < len(g.pieces) {
-			g.comeTo(r.FailureDomain)
+			g.addReaderLoad(r.FailureDomain)
 		}
 		g.pieces = left
 	}
-	ps.s.queue.pieces -= len(pieces)
+	ps.service.queue.pieces -= len(pieces)
 	return pieces
 }
 
-// waitsForHome says whether a group that could join a call to r is better made
-// in its home a little later.
-func (m *Machine) waitsForHome(ps *pass, r *replica, g *group) bool {
-	return g.home != "" && g.home != r.FailureDomain && ps.s.homeWait(ps.now, g, 0) <= m.crossing(g)
+// shouldWaitForDomain says whether a group that could join a call to r should rather wait
+// for its preferred domain.
+func (m *Machine) shouldWaitForDomain(ps *dispatchPass, r *replica, g *group) bool {
+	return g.preferredDomain != "" && g.preferredDomain != r.FailureDomain && ps.service.domainWait(ps.now, g, 0) <= m.maxDomainWait(g)
 }
 
-// run makes a call.
-func (m *Machine) run(now time.Time, r *replica, pieces []*piece) {
+// startCall starts a call.
+func (m *Machine) startCall(now time.Time, r *replica, pieces []*piece) {
 	m.nextID++
 	s := r.service
-	expected := time.Duration(max(s.pace, 1) * float64(s.nominal(len(pieces))))
+	expected := time.Duration(max(s.latencyRatio, 1) * float64(s.nominalTime(len(pieces))))
 	c := &call{
 		id: m.nextID, replica: r, pieces: pieces, started: now,
-		ends:    now.Add(s.callTime(len(pieces))),
-		overdue: now.Add(time.Duration(m.cfg.OverdueFactor*float64(expected)) + m.cfg.OverdueSlack),
-		lapses:  now.Add(time.Duration(m.cfg.TimeoutFactor*float64(expected)) + m.cfg.TimeoutSlack),
+		expectedEnd: now.Add(s.callTime(len(pieces))),
+		overdueAt:   now.Add(time.Duration(m.cfg.OverdueFactor*float64(expected)) + m.cfg.OverdueSlack),
+		timeoutAt:   now.Add(time.Duration(m.cfg.TimeoutFactor*float64(expected)) + m.cfg.TimeoutSlack),
 	}
 	m.calls[c.id] = c
-	m.nextOverdue.by(c.overdue)
-	m.nextLapse.by(c.lapses)
+	m.nextOverdue.schedule(c.overdueAt)
+	m.nextTimeout.schedule(c.timeoutAt)
 	r.calls = append(r.calls, c)
 	r.gate.Begin(now)
-	m.mayInspect(now, s)
-	a := Run{Call: c.id, Service: s.name, Replica: r.ID, Address: r.Address, Timeout: c.lapses.Sub(now)}
+	m.addQueryBudget(now, s)
+	a := Run{Call: c.id, Service: s.name, Replica: r.ID, Address: r.Address, Timeout: c.timeoutAt.Sub(now)}
 	for _, p := range pieces {
 		p.state = running
-		p.calls++
-		p.at = r
+		p.runningCalls++
+		p.lastReplica = r
 		p.job.stages[p.stage].startedAt = now
-		r.used += p.bytes()
-		s.usualBytes += servicePaceWeight * (float64(p.bytes()) - s.usualBytes)
+		r.usedBytes += p.resultBytes()
+		s.meanResultBytes += serviceLatencyWeight * (float64(p.resultBytes()) - s.meanResultBytes)
 		a.Pieces = append(a.Pieces, p.request(now))
 		a.Timeout = max(a.Timeout, p.job.Deadline.Sub(now))
 	}
-	m.act(a)
+	m.emit(a)
 }
 
 // request is the piece as a replica is asked for it.
@@ -352,8 +354,8 @@
 	return out
 }
 
-// NextTick returns when the next Tick is due, if no event comes before, and
-// false when none is.
+// NextTick returns when the next Tick is due if no other event comes before; false if none
+// is due.
 func (m *Machine) NextTick(now time.Time) (time.Time, bool) {
 	var next time.Time
 	consider := func(t time.Time) {
@@ -362,12 +364,12 @@
 		}
 	}
 	consider(m.nextOverdue.at)
-	consider(m.nextLapse.at)
-	consider(m.nextInspect.at)
-	consider(m.expiry.at)
+	consider(m.nextTimeout.at)
+	consider(m.nextMemoryQuery.at)
+	consider(m.nextExpiry.at)
 	for _, s := range m.services {
 		if len(s.queue.groups) > 0 {
-			consider(s.passDue())
+			consider(s.nextPassTime())
 		}
 	}
 	return next, !next.IsZero()
--- a/core/stage/doc.go
+++ b/core/stage/doc.go
@@ -1,35 +1,35 @@
-// Package stage plans the preparatory stages of requests: which replica makes
-// which pieces together, and when.
+// Package stage plans the preparatory stages of requests: which replica executes which
+// pieces together, and when.
 //
-// A call to a replica that runs stages costs much the same whatever it holds,
-// so pieces of many requests are made together. A Machine holds the queue of
-// the whole fleet, or of its part, for every stage service. One daemon plans
-// for the others; what it does not know of a replica (calls and results of an
-// earlier planner) it learns from refusals. When a planner is lost, the jobs'
-// owners hand them to the next one together with what they were told of their
-// progress.
+// A piece is the smallest unit of stage work. A call to a replica costs about the same
+// whatever number of pieces it holds, so pieces of many requests are batched into one call.
+// A Machine holds the queue of the whole fleet, or of its part, for every stage service.
+// One daemon, the planner, plans for the others. Calls and results of an earlier planner
+// are unknown to it; it learns of them when replicas refuse calls. When a planner is lost,
+// the owners of its jobs submit them to the next planner, together with the progress that
+// was reported to them.
 //
 // # Contract
 //
-// A Machine does no I/O, reads no clock and starts no goroutine. The caller
-// passes the time and one Event at a time to Step and carries out the returned
-// Actions in order. Step is not safe for concurrent use.
+// A Machine does no I/O, reads no clock and starts no goroutine. The caller passes the time
+// and one Event at a time to Step and carries out the returned Actions in order. Step is
+// not safe for concurrent use.
 //
-// Calls are also bounded by Config.Gates, which others of the host share: what is
-// decided depends on what these have begun.
+// Calls are also limited by Config.Gates, which other components of the host share:
+// decisions depend on the calls that those have started.
 //
-// Every Run is answered by exactly one CallEnded with the same number. Every
-// submitted job ends with exactly one Ready or Refused, unless it is cancelled
-// first. After Ready, and after Refused with Held set, the caller reports Cancelled
-// once the results have been read or are of no more use. Of shared jobs, whose owners
-// may hand them to another planner, it reports what their owners are being told (Told)
-// and have heard (Known).
+// Every Run is answered by exactly one CallEnded with the same call number. Every submitted
+// job ends with exactly one Ready or Refused, unless it is cancelled first. After Ready,
+// and after Refused with Held set, the caller reports Cancelled once the results have been
+// read or are no longer needed. For shared jobs, whose owners may hand them to another
+// planner, the caller also reports which progress it is sending to their owners (Told) and
+// which the owners have acknowledged (Known).
 //
 // # What it guarantees
 //
-// A piece with inputs is given all results of all stages that it comes after,
-// of its own job, each once. A result that is not handed out, or that nobody
-// will read any more, is freed; one that the owner of a shared job was told of only at
-// its word, as another planner may have given it up. No call is made for a job that was
-// cancelled before the call began.
+// A piece with inputs is given all results of all stages that it depends on, of its own
+// job, each once. A result that is not delivered, or that no one will read any more, is
+// released. A result that the owner of a shared job was told of is released only after the
+// owner's acknowledgement or cancellation, as another planner may have released it. No call
+// is made for a job that was cancelled before the call started.
 package stage
--- a/core/stage/event.go
+++ b/core/stage/event.go
@@ -6,95 +6,96 @@
 	"github.com/wheatseam/wheatseam/core/catalog"
 )
 
-// Event is something that happened; see Machine.Step.
+// Event is an input of Machine.Step.
 type Event interface{ isEvent() }
 
-// Configured replaces the services that run stages and their replicas.
+// Configured replaces the services that run stages, and their replicas.
 type Configured struct {
 	Services map[string]*catalog.Service
 	Replicas []catalog.Replica
 }
 
-// Submitted asks for the results of a job. A job with the id of one that is
-// known is ignored.
+// Submitted asks for the results of a job. A job whose id is already known is ignored.
 type Submitted struct{ Job Job }
 
-// Cancelled says that nobody waits for a job any more, or, of a ready one, that
-// its results have been read or are of no more use. For a Shared job it is its
-// owner's word, unless Moved is set. It is also due for a job that was refused with
-// Held set.
+// Cancelled says that a job is no longer needed or, if it is ready, that its results have
+// been read or are no longer needed. For a Shared job it comes from the job's owner, unless
+// Moved is set. It is also due for a job that was refused with Held set.
 type Cancelled struct {
 	Job string
-	// Moved says that another planner goes on with the job, or may: the results that
-	// its owner was told of are not given up here.
+	// Moved says that another planner continues the job, or may do so: results that the
+	// owner was told of are not released here.
 	Moved bool
 }
 
-// Told says that the owners of jobs are being told of pieces, in a message that may be
-// lost.
+// Told says that completed pieces are being reported to the owners of their jobs, in a
+// message that may be lost.
 type Told struct{ Pieces []Progress }
 
-// Known says that the owners of jobs have heard of pieces.
+// Known says that the owners of jobs have acknowledged completed pieces.
 type Known struct{ Pieces []Progress }
 
-// CallOutcome says how a call to a replica ended.
+// CallOutcome is how a call to a replica ended.
 type CallOutcome uint8
 
 // The outcomes of calls.
 const (
-	// CallAnswered has a result for each piece.
+	// CallAnswered means that there is a result for each piece.
 	CallAnswered CallOutcome = iota
-	// CallNotExecuted was refused by the replica, or never reached it.
+	// CallNotExecuted means that the replica refused the call, or that it never reached the
+	// replica.
 	CallNotExecuted
-	// CallUnreachable could not be sent: no connection.
+	// CallUnreachable means that no connection could be made.
 	CallUnreachable
-	// CallFailed got no usable answer; its pieces may have been made.
+	// CallFailed means that there was no usable answer; the pieces may have been executed.
 	CallFailed
 )
 
-// ResultKind says what became of a piece in an answered call.
+// ResultKind is what became of a piece in an answered call.
 type ResultKind uint8
 
 // The kinds of results.
 const (
 	Made ResultKind = iota
-	// TooLate pieces were not made since their time had passed.
+	// TooLate means that the piece was not executed since its time had passed.
 	TooLate
-	// InputGone pieces were not made since an input no longer exists.
+	// InputGone means that the piece was not executed since an input no longer exists.
 	InputGone
-	// NoRoom pieces were not made since the replica could not hold the result.
+	// NoRoom means that the piece was not executed since the replica had no memory for its
+	// result.
 	NoRoom
-	// Broken pieces failed.
+	// Broken means that the piece failed.
 	Broken
 )
 
-// Result is what became of one piece.
+// Result is the result of one piece of an answered call.
 type Result struct {
 	Kind ResultKind
-	// Handle names the result when it was made.
+	// Handle identifies the result of a completed piece.
 	Handle string
 }
 
-// CallEnded ends a Run. Results has one entry for each piece, in order, when
-// the outcome is CallAnswered.
+// CallEnded reports the end of a Run. If the outcome is CallAnswered, Results has one entry
+// for each piece, in order.
 type CallEnded struct {
 	Call    uint64
 	Outcome CallOutcome
 	Results []Result
 }
 
-// Inspected tells how much room a replica had some moments before Asked.
+// Inspected reports the free memory that a replica had shortly before Asked.
 type Inspected struct {
 	Replica string
-	// Asked is when the replica was asked.
+	// Asked is when the query was sent.
 	Asked time.Time
 	Room  Room
 }
 
-// Room bounds the free room of a replica, in bytes: it is told in large units.
+// Room holds the bounds of a replica's free memory in bytes; replicas report it in large
+// units.
 type Room struct{ Least, Most int64 }
 
-// Tick tells the time; it is due at the time that Machine.NextTick returns.
+// Tick passes the time; it is due at the time that Machine.NextTick returns.
 type Tick struct{}
 
 func (Configured) isEvent() {}
@@ -108,46 +109,46 @@
 
 // Job is the stage work of one request.
 type Job struct {
-	// ID is the request's id.
+	// ID is the id of the request.
 	ID string
-	// Key is what the first stages work on.
+	// Key identifies the input of the stages that depend on no other stage.
 	Key  string
 	Rank catalog.Rank
-	// Due is when the results must be ready for an answer that is most likely
-	// on time, Latest when for one that may be, Deadline when they are of no
-	// more use. A Latest before Due counts as Due.
+	// Due is when the results must be ready for an answer that is very likely on time,
+	// Latest when they must be ready for one that may be on time, and Deadline when they
+	// become useless. A Latest before Due counts as Due.
 	Due, Latest, Deadline time.Time
-	// Domain is the failure domain in which the results will be read; "" if
-	// that is open.
+	// Domain is the failure domain in which the results will be read; "" if not yet known.
 	Domain string
 	Stages []Stage
-	// Shared says that the job's owner may hand it to another planner, with the
-	// results that it was told of here: these are given up at its word only.
+	// Shared says that the job's owner may hand the job to another planner, with the
+	// results that it was told of here. Those are released only when the owner acknowledges
+	// or cancels.
 	Shared bool
-	// Made are pieces that an earlier planner had made for the job, as far as
-	// that is known.
+	// Made are the pieces that an earlier planner completed, as far as the owner knows.
 	Made []MadePiece
 }
 
-// MadePiece is the result of a piece of a job.
+// MadePiece is a completed piece of a job.
 type MadePiece struct {
 	Stage, Index int
-	// Handle names the result at its maker, Replica is the maker's id.
+	// Handle identifies the result at the replica that made it, Replica is that replica's
+	// id.
 	Handle, Replica string
 }
 
 // Stage is one stage of a job.
 type Stage struct {
 	Service string
-	// After lists the stages whose results each piece reads.
+	// After lists the indices of the stages whose results each piece reads.
 	After []int
-	// Pieces is their number; 0 leaves the stage out.
+	// Pieces is the number of pieces; a stage with 0 pieces is left out.
 	Pieces int
-	// ResultBytes is the usual size of one result.
+	// ResultBytes is the typical size of one result.
 	ResultBytes int64
 }
 
-// String names the outcome in logs.
+// String returns the name of the outcome for logs.
 func (o CallOutcome) String() string {
 	switch o {
 	case CallAnswered:
--- a/core/stage/handover.go
+++ b/core/stage/handover.go
@@ -1,48 +1,49 @@
 package stage
 
-// The owner of a shared job, a daemon that another one plans for, hands the job to the
-// next planner when this one seems lost to it, with the results that it was told of. Its
-// message and this planner's may both be lost, so that neither knows what the other does,
-// and of two planners that both give a result up one takes it from the other's readers.
-// So there is one rule: a planner gives up by itself only what the owner was not told of.
-// Results that it was told of are given up
+// A shared job has an owner: the daemon that another daemon plans for. If that planner
+// seems lost, the owner submits the job to the next planner, with the results that it was
+// told of. The messages of both sides may be lost, so neither knows what the other does,
+// and if two planners both released a result, one would take it from the other's readers.
+// The rule is therefore: a planner on its own releases only results that the owner was not
+// told of. Results that the owner was told of are released
 //
-//   - once it has heard (Known) of all pieces that read them: it names them to no other
-//     planner as of use from then on, and the next planner leaves them alone (restore);
-//   - when it gives the job up (Cancelled).
+//   - once it has acknowledged (Known) all pieces that read them: from then on the owner no longer
+//     names them to another planner as useful, and the next planner does not use them (restore);
+//   - when it cancels the job (Cancelled).
 //
-// Where neither comes they outlive their time at the replica.
+// If neither happens they expire at the replica.
 
-// restore takes over the pieces that an earlier planner had made, as far as
-// their makers are there.
+// restore takes over the pieces that an earlier planner completed, if the replicas that
+// hold them are still there.
 func (m *Machine) restore(j *job) {
-	read := j.readBefore()
+	read := j.alreadyRead()
 	for _, old := range j.Made {
-		if p := j.pieceOf(old); p != nil && !read[old.Stage] {
-			m.restoreOne(p, old)
+		if p := j.pieceFor(old); p != nil && !read[old.Stage] {
+			m.restorePiece(p, old)
 		}
 	}
 	for i := len(j.stages) - 1; i >= 0; i-- {
 		if read[i] && j.readersComplete(i) {
-			j.skip(i)
+			j.markSkipped(i)
 		}
 	}
 }
 
-// restoreOne takes over one piece.
-func (m *Machine) restoreOne(p *piece, old MadePiece) {
+// restorePiece takes over one piece.
+func (m *Machine) restorePiece(p *piece, old MadePiece) {
 	r, j := m.replicas[old.Replica], p.job
-	if p.state == made || r == nil || !r.listed || r.service != j.stages[p.stage].service {
+	if p.state == completed || r == nil || !r.listed || r.service != j.stages[p.stage].service {
 		return
 	}
-	p.state, p.handle, p.holder, p.at = made, old.Handle, r, r
-	p.told, p.known = true, true
-	j.count(p.stage, -1)
-	r.used += p.bytes()
+	p.state, p.handle, p.holder, p.lastReplica = completed, old.Handle, r, r
+	p.reported, p.acked = true, true
+	j.addRemaining(p.stage, -1)
+	r.usedBytes += p.resultBytes()
 }
 
-// pieceOf returns the piece that another planner, or the job's owner, names; nil if there is none.
-func (j *job) pieceOf(made MadePiece) *piece {
+// pieceFor returns the piece that another planner or the job's owner names; nil if there is
+// none.
+func (j *job) pieceFor(made MadePiece) *piece {
 	if made.Stage < 0 || made.Stage >= len(j.stages) {
 		return nil
 	}
@@ -53,12 +54,12 @@
 	return &pieces[made.Index]
 }
 
-// readBefore says of each stage whether its results have been read, by what the owner
-// knows to be made: an earlier planner may have given them up.
-func (j *job) readBefore() []bool {
+// alreadyRead returns, for each stage, whether its results have been read by pieces that
+// the owner knows to be completed: an earlier planner may have released them.
+func (j *job) alreadyRead() []bool {
 	known := make([]map[int]bool, len(j.stages))
 	for _, old := range j.Made {
-		if j.pieceOf(old) == nil {
+		if j.pieceFor(old) == nil {
 			continue
 		}
 		if known[old.Stage] == nil {
@@ -76,18 +77,18 @@
 	return read
 }
 
-// skip takes a stage for complete without having its results: nobody reads them any
-// more.
-func (j *job) skip(i int) {
+// markSkipped marks a stage as complete without having its results, as no piece reads them
+// any more.
+func (j *job) markSkipped(i int) {
 	st := &j.stages[i]
-	st.freed = true
+	st.released = true
 	for k := range st.pieces {
-		st.pieces[k].state = made
+		st.pieces[k].state = completed
 	}
-	j.count(i, -st.left)
+	j.addRemaining(i, -st.remaining)
 }
 
-// readersHavePieces says whether any stage that reads stage i is not left out.
+// readersHavePieces says whether any stage that reads stage i has pieces.
 func (j *job) readersHavePieces(i int) bool {
 	for _, k := range j.stages[i].readers {
 		if len(j.stages[k].pieces) > 0 {
@@ -97,22 +98,22 @@
 	return false
 }
 
-// readersComplete says whether the stages that read stage i are complete.
+// readersComplete says whether all stages that read stage i are complete.
 func (j *job) readersComplete(i int) bool {
 	for _, k := range j.stages[i].readers {
-		if j.stages[k].left > 0 {
+		if j.stages[k].remaining > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// readersKnown says whether the job's owner knows of all pieces that read stage i.
-func (j *job) readersKnown(i int) bool {
+// readersAcked says whether the job's owner has acknowledged all pieces that read stage i.
+func (j *job) readersAcked(i int) bool {
 	for _, k := range j.stages[i].readers {
 		st := &j.stages[k]
 		for n := range st.pieces {
-			if !st.pieces[n].known {
+			if !st.pieces[n].acked {
 				return false
 			}
 		}
@@ -120,84 +121,84 @@
 	return true
 }
 
-// freeShared gives up the results of a stage of a shared job that have been read, and
-// has its owner informed where some wait for its word.
-func (m *Machine) freeShared(j *job, i int) {
+// releaseTransferable releases the results of a stage of a shared job that have been read.
+// If some of them need the owner's acknowledgement, the owner is notified.
+func (m *Machine) releaseTransferable(j *job, i int) {
 	st := &j.stages[i]
-	st.freed = true
-	if j.readersKnown(i) {
-		m.freeStage(st)
+	st.released = true
+	if j.readersAcked(i) {
+		m.releaseStage(st)
 		return
 	}
-	if m.freeUntold(st) {
-		m.act(Inform{Job: j.ID})
+	if m.releaseUnreported(st) {
+		m.emit(Inform{Job: j.ID})
 	}
 }
 
-// freeUntold gives up the results of a stage that the job's owner was not told of, and
-// says whether there are others.
-func (m *Machine) freeUntold(st *stageState) (others bool) {
+// releaseUnreported releases the results of a stage that the job's owner was not told of.
+// It returns whether there are others.
+func (m *Machine) releaseUnreported(st *stageState) (others bool) {
 	for k := range st.pieces {
 		p := &st.pieces[k]
-		if p.told && p.holder != nil {
+		if p.reported && p.holder != nil {
 			others = true
 			continue
 		}
-		m.freePiece(p)
+		m.releasePiece(p)
 	}
 	return others
 }
 
-// told notes which results the owners of jobs are being told of.
-func (m *Machine) told(e Told) {
+// progressSent records which results are being reported to the owners of jobs.
+func (m *Machine) progressSent(e Told) {
 	for _, t := range e.Pieces {
-		if p := m.named(t); p != nil {
-			p.told = true
+		if p := m.completedPiece(t); p != nil {
+			p.reported = true
 		}
 	}
 }
 
-// known notes which results the owners of jobs have heard of, and gives up those that
-// waited for that.
-func (m *Machine) known(e Known) {
+// progressAcked records which results the owners of jobs have acknowledged, and releases
+// the results that were kept until then.
+func (m *Machine) progressAcked(e Known) {
 	for _, t := range e.Pieces {
-		p := m.named(t)
+		p := m.completedPiece(t)
 		if p == nil {
 			continue
 		}
-		p.known = true
+		p.acked = true
 		for _, i := range p.job.Stages[p.stage].After {
-			if st := &p.job.stages[i]; st.freed && p.job.readersKnown(i) {
-				m.freeStage(st)
+			if st := &p.job.stages[i]; st.released && p.job.readersAcked(i) {
+				m.releaseStage(st)
 			}
 		}
 	}
 }
 
-// named returns the piece of a job that is planned, if its result is the one that is
-// named.
-func (m *Machine) named(t Progress) *piece {
+// completedPiece returns the piece of a job in progress whose result is the given one, or
+// nil.
+func (m *Machine) completedPiece(t Progress) *piece {
 	j := m.jobs[t.Job]
 	if j == nil {
 		return nil
 	}
-	p := j.pieceOf(t.Piece)
-	if p == nil || p.state != made || p.handle != t.Piece.Handle {
+	p := j.pieceFor(t.Piece)
+	if p == nil || p.state != completed || p.handle != t.Piece.Handle {
 		return nil
 	}
 	return p
 }
 
-// keepTold gives up the results of a refused job but for those that its owner was told
-// of, and says whether there are any.
-func (m *Machine) keepTold(j *job) (held bool) {
+// releaseRefused releases the results of a refused job, except those that its owner was
+// told of. It returns whether there are any of these.
+func (m *Machine) releaseRefused(j *job) (held bool) {
 	for i := range j.stages {
 		st := &j.stages[i]
 		if !j.Shared {
-			m.freeStage(st)
+			m.releaseStage(st)
 			continue
 		}
-		held = m.freeUntold(st) || held
+		held = m.releaseUnreported(st) || held
 	}
 	if held {
 		m.refused[j.ID] = j
@@ -205,7 +206,7 @@
 	return held
 }
 
-// cancel ends a job that nobody waits for here.
+// cancel ends a job that is no longer needed here.
 func (m *Machine) cancel(e Cancelled) {
 	j := m.remove(e.Job)
 	if j == nil {
@@ -214,23 +215,23 @@
 	for i := range j.stages {
 		st := &j.stages[i]
 		if e.Moved {
-			m.freeUntold(st)
-			m.leaveStage(st)
+			m.releaseUnreported(st)
+			m.forgetResults(st)
 		}
-		m.freeStage(st)
+		m.releaseStage(st)
 	}
 }
 
-// leaveStage forgets the results of a stage: another planner gives them up, or they
-// outlive their time.
-func (m *Machine) leaveStage(st *stageState) {
-	st.freed = true
+// forgetResults drops the results of a stage without releasing them: another planner
+// releases them, or they expire.
+func (m *Machine) forgetResults(st *stageState) {
+	st.released = true
 	for k := range st.pieces {
 		p := &st.pieces[k]
 		if p.holder == nil {
 			continue
 		}
-		p.holder.used = max(0, p.holder.used-p.bytes())
+		p.holder.usedBytes = max(0, p.holder.usedBytes-p.resultBytes())
 		p.holder.service.dirty = true
 		p.holder = nil
 	}
--- a/core/stage/handover_test.go
+++ b/core/stage/handover_test.go
@@ -9,102 +9,102 @@
 
 var _ = Describe("a job whose owner may hand it to another planner", func() {
 	stages := []Stage{{Service: "a", Pieces: 2, ResultBytes: 100}, {Service: "b", Pieces: 1, ResultBytes: 100}, {Service: "c", Pieces: 1}}
-	plain := func() *bench { return newBench(figures(20, 0), "x") }
+	plain := func() *harness { return newHarness(pieceParams(20, 0), "x") }
 	// began returns a bench with the first stage made and the second running.
-	began := func() *bench {
+	began := func() *harness {
 		b := plain()
-		b.submit(b.shared("j", stages...))
+		b.submit(b.newTransferableChain("j", stages...))
 		b.answer(b.running[0].Call)
 		return b
 	}
-	next := func(b *bench) { b.answer(b.running[0].Call) }
+	next := func(b *harness) { b.answer(b.running[0].Call) }
 
 	It("has results given up as they are read while its owner was not told of them", func() {
 		b := began()
 		next(b)
-		Expect(b.held).To(HaveLen(1))
-		Expect(b.informs).To(BeEmpty())
+		Expect(b.results).To(HaveLen(1))
+		Expect(b.ownerNotices).To(BeEmpty())
 	})
 
 	It("has results that its owner was told of given up once it has heard that they were read", func() {
 		b := began()
 		first := b.progress["j"]
-		b.tell("j", first...)
+		b.sendProgress("j", first...)
 		next(b)
-		Expect(b.held).To(HaveLen(3), "it may have named them to another planner")
-		Expect(b.informs["j"]).To(Equal(1))
-		b.tell("j", b.progress["j"][2])
-		Expect(b.held).To(HaveLen(3), "it may not have heard")
-		b.hear("j", first...)
-		Expect(b.held).To(HaveLen(3), "they were not read by then")
-		b.hear("j", b.progress["j"][2])
-		Expect(b.held).To(HaveLen(1))
-		b.finish()
-		b.giveUp("j", Cancelled{Job: "j"})
-		Expect(b.held).To(BeEmpty())
+		Expect(b.results).To(HaveLen(3), "it may have named them to another planner")
+		Expect(b.ownerNotices["j"]).To(Equal(1))
+		b.sendProgress("j", b.progress["j"][2])
+		Expect(b.results).To(HaveLen(3), "it may not have heard")
+		b.ackProgress("j", first...)
+		Expect(b.results).To(HaveLen(3), "they were not read by then")
+		b.ackProgress("j", b.progress["j"][2])
+		Expect(b.results).To(HaveLen(1))
+		b.answerAll()
+		b.endJob("j", Cancelled{Job: "j"})
+		Expect(b.results).To(BeEmpty())
 	})
 
 	It("has them all given up when its owner gives it up", func() {
 		b := began()
-		b.tell("j", b.progress["j"]...)
+		b.sendProgress("j", b.progress["j"]...)
 		next(b)
-		b.giveUp("j", Cancelled{Job: "j"})
-		b.finish()
-		Expect(b.held).To(BeEmpty())
+		b.endJob("j", Cancelled{Job: "j"})
+		b.answerAll()
+		Expect(b.results).To(BeEmpty())
 	})
 
 	It("has results kept that its owner was told of when it is refused, until it says that it heard", func() {
 		b := began()
-		b.tell("j", b.progress["j"][0])
-		b.pass(20 * time.Second)
+		b.sendProgress("j", b.progress["j"][0])
+		b.advance(20 * time.Second)
 		Expect(b.refused["j"].Held).To(BeTrue())
-		Expect(b.held).To(HaveLen(1))
-		Expect(b.held).To(HaveKey(b.progress["j"][0].Handle))
-		b.giveUp("j", Cancelled{Job: "j"})
-		b.finish()
-		Expect(b.held).To(BeEmpty())
+		Expect(b.results).To(HaveLen(1))
+		Expect(b.results).To(HaveKey(b.progress["j"][0].Handle))
+		b.endJob("j", Cancelled{Job: "j"})
+		b.answerAll()
+		Expect(b.results).To(BeEmpty())
 		Expect(b.m.refused).To(BeEmpty())
 	})
 
 	It("is refused with nothing left where its owner was told of nothing", func() {
 		b := began()
-		b.pass(20 * time.Second)
+		b.advance(20 * time.Second)
 		Expect(b.refused["j"].Held).To(BeFalse())
-		Expect(b.held).To(BeEmpty())
+		Expect(b.results).To(BeEmpty())
 		Expect(b.m.refused).To(BeEmpty())
 	})
 
 	It("keeps what another planner had made when it is refused at once", func() {
 		b := plain()
-		j := b.shared("j", stages...)
+		j := b.newTransferableChain("j", stages...)
 		j.Due, j.Deadline = b.now, b.now // one that may still end in time goes on
 		j.Made = []MadePiece{{Stage: 0, Index: 0, Handle: "old/1", Replica: "a1"}}
-		b.held["old/1"] = Piece{Job: "j"}
+		b.results["old/1"] = Piece{Job: "j"}
 		b.submit(j)
 		Expect(b.refused["j"].Held).To(BeTrue())
-		Expect(b.held).To(HaveLen(1))
+		Expect(b.results).To(HaveLen(1))
 		b.submit(j) // the word of the refusal was lost
-		b.giveUp("j", Cancelled{Job: "j"})
-		Expect(b.held).To(BeEmpty())
+		b.endJob("j", Cancelled{Job: "j"})
+		Expect(b.results).To(BeEmpty())
 	})
 
 	It("leaves inputs to their time when one of them is gone", func() {
 		b := began()
-		b.tell("j", b.progress["j"]...)
-		run := b.take(b.running[0].Call)
-		clear(b.held) // a replica of the first stage is gone
+		b.sendProgress("j", b.progress["j"]...)
+		run := b.removeCall(b.running[0].Call)
+		clear(b.results) // a replica of the first stage is gone
 		b.step(CallEnded{Call: run.Call, Results: []Result{{Kind: InputGone}}})
 		Expect(b.running).To(HaveLen(1))
-		b.finish()
+		b.answerAll()
 		Expect(b.ready).To(HaveKey("j"))
 	})
 
 	// handed is the job as its owner hands it on, with the results that it knows of.
-	handed := func(b *bench, made ...MadePiece) Job {
-		j := b.shared("j", stages...)
+	handed := func(b *harness, made ...MadePiece) Job {
+		j := b.newTransferableChain("j", stages...)
 		for _, p := range made {
 			j.Made = append(j.Made, p)
-			b.held[p.Handle] = Piece{Job: "j", Stage: p.Stage, Index: p.Index}
+			b.results[p.Handle] = Piece{Job: "j", Stage: p.Stage, Index: p.Index}
 		}
 		return j
 	}
@@ -115,13 +115,13 @@
 	It("has results that were read left alone by the next planner, also those that their readers outlived", func() {
 		b := plain()
 		j := handed(b, two, read)
-		delete(b.held, "old/2") // the earlier planner gave them up
+		delete(b.results, "old/2") // the earlier planner gave them up
 		runs := b.submit(j)
 		Expect(runs).To(HaveLen(1))
 		Expect(runs[0].Service).To(Equal("c"))
-		b.finish()
-		b.giveUp("j", Cancelled{Job: "j"})
-		Expect(b.held).To(BeEmpty())
+		b.answerAll()
+		b.endJob("j", Cancelled{Job: "j"})
+		Expect(b.results).To(BeEmpty())
 	})
 
 	It("has results made again that were read by what is not there any more", func() {
@@ -129,13 +129,13 @@
 		lost := read
 		lost.Replica = "gone"
 		j := handed(b, one, two, lost)
-		clear(b.held) // the earlier planner gave them up, and the reader's replica is gone
+		clear(b.results) // the earlier planner gave them up, and the reader's replica is gone
 		runs := b.submit(j)
 		Expect(runs).To(HaveLen(1))
 		Expect(runs[0].Service).To(Equal("a"))
-		b.finish()
+		b.answerAll()
 		Expect(b.ready).To(HaveKey("j"))
-		b.giveUp("j", Cancelled{Job: "j"})
-		Expect(b.held).To(BeEmpty())
+		b.endJob("j", Cancelled{Job: "j"})
+		Expect(b.results).To(BeEmpty())
 	})
 })
--- a/core/stage/fakes_test.go
+++ b/core/stage/harness_test.go
@@ -11,7 +11,7 @@
 )
 
 // bench drives a Machine by hand and keeps an account of what it asks for.
-type bench struct {
+type harness struct {
 	m   *Machine
 	now time.Time
 
@@ -19,17 +19,17 @@
 	ready   map[string]Ready
 	refused map[string]Refused
 	// held maps the results that exist to the piece that they are of.
-	held  map[string]Piece
-	freed int
-	jobs  map[string]Job
-	made  int
+	results  map[string]Piece
+	released int
+	jobs     map[string]Job
+	made     int
 	// progress is what was told of jobs, informs how often their owners were to be
 	// told at once.
-	progress map[string][]MadePiece
-	informs  map[string]int
+	progress     map[string][]MadePiece
+	ownerNotices map[string]int
 }
 
-func figures(batch int, room int64) *catalog.Service {
+func pieceParams(batch int, room int64) *catalog.Service {
 	return &catalog.Service{Pieces: &catalog.Pieces{
 		Concurrency: 1, Batch: batch, CallTime: 240 * time.Millisecond, PieceTime: 10 * time.Millisecond,
 		RoomBytes: room,
@@ -38,10 +38,10 @@
 
 // newBench returns a bench with services a, b and c of the same figures, and
 // replicas per failure domain as given.
-func newBench(service *catalog.Service, domains ...string) *bench {
-	b := &bench{
+func newHarness(service *catalog.Service, domains ...string) *harness {
+	b := &harness{
 		m: New(Config{}), now: time.Unix(1000, 0), ready: map[string]Ready{}, refused: map[string]Refused{},
-		held: map[string]Piece{}, jobs: map[string]Job{}, progress: map[string][]MadePiece{}, informs: map[string]int{},
+		results: map[string]Piece{}, jobs: map[string]Job{}, progress: map[string][]MadePiece{}, ownerNotices: map[string]int{},
 	}
 	e := Configured{Services: map[string]*catalog.Service{}}
 	for _, name := range []string{"a", "b", "c"} {
@@ -56,7 +56,7 @@
 }
 
 // step passes an event and takes the actions into the account.
-func (b *bench) step(e Event) []Run {
+func (b *harness) step(e Event) []Run {
 	var runs []Run
 	for _, a := range b.m.Step(b.now, e) {
 		switch a := a.(type) {
@@ -65,17 +65,17 @@
 			runs = append(runs, a)
 			b.running = append(b.running, a)
 		case Abandon:
-			b.take(a.Call)
+			b.removeCall(a.Call)
 		case Free:
 			for _, h := range a.Handles {
-				Expect(b.held).To(HaveKey(h), "freed twice or never made: %s", h)
-				delete(b.held, h)
-				b.freed++
+				Expect(b.results).To(HaveKey(h), "freed twice or never made: %s", h)
+				delete(b.results, h)
+				b.released++
 			}
 		case Progress:
 			b.progress[a.Job] = append(b.progress[a.Job], a.Piece)
 		case Inform:
-			b.informs[a.Job]++
+			b.ownerNotices[a.Job]++
 		case Ready:
 			Expect(b.ready).NotTo(HaveKey(a.Job))
 			Expect(b.refused).NotTo(HaveKey(a.Job))
@@ -90,7 +90,7 @@
 }
 
 // check holds a call against what the package guarantees.
-func (b *bench) check(a Run) {
+func (b *harness) check(a Run) {
 	Expect(a.Pieces).NotTo(BeEmpty())
 	Expect(a.Timeout).To(BeNumerically(">", 0))
 	for _, p := range a.Pieces {
@@ -112,7 +112,7 @@
 		for _, h := range p.Inputs {
 			Expect(seen).NotTo(HaveKey(h))
 			seen[h] = true
-			in, exists := b.held[h]
+			in, exists := b.results[h]
 			Expect(exists).To(BeTrue(), "input %s no longer exists", h)
 			Expect(in.Job).To(Equal(p.Job))
 			Expect(after).To(ContainElement(in.Stage))
@@ -120,24 +120,24 @@
 	}
 }
 
-func (b *bench) submit(j Job) []Run {
+func (b *harness) submit(j Job) []Run {
 	b.jobs[j.ID] = j
 	return b.step(Submitted{j})
 }
 
-func (b *bench) giveUp(id string, e Event) []Run {
+func (b *harness) endJob(id string, e Event) []Run {
 	delete(b.jobs, id)
 	return b.step(e)
 }
 
 // pass lets time pass.
-func (b *bench) pass(d time.Duration) []Run {
+func (b *harness) advance(d time.Duration) []Run {
 	b.now = b.now.Add(d)
 	return b.step(Tick{})
 }
 
 // take removes a running call.
-func (b *bench) take(call uint64) Run {
+func (b *harness) removeCall(call uint64) Run {
 	for i, r := range b.running {
 		if r.Call == call {
 			b.running = append(b.running[:i], b.running[i+1:]...)
@@ -149,26 +149,26 @@
 }
 
 // answer ends a call well.
-func (b *bench) answer(call uint64) []Run {
-	r := b.take(call)
+func (b *harness) answer(call uint64) []Run {
+	r := b.removeCall(call)
 	e := CallEnded{Call: call}
 	for _, p := range r.Pieces {
 		b.made++
 		h := fmt.Sprintf("%s/%d", r.Address, b.made)
-		b.held[h] = p
+		b.results[h] = p
 		e.Results = append(e.Results, Result{Handle: h})
 	}
 	return b.step(e)
 }
 
 // end ends a call without results.
-func (b *bench) end(call uint64, o CallOutcome) []Run {
-	b.take(call)
+func (b *harness) end(call uint64, o CallOutcome) []Run {
+	b.removeCall(call)
 	return b.step(CallEnded{Call: call, Outcome: o})
 }
 
 // finish answers calls, oldest first, each after its time, until none runs.
-func (b *bench) finish() {
+func (b *harness) answerAll() {
 	for len(b.running) > 0 {
 		b.now = b.now.Add(300 * time.Millisecond)
 		b.answer(b.running[0].Call)
@@ -177,7 +177,7 @@
 
 // job is a job with stages given as service and pieces, each after the one
 // before.
-func (b *bench) chain(id string, stages ...Stage) Job {
+func (b *harness) newChain(id string, stages ...Stage) Job {
 	j := Job{ID: id, Key: "key-" + id, Due: b.now.Add(5 * time.Second), Deadline: b.now.Add(10 * time.Second)}
 	for i, s := range stages {
 		if i > 0 && s.After == nil {
@@ -189,26 +189,26 @@
 }
 
 // shared is a chain that its owner may hand to another planner.
-func (b *bench) shared(id string, stages ...Stage) Job {
-	j := b.chain(id, stages...)
+func (b *harness) newTransferableChain(id string, stages ...Stage) Job {
+	j := b.newChain(id, stages...)
 	j.Shared = true
 	return j
 }
 
 // resultsOf returns the results of a job that exist, as they were told.
-func (b *bench) resultsOf(id string) []MadePiece {
+func (b *harness) existingResults(id string) []MadePiece {
 	return slices.DeleteFunc(slices.Clone(b.progress[id]), func(p MadePiece) bool {
-		_, held := b.held[p.Handle]
+		_, held := b.results[p.Handle]
 		return !held
 	})
 }
 
 // tell has the owner of a job told of pieces; hear has it heard of them.
-func (b *bench) tell(id string, pieces ...MadePiece) { b.step(Told{progressOf(id, pieces)}) }
+func (b *harness) sendProgress(id string, pieces ...MadePiece) { b.step(Told{toProgress(id, pieces)}) }
 
-func (b *bench) hear(id string, pieces ...MadePiece) { b.step(Known{progressOf(id, pieces)}) }
+func (b *harness) ackProgress(id string, pieces ...MadePiece) { b.step(Known{toProgress(id, pieces)}) }
 
-func progressOf(id string, pieces []MadePiece) []Progress {
+func toProgress(id string, pieces []MadePiece) []Progress {
 	var out []Progress
 	for _, p := range pieces {
 		out = append(out, Progress{Job: id, Piece: p})
--- a/core/stage/job.go
+++ b/core/stage/job.go
@@ -2,41 +2,42 @@
 
 import "time"
 
-// pieceState says where a piece is.
+// pieceState is the state of a piece.
 type pieceState uint8
 
 const (
-	// blocked pieces wait for earlier stages.
+	// blocked pieces wait for the stages that they depend on.
 	blocked pieceState = iota
 	queued
 	running
-	made
+	completed
 )
 
-// piece is one piece of a job.
+// piece is the state of one piece of a job.
 type piece struct {
 	job   *job
 	stage int
 	index int
 	state pieceState
-	// calls counts the running calls that the piece is in, heard the lapsed ones.
-	calls int
-	heard int
-	tries int
-	// handle and holder are set once the piece is made, holder until its result is
-	// given up or left to another planner; at is where it was last asked for.
-	handle string
-	holder *replica
-	at     *replica
-	// told says that the job's owner is being told of the result, or knows of it,
-	// and known that it does.
-	told, known bool
+	// runningCalls counts the running calls that contain the piece, timedOutCalls those
+	// that have timed out but may still return a result.
+	runningCalls  int
+	timedOutCalls int
+	attempts      int
+	// handle and holder are set once the piece is completed. holder is cleared when the
+	// result is released or left to another planner. lastReplica is where the piece was
+	// last sent.
+	handle      string
+	holder      *replica
+	lastReplica *replica
+	// reported says that the job's owner is being told of the result or knows of it, acked
+	// that it has acknowledged it.
+	reported, acked bool
 }
 
-// bytes returns the usual size of the piece's result.
-func (p *piece) bytes() int64 { return p.job.Stages[p.stage].ResultBytes }
+// resultBytes returns the typical size of the piece's result.
+func (p *piece) resultBytes() int64 { return p.job.Stages[p.stage].ResultBytes }
 
-// enqueue puts the piece into the queue of its service.
 func (p *piece) enqueue() {
 	p.state = queued
 	s := p.job.stages[p.stage].service
@@ -44,65 +45,67 @@
 	s.dirty = true
 }
 
-// stageState is the state of one stage of a job.
 type stageState struct {
 	service *service
 	pieces  []piece
-	// left is the number of pieces that are not made.
-	left int
-	// group is the queued pieces; nil without any.
+	// remaining is the number of pieces that are not completed.
+	remaining int
+	// group holds the queued pieces; nil if there are none.
 	group *group
-	// readers lists the stages that read this one's results.
+	// readers lists the indices of the stages that read this stage's results.
 	readers []int
-	// freed says that the results have been given up or are of no more use; those
-	// that still have a holder wait for the word of the job's owner.
-	freed bool
-	// queuedAt is when the inputs were there, startedAt when the last call with
-	// a piece began and madeAt when the last piece was made.
-	queuedAt, startedAt, madeAt time.Time
-	// home is where the pieces were best made when they were queued.
-	home string
+	// released says that the results have been released or are no longer needed. Results
+	// that still have a holder then wait for the acknowledgement of the job's owner.
+	released bool
+	// queuedAt is when the inputs became available, startedAt when the last call with a
+	// piece started, and completedAt when the last piece was completed.
+	queuedAt, startedAt, completedAt time.Time
+	// preferredDomain is the failure domain in which the pieces were best executed when
+	// they were queued.
+	preferredDomain string
 }
 
-// timing is the course of stage i.
+// timing returns the timing of stage i.
 func (j *job) timing(i int) Timing {
 	st := &j.stages[i]
-	t := Timing{Stage: i, Wait: st.startedAt.Sub(st.queuedAt), Work: st.madeAt.Sub(st.startedAt)}
+	t := Timing{Stage: i, Wait: st.startedAt.Sub(st.queuedAt), Work: st.completedAt.Sub(st.startedAt)}
 	for k := range st.pieces {
-		if h := st.pieces[k].holder; h != nil && st.home != "" && h.FailureDomain != st.home {
+		if h := st.pieces[k].holder; h != nil && st.preferredDomain != "" && h.FailureDomain != st.preferredDomain {
 			t.Crossed = true
 		}
 	}
 	return t
 }
 
-// job is the state of a Job.
 type job struct {
 	Job
 	seq    uint64
 	stages []stageState
-	// place orders jobs: Due, later for less urgent customers and routes.
-	place time.Time
-	// ends is when the job is refused if it is not ready.
-	ends time.Time
-	// remakes counts how often lost inputs were made again.
-	remakes int
-	ready   bool
-	// admitted says that the pieces left count in the backlogs of their services.
+	// effectiveDue is the key by which jobs are ordered: Due, plus delays for customers and
+	// routes of lower priority.
+	effectiveDue time.Time
+	// refuseAt is when the job is refused if it is not ready.
+	refuseAt time.Time
+	// recomputations counts how often lost inputs were computed again.
+	recomputations int
+	ready          bool
+	// admitted says that the remaining pieces are counted in the backlogs of their
+	// services.
 	admitted bool
-	// submitted is when the job came, predicted the time that it was expected
-	// to take before the machine's bias and expected that after it.
+	// submitted is when the job arrived, predicted the time that it was predicted to take,
+	// and expected that prediction corrected by the machine's bias.
 	submitted           time.Time
 	predicted, expected time.Duration
 }
 
-// routeStep is how much later a job is made whose route is the next less urgent: of
-// jobs that are due at about the same time the more urgent one goes first. It is short
-// beside the time that jobs have, so that few are overtaken once they have begun.
-const routeStep = 200 * time.Millisecond
+// routePriorityDelay is added to a job's effective due time for each step by which its
+// route's priority is lower: of jobs that are due at about the same time the more urgent
+// one goes first. It is short compared with the time that jobs have, so that few are
+// overtaken once they have started.
+const routePriorityDelay = 200 * time.Millisecond
 
-// newJob returns the state of j, or nil when it needs a service that is not
-// known or has too many stages.
+// newJob returns the state of j, or nil if the job needs an unknown service or has too many
+// stages.
 func (m *Machine) newJob(j Job) *job {
 	if len(j.Stages) > maxStages {
 		return nil
@@ -112,17 +115,17 @@
 		j.Latest = j.Due
 	}
 	s := &job{Job: j, seq: m.seq, stages: make([]stageState, len(j.Stages))}
-	if s.ends = j.Latest.Add(m.cfg.LateGrace); j.Deadline.Before(s.ends) {
-		s.ends = j.Deadline
+	if s.refuseAt = j.Latest.Add(m.cfg.LateGrace); j.Deadline.Before(s.refuseAt) {
+		s.refuseAt = j.Deadline
 	}
-	s.place = j.Due.Add(time.Duration(j.Rank.Customer)*m.cfg.CustomerStep + time.Duration(j.Rank.Route)*routeStep)
+	s.effectiveDue = j.Due.Add(time.Duration(j.Rank.Customer)*m.cfg.CustomerPriorityDelay + time.Duration(j.Rank.Route)*routePriorityDelay)
 	for i := range j.Stages {
 		st := &j.Stages[i]
 		v := m.services[st.Service]
 		if v == nil && st.Pieces > 0 {
 			return nil
 		}
-		s.stages[i] = stageState{service: v, pieces: make([]piece, st.Pieces), left: st.Pieces}
+		s.stages[i] = stageState{service: v, pieces: make([]piece, st.Pieces), remaining: st.Pieces}
 		for k := range s.stages[i].pieces {
 			s.stages[i].pieces[k] = piece{job: s, stage: i, index: k}
 		}
@@ -133,94 +136,95 @@
 	return s
 }
 
-// count changes the number of pieces of stage i that are not made by n.
-func (j *job) count(i, n int) {
+// addRemaining adds n to the number of pieces of stage i that are not completed.
+func (j *job) addRemaining(i, n int) {
 	st := &j.stages[i]
-	st.left += n
+	st.remaining += n
 	if j.admitted {
-		st.service.backlog.add(j.place, n)
+		st.service.backlog.add(j.effectiveDue, n)
 	}
 }
 
-// admit counts what is left of the job in the backlogs of its services, or, when
-// it is dropped, counts it no more.
-func (j *job) admit(admitted bool) {
+// setAdmitted adds the remaining pieces of the job to the backlogs of its services or, when
+// the job is dropped, removes them.
+func (j *job) setAdmitted(admitted bool) {
 	if j.admitted == admitted {
 		return
 	}
 	j.admitted = admitted
 	for i := range j.stages {
-		n := j.stages[i].left
+		n := j.stages[i].remaining
 		if !admitted {
 			n = -n
 		}
 		if n != 0 {
-			j.stages[i].service.backlog.add(j.place, n)
+			j.stages[i].service.backlog.add(j.effectiveDue, n)
 		}
 	}
 }
 
-// canStart says whether all stages that stage i comes after are complete.
+// canStart says whether all stages that stage i depends on are complete.
 func (j *job) canStart(i int) bool {
 	for _, a := range j.Stages[i].After {
-		if j.stages[a].left > 0 {
+		if j.stages[a].remaining > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// earlyCalls is how many times of its own call a stage is started before the
-// rest of the job is expected to be ready: one call, and a wait of another. With
-// one or three, mean worth of a deployment whose rooms are tight was lower by
-// 0.012 and 0.006.
-const earlyCalls = 2
+// earlyStartCalls is how many of its own call times before the expected completion of the
+// rest of the job a deferred stage is started: one for the call and one for queueing. With
+// one and three, the mean attained value of a deployment with scarce result memory was
+// lower by 0.012 and 0.006.
+const earlyStartCalls = 2
 
-// tooEarly says whether stage i would be ready long before other stages of the
-// job that do not read it: its results would take up room until those are made,
-// and with many such jobs the chains beside them find none. It starts when one of
-// the others is complete and the rest is short enough. Mean worth with tight
-// rooms: 0.692 without, 0.711 with (24 days of load and trouble).
-func (j *job) tooEarly(i int) bool {
+// shouldDefer says whether stage i would complete long before other stages of the job that
+// do not read it. Its results would then take up memory until those stages complete, and
+// with many such jobs the chains beside them would find none. The stage is started when one
+// of the other stages completes and the remaining time is short enough. In 24 days of
+// simulated load and faults with scarce result memory, the mean attained value was 0.692
+// without this rule and 0.711 with it.
+func (j *job) shouldDefer(i int) bool {
 	st := &j.stages[i]
 	if len(st.readers) > 0 {
 		return false
 	}
-	rest, _ := j.shortestBut(i)
-	return rest > time.Duration(earlyCalls)*st.service.usualTime(st.left)
+	rest, _ := j.minTimeExcept(i)
+	return rest > time.Duration(earlyStartCalls)*st.service.typicalCallTime(st.remaining)
 }
 
-// wasRead says whether the results of stage i have all been read: its readers are
-// complete.
-func (j *job) wasRead(i int) bool {
+// resultsRead says whether the results of stage i have all been read, that is, all its
+// readers are complete.
+func (j *job) resultsRead(i int) bool {
 	st := &j.stages[i]
-	if st.left > 0 || len(st.pieces) == 0 || len(st.readers) == 0 {
+	if st.remaining > 0 || len(st.pieces) == 0 || len(st.readers) == 0 {
 		return false
 	}
 	for _, k := range st.readers {
-		if j.stages[k].left > 0 {
+		if j.stages[k].remaining > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// complete says whether every stage is.
+// complete says whether all stages are complete.
 func (j *job) complete() bool {
 	for i := range j.stages {
-		if j.stages[i].left > 0 {
+		if j.stages[i].remaining > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// underWay says whether calls that run, or are still heard, have every piece that is
-// not made.
-func (j *job) underWay() bool {
+// allInCalls says whether every piece that is not completed is in a call that is running or
+// has timed out but may still return.
+func (j *job) allInCalls() bool {
 	for i := range j.stages {
 		for k := range j.stages[i].pieces {
-			if p := &j.stages[i].pieces[k]; p.state != made && p.state != running {
+			if p := &j.stages[i].pieces[k]; p.state != completed && p.state != running {
 				return false
 			}
 		}
@@ -228,7 +232,7 @@
 	return true
 }
 
-// inputs returns the handles that a piece of stage i reads.
+// inputs returns the result handles that a piece of stage i reads.
 func (j *job) inputs(i int) []string {
 	var handles []string
 	for _, a := range j.Stages[i].After {
@@ -239,11 +243,11 @@
 	return handles
 }
 
-// home returns the failure domain in which a piece of stage i is best made:
-// where most bytes of its inputs lie, if they are more than it makes for its
-// readers, else the job's.
-func (j *job) home(i int) string {
-	w := weights{bytes: map[string]int64{}, domain: j.Domain}
+// preferredDomain returns the failure domain in which a piece of stage i is best executed:
+// the domain that holds most bytes of its inputs, if these are at least as many as the
+// piece produces for its readers, otherwise the job's domain.
+func (j *job) preferredDomain(i int) string {
+	w := bytesByDomain{bytes: map[string]int64{}, maxDomain: j.Domain}
 	for _, a := range j.Stages[i].After {
 		for k := range j.stages[a].pieces {
 			if p := &j.stages[a].pieces[k]; p.holder != nil {
@@ -251,35 +255,35 @@
 			}
 		}
 	}
-	if w.most < j.made(i) {
+	if w.maxBytes < j.readerBytes(i) {
 		return j.Domain
 	}
-	return w.domain
+	return w.maxDomain
 }
 
-// weights are the bytes of results by the failure domain in which they lie, and
-// the domain with the most of them.
-type weights struct {
-	bytes  map[string]int64
-	domain string
-	most   int64
+// bytesByDomain sums the bytes of results by the failure domain that holds them, and tracks
+// the domain with the most bytes.
+type bytesByDomain struct {
+	bytes     map[string]int64
+	maxDomain string
+	maxBytes  int64
 }
 
-// add counts the result of a piece that is made.
-func (w *weights) add(p *piece) {
+// add counts the result of a completed piece.
+func (w *bytesByDomain) add(p *piece) {
 	d := p.holder.FailureDomain
-	w.bytes[d] += p.bytes()
-	if w.bytes[d] > w.most {
-		w.domain, w.most = d, w.bytes[d]
+	w.bytes[d] += p.resultBytes()
+	if w.bytes[d] > w.maxBytes {
+		w.maxDomain, w.maxBytes = d, w.bytes[d]
 	}
 }
 
-// comesTo returns the failure domain in which stage i will best be made as far
-// as that can be seen: where its inputs are or are being made.
-func (j *job) comesTo(i int) string {
+// expectedDomain returns the failure domain in which stage i will probably be executed: the
+// domain in which its inputs are held or being computed.
+func (j *job) expectedDomain(i int) string {
 	for _, a := range j.Stages[i].After {
 		for k := range j.stages[a].pieces {
-			if at := j.stages[a].pieces[k].at; at != nil {
+			if at := j.stages[a].pieces[k].lastReplica; at != nil {
 				return at.FailureDomain
 			}
 		}
@@ -287,8 +291,8 @@
 	return j.Domain
 }
 
-// made returns the bytes that the readers of one piece of stage i fetch.
-func (j *job) made(i int) int64 {
+// readerBytes returns the bytes that the readers of one piece of stage i fetch.
+func (j *job) readerBytes(i int) int64 {
 	readers := j.stages[i].readers
 	if len(readers) == 0 {
 		return j.Stages[i].ResultBytes
@@ -300,31 +304,31 @@
 	return n
 }
 
-// moved returns the bytes that may cross failure domains when one piece of
-// stage i is made away from its home.
-func (j *job) moved(i int) int64 {
-	n := j.made(i)
+// crossDomainBytes returns the bytes that may cross failure domains if one piece of stage i
+// is executed outside its preferred domain.
+func (j *job) crossDomainBytes(i int) int64 {
+	n := j.readerBytes(i)
 	for _, a := range j.Stages[i].After {
 		n += j.Stages[a].ResultBytes * int64(j.Stages[a].Pieces)
 	}
 	return n
 }
 
-// slack returns how long the job's stages may wait altogether and still be done
-// when they are due, over how many calls in a row that wait is spread, and
-// whether the job cannot be on time any more.
+// slack returns how long the job's stages may wait in total and still complete by the due
+// time, the number of consecutive calls over which that wait is spread, and whether the job
+// can no longer be on time.
 func (j *job) slack(now time.Time) (slack time.Duration, calls int, late bool) {
-	shortest, calls := j.shortest()
+	shortest, calls := j.minTime()
 	done := now.Add(shortest)
 	return j.Due.Sub(done), calls, done.After(j.Latest)
 }
 
-// shortest returns the least time that the stages left need, the longest chain
-// of one call each, and the calls of that chain.
-func (j *job) shortest() (time.Duration, int) { return j.shortestBut(-1) }
+// minTime returns the minimum time that the remaining stages need, which is that of the
+// longest chain of one call each, and the number of calls of the chain with the most calls.
+func (j *job) minTime() (time.Duration, int) { return j.minTimeExcept(-1) }
 
-// shortestBut is shortest without stage but.
-func (j *job) shortestBut(but int) (time.Duration, int) {
+// minTimeExcept is minTime without one stage.
+func (j *job) minTimeExcept(but int) (time.Duration, int) {
 	var most time.Duration
 	var ends [maxStages]time.Duration
 	var depth [maxStages]int
@@ -335,9 +339,9 @@
 			start, depth[i] = max(start, ends[a]), max(depth[i], depth[a])
 		}
 		end := start
-		if n := j.stages[i].left; n > 0 && i != but {
+		if n := j.stages[i].remaining; n > 0 && i != but {
 			s := j.stages[i].service
-			end += s.usualTime(n)
+			end += s.typicalCallTime(n)
 			depth[i]++
 		}
 		ends[i] = end
@@ -346,5 +350,5 @@
 	return most, deepest
 }
 
-// maxStages bounds the stages of a job.
+// maxStages is the largest number of stages of a job.
 const maxStages = 16
--- a/core/stage/loadsim_test.go
+++ b/core/stage/loadsim_test.go
@@ -29,11 +29,11 @@
 	handles    int
 	configured Configured
 	// lost says that all hosts are down; life counts the planners.
-	lost bool
+	powerLost bool
 	// noRoom and gone count pieces that found no room, or whose inputs were gone.
-	noRoom, gone int
+	outOfMemory, missingInputs int
 	// overtaken counts jobs that were refused after they had been admitted.
-	overtaken int
+	refusedAfterAdmission int
 }
 
 // simKind is a kind of request.
@@ -46,18 +46,18 @@
 	// engine is the usual time from results to the first event.
 	engine time.Duration
 	// onTime and late are what an answer is worth.
-	onTime, late float64
-	stages       func(*rand.Rand) []Stage
-	domain       bool
+	onTimeValue, lateValue float64
+	stages                 func(*rand.Rand) []Stage
+	domain                 bool
 
 	buckets map[int]*simTally
 }
 
 // simTally counts what became of the requests of a kind that came in a second.
-type simTally struct{ asked, onTime, late, refused int }
+type simTally struct{ arrived, onTime, late, refused int }
 
 func (t *simTally) add(o simTally) {
-	t.asked += o.asked
+	t.arrived += o.arrived
 	t.onTime += o.onTime
 	t.late += o.late
 	t.refused += o.refused
@@ -66,7 +66,7 @@
 type simJob struct {
 	kind    *simKind
 	arrived time.Time
-	returns int
+	retries int
 	job     Job
 	// answered says that the first event has come.
 	answered bool
@@ -77,14 +77,14 @@
 	catalog.Replica
 	figures catalog.Pieces
 	// work scales the time of a piece of a stage's results.
-	room int64
+	usedBytes int64
 	// seen is room as it was last told.
-	seen  int64
-	slow  float64
-	down  bool
-	held  map[string]int64
-	boot  int
-	speed float64
+	reportedBytes int64
+	slowFactor    float64
+	down          bool
+	results       map[string]int64
+	incarnation   int
+	baseFactor    float64
 }
 
 type simEvent struct {
@@ -109,7 +109,7 @@
 }
 
 // simHop is the time between two hosts, with what their processors take.
-const simHop = 4 * time.Millisecond
+const networkDelay = 4 * time.Millisecond
 
 func newLoadSim(seed uint64) *loadSim {
 	return &loadSim{
@@ -136,76 +136,76 @@
 		id := fmt.Sprintf("%s-%02d", name, i)
 		r := catalog.Replica{ID: id, Service: name, Address: id + ":80", FailureDomain: domains[i%len(domains)], Concurrency: 1}
 		e.Replicas = append(e.Replicas, r)
-		s.replicas[id] = &simReplica{Replica: r, figures: f, slow: 1, speed: []float64{1, 1, 1.3}[i%3], held: map[string]int64{}}
+		s.replicas[id] = &simReplica{Replica: r, figures: f, slowFactor: 1, baseFactor: []float64{1, 1, 1.3}[i%3], results: map[string]int64{}}
 	}
 }
 
 func (s *loadSim) step(e Event) {
-	if s.lost {
+	if s.powerLost {
 		return
 	}
 	for _, a := range s.m.Step(s.now, e) {
 		switch a := a.(type) {
 		case Run:
-			s.after(simHop, func() { s.run(a) })
+			s.after(networkDelay, func() { s.startCall(a) })
 		case Free:
-			s.after(simHop/2, func() {
+			s.after(networkDelay/2, func() {
 				for _, h := range a.Handles {
 					s.release(s.replicas[a.Replica], h)
 				}
 			})
 		case Inspect:
-			s.inspect(a)
+			s.queryMemory(a)
 		case Ready:
-			s.after(simHop, func() { s.ready(a) })
+			s.after(networkDelay, func() { s.ready(a) })
 		case Refused:
 			if _, submitted := e.(Submitted); !submitted {
-				s.overtaken++
+				s.refusedAfterAdmission++
 			}
-			s.after(simHop, func() { s.refused(a) })
+			s.after(networkDelay, func() { s.refused(a) })
 		}
 	}
 }
 
 // inspect asks a replica for its room: the answer is of simLag before.
-func (s *loadSim) inspect(a Inspect) {
+func (s *loadSim) queryMemory(a Inspect) {
 	r, asked, asker := s.replicas[a.Replica], s.now, s.m
-	s.after(simHop, func() {
+	s.after(networkDelay, func() {
 		if r.down || s.m != asker {
 			return
 		}
-		least := (r.figures.RoomBytes - r.seen) / simRoomUnit * simRoomUnit
-		s.step(Inspected{Replica: a.Replica, Asked: asked, Room: Room{least, min(least+simRoomUnit, r.figures.RoomBytes)}})
+		least := (r.figures.RoomBytes - r.reportedBytes) / memoryReportUnit * memoryReportUnit
+		s.step(Inspected{Replica: a.Replica, Asked: asked, Room: Room{least, min(least+memoryReportUnit, r.figures.RoomBytes)}})
 	})
 }
 
 // report has all replicas tell their room as of now, every simLag.
-func (s *loadSim) report() {
+func (s *loadSim) reportMemory() {
 	for _, r := range s.replicas {
-		r.seen = r.room
+		r.reportedBytes = r.usedBytes
 	}
 	if len(s.events) > 0 {
-		s.after(simLag, s.report)
+		s.after(memoryReportInterval, s.reportMemory)
 	}
 }
 
 // simRoomUnit is the unit in which replicas tell their room, in bytes.
-const simRoomUnit = 1_000_000
+const memoryReportUnit = 1_000_000
 
 // simLag is how late replicas tell their room at most.
-const simLag = 200 * time.Millisecond
+const memoryReportInterval = 200 * time.Millisecond
 
 func (s *loadSim) release(r *simReplica, h string) {
-	r.room -= r.held[h]
-	delete(r.held, h)
+	r.usedBytes -= r.results[h]
+	delete(r.results, h)
 }
 
 // run makes a call at a replica.
-func (s *loadSim) run(a Run) {
+func (s *loadSim) startCall(a Run) {
 	r := s.replicas[a.Replica]
-	boot := r.boot
+	boot := r.incarnation
 	if r.down {
-		s.after(simHop, func() { s.step(CallEnded{Call: a.Call, Outcome: CallUnreachable}) })
+		s.after(networkDelay, func() { s.step(CallEnded{Call: a.Call, Outcome: CallUnreachable}) })
 		return
 	}
 	end := CallEnded{Call: a.Call, Outcome: CallAnswered}
@@ -217,20 +217,20 @@
 			continue
 		}
 		size := j.job.Stages[p.Stage].ResultBytes
-		if !s.exist(p.Inputs) {
-			s.gone++
+		if !s.inputsExist(p.Inputs) {
+			s.missingInputs++
 			end.Results = append(end.Results, Result{Kind: InputGone})
 			continue
 		}
-		if len(r.held) > 0 && r.room+size > r.figures.RoomBytes {
-			s.noRoom++
+		if len(r.results) > 0 && r.usedBytes+size > r.figures.RoomBytes {
+			s.outOfMemory++
 			end.Results = append(end.Results, Result{Kind: NoRoom})
 			continue
 		}
 		s.handles++
 		h := fmt.Sprintf("%s/%d", r.Address, s.handles)
-		r.room += size
-		r.held[h] = size
+		r.usedBytes += size
+		r.results[h] = size
 		work := 1.0
 		if size == smallResult {
 			work = 0.3
@@ -238,10 +238,10 @@
 		took += time.Duration(work * (0.8 + 0.4*s.rng.Float64()) * float64(r.figures.PieceTime))
 		end.Results = append(end.Results, Result{Handle: h})
 	}
-	took = time.Duration(float64(took) * r.slow * r.speed)
+	took = time.Duration(float64(took) * r.slowFactor * r.baseFactor)
 	asker := s.m
 	s.after(took, func() {
-		if r.boot != boot {
+		if r.incarnation != boot {
 			if s.m == asker {
 				s.step(CallEnded{Call: a.Call, Outcome: CallFailed})
 			}
@@ -252,7 +252,7 @@
 				s.after(r.figures.ResultLife, func() { s.release(r, h) })
 			}
 		}
-		s.after(simHop/2, func() {
+		s.after(networkDelay/2, func() {
 			if s.m == asker {
 				s.step(end)
 			}
@@ -261,10 +261,10 @@
 }
 
 // exist says whether all inputs are held somewhere.
-func (s *loadSim) exist(inputs []string) bool {
+func (s *loadSim) inputsExist(inputs []string) bool {
 	for _, h := range inputs {
 		maker, _, _ := strings.Cut(h, ":")
-		if _, ok := s.replicas[maker].held[h]; !ok {
+		if _, ok := s.replicas[maker].results[h]; !ok {
 			return false
 		}
 	}
@@ -283,19 +283,19 @@
 func (s *loadSim) arrive(k *simKind, n int) {
 	j := &simJob{kind: k, arrived: s.now}
 	j.job = Job{Key: "key", Rank: catalog.Rank{Customer: 1, Route: k.priority}, Stages: k.stages(s.rng)}
-	k.tally(s, j).asked++
-	s.offer(j, fmt.Sprintf("%s-%d", k.name, n))
+	k.tally(s, j).arrived++
+	s.submit(j, fmt.Sprintf("%s-%d", k.name, n))
 }
 
 // offer submits a request for the first or the second time.
-func (s *loadSim) offer(j *simJob, id string) {
+func (s *loadSim) submit(j *simJob, id string) {
 	k := j.kind
-	if s.lost {
-		s.comeBack(j, id)
+	if s.powerLost {
+		s.retry(j, id)
 		return
 	}
 	if len(j.job.Stages) == 0 {
-		s.answered(j, s.engineTime(k))
+		s.recordAnswer(j, s.engineTime(k))
 		return
 	}
 	arrived := s.now
@@ -307,7 +307,7 @@
 		j.job.Domain = fmt.Sprint("d", s.rng.IntN(6))
 	}
 	s.jobs[id] = j
-	s.after(simHop, func() { s.step(Submitted{j.job}) })
+	s.after(networkDelay, func() { s.step(Submitted{j.job}) })
 }
 
 func (s *loadSim) engineTime(k *simKind) time.Duration {
@@ -315,7 +315,7 @@
 }
 
 // answered takes the first event of an answer.
-func (s *loadSim) answered(j *simJob, in time.Duration) {
+func (s *loadSim) recordAnswer(j *simJob, in time.Duration) {
 	j.answered = true
 	t := j.kind.tally(s, j)
 	if s.now.Add(in).Sub(j.arrived) <= j.kind.objective {
@@ -331,8 +331,8 @@
 		return
 	}
 	in := s.engineTime(j.kind)
-	s.answered(j, in)
-	s.after(in+simHop, func() {
+	s.recordAnswer(j, in)
+	s.after(in+networkDelay, func() {
 		delete(s.jobs, a.Job)
 		s.step(Cancelled{Job: a.Job})
 	})
@@ -340,50 +340,50 @@
 
 // The waits of a caller that was refused, as shares of the time it has left.
 const (
-	simBackLeast = 0.2
-	simBackMost  = 0.32
+	minRetryShare = 0.2
+	maxRetryShare = 0.32
 )
 
 func (s *loadSim) refused(a Refused) {
 	if j := s.jobs[a.Job]; j != nil {
 		delete(s.jobs, a.Job)
-		s.comeBack(j, a.Job)
+		s.retry(j, a.Job)
 	}
 }
 
 // comeBack has a caller try once more after a wait.
-func (s *loadSim) comeBack(j *simJob, id string) {
+func (s *loadSim) retry(j *simJob, id string) {
 	if j.answered {
 		return
 	}
 	left := float64(j.arrived.Add(j.kind.deadline).Sub(s.now))
-	if j.returns > 0 || left <= 0 {
+	if j.retries > 0 || left <= 0 {
 		j.kind.tally(s, j).refused++
 		return
 	}
-	j.returns++
-	wait := time.Duration(left * (simBackLeast + (simBackMost-simBackLeast)*s.rng.Float64()))
-	s.after(wait, func() { s.offer(j, id+"-again") })
+	j.retries++
+	wait := time.Duration(left * (minRetryShare + (maxRetryShare-minRetryShare)*s.rng.Float64()))
+	s.after(wait, func() { s.submit(j, id+"-again") })
 }
 
 // feed draws the arrivals of a kind until the end.
-func (s *loadSim) feed(k *simKind, end time.Duration, n int) {
+func (s *loadSim) generateArrivals(k *simKind, end time.Duration, n int) {
 	at := s.now.Sub(s.start)
 	if at >= end {
 		return
 	}
 	s.arrive(k, n)
 	wait := -math.Log(1-s.rng.Float64()) / k.rate(at)
-	s.after(time.Duration(wait*float64(time.Second)), func() { s.feed(k, end, n+1) })
+	s.after(time.Duration(wait*float64(time.Second)), func() { s.generateArrivals(k, end, n+1) })
 }
 
 // play runs arrivals until end and then until all is answered.
-func (s *loadSim) play(end time.Duration) {
+func (s *loadSim) run(end time.Duration) {
 	for _, k := range s.kinds {
 		k.buckets = map[int]*simTally{}
-		s.feed(k, end, 0)
+		s.generateArrivals(k, end, 0)
 	}
-	s.report()
+	s.reportMemory()
 	for len(s.events) > 0 {
 		next := s.events[0].at
 		if tick, ok := s.m.NextTick(s.now); ok && tick.Before(next) {
--- a/core/stage/machine.go
+++ b/core/stage/machine.go
@@ -10,44 +10,45 @@
 	"github.com/wheatseam/wheatseam/core/catalog"
 )
 
-// Machine plans the stage work that is submitted to it.
+// Machine plans the stage work that is submitted to it. It is not safe for concurrent use.
 type Machine struct {
 	cfg      Config
 	services map[string]*service
-	// ordered are the services by name: a Machine decides the same each time.
-	ordered  []*service
-	replicas map[string]*replica
-	jobs     map[string]*job
-	// refused are jobs of which results wait for their owners' word; see handover.go.
+	// sortedServices holds the services by name, so that decisions are deterministic.
+	sortedServices []*service
+	replicas       map[string]*replica
+	jobs           map[string]*job
+	// refused holds the refused jobs with results that wait for their owners'
+	// acknowledgement; see handover.go.
 	refused map[string]*job
 	calls   map[uint64]*call
 	nextID  uint64
-	// expiry is when a job that is not ready may end, nextOverdue when a running call
-	// may be overdue, nextLapse when one may lapse, and nextInspect when a replica may
-	// have to be asked for its room.
-	expiry, nextOverdue, nextLapse, nextInspect alarm
-	// begun says that a job has come.
-	begun bool
-	// bias is the smoothed ratio of measured to predicted times of jobs.
+	// nextExpiry is when a job that is not ready may have to be refused, nextOverdue when a
+	// running call may be overdue, nextTimeout when one may time out, and nextMemoryQuery
+	// when a replica may have to be queried for its free memory.
+	nextExpiry, nextOverdue, nextTimeout, nextMemoryQuery timer
+	// firstJobSeen says that a job has been admitted.
+	firstJobSeen bool
+	// bias is the smoothed ratio of actual to predicted job times.
 	bias    float64
 	seq     uint64
 	actions []Action
-	// freed collects the handles to give up in this step, by holder.
-	freed map[*replica][]string
-	// freeing lists those holders in the order in which they came.
-	freeing []*replica
+	// released holds the handles released in this step, by holder.
+	released map[*replica][]string
+	// releasing lists those holders in the order of their first release.
+	releasing []*replica
 }
 
 // New returns a Machine without services.
 func New(c Config) *Machine {
 	return &Machine{
 		cfg: c.withDefaults(), bias: 1, services: map[string]*service{}, replicas: map[string]*replica{},
-		jobs: map[string]*job{}, refused: map[string]*job{}, calls: map[uint64]*call{}, freed: map[*replica][]string{},
+		jobs: map[string]*job{}, refused: map[string]*job{}, calls: map[uint64]*call{}, released: map[*replica][]string{},
 	}
 }
 
-// Step takes one event and returns what to do. The actions belong to the
-// caller.
+// Step handles one event and returns the actions to carry out. The returned slice belongs
+// to the caller.
 func (m *Machine) Step(now time.Time, e Event) []Action {
 	m.actions = nil
 	switch e := e.(type) {
@@ -56,31 +57,31 @@
 	case Submitted:
 		m.submit(now, e.Job)
 	case Told:
-		m.told(e)
+		m.progressSent(e)
 	case Known:
-		m.known(e)
+		m.progressAcked(e)
 	case Cancelled:
 		m.cancel(e)
 	case CallEnded:
-		m.ended(now, e)
+		m.callEnded(now, e)
 	case Inspected:
-		m.inspected(now, e)
+		m.memoryReported(now, e)
 	}
 	m.expire(now)
-	m.overdue(now)
-	m.lapse(now)
-	for _, s := range m.ordered {
+	m.hedgeOverdueCalls(now)
+	m.timeOutCalls(now)
+	for _, s := range m.sortedServices {
 		m.dispatch(now, s)
 	}
-	m.inspect(now)
-	m.flushFreed()
+	m.queryMemoryIfDue(now)
+	m.flushReleased()
 	return m.actions
 }
 
-func (m *Machine) act(a Action) { m.actions = append(m.actions, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// configure takes the services and replicas in force. Replicas that are no
-// longer listed are kept while calls run there.
+// configure applies the services and replicas in force. Replicas that are no longer listed
+// are kept while they have running or timed-out calls.
 func (m *Machine) configure(e Configured) {
 	for name, s := range e.Services {
 		if s.Pieces == nil {
@@ -88,24 +89,24 @@
 		}
 		v := m.services[name]
 		if v == nil {
-			v = &service{name: name, pace: 1, ranks: ranks{}}
+			v = &service{name: name, latencyRatio: 1, recentRanks: recentRanks{}}
 			m.services[name] = v
 		}
-		v.figures = *s.Pieces
+		v.params = *s.Pieces
 	}
-	m.ordered = slices.SortedFunc(maps.Values(m.services), func(a, b *service) int { return strings.Compare(a.name, b.name) })
+	m.sortedServices = slices.SortedFunc(maps.Values(m.services), func(a, b *service) int { return strings.Compare(a.name, b.name) })
 	for _, r := range m.replicas {
 		r.listed = false
 	}
 	for _, listed := range e.Replicas {
-		m.list(listed)
+		m.addListed(listed)
 	}
 	m.findReplaced(e.Replicas)
 	for _, s := range m.services {
 		s.replicas = s.replicas[:0]
 	}
 	for id, r := range m.replicas {
-		if !r.listed && len(r.calls)+len(r.lapsed) == 0 {
+		if !r.listed && len(r.calls)+len(r.timedOutCalls) == 0 {
 			delete(m.replicas, id)
 			continue
 		}
@@ -118,9 +119,9 @@
 	}
 }
 
-// findReplaced marks the replicas whose address another one has now, most often
-// their own next start: their results are gone, and what they are asked for would
-// reach the other.
+// findReplaced marks the replicas whose address another replica now has, most often the
+// same replica after a restart: their results are gone, and requests to them would reach
+// the other replica.
 func (m *Machine) findReplaced(listed []catalog.Replica) {
 	owners := make(map[string]string, len(listed))
 	for _, r := range listed {
@@ -132,15 +133,15 @@
 	}
 }
 
-// list takes a replica that is listed.
-func (m *Machine) list(listed catalog.Replica) {
+// addListed adds or updates a replica that is listed in the configuration.
+func (m *Machine) addListed(listed catalog.Replica) {
 	s := m.services[listed.Service]
 	if s == nil {
 		return
 	}
 	r := m.replicas[listed.ID]
 	if r == nil {
-		r = &replica{service: s, pace: 1}
+		r = &replica{service: s, latencyRatio: 1}
 		m.replicas[listed.ID] = r
 	}
 	r.gate = m.cfg.Gates.Of(listed.ID)
@@ -154,34 +155,34 @@
 	}
 	s := m.newJob(j)
 	if s == nil {
-		m.act(Refused{Job: j.ID, Reason: ReasonNoReplica, RetryAfter: m.cfg.MinRetryAfter})
+		m.emit(Refused{Job: j.ID, Reason: ReasonNoReplica, RetryAfter: m.cfg.MinRetryAfter})
 		return
 	}
 	m.restore(s)
-	s.noteRanks(now)
+	s.recordRanks(now)
 	if refusal := m.admit(now, s); refusal != nil {
-		refusal.Held = m.keepTold(s)
-		m.act(*refusal)
+		refusal.Held = m.releaseRefused(s)
+		m.emit(*refusal)
 		return
 	}
-	m.begin(now)
+	m.queryAllOnFirstJob(now)
 	s.submitted = now
 	m.jobs[j.ID] = s
-	s.admit(true)
-	m.expiry.by(s.ends)
+	s.setAdmitted(true)
+	m.nextExpiry.schedule(s.refuseAt)
 	m.advance(now, s)
 }
 
-// advance queues the pieces of every stage that can start, frees results that
-// have been read, and hands a complete job over.
+// advance queues the pieces of every stage that can start, releases results that have been
+// read, and delivers the results of a complete job.
 func (m *Machine) advance(now time.Time, j *job) {
 	for i := range j.stages {
 		st := &j.stages[i]
-		if st.left == 0 || !j.canStart(i) || j.tooEarly(i) {
+		if st.remaining == 0 || !j.canStart(i) || j.shouldDefer(i) {
 			continue
 		}
 		if st.queuedAt.IsZero() {
-			st.queuedAt, st.home = now, j.home(i)
+			st.queuedAt, st.preferredDomain = now, j.preferredDomain(i)
 		}
 		for k := range st.pieces {
 			if p := &st.pieces[k]; p.state == blocked {
@@ -189,71 +190,72 @@
 			}
 		}
 	}
-	m.freeRead(j)
+	m.releaseRead(j)
 	if j.complete() && !j.ready {
 		j.ready = true
-		m.learn(now, j)
-		m.act(j.result(now))
+		m.updateBias(now, j)
+		m.emit(j.readyAction(now))
 	}
 }
 
-// freeRead gives up the results whose readers are all complete, but for those that
-// the job's owner was told of: these wait until it has heard that they were read.
-func (m *Machine) freeRead(j *job) {
+// releaseRead releases the results whose readers are all complete, except those that the
+// job's owner was told of: these are kept until the owner has acknowledged that they were
+// read.
+func (m *Machine) releaseRead(j *job) {
 	for i := range j.stages {
 		st := &j.stages[i]
 		switch {
-		case st.freed || !j.wasRead(i):
+		case st.released || !j.resultsRead(i):
 		case !j.Shared:
-			m.freeStage(st)
+			m.releaseStage(st)
 		case j.readersHavePieces(i):
-			m.freeShared(j, i)
+			m.releaseTransferable(j, i)
 		}
 	}
 }
 
-// freeStage gives up all results of a stage.
-func (m *Machine) freeStage(st *stageState) {
-	st.freed = true
+// releaseStage releases all results of a stage.
+func (m *Machine) releaseStage(st *stageState) {
+	st.released = true
 	for k := range st.pieces {
-		m.freePiece(&st.pieces[k])
+		m.releasePiece(&st.pieces[k])
 	}
 }
 
-// freePiece gives up the result of a piece, if it has one.
-func (m *Machine) freePiece(p *piece) {
+// releasePiece releases the result of a piece, if it has one.
+func (m *Machine) releasePiece(p *piece) {
 	if p.holder == nil {
 		return
 	}
-	m.freeHandle(p.holder, p.handle, p.bytes())
+	m.releaseHandle(p.holder, p.handle, p.resultBytes())
 	p.holder = nil
 }
 
-// freeHandle gives up one result.
-func (m *Machine) freeHandle(r *replica, handle string, bytes int64) {
-	r.used = max(0, r.used-bytes)
+// releaseHandle releases one result.
+func (m *Machine) releaseHandle(r *replica, handle string, bytes int64) {
+	r.usedBytes = max(0, r.usedBytes-bytes)
 	r.service.dirty = true
-	if m.freed[r] == nil {
-		m.freeing = append(m.freeing, r)
+	if m.released[r] == nil {
+		m.releasing = append(m.releasing, r)
 	}
-	m.freed[r] = append(m.freed[r], handle)
+	m.released[r] = append(m.released[r], handle)
 }
 
-// flushFreed turns the handles given up in this step into actions.
-func (m *Machine) flushFreed() {
-	for _, r := range m.freeing {
+// flushReleased emits actions for the handles released in this step.
+func (m *Machine) flushReleased() {
+	for _, r := range m.releasing {
 		if !r.replaced {
-			m.act(Free{Replica: r.ID, Address: r.Address, Handles: m.freed[r]})
+			m.emit(Free{Replica: r.ID, Address: r.Address, Handles: m.released[r]})
 		}
-		delete(m.freed, r)
+		delete(m.released, r)
 	}
-	m.freeing = m.freeing[:0]
+	m.releasing = m.releasing[:0]
 }
 
-// result is the action that hands a complete job over.
-func (j *job) result(now time.Time) Ready {
+// readyAction returns the action that delivers the results of a complete job.
+func (j *job) readyAction(now time.Time) Ready {
 	ready := Ready{Job: j.ID, Took: now.Sub(j.submitted), Predicted: j.expected, Early: j.Due.Sub(now)}
-	w := weights{bytes: map[string]int64{}}
+	w := bytesByDomain{bytes: map[string]int64{}}
 	for i := range j.stages {
 		st := &j.stages[i]
 		if len(st.pieces) > 0 {
@@ -268,12 +270,12 @@
 			w.add(p)
 		}
 	}
-	ready.Domain, ready.DomainBytes = w.domain, w.most
+	ready.Domain, ready.DomainBytes = w.maxDomain, w.maxBytes
 	return ready
 }
 
-// remove forgets a job and returns it: its queued pieces are not made. Its results
-// are the caller's to see to.
+// remove removes a job and its queued pieces, and returns the job. The caller handles its
+// results.
 func (m *Machine) remove(id string) *job {
 	if j := m.refused[id]; j != nil {
 		delete(m.refused, id)
@@ -284,7 +286,7 @@
 		return nil
 	}
 	delete(m.jobs, id)
-	j.admit(false)
+	j.setAdmitted(false)
 	for i := range j.stages {
 		if st := &j.stages[i]; st.group != nil {
 			st.service.queue.removeGroup(st.group)
@@ -299,30 +301,30 @@
 		return
 	}
 	m.remove(j.ID)
-	held := m.keepTold(j)
+	held := m.releaseRefused(j)
 	if !j.ready {
-		m.act(Refused{Job: j.ID, Reason: reason, RetryAfter: retryAfter, Held: held})
+		m.emit(Refused{Job: j.ID, Reason: reason, RetryAfter: retryAfter, Held: held})
 	}
 }
 
-// underWayEvery is the interval at which it is looked whether all that is left of a
-// late job is still being made.
-const underWayEvery = 100 * time.Millisecond
+// lateJobCheckInterval is the interval at which it is checked whether all remaining pieces
+// of a late job are still in calls.
+const lateJobCheckInterval = 100 * time.Millisecond
 
-// expire refuses jobs whose deadline has passed, or whose last chance to be late has
-// while calls are still to be made for them.
+// expire refuses jobs whose deadline has passed, and jobs past refuseAt that still need
+// calls.
 func (m *Machine) expire(now time.Time) {
-	if !m.expiry.due(now) {
+	if !m.nextExpiry.due(now) {
 		return
 	}
 	var ended []*job
 	for _, j := range m.jobs {
 		switch {
 		case j.ready:
-		case now.Before(j.ends):
-			m.expiry.by(j.ends)
-		case now.Before(j.Deadline) && j.underWay():
-			m.expiry.by(now.Add(underWayEvery))
+		case now.Before(j.refuseAt):
+			m.nextExpiry.schedule(j.refuseAt)
+		case now.Before(j.Deadline) && j.allInCalls():
+			m.nextExpiry.schedule(now.Add(lateJobCheckInterval))
 		default:
 			ended = append(ended, j)
 		}
@@ -337,5 +339,5 @@
 	}
 }
 
-// current says whether a piece still belongs to a job that is planned.
-func (m *Machine) current(p *piece) bool { return m.jobs[p.job.ID] == p.job }
+// isPlanned says whether a piece belongs to a job that is still planned.
+func (m *Machine) isPlanned(p *piece) bool { return m.jobs[p.job.ID] == p.job }
--- /dev/null
+++ b/core/stage/memory.go
@@ -0,0 +1,130 @@
+package stage
+
+import "time"
+
+// Results of other planners, earlier or concurrent ones, take up memory at the replicas
+// that this planner does not know of. Replicas report their free memory, with some delay.
+// They are queried when the first job arrives, since another planner may have worked
+// before, when there was no memory for a result, and for as long as other planners' results
+// are present.
+const (
+	// memoryQueryInterval is the interval at which a replica is queried while it holds
+	// other planners' results. Replicas keep results for a few seconds.
+	memoryQueryInterval = 250 * time.Millisecond
+	// memoryQueriesPerCall limits the queries in proportion to the calls made. A host that
+	// is cut off plans for itself beside the fleet's planner, finds other planners' results
+	// at all replicas and has little work of its own: without the limit, a hundred such
+	// hosts of 295 made 877,000 queries in a day, which cost 0.09 of the attained value. A
+	// planner that takes a fleet over makes more than two calls a second to each replica.
+	memoryQueriesPerCall = 2
+	// memoryReportLag is how old the free memory that a replica reports may be.
+	memoryReportLag = 300 * time.Millisecond
+	// memoryQueryTimeout is how long an answer to a query is waited for.
+	memoryQueryTimeout = time.Second
+)
+
+// queryAllOnFirstJob queries all replicas when the first job arrives.
+func (m *Machine) queryAllOnFirstJob(now time.Time) {
+	if m.firstJobSeen {
+		return
+	}
+	m.firstJobSeen = true
+	for _, s := range m.sortedServices {
+		for _, r := range s.replicas {
+			m.queryReplica(now, r)
+		}
+	}
+}
+
+// queryMemoryIfDue queries the replicas whose query is due.
+func (m *Machine) queryMemoryIfDue(now time.Time) {
+	if !m.nextMemoryQuery.due(now) {
+		return
+	}
+	for _, s := range m.sortedServices {
+		for _, r := range s.replicas {
+			m.queryReplicaIfDue(now, r)
+		}
+	}
+}
+
+func (m *Machine) queryReplicaIfDue(now time.Time, r *replica) {
+	if r.queryAt.IsZero() || r.service.queryBudget == 0 || !r.usable(now) {
+		return
+	}
+	due := r.queryAt
+	if waits := r.queriedAt.Add(memoryQueryTimeout); !r.queriedAt.IsZero() && waits.After(due) {
+		due = waits
+	}
+	if now.Before(due) {
+		m.nextMemoryQuery.schedule(due)
+		return
+	}
+	r.service.queryBudget--
+	m.queryReplica(now, r)
+}
+
+// addQueryBudget allows further queries when a call is made.
+func (m *Machine) addQueryBudget(now time.Time, s *service) {
+	s.queryBudget = min(s.queryBudget+memoryQueriesPerCall, memoryQueriesPerCall*len(s.replicas))
+	m.nextMemoryQuery.schedule(now)
+}
+
+// queryReplica queries a replica for its free memory.
+func (m *Machine) queryReplica(now time.Time, r *replica) {
+	if !r.usable(now) || r.service.params.RoomBytes == 0 {
+		return
+	}
+	r.queryAt, r.queriedAt = time.Time{}, now
+	m.emit(Inspect{Service: r.service.name, Replica: r.ID, Address: r.Address})
+}
+
+// memoryReported handles a replica's report of its free memory: what is taken, but not by
+// this planner's results, is taken by other planners'. The previous estimate of those is
+// clamped to the bounds that follow from the report.
+func (m *Machine) memoryReported(now time.Time, e Inspected) {
+	r := m.replicas[e.Replica]
+	if r == nil || r.replaced {
+		return
+	}
+	r.queriedAt = time.Time{}
+	room := r.service.params.RoomBytes
+	if e.Room.Most-e.Room.Least > int64(maxReportSpread*float64(room)) {
+		return
+	}
+	known := r.ownBytesAt(e.Asked.Add(-memoryReportLag))
+	before := r.currentForeignBytes(now)
+	r.foreignBytes = min(max(before, room-e.Room.Most-known, 0), max(0, room-e.Room.Least-known))
+	r.foreignBytesAt = now
+	r.service.dirty = true
+	if r.foreignBytes < int64(minForeignShare*float64(room)) {
+		r.foreignBytes, r.noMemoryUntil = 0, time.Time{}
+		return
+	}
+	r.queryAt = now.Add(memoryQueryInterval)
+	m.nextMemoryQuery.schedule(r.queryAt)
+}
+
+// ownBytesAt returns the bytes of this planner's results that a report as of a given time
+// certainly includes: not those of calls that started later.
+func (r *replica) ownBytesAt(asOf time.Time) int64 {
+	known := r.usedBytes
+	for _, c := range r.calls {
+		if !c.started.After(asOf) {
+			continue
+		}
+		for _, p := range c.pieces {
+			known -= p.resultBytes()
+		}
+	}
+	return max(0, known)
+}
+
+const (
+	// minForeignShare is the share of a replica's memory below which it is no longer
+	// queried for other planners' results: sizes are approximate.
+	minForeignShare = 0.1
+	// maxReportSpread is the largest difference between the bounds of a report, as a share
+	// of the replica's memory, with which the report is used.
+	maxReportSpread = 0.3
+)
--- a/core/stage/overload_test.go
+++ b/core/stage/overload_test.go
@@ -12,9 +12,9 @@
 var _ = Describe("a burst in six halls", func() {
 	const end = 24
 	play := func(trouble func(s *loadSim)) *loadSim {
-		s := newHalls(1, 3)
+		s := newSixDomainSim(1, 3)
 		trouble(s)
-		s.play(end * time.Second)
+		s.run(end * time.Second)
 		return s
 	}
 	const review, summary, extract = 0, 1, 2
@@ -26,10 +26,10 @@
 			s.kinds[summary].burst(8*time.Second, 6900*time.Millisecond, 2.5)
 			s.down("notify", 0.3, 5*time.Second, 4*time.Second)
 		})
-		Expect(s.kinds[summary].earned(0, end)).To(BeNumerically(">", 0.98), s.table(end))
-		Expect(s.kinds[review].earned(0, end)).To(BeNumerically(">", 0.99), s.table(end))
-		Expect(s.worth(8, 15)).To(BeNumerically(">", 0.93), s.table(end))
-		Expect(s.worth(17, end)).To(BeNumerically(">", 0.98), "two seconds after it all are served as before\n"+s.table(end))
+		Expect(s.kinds[summary].attainedValue(0, end)).To(BeNumerically(">", 0.98), s.table(end))
+		Expect(s.kinds[review].attainedValue(0, end)).To(BeNumerically(">", 0.99), s.table(end))
+		Expect(s.attainedValue(8, 15)).To(BeNumerically(">", 0.93), s.table(end))
+		Expect(s.attainedValue(17, end)).To(BeNumerically(">", 0.98), "two seconds after it all are served as before\n"+s.table(end))
 	})
 
 	// The kind with the large results comes more often while a third of the
@@ -39,9 +39,9 @@
 			s.kinds[review].burst(8*time.Second, 6500*time.Millisecond, 2.5)
 			s.down("audit", 0.3, 9*time.Second, 5*time.Second)
 		})
-		Expect(s.worth(8, 16)).To(BeNumerically(">", 0.9), s.table(end))
-		Expect(s.kinds[summary].earned(0, end)).To(BeNumerically(">", 0.99), s.table(end))
-		Expect(s.worth(17, end)).To(BeNumerically(">", 0.98), s.table(end))
+		Expect(s.attainedValue(8, 16)).To(BeNumerically(">", 0.9), s.table(end))
+		Expect(s.kinds[summary].attainedValue(0, end)).To(BeNumerically(">", 0.99), s.table(end))
+		Expect(s.attainedValue(17, end)).To(BeNumerically(">", 0.98), s.table(end))
 	})
 
 	// All kinds come more than twice as often, which is over what the replicas can
@@ -52,10 +52,10 @@
 				k.burst(6*time.Second, 8*time.Second, 2.2)
 			}
 		})
-		Expect(s.kinds[summary].earned(6, 14)).To(BeNumerically(">", s.kinds[extract].earned(6, 14)), s.table(end))
-		Expect(s.kinds[summary].earned(6, 14)).To(BeNumerically(">", 0.95), s.table(end))
-		Expect(s.worth(6, 14)).To(BeNumerically(">", 0.88), s.table(end))
-		Expect(s.worth(17, end)).To(BeNumerically(">", 0.98), s.table(end))
+		Expect(s.kinds[summary].attainedValue(6, 14)).To(BeNumerically(">", s.kinds[extract].attainedValue(6, 14)), s.table(end))
+		Expect(s.kinds[summary].attainedValue(6, 14)).To(BeNumerically(">", 0.95), s.table(end))
+		Expect(s.attainedValue(6, 14)).To(BeNumerically(">", 0.88), s.table(end))
+		Expect(s.attainedValue(17, end)).To(BeNumerically(">", 0.98), s.table(end))
 	})
 
 	// Whatever comes at random, and whichever replicas are lost or slow meanwhile, a
@@ -63,14 +63,14 @@
 	// same services, and room that one has the other could have.
 	It("serves no kind less than a less urgent one, under random loads", func() {
 		for seed := range uint64(8) {
-			s := newHalls(seed, 3)
-			s.randomTrouble()
-			s.play(end * time.Second)
+			s := newSixDomainSim(seed, 3)
+			s.randomFaults()
+			s.run(end * time.Second)
 			for _, urgent := range []int{review, summary} {
-				Expect(s.kinds[urgent].earned(0, end)).To(BeNumerically(">", s.kinds[extract].earned(0, end)-0.02), s.table(end))
-				Expect(s.kinds[urgent].served(0, end)).To(BeNumerically(">", s.kinds[extract].served(0, end)-0.02), s.table(end))
+				Expect(s.kinds[urgent].attainedValue(0, end)).To(BeNumerically(">", s.kinds[extract].attainedValue(0, end)-0.02), s.table(end))
+				Expect(s.kinds[urgent].answeredShare(0, end)).To(BeNumerically(">", s.kinds[extract].answeredShare(0, end)-0.02), s.table(end))
 			}
-			Expect(s.worth(18, end)).To(BeNumerically(">", 0.95), "three seconds after the last trouble\n"+s.table(end))
+			Expect(s.attainedValue(18, end)).To(BeNumerically(">", 0.95), "three seconds after the last trouble\n"+s.table(end))
 		}
 	})
 
@@ -85,15 +85,15 @@
 		var sum simTally
 		noRoom := 0
 		for seed := range uint64(3) {
-			s := newHalls(seed, 3)
+			s := newSixDomainSim(seed, 3)
 			s.kinds[summary].burst(3*time.Second, 7*time.Second, 1.6)
-			s.loseAll(10*time.Second, back-10*time.Second)
-			s.play(end * time.Second)
-			noRoom += s.noRoom
+			s.losePower(10*time.Second, back-10*time.Second)
+			s.run(end * time.Second)
+			noRoom += s.outOfMemory
 			sum.add(s.kinds[summary].total(13, 16))
-			Expect(s.worth(16, end)).To(BeNumerically(">", 0.95), "four seconds after the return\n"+s.table(end))
+			Expect(s.attainedValue(16, end)).To(BeNumerically(">", 0.95), "four seconds after the return\n"+s.table(end))
 		}
 		Expect(noRoom).To(BeNumerically("<", 300))
-		Expect(float64(sum.onTime) / float64(sum.asked)).To(BeNumerically(">", 0.7))
+		Expect(float64(sum.onTime) / float64(sum.arrived)).To(BeNumerically(">", 0.7))
 	})
 })
--- a/core/stage/queue.go
+++ b/core/stage/queue.go
@@ -6,44 +6,42 @@
 	"time"
 )
 
-// group is the queued pieces of one stage of a job. They are made in one call
-// where that can hold them: the stage is complete with its last piece only.
+// group holds the queued pieces of one stage of a job. They are executed in one call if it
+// can hold them, as a stage is complete only with its last piece.
 type group struct {
 	job    *job
 	stage  int
 	pieces []*piece
-	// home is the failure domain in which the pieces are best made.
-	home string
-	// slack is how long the job may wait over so many calls, and late says that
-	// it cannot be on time any more; as of the last pass.
+	// preferredDomain is the failure domain in which the pieces are best executed.
+	preferredDomain string
+	// slack is how long the job may wait in total over that many calls, and late says that
+	// it can no longer be on time; both as of the last pass.
 	slack time.Duration
 	calls int
 	late  bool
 }
 
-// compare orders groups by the places of their jobs.
+// compare orders groups by the effective due times of their jobs.
 func (g *group) compare(o *group) int {
-	return cmp.Or(g.job.place.Compare(o.job.place), cmp.Compare(g.job.seq, o.job.seq), cmp.Compare(g.stage, o.stage))
+	return cmp.Or(g.job.effectiveDue.Compare(o.job.effectiveDue), cmp.Compare(g.job.seq, o.job.seq), cmp.Compare(g.stage, o.stage))
 }
 
-// bytes is the size of all results of the group.
-func (g *group) bytes() int64 {
+// resultBytes returns the size of all results of the group.
+func (g *group) resultBytes() int64 {
 	return int64(len(g.pieces)) * g.job.Stages[g.stage].ResultBytes
 }
 
-// queue holds the pieces that wait for a service, in groups that are kept in
-// order: a pass over it sorts nothing.
+// queue holds the pieces that wait for a service, in groups that are kept sorted so that a
+// pass needs no sorting.
 type queue struct {
 	groups []*group
-	// pieces is the number of pieces in all groups.
 	pieces int
 }
 
-// add queues a piece.
 func (q *queue) add(p *piece) {
 	st := &p.job.stages[p.stage]
 	if st.group == nil {
-		st.group = &group{job: p.job, stage: p.stage, home: p.job.home(p.stage)}
+		st.group = &group{job: p.job, stage: p.stage, preferredDomain: p.job.preferredDomain(p.stage)}
 		at, _ := slices.BinarySearchFunc(q.groups, st.group, (*group).compare)
 		q.groups = slices.Insert(q.groups, at, st.group)
 	}
@@ -51,7 +49,6 @@
 	q.pieces++
 }
 
-// remove takes one piece out.
 func (q *queue) remove(p *piece) {
 	g := p.job.stages[p.stage].group
 	if g == nil {
@@ -65,7 +62,6 @@
 	}
 }
 
-// removeGroup takes a group out.
 func (q *queue) removeGroup(g *group) {
 	q.pieces -= len(g.pieces)
 	g.job.stages[g.stage].group = nil
@@ -74,7 +70,7 @@
 	}
 }
 
-// compact takes out the groups whose pieces have all been taken.
+// compact removes the groups without pieces.
 func (q *queue) compact() {
 	q.groups = slices.DeleteFunc(q.groups, func(g *group) bool {
 		if len(g.pieces) > 0 {
@@ -85,9 +81,9 @@
 	})
 }
 
-// order returns the groups: those of jobs that can be on time first, then by
-// place.
-func (q *queue) order(now time.Time) []*group {
+// byUrgency returns the groups: those of jobs that can be on time first, then by effective
+// due time.
+func (q *queue) byUrgency(now time.Time) []*group {
 	onTime := make([]*group, 0, len(q.groups))
 	var late []*group
 	for _, g := range q.groups {
@@ -102,42 +98,46 @@
 }
 
 const (
-	// shortQueue is the number of groups up to which a pass follows each event that
-	// may matter to the queue, and jobs up to which their work is counted anew.
-	shortQueue = 32
-	// pausePerGroup is the pause for each further group until the next pass over the
-	// queue. A pass takes some 0.6 µs a group, so that passes take 3% of a processor
-	// for each service, however long the queue is; the pause, 10 ms with 500 groups,
-	// is short beside a call of 240 ms or more. A job and a call before 1,000 jobs that
-	// wait take 36 µs, and took 211 with a pass at each event (BenchmarkOverload).
-	pausePerGroup = 20 * time.Microsecond
+	// unthrottledLength is the number of groups up to which a pass follows each event that
+	// may allow a call, and the number of jobs up to which readerLoad is always counted
+	// anew.
+	unthrottledLength = 32
+	// passPausePerItem is the pause until the next pass for each group above
+	// unthrottledLength. A pass takes about 0.6 µs for each group, so passes take 3% of a
+	// processor for each service however long the queue is. The pause, 10 ms with 500
+	// groups, is short compared with a call of 240 ms or more. With 1,000 waiting jobs, one
+	// job and one call take 36 µs; with a pass at each event they took 211 µs
+	// (BenchmarkOverload).
+	passPausePerItem = 20 * time.Microsecond
 )
 
-// pauseFor is the least time between two passes over n things.
-func pauseFor(n int) time.Duration { return time.Duration(max(0, n-shortQueue)) * pausePerGroup }
+// passPause returns the minimum pause between two passes over n groups or jobs.
+func passPause(n int) time.Duration {
+	return time.Duration(max(0, n-unthrottledLength)) * passPausePerItem
+}
 
-// backlog counts the pieces of jobs that are not made, by the rank of the jobs.
-// How long a sum takes does not depend on the number of jobs.
+// backlog counts the pieces of jobs that are not completed, by the effective due time of
+// the jobs. The time for a sum does not depend on the number of jobs.
 type backlog struct {
-	buckets []backlogBucket // by rank
+	buckets []backlogBucket // by slot
 }
 
 type backlogBucket struct {
-	rank   int64 // in units of backlogStep
+	slot   int64 // effective due time in units of backlogSlotWidth
 	pieces int
 }
 
-// backlogStep is how closely ranks are told apart: a tenth of a call.
-const backlogStep = 25 * time.Millisecond
+// backlogSlotWidth is the resolution of the backlog: a tenth of a call.
+const backlogSlotWidth = 25 * time.Millisecond
 
-func rankBucket(rank time.Time) int64 { return rank.UnixNano() / int64(backlogStep) }
+func backlogSlot(rank time.Time) int64 { return rank.UnixNano() / int64(backlogSlotWidth) }
 
-// add counts n further pieces of a rank; n may be negative.
+// add counts n further pieces of jobs with an effective due time; n may be negative.
 func (b *backlog) add(rank time.Time, n int) {
-	want := rankBucket(rank)
-	at, ok := slices.BinarySearchFunc(b.buckets, want, func(o backlogBucket, r int64) int { return cmp.Compare(o.rank, r) })
+	want := backlogSlot(rank)
+	at, ok := slices.BinarySearchFunc(b.buckets, want, func(o backlogBucket, r int64) int { return cmp.Compare(o.slot, r) })
 	if !ok {
-		b.buckets = slices.Insert(b.buckets, at, backlogBucket{rank: want})
+		b.buckets = slices.Insert(b.buckets, at, backlogBucket{slot: want})
 	}
 	b.buckets[at].pieces += n
 	if b.buckets[at].pieces == 0 {
@@ -145,11 +145,11 @@
 	}
 }
 
-// upTo sums the pieces that do not rank after rank.
-func (b *backlog) upTo(rank time.Time) int {
-	last, n := rankBucket(rank), 0
+// countUpTo returns the number of pieces of jobs that are due no later than a time.
+func (b *backlog) countUpTo(rank time.Time) int {
+	last, n := backlogSlot(rank), 0
 	for _, o := range b.buckets {
-		if o.rank > last {
+		if o.slot > last {
 			break
 		}
 		n += o.pieces
--- a/core/stage/random_test.go
+++ b/core/stage/random_test.go
@@ -15,14 +15,14 @@
 // checks inputs, double frees and double ends with each action.
 var _ = Describe("random days", func() {
 	for seed := range uint64(60) {
-		It(fmt.Sprint("keeps its guarantees with seed ", seed), func() { randomDay(seed) })
+		It(fmt.Sprint("keeps its guarantees with seed ", seed), func() { runRandomEvents(seed) })
 	}
 })
 
-func randomDay(seed uint64) {
+func runRandomEvents(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	words := rand.New(rand.NewPCG(seed, 8))
-	b := newBench(figures(4+rng.IntN(20), int64(rng.IntN(3))*20_000), "x", "x", "y", "z")
+	b := newHarness(pieceParams(4+rng.IntN(20), int64(rng.IntN(3))*20_000), "x", "x", "y", "z")
 	submitted := 0
 	for range 400 {
 		b.now = b.now.Add(time.Duration(rng.IntN(60)) * time.Millisecond)
@@ -35,43 +35,43 @@
 		case n < 8 && len(b.running) > 0:
 			b.endRandom(rng, b.running[rng.IntN(len(b.running))])
 		case n == 8:
-			b.dropRandom(rng)
+			b.cancelRandom(rng)
 		default:
 			b.step(Tick{})
 		}
-		b.tellRandom(words)
+		b.sendRandomProgress(words)
 	}
 	for id := range b.jobs {
-		b.giveUp(id, Cancelled{Job: id})
+		b.endJob(id, Cancelled{Job: id})
 	}
 	for len(b.running) > 0 {
 		b.answer(b.running[0].Call)
 	}
-	Expect(b.held).To(BeEmpty(), "every result is freed")
+	Expect(b.results).To(BeEmpty(), "every result is freed")
 	Expect(b.m.jobs).To(BeEmpty())
 	Expect(b.m.refused).To(BeEmpty())
 	Expect(b.m.calls).To(BeEmpty())
 	for _, r := range b.m.replicas {
-		Expect(r.used).To(BeZero(), "replica %s", r.ID)
+		Expect(r.usedBytes).To(BeZero(), "replica %s", r.ID)
 	}
 }
 
 // tellRandom tells the owner of some job of its progress, and may have it hear that.
-func (b *bench) tellRandom(rng *rand.Rand) {
+func (b *harness) sendRandomProgress(rng *rand.Rand) {
 	id := fmt.Sprint("j", rng.IntN(len(b.jobs)+1))
 	pieces := b.progress[id]
 	if len(pieces) == 0 {
 		return
 	}
 	pieces = pieces[rng.IntN(len(pieces)):]
-	b.tell(id, pieces...)
+	b.sendProgress(id, pieces...)
 	if rng.IntN(2) == 0 {
-		b.hear(id, pieces...)
+		b.ackProgress(id, pieces...)
 	}
 }
 
 // randomJob has up to four stages; each comes after some of those before it.
-func randomJob(b *bench, rng *rand.Rand, id string) Job {
+func randomJob(b *harness, rng *rand.Rand, id string) Job {
 	j := Job{
 		ID: id, Key: "key-" + id, Rank: catalog.Rank{Customer: rng.IntN(3), Route: rng.IntN(3)}, Domain: []string{"", "x", "y", "nowhere"}[rng.IntN(4)],
 		Due: b.now.Add(time.Duration(500+rng.IntN(4000)) * time.Millisecond),
@@ -90,7 +90,7 @@
 }
 
 // endRandom ends a call in one of the ways that calls end.
-func (b *bench) endRandom(rng *rand.Rand, r Run) {
+func (b *harness) endRandom(rng *rand.Rand, r Run) {
 	switch rng.IntN(8) {
 	case 0:
 		b.end(r.Call, CallFailed)
@@ -99,15 +99,15 @@
 	case 2:
 		b.end(r.Call, CallNotExecuted)
 	case 3:
-		b.answerInPart(rng, r.Call)
+		b.answerPartially(rng, r.Call)
 	default:
 		b.answer(r.Call)
 	}
 }
 
 // answerInPart ends a call in which some pieces were not made.
-func (b *bench) answerInPart(rng *rand.Rand, call uint64) {
-	r := b.take(call)
+func (b *harness) answerPartially(rng *rand.Rand, call uint64) {
+	r := b.removeCall(call)
 	e := CallEnded{Call: call}
 	for _, p := range r.Pieces {
 		kind := []ResultKind{Made, Made, TooLate, NoRoom, Broken}[rng.IntN(5)]
@@ -115,7 +115,7 @@
 		if kind == Made {
 			b.made++
 			res.Handle = fmt.Sprintf("%s/%d", r.Address, b.made)
-			b.held[res.Handle] = p
+			b.results[res.Handle] = p
 		}
 		e.Results = append(e.Results, res)
 	}
@@ -123,7 +123,7 @@
 }
 
 // dropRandom gives up some job, ready or not.
-func (b *bench) dropRandom(rng *rand.Rand) {
+func (b *harness) cancelRandom(rng *rand.Rand) {
 	ids := make([]string, 0, len(b.jobs))
 	for i := range 1000 {
 		if id := fmt.Sprint("j", i); b.jobs[id].ID != "" {
@@ -134,5 +134,5 @@
 		return
 	}
 	id := ids[rng.IntN(len(ids))]
-	b.giveUp(id, Cancelled{Job: id})
+	b.endJob(id, Cancelled{Job: id})
 }
--- a/core/stage/ranks.go
+++ b/core/stage/ranks.go
@@ -6,20 +6,21 @@
 	"github.com/wheatseam/wheatseam/core/catalog"
 )
 
-// ranks are those of the jobs that have asked for a service lately, with the time of
-// the last one.
-type ranks map[catalog.Rank]time.Time
+// recentRanks holds the ranks of the jobs that used a service recently, with the time of
+// the last job of each.
+type recentRanks map[catalog.Rank]time.Time
 
-// rankMemory is how long a rank counts after its last job.
-const rankMemory = 10 * time.Second
+// rankRetention is how long a rank is counted after its last job.
+const rankRetention = 10 * time.Second
 
-// before counts the ranks of customers alike that are more urgent than one. Customers
-// that are more urgent go first by the order of work.
-func (r ranks) before(now time.Time, than catalog.Rank) int {
+// countMoreUrgent returns the number of ranks with the same customer priority and a more
+// urgent route than the given rank. More urgent customers are preferred by the effective
+// due time instead.
+func (r recentRanks) countMoreUrgent(now time.Time, than catalog.Rank) int {
 	n := 0
 	for rank, last := range r {
 		switch {
-		case now.Sub(last) > rankMemory:
+		case now.Sub(last) > rankRetention:
 			delete(r, rank)
 		case rank.Customer == than.Customer && rank.Route < than.Route:
 			n++
@@ -28,11 +29,11 @@
 	return n
 }
 
-// noteRanks has the services of a job count its rank.
-func (j *job) noteRanks(now time.Time) {
+// recordRanks records the job's rank at the services that it uses.
+func (j *job) recordRanks(now time.Time) {
 	for i := range j.stages {
-		if st := &j.stages[i]; st.left > 0 {
-			st.service.ranks[j.Rank] = now
+		if st := &j.stages[i]; st.remaining > 0 {
+			st.service.recentRanks[j.Rank] = now
 		}
 	}
 }
--- a/core/stage/ranks_test.go
+++ b/core/stage/ranks_test.go
@@ -14,24 +14,24 @@
 	rank := func(route int) catalog.Rank { return catalog.Rank{Customer: 1, Route: route} }
 
 	It("counts only ranks that ask for the same services, and only for a while", func() {
-		r, now := ranks{}, time.Unix(1000, 0)
+		r, now := recentRanks{}, time.Unix(1000, 0)
 		r[rank(0)], r[rank(2)], r[catalog.Rank{Route: 0}] = now, now, now
-		Expect(r.before(now, rank(0))).To(BeZero())
-		Expect(r.before(now, rank(1))).To(Equal(1))
-		Expect(r.before(now, rank(3))).To(Equal(2))
-		Expect(r.before(now, catalog.Rank{Customer: 2, Route: 3})).To(BeZero(), "customers are told apart by the order of work")
-		Expect(r.before(now.Add(rankMemory+time.Second), rank(3))).To(BeZero())
+		Expect(r.countMoreUrgent(now, rank(0))).To(BeZero())
+		Expect(r.countMoreUrgent(now, rank(1))).To(Equal(1))
+		Expect(r.countMoreUrgent(now, rank(3))).To(Equal(2))
+		Expect(r.countMoreUrgent(now, catalog.Rank{Customer: 2, Route: 3})).To(BeZero(), "customers are told apart by the order of work")
+		Expect(r.countMoreUrgent(now.Add(rankRetention+time.Second), rank(3))).To(BeZero())
 		Expect(r).To(BeEmpty())
 	})
 
 	// Calls of one piece, one after the other, so that the jobs' places in the queue
 	// decide alone.
-	admitted := func(prepare func(b *bench)) (urgent, other int) {
-		b := newBench(figures(1, 0), "x")
+	admitted := func(prepare func(b *harness)) (urgent, other int) {
+		b := newHarness(pieceParams(1, 0), "x")
 		prepare(b)
 		for i := range 30 {
 			for route, count := range map[int]*int{0: &urgent, 2: &other} {
-				j := b.chain(fmt.Sprint("job", i, "-", route), Stage{Service: "a", Pieces: 1})
+				j := b.newChain(fmt.Sprint("job", i, "-", route), Stage{Service: "a", Pieces: 1})
 				j.Rank, j.Due = rank(route), b.now.Add(time.Second)
 				b.submit(j)
 				if b.m.jobs[j.ID] != nil {
@@ -43,15 +43,15 @@
 	}
 
 	It("has the less urgent refused when they come, while the urgent are admitted", func() {
-		urgent, other := admitted(func(*bench) {})
+		urgent, other := admitted(func(*harness) {})
 		Expect(urgent).To(BeNumerically(">", 2*other))
 	})
 
 	It("is the job's own where nobody more urgent comes", func() {
-		b := newBench(figures(1, 0), "x")
-		j := b.chain("alone", Stage{Service: "a", Pieces: 1})
+		b := newHarness(pieceParams(1, 0), "x")
+		j := b.newChain("alone", Stage{Service: "a", Pieces: 1})
 		j.Rank = rank(2)
 		b.submit(j)
-		Expect(b.m.reserved(b.now, b.m.jobs["alone"])).To(BeZero())
+		Expect(b.m.reservedShare(b.now, b.m.jobs["alone"])).To(BeZero())
 	})
 })
--- a/core/stage/halls_test.go
+++ b/core/stage/simdeployment_test.go
@@ -18,13 +18,13 @@
 )
 
 // spread draws a whole number of at least one about a mean.
-func spread(rng *rand.Rand, mean, deviation float64, most int) int {
+func lognormalCount(rng *rand.Rand, mean, deviation float64, most int) int {
 	n := mean * math.Exp(deviation*rng.NormFloat64()-deviation*deviation/2)
 	return min(most, max(1, int(math.Round(n))))
 }
 
 // tightService holds the figures of a replica that makes one call at a time.
-func tightService(batch int, pieceTime float64, room int64) catalog.Pieces {
+func limitedParams(batch int, pieceTime float64, room int64) catalog.Pieces {
 	return catalog.Pieces{
 		Concurrency: 1, Batch: batch, CallTime: 240 * time.Millisecond, PieceTime: time.Duration(pieceTime * float64(time.Millisecond)),
 		RoomBytes: room, ResultLife: 4 * time.Second,
@@ -33,7 +33,7 @@
 
 // largeStage makes large results, so many of them on average.
 func largeStage(rng *rand.Rand, mean float64, most int) Stage {
-	return Stage{Service: "audit", Pieces: spread(rng, mean, 0.6, most), ResultBytes: largeResult}
+	return Stage{Service: "audit", Pieces: lognormalCount(rng, mean, 0.6, most), ResultBytes: largeResult}
 }
 
 // smallChain is three stages with small results, one after the other, beside others.
@@ -41,25 +41,25 @@
 	n := len(beside)
 	return append(beside, Stage{Service: "audit", Pieces: 1, ResultBytes: smallResult},
 		Stage{Service: "notify", After: []int{n}, Pieces: 4, ResultBytes: 60_000},
-		Stage{Service: "store", After: []int{n + 1}, Pieces: spread(rng, 6, 0.4, 15), ResultBytes: 6000})
+		Stage{Service: "store", After: []int{n + 1}, Pieces: lognormalCount(rng, 6, 0.4, 15), ResultBytes: 6000})
 }
 
 // kindFigures are what deployments differ in by kind: requests a second, the objective,
 // and what an answer is worth on time and late.
-type kindFigures struct {
-	rate         float64
-	objective    time.Duration
-	onTime, late float64
+type kindParams struct {
+	rate                   float64
+	objective              time.Duration
+	onTimeValue, lateValue float64
 }
 
 // threeKinds are two kinds of requests that pass through three services one after the
 // other, the most urgent and the least urgent one, and one with large results. scale
 // divides the rates.
-func threeKinds(scale int, review, summary, extract kindFigures) []*simKind {
-	kind := func(name string, f kindFigures, priority int, deadline, engine time.Duration, stages func(*rand.Rand) []Stage) *simKind {
+func threeKinds(scale int, review, summary, extract kindParams) []*simKind {
+	kind := func(name string, f kindParams, priority int, deadline, engine time.Duration, stages func(*rand.Rand) []Stage) *simKind {
 		return &simKind{
 			name: name, rate: func(time.Duration) float64 { return f.rate / float64(scale) }, priority: priority,
-			objective: f.objective, deadline: deadline, engine: engine, onTime: f.onTime, late: f.late, stages: stages,
+			objective: f.objective, deadline: deadline, engine: engine, onTimeValue: f.onTimeValue, lateValue: f.lateValue, stages: stages,
 		}
 	}
 	kinds := []*simKind{
@@ -85,16 +85,16 @@
 // kinds of requests that pass through all of them one after the other, and one
 // with large results. Its figures are a customer's; at the usual rates half of
 // the calls and of the rooms are taken. scale divides replicas and rates.
-func newHalls(seed uint64, scale int) *loadSim {
+func newSixDomainSim(seed uint64, scale int) *loadSim {
 	s := newLoadSim(seed)
 	domains := []string{"d0", "d1", "d2", "d3", "d4", "d5"}
 	e := Configured{Services: map[string]*catalog.Service{}}
-	s.service(&e, "audit", tightService(14, 15, 17_000_000), 42/scale, domains)
-	s.service(&e, "notify", tightService(38, 5.4, 4_200_000), 35/scale, domains)
-	s.service(&e, "store", tightService(48, 4.3, 530_000), 42/scale, domains)
+	s.service(&e, "audit", limitedParams(14, 15, 17_000_000), 42/scale, domains)
+	s.service(&e, "notify", limitedParams(38, 5.4, 4_200_000), 35/scale, domains)
+	s.service(&e, "store", limitedParams(48, 4.3, 530_000), 42/scale, domains)
 	s.kinds = threeKinds(scale,
-		kindFigures{137, 1400 * time.Millisecond, 3.9, 0.58}, kindFigures{155, 2200 * time.Millisecond, 2.3, 0.34},
-		kindFigures{230, 2200 * time.Millisecond, 0.37, 0.056})
+		kindParams{137, 1400 * time.Millisecond, 3.9, 0.58}, kindParams{155, 2200 * time.Millisecond, 2.3, 0.34},
+		kindParams{230, 2200 * time.Millisecond, 0.37, 0.056})
 	s.configured = e
 	s.step(e)
 	return s
@@ -113,12 +113,12 @@
 
 // down stops a share of a service's replicas for a time.
 func (s *loadSim) down(service string, share float64, from, length time.Duration) {
-	s.some(service, share, func(r *simReplica) {
+	s.forShare(service, share, func(r *simReplica) {
 		s.at(from, func() {
 			r.down = true
-			r.boot++
-			clear(r.held)
-			r.room = 0
+			r.incarnation++
+			clear(r.results)
+			r.usedBytes = 0
 		})
 		s.at(from+length, func() { r.down = false })
 	})
@@ -126,13 +126,13 @@
 
 // slow has a share of a service's replicas take longer for a time.
 func (s *loadSim) slow(service string, share, factor float64, from, length time.Duration) {
-	s.some(service, share, func(r *simReplica) {
-		s.at(from, func() { r.slow = factor })
-		s.at(from+length, func() { r.slow = 1 })
+	s.forShare(service, share, func(r *simReplica) {
+		s.at(from, func() { r.slowFactor = factor })
+		s.at(from+length, func() { r.slowFactor = 1 })
 	})
 }
 
-func (s *loadSim) some(service string, share float64, do func(*simReplica)) {
+func (s *loadSim) forShare(service string, share float64, do func(*simReplica)) {
 	var all []*simReplica
 	for i := range len(s.replicas) {
 		if r := s.replicas[fmt.Sprintf("%s-%02d", service, i)]; r != nil {
@@ -148,17 +148,17 @@
 // loseAll has all hosts lose power at a time and be back after a while: calls
 // under way and results are known to nobody, the planner starts anew, and callers
 // whose requests were under way, or that came meanwhile, come back once.
-func (s *loadSim) loseAll(from, away time.Duration) {
+func (s *loadSim) losePower(from, away time.Duration) {
 	s.at(from, func() {
-		s.lost = true
+		s.powerLost = true
 		for _, id := range slices.Sorted(maps.Keys(s.jobs)) { // the same each time
 			j := s.jobs[id]
 			delete(s.jobs, id)
-			s.comeBack(j, id)
+			s.retry(j, id)
 		}
 	})
 	s.at(from+away, func() {
-		s.lost = false
+		s.powerLost = false
 		s.m = New(Config{})
 		s.step(s.configured)
 	})
@@ -166,7 +166,7 @@
 
 // randomTrouble has bursts of the kinds come, and replicas of the services be lost
 // or slow, within the first fifteen seconds.
-func (s *loadSim) randomTrouble() {
+func (s *loadSim) randomFaults() {
 	between := func(least, most float64) float64 { return least + (most-least)*s.rng.Float64() }
 	at := func(least, most float64) time.Duration {
 		return time.Duration(between(least, most) * float64(time.Second))
--- a/core/stage/tally_test.go
+++ b/core/stage/simstats_test.go
@@ -17,42 +17,42 @@
 }
 
 // worth is the share of what could be earned that was, between two seconds.
-func (s *loadSim) worth(from, to int) float64 {
+func (s *loadSim) attainedValue(from, to int) float64 {
 	var got, owed float64
 	for _, k := range s.kinds {
 		t := k.total(from, to)
-		got += k.onTime*float64(t.onTime) + k.late*float64(t.late)
-		owed += k.onTime * float64(t.asked)
+		got += k.onTimeValue*float64(t.onTime) + k.lateValue*float64(t.late)
+		owed += k.onTimeValue * float64(t.arrived)
 	}
 	return got / owed
 }
 
 // earned is the share of a kind's worth that was earned.
-func (k *simKind) earned(from, to int) float64 {
+func (k *simKind) attainedValue(from, to int) float64 {
 	t := k.total(from, to)
-	return (k.onTime*float64(t.onTime) + k.late*float64(t.late)) / (k.onTime * float64(t.asked))
+	return (k.onTimeValue*float64(t.onTime) + k.lateValue*float64(t.late)) / (k.onTimeValue * float64(t.arrived))
 }
 
 // served is the share of a kind's requests that were answered, in time or late.
-func (k *simKind) served(from, to int) float64 {
+func (k *simKind) answeredShare(from, to int) float64 {
 	t := k.total(from, to)
-	return float64(t.onTime+t.late) / float64(t.asked)
+	return float64(t.onTime+t.late) / float64(t.arrived)
 }
 
 // table shows what became of the requests by kind and second.
 func (s *loadSim) table(end int) string {
 	var b strings.Builder
 	for sec := range end {
-		fmt.Fprintf(&b, "%3d worth %.2f", sec, s.worth(sec, sec+1))
+		fmt.Fprintf(&b, "%3d worth %.2f", sec, s.attainedValue(sec, sec+1))
 		for _, k := range s.kinds {
 			t := k.total(sec, sec+1)
-			fmt.Fprintf(&b, " | %s %4d: %4d on time %4d late %4d refused", k.name, t.asked, t.onTime, t.late, t.refused)
+			fmt.Fprintf(&b, " | %s %4d: %4d on time %4d late %4d refused", k.name, t.arrived, t.onTime, t.late, t.refused)
 		}
 		b.WriteString("\n")
 	}
-	fmt.Fprintf(&b, "all worth %.3f, no room %d, gone %d", s.worth(0, end), s.noRoom, s.gone)
+	fmt.Fprintf(&b, "all worth %.3f, no room %d, gone %d", s.attainedValue(0, end), s.outOfMemory, s.missingInputs)
 	for _, k := range s.kinds {
-		fmt.Fprintf(&b, " | %s %.3f", k.name, k.earned(0, end))
+		fmt.Fprintf(&b, " | %s %.3f", k.name, k.attainedValue(0, end))
 	}
 	return b.String() + "\n"
 }
