--- a/core/stage/bench_test.go
+++ b/core/stage/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/wheatseam/wheatseam/core/catalog"
 )
 
-// BenchmarkOverload is one job and one call at a planner with a thousand jobs
-// before 51 replicas, as a burst leaves one of 80 daemons.
+// BenchmarkOverload measures one job and one call of a planner with 1,000 queued jobs and
+// 51 replicas, as after a burst in a fleet of 80 daemons.
 func BenchmarkOverload(b *testing.B) {
 	m := New(Config{})
 	now := time.Unix(1000, 0)
--- a/core/stage/calls.go
+++ b/core/stage/calls.go
@@ -54,17 +54,17 @@
 }
 
 // markSuspected excludes a replica from new calls for a while.
-func (m *Machine) markSuspected(now time.Time, r *replica, why string) {
+func (m *Machine) markSuspected(now time.Time, r *replica, cause string) {
 	r.noteFailure(now, m.cfg)
-	m.emit(Suspected{Replica: r.ID, Service: r.service.name, Why: why, Failures: r.failures, For: r.suspectUntil.Sub(now)})
+	m.emit(Suspected{Replica: r.ID, Service: r.service.name, Why: cause, Failures: r.failures, For: r.suspectUntil.Sub(now)})
 }
 
 // requeueCall queues the pieces of a call that returned no results. countAttempt says
 // whether the call counts as an attempt for its pieces.
-func (m *Machine) requeueCall(c *call, count bool) {
+func (m *Machine) requeueCall(c *call, countAttempt bool) {
 	for _, p := range c.pieces {
 		c.replica.usedBytes = max(0, c.replica.usedBytes-p.resultBytes())
-		if count {
+		if countAttempt {
 			p.attempts++
 		}
 		m.requeue(p)
@@ -204,18 +204,18 @@
 	if !m.nextOverdue.due(now) {
 		return
 	}
-	var over []*call
+	var overdue []*call
 	for _, c := range m.calls {
 		switch {
 		case c.hedged:
 		case now.Before(c.overdueAt):
 			m.nextOverdue.schedule(c.overdueAt)
 		default:
-			over = append(over, c)
+			overdue = append(overdue, c)
 		}
 	}
-	slices.SortFunc(over, func(a, b *call) int { return cmp.Compare(a.id, b.id) })
-	for _, c := range over {
+	slices.SortFunc(overdue, func(a, b *call) int { return cmp.Compare(a.id, b.id) })
+	for _, c := range overdue {
 		c.hedged = true
 		m.markSuspected(now, c.replica, "overdue")
 		for _, p := range c.pieces {
--- a/core/stage/deferred_start_test.go
+++ b/core/stage/deferred_start_test.go
@@ -9,13 +9,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// The pattern: jobs with a large result that only the end needs, beside a chain
-// of small stages. Made first, the large results fill the rooms of the replicas
-// for as long as the chains take.
-var _ = Describe("a stage that no other one reads", func() {
-	// beside is a job with such a stage, number 0, beside a chain of three.
-	beside := func(b *harness, id string) Job {
-		j := b.newChain(id, Stage{Service: "a", Pieces: 2, ResultBytes: 10}, Stage{Service: "a", Pieces: 1, After: []int{}},
+// Some jobs have a stage with large results that no other stage reads, beside a chain of
+// small stages. Executed first, the large results would take up the memory of the replicas
+// for as long as the chain takes.
+var _ = Describe("a stage that no other stage reads", func() {
+	// beside returns a job with such a stage, number 0, beside a chain of three.
+	beside := func(h *harness, id string) Job {
+		j := h.newChain(id, Stage{Service: "a", Pieces: 2, ResultBytes: 10}, Stage{Service: "a", Pieces: 1, After: []int{}},
 			Stage{Service: "b", Pieces: 1}, Stage{Service: "c", Pieces: 1})
 		return j
 	}
@@ -29,46 +29,47 @@
 		return out
 	}
 
-	It("starts when the rest is nearly ready", func() {
-		b := newHarness(pieceParams(20, 0), "x", "x")
-		Expect(stagesOf(b.submit(beside(b, "j")))).To(ConsistOf(1))
-		b.now = b.now.Add(250 * time.Millisecond)
-		Expect(stagesOf(b.answer(1))).To(ConsistOf(0, 0, 2), "two of three calls of the chain are left")
-		b.answerAll()
-		Expect(b.ready["j"].Handles).To(HaveLen(3))
+	It("starts when the rest of the job is nearly complete", func() {
+		h := newHarness(pieceParams(20, 0), "x", "x")
+		Expect(stagesOf(h.submit(beside(h, "j")))).To(ConsistOf(1))
+		h.now = h.now.Add(250 * time.Millisecond)
+		Expect(stagesOf(h.answer(1))).To(ConsistOf(0, 0, 2), "two of the chain's three calls remain")
+		h.answerAll()
+		Expect(h.ready["j"].Handles).To(HaveLen(3))
 	})
 
-	It("starts at once beside a chain that is as short", func() {
-		b := newHarness(pieceParams(20, 0), "x", "x")
-		j := b.newChain("j", Stage{Service: "a", Pieces: 2}, Stage{Service: "b", Pieces: 1, After: []int{}}, Stage{Service: "c", Pieces: 1})
-		Expect(stagesOf(b.submit(j))).To(ConsistOf(0, 0, 1))
+	It("starts at once beside a short chain", func() {
+		h := newHarness(pieceParams(20, 0), "x", "x")
+		j := h.newChain("j", Stage{Service: "a", Pieces: 2}, Stage{Service: "b", Pieces: 1, After: []int{}}, Stage{Service: "c", Pieces: 1})
+		Expect(stagesOf(h.submit(j))).To(ConsistOf(0, 0, 1))
 	})
 
-	It("starts when the chain beside it has failed and is made again", func() {
-		b := newHarness(pieceParams(20, 0), "x", "x")
-		runs := b.submit(beside(b, "j"))
-		b.end(runs[0].Call, CallUnreachable)
-		b.answerAll()
-		Expect(b.ready).To(HaveKey("j"))
+	It("starts when a failed call of the chain beside it has been repeated", func() {
+		h := newHarness(pieceParams(20, 0), "x", "x")
+		runs := h.submit(beside(h, "j"))
+		h.end(runs[0].Call, CallUnreachable)
+		h.answerAll()
+		Expect(h.ready).To(HaveKey("j"))
 	})
 
-	It("leaves the rooms to results that are waited for", func() {
-		// Room for four results of ten bytes; six jobs at once hold twelve.
-		b := newHarness(pieceParams(20, 40), "x")
+	It("leaves the memory to results that are needed first", func() {
+		// There is memory for four results of ten bytes; six jobs at once need twelve
+		// results.
+		h := newHarness(pieceParams(20, 40), "x")
 		for i := range 6 {
-			b.submit(beside(b, fmt.Sprint("j", i)))
+			h.submit(beside(h, fmt.Sprint("j", i)))
 		}
-		urgent := b.newChain("urgent", Stage{Service: "a", Pieces: 3, ResultBytes: 10})
-		urgent.Due = b.now.Add(time.Second)
-		b.submit(urgent)
+		urgent := h.newChain("urgent", Stage{Service: "a", Pieces: 3, ResultBytes: 10})
+		urgent.Due = h.now.Add(time.Second)
+		h.submit(urgent)
 		rounds := 0
-		for ; b.ready["urgent"].Job == ""; rounds++ {
-			Expect(b.running).NotTo(BeEmpty(), "no call runs any more")
-			b.now = b.now.Add(250 * time.Millisecond)
-			for _, run := range slices.Clone(b.running) {
-				b.answer(run.Call)
+		for ; h.ready["urgent"].Job == ""; rounds++ {
+			Expect(h.running).NotTo(BeEmpty(), "no call is running")
+			h.now = h.now.Add(250 * time.Millisecond)
+			for _, run := range slices.Clone(h.running) {
+				h.answer(run.Call)
 			}
 		}
-		Expect(rounds).To(Equal(2), "its pieces find room in the next call")
+		Expect(rounds).To(Equal(2), "its pieces fit into the next call")
 	})
 })
--- a/core/stage/dispatch.go
+++ b/core/stage/dispatch.go
@@ -28,11 +28,11 @@
 		return
 	}
 	s.recordPass(now, m.cfg.RefusalBackoff)
-	idle := s.availableReplicas(now)
-	if len(idle) == 0 {
+	available := s.availableReplicas(now)
+	if len(available) == 0 {
 		return
 	}
-	ps := &dispatchPass{now: now, service: s, groups: s.queue.byUrgency(now), available: idle, waitingBefore: map[string]int{}}
+	ps := &dispatchPass{now: now, service: s, groups: s.queue.byUrgency(now), available: available, waitingBefore: map[string]int{}}
 	for i := 0; i < len(ps.groups) && len(ps.available) > 0; {
 		g := ps.groups[i]
 		if len(g.pieces) == 0 {
@@ -78,7 +78,7 @@
 // availableReplicas returns the replicas that can start a call now. Slow replicas are left
 // out unless at least half of the usable ones are slow.
 func (s *service) availableReplicas(now time.Time) []*replica {
-	var idle, slow []*replica
+	var fast, slow []*replica
 	usable, slowUsable := 0, 0
 	for _, r := range s.replicas {
 		if !r.usable(now) {
@@ -94,47 +94,47 @@
 		case isSlow:
 			slow = append(slow, r)
 		default:
-			idle = append(idle, r)
+			fast = append(fast, r)
 		}
 	}
 	if 2*slowUsable >= usable {
-		idle = append(idle, slow...)
+		fast = append(fast, slow...)
 	}
-	return idle
+	return fast
 }
 
 // callSize returns the number of pieces of the next call. Work is split over the available
 // replicas once each gets enough pieces to take a good share of a call's fixed time.
 func (ps *dispatchPass) callSize(splitShare float64) int {
 	f := ps.service.params
-	least := 1
+	minPieces := 1
 	if f.PieceTime > 0 {
-		least = int(float64(f.CallTime)*splitShare/float64(f.PieceTime)) + 1
+		minPieces = int(float64(f.CallTime)*splitShare/float64(f.PieceTime)) + 1
 	}
-	each := (ps.service.queue.pieces + len(ps.available) - 1) / len(ps.available)
-	return min(f.Batch, max(each, least))
+	perReplica := (ps.service.queue.pieces + len(ps.available) - 1) / len(ps.available)
+	return min(f.Batch, max(perReplica, minPieces))
 }
 
 // chooseReplica returns the available replica for a group. It returns nil if waiting for a
 // replica in the preferred domain is better, or if no replica has enough memory.
 func (m *Machine) chooseReplica(ps *dispatchPass, g *group) *replica {
-	var home, other *replica
-	load := m.readerLoad(ps.now, g)
+	var local, remote *replica
+	readerLoad := m.readerLoad(ps.now, g)
 	for _, r := range ps.available {
 		if !r.fits(ps.now, ps.service.initialBytes(g)) || r.runs(g.pieces[0]) {
 			continue
 		}
 		if g.preferredDomain == "" || r.FailureDomain == g.preferredDomain {
-			home = preferred(ps.now, home, r, load)
+			local = preferred(ps.now, local, r, readerLoad)
 		} else {
-			other = preferred(ps.now, other, r, load)
+			remote = preferred(ps.now, remote, r, readerLoad)
 		}
 	}
-	if home != nil {
-		return home
+	if local != nil {
+		return local
 	}
-	if other != nil && ps.service.domainWait(ps.now, g, ps.waitingBefore[g.preferredDomain]) > m.maxDomainWait(g) {
-		return other
+	if remote != nil && ps.service.domainWait(ps.now, g, ps.waitingBefore[g.preferredDomain]) > m.maxDomainWait(g) {
+		return remote
 	}
 	return nil
 }
@@ -142,10 +142,10 @@
 // initialBytes returns the size of the results that one call takes on of a group: all of
 // it, unless a call or a replica's memory cannot hold that.
 func (s *service) initialBytes(g *group) int64 {
-	each := g.job.Stages[g.stage].ResultBytes
-	n := int64(min(len(g.pieces), s.params.Batch)) * each
+	pieceBytes := g.job.Stages[g.stage].ResultBytes
+	n := int64(min(len(g.pieces), s.params.Batch)) * pieceBytes
 	if s.params.RoomBytes > 0 && n > s.params.RoomBytes {
-		return each
+		return pieceBytes
 	}
 	return n
 }
@@ -166,21 +166,21 @@
 // preferred returns the better of two replicas: the faster one, then the one in the failure
 // domain with less work for the readers of the results, then the one that holds fewer
 // bytes.
-func preferred(now time.Time, a, b *replica, load map[string]float64) *replica {
+func preferred(now time.Time, a, b *replica, readerLoad map[string]float64) *replica {
 	switch {
 	case a == nil:
 		return b
 	case b == nil:
 		return a
 	}
-	const notable = 1.3 // latency ratios closer than this count as equal
+	const similarRatio = 1.3 // latency ratios closer than this count as equal
 	switch {
-	case b.currentLatencyRatio(now)*notable < a.currentLatencyRatio(now):
+	case b.currentLatencyRatio(now)*similarRatio < a.currentLatencyRatio(now):
 		return b
-	case a.currentLatencyRatio(now)*notable < b.currentLatencyRatio(now):
+	case a.currentLatencyRatio(now)*similarRatio < b.currentLatencyRatio(now):
 		return a
 	}
-	if c := cmp.Or(cmp.Compare(load[a.FailureDomain], load[b.FailureDomain]), cmp.Compare(a.usedBytes, b.usedBytes)); c > 0 {
+	if c := cmp.Or(cmp.Compare(readerLoad[a.FailureDomain], readerLoad[b.FailureDomain]), cmp.Compare(a.usedBytes, b.usedBytes)); c > 0 {
 		return b
 	}
 	return a
@@ -237,23 +237,23 @@
 	if reader == nil || reader.readerLoad == nil {
 		return
 	}
-	each := max(1, len(reader.replicas)/max(1, reader.domains))
-	reader.readerLoad[domain] += float64(g.job.stages[g.job.stages[g.stage].readers[0]].remaining) / float64(each)
+	replicasPerDomain := max(1, len(reader.replicas)/max(1, reader.domains))
+	reader.readerLoad[domain] += float64(g.job.stages[g.job.stages[g.stage].readers[0]].remaining) / float64(replicasPerDomain)
 }
 
 // maxDomainWait returns how long to wait for a replica in the preferred domain before the
 // group goes to another one. It grows with the bytes that would cross failure domains, both
 // the group's inputs and its results for its readers, and never makes the job late.
 func (m *Machine) maxDomainWait(g *group) time.Duration {
-	worth := time.Duration(float64(g.job.crossDomainBytes(g.stage)) / m.cfg.CrossDomainBytesPerMs * float64(time.Millisecond))
-	return min(worth, time.Duration(m.cfg.DomainWaitSlackShare*float64(g.slack))/time.Duration(max(1, g.calls)))
+	worthwhile := time.Duration(float64(g.job.crossDomainBytes(g.stage)) / m.cfg.CrossDomainBytesPerMs * float64(time.Millisecond))
+	return min(worthwhile, time.Duration(m.cfg.DomainWaitSlackShare*float64(g.slack))/time.Duration(max(1, g.calls)))
 }
 
 // unavailableWait is the wait for a domain without a usable replica.
 const unavailableWait = time.Hour
 
 // domainWait returns the expected wait for a replica in the group's preferred domain.
-func (s *service) domainWait(now time.Time, g *group, ahead int) time.Duration {
+func (s *service) domainWait(now time.Time, g *group, waitingBefore int) time.Duration {
 	wait, usable := unavailableWait, 0
 	for _, r := range s.replicas {
 		if r.FailureDomain != g.preferredDomain || !r.usable(now) {
@@ -269,7 +269,7 @@
 	if usable == 0 {
 		return unavailableWait
 	}
-	rounds := ahead / (usable * s.params.Batch)
+	rounds := waitingBefore / (usable * s.params.Batch)
 	return wait + time.Duration(rounds)*s.callTime(s.params.Batch)
 }
 
@@ -287,19 +287,19 @@
 		if len(g.pieces) == 0 || i > 0 && (len(g.pieces) > space || !r.fits(ps.now, bytes+g.resultBytes()) || m.shouldWaitForDomain(ps, r, g)) {
 			continue
 		}
-		var left []*piece
+		var remaining []*piece
 		for k, p := range g.pieces {
 			if k >= space || r.runs(p) || len(pieces) > 0 && !r.fits(ps.now, bytes+p.resultBytes()) {
-				left = append(left, p)
+				remaining = append(remaining, p)
 				continue
 			}
 			pieces = append(pieces, p)
 			bytes += p.resultBytes()
 		}
-		if len(left) < len(g.pieces) {
+		if len(remaining) < len(g.pieces) {
 			g.addReaderLoad(r.FailureDomain)
 		}
-		g.pieces = left
+		g.pieces = remaining
 	}
 	ps.service.queue.pieces -= len(pieces)
 	return pieces
--- a/core/stage/handover.go
+++ b/core/stage/handover.go
@@ -136,17 +136,17 @@
 }
 
 // releaseUnreported releases the results of a stage that the job's owner was not told of.
-// It returns whether there are others.
-func (m *Machine) releaseUnreported(st *stageState) (others bool) {
+// It returns whether it kept others.
+func (m *Machine) releaseUnreported(st *stageState) (kept bool) {
 	for k := range st.pieces {
 		p := &st.pieces[k]
 		if p.reported && p.holder != nil {
-			others = true
+			kept = true
 			continue
 		}
 		m.releasePiece(p)
 	}
-	return others
+	return kept
 }
 
 // progressSent records which results are being reported to the owners of jobs.
@@ -190,20 +190,20 @@
 }
 
 // releaseRefused releases the results of a refused job, except those that its owner was
-// told of. It returns whether there are any of these.
-func (m *Machine) releaseRefused(j *job) (held bool) {
+// told of. It returns whether it kept any.
+func (m *Machine) releaseRefused(j *job) (kept bool) {
 	for i := range j.stages {
 		st := &j.stages[i]
 		if !j.Shared {
 			m.releaseStage(st)
 			continue
 		}
-		held = m.releaseUnreported(st) || held
+		kept = m.releaseUnreported(st) || kept
 	}
-	if held {
+	if kept {
 		m.refused[j.ID] = j
 	}
-	return held
+	return kept
 }
 
 // cancel ends a job that is no longer needed here.
--- a/core/stage/harness_test.go
+++ b/core/stage/harness_test.go
@@ -10,7 +10,7 @@
 	"github.com/wheatseam/wheatseam/core/catalog"
 )
 
-// bench drives a Machine by hand and keeps an account of what it asks for.
+// harness drives a Machine step by step and tracks the actions that it returns.
 type harness struct {
 	m   *Machine
 	now time.Time
@@ -18,13 +18,13 @@
 	running []Run
 	ready   map[string]Ready
 	refused map[string]Refused
-	// held maps the results that exist to the piece that they are of.
+	// results maps the handles of the results that exist to their pieces.
 	results  map[string]Piece
 	released int
 	jobs     map[string]Job
 	made     int
-	// progress is what was told of jobs, informs how often their owners were to be
-	// told at once.
+	// progress holds the reported pieces by job, ownerNotices counts the Inform actions by
+	// job.
 	progress     map[string][]MadePiece
 	ownerNotices map[string]int
 }
@@ -36,10 +36,10 @@
 	}}
 }
 
-// newBench returns a bench with services a, b and c of the same figures, and
-// replicas per failure domain as given.
+// newHarness returns a harness with services a, b and c, which have the same parameters and
+// one replica for each given failure domain.
 func newHarness(service *catalog.Service, domains ...string) *harness {
-	b := &harness{
+	h := &harness{
 		m: New(Config{}), now: time.Unix(1000, 0), ready: map[string]Ready{}, refused: map[string]Refused{},
 		results: map[string]Piece{}, jobs: map[string]Job{}, progress: map[string][]MadePiece{}, ownerNotices: map[string]int{},
 	}
@@ -51,51 +51,51 @@
 			e.Replicas = append(e.Replicas, catalog.Replica{ID: id, Service: name, Address: id + ":80", FailureDomain: d, Concurrency: 1})
 		}
 	}
-	b.step(e)
-	return b
+	h.step(e)
+	return h
 }
 
-// step passes an event and takes the actions into the account.
-func (b *harness) step(e Event) []Run {
+// step passes an event to the machine and records the actions.
+func (h *harness) step(e Event) []Run {
 	var runs []Run
-	for _, a := range b.m.Step(b.now, e) {
+	for _, a := range h.m.Step(h.now, e) {
 		switch a := a.(type) {
 		case Run:
-			b.check(a)
+			h.check(a)
 			runs = append(runs, a)
-			b.running = append(b.running, a)
+			h.running = append(h.running, a)
 		case Abandon:
-			b.removeCall(a.Call)
+			h.removeCall(a.Call)
 		case Free:
-			for _, h := range a.Handles {
-				Expect(b.results).To(HaveKey(h), "freed twice or never made: %s", h)
-				delete(b.results, h)
-				b.released++
+			for _, handle := range a.Handles {
+				Expect(h.results).To(HaveKey(handle), "released twice or never made: %s", handle)
+				delete(h.results, handle)
+				h.released++
 			}
 		case Progress:
-			b.progress[a.Job] = append(b.progress[a.Job], a.Piece)
+			h.progress[a.Job] = append(h.progress[a.Job], a.Piece)
 		case Inform:
-			b.ownerNotices[a.Job]++
+			h.ownerNotices[a.Job]++
 		case Ready:
-			Expect(b.ready).NotTo(HaveKey(a.Job))
-			Expect(b.refused).NotTo(HaveKey(a.Job))
-			b.ready[a.Job] = a
+			Expect(h.ready).NotTo(HaveKey(a.Job))
+			Expect(h.refused).NotTo(HaveKey(a.Job))
+			h.ready[a.Job] = a
 		case Refused:
-			Expect(b.ready).NotTo(HaveKey(a.Job))
-			Expect(b.refused).NotTo(HaveKey(a.Job))
-			b.refused[a.Job] = a
+			Expect(h.ready).NotTo(HaveKey(a.Job))
+			Expect(h.refused).NotTo(HaveKey(a.Job))
+			h.refused[a.Job] = a
 		}
 	}
 	return runs
 }
 
-// check holds a call against what the package guarantees.
-func (b *harness) check(a Run) {
+// check verifies a call against the guarantees of the package.
+func (h *harness) check(a Run) {
 	Expect(a.Pieces).NotTo(BeEmpty())
 	Expect(a.Timeout).To(BeNumerically(">", 0))
 	for _, p := range a.Pieces {
-		j, known := b.jobs[p.Job]
-		Expect(known).To(BeTrue(), "call for a job that was given up: %s", p.Job)
+		j, known := h.jobs[p.Job]
+		Expect(known).To(BeTrue(), "call for a job that has ended: %s", p.Job)
 		after := j.Stages[p.Stage].After
 		if len(after) == 0 {
 			Expect(p.Key).To(Equal(j.Key))
@@ -109,38 +109,38 @@
 			want += j.Stages[s].Pieces
 		}
 		Expect(p.Inputs).To(HaveLen(want))
-		for _, h := range p.Inputs {
-			Expect(seen).NotTo(HaveKey(h))
-			seen[h] = true
-			in, exists := b.results[h]
-			Expect(exists).To(BeTrue(), "input %s no longer exists", h)
+		for _, handle := range p.Inputs {
+			Expect(seen).NotTo(HaveKey(handle))
+			seen[handle] = true
+			in, exists := h.results[handle]
+			Expect(exists).To(BeTrue(), "input %s no longer exists", handle)
 			Expect(in.Job).To(Equal(p.Job))
 			Expect(after).To(ContainElement(in.Stage))
 		}
 	}
 }
 
-func (b *harness) submit(j Job) []Run {
-	b.jobs[j.ID] = j
-	return b.step(Submitted{j})
+func (h *harness) submit(j Job) []Run {
+	h.jobs[j.ID] = j
+	return h.step(Submitted{j})
 }
 
-func (b *harness) endJob(id string, e Event) []Run {
-	delete(b.jobs, id)
-	return b.step(e)
+func (h *harness) endJob(id string, e Event) []Run {
+	delete(h.jobs, id)
+	return h.step(e)
 }
 
-// pass lets time pass.
-func (b *harness) advance(d time.Duration) []Run {
-	b.now = b.now.Add(d)
-	return b.step(Tick{})
+// advance advances the time and passes a Tick.
+func (h *harness) advance(d time.Duration) []Run {
+	h.now = h.now.Add(d)
+	return h.step(Tick{})
 }
 
-// take removes a running call.
-func (b *harness) removeCall(call uint64) Run {
-	for i, r := range b.running {
+// removeCall removes a running call and returns it.
+func (h *harness) removeCall(call uint64) Run {
+	for i, r := range h.running {
 		if r.Call == call {
-			b.running = append(b.running[:i], b.running[i+1:]...)
+			h.running = append(h.running[:i], h.running[i+1:]...)
 			return r
 		}
 	}
@@ -148,37 +148,37 @@
 	return Run{}
 }
 
-// answer ends a call well.
-func (b *harness) answer(call uint64) []Run {
-	r := b.removeCall(call)
+// answer ends a call with a result for each piece.
+func (h *harness) answer(call uint64) []Run {
+	r := h.removeCall(call)
 	e := CallEnded{Call: call}
 	for _, p := range r.Pieces {
-		b.made++
-		h := fmt.Sprintf("%s/%d", r.Address, b.made)
-		b.results[h] = p
-		e.Results = append(e.Results, Result{Handle: h})
+		h.made++
+		handle := fmt.Sprintf("%s/%d", r.Address, h.made)
+		h.results[handle] = p
+		e.Results = append(e.Results, Result{Handle: handle})
 	}
-	return b.step(e)
+	return h.step(e)
 }
 
 // end ends a call without results.
-func (b *harness) end(call uint64, o CallOutcome) []Run {
-	b.removeCall(call)
-	return b.step(CallEnded{Call: call, Outcome: o})
+func (h *harness) end(call uint64, o CallOutcome) []Run {
+	h.removeCall(call)
+	return h.step(CallEnded{Call: call, Outcome: o})
 }
 
-// finish answers calls, oldest first, each after its time, until none runs.
-func (b *harness) answerAll() {
-	for len(b.running) > 0 {
-		b.now = b.now.Add(300 * time.Millisecond)
-		b.answer(b.running[0].Call)
+// answerAll answers the running calls, oldest first, 300 ms apart, until none is left.
+func (h *harness) answerAll() {
+	for len(h.running) > 0 {
+		h.now = h.now.Add(300 * time.Millisecond)
+		h.answer(h.running[0].Call)
 	}
 }
 
-// job is a job with stages given as service and pieces, each after the one
-// before.
-func (b *harness) newChain(id string, stages ...Stage) Job {
-	j := Job{ID: id, Key: "key-" + id, Due: b.now.Add(5 * time.Second), Deadline: b.now.Add(10 * time.Second)}
+// newChain returns a job whose stages each depend on the one before, unless they name
+// others.
+func (h *harness) newChain(id string, stages ...Stage) Job {
+	j := Job{ID: id, Key: "key-" + id, Due: h.now.Add(5 * time.Second), Deadline: h.now.Add(10 * time.Second)}
 	for i, s := range stages {
 		if i > 0 && s.After == nil {
 			s.After = []int{i - 1}
@@ -188,25 +188,26 @@
 	return j
 }
 
-// shared is a chain that its owner may hand to another planner.
-func (b *harness) newTransferableChain(id string, stages ...Stage) Job {
-	j := b.newChain(id, stages...)
+// newTransferableChain returns a chain that its owner may hand to another planner.
+func (h *harness) newTransferableChain(id string, stages ...Stage) Job {
+	j := h.newChain(id, stages...)
 	j.Shared = true
 	return j
 }
 
-// resultsOf returns the results of a job that exist, as they were told.
-func (b *harness) existingResults(id string) []MadePiece {
-	return slices.DeleteFunc(slices.Clone(b.progress[id]), func(p MadePiece) bool {
-		_, held := b.results[p.Handle]
+// existingResults returns the reported results of a job that still exist.
+func (h *harness) existingResults(id string) []MadePiece {
+	return slices.DeleteFunc(slices.Clone(h.progress[id]), func(p MadePiece) bool {
+		_, held := h.results[p.Handle]
 		return !held
 	})
 }
 
-// tell has the owner of a job told of pieces; hear has it heard of them.
-func (b *harness) sendProgress(id string, pieces ...MadePiece) { b.step(Told{toProgress(id, pieces)}) }
+// sendProgress has progress sent to the owner of a job; ackProgress has the owner
+// acknowledge it.
+func (h *harness) sendProgress(id string, pieces ...MadePiece) { h.step(Told{toProgress(id, pieces)}) }
 
-func (b *harness) ackProgress(id string, pieces ...MadePiece) { b.step(Known{toProgress(id, pieces)}) }
+func (h *harness) ackProgress(id string, pieces ...MadePiece) { h.step(Known{toProgress(id, pieces)}) }
 
 func toProgress(id string, pieces []MadePiece) []Progress {
 	var out []Progress
--- a/core/stage/intake_test.go
+++ b/core/stage/intake_test.go
@@ -9,116 +9,116 @@
 	"github.com/wheatseam/wheatseam/core/intake"
 )
 
-var _ = Describe("replicas that name a limit", func() {
-	bound := func(b *harness, replica string, p intake.Part) {
-		b.m.cfg.Gates.SetParts(intake.Named, map[string]intake.Part{replica: p})
+var _ = Describe("replicas with a call limit", func() {
+	bound := func(h *harness, replica string, p intake.Part) {
+		h.m.cfg.Gates.SetParts(intake.Named, map[string]intake.Part{replica: p})
 	}
 
-	It("get this host's part of the calls, and the others make the rest", func() {
-		b := newHarness(pieceParams(4, 0), "x", "y")
-		bound(b, "a1", intake.Part{Calls: 1, Window: 4 * time.Second})
-		calls, began := map[string]int{}, b.now
-		for i := 0; b.now.Sub(began) < 4*time.Second; i++ {
-			for _, r := range b.submit(b.newChain(string(rune('a'+i)), Stage{Service: "a", Pieces: 4})) {
+	It("get only this host's share of the calls; other replicas get the rest", func() {
+		h := newHarness(pieceParams(4, 0), "x", "y")
+		bound(h, "a1", intake.Part{Calls: 1, Window: 4 * time.Second})
+		calls, began := map[string]int{}, h.now
+		for i := 0; h.now.Sub(began) < 4*time.Second; i++ {
+			for _, r := range h.submit(h.newChain(string(rune('a'+i)), Stage{Service: "a", Pieces: 4})) {
 				calls[r.Replica]++
 			}
-			b.now = b.now.Add(300 * time.Millisecond)
-			for len(b.running) > 0 {
-				b.answer(b.running[0].Call)
+			h.now = h.now.Add(300 * time.Millisecond)
+			for len(h.running) > 0 {
+				h.answer(h.running[0].Call)
 			}
 		}
 		Expect(calls).To(HaveKeyWithValue("a1", 1))
 		Expect(calls["a2"]).To(BeNumerically(">", 10))
-		Expect(b.refused).To(BeEmpty())
+		Expect(h.refused).To(BeEmpty())
 	})
 
-	It("are waited for where no other is, and no longer", func() {
-		b := newHarness(pieceParams(4, 0), "x")
-		bound(b, "a1", intake.Part{Calls: 1, Window: time.Second})
-		Expect(b.submit(b.newChain("j", Stage{Service: "a", Pieces: 4}))).To(HaveLen(1))
-		b.answerAll()
-		Expect(b.submit(b.newChain("k", Stage{Service: "a", Pieces: 4}))).To(BeEmpty())
-		for at := b.now; b.now.Sub(at) < time.Second && len(b.running) == 0; {
-			next, due := b.m.NextTick(b.now)
+	It("are waited for if there is no other replica, until the limit allows a call", func() {
+		h := newHarness(pieceParams(4, 0), "x")
+		bound(h, "a1", intake.Part{Calls: 1, Window: time.Second})
+		Expect(h.submit(h.newChain("j", Stage{Service: "a", Pieces: 4}))).To(HaveLen(1))
+		h.answerAll()
+		Expect(h.submit(h.newChain("k", Stage{Service: "a", Pieces: 4}))).To(BeEmpty())
+		for at := h.now; h.now.Sub(at) < time.Second && len(h.running) == 0; {
+			next, due := h.m.NextTick(h.now)
 			Expect(due).To(BeTrue())
-			b.advance(next.Sub(b.now))
+			h.advance(next.Sub(h.now))
 		}
-		Expect(b.running).To(HaveLen(1))
-		Expect(b.now.Sub(time.Unix(1000, 0))).To(BeNumerically("~", time.Second, 50*time.Millisecond))
+		Expect(h.running).To(HaveLen(1))
+		Expect(h.now.Sub(time.Unix(1000, 0))).To(BeNumerically("~", time.Second, 50*time.Millisecond))
 	})
 
-	It("of which this host has no part count for nothing: a job is refused with the time until they take calls", func() {
-		b := newHarness(pieceParams(4, 0), "x")
-		bound(b, "a1", intake.Part{Window: 4 * time.Second})
-		b.submit(b.newChain("j", Stage{Service: "a", Pieces: 1}))
-		Expect(b.refused["j"].Reason).To(Equal(ReasonNoReplica))
-		Expect(b.refused["j"].RetryAfter).To(Equal(4 * time.Second))
+	It("with a share of 0 for this host are not usable; refusals return the time until they accept calls", func() {
+		h := newHarness(pieceParams(4, 0), "x")
+		bound(h, "a1", intake.Part{Window: 4 * time.Second})
+		h.submit(h.newChain("j", Stage{Service: "a", Pieces: 1}))
+		Expect(h.refused["j"].Reason).To(Equal(ReasonNoReplica))
+		Expect(h.refused["j"].RetryAfter).To(Equal(4 * time.Second))
 	})
 
-	It("slow the prediction down by what they take", func() {
-		b := newHarness(pieceParams(4, 0), "x")
-		bound(b, "a1", intake.Part{Calls: 1, Window: 2 * time.Second})
+	It("are predicted at the limited rate", func() {
+		h := newHarness(pieceParams(4, 0), "x")
+		bound(h, "a1", intake.Part{Calls: 1, Window: 2 * time.Second})
 		for _, id := range []string{"before", "j"} {
-			j := b.newChain(id, Stage{Service: "a", Pieces: 8})
-			j.Due = b.now.Add(3 * time.Second)
-			b.submit(j)
+			j := h.newChain(id, Stage{Service: "a", Pieces: 8})
+			j.Due = h.now.Add(3 * time.Second)
+			h.submit(j)
 		}
-		Expect(b.refused).NotTo(HaveKey("before"))
-		Expect(b.refused["j"].Reason).To(Equal(ReasonOverload), "behind two calls at two seconds each")
+		Expect(h.refused).NotTo(HaveKey("before"))
+		Expect(h.refused["j"].Reason).To(Equal(ReasonOverload), "queued behind two calls of two seconds each")
 	})
 })
 
-var _ = Describe("replicas that say they leave", func() {
-	It("get no call more; those under way bring their results", func() {
-		b := newHarness(pieceParams(4, 0), "x", "y")
-		under := b.submit(b.newChain("j", Stage{Service: "a", Pieces: 4}))
+var _ = Describe("replicas that announce that they are leaving", func() {
+	It("get no further calls, and running calls return their results", func() {
+		h := newHarness(pieceParams(4, 0), "x", "y")
+		under := h.submit(h.newChain("j", Stage{Service: "a", Pieces: 4}))
 		Expect(under).To(HaveLen(1))
 		leaver := under[0].Replica
-		b.m.cfg.Gates.SetParts(intake.Leaving, map[string]intake.Part{leaver: {}})
+		h.m.cfg.Gates.SetParts(intake.Leaving, map[string]intake.Part{leaver: {}})
 		for i := range 6 {
-			for _, r := range b.submit(b.newChain(string(rune('k'+i)), Stage{Service: "a", Pieces: 4})) {
+			for _, r := range h.submit(h.newChain(string(rune('k'+i)), Stage{Service: "a", Pieces: 4})) {
 				Expect(r.Replica).NotTo(Equal(leaver))
 			}
 		}
-		b.answerAll()
-		Expect(b.ready).To(HaveLen(7))
+		h.answerAll()
+		Expect(h.ready).To(HaveLen(7))
 	})
 
-	It("are no replicas to wait for", func() {
-		b := newHarness(pieceParams(4, 0), "x")
-		b.m.cfg.Gates.SetParts(intake.Leaving, map[string]intake.Part{"a1": {}})
-		b.submit(b.newChain("j", Stage{Service: "a", Pieces: 1}))
-		Expect(b.refused["j"].Reason).To(Equal(ReasonNoReplica))
+	It("are not waited for", func() {
+		h := newHarness(pieceParams(4, 0), "x")
+		h.m.cfg.Gates.SetParts(intake.Leaving, map[string]intake.Part{"a1": {}})
+		h.submit(h.newChain("j", Stage{Service: "a", Pieces: 1}))
+		Expect(h.refused["j"].Reason).To(Equal(ReasonNoReplica))
 	})
 })
 
-var _ = Describe("replicas that ask for rest", func() {
-	It("are called again when it is over, and others meanwhile", func() {
-		b := newHarness(pieceParams(4, 0), "x", "y")
-		b.m.cfg.Gates.SetParts(intake.Resting, map[string]intake.Part{"a1": {Until: b.now.Add(3 * time.Second)}})
-		began, back := b.now, false
-		for i := 0; b.now.Sub(began) < 5*time.Second; i++ {
-			for _, r := range b.submit(b.newChain(string(rune('a'+i)), Stage{Service: "a", Pieces: 8})) {
+var _ = Describe("replicas that ask for a pause", func() {
+	It("are called again when it is over; others are called meanwhile", func() {
+		h := newHarness(pieceParams(4, 0), "x", "y")
+		h.m.cfg.Gates.SetParts(intake.Resting, map[string]intake.Part{"a1": {Until: h.now.Add(3 * time.Second)}})
+		began, back := h.now, false
+		for i := 0; h.now.Sub(began) < 5*time.Second; i++ {
+			for _, r := range h.submit(h.newChain(string(rune('a'+i)), Stage{Service: "a", Pieces: 8})) {
 				if r.Replica == "a1" {
-					Expect(b.now.Sub(began)).To(BeNumerically(">=", 3*time.Second))
+					Expect(h.now.Sub(began)).To(BeNumerically(">=", 3*time.Second))
 					back = true
 				}
 			}
-			b.answerAll()
+			h.answerAll()
 		}
 		Expect(back).To(BeTrue())
-		Expect(b.refused).To(BeEmpty())
+		Expect(h.refused).To(BeEmpty())
 	})
 
-	It("are waited for when they are the last, if that is over soon", func() {
-		b := newHarness(pieceParams(4, 0), "x")
-		b.m.cfg.Gates.SetParts(intake.Resting, map[string]intake.Part{"a1": {Until: b.now.Add(200 * time.Millisecond)}})
-		Expect(b.submit(b.newChain("j", Stage{Service: "a", Pieces: 1}))).To(BeEmpty())
-		Expect(b.refused).To(BeEmpty())
-		Expect(b.advance(200 * time.Millisecond)).To(HaveLen(1))
+	It("are waited for if there is no other and the pause ends soon", func() {
+		h := newHarness(pieceParams(4, 0), "x")
+		h.m.cfg.Gates.SetParts(intake.Resting, map[string]intake.Part{"a1": {Until: h.now.Add(200 * time.Millisecond)}})
+		Expect(h.submit(h.newChain("j", Stage{Service: "a", Pieces: 1}))).To(BeEmpty())
+		Expect(h.refused).To(BeEmpty())
+		Expect(h.advance(200 * time.Millisecond)).To(HaveLen(1))
 
-		b.m.cfg.Gates.SetParts(intake.Resting, map[string]intake.Part{"a1": {Until: b.now.Add(3 * time.Second)}})
-		b.submit(b.newChain("k", Stage{Service: "a", Pieces: 1}))
-		Expect(b.refused["k"].RetryAfter).To(Equal(3 * time.Second))
+		h.m.cfg.Gates.SetParts(intake.Resting, map[string]intake.Part{"a1": {Until: h.now.Add(3 * time.Second)}})
+		h.submit(h.newChain("k", Stage{Service: "a", Pieces: 1}))
+		Expect(h.refused["k"].RetryAfter).To(Equal(3 * time.Second))
 	})
 })
--- a/core/stage/job.go
+++ b/core/stage/job.go
@@ -114,26 +114,26 @@
 	if j.Latest.Before(j.Due) {
 		j.Latest = j.Due
 	}
-	s := &job{Job: j, seq: m.seq, stages: make([]stageState, len(j.Stages))}
-	if s.refuseAt = j.Latest.Add(m.cfg.LateGrace); j.Deadline.Before(s.refuseAt) {
-		s.refuseAt = j.Deadline
+	state := &job{Job: j, seq: m.seq, stages: make([]stageState, len(j.Stages))}
+	if state.refuseAt = j.Latest.Add(m.cfg.LateGrace); j.Deadline.Before(state.refuseAt) {
+		state.refuseAt = j.Deadline
 	}
-	s.effectiveDue = j.Due.Add(time.Duration(j.Rank.Customer)*m.cfg.CustomerPriorityDelay + time.Duration(j.Rank.Route)*routePriorityDelay)
+	state.effectiveDue = j.Due.Add(time.Duration(j.Rank.Customer)*m.cfg.CustomerPriorityDelay + time.Duration(j.Rank.Route)*routePriorityDelay)
 	for i := range j.Stages {
 		st := &j.Stages[i]
 		v := m.services[st.Service]
 		if v == nil && st.Pieces > 0 {
 			return nil
 		}
-		s.stages[i] = stageState{service: v, pieces: make([]piece, st.Pieces), remaining: st.Pieces}
-		for k := range s.stages[i].pieces {
-			s.stages[i].pieces[k] = piece{job: s, stage: i, index: k}
+		state.stages[i] = stageState{service: v, pieces: make([]piece, st.Pieces), remaining: st.Pieces}
+		for k := range state.stages[i].pieces {
+			state.stages[i].pieces[k] = piece{job: state, stage: i, index: k}
 		}
 		for _, a := range st.After {
-			s.stages[a].readers = append(s.stages[a].readers, i)
+			state.stages[a].readers = append(state.stages[a].readers, i)
 		}
 	}
-	return s
+	return state
 }
 
 // addRemaining adds n to the number of pieces of stage i that are not completed.
@@ -247,18 +247,18 @@
 // the domain that holds most bytes of its inputs, if these are at least as many as the
 // piece produces for its readers, otherwise the job's domain.
 func (j *job) preferredDomain(i int) string {
-	w := bytesByDomain{bytes: map[string]int64{}, maxDomain: j.Domain}
+	held := bytesByDomain{bytes: map[string]int64{}, maxDomain: j.Domain}
 	for _, a := range j.Stages[i].After {
 		for k := range j.stages[a].pieces {
 			if p := &j.stages[a].pieces[k]; p.holder != nil {
-				w.add(p)
+				held.add(p)
 			}
 		}
 	}
-	if w.maxBytes < j.readerBytes(i) {
+	if held.maxBytes < j.readerBytes(i) {
 		return j.Domain
 	}
-	return w.maxDomain
+	return held.maxDomain
 }
 
 // bytesByDomain sums the bytes of results by the failure domain that holds them, and tracks
@@ -328,7 +328,7 @@
 func (j *job) minTime() (time.Duration, int) { return j.minTimeExcept(-1) }
 
 // minTimeExcept is minTime without one stage.
-func (j *job) minTimeExcept(but int) (time.Duration, int) {
+func (j *job) minTimeExcept(excluded int) (time.Duration, int) {
 	var most time.Duration
 	var ends [maxStages]time.Duration
 	var depth [maxStages]int
@@ -339,7 +339,7 @@
 			start, depth[i] = max(start, ends[a]), max(depth[i], depth[a])
 		}
 		end := start
-		if n := j.stages[i].remaining; n > 0 && i != but {
+		if n := j.stages[i].remaining; n > 0 && i != excluded {
 			s := j.stages[i].service
 			end += s.typicalCallTime(n)
 			depth[i]++
--- a/core/stage/late_test.go
+++ b/core/stage/late_test.go
@@ -7,62 +7,62 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestJobHandedOverIsNotRefusedAsLate: a job that an earlier planner admitted and began
-// is gone on with by the next one, also once it is due: there it would have been too.
+// TestTransferredJobIsNotRefusedAsLate: a job that an earlier planner admitted and started
+// is continued by the next one, also after its due time, as it would have been at the
+// earlier one.
 func TestTransferredJobIsNotRefusedAsLate(t *testing.T) {
 	RegisterTestingT(t)
-	b := newHarness(pieceParams(4, 0), "x")
-	j := b.newChain("j", Stage{Service: "a", Pieces: 1}, Stage{Service: "b", Pieces: 1})
+	h := newHarness(pieceParams(4, 0), "x")
+	j := h.newChain("j", Stage{Service: "a", Pieces: 1}, Stage{Service: "b", Pieces: 1})
 	j.Made = []MadePiece{{Stage: 0, Index: 0, Handle: "old/1", Replica: "a1"}}
-	j.Due = b.now.Add(-100 * time.Millisecond)
-	b.results["old/1"] = Piece{Job: "j"}
-	b.submit(j)
-	Expect(b.refused).To(BeEmpty())
-	b.answerAll()
-	Expect(b.ready).To(HaveKey("j"))
+	j.Due = h.now.Add(-100 * time.Millisecond)
+	h.results["old/1"] = Piece{Job: "j"}
+	h.submit(j)
+	Expect(h.refused).To(BeEmpty())
+	h.answerAll()
+	Expect(h.ready).To(HaveKey("j"))
 }
 
-// TestLateJobIsNotRefusedWhileAllOfItIsUnderWay: to refuse a job of which nothing is
-// left to be called frees no queue, and its caller still waits.
+// TestLateJobIsNotRefusedWhileAllPiecesAreInCalls: refusing a job that needs no further
+// calls would shorten no queue, and its caller still waits.
 func TestLateJobIsNotRefusedWhileAllPiecesAreInCalls(t *testing.T) {
 	RegisterTestingT(t)
-	b := newHarness(pieceParams(4, 0), "x", "x")
-	j := b.newChain("j", Stage{Service: "a", Pieces: 1})
-	j.Due = b.now.Add(500 * time.Millisecond)
-	first := b.submit(j)[0]
-	b.now = b.now.Add(3400 * time.Millisecond)
-	Expect(b.end(first.Call, CallUnreachable)).To(HaveLen(1))
-	b.advance(200 * time.Millisecond)
-	Expect(b.refused).To(BeEmpty())
-	b.answer(b.running[0].Call)
-	Expect(b.ready).To(HaveKey("j"))
+	h := newHarness(pieceParams(4, 0), "x", "x")
+	j := h.newChain("j", Stage{Service: "a", Pieces: 1})
+	j.Due = h.now.Add(500 * time.Millisecond)
+	first := h.submit(j)[0]
+	h.now = h.now.Add(3400 * time.Millisecond)
+	Expect(h.end(first.Call, CallUnreachable)).To(HaveLen(1))
+	h.advance(200 * time.Millisecond)
+	Expect(h.refused).To(BeEmpty())
+	h.answer(h.running[0].Call)
+	Expect(h.ready).To(HaveKey("j"))
 }
 
-// TestLateJobIsRefusedOnceACallIsWantedAgain: it would wait in a queue for jobs that
-// can be on time.
+// TestLateJobIsRefusedOnceAPieceIsRequeued: it would queue behind jobs that can be on time.
 func TestLateJobIsRefusedOnceAPieceIsRequeued(t *testing.T) {
 	RegisterTestingT(t)
-	b := newHarness(pieceParams(4, 0), "x", "x")
-	j := b.newChain("j", Stage{Service: "a", Pieces: 1})
-	j.Due = b.now.Add(500 * time.Millisecond)
-	first := b.submit(j)[0]
-	b.now = b.now.Add(3400 * time.Millisecond)
-	second := b.end(first.Call, CallUnreachable)[0]
-	b.advance(200 * time.Millisecond)
-	b.end(second.Call, CallUnreachable)
-	b.advance(200 * time.Millisecond)
-	Expect(b.refused["j"].Reason).To(Equal(ReasonOverload))
+	h := newHarness(pieceParams(4, 0), "x", "x")
+	j := h.newChain("j", Stage{Service: "a", Pieces: 1})
+	j.Due = h.now.Add(500 * time.Millisecond)
+	first := h.submit(j)[0]
+	h.now = h.now.Add(3400 * time.Millisecond)
+	second := h.end(first.Call, CallUnreachable)[0]
+	h.advance(200 * time.Millisecond)
+	h.end(second.Call, CallUnreachable)
+	h.advance(200 * time.Millisecond)
+	Expect(h.refused["j"].Reason).To(Equal(ReasonOverload))
 }
 
-// TestLateJobEndsWithItsDeadline: also with all of it under way.
+// TestLateJobExpiresAtItsDeadline: it does so even if all its pieces are in calls.
 func TestLateJobExpiresAtItsDeadline(t *testing.T) {
 	RegisterTestingT(t)
-	b := newHarness(pieceParams(4, 0), "x", "x")
-	j := b.newChain("j", Stage{Service: "a", Pieces: 1})
-	j.Due, j.Deadline = b.now.Add(500*time.Millisecond), b.now.Add(3700*time.Millisecond)
-	first := b.submit(j)[0]
-	b.now = b.now.Add(3400 * time.Millisecond)
-	b.end(first.Call, CallUnreachable)
-	b.advance(300 * time.Millisecond)
-	Expect(b.refused["j"].Reason).To(Equal(ReasonExpired))
+	h := newHarness(pieceParams(4, 0), "x", "x")
+	j := h.newChain("j", Stage{Service: "a", Pieces: 1})
+	j.Due, j.Deadline = h.now.Add(500*time.Millisecond), h.now.Add(3700*time.Millisecond)
+	first := h.submit(j)[0]
+	h.now = h.now.Add(3400 * time.Millisecond)
+	h.end(first.Call, CallUnreachable)
+	h.advance(300 * time.Millisecond)
+	Expect(h.refused["j"].Reason).To(Equal(ReasonExpired))
 }
--- a/core/stage/loadsim_test.go
+++ b/core/stage/loadsim_test.go
@@ -12,14 +12,13 @@
 	"github.com/wheatseam/wheatseam/core/catalog"
 )
 
-// loadSim plays the load of a fleet against a Machine in simulated time: callers
-// that come at random and come back once when refused, replicas whose calls
-// take time and whose rooms fill up, and engines that read the results.
+// loadSim simulates the load of a fleet on a Machine in simulated time: callers that arrive
+// at random and retry once when refused, replicas whose calls take time and whose memory
+// fills up, and engines that read the results.
 type loadSim struct {
-	m   *Machine
-	rng *rand.Rand
-	now time.Time
-	// start is the time of the first arrival.
+	m          *Machine
+	rng        *rand.Rand
+	now        time.Time
 	start      time.Time
 	events     simEvents
 	seq        int
@@ -28,24 +27,23 @@
 	jobs       map[string]*simJob
 	handles    int
 	configured Configured
-	// lost says that all hosts are down; life counts the planners.
+	// powerLost says that all hosts are down.
 	powerLost bool
-	// noRoom and gone count pieces that found no room, or whose inputs were gone.
+	// outOfMemory and missingInputs count the pieces that found no memory or no inputs.
 	outOfMemory, missingInputs int
-	// overtaken counts jobs that were refused after they had been admitted.
+	// refusedAfterAdmission counts the jobs that were refused after they had been admitted.
 	refusedAfterAdmission int
 }
 
-// simKind is a kind of request.
 type simKind struct {
 	name string
-	// rate is the requests a second.
+	// rate returns the number of requests a second.
 	rate                func(at time.Duration) float64
 	priority            int
 	objective, deadline time.Duration
-	// engine is the usual time from results to the first event.
+	// engine is the usual time from the results to the first event of the answer.
 	engine time.Duration
-	// onTime and late are what an answer is worth.
+	// onTimeValue and lateValue are the values of an answer.
 	onTimeValue, lateValue float64
 	stages                 func(*rand.Rand) []Stage
 	domain                 bool
@@ -53,7 +51,7 @@
 	buckets map[int]*simTally
 }
 
-// simTally counts what became of the requests of a kind that came in a second.
+// simTally counts the outcomes of the requests of a kind that arrived within one second.
 type simTally struct{ arrived, onTime, late, refused int }
 
 func (t *simTally) add(o simTally) {
@@ -68,7 +66,7 @@
 	arrived time.Time
 	retries int
 	job     Job
-	// answered says that the first event has come.
+	// answered says that the first event of the answer was sent.
 	answered bool
 }
 
@@ -76,9 +74,9 @@
 type simReplica struct {
 	catalog.Replica
 	figures catalog.Pieces
-	// work scales the time of a piece of a stage's results.
+	// usedBytes is the memory taken by results.
 	usedBytes int64
-	// seen is room as it was last told.
+	// reportedBytes is usedBytes as of the last report.
 	reportedBytes int64
 	slowFactor    float64
 	down          bool
@@ -108,7 +106,7 @@
 	return x
 }
 
-// simHop is the time between two hosts, with what their processors take.
+// networkDelay is the time between two hosts, including processing.
 const networkDelay = 4 * time.Millisecond
 
 func newLoadSim(seed uint64) *loadSim {
@@ -123,13 +121,13 @@
 	heap.Push(&s.events, simEvent{s.now.Add(d), s.seq, do})
 }
 
-// at has something happen at a time after the start.
+// at schedules a function at a time after the start.
 func (s *loadSim) at(d time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.events, simEvent{s.start.Add(d), s.seq, do})
 }
 
-// service adds the replicas of a service, evenly over the failure domains.
+// service adds the replicas of a service, spread evenly over the failure domains.
 func (s *loadSim) service(e *Configured, name string, f catalog.Pieces, n int, domains []string) {
 	e.Services[name] = &catalog.Service{Name: name, Pieces: &f}
 	for i := range n {
@@ -167,7 +165,8 @@
 	}
 }
 
-// inspect asks a replica for its room: the answer is of simLag before.
+// queryMemory asks a replica for its free memory; the answer is up to memoryReportInterval
+// old.
 func (s *loadSim) queryMemory(a Inspect) {
 	r, asked, asker := s.replicas[a.Replica], s.now, s.m
 	s.after(networkDelay, func() {
@@ -179,7 +178,8 @@
 	})
 }
 
-// report has all replicas tell their room as of now, every simLag.
+// reportMemory updates what all replicas report as their free memory, every
+// memoryReportInterval.
 func (s *loadSim) reportMemory() {
 	for _, r := range s.replicas {
 		r.reportedBytes = r.usedBytes
@@ -189,10 +189,10 @@
 	}
 }
 
-// simRoomUnit is the unit in which replicas tell their room, in bytes.
+// memoryReportUnit is the unit in which replicas report their free memory, in bytes.
 const memoryReportUnit = 1_000_000
 
-// simLag is how late replicas tell their room at most.
+// memoryReportInterval is the largest age of the free memory that replicas report.
 const memoryReportInterval = 200 * time.Millisecond
 
 func (s *loadSim) release(r *simReplica, h string) {
@@ -200,7 +200,7 @@
 	delete(r.results, h)
 }
 
-// run makes a call at a replica.
+// startCall executes a call at a replica.
 func (s *loadSim) startCall(a Run) {
 	r := s.replicas[a.Replica]
 	boot := r.incarnation
@@ -260,7 +260,7 @@
 	})
 }
 
-// exist says whether all inputs are held somewhere.
+// inputsExist says whether all inputs are held by some replica.
 func (s *loadSim) inputsExist(inputs []string) bool {
 	for _, h := range inputs {
 		maker, _, _ := strings.Cut(h, ":")
@@ -279,7 +279,7 @@
 	return k.buckets[sec]
 }
 
-// arrive takes a new request of a kind.
+// arrive creates a new request of a kind.
 func (s *loadSim) arrive(k *simKind, n int) {
 	j := &simJob{kind: k, arrived: s.now}
 	j.job = Job{Key: "key", Rank: catalog.Rank{Customer: 1, Route: k.priority}, Stages: k.stages(s.rng)}
@@ -287,7 +287,7 @@
 	s.submit(j, fmt.Sprintf("%s-%d", k.name, n))
 }
 
-// offer submits a request for the first or the second time.
+// submit submits a request for the first or the second time.
 func (s *loadSim) submit(j *simJob, id string) {
 	k := j.kind
 	if s.powerLost {
@@ -314,7 +314,7 @@
 	return time.Duration((0.7 + 0.6*s.rng.Float64()) * float64(k.engine))
 }
 
-// answered takes the first event of an answer.
+// recordAnswer records the first event of an answer.
 func (s *loadSim) recordAnswer(j *simJob, in time.Duration) {
 	j.answered = true
 	t := j.kind.tally(s, j)
@@ -338,7 +338,7 @@
 	})
 }
 
-// The waits of a caller that was refused, as shares of the time it has left.
+// The delay before a refused caller retries, as shares of its remaining time.
 const (
 	minRetryShare = 0.2
 	maxRetryShare = 0.32
@@ -351,7 +351,7 @@
 	}
 }
 
-// comeBack has a caller try once more after a wait.
+// retry has a caller retry once after a delay.
 func (s *loadSim) retry(j *simJob, id string) {
 	if j.answered {
 		return
@@ -366,7 +366,7 @@
 	s.after(wait, func() { s.submit(j, id+"-again") })
 }
 
-// feed draws the arrivals of a kind until the end.
+// generateArrivals generates the arrivals of a kind until the end.
 func (s *loadSim) generateArrivals(k *simKind, end time.Duration, n int) {
 	at := s.now.Sub(s.start)
 	if at >= end {
@@ -377,7 +377,7 @@
 	s.after(time.Duration(wait*float64(time.Second)), func() { s.generateArrivals(k, end, n+1) })
 }
 
-// play runs arrivals until end and then until all is answered.
+// run simulates arrivals until end and continues until all requests are finished.
 func (s *loadSim) run(end time.Duration) {
 	for _, k := range s.kinds {
 		k.buckets = map[int]*simTally{}
--- a/core/stage/machine.go
+++ b/core/stage/machine.go
@@ -87,12 +87,12 @@
 		if s.Pieces == nil {
 			continue
 		}
-		v := m.services[name]
-		if v == nil {
-			v = &service{name: name, latencyRatio: 1, recentRanks: recentRanks{}}
-			m.services[name] = v
+		state := m.services[name]
+		if state == nil {
+			state = &service{name: name, latencyRatio: 1, recentRanks: recentRanks{}}
+			m.services[name] = state
 		}
-		v.params = *s.Pieces
+		state.params = *s.Pieces
 	}
 	m.sortedServices = slices.SortedFunc(maps.Values(m.services), func(a, b *service) int { return strings.Compare(a.name, b.name) })
 	for _, r := range m.replicas {
@@ -153,24 +153,24 @@
 	if m.jobs[j.ID] != nil || m.refused[j.ID] != nil {
 		return
 	}
-	s := m.newJob(j)
-	if s == nil {
+	state := m.newJob(j)
+	if state == nil {
 		m.emit(Refused{Job: j.ID, Reason: ReasonNoReplica, RetryAfter: m.cfg.MinRetryAfter})
 		return
 	}
-	m.restore(s)
-	s.recordRanks(now)
-	if refusal := m.admit(now, s); refusal != nil {
-		refusal.Held = m.releaseRefused(s)
+	m.restore(state)
+	state.recordRanks(now)
+	if refusal := m.admit(now, state); refusal != nil {
+		refusal.Held = m.releaseRefused(state)
 		m.emit(*refusal)
 		return
 	}
 	m.queryAllOnFirstJob(now)
-	s.submitted = now
-	m.jobs[j.ID] = s
-	s.setAdmitted(true)
-	m.nextExpiry.schedule(s.refuseAt)
-	m.advance(now, s)
+	state.submitted = now
+	m.jobs[j.ID] = state
+	state.setAdmitted(true)
+	m.nextExpiry.schedule(state.refuseAt)
+	m.advance(now, state)
 }
 
 // advance queues the pieces of every stage that can start, releases results that have been
@@ -255,7 +255,7 @@
 // readyAction returns the action that delivers the results of a complete job.
 func (j *job) readyAction(now time.Time) Ready {
 	ready := Ready{Job: j.ID, Took: now.Sub(j.submitted), Predicted: j.expected, Early: j.Due.Sub(now)}
-	w := bytesByDomain{bytes: map[string]int64{}}
+	held := bytesByDomain{bytes: map[string]int64{}}
 	for i := range j.stages {
 		st := &j.stages[i]
 		if len(st.pieces) > 0 {
@@ -267,10 +267,10 @@
 		for k := range st.pieces {
 			p := &st.pieces[k]
 			ready.Handles = append(ready.Handles, p.handle)
-			w.add(p)
+			held.add(p)
 		}
 	}
-	ready.Domain, ready.DomainBytes = w.maxDomain, w.maxBytes
+	ready.Domain, ready.DomainBytes = held.maxDomain, held.maxBytes
 	return ready
 }
 
--- a/core/stage/memory.go
+++ b/core/stage/memory.go
@@ -53,8 +53,8 @@
 		return
 	}
 	due := r.queryAt
-	if waits := r.queriedAt.Add(memoryQueryTimeout); !r.queriedAt.IsZero() && waits.After(due) {
-		due = waits
+	if retryAt := r.queriedAt.Add(memoryQueryTimeout); !r.queriedAt.IsZero() && retryAt.After(due) {
+		due = retryAt
 	}
 	if now.Before(due) {
 		m.nextMemoryQuery.schedule(due)
@@ -88,16 +88,16 @@
 		return
 	}
 	r.queriedAt = time.Time{}
-	room := r.service.params.RoomBytes
-	if e.Room.Most-e.Room.Least > int64(maxReportSpread*float64(room)) {
+	capacity := r.service.params.RoomBytes
+	if e.Room.Most-e.Room.Least > int64(maxReportSpread*float64(capacity)) {
 		return
 	}
-	known := r.ownBytesAt(e.Asked.Add(-memoryReportLag))
-	before := r.currentForeignBytes(now)
-	r.foreignBytes = min(max(before, room-e.Room.Most-known, 0), max(0, room-e.Room.Least-known))
+	own := r.ownBytesAt(e.Asked.Add(-memoryReportLag))
+	previous := r.currentForeignBytes(now)
+	r.foreignBytes = min(max(previous, capacity-e.Room.Most-own, 0), max(0, capacity-e.Room.Least-own))
 	r.foreignBytesAt = now
 	r.service.dirty = true
-	if r.foreignBytes < int64(minForeignShare*float64(room)) {
+	if r.foreignBytes < int64(minForeignShare*float64(capacity)) {
 		r.foreignBytes, r.noMemoryUntil = 0, time.Time{}
 		return
 	}
@@ -108,16 +108,16 @@
 // ownBytesAt returns the bytes of this planner's results that a report as of a given time
 // certainly includes: not those of calls that started later.
 func (r *replica) ownBytesAt(asOf time.Time) int64 {
-	known := r.usedBytes
+	own := r.usedBytes
 	for _, c := range r.calls {
 		if !c.started.After(asOf) {
 			continue
 		}
 		for _, p := range c.pieces {
-			known -= p.resultBytes()
+			own -= p.resultBytes()
 		}
 	}
-	return max(0, known)
+	return max(0, own)
 }
 
 const (
--- a/core/stage/memorybound_test.go
+++ b/core/stage/memorybound_test.go
@@ -9,9 +9,9 @@
 	"github.com/wheatseam/wheatseam/core/catalog"
 )
 
-// newFourDomains is a deployment of four failure domains whose rooms bind before its
-// calls: the most urgent kind passes through three services one after the other, as
-// does the least urgent one, and the kind with the large results through the first.
+// newFourDomainSim returns a deployment of four failure domains in which result memory is
+// scarcer than call capacity: the most and the least urgent kind pass through three
+// services one after the other, and the kind with the large results through the first.
 func newFourDomainSim(seed uint64) *loadSim {
 	s := newLoadSim(seed)
 	domains := []string{"d0", "d1", "d2", "d3"}
@@ -27,21 +27,21 @@
 	return s
 }
 
-// The pattern: the most urgent kind comes 2.4 times as often as usual for six seconds,
-// which is as much as the calls can make and more than the rooms let through.
-var _ = Describe("a burst of the most urgent kind where rooms bind", func() {
+// The most urgent kind arrives 2.4 times as often as usual for six seconds, which is as
+// much as the replicas' call capacity and more than their memory allows.
+var _ = Describe("a burst of the most urgent kind with scarce result memory", func() {
 	const end, review, summary, extract = 20, 0, 1, 2
 	for seed := range uint64(4) {
-		It("costs the least urgent kind, is refused early, and is over soon after", func() {
+		It("degrades the least urgent kind, is refused on arrival, and ends soon after", func() {
 			s := newFourDomainSim(seed)
 			s.kinds[summary].burst(5*time.Second, 6*time.Second, 2.4)
 			s.run(end * time.Second)
 			Expect(s.kinds[review].attainedValue(0, end)).To(BeNumerically(">", 0.98), s.table(end))
 			Expect(s.kinds[summary].attainedValue(4, 12)).To(BeNumerically(">", s.kinds[extract].attainedValue(4, 12)), s.table(end))
 			Expect(s.kinds[summary].answeredShare(4, 12)).To(BeNumerically(">", 0.95), s.table(end))
-			Expect(s.kinds[summary].attainedValue(4, 12)).To(BeNumerically(">", 0.75), "what is over capacity is a quarter\n"+s.table(end))
+			Expect(s.kinds[summary].attainedValue(4, 12)).To(BeNumerically(">", 0.75), "a quarter exceeds the capacity\n"+s.table(end))
 			Expect(s.attainedValue(13, end)).To(BeNumerically(">", 0.95), "two seconds after the burst\n"+s.table(end))
-			Expect(s.refusedAfterAdmission).To(BeNumerically("<", s.kinds[extract].total(0, end).arrived/50), "refused after they were admitted")
+			Expect(s.refusedAfterAdmission).To(BeNumerically("<", s.kinds[extract].total(0, end).arrived/50), "jobs refused after admission")
 		})
 	}
 })
--- a/core/stage/queue.go
+++ b/core/stage/queue.go
@@ -130,14 +130,14 @@
 // backlogSlotWidth is the resolution of the backlog: a tenth of a call.
 const backlogSlotWidth = 25 * time.Millisecond
 
-func backlogSlot(rank time.Time) int64 { return rank.UnixNano() / int64(backlogSlotWidth) }
+func backlogSlot(due time.Time) int64 { return due.UnixNano() / int64(backlogSlotWidth) }
 
 // add counts n further pieces of jobs with an effective due time; n may be negative.
-func (b *backlog) add(rank time.Time, n int) {
-	want := backlogSlot(rank)
-	at, ok := slices.BinarySearchFunc(b.buckets, want, func(o backlogBucket, r int64) int { return cmp.Compare(o.slot, r) })
+func (b *backlog) add(due time.Time, n int) {
+	slot := backlogSlot(due)
+	at, ok := slices.BinarySearchFunc(b.buckets, slot, func(o backlogBucket, r int64) int { return cmp.Compare(o.slot, r) })
 	if !ok {
-		b.buckets = slices.Insert(b.buckets, at, backlogBucket{slot: want})
+		b.buckets = slices.Insert(b.buckets, at, backlogBucket{slot: slot})
 	}
 	b.buckets[at].pieces += n
 	if b.buckets[at].pieces == 0 {
@@ -146,8 +146,8 @@
 }
 
 // countUpTo returns the number of pieces of jobs that are due no later than a time.
-func (b *backlog) countUpTo(rank time.Time) int {
-	last, n := backlogSlot(rank), 0
+func (b *backlog) countUpTo(due time.Time) int {
+	last, n := backlogSlot(due), 0
 	for _, o := range b.buckets {
 		if o.slot > last {
 			break
--- a/core/stage/random_test.go
+++ b/core/stage/random_test.go
@@ -11,9 +11,9 @@
 	"github.com/wheatseam/wheatseam/core/catalog"
 )
 
-// The guarantees of the package hold whatever happens to calls: the bench
-// checks inputs, double frees and double ends with each action.
-var _ = Describe("random days", func() {
+// The guarantees of the package hold whatever happens to calls: the harness checks inputs,
+// repeated releases and repeated ends with each action.
+var _ = Describe("random events", func() {
 	for seed := range uint64(60) {
 		It(fmt.Sprint("keeps its guarantees with seed ", seed), func() { runRandomEvents(seed) })
 	}
@@ -22,59 +22,59 @@
 func runRandomEvents(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	words := rand.New(rand.NewPCG(seed, 8))
-	b := newHarness(pieceParams(4+rng.IntN(20), int64(rng.IntN(3))*20_000), "x", "x", "y", "z")
+	h := newHarness(pieceParams(4+rng.IntN(20), int64(rng.IntN(3))*20_000), "x", "x", "y", "z")
 	submitted := 0
 	for range 400 {
-		b.now = b.now.Add(time.Duration(rng.IntN(60)) * time.Millisecond)
+		h.now = h.now.Add(time.Duration(rng.IntN(60)) * time.Millisecond)
 		switch n := rng.IntN(10); {
 		case n < 4:
 			submitted++
-			j := randomJob(b, rng, fmt.Sprint("j", submitted))
+			j := randomJob(h, rng, fmt.Sprint("j", submitted))
 			j.Shared = words.IntN(2) == 0
-			b.submit(j)
-		case n < 8 && len(b.running) > 0:
-			b.endRandom(rng, b.running[rng.IntN(len(b.running))])
+			h.submit(j)
+		case n < 8 && len(h.running) > 0:
+			h.endRandom(rng, h.running[rng.IntN(len(h.running))])
 		case n == 8:
-			b.cancelRandom(rng)
+			h.cancelRandom(rng)
 		default:
-			b.step(Tick{})
+			h.step(Tick{})
 		}
-		b.sendRandomProgress(words)
+		h.sendRandomProgress(words)
 	}
-	for id := range b.jobs {
-		b.endJob(id, Cancelled{Job: id})
+	for id := range h.jobs {
+		h.endJob(id, Cancelled{Job: id})
 	}
-	for len(b.running) > 0 {
-		b.answer(b.running[0].Call)
+	for len(h.running) > 0 {
+		h.answer(h.running[0].Call)
 	}
-	Expect(b.results).To(BeEmpty(), "every result is freed")
-	Expect(b.m.jobs).To(BeEmpty())
-	Expect(b.m.refused).To(BeEmpty())
-	Expect(b.m.calls).To(BeEmpty())
-	for _, r := range b.m.replicas {
+	Expect(h.results).To(BeEmpty(), "every result is released")
+	Expect(h.m.jobs).To(BeEmpty())
+	Expect(h.m.refused).To(BeEmpty())
+	Expect(h.m.calls).To(BeEmpty())
+	for _, r := range h.m.replicas {
 		Expect(r.usedBytes).To(BeZero(), "replica %s", r.ID)
 	}
 }
 
-// tellRandom tells the owner of some job of its progress, and may have it hear that.
-func (b *harness) sendRandomProgress(rng *rand.Rand) {
-	id := fmt.Sprint("j", rng.IntN(len(b.jobs)+1))
-	pieces := b.progress[id]
+// sendRandomProgress sends progress to the owner of a random job, which may acknowledge it.
+func (h *harness) sendRandomProgress(rng *rand.Rand) {
+	id := fmt.Sprint("j", rng.IntN(len(h.jobs)+1))
+	pieces := h.progress[id]
 	if len(pieces) == 0 {
 		return
 	}
 	pieces = pieces[rng.IntN(len(pieces)):]
-	b.sendProgress(id, pieces...)
+	h.sendProgress(id, pieces...)
 	if rng.IntN(2) == 0 {
-		b.ackProgress(id, pieces...)
+		h.ackProgress(id, pieces...)
 	}
 }
 
-// randomJob has up to four stages; each comes after some of those before it.
-func randomJob(b *harness, rng *rand.Rand, id string) Job {
+// randomJob returns a job of up to four stages; each depends on some of those before it.
+func randomJob(h *harness, rng *rand.Rand, id string) Job {
 	j := Job{
 		ID: id, Key: "key-" + id, Rank: catalog.Rank{Customer: rng.IntN(3), Route: rng.IntN(3)}, Domain: []string{"", "x", "y", "nowhere"}[rng.IntN(4)],
-		Due: b.now.Add(time.Duration(500+rng.IntN(4000)) * time.Millisecond),
+		Due: h.now.Add(time.Duration(500+rng.IntN(4000)) * time.Millisecond),
 	}
 	j.Deadline = j.Due.Add(time.Duration(rng.IntN(5000)) * time.Millisecond)
 	for i := range 1 + rng.IntN(4) {
@@ -89,44 +89,44 @@
 	return j
 }
 
-// endRandom ends a call in one of the ways that calls end.
-func (b *harness) endRandom(rng *rand.Rand, r Run) {
+// endRandom ends a call in a random way.
+func (h *harness) endRandom(rng *rand.Rand, r Run) {
 	switch rng.IntN(8) {
 	case 0:
-		b.end(r.Call, CallFailed)
+		h.end(r.Call, CallFailed)
 	case 1:
-		b.end(r.Call, CallUnreachable)
+		h.end(r.Call, CallUnreachable)
 	case 2:
-		b.end(r.Call, CallNotExecuted)
+		h.end(r.Call, CallNotExecuted)
 	case 3:
-		b.answerPartially(rng, r.Call)
+		h.answerPartially(rng, r.Call)
 	default:
-		b.answer(r.Call)
+		h.answer(r.Call)
 	}
 }
 
-// answerInPart ends a call in which some pieces were not made.
-func (b *harness) answerPartially(rng *rand.Rand, call uint64) {
-	r := b.removeCall(call)
+// answerPartially ends a call in which some pieces were not executed.
+func (h *harness) answerPartially(rng *rand.Rand, call uint64) {
+	r := h.removeCall(call)
 	e := CallEnded{Call: call}
 	for _, p := range r.Pieces {
 		kind := []ResultKind{Made, Made, TooLate, NoRoom, Broken}[rng.IntN(5)]
 		res := Result{Kind: kind}
 		if kind == Made {
-			b.made++
-			res.Handle = fmt.Sprintf("%s/%d", r.Address, b.made)
-			b.results[res.Handle] = p
+			h.made++
+			res.Handle = fmt.Sprintf("%s/%d", r.Address, h.made)
+			h.results[res.Handle] = p
 		}
 		e.Results = append(e.Results, res)
 	}
-	b.step(e)
+	h.step(e)
 }
 
-// dropRandom gives up some job, ready or not.
-func (b *harness) cancelRandom(rng *rand.Rand) {
-	ids := make([]string, 0, len(b.jobs))
+// cancelRandom cancels a random job, ready or not.
+func (h *harness) cancelRandom(rng *rand.Rand) {
+	ids := make([]string, 0, len(h.jobs))
 	for i := range 1000 {
-		if id := fmt.Sprint("j", i); b.jobs[id].ID != "" {
+		if id := fmt.Sprint("j", i); h.jobs[id].ID != "" {
 			ids = append(ids, id)
 		}
 	}
@@ -134,5 +134,5 @@
 		return
 	}
 	id := ids[rng.IntN(len(ids))]
-	b.endJob(id, Cancelled{Job: id})
+	h.endJob(id, Cancelled{Job: id})
 }
--- a/core/stage/ranks_test.go
+++ b/core/stage/ranks_test.go
@@ -10,7 +10,7 @@
 	"github.com/wheatseam/wheatseam/core/catalog"
 )
 
-var _ = Describe("the slack left to more urgent ranks", func() {
+var _ = Describe("the slack reserved for more urgent ranks", func() {
 	rank := func(route int) catalog.Rank { return catalog.Rank{Customer: 1, Route: route} }
 
 	It("counts only ranks that ask for the same services, and only for a while", func() {
@@ -19,22 +19,22 @@
 		Expect(r.countMoreUrgent(now, rank(0))).To(BeZero())
 		Expect(r.countMoreUrgent(now, rank(1))).To(Equal(1))
 		Expect(r.countMoreUrgent(now, rank(3))).To(Equal(2))
-		Expect(r.countMoreUrgent(now, catalog.Rank{Customer: 2, Route: 3})).To(BeZero(), "customers are told apart by the order of work")
+		Expect(r.countMoreUrgent(now, catalog.Rank{Customer: 2, Route: 3})).To(BeZero(), "customers are ordered by the effective due time")
 		Expect(r.countMoreUrgent(now.Add(rankRetention+time.Second), rank(3))).To(BeZero())
 		Expect(r).To(BeEmpty())
 	})
 
-	// Calls of one piece, one after the other, so that the jobs' places in the queue
-	// decide alone.
-	admitted := func(prepare func(b *harness)) (urgent, other int) {
-		b := newHarness(pieceParams(1, 0), "x")
-		prepare(b)
+	// Calls hold one piece and run one at a time, so that only the jobs' effective due
+	// times decide.
+	admitted := func(prepare func(h *harness)) (urgent, other int) {
+		h := newHarness(pieceParams(1, 0), "x")
+		prepare(h)
 		for i := range 30 {
 			for route, count := range map[int]*int{0: &urgent, 2: &other} {
-				j := b.newChain(fmt.Sprint("job", i, "-", route), Stage{Service: "a", Pieces: 1})
-				j.Rank, j.Due = rank(route), b.now.Add(time.Second)
-				b.submit(j)
-				if b.m.jobs[j.ID] != nil {
+				j := h.newChain(fmt.Sprint("job", i, "-", route), Stage{Service: "a", Pieces: 1})
+				j.Rank, j.Due = rank(route), h.now.Add(time.Second)
+				h.submit(j)
+				if h.m.jobs[j.ID] != nil {
 					*count++
 				}
 			}
@@ -42,16 +42,16 @@
 		return urgent, other
 	}
 
-	It("has the less urgent refused when they come, while the urgent are admitted", func() {
+	It("has less urgent jobs refused on arrival while urgent ones are admitted", func() {
 		urgent, other := admitted(func(*harness) {})
 		Expect(urgent).To(BeNumerically(">", 2*other))
 	})
 
-	It("is the job's own where nobody more urgent comes", func() {
-		b := newHarness(pieceParams(1, 0), "x")
-		j := b.newChain("alone", Stage{Service: "a", Pieces: 1})
+	It("is zero if there are no more urgent jobs", func() {
+		h := newHarness(pieceParams(1, 0), "x")
+		j := h.newChain("alone", Stage{Service: "a", Pieces: 1})
 		j.Rank = rank(2)
-		b.submit(j)
-		Expect(b.m.reservedShare(b.now, b.m.jobs["alone"])).To(BeZero())
+		h.submit(j)
+		Expect(h.m.reservedShare(h.now, h.m.jobs["alone"])).To(BeZero())
 	})
 })
--- a/core/stage/replica.go
+++ b/core/stage/replica.go
@@ -165,9 +165,9 @@
 	if now.Before(r.noMemoryUntil) {
 		return false
 	}
-	room := r.service.params.RoomBytes
-	held := r.usedBytes + r.currentForeignBytes(now)
-	return room == 0 || held == 0 || held+n <= room
+	capacity := r.service.params.RoomBytes
+	occupied := r.usedBytes + r.currentForeignBytes(now)
+	return capacity == 0 || occupied == 0 || occupied+n <= capacity
 }
 
 // noteOutOfMemory records that the replica had no memory for a result, and schedules a
@@ -175,8 +175,8 @@
 func (r *replica) noteOutOfMemory(now time.Time) {
 	r.noMemoryUntil = now.Add(r.service.params.CallTime)
 	r.queryAt = now
-	room := r.service.params.RoomBytes
-	if missing := room - r.usedBytes; missing > max(r.currentForeignBytes(now), int64(minMissingShare*float64(room))) {
+	capacity := r.service.params.RoomBytes
+	if missing := capacity - r.usedBytes; missing > max(r.currentForeignBytes(now), int64(minMissingShare*float64(capacity))) {
 		r.foreignBytes, r.foreignBytesAt = missing, now
 	}
 }
@@ -188,15 +188,15 @@
 // currentForeignBytes returns the memory that is still taken by other planners' results.
 // They are assumed to be released evenly until the last one has expired.
 func (r *replica) currentForeignBytes(now time.Time) int64 {
-	life := r.service.params.ResultLife
-	if life <= 0 {
-		life = defaultResultLifetime
+	lifetime := r.service.params.ResultLife
+	if lifetime <= 0 {
+		lifetime = defaultResultLifetime
 	}
-	left := life - now.Sub(r.foreignBytesAt)
-	if r.foreignBytes <= 0 || left <= 0 {
+	remaining := lifetime - now.Sub(r.foreignBytesAt)
+	if r.foreignBytes <= 0 || remaining <= 0 {
 		return 0
 	}
-	return int64(float64(r.foreignBytes) * float64(left) / float64(life))
+	return int64(float64(r.foreignBytes) * float64(remaining) / float64(lifetime))
 }
 
 // defaultResultLifetime is how long results are assumed to be kept if the configuration
@@ -221,8 +221,8 @@
 
 // currentLatencyRatio returns the replica's latency ratio, decaying towards the service's.
 func (r *replica) currentLatencyRatio(now time.Time) float64 {
-	fade := math.Exp(-float64(now.Sub(r.latencyRatioAt)) / float64(latencyRatioDecay))
-	return r.service.latencyRatio + (r.latencyRatio-r.service.latencyRatio)*fade
+	decay := math.Exp(-float64(now.Sub(r.latencyRatioAt)) / float64(latencyRatioDecay))
+	return r.service.latencyRatio + (r.latencyRatio-r.service.latencyRatio)*decay
 }
 
 // slow says whether calls to the replica take much longer than those to others.
@@ -233,8 +233,8 @@
 // recordLatency records the time of an answered call.
 func (r *replica) recordLatency(now time.Time, took time.Duration, pieces int) {
 	ratio := float64(took) / float64(r.service.nominalTime(pieces))
-	before := r.currentLatencyRatio(now)
-	r.latencyRatio, r.latencyRatioAt = before+replicaLatencyWeight*(ratio-before), now
+	previous := r.currentLatencyRatio(now)
+	r.latencyRatio, r.latencyRatioAt = previous+replicaLatencyWeight*(ratio-previous), now
 	s := r.service
 	s.latencyRatio += serviceLatencyWeight * (min(ratio, 2) - s.latencyRatio)
 	s.meanCallPieces += serviceLatencyWeight * (float64(pieces) - s.meanCallPieces)
--- a/core/stage/simdeployment_test.go
+++ b/core/stage/simdeployment_test.go
@@ -11,19 +11,19 @@
 	"github.com/wheatseam/wheatseam/core/catalog"
 )
 
-// The sizes of results, in bytes.
 const (
 	smallResult = 8_000
 	largeResult = 800_000
 )
 
-// spread draws a whole number of at least one about a mean.
+// lognormalCount draws a log-normal integer with a mean, between 1 and most.
 func lognormalCount(rng *rand.Rand, mean, deviation float64, most int) int {
 	n := mean * math.Exp(deviation*rng.NormFloat64()-deviation*deviation/2)
 	return min(most, max(1, int(math.Round(n))))
 }
 
-// tightService holds the figures of a replica that makes one call at a time.
+// limitedParams returns the parameters of a replica that runs one call at a time and has
+// little memory.
 func limitedParams(batch int, pieceTime float64, room int64) catalog.Pieces {
 	return catalog.Pieces{
 		Concurrency: 1, Batch: batch, CallTime: 240 * time.Millisecond, PieceTime: time.Duration(pieceTime * float64(time.Millisecond)),
@@ -31,12 +31,12 @@
 	}
 }
 
-// largeStage makes large results, so many of them on average.
+// largeStage returns a stage with large results; mean is the average number of pieces.
 func largeStage(rng *rand.Rand, mean float64, most int) Stage {
 	return Stage{Service: "audit", Pieces: lognormalCount(rng, mean, 0.6, most), ResultBytes: largeResult}
 }
 
-// smallChain is three stages with small results, one after the other, beside others.
+// smallChain returns a chain of three stages with small results, beside other stages.
 func smallChain(rng *rand.Rand, beside ...Stage) []Stage {
 	n := len(beside)
 	return append(beside, Stage{Service: "audit", Pieces: 1, ResultBytes: smallResult},
@@ -44,17 +44,16 @@
 		Stage{Service: "store", After: []int{n + 1}, Pieces: lognormalCount(rng, 6, 0.4, 15), ResultBytes: 6000})
 }
 
-// kindFigures are what deployments differ in by kind: requests a second, the objective,
-// and what an answer is worth on time and late.
+// kindParams holds the parameters of a kind of requests that differ between deployments:
+// requests a second, the objective, and the value of an answer on time and late.
 type kindParams struct {
 	rate                   float64
 	objective              time.Duration
 	onTimeValue, lateValue float64
 }
 
-// threeKinds are two kinds of requests that pass through three services one after the
-// other, the most urgent and the least urgent one, and one with large results. scale
-// divides the rates.
+// threeKinds returns the most and the least urgent kind, whose requests pass through three
+// services one after the other, and a kind with large results. scale divides the rates.
 func threeKinds(scale int, review, summary, extract kindParams) []*simKind {
 	kind := func(name string, f kindParams, priority int, deadline, engine time.Duration, stages func(*rand.Rand) []Stage) *simKind {
 		return &simKind{
@@ -81,10 +80,10 @@
 	return kinds
 }
 
-// newHalls is the deployment of six halls with tight rooms: three services, two
-// kinds of requests that pass through all of them one after the other, and one
-// with large results. Its figures are a customer's; at the usual rates half of
-// the calls and of the rooms are taken. scale divides replicas and rates.
+// newSixDomainSim returns a deployment of six failure domains with little result memory:
+// three services, two kinds of requests that pass through all of them one after the other,
+// and one with large results. The parameters are a customer's; at the usual rates half of
+// the replicas' call time and memory is used. scale divides replicas and rates.
 func newSixDomainSim(seed uint64, scale int) *loadSim {
 	s := newLoadSim(seed)
 	domains := []string{"d0", "d1", "d2", "d3", "d4", "d5"}
@@ -100,7 +99,7 @@
 	return s
 }
 
-// burst multiplies the rate of a kind for a time.
+// burst multiplies the rate of a kind during a period.
 func (k *simKind) burst(from, length time.Duration, factor float64) {
 	usual := k.rate
 	k.rate = func(at time.Duration) float64 {
@@ -111,7 +110,7 @@
 	}
 }
 
-// down stops a share of a service's replicas for a time.
+// down stops a share of a service's replicas during a period.
 func (s *loadSim) down(service string, share float64, from, length time.Duration) {
 	s.forShare(service, share, func(r *simReplica) {
 		s.at(from, func() {
@@ -124,7 +123,7 @@
 	})
 }
 
-// slow has a share of a service's replicas take longer for a time.
+// slow makes a share of a service's replicas slower during a period.
 func (s *loadSim) slow(service string, share, factor float64, from, length time.Duration) {
 	s.forShare(service, share, func(r *simReplica) {
 		s.at(from, func() { r.slowFactor = factor })
@@ -145,13 +144,13 @@
 	}
 }
 
-// loseAll has all hosts lose power at a time and be back after a while: calls
-// under way and results are known to nobody, the planner starts anew, and callers
-// whose requests were under way, or that came meanwhile, come back once.
+// losePower has all hosts lose power and return after a while. Running calls and results
+// are then known to no planner, and a new planner starts. Callers whose requests were in
+// progress, or that arrive meanwhile, retry once.
 func (s *loadSim) losePower(from, away time.Duration) {
 	s.at(from, func() {
 		s.powerLost = true
-		for _, id := range slices.Sorted(maps.Keys(s.jobs)) { // the same each time
+		for _, id := range slices.Sorted(maps.Keys(s.jobs)) { // in a deterministic order
 			j := s.jobs[id]
 			delete(s.jobs, id)
 			s.retry(j, id)
@@ -164,8 +163,8 @@
 	})
 }
 
-// randomTrouble has bursts of the kinds come, and replicas of the services be lost
-// or slow, within the first fifteen seconds.
+// randomFaults has bursts of the kinds occur, and replicas of the services be lost or slow,
+// within the first fifteen seconds.
 func (s *loadSim) randomFaults() {
 	between := func(least, most float64) float64 { return least + (most-least)*s.rng.Float64() }
 	at := func(least, most float64) time.Duration {
--- a/core/stage/simstats_test.go
+++ b/core/stage/simstats_test.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// total sums the tallies of a kind for requests that came between two seconds.
+// total sums the counts of a kind's requests that arrived between two seconds.
 func (k *simKind) total(from, to int) simTally {
 	var sum simTally
 	for sec := from; sec < to; sec++ {
@@ -16,7 +16,7 @@
 	return sum
 }
 
-// worth is the share of what could be earned that was, between two seconds.
+// attainedValue returns the attained share of the attainable value, between two seconds.
 func (s *loadSim) attainedValue(from, to int) float64 {
 	var got, owed float64
 	for _, k := range s.kinds {
@@ -27,30 +27,30 @@
 	return got / owed
 }
 
-// earned is the share of a kind's worth that was earned.
+// attainedValue returns the attained share of a kind's value.
 func (k *simKind) attainedValue(from, to int) float64 {
 	t := k.total(from, to)
 	return (k.onTimeValue*float64(t.onTime) + k.lateValue*float64(t.late)) / (k.onTimeValue * float64(t.arrived))
 }
 
-// served is the share of a kind's requests that were answered, in time or late.
+// answeredShare returns the share of a kind's requests that were answered, on time or late.
 func (k *simKind) answeredShare(from, to int) float64 {
 	t := k.total(from, to)
 	return float64(t.onTime+t.late) / float64(t.arrived)
 }
 
-// table shows what became of the requests by kind and second.
+// table formats the outcomes of the requests by kind and second.
 func (s *loadSim) table(end int) string {
 	var b strings.Builder
 	for sec := range end {
-		fmt.Fprintf(&b, "%3d worth %.2f", sec, s.attainedValue(sec, sec+1))
+		fmt.Fprintf(&b, "%3d value %.2f", sec, s.attainedValue(sec, sec+1))
 		for _, k := range s.kinds {
 			t := k.total(sec, sec+1)
 			fmt.Fprintf(&b, " | %s %4d: %4d on time %4d late %4d refused", k.name, t.arrived, t.onTime, t.late, t.refused)
 		}
 		b.WriteString("\n")
 	}
-	fmt.Fprintf(&b, "all worth %.3f, no room %d, gone %d", s.attainedValue(0, end), s.outOfMemory, s.missingInputs)
+	fmt.Fprintf(&b, "total value %.3f, out of memory %d, missing inputs %d", s.attainedValue(0, end), s.outOfMemory, s.missingInputs)
 	for _, k := range s.kinds {
 		fmt.Fprintf(&b, " | %s %.3f", k.name, k.attainedValue(0, end))
 	}
--- a/core/stage/timeout.go
+++ b/core/stage/timeout.go
@@ -132,13 +132,13 @@
 
 // acceptCompleted handles the results that a timed-out call has returned.
 func (m *Machine) acceptCompleted(now time.Time, c *call, results []Result) {
-	brought := call{id: c.id, replica: c.replica}
-	var made []Result
+	partial := call{id: c.id, replica: c.replica}
+	var completedResults []Result
 	for i, p := range c.pieces {
 		if i < len(results) && results[i].Kind == Made {
 			c.replica.usedBytes += p.resultBytes()
-			brought.pieces, made = append(brought.pieces, p), append(made, results[i])
+			partial.pieces, completedResults = append(partial.pieces, p), append(completedResults, results[i])
 		}
 	}
-	m.acceptResults(now, &brought, made)
+	m.acceptResults(now, &partial, completedResults)
 }
--- a/core/stage/timeout_test.go
+++ b/core/stage/timeout_test.go
@@ -8,125 +8,125 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestCallIsWaitedForWhileItsJobWaits: a replica that pauses and goes on is still
-// heard, for as long as a job of the call can be answered.
+// TestLateCallIsAcceptedBeforeJobDeadline: the results of a replica that pauses and resumes
+// are used for as long as a job of the call can be answered.
 func TestLateCallIsAcceptedBeforeJobDeadline(t *testing.T) {
 	RegisterTestingT(t)
-	b := newHarness(pieceParams(4, 0), "x")
-	j := b.newChain("j", Stage{Service: "a", Pieces: 2})
-	run := b.submit(j)[0]
-	Expect(run.Timeout).To(BeNumerically(">=", j.Deadline.Sub(b.now)))
-	b.advance(2 * time.Second)
-	b.answer(run.Call)
-	Expect(b.ready).To(HaveKey("j"))
+	h := newHarness(pieceParams(4, 0), "x")
+	j := h.newChain("j", Stage{Service: "a", Pieces: 2})
+	run := h.submit(j)[0]
+	Expect(run.Timeout).To(BeNumerically(">=", j.Deadline.Sub(h.now)))
+	h.advance(2 * time.Second)
+	h.answer(run.Call)
+	Expect(h.ready).To(HaveKey("j"))
 }
 
-// lapsedCall is a bench with one call, and the job that waits for it, after the call
-// has lapsed.
+// newTimedOutCall returns a harness with one call that has timed out, and that call. Job j
+// still needs it.
 func newTimedOutCall(batch int, domains ...string) (*harness, Run) {
-	b := newHarness(pieceParams(batch, 0), domains...)
-	run := b.submit(b.newChain("j", Stage{Service: "a", Pieces: 2, ResultBytes: 10}))[0]
-	b.advance(1600 * time.Millisecond)
-	Expect(b.running).To(ContainElement(HaveField("Call", run.Call)), "it is not given up")
-	return b, run
+	h := newHarness(pieceParams(batch, 0), domains...)
+	run := h.submit(h.newChain("j", Stage{Service: "a", Pieces: 2, ResultBytes: 10}))[0]
+	h.advance(1600 * time.Millisecond)
+	Expect(h.running).To(ContainElement(HaveField("Call", run.Call)), "it is not abandoned")
+	return h, run
 }
 
-// TestLapsedCallHoldsNoPlace: the pieces of a call that hangs for good are asked for
-// again, at the same replica where there is no other one, and it is given up once
-// nobody waits for it.
+// TestTimedOutCallHoldsNoSlot: the pieces of a call that never ends are sent again, to the
+// same replica if there is no other one, and the call is abandoned once no job needs it.
 func TestTimedOutCallHoldsNoSlot(t *testing.T) {
 	RegisterTestingT(t)
-	b, hung := newTimedOutCall(4, "x")
-	again := b.advance(time.Second)
+	h, hung := newTimedOutCall(4, "x")
+	again := h.advance(time.Second)
 	Expect(again).To(HaveLen(1))
 	Expect(again[0].Replica).To(Equal(hung.Replica))
 	Expect(again[0].Pieces).To(HaveLen(2))
-	b.answer(again[0].Call)
-	Expect(b.ready).To(HaveKey("j"))
-	b.advance(timedOutCheckInterval)
-	Expect(b.running).To(BeEmpty(), "the hung call is given up")
-	b.endJob("j", Cancelled{Job: "j"})
-	Expect(b.results).To(BeEmpty())
-	Expect(b.m.replicas[hung.Replica].usedBytes).To(BeZero())
+	h.answer(again[0].Call)
+	Expect(h.ready).To(HaveKey("j"))
+	h.advance(timedOutCheckInterval)
+	Expect(h.running).To(BeEmpty(), "the hung call is abandoned")
+	h.endJob("j", Cancelled{Job: "j"})
+	Expect(h.results).To(BeEmpty())
+	Expect(h.m.replicas[hung.Replica].usedBytes).To(BeZero())
 }
 
-// TestLapsedCallAtWorkIsHeard: a replica goes on with the call that it works on, so that
-// this one is heard though nobody waits for it any more, and what it brings is freed.
+// TestTimedOutCallThatMayBeExecutingIsNotAbandoned: a replica finishes the call that it is
+// executing, so the call is not abandoned although no job needs it, and its results are
+// released.
 func TestTimedOutCallThatMayBeExecutingIsNotAbandoned(t *testing.T) {
 	RegisterTestingT(t)
-	b, paused := newTimedOutCall(4, "x", "x")
-	again := b.running[1]
+	h, paused := newTimedOutCall(4, "x", "x")
+	again := h.running[1]
 	Expect(again.Replica).NotTo(Equal(paused.Replica))
-	b.answer(again.Call)
-	Expect(b.ready).To(HaveKey("j"))
-	b.expectOnlyAwaits(paused, 4*timedOutCheckInterval)
+	h.answer(again.Call)
+	Expect(h.ready).To(HaveKey("j"))
+	h.expectOnlyAwaits(paused, 4*timedOutCheckInterval)
 }
 
-// hearsOut gives the job up, and holds the machine to hearing the call that a replica is
-// at work on, and no other, and to keeping nothing of what it brings.
-func (b *harness) expectOnlyAwaits(paused Run, after time.Duration) {
-	b.endJob("j", Cancelled{Job: "j"})
-	b.advance(after)
-	Expect(b.running).To(ConsistOf(HaveField("Call", paused.Call)))
-	b.answer(paused.Call)
-	Expect(b.results).To(BeEmpty())
-	Expect(b.m.calls).To(BeEmpty())
-	Expect(b.m.replicas[paused.Replica].usedBytes).To(BeZero())
+// expectOnlyAwaits cancels the job and checks that only the call that may be executing is
+// still awaited, and that its results are released.
+func (h *harness) expectOnlyAwaits(paused Run, after time.Duration) {
+	h.endJob("j", Cancelled{Job: "j"})
+	h.advance(after)
+	Expect(h.running).To(ConsistOf(HaveField("Call", paused.Call)))
+	h.answer(paused.Call)
+	Expect(h.results).To(BeEmpty())
+	Expect(h.m.calls).To(BeEmpty())
+	Expect(h.m.replicas[paused.Replica].usedBytes).To(BeZero())
 }
 
-// TestLapsedCallThatWaitsIsGivenUp: of the calls at a replica that pauses all but those
-// that it works on are given up when nobody waits for them, as it then drops them.
+// TestTimedOutCallThatIsQueuedIsAbandoned: of the calls at a paused replica, those that are
+// not yet executing are abandoned when no job needs them, as the replica then drops them.
 func TestTimedOutCallThatIsQueuedIsAbandoned(t *testing.T) {
 	RegisterTestingT(t)
-	b, paused := newTimedOutCall(4, "x")
-	Expect(b.advance(time.Second)).To(HaveLen(1))
-	b.advance(1600 * time.Millisecond)
-	Expect(b.running).To(HaveLen(2))
-	b.expectOnlyAwaits(paused, timedOutCheckInterval)
+	h, paused := newTimedOutCall(4, "x")
+	Expect(h.advance(time.Second)).To(HaveLen(1))
+	h.advance(1600 * time.Millisecond)
+	Expect(h.running).To(HaveLen(2))
+	h.expectOnlyAwaits(paused, timedOutCheckInterval)
 }
 
-// TestLapsedCallStillCounts: what comes late is taken, and what was made a second time
-// is freed.
+// TestResultsOfTimedOutCallAreAccepted: late results are used, and those of the second call
+// are released.
 func TestResultsOfTimedOutCallAreAccepted(t *testing.T) {
 	RegisterTestingT(t)
-	b, slow := newTimedOutCall(4, "x")
-	again := b.advance(time.Second)[0]
-	b.answer(slow.Call)
-	Expect(b.ready).To(HaveKey("j"))
-	Expect(b.results).To(HaveLen(2))
-	b.answer(again.Call)
-	Expect(b.results).To(HaveLen(2), "the second results are freed")
-	b.endJob("j", Cancelled{Job: "j"})
-	Expect(b.results).To(BeEmpty())
-	Expect(b.m.replicas[slow.Replica].usedBytes).To(BeZero())
-	Expect(b.m.calls).To(BeEmpty())
+	h, slow := newTimedOutCall(4, "x")
+	again := h.advance(time.Second)[0]
+	h.answer(slow.Call)
+	Expect(h.ready).To(HaveKey("j"))
+	Expect(h.results).To(HaveLen(2))
+	h.answer(again.Call)
+	Expect(h.results).To(HaveLen(2), "the second results are released")
+	h.endJob("j", Cancelled{Job: "j"})
+	Expect(h.results).To(BeEmpty())
+	Expect(h.m.replicas[slow.Replica].usedBytes).To(BeZero())
+	Expect(h.m.calls).To(BeEmpty())
 }
 
-// failOthers has all calls fail but one, as long as others are made.
-func (b *harness) failOthers(but Run) {
+// failOthers fails all calls but one until no others are made.
+func (h *harness) failOthers(but Run) {
 	for range 10 {
-		for _, r := range slices.Clone(b.running) {
+		for _, r := range slices.Clone(h.running) {
 			if r.Call != but.Call {
-				b.end(r.Call, CallFailed)
+				h.end(r.Call, CallFailed)
 			}
 		}
-		b.advance(400 * time.Millisecond)
+		h.advance(400 * time.Millisecond)
 	}
 }
 
-// TestJobWaitsForLapsedCalls: tries that are used up end a job only when no call for
-// its piece is heard any more.
+// TestJobWaitsForTimedOutCalls: a job whose attempts are used up is refused only when no
+// timed-out call for the piece may still return.
 func TestJobWaitsForTimedOutCalls(t *testing.T) {
 	RegisterTestingT(t)
-	b, slow := newTimedOutCall(4, "x", "x", "x", "x", "x")
-	b.failOthers(slow)
-	Expect(b.running).To(HaveLen(1))
-	Expect(b.refused).To(BeEmpty())
-	b.answer(slow.Call)
-	Expect(b.ready).To(HaveKey("j"))
+	h, slow := newTimedOutCall(4, "x", "x", "x", "x", "x")
+	h.failOthers(slow)
+	Expect(h.running).To(HaveLen(1))
+	Expect(h.refused).To(BeEmpty())
+	h.answer(slow.Call)
+	Expect(h.ready).To(HaveKey("j"))
 
-	b, slow = newTimedOutCall(4, "x", "x", "x", "x", "x")
-	b.failOthers(slow)
-	b.end(slow.Call, CallFailed)
-	Expect(b.refused["j"].Reason).To(Equal(ReasonFailed))
+	h, slow = newTimedOutCall(4, "x", "x", "x", "x", "x")
+	h.failOthers(slow)
+	h.end(slow.Call, CallFailed)
+	Expect(h.refused["j"].Reason).To(Equal(ReasonFailed))
 }
