--- a/core/stage/action.go
+++ b/core/stage/action.go
@@ -56,8 +56,8 @@
 }
 
 // Inform asks the caller to report a job's progress to the job's owner at once: results
-// that the owner was told of have been read, and are released once the owner has
-// acknowledged that.
+// reported to the owner have been read, and are released once the owner has acknowledged
+// that.
 type Inform struct{ Job string }
 
 // Ready delivers the results of a job: those of the stages that no other stage reads,
@@ -84,7 +84,7 @@
 	// Wait is the time from the last input to the start of the last call, Work the duration
 	// of that call.
 	Wait, Work time.Duration
-	// Crossed says that some results were made outside the stage's preferred failure
+	// Crossed says that some results were computed outside the stage's preferred failure
 	// domain.
 	Crossed bool
 }
@@ -114,7 +114,7 @@
 	// Predicted is the predicted time from now until the results; 0 if no prediction was
 	// made.
 	Predicted time.Duration
-	// Held says that results which the job's owner was told of are kept until the owner has
+	// Held says that results reported to the job's owner are kept until the owner has
 	// acknowledged the refusal, which the caller reports with Cancelled.
 	Held bool
 }
--- a/core/stage/config.go
+++ b/core/stage/config.go
@@ -22,14 +22,13 @@
 	// ReservedSharePerRank is the share of a job's slack that is reserved for each rank of
 	// higher priority that uses the same services. Default 0.35.
 	ReservedSharePerRank float64
-	// OverdueFactor and OverdueSlack set when a running call is overdue, so that its pieces
-	// are also queued for another replica: after OverdueFactor times the expected time plus
-	// OverdueSlack. Defaults 1.6 and 120 ms.
+	// A running call is overdue, and its pieces are queued for another replica too, after
+	// OverdueFactor times its expected time plus OverdueSlack. Defaults 1.6 and 120 ms.
 	OverdueFactor float64
 	OverdueSlack  time.Duration
-	// TimeoutFactor and TimeoutSlack set when a call times out, in the same way. Its pieces
-	// are queued again, and its results are still accepted if they arrive. Defaults 4 and
-	// 500 ms: a call may queue at the replica behind another planner's.
+	// A call times out after TimeoutFactor times its expected time plus TimeoutSlack. Its
+	// pieces are queued again, and its results are still accepted if they arrive. Defaults
+	// 4 and 500 ms: a call may queue at the replica behind another planner's.
 	TimeoutFactor float64
 	TimeoutSlack  time.Duration
 	// MaxAttempts bounds the calls for one piece. Default 4.
@@ -45,8 +44,8 @@
 	// small calls would leave no replica for the next stage.
 	MinSplitShare float64
 	// LateGrace is the time after Latest at which a job is refused if it still needs calls.
-	// Default 3 s: late jobs are executed last, and in a long burst they were held until
-	// their callers left.
+	// Default 3 s: late jobs are executed last, and in a long burst they stayed queued
+	// until their callers left.
 	LateGrace time.Duration
 	// Gates limit the calls to replicas, together with the calls of other components of
 	// this host. Default: gates that only this Machine uses.
--- a/core/stage/deferred_start_test.go
+++ b/core/stage/deferred_start_test.go
@@ -13,8 +13,9 @@
 // small stages. Executed first, the large results would take up the memory of the replicas
 // for as long as the chain takes.
 var _ = Describe("a stage that no other stage reads", func() {
-	// beside returns a job with such a stage, number 0, beside a chain of three.
-	beside := func(h *harness, id string) Job {
+	// withIndependentStage returns a job with such a stage, number 0, beside a chain of
+	// three.
+	withIndependentStage := func(h *harness, id string) Job {
 		j := h.newChain(id, Stage{Service: "a", Pieces: 2, ResultBytes: 10}, Stage{Service: "a", Pieces: 1, After: []int{}},
 			Stage{Service: "b", Pieces: 1}, Stage{Service: "c", Pieces: 1})
 		return j
@@ -31,7 +32,7 @@
 
 	It("starts when the rest of the job is nearly complete", func() {
 		h := newHarness(pieceParams(20, 0), "x", "x")
-		Expect(stagesOf(h.submit(beside(h, "j")))).To(ConsistOf(1))
+		Expect(stagesOf(h.submit(withIndependentStage(h, "j")))).To(ConsistOf(1))
 		h.now = h.now.Add(250 * time.Millisecond)
 		Expect(stagesOf(h.answer(1))).To(ConsistOf(0, 0, 2), "two of the chain's three calls remain")
 		h.answerAll()
@@ -46,7 +47,7 @@
 
 	It("starts when a failed call of the chain beside it has been repeated", func() {
 		h := newHarness(pieceParams(20, 0), "x", "x")
-		runs := h.submit(beside(h, "j"))
+		runs := h.submit(withIndependentStage(h, "j"))
 		h.end(runs[0].Call, CallUnreachable)
 		h.answerAll()
 		Expect(h.ready).To(HaveKey("j"))
@@ -57,7 +58,7 @@
 		// results.
 		h := newHarness(pieceParams(20, 40), "x")
 		for i := range 6 {
-			h.submit(beside(h, fmt.Sprint("j", i)))
+			h.submit(withIndependentStage(h, fmt.Sprint("j", i)))
 		}
 		urgent := h.newChain("urgent", Stage{Service: "a", Pieces: 3, ResultBytes: 10})
 		urgent.Due = h.now.Add(time.Second)
--- a/core/stage/doc.go
+++ b/core/stage/doc.go
@@ -29,7 +29,7 @@
 //
 // A piece with inputs is given all results of all stages that it depends on, of its own
 // job, each once. A result that is not delivered, or that no one will read any more, is
-// released. A result that the owner of a shared job was told of is released only after the
+// released. A result reported to the owner of a shared job is released only after the
 // owner's acknowledgement or cancellation, as another planner may have released it. No call
 // is made for a job that was cancelled before the call started.
 package stage
--- a/core/stage/event.go
+++ b/core/stage/event.go
@@ -23,8 +23,8 @@
 // Moved is set. It is also due for a job that was refused with Held set.
 type Cancelled struct {
 	Job string
-	// Moved says that another planner continues the job, or may do so: results that the
-	// owner was told of are not released here.
+	// Moved says that another planner continues the job, or may do so: results reported to
+	// the owner are not released here.
 	Moved bool
 }
 
@@ -122,7 +122,7 @@
 	Domain string
 	Stages []Stage
 	// Shared says that the job's owner may hand the job to another planner, with the
-	// results that it was told of here. Those are released only when the owner acknowledges
+	// results reported to it from here. Those are released only when the owner acknowledges
 	// or cancels.
 	Shared bool
 	// Made are the pieces that an earlier planner completed, as far as the owner knows.
@@ -132,8 +132,8 @@
 // MadePiece is a completed piece of a job.
 type MadePiece struct {
 	Stage, Index int
-	// Handle identifies the result at the replica that made it, Replica is that replica's
-	// id.
+	// Handle identifies the result at the replica that computed it, Replica is that
+	// replica's id.
 	Handle, Replica string
 }
 
--- a/core/stage/handover.go
+++ b/core/stage/handover.go
@@ -1,11 +1,11 @@
 package stage
 
 // A shared job has an owner: the daemon that another daemon plans for. If that planner
-// seems lost, the owner submits the job to the next planner, with the results that it was
-// told of. The messages of both sides may be lost, so neither knows what the other does,
-// and if two planners both released a result, one would take it from the other's readers.
-// The rule is therefore: a planner on its own releases only results that the owner was not
-// told of. Results that the owner was told of are released
+// seems lost, the owner submits the job to the next planner, with the results reported to
+// it. The messages of both sides may be lost, so neither knows what the other does, and if
+// two planners both released a result, one would take it from the other's readers. The rule
+// is therefore: a planner on its own releases only results that were not reported to the
+// owner. Results reported to the owner are released
 //
 //   - once it has acknowledged (Known) all pieces that read them: from then on the owner no longer
 //     names them to another planner as useful, and the next planner does not use them (restore);
@@ -135,8 +135,8 @@
 	}
 }
 
-// releaseUnreported releases the results of a stage that the job's owner was not told of.
-// It returns whether it kept others.
+// releaseUnreported releases the results of a stage that were not reported to the job's
+// owner. It returns whether it kept others.
 func (m *Machine) releaseUnreported(st *stageState) (kept bool) {
 	for k := range st.pieces {
 		p := &st.pieces[k]
@@ -189,8 +189,8 @@
 	return p
 }
 
-// releaseRefused releases the results of a refused job, except those that its owner was
-// told of. It returns whether it kept any.
+// releaseRefused releases the results of a refused job, except those reported to its owner.
+// It returns whether it kept any.
 func (m *Machine) releaseRefused(j *job) (kept bool) {
 	for i := range j.stages {
 		st := &j.stages[i]
--- a/core/stage/handover_test.go
+++ b/core/stage/handover_test.go
@@ -10,27 +10,27 @@
 var _ = Describe("a transferable job", func() {
 	stages := []Stage{{Service: "a", Pieces: 2, ResultBytes: 100}, {Service: "b", Pieces: 1, ResultBytes: 100}, {Service: "c", Pieces: 1}}
 	plain := func() *harness { return newHarness(pieceParams(20, 0), "x") }
-	// began returns a bench with the first stage made and the second running.
-	began := func() *harness {
+	// startedJob returns a harness with the first stage completed and the second running.
+	startedJob := func() *harness {
 		h := plain()
 		h.submit(h.newTransferableChain("j", stages...))
 		h.answer(h.running[0].Call)
 		return h
 	}
-	next := func(h *harness) { h.answer(h.running[0].Call) }
+	answerNext := func(h *harness) { h.answer(h.running[0].Call) }
 
-	It("has results released once they are read if its owner was not told of them", func() {
-		h := began()
-		next(h)
+	It("has results released once they are read if they were not reported to its owner", func() {
+		h := startedJob()
+		answerNext(h)
 		Expect(h.results).To(HaveLen(1))
 		Expect(h.ownerNotices).To(BeEmpty())
 	})
 
-	It("has results that its owner was told of released once the owner has acknowledged that they were read", func() {
-		h := began()
+	It("has results reported to its owner released once the owner has acknowledged that they were read", func() {
+		h := startedJob()
 		first := h.progress["j"]
 		h.sendProgress("j", first...)
-		next(h)
+		answerNext(h)
 		Expect(h.results).To(HaveLen(3), "the owner may have named them to another planner")
 		Expect(h.ownerNotices["j"]).To(Equal(1))
 		h.sendProgress("j", h.progress["j"][2])
@@ -45,16 +45,16 @@
 	})
 
 	It("has all results released when its owner cancels it", func() {
-		h := began()
+		h := startedJob()
 		h.sendProgress("j", h.progress["j"]...)
-		next(h)
+		answerNext(h)
 		h.endJob("j", Cancelled{Job: "j"})
 		h.answerAll()
 		Expect(h.results).To(BeEmpty())
 	})
 
-	It("when refused keeps the results that its owner was told of until the owner acknowledges", func() {
-		h := began()
+	It("when refused keeps the results reported to its owner until the owner acknowledges", func() {
+		h := startedJob()
 		h.sendProgress("j", h.progress["j"][0])
 		h.advance(20 * time.Second)
 		Expect(h.refused["j"].Held).To(BeTrue())
@@ -66,8 +66,8 @@
 		Expect(h.m.refused).To(BeEmpty())
 	})
 
-	It("when refused keeps no results if its owner was told of none", func() {
-		h := began()
+	It("when refused keeps no results if none were reported to its owner", func() {
+		h := startedJob()
 		h.advance(20 * time.Second)
 		Expect(h.refused["j"].Held).To(BeFalse())
 		Expect(h.results).To(BeEmpty())
@@ -89,7 +89,7 @@
 	})
 
 	It("leaves its inputs to expire when one of them is gone", func() {
-		h := began()
+		h := startedJob()
 		h.sendProgress("j", h.progress["j"]...)
 		run := h.removeCall(h.running[0].Call)
 		clear(h.results) // the replica of the first stage is gone
@@ -99,9 +99,9 @@
 		Expect(h.ready).To(HaveKey("j"))
 	})
 
-	// handed returns the job as its owner hands it over, with the results that the owner
-	// knows of.
-	handed := func(h *harness, made ...MadePiece) Job {
+	// handedOver returns the job as its owner hands it over, with the results that the
+	// owner knows of.
+	handedOver := func(h *harness, made ...MadePiece) Job {
 		j := h.newTransferableChain("j", stages...)
 		for _, p := range made {
 			j.Made = append(j.Made, p)
@@ -115,7 +115,7 @@
 
 	It("does not use or release results that were read under an earlier planner", func() {
 		h := plain()
-		j := handed(h, two, read)
+		j := handedOver(h, two, read)
 		delete(h.results, "old/2") // the earlier planner released them
 		runs := h.submit(j)
 		Expect(runs).To(HaveLen(1))
@@ -129,7 +129,7 @@
 		h := plain()
 		lost := read
 		lost.Replica = "gone"
-		j := handed(h, one, two, lost)
+		j := handedOver(h, one, two, lost)
 		clear(h.results) // the earlier planner released them, and the reader's replica is gone
 		runs := h.submit(j)
 		Expect(runs).To(HaveLen(1))
--- a/core/stage/harness_test.go
+++ b/core/stage/harness_test.go
@@ -19,20 +19,20 @@
 	ready   map[string]Ready
 	refused map[string]Refused
 	// results maps the handles of the results that exist to their pieces.
-	results  map[string]Piece
-	released int
-	jobs     map[string]Job
-	made     int
+	results         map[string]Piece
+	released        int
+	jobs            map[string]Job
+	completedPieces int
 	// progress holds the reported pieces by job, ownerNotices counts the Inform actions by
 	// job.
 	progress     map[string][]MadePiece
 	ownerNotices map[string]int
 }
 
-func pieceParams(batch int, room int64) *catalog.Service {
+func pieceParams(batch int, memoryBytes int64) *catalog.Service {
 	return &catalog.Service{Pieces: &catalog.Pieces{
 		Concurrency: 1, Batch: batch, CallTime: 240 * time.Millisecond, PieceTime: 10 * time.Millisecond,
-		RoomBytes: room,
+		RoomBytes: memoryBytes,
 	}}
 }
 
@@ -153,8 +153,8 @@
 	r := h.removeCall(call)
 	e := CallEnded{Call: call}
 	for _, p := range r.Pieces {
-		h.made++
-		handle := fmt.Sprintf("%s/%d", r.Address, h.made)
+		h.completedPieces++
+		handle := fmt.Sprintf("%s/%d", r.Address, h.completedPieces)
 		h.results[handle] = p
 		e.Results = append(e.Results, Result{Handle: handle})
 	}
--- a/core/stage/intake_test.go
+++ b/core/stage/intake_test.go
@@ -10,15 +10,15 @@
 )
 
 var _ = Describe("replicas with a call limit", func() {
-	bound := func(h *harness, replica string, p intake.Part) {
+	setLimit := func(h *harness, replica string, p intake.Part) {
 		h.m.cfg.Gates.SetParts(intake.Named, map[string]intake.Part{replica: p})
 	}
 
 	It("get only this host's share of the calls; other replicas get the rest", func() {
 		h := newHarness(pieceParams(4, 0), "x", "y")
-		bound(h, "a1", intake.Part{Calls: 1, Window: 4 * time.Second})
-		calls, began := map[string]int{}, h.now
-		for i := 0; h.now.Sub(began) < 4*time.Second; i++ {
+		setLimit(h, "a1", intake.Part{Calls: 1, Window: 4 * time.Second})
+		calls, start := map[string]int{}, h.now
+		for i := 0; h.now.Sub(start) < 4*time.Second; i++ {
 			for _, r := range h.submit(h.newChain(string(rune('a'+i)), Stage{Service: "a", Pieces: 4})) {
 				calls[r.Replica]++
 			}
@@ -34,7 +34,7 @@
 
 	It("are waited for if there is no other replica, until the limit allows a call", func() {
 		h := newHarness(pieceParams(4, 0), "x")
-		bound(h, "a1", intake.Part{Calls: 1, Window: time.Second})
+		setLimit(h, "a1", intake.Part{Calls: 1, Window: time.Second})
 		Expect(h.submit(h.newChain("j", Stage{Service: "a", Pieces: 4}))).To(HaveLen(1))
 		h.answerAll()
 		Expect(h.submit(h.newChain("k", Stage{Service: "a", Pieces: 4}))).To(BeEmpty())
@@ -49,7 +49,7 @@
 
 	It("with a share of 0 for this host are not usable; refusals return the time until they accept calls", func() {
 		h := newHarness(pieceParams(4, 0), "x")
-		bound(h, "a1", intake.Part{Window: 4 * time.Second})
+		setLimit(h, "a1", intake.Part{Window: 4 * time.Second})
 		h.submit(h.newChain("j", Stage{Service: "a", Pieces: 1}))
 		Expect(h.refused["j"].Reason).To(Equal(ReasonNoReplica))
 		Expect(h.refused["j"].RetryAfter).To(Equal(4 * time.Second))
@@ -57,7 +57,7 @@
 
 	It("are predicted at the limited rate", func() {
 		h := newHarness(pieceParams(4, 0), "x")
-		bound(h, "a1", intake.Part{Calls: 1, Window: 2 * time.Second})
+		setLimit(h, "a1", intake.Part{Calls: 1, Window: 2 * time.Second})
 		for _, id := range []string{"before", "j"} {
 			j := h.newChain(id, Stage{Service: "a", Pieces: 8})
 			j.Due = h.now.Add(3 * time.Second)
@@ -71,13 +71,13 @@
 var _ = Describe("replicas that announce that they are leaving", func() {
 	It("get no further calls, and running calls return their results", func() {
 		h := newHarness(pieceParams(4, 0), "x", "y")
-		under := h.submit(h.newChain("j", Stage{Service: "a", Pieces: 4}))
-		Expect(under).To(HaveLen(1))
-		leaver := under[0].Replica
-		h.m.cfg.Gates.SetParts(intake.Leaving, map[string]intake.Part{leaver: {}})
+		runs := h.submit(h.newChain("j", Stage{Service: "a", Pieces: 4}))
+		Expect(runs).To(HaveLen(1))
+		leaving := runs[0].Replica
+		h.m.cfg.Gates.SetParts(intake.Leaving, map[string]intake.Part{leaving: {}})
 		for i := range 6 {
 			for _, r := range h.submit(h.newChain(string(rune('k'+i)), Stage{Service: "a", Pieces: 4})) {
-				Expect(r.Replica).NotTo(Equal(leaver))
+				Expect(r.Replica).NotTo(Equal(leaving))
 			}
 		}
 		h.answerAll()
@@ -96,17 +96,17 @@
 	It("are called again when it is over; others are called meanwhile", func() {
 		h := newHarness(pieceParams(4, 0), "x", "y")
 		h.m.cfg.Gates.SetParts(intake.Resting, map[string]intake.Part{"a1": {Until: h.now.Add(3 * time.Second)}})
-		began, back := h.now, false
-		for i := 0; h.now.Sub(began) < 5*time.Second; i++ {
+		start, calledAgain := h.now, false
+		for i := 0; h.now.Sub(start) < 5*time.Second; i++ {
 			for _, r := range h.submit(h.newChain(string(rune('a'+i)), Stage{Service: "a", Pieces: 8})) {
 				if r.Replica == "a1" {
-					Expect(h.now.Sub(began)).To(BeNumerically(">=", 3*time.Second))
-					back = true
+					Expect(h.now.Sub(start)).To(BeNumerically(">=", 3*time.Second))
+					calledAgain = true
 				}
 			}
 			h.answerAll()
 		}
-		Expect(back).To(BeTrue())
+		Expect(calledAgain).To(BeTrue())
 		Expect(h.refused).To(BeEmpty())
 	})
 
--- a/core/stage/job.go
+++ b/core/stage/job.go
@@ -30,8 +30,8 @@
 	handle      string
 	holder      *replica
 	lastReplica *replica
-	// reported says that the job's owner is being told of the result or knows of it, acked
-	// that it has acknowledged it.
+	// reported says that the result is being or has been reported to the job's owner, acked
+	// that the owner has acknowledged it.
 	reported, acked bool
 }
 
--- a/core/stage/loadsim_test.go
+++ b/core/stage/loadsim_test.go
@@ -73,7 +73,7 @@
 // simReplica is a replica that runs one call at a time.
 type simReplica struct {
 	catalog.Replica
-	figures catalog.Pieces
+	params catalog.Pieces
 	// usedBytes is the memory taken by results.
 	usedBytes int64
 	// reportedBytes is usedBytes as of the last report.
@@ -134,7 +134,7 @@
 		id := fmt.Sprintf("%s-%02d", name, i)
 		r := catalog.Replica{ID: id, Service: name, Address: id + ":80", FailureDomain: domains[i%len(domains)], Concurrency: 1}
 		e.Replicas = append(e.Replicas, r)
-		s.replicas[id] = &simReplica{Replica: r, figures: f, slowFactor: 1, baseFactor: []float64{1, 1, 1.3}[i%3], results: map[string]int64{}}
+		s.replicas[id] = &simReplica{Replica: r, params: f, slowFactor: 1, baseFactor: []float64{1, 1, 1.3}[i%3], results: map[string]int64{}}
 	}
 }
 
@@ -168,13 +168,13 @@
 // queryMemory asks a replica for its free memory; the answer is up to memoryReportInterval
 // old.
 func (s *loadSim) queryMemory(a Inspect) {
-	r, asked, asker := s.replicas[a.Replica], s.now, s.m
+	r, queriedAt, planner := s.replicas[a.Replica], s.now, s.m
 	s.after(networkDelay, func() {
-		if r.down || s.m != asker {
+		if r.down || s.m != planner {
 			return
 		}
-		least := (r.figures.RoomBytes - r.reportedBytes) / memoryReportUnit * memoryReportUnit
-		s.step(Inspected{Replica: a.Replica, Asked: asked, Room: Room{least, min(least+memoryReportUnit, r.figures.RoomBytes)}})
+		least := (r.params.RoomBytes - r.reportedBytes) / memoryReportUnit * memoryReportUnit
+		s.step(Inspected{Replica: a.Replica, Asked: queriedAt, Room: Room{least, min(least+memoryReportUnit, r.params.RoomBytes)}})
 	})
 }
 
@@ -203,13 +203,13 @@
 // startCall executes a call at a replica.
 func (s *loadSim) startCall(a Run) {
 	r := s.replicas[a.Replica]
-	boot := r.incarnation
+	incarnation := r.incarnation
 	if r.down {
 		s.after(networkDelay, func() { s.step(CallEnded{Call: a.Call, Outcome: CallUnreachable}) })
 		return
 	}
 	end := CallEnded{Call: a.Call, Outcome: CallAnswered}
-	took := r.figures.CallTime
+	duration := r.params.CallTime
 	for _, p := range a.Pieces {
 		j := s.jobs[p.Job]
 		if j == nil {
@@ -222,7 +222,7 @@
 			end.Results = append(end.Results, Result{Kind: InputGone})
 			continue
 		}
-		if len(r.results) > 0 && r.usedBytes+size > r.figures.RoomBytes {
+		if len(r.results) > 0 && r.usedBytes+size > r.params.RoomBytes {
 			s.outOfMemory++
 			end.Results = append(end.Results, Result{Kind: NoRoom})
 			continue
@@ -231,29 +231,29 @@
 		h := fmt.Sprintf("%s/%d", r.Address, s.handles)
 		r.usedBytes += size
 		r.results[h] = size
-		work := 1.0
+		sizeFactor := 1.0
 		if size == smallResult {
-			work = 0.3
+			sizeFactor = 0.3
 		}
-		took += time.Duration(work * (0.8 + 0.4*s.rng.Float64()) * float64(r.figures.PieceTime))
+		duration += time.Duration(sizeFactor * (0.8 + 0.4*s.rng.Float64()) * float64(r.params.PieceTime))
 		end.Results = append(end.Results, Result{Handle: h})
 	}
-	took = time.Duration(float64(took) * r.slowFactor * r.baseFactor)
-	asker := s.m
-	s.after(took, func() {
-		if r.incarnation != boot {
-			if s.m == asker {
+	duration = time.Duration(float64(duration) * r.slowFactor * r.baseFactor)
+	planner := s.m
+	s.after(duration, func() {
+		if r.incarnation != incarnation {
+			if s.m == planner {
 				s.step(CallEnded{Call: a.Call, Outcome: CallFailed})
 			}
 			return
 		}
 		for _, res := range end.Results {
 			if h := res.Handle; h != "" {
-				s.after(r.figures.ResultLife, func() { s.release(r, h) })
+				s.after(r.params.ResultLife, func() { s.release(r, h) })
 			}
 		}
 		s.after(networkDelay/2, func() {
-			if s.m == asker {
+			if s.m == planner {
 				s.step(end)
 			}
 		})
--- a/core/stage/machine.go
+++ b/core/stage/machine.go
@@ -198,9 +198,8 @@
 	}
 }
 
-// releaseRead releases the results whose readers are all complete, except those that the
-// job's owner was told of: these are kept until the owner has acknowledged that they were
-// read.
+// releaseRead releases the results whose readers are all complete, except those reported to
+// the job's owner: these are kept until the owner has acknowledged that they were read.
 func (m *Machine) releaseRead(j *job) {
 	for i := range j.stages {
 		st := &j.stages[i]
--- a/core/stage/machine_test.go
+++ b/core/stage/machine_test.go
@@ -94,10 +94,10 @@
 	It("go to another replica if one is unreachable, and are repeated later if it refuses", func() {
 		h := newHarness(pieceParams(4, 0), "x", "x")
 		run := h.submit(h.newChain("j", Stage{Service: "a", Pieces: 1}))[0]
-		again := h.end(run.Call, CallUnreachable)
-		Expect(again).To(HaveLen(1))
-		Expect(again[0].Replica).NotTo(Equal(run.Replica))
-		Expect(h.end(again[0].Call, CallNotExecuted)).To(BeEmpty())
+		repeated := h.end(run.Call, CallUnreachable)
+		Expect(repeated).To(HaveLen(1))
+		Expect(repeated[0].Replica).NotTo(Equal(run.Replica))
+		Expect(h.end(repeated[0].Call, CallNotExecuted)).To(BeEmpty())
 		Expect(h.advance(100 * time.Millisecond)).To(HaveLen(1))
 	})
 
@@ -123,14 +123,14 @@
 
 	It("are hedged at another replica when they are overdue; the first result is used", func() {
 		h := newHarness(pieceParams(4, 0), "x", "x")
-		slow := h.submit(h.newChain("j", Stage{Service: "a", Pieces: 2}))[0]
+		slowCall := h.submit(h.newChain("j", Stage{Service: "a", Pieces: 2}))[0]
 		Expect(h.advance(300 * time.Millisecond)).To(BeEmpty())
 		second := h.advance(400 * time.Millisecond)
 		Expect(second).To(HaveLen(1))
-		Expect(second[0].Replica).NotTo(Equal(slow.Replica))
+		Expect(second[0].Replica).NotTo(Equal(slowCall.Replica))
 		h.answer(second[0].Call)
 		Expect(h.ready).To(HaveKey("j"))
-		h.answer(slow.Call)
+		h.answer(slowCall.Call)
 		Expect(h.results).To(HaveLen(2), "the late results are released")
 		h.endJob("j", Cancelled{Job: "j"})
 		Expect(h.results).To(BeEmpty())
--- a/core/stage/overload_test.go
+++ b/core/stage/overload_test.go
@@ -11,9 +11,9 @@
 // a little below the measured ones.
 var _ = Describe("a burst in six failure domains", func() {
 	const end = 24
-	play := func(trouble func(s *loadSim)) *loadSim {
+	runWith := func(faults func(s *loadSim)) *loadSim {
 		s := newSixDomainSim(1, 3)
-		trouble(s)
+		faults(s)
 		s.run(end * time.Second)
 		return s
 	}
@@ -22,7 +22,7 @@
 	// The most urgent kind arrives two and a half times as often as usual, just after a
 	// third of the replicas of its second stage were lost.
 	It("of the most urgent kind degrades only the least urgent one", func() {
-		s := play(func(s *loadSim) {
+		s := runWith(func(s *loadSim) {
 			s.kinds[summary].burst(8*time.Second, 6900*time.Millisecond, 2.5)
 			s.down("notify", 0.3, 5*time.Second, 4*time.Second)
 		})
@@ -35,7 +35,7 @@
 	// The kind with the large results arrives more often while a third of the replicas that
 	// compute them are lost.
 	It("of large results with lost replicas does not degrade the other kinds", func() {
-		s := play(func(s *loadSim) {
+		s := runWith(func(s *loadSim) {
 			s.kinds[review].burst(8*time.Second, 6500*time.Millisecond, 2.5)
 			s.down("audit", 0.3, 9*time.Second, 5*time.Second)
 		})
@@ -47,7 +47,7 @@
 	// All kinds arrive more than twice as often, which exceeds the capacity of the
 	// replicas: the excess is refused or late, starting with the least urgent kind.
 	It("of all kinds is served in the order of urgency", func() {
-		s := play(func(s *loadSim) {
+		s := runWith(func(s *loadSim) {
 			for _, k := range s.kinds {
 				k.burst(6*time.Second, 8*time.Second, 2.2)
 			}
@@ -83,17 +83,17 @@
 	It("in which all hosts lose power ends when the lost results expire", func() {
 		const back = 12200 * time.Millisecond
 		var sum simTally
-		noRoom := 0
+		outOfMemory := 0
 		for seed := range uint64(3) {
 			s := newSixDomainSim(seed, 3)
 			s.kinds[summary].burst(3*time.Second, 7*time.Second, 1.6)
 			s.losePower(10*time.Second, back-10*time.Second)
 			s.run(end * time.Second)
-			noRoom += s.outOfMemory
+			outOfMemory += s.outOfMemory
 			sum.add(s.kinds[summary].total(13, 16))
 			Expect(s.attainedValue(16, end)).To(BeNumerically(">", 0.95), "four seconds after the return\n"+s.table(end))
 		}
-		Expect(noRoom).To(BeNumerically("<", 300))
+		Expect(outOfMemory).To(BeNumerically("<", 300))
 		Expect(float64(sum.onTime) / float64(sum.arrived)).To(BeNumerically(">", 0.7))
 	})
 })
--- a/core/stage/random_test.go
+++ b/core/stage/random_test.go
@@ -21,7 +21,7 @@
 
 func runRandomEvents(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	words := rand.New(rand.NewPCG(seed, 8))
+	messageRNG := rand.New(rand.NewPCG(seed, 8))
 	h := newHarness(pieceParams(4+rng.IntN(20), int64(rng.IntN(3))*20_000), "x", "x", "y", "z")
 	submitted := 0
 	for range 400 {
@@ -30,7 +30,7 @@
 		case n < 4:
 			submitted++
 			j := randomJob(h, rng, fmt.Sprint("j", submitted))
-			j.Shared = words.IntN(2) == 0
+			j.Shared = messageRNG.IntN(2) == 0
 			h.submit(j)
 		case n < 8 && len(h.running) > 0:
 			h.endRandom(rng, h.running[rng.IntN(len(h.running))])
@@ -39,7 +39,7 @@
 		default:
 			h.step(Tick{})
 		}
-		h.sendRandomProgress(words)
+		h.sendRandomProgress(messageRNG)
 	}
 	for id := range h.jobs {
 		h.endJob(id, Cancelled{Job: id})
@@ -113,8 +113,8 @@
 		kind := []ResultKind{Made, Made, TooLate, NoRoom, Broken}[rng.IntN(5)]
 		res := Result{Kind: kind}
 		if kind == Made {
-			h.made++
-			res.Handle = fmt.Sprintf("%s/%d", r.Address, h.made)
+			h.completedPieces++
+			res.Handle = fmt.Sprintf("%s/%d", r.Address, h.completedPieces)
 			h.results[res.Handle] = p
 		}
 		e.Results = append(e.Results, res)
--- a/core/stage/restart_test.go
+++ b/core/stage/restart_test.go
@@ -31,19 +31,19 @@
 		clear(h.results) // lost in the restart
 		restart(h, service)
 		Expect(h.submit(h.newChain("k", Stage{Service: "a", Pieces: 1, ResultBytes: 100}))).To(HaveLen(1), "the memory is free")
-		freed := h.released
+		releasedBefore := h.released
 		h.endJob("j", Cancelled{Job: "j"})
-		Expect(h.released).To(Equal(freed), "a result of the previous run is not released at the restarted replica")
+		Expect(h.released).To(Equal(releasedBefore), "a result of the previous run is not released at the restarted replica")
 	})
 
 	It("is sent the pieces of its previous run again, even if their call is answered", func() {
 		h := newHarness(service, "x")
 		run := h.submit(h.newChain("j", Stage{Service: "a", Pieces: 1, ResultBytes: 100}, Stage{Service: "b", Pieces: 1}))[0]
 		restart(h, service)
-		again := h.answer(run.Call)
-		Expect(again).To(HaveLen(1))
-		Expect(again[0].Service).To(Equal("a"))
-		Expect(again[0].Replica).To(Equal("a1@2"))
+		repeated := h.answer(run.Call)
+		Expect(repeated).To(HaveLen(1))
+		Expect(repeated[0].Service).To(Equal("a"))
+		Expect(repeated[0].Replica).To(Equal("a1@2"))
 		h.answerAll()
 		Expect(h.ready).To(HaveKey("j"))
 	})
--- a/core/stage/resume_test.go
+++ b/core/stage/resume_test.go
@@ -11,9 +11,9 @@
 var _ = Describe("a job that another planner started", func() {
 	chain := []Stage{{Service: "a", Pieces: 2, ResultBytes: 100}, {Service: "b", Pieces: 1}}
 
-	// begun returns a harness in which the results of the first stage exist, and the job as
-	// its owner hands it over.
-	begun := func(service func() *harness) (*harness, Job) {
+	// startedJob returns a harness in which the results of the first stage exist, and the
+	// job as its owner hands it over.
+	startedJob := func(service func() *harness) (*harness, Job) {
 		h := service()
 		j := h.newChain("j", chain...)
 		for i, handle := range []string{"old/1", "old/2"} {
@@ -25,7 +25,7 @@
 	plain := func() *harness { return newHarness(pieceParams(20, 0), "x") }
 
 	It("continues with the completed pieces", func() {
-		h, j := begun(plain)
+		h, j := startedJob(plain)
 		runs := h.submit(j)
 		Expect(runs).To(HaveLen(1))
 		Expect(runs[0].Service).To(Equal("b"))
@@ -36,7 +36,7 @@
 	})
 
 	It("executes only the missing pieces", func() {
-		h, j := begun(plain)
+		h, j := startedJob(plain)
 		j.Made = j.Made[:1]
 		runs := h.submit(j)
 		Expect(runs[0].Pieces).To(HaveLen(1))
@@ -44,7 +44,7 @@
 	})
 
 	It("repeats pieces whose results are not usable", func() {
-		h, j := begun(plain)
+		h, j := startedJob(plain)
 		j.Made = []MadePiece{
 			{Stage: 0, Index: 0, Handle: "old/1", Replica: "gone"}, {Stage: 0, Index: 1, Handle: "old/2", Replica: "b1"},
 			{Stage: 7, Index: 0, Handle: "x", Replica: "a1"}, {Stage: 0, Index: 2, Handle: "x", Replica: "a1"}, {Stage: -1, Handle: "x", Replica: "a1"},
@@ -53,20 +53,20 @@
 	})
 
 	It("has its results counted in the memory of their replicas", func() {
-		h, j := begun(func() *harness { return newHarness(pieceParams(20, 250), "x") })
+		h, j := startedJob(func() *harness { return newHarness(pieceParams(20, 250), "x") })
 		h.submit(j)
 		Expect(h.submit(h.newChain("k", Stage{Service: "a", Pieces: 1, ResultBytes: 100}))).To(BeEmpty())
 	})
 
 	It("has its results released when it is refused", func() {
-		h, j := begun(plain)
+		h, j := startedJob(plain)
 		j.Due, j.Deadline = h.now, h.now
 		h.submit(j)
 		Expect(h.refused).To(HaveKey("j"))
 		Expect(h.results).To(BeEmpty())
 	})
 
-	It("keeps the results that its owner was told of if another planner may continue it", func() {
+	It("keeps the results reported to its owner if another planner may continue it", func() {
 		h := plain()
 		first := h.submit(h.newTransferableChain("j", chain...))[0]
 		h.answer(first.Call)
@@ -75,7 +75,7 @@
 		Expect(h.results).To(HaveLen(2))
 	})
 
-	It("has the results that its owner was not told of released if another planner may continue it", func() {
+	It("has the results not reported to its owner released if another planner may continue it", func() {
 		h := plain()
 		first := h.submit(h.newTransferableChain("j", chain...))[0]
 		h.answer(first.Call)
@@ -87,7 +87,7 @@
 	})
 
 	It("does not have results released again that had been read", func() {
-		h, j := begun(plain)
+		h, j := startedJob(plain)
 		j.Stages = append(j.Stages, Stage{Service: "c", After: []int{1}, Pieces: 1})
 		j.Made = append(j.Made, MadePiece{Stage: 1, Index: 0, Handle: "old/3", Replica: "b1"})
 		delete(h.results, "old/1") // the earlier planner released them, as stage 1 is complete
@@ -103,13 +103,13 @@
 	It("is reported piece by piece", func() {
 		h := plain()
 		run := h.submit(h.newChain("j", chain...))[0]
-		var told []Progress
+		var reported []Progress
 		for _, a := range h.m.Step(h.now, CallEnded{Call: run.Call, Results: []Result{{Handle: "h1"}, {Handle: "h2"}}}) {
 			if p, ok := a.(Progress); ok {
-				told = append(told, p)
+				reported = append(reported, p)
 			}
 		}
-		Expect(told).To(Equal([]Progress{
+		Expect(reported).To(Equal([]Progress{
 			{Job: "j", Piece: MadePiece{Stage: 0, Index: 0, Handle: "h1", Replica: "a1"}},
 			{Job: "j", Piece: MadePiece{Stage: 0, Index: 1, Handle: "h2", Replica: "a1"}},
 		}))
@@ -117,8 +117,8 @@
 })
 
 var _ = Describe("memory that another planner's results take", func() {
-	// noRoom ends a call in which there was memory only for the first pieces.
-	noRoom := func(h *harness, run Run, made int) []Run {
+	// endOutOfMemory ends a call in which there was memory only for the first pieces.
+	endOutOfMemory := func(h *harness, run Run, made int) []Run {
 		h.removeCall(run.Call)
 		e := CallEnded{Call: run.Call}
 		for i, p := range run.Pieces {
@@ -143,17 +143,17 @@
 		}
 		run := h.answer(h.running[0].Call)[0]
 		Expect(run.Pieces).To(HaveLen(9), "one result is present")
-		Expect(noRoom(h, run, 1)).To(BeEmpty(), "800 of 1000 bytes are taken by others")
+		Expect(endOutOfMemory(h, run, 1)).To(BeEmpty(), "800 of 1000 bytes are taken by others")
 		Expect(h.advance(400*time.Millisecond)).To(BeEmpty(), "80 bytes may be free")
-		again := h.advance(200 * time.Millisecond)
-		Expect(again).To(HaveLen(1))
-		Expect(again[0].Pieces).To(HaveLen(1), "120 bytes may be free")
+		repeated := h.advance(200 * time.Millisecond)
+		Expect(repeated).To(HaveLen(1))
+		Expect(repeated[0].Pieces).To(HaveLen(1), "120 bytes may be free")
 	})
 
 	It("is all available once those results have expired", func() {
 		h := newHarness(pieceParams(10, 1000), "x")
 		run := h.submit(h.newChain("j", Stage{Service: "a", Pieces: 10, ResultBytes: 100}))[0]
-		noRoom(h, run, 0)
+		endOutOfMemory(h, run, 0)
 		h.now = h.now.Add(defaultResultLifetime)
 		Expect(h.step(Tick{})[0].Pieces).To(HaveLen(10))
 	})
--- a/core/stage/simdeployment_test.go
+++ b/core/stage/simdeployment_test.go
@@ -24,10 +24,10 @@
 
 // limitedParams returns the parameters of a replica that runs one call at a time and has
 // little memory.
-func limitedParams(batch int, pieceTime float64, room int64) catalog.Pieces {
+func limitedParams(batch int, pieceTime float64, memoryBytes int64) catalog.Pieces {
 	return catalog.Pieces{
 		Concurrency: 1, Batch: batch, CallTime: 240 * time.Millisecond, PieceTime: time.Duration(pieceTime * float64(time.Millisecond)),
-		RoomBytes: room, ResultLife: 4 * time.Second,
+		RoomBytes: memoryBytes, ResultLife: 4 * time.Second,
 	}
 }
 
--- a/core/stage/simstats_test.go
+++ b/core/stage/simstats_test.go
@@ -18,13 +18,13 @@
 
 // attainedValue returns the attained share of the attainable value, between two seconds.
 func (s *loadSim) attainedValue(from, to int) float64 {
-	var got, owed float64
+	var attained, attainable float64
 	for _, k := range s.kinds {
 		t := k.total(from, to)
-		got += k.onTimeValue*float64(t.onTime) + k.lateValue*float64(t.late)
-		owed += k.onTimeValue * float64(t.arrived)
+		attained += k.onTimeValue*float64(t.onTime) + k.lateValue*float64(t.late)
+		attainable += k.onTimeValue * float64(t.arrived)
 	}
-	return got / owed
+	return attained / attainable
 }
 
 // attainedValue returns the attained share of a kind's value.
--- a/core/stage/timeout_test.go
+++ b/core/stage/timeout_test.go
@@ -36,11 +36,11 @@
 func TestTimedOutCallHoldsNoSlot(t *testing.T) {
 	RegisterTestingT(t)
 	h, hung := newTimedOutCall(4, "x")
-	again := h.advance(time.Second)
-	Expect(again).To(HaveLen(1))
-	Expect(again[0].Replica).To(Equal(hung.Replica))
-	Expect(again[0].Pieces).To(HaveLen(2))
-	h.answer(again[0].Call)
+	repeated := h.advance(time.Second)
+	Expect(repeated).To(HaveLen(1))
+	Expect(repeated[0].Replica).To(Equal(hung.Replica))
+	Expect(repeated[0].Pieces).To(HaveLen(2))
+	h.answer(repeated[0].Call)
 	Expect(h.ready).To(HaveKey("j"))
 	h.advance(timedOutCheckInterval)
 	Expect(h.running).To(BeEmpty(), "the hung call is abandoned")
@@ -55,9 +55,9 @@
 func TestTimedOutCallThatMayBeExecutingIsNotAbandoned(t *testing.T) {
 	RegisterTestingT(t)
 	h, paused := newTimedOutCall(4, "x", "x")
-	again := h.running[1]
-	Expect(again.Replica).NotTo(Equal(paused.Replica))
-	h.answer(again.Call)
+	repeated := h.running[1]
+	Expect(repeated.Replica).NotTo(Equal(paused.Replica))
+	h.answer(repeated.Call)
 	Expect(h.ready).To(HaveKey("j"))
 	h.expectOnlyAwaits(paused, 4*timedOutCheckInterval)
 }
@@ -90,11 +90,11 @@
 func TestResultsOfTimedOutCallAreAccepted(t *testing.T) {
 	RegisterTestingT(t)
 	h, slow := newTimedOutCall(4, "x")
-	again := h.advance(time.Second)[0]
+	repeated := h.advance(time.Second)[0]
 	h.answer(slow.Call)
 	Expect(h.ready).To(HaveKey("j"))
 	Expect(h.results).To(HaveLen(2))
-	h.answer(again.Call)
+	h.answer(repeated.Call)
 	Expect(h.results).To(HaveLen(2), "the second results are released")
 	h.endJob("j", Cancelled{Job: "j"})
 	Expect(h.results).To(BeEmpty())
