--- a/core/admit/bench_test.go
+++ b/core/admit/bench_test.go
@@ -40,10 +40,10 @@
 		Deadline: epoch.Add(time.Hour),
 	}
 	for _, stage := range []string{"encode", "retrieve", "rerank"} {
-		p.Needs = append(p.Needs, request.Need{Stage: stage, Pool: stage, Expected: 10 * time.Millisecond})
+		p.Stages = append(p.Stages, request.PlannedStage{Stage: stage, Pool: stage, Expected: 10 * time.Millisecond})
 	}
 	generate := fmt.Sprintf("generate-%d", i%benchPipelines)
-	p.Needs = append(p.Needs, request.Need{Stage: "generate", Pool: generate, Expected: time.Second})
+	p.Stages = append(p.Stages, request.PlannedStage{Stage: "generate", Pool: generate, Expected: time.Second})
 	return p
 }
 
@@ -58,11 +58,11 @@
 }
 
 // request plays one whole request: its arrival, four slots, and its end.
-func playRequest(c *Controller, p request.Plan) int {
-	if c.Arrive(epoch, p, nil) != nil {
+func runRequest(c *Controller, p request.Plan) int {
+	if c.Admit(epoch, p, nil) != nil {
 		return 0
 	}
-	for _, n := range p.Needs {
+	for _, n := range p.Stages {
 		t := request.Ticket{
 			Request: p.Request, Attempt: 1, Stage: n.Stage, Pool: n.Pool, Customer: p.Customer,
 			Deadline: p.Deadline, Expected: n.Expected,
@@ -71,7 +71,7 @@
 			c.Release(epoch, t, request.CallOK, n.Expected)
 		}
 	}
-	c.Leave(epoch, p, true)
+	c.Finish(epoch, p, true)
 	return 1
 }
 
@@ -81,8 +81,8 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		p := plans[i%benchPlans]
-		if c.Arrive(epoch, p, nil) == nil {
-			c.Leave(epoch, p, true)
+		if c.Admit(epoch, p, nil) == nil {
+			c.Finish(epoch, p, true)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 		own := int(next.Add(1)) * 1009
 		for pb.Next() {
 			own++
-			admitted.Add(int64(playRequest(c, plans[own%benchPlans])))
+			admitted.Add(int64(runRequest(c, plans[own%benchPlans])))
 		}
 	})
 	b.ReportMetric(float64(admitted.Load())/float64(b.N), "admitted/op")
--- a/core/admit/config.go
+++ b/core/admit/config.go
@@ -56,18 +56,18 @@
 const (
 	// minMargin applies when only attainment counts: a request is tried
 	// while it is expected to make it.
-	minMargin = 0.05
+	minServiceMargin = 0.05
 	// maxMargin applies when only cost counts: a request is tried only when
 	// it is rather sure to make it, so that less work is wasted.
-	maxMargin = 0.25
+	maxServiceMargin = 0.25
 )
 
 // margin returns by how much expected service times are raised in every
 // prediction, as a fraction of them.
-func margin(o bundle.Objective) float64 {
+func serviceMargin(o bundle.Objective) float64 {
 	sum := o.Attainment + o.CostByStage
 	if sum <= 0 {
-		return minMargin
+		return minServiceMargin
 	}
-	return minMargin + (maxMargin-minMargin)*o.CostByStage/sum
+	return minServiceMargin + (maxServiceMargin-minServiceMargin)*o.CostByStage/sum
 }
--- a/core/admit/controller_test.go
+++ b/core/admit/controller_test.go
@@ -41,7 +41,7 @@
 func plan(id, customer string, deadline time.Duration) request.Plan {
 	return request.Plan{
 		Request: id, Customer: customer, Deadline: epoch.Add(deadline),
-		Needs: []request.Need{{Stage: "seal", Pool: "sealers", Expected: 100 * time.Millisecond}},
+		Stages: []request.PlannedStage{{Stage: "seal", Pool: "sealers", Expected: 100 * time.Millisecond}},
 	}
 }
 
@@ -107,7 +107,7 @@
 		fill()
 		early := ticket("early-deadline", "a", 500*time.Millisecond)
 		late := ticket("late-deadline", "a", 900*time.Millisecond)
-		late.After = 600 * time.Millisecond
+		late.ExpectedAfter = 600 * time.Millisecond
 		queue(early)
 		queue(late)
 		Expect(free(0, 100*time.Millisecond)).To(Equal([]string{"late-deadline"}))
@@ -126,7 +126,7 @@
 
 	It("refuses a ticket at once when it could not finish even if it ran", func() {
 		t := ticket("doomed", "a", 300*time.Millisecond)
-		t.After = 250 * time.Millisecond
+		t.ExpectedAfter = 250 * time.Millisecond
 		verdict, err := c.Acquire(epoch, t, nil)
 		Expect(verdict).To(Equal(request.Refused))
 		Expect(err.Kind).To(Equal(problem.Overloaded))
@@ -182,25 +182,25 @@
 
 	It("refuses a request whose predicted finish is late, with the time until it is not", func() {
 		for i := range 6 {
-			Expect(c.Arrive(epoch, plan(fmt.Sprintf("a-%d", i), "a", 10*time.Second), nil)).To(BeNil())
+			Expect(c.Admit(epoch, plan(fmt.Sprintf("a-%d", i), "a", 10*time.Second), nil)).To(BeNil())
 		}
 		var notes entries
-		err := c.Arrive(epoch, plan("late", "a", 300*time.Millisecond), &notes)
+		err := c.Admit(epoch, plan("late", "a", 300*time.Millisecond), &notes)
 		Expect(err.Kind).To(Equal(problem.Overloaded))
 		// Five of the six end before a slot is free: 250 ms at two slots. The
 		// deadline leaves 300 - 105 ms, of which a borrower may wait half.
 		Expect(err.RetryAfter).To(BeNumerically("~", 152*time.Millisecond, 2*time.Millisecond))
 		Expect(notes).To(HaveLen(1))
 		Expect(notes[0].Outcome).To(Equal("refused"))
-		Expect(c.Arrive(epoch, plan("patient", "a", 10*time.Second), nil)).To(BeNil())
-		Expect(c.Arrive(epoch, plan("other", "b", 300*time.Millisecond), nil)).To(BeNil(), "its own share is free")
+		Expect(c.Admit(epoch, plan("patient", "a", 10*time.Second), nil)).To(BeNil())
+		Expect(c.Admit(epoch, plan("other", "b", 300*time.Millisecond), nil)).To(BeNil(), "its own share is free")
 	})
 
 	It("plans nothing for a request that was refused or has left", func() {
 		for i := range 50 {
 			p := plan(fmt.Sprintf("a-%d", i), "a", 300*time.Millisecond)
-			if c.Arrive(epoch, p, nil) == nil {
-				c.Leave(epoch, p, true)
+			if c.Admit(epoch, p, nil) == nil {
+				c.Finish(epoch, p, true)
 			}
 		}
 		Expect(c.State(epoch)[0].Planned).To(BeZero())
@@ -211,11 +211,11 @@
 		b.Pools = append(b.Pools, bundle.Pool{Name: "wide", Kind: bundle.PoolService, Concurrency: 100, Upstreams: make([]bundle.Upstream, 1)})
 		c.Apply(b)
 		for i := range 40 {
-			Expect(c.Arrive(epoch, plan(fmt.Sprintf("a-%d", i), "a", 10*time.Second), nil)).To(BeNil())
+			Expect(c.Admit(epoch, plan(fmt.Sprintf("a-%d", i), "a", 10*time.Second), nil)).To(BeNil())
 		}
 		two := plan("two-stages", "a", time.Second)
-		two.Needs = append([]request.Need{{Stage: "encode", Pool: "wide", Expected: 10 * time.Millisecond}}, two.Needs...)
-		Expect(c.Arrive(epoch, two, nil).Kind).To(Equal(problem.Overloaded))
+		two.Stages = append([]request.PlannedStage{{Stage: "encode", Pool: "wide", Expected: 10 * time.Millisecond}}, two.Stages...)
+		Expect(c.Admit(epoch, two, nil).Kind).To(Equal(problem.Overloaded))
 		for _, s := range c.State(epoch) {
 			if s.Pool == "wide" {
 				Expect(s.Planned).To(BeZero())
@@ -224,17 +224,17 @@
 	})
 
 	It("tells a deadline that no load would meet from overload", func() {
-		Expect(c.Arrive(epoch, plan("short", "a", 50*time.Millisecond), nil).Kind).To(Equal(problem.DeadlineTooShort))
+		Expect(c.Admit(epoch, plan("short", "a", 50*time.Millisecond), nil).Kind).To(Equal(problem.DeadlineTooShort))
 	})
 
 	It("is more careful where cost weighs more", func() {
 		tight := plan("tight", "a", 110*time.Millisecond)
-		Expect(c.Arrive(epoch, tight, nil)).To(BeNil())
+		Expect(c.Admit(epoch, tight, nil)).To(BeNil())
 		b := smallBundle(bundle.Customer{Name: "a", Weight: 1})
 		b.Objective = bundle.Objective{Attainment: 1, CostByStage: 3}
 		c = New(Config{})
 		c.Apply(b)
-		Expect(c.Arrive(epoch, tight, nil).Kind).To(Equal(problem.DeadlineTooShort))
+		Expect(c.Admit(epoch, tight, nil).Kind).To(Equal(problem.DeadlineTooShort))
 	})
 
 	It("keeps this daemon's share of a customer's limit", func() {
@@ -245,10 +245,10 @@
 		for i := range 400 {
 			now := epoch.Add(time.Duration(i) * 10 * time.Millisecond)
 			p := plan(fmt.Sprintf("a-%d", i), "a", time.Hour)
-			err := c.Arrive(now, p, nil)
+			err := c.Admit(now, p, nil)
 			if err == nil {
 				admitted++
-				c.Leave(now, p, true)
+				c.Finish(now, p, true)
 				continue
 			}
 			Expect(err.Kind).To(Equal(problem.RateLimited))
@@ -273,11 +273,11 @@
 			now = now.Add(time.Duration(rng.ExpFloat64() / 5.6 * float64(time.Second)))
 			c, p := hosts[rng.IntN(len(hosts))], plan(fmt.Sprintf("a-%d", i), "a", time.Hour)
 			p.Deadline = now.Add(time.Hour)
-			if c.Arrive(now, p, nil) != nil {
+			if c.Admit(now, p, nil) != nil {
 				refused++
 				continue
 			}
-			c.Leave(now, p, true)
+			c.Finish(now, p, true)
 		}
 		AddReportEntry("refused", refused)
 		Expect(refused).To(BeNumerically("<=", 50))
@@ -291,15 +291,15 @@
 		for i := range 400 {
 			last = epoch.Add(time.Duration(i) * 25 * time.Millisecond)
 			p := plan(fmt.Sprintf("a-%d", i), "a", time.Hour)
-			if c.Arrive(last, p, nil) == nil {
-				c.Leave(last, p, true)
+			if c.Admit(last, p, nil) == nil {
+				c.Finish(last, p, true)
 			}
 		}
 		d := c.Demand(last)
 		Expect(d.Customers).To(HaveKeyWithValue("a", BeNumerically("~", 4, 0.2)))
 		Expect(d.Customers).NotTo(HaveKey("b"), "it has no limit")
 		for i := range 6 {
-			Expect(c.Arrive(last, plan(fmt.Sprintf("b-%d", i), "b", time.Hour), nil)).To(BeNil())
+			Expect(c.Admit(last, plan(fmt.Sprintf("b-%d", i), "b", time.Hour), nil)).To(BeNil())
 		}
 		Expect(c.Demand(last).Pools).To(HaveKeyWithValue("sealers", BeNumerically("~", 3, 0.01)), "six calls for two slots")
 	})
@@ -311,7 +311,7 @@
 			c.Apply(b)
 			for i := range 100 {
 				id := fmt.Sprintf("a-%d", i)
-				Expect(c.Arrive(epoch, plan(id, "a", time.Millisecond), nil)).To(BeNil())
+				Expect(c.Admit(epoch, plan(id, "a", time.Millisecond), nil)).To(BeNil())
 				verdict, _ := c.Acquire(epoch, ticket(id, "a", time.Millisecond), nil)
 				Expect(verdict).To(Equal(request.Granted))
 			}
@@ -335,7 +335,7 @@
 	feed := func(l *limiter, from time.Duration, n int, latency time.Duration, used bool) time.Duration {
 		for range n {
 			from += 5 * time.Millisecond
-			l.succeeded(epoch.Add(from), "seal", latency, used)
+			l.recordSuccess(epoch.Add(from), "seal", latency, used)
 		}
 		return from
 	}
@@ -367,11 +367,11 @@
 
 	It("shrinks by refusals, once a window, to no less than one", func() {
 		l := newLimiter(pool)
-		l.refused(epoch)
-		l.refused(epoch.Add(time.Millisecond))
+		l.recordRefusal(epoch)
+		l.recordRefusal(epoch.Add(time.Millisecond))
 		Expect(l.estimate).To(Equal(36.0))
 		for i := range 1000 {
-			l.refused(epoch.Add(time.Duration(i) * time.Second))
+			l.recordRefusal(epoch.Add(time.Duration(i) * time.Second))
 		}
 		Expect(l.estimate).To(Equal(1.0))
 	})
--- a/core/admit/demand.go
+++ b/core/admit/demand.go
@@ -14,18 +14,18 @@
 
 // Demand measures the demand of the last seconds; idle entries are left out.
 func (c *Controller) Demand(now time.Time) Demand {
-	v := c.view.Load()
+	v := c.state.Load()
 	d := Demand{Pools: map[string]float64{}, Customers: map[string]float64{}}
 	for name, perSecond := range c.customers.demand(now) {
 		if cust := v.customers[name]; cust != nil && cust.RequestsPerSecond > 0 {
 			d.Customers[name] = perSecond / cust.RequestsPerSecond
 		}
 	}
-	for _, p := range v.ordered {
+	for _, p := range v.poolsByName {
 		p.mu.Lock()
-		wanted := max(p.offered.rate(now), float64(len(p.planned.calls))) / p.limiter.estimate
+		wanted := max(p.offeredWork.rate(now), float64(len(p.reservations.calls))) / p.limiter.estimate
 		p.mu.Unlock()
-		if wanted > leastDemand {
+		if wanted > minDemand {
 			d.Pools[p.name] = wanted
 		}
 	}
@@ -48,16 +48,16 @@
 
 // State returns the state of every pool, ordered by name.
 func (c *Controller) State(now time.Time) []PoolState {
-	v := c.view.Load()
-	out := make([]PoolState, 0, len(v.ordered))
-	for _, p := range v.ordered {
-		share := c.fraction(now, p.name)
+	v := c.state.Load()
+	out := make([]PoolState, 0, len(v.poolsByName))
+	for _, p := range v.poolsByName {
+		share := c.poolShare(now, p.name)
 		p.mu.Lock()
 		out = append(out, PoolState{
 			Pool: p.name, Share: share, Limit: p.slots(share),
-			InFlight: p.inFlight, Queued: p.queue.len(), Planned: len(p.planned.calls),
+			InFlight: p.inFlight, Queued: p.queue.len(), Planned: len(p.reservations.calls),
 			ServiceMS:         p.limiter.latency.mean * 1000,
-			FinishedPerSecond: p.finished.rate(now),
+			FinishedPerSecond: p.finishedCalls.rate(now),
 		})
 		p.mu.Unlock()
 	}
--- a/core/admit/loop_test.go
+++ b/core/admit/loop_test.go
@@ -17,7 +17,7 @@
 type event struct {
 	at  time.Time
 	seq int
-	do  func(now time.Time)
+	run func(now time.Time)
 }
 
 type events []event
@@ -35,48 +35,48 @@
 	return last
 }
 
-type server struct {
-	slots, busy int
-	mean        time.Duration
-	waiting     []func(now time.Time)
+type simulatedPool struct {
+	slots, busy     int
+	meanServiceTime time.Duration
+	waiting         []func(now time.Time)
 }
 
-type tally struct {
+type outcomeCounts struct {
 	arrived, attained, refused, late, expired int
 	// maxSilence is the longest that a ticket stayed unanswered past its
 	// last feasible start.
-	maxSilence  time.Duration
-	refusalWait []time.Duration
+	maxRefusalDelay time.Duration
+	refusalWaits    []time.Duration
 }
 
-type loop struct {
+type simulation struct {
 	// hosts holds one Controller for each host of the bundle; a balancer sends
 	// each arrival to one at random.
-	hosts   []*Controller
-	rng     *rand.Rand
-	events  events
-	seq     int
-	servers map[string]*server
-	tallies map[string]*tally
-	waiting map[ticketKey]*call
-	maxQ    int
-	tail    int
+	hosts          []*Controller
+	rng            *rand.Rand
+	events         events
+	lastSeq        int
+	pools          map[string]*simulatedPool
+	outcomes       map[string]*outcomeCounts
+	waiting        map[ticketKey]*simulatedRequest
+	maxQueueLength int
+	stragglerEvery int
 }
 
-type call struct {
-	c       *Controller
-	plan    request.Plan
-	stage   int
-	ticket  request.Ticket
-	arrived time.Time
+type simulatedRequest struct {
+	controller *Controller
+	plan       request.Plan
+	stage      int
+	ticket     request.Ticket
+	arrived    time.Time
 }
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newLoop(b *bundle.Bundle, seed uint64) *loop {
-	l := &loop{
-		rng:     rand.New(rand.NewPCG(seed, 1)),
-		servers: map[string]*server{}, tallies: map[string]*tally{}, waiting: map[ticketKey]*call{},
+func newSimulation(b *bundle.Bundle, seed uint64) *simulation {
+	l := &simulation{
+		rng:   rand.New(rand.NewPCG(seed, 1)),
+		pools: map[string]*simulatedPool{}, outcomes: map[string]*outcomeCounts{}, waiting: map[ticketKey]*simulatedRequest{},
 	}
 	for range b.Hosts {
 		c := New(Config{})
@@ -84,22 +84,22 @@
 		l.hosts = append(l.hosts, c)
 	}
 	for _, p := range b.Pools {
-		l.servers[p.Name] = &server{slots: len(p.Upstreams) * p.Concurrency}
+		l.pools[p.Name] = &simulatedPool{slots: len(p.Upstreams) * p.Concurrency}
 	}
 	for _, s := range b.Pipelines[0].Stages {
-		l.servers[s.Pool].mean = s.Expected
+		l.pools[s.Pool].meanServiceTime = s.Expected
 	}
 	return l
 }
 
-func (l *loop) at(t time.Time, do func(time.Time)) {
-	l.seq++
-	heap.Push(&l.events, event{t, l.seq, do})
+func (l *simulation) schedule(t time.Time, do func(time.Time)) {
+	l.lastSeq++
+	heap.Push(&l.events, event{t, l.lastSeq, do})
 }
 
 // offer schedules Poisson arrivals of customer at rate a second.
-func (l *loop) offer(p *bundle.Pipeline, customer string, rate float64, from, to time.Duration) {
-	l.tallies[customer] = &tally{}
+func (l *simulation) addArrivals(p *bundle.Pipeline, customer string, rate float64, from, to time.Duration) {
+	l.outcomes[customer] = &outcomeCounts{}
 	n := 0
 	for at := from; ; {
 		at += time.Duration(l.rng.ExpFloat64() / rate * float64(time.Second))
@@ -108,70 +108,70 @@
 		}
 		n++
 		id := fmt.Sprintf("%s-%d", customer, n)
-		l.at(epoch.Add(at), func(now time.Time) { l.arrive(now, id, customer, p) })
+		l.schedule(epoch.Add(at), func(now time.Time) { l.arrive(now, id, customer, p) })
 	}
 }
 
-func (l *loop) arrive(now time.Time, id, customer string, p *bundle.Pipeline) {
+func (l *simulation) arrive(now time.Time, id, customer string, p *bundle.Pipeline) {
 	plan := request.Plan{Request: id, Customer: customer, Pipeline: p.Name, Deadline: now.Add(p.Deadline)}
 	for _, s := range p.Stages {
-		plan.Needs = append(plan.Needs, request.Need{Stage: s.Name, Pool: s.Pool, Expected: s.Expected})
+		plan.Stages = append(plan.Stages, request.PlannedStage{Stage: s.Name, Pool: s.Pool, Expected: s.Expected})
 	}
-	t := l.tallies[customer]
+	t := l.outcomes[customer]
 	t.arrived++
 	c := l.hosts[l.rng.IntN(len(l.hosts))]
-	if err := c.Arrive(now, plan, nil); err != nil {
+	if err := c.Admit(now, plan, nil); err != nil {
 		t.refused++
-		t.refusalWait = append(t.refusalWait, 0)
+		t.refusalWaits = append(t.refusalWaits, 0)
 		return
 	}
-	l.next(now, &call{c: c, plan: plan, arrived: now})
+	l.startStage(now, &simulatedRequest{controller: c, plan: plan, arrived: now})
 }
 
-func (l *loop) next(now time.Time, c *call) {
-	n := c.plan.Needs[c.stage]
+func (l *simulation) startStage(now time.Time, c *simulatedRequest) {
+	n := c.plan.Stages[c.stage]
 	after := time.Duration(0)
-	for _, later := range c.plan.Needs[c.stage+1:] {
+	for _, later := range c.plan.Stages[c.stage+1:] {
 		after += later.Expected
 	}
 	c.ticket = request.Ticket{
 		Request: c.plan.Request, Attempt: 1, Stage: n.Stage, Pool: n.Pool, Customer: c.plan.Customer,
-		Deadline: c.plan.Deadline, Expected: n.Expected, After: after,
+		Deadline: c.plan.Deadline, Expected: n.Expected, ExpectedAfter: after,
 	}
-	verdict, _ := c.c.Acquire(now, c.ticket, nil)
+	verdict, _ := c.controller.Acquire(now, c.ticket, nil)
 	switch verdict {
 	case request.Granted:
-		l.serve(now, c)
+		l.runCall(now, c)
 	case request.Queued:
-		l.waiting[keyOf(c.ticket)] = c
-		l.maxQ = max(l.maxQ, c.c.view.Load().pools[n.Pool].queue.len())
+		l.waiting[ticketKeyOf(c.ticket)] = c
+		l.maxQueueLength = max(l.maxQueueLength, c.controller.state.Load().pools[n.Pool].queue.len())
 	default:
-		l.giveUp(now, c)
+		l.recordExpired(now, c)
 	}
 }
 
-func (l *loop) giveUp(now time.Time, c *call) {
-	t := l.tallies[c.plan.Customer]
+func (l *simulation) recordExpired(now time.Time, c *simulatedRequest) {
+	t := l.outcomes[c.plan.Customer]
 	t.expired++
-	t.refusalWait = append(t.refusalWait, now.Sub(c.arrived))
-	startBy := c.ticket.Deadline.Add(-c.ticket.After - c.ticket.Expected)
-	t.maxSilence = max(t.maxSilence, now.Sub(startBy))
-	c.c.Leave(now, c.plan, false)
+	t.refusalWaits = append(t.refusalWaits, now.Sub(c.arrived))
+	startBy := c.ticket.Deadline.Add(-c.ticket.ExpectedAfter - c.ticket.Expected)
+	t.maxRefusalDelay = max(t.maxRefusalDelay, now.Sub(startBy))
+	c.controller.Finish(now, c.plan, false)
 }
 
-func (l *loop) serve(now time.Time, c *call) {
-	s := l.servers[c.ticket.Pool]
+func (l *simulation) runCall(now time.Time, c *simulatedRequest) {
+	s := l.pools[c.ticket.Pool]
 	start := func(begun time.Time) {
 		s.busy++
-		service := l.service(s.mean)
-		l.at(begun.Add(service), func(end time.Time) {
+		service := l.serviceTime(s.meanServiceTime)
+		l.schedule(begun.Add(service), func(end time.Time) {
 			s.busy--
 			if len(s.waiting) > 0 {
 				first := s.waiting[0]
 				s.waiting = s.waiting[1:]
 				first(end)
 			}
-			l.finish(end, c, end.Sub(now))
+			l.finishCall(end, c, end.Sub(now))
 		})
 	}
 	if s.busy < s.slots {
@@ -183,24 +183,24 @@
 
 // service draws a service time around mean; one call in tail takes five times
 // as long.
-func (l *loop) service(mean time.Duration) time.Duration {
+func (l *simulation) serviceTime(mean time.Duration) time.Duration {
 	d := time.Duration((0.5 + l.rng.Float64()) * float64(mean))
-	if l.tail > 0 && l.rng.IntN(l.tail) == 0 {
+	if l.stragglerEvery > 0 && l.rng.IntN(l.stragglerEvery) == 0 {
 		d *= 5
 	}
 	return d
 }
 
-func (l *loop) finish(now time.Time, c *call, latency time.Duration) {
-	l.answer(now, c.c.Release(now, c.ticket, request.CallOK, latency))
+func (l *simulation) finishCall(now time.Time, c *simulatedRequest, latency time.Duration) {
+	l.handleGrants(now, c.controller.Release(now, c.ticket, request.CallOK, latency))
 	c.stage++
-	if c.stage < len(c.plan.Needs) && now.Before(c.plan.Deadline) {
-		l.next(now, c)
+	if c.stage < len(c.plan.Stages) && now.Before(c.plan.Deadline) {
+		l.startStage(now, c)
 		return
 	}
-	attained := c.stage == len(c.plan.Needs) && !now.After(c.plan.Deadline)
-	c.c.Leave(now, c.plan, attained)
-	t := l.tallies[c.plan.Customer]
+	attained := c.stage == len(c.plan.Stages) && !now.After(c.plan.Deadline)
+	c.controller.Finish(now, c.plan, attained)
+	t := l.outcomes[c.plan.Customer]
 	if attained {
 		t.attained++
 	} else {
@@ -208,45 +208,45 @@
 	}
 }
 
-func (l *loop) answer(now time.Time, grants []request.Grant) {
+func (l *simulation) handleGrants(now time.Time, grants []request.Grant) {
 	for _, g := range grants {
-		c := l.waiting[keyOf(g.Ticket)]
-		delete(l.waiting, keyOf(g.Ticket))
+		c := l.waiting[ticketKeyOf(g.Ticket)]
+		delete(l.waiting, ticketKeyOf(g.Ticket))
 		if g.Err != nil {
-			l.giveUp(now, c)
+			l.recordExpired(now, c)
 			continue
 		}
-		l.serve(now, c)
+		l.runCall(now, c)
 	}
 }
 
 // run plays everything that is scheduled before end, with a Tick every 10 ms.
-func (l *loop) run(end time.Duration) {
+func (l *simulation) run(end time.Duration) {
 	var tick func(time.Time)
 	tick = func(now time.Time) {
 		for _, c := range l.hosts {
-			l.answer(now, c.Tick(now))
+			l.handleGrants(now, c.Tick(now))
 		}
-		l.at(now.Add(10*time.Millisecond), tick)
+		l.schedule(now.Add(10*time.Millisecond), tick)
 	}
-	l.at(epoch, tick)
+	l.schedule(epoch, tick)
 	for len(l.events) > 0 && l.events[0].at.Before(epoch.Add(end)) {
 		e := heap.Pop(&l.events).(event)
-		e.do(e.at)
+		e.run(e.at)
 	}
 }
 
 // sum adds up the tallies of all customers.
-func (l *loop) sum() tally {
-	var out tally
-	for _, t := range l.tallies {
+func (l *simulation) total() outcomeCounts {
+	var out outcomeCounts
+	for _, t := range l.outcomes {
 		out.arrived += t.arrived
 		out.attained += t.attained
 		out.refused += t.refused
 		out.late += t.late
 		out.expired += t.expired
-		out.maxSilence = max(out.maxSilence, t.maxSilence)
-		out.refusalWait = append(out.refusalWait, t.refusalWait...)
+		out.maxRefusalDelay = max(out.maxRefusalDelay, t.maxRefusalDelay)
+		out.refusalWaits = append(out.refusalWaits, t.refusalWaits...)
 	}
 	return out
 }
--- a/core/admit/pool.go
+++ b/core/admit/pool.go
@@ -15,27 +15,27 @@
 	name string
 	cfg  Config
 
-	mu       sync.Mutex
-	limiter  *limiter
-	queue    *queue
-	planned  *planned
-	inFlight int
+	mu           sync.Mutex
+	limiter      *limiter
+	queue        *queue
+	reservations *reservations
+	inFlight     int
 	// answered holds tickets that lost their place, until the next Tick or
 	// Release carries them out.
-	answered []request.Grant
+	evicted []request.Grant
 	// offered is the service time, in seconds, that arrivals asked for.
-	offered decayed
+	offeredWork decayingSum
 	// finished counts calls that released their slot.
-	finished decayed
+	finishedCalls decayingSum
 }
 
 func newPool(p *bundle.Pool, cfg Config) *pool {
-	return &pool{name: p.Name, cfg: cfg, limiter: newLimiter(p), queue: newQueue(), planned: newPlanned()}
+	return &pool{name: p.Name, cfg: cfg, limiter: newLimiter(p), queue: newQueue(), reservations: newReservations()}
 }
 
 // idle says that nothing refers to the pool any more. The caller holds mu.
-func (p *pool) idle() bool {
-	return p.inFlight == 0 && p.queue.len() == 0 && len(p.answered) == 0 && len(p.planned.calls) == 0
+func (p *pool) unused() bool {
+	return p.inFlight == 0 && p.queue.len() == 0 && len(p.evicted) == 0 && len(p.reservations.calls) == 0
 }
 
 // slots returns this daemon's concurrency limit, never below 1. The caller
@@ -46,7 +46,7 @@
 
 // spreadDeviations is how many standard deviations of its random part of the
 // pool's calls a host may exceed its share by.
-const spreadDeviations = 2.0
+const burstDeviationsPerHost = 2.0
 
 // full says whether every slot is in use. A limit that is not whole is
 // rounded to the nearest. The caller holds mu.
@@ -55,14 +55,14 @@
 // chance. Without an allowance for it calls would wait at one host for slots
 // that others leave idle; with it, a few wait at the upstreams when the pool is
 // full. A host that has the whole pool needs none.
-func (p *pool) full(fraction float64) bool {
+func (p *pool) atLimit(fraction float64) bool {
 	spread := math.Sqrt(p.limiter.estimate * fraction * max(0, 1-fraction))
-	return float64(p.inFlight) > p.slots(fraction)+spreadDeviations*spread-0.5
+	return float64(p.inFlight) > p.slots(fraction)+burstDeviationsPerHost*spread-0.5
 }
 
 // service returns the usual service time in seconds: measured, or else the
 // given expectation. The caller holds mu.
-func (p *pool) service(expected time.Duration) float64 {
+func (p *pool) meanServiceTime(expected time.Duration) float64 {
 	if p.limiter.latency.mean > 0 {
 		return p.limiter.latency.mean
 	}
@@ -74,42 +74,42 @@
 // caller holds mu.
 func (p *pool) enqueue(now time.Time, t request.Ticket, startBy time.Time, weight, slots float64) bool {
 	bound := max(p.cfg.MinQueue, int(slots)*p.cfg.QueuePerSlot)
-	if p.queue.len() >= bound && !p.makeRoom(t.Customer, weight, slots) {
+	if p.queue.len() >= bound && !p.evictFor(t.Customer, weight, slots) {
 		return false
 	}
-	p.queue.push(&item{ticket: t, startBy: startBy, queued: now}, weight)
+	p.queue.push(&queuedTicket{ticket: t, latestStart: startBy, queuedAt: now}, weight)
 	return true
 }
 
-func (p *pool) makeRoom(customer string, weight, slots float64) bool {
-	worst := p.queue.longest()
+func (p *pool) evictFor(customer string, weight, slots float64) bool {
+	worst := p.queue.heaviest()
 	if worst == nil || worst.customer == customer {
 		return false
 	}
 	own := 1 / weight
 	if b := p.queue.customers[customer]; b != nil {
-		own += b.load()
+		own += b.weightedLength()
 	}
-	if worst.load() <= own {
+	if worst.weightedLength() <= own {
 		return false
 	}
 	it := worst.leastUrgent()
 	p.queue.remove(it)
-	p.answered = append(p.answered, request.Grant{Ticket: it.ticket, Err: p.queueFull(it.ticket, slots)})
+	p.evicted = append(p.evicted, request.Grant{Ticket: it.ticket, Err: p.queueFullError(it.ticket, slots)})
 	return true
 }
 
 // pump answers tickets that can no longer make it, then grants free slots.
 // The caller holds mu.
-func (p *pool) pump(now time.Time, fraction float64) []request.Grant {
+func (p *pool) processQueue(now time.Time, fraction float64) []request.Grant {
 	slots := p.slots(fraction)
-	out := p.answered
-	p.answered = nil
-	for _, it := range p.queue.expired(now) {
-		err := p.overloaded(it.ticket, slots, "no slot of pool %s became free in time", p.name)
+	out := p.evicted
+	p.evicted = nil
+	for _, it := range p.queue.removeExpired(now) {
+		err := p.overloadedError(it.ticket, slots, "no slot of pool %s became free in time", p.name)
 		out = append(out, request.Grant{Ticket: it.ticket, Err: err})
 	}
-	for !p.full(fraction) {
+	for !p.atLimit(fraction) {
 		it := p.queue.pop()
 		if it == nil {
 			break
@@ -122,15 +122,15 @@
 
 // overloaded refuses a ticket and says how long the queue takes to drain at the
 // measured rate. The caller holds mu.
-func (p *pool) overloaded(t request.Ticket, slots float64, format string, args ...any) *problem.Error {
+func (p *pool) overloadedError(t request.Ticket, slots float64, format string, args ...any) *problem.Error {
 	err := problem.New(problem.Overloaded, format, args...)
-	drain := seconds(float64(p.queue.len()+1) * p.service(t.Expected) / slots)
+	drain := seconds(float64(p.queue.len()+1) * p.meanServiceTime(t.Expected) / slots)
 	err.RetryAfter = min(drain, p.cfg.MaxRetryAfter)
 	return err
 }
 
-func (p *pool) queueFull(t request.Ticket, slots float64) *problem.Error {
-	return p.overloaded(t, slots, "the queue of pool %s is full", p.name)
+func (p *pool) queueFullError(t request.Ticket, slots float64) *problem.Error {
+	return p.overloadedError(t, slots, "the queue of pool %s is full", p.name)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/core/admit/rate.go
+++ b/core/admit/rate.go
@@ -12,55 +12,55 @@
 const (
 	customerShards = 16
 	// demandSpan is the time constant of measured rates.
-	demandSpan = 2 * time.Second
+	demandTimeConstant = 2 * time.Second
 	// steadySpan is the time constant for customers' usual rates, which a few
 	// arrivals a second show only over a longer time.
-	steadySpan = 10 * time.Second
+	steadyTimeConstant = 10 * time.Second
 	// burstSpan is how much of its rate a customer may use at once, beside
 	// burstDeviations of what arrives at random in that time.
-	burstSpan       = time.Second
+	burstPeriod     = time.Second
 	burstDeviations = 2.0
 )
 
 // decayed measures a rate a second with exponential decay over span, which is
 // demandSpan when it is zero.
-type decayed struct {
-	sum  float64
-	at   time.Time
-	span time.Duration
+type decayingSum struct {
+	sum          float64
+	at           time.Time
+	timeConstant time.Duration
 }
 
-func (d *decayed) spanSeconds() float64 {
-	if d.span == 0 {
-		return demandSpan.Seconds()
+func (d *decayingSum) timeConstantSeconds() float64 {
+	if d.timeConstant == 0 {
+		return demandTimeConstant.Seconds()
 	}
-	return d.span.Seconds()
+	return d.timeConstant.Seconds()
 }
 
-func (d *decayed) add(now time.Time, x float64) {
+func (d *decayingSum) add(now time.Time, x float64) {
 	d.sum = d.value(now) + x
 	d.at = now
 }
 
 // value returns the decayed sum.
-func (d *decayed) value(now time.Time) float64 {
+func (d *decayingSum) value(now time.Time) float64 {
 	elapsed := now.Sub(d.at)
 	if d.sum == 0 || elapsed <= 0 {
 		return d.sum
 	}
-	return d.sum * math.Exp(-elapsed.Seconds()/d.spanSeconds())
+	return d.sum * math.Exp(-elapsed.Seconds()/d.timeConstantSeconds())
 }
 
 // rate returns the sum a second.
-func (d *decayed) rate(now time.Time) float64 {
-	return d.value(now) / d.spanSeconds()
+func (d *decayingSum) rate(now time.Time) float64 {
+	return d.value(now) / d.timeConstantSeconds()
 }
 
 // upper returns the sum a second and one standard deviation of it, for sums of
 // random arrivals.
-func (d *decayed) upper(now time.Time) float64 {
+func (d *decayingSum) ratePlusDeviation(now time.Time) float64 {
 	sum := d.value(now)
-	return (sum + math.Sqrt(sum)) / d.spanSeconds()
+	return (sum + math.Sqrt(sum)) / d.timeConstantSeconds()
 }
 
 // customerShard holds the rate limits of some of the customers.
@@ -71,24 +71,24 @@
 
 // customerState is guarded by the lock of its shard.
 type customerState struct {
-	arrivals decayed
-	steady   decayed
+	arrivals       decayingSum
+	steadyArrivals decayingSum
 	// limiter is nil while the customer has no limit.
 	limiter *rate.Limiter
 	limit   float64
 }
 
 // customers is the sharded table of customers.
-type customers [customerShards]customerShard
+type customerTable [customerShards]customerShard
 
-func (c *customers) shard(customer string) *customerShard {
+func (c *customerTable) shard(customer string) *customerShard {
 	return &c[xxhash.Sum64String(customer)%customerShards]
 }
 
 // take counts an arrival and takes it from the customer's limit, in requests
 // a second on this daemon; a limit of 0 is none. It returns how long the
 // customer has to wait for its next request, 0 when this one is within.
-func (c *customers) take(now time.Time, customer string, limit float64, limited bool) time.Duration {
+func (c *customerTable) countArrival(now time.Time, customer string, limit float64, limited bool) time.Duration {
 	s := c.shard(customer)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,16 +97,16 @@
 	}
 	state := s.customers[customer]
 	if state == nil {
-		state = &customerState{steady: decayed{span: steadySpan}}
+		state = &customerState{steadyArrivals: decayingSum{timeConstant: steadyTimeConstant}}
 		s.customers[customer] = state
 	}
 	state.arrivals.add(now, 1)
-	state.steady.add(now, 1)
+	state.steadyArrivals.add(now, 1)
 	if !limited {
 		state.limiter = nil
 		return 0
 	}
-	state.set(now, limit)
+	state.setLimit(now, limit)
 	r := state.limiter.ReserveN(now, 1)
 	if !r.OK() {
 		return rate.InfDuration
@@ -119,8 +119,8 @@
 }
 
 // set makes limit the limit in force. What is saved up stays within the burst.
-func (s *customerState) set(now time.Time, limit float64) {
-	usual := limit * burstSpan.Seconds()
+func (s *customerState) setLimit(now time.Time, limit float64) {
+	usual := limit * burstPeriod.Seconds()
 	// A limit that is split over hosts would refuse what comes at random to one
 	// of them while the others have room.
 	burst := int(usual + burstDeviations*math.Sqrt(usual) + 1)
@@ -139,13 +139,13 @@
 
 // demand returns the arrivals a second, rather too many than too few, of each customer heard of lately
 // leaves out the others.
-func (c *customers) demand(now time.Time) map[string]float64 {
+func (c *customerTable) demand(now time.Time) map[string]float64 {
 	out := map[string]float64{}
 	for i := range c {
 		s := &c[i]
 		s.mu.Lock()
 		for name, state := range s.customers {
-			if r := max(state.arrivals.rate(now), state.steady.upper(now)); r > leastDemand {
+			if r := max(state.arrivals.rate(now), state.steadyArrivals.ratePlusDeviation(now)); r > minDemand {
 				out[name] = r
 			}
 		}
@@ -155,4 +155,4 @@
 }
 
 // leastDemand is the rate a second under which a customer counts as idle.
-const leastDemand = 0.001
+const minDemand = 0.001
--- a/core/admit/suite_test.go
+++ b/core/admit/suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestAdmit(t *testing.T) {
+func TestAdmitSuite(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "Admit Suite")
 }
--- a/core/request/action.go
+++ b/core/request/action.go
@@ -8,94 +8,96 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// Action is something that the caller of Step must carry out.
+// Action is a side effect that the caller of Machine.Step must carry out.
 type Action interface{ isAction() }
 
-// Call sends one attempt at a stage to an upstream.
+// Call sends one attempt of a stage to an upstream.
 type Call struct {
 	Attempt int
 	Stage   bundle.Stage
 	Choice  Choice
 	Input   json.RawMessage
-	// NotAfter is the request's deadline. The call must not be sent later:
-	// the sender checks its clock right before the first byte.
+	// NotAfter is the request's deadline. The call must not be sent after it;
+	// the sender checks its clock right before it writes the first byte.
 	NotAfter time.Time
-	// StartBy is the last time at which a start is expected to meet the
-	// deadline, the later stages counted in. Calls that wait at an upstream
-	// are best served in its order.
+	// StartBy is the latest time at which the call can start and still meet
+	// the deadline, given the expected time of this stage and the later ones.
+	// An upstream should serve its waiting calls in order of StartBy.
 	StartBy time.Time
-	// Key is the idempotency key of a non-repeatable stage; else empty.
+	// Key is the idempotency key if the stage is non-repeatable, else empty.
 	Key string
 }
 
-// Cancel gives up a running call. It is still answered by CallEnded.
+// Cancel cancels a running call. The call is still answered by CallEnded.
 type Cancel struct{ Attempt int }
 
-// Claim asks the claim holders for the sole right to run a stage.
+// Claim asks the claim holders for the exclusive right to run a stage.
 type Claim struct {
 	Key   ClaimKey
 	Stage bundle.Stage
 }
 
-// Release gives a claim back under which nothing was sent, and voids all
-// attempts at the key that arrived before.
+// Release releases a claim under which no call was sent. The holders then refuse
+// all attempts at the key that arrived before the release.
 type Release struct{ Key ClaimKey }
 
-// Record stores the result of a claimed stage at the holders.
+// Record stores the result of a claimed stage at the claim holders.
 type Record struct {
 	Key    ClaimKey
 	Result json.RawMessage
 }
 
-// LookUp asks the upstreams of a pool what became of a call whose answer was
-// lost, until one has its result or the deadline comes.
+// LookUp asks the upstreams of a pool for the outcome of a call whose response
+// was lost, until one of them returns the result or the deadline passes.
 type LookUp struct {
 	Pool string
 	Key  string
 }
 
-// Keep stores a stage's result at fellow daemons until the deadline.
+// Keep stores a stage's result at other daemons until the deadline, so that a
+// later request with the same key can reuse it.
 type Keep struct {
 	Stage  string
 	Result json.RawMessage
 }
 
-// Forward passes the stream of an attempt on to the caller.
+// Forward forwards the stream of an attempt to the caller.
 type Forward struct{ Attempt int }
 
-// Reset tells a streaming caller to discard the text received so far.
+// Reset tells a streaming caller to discard the text it has received so far.
 type Reset struct{}
 
-// SetTimer asks for a TimerFired event at a time.
+// SetTimer requests a TimerFired event at the time At.
 type SetTimer struct {
 	Timer   Timer
 	Attempt int
 	At      time.Time
 }
 
-// Notify carries a grant to the request that waits for it.
+// Notify delivers a grant to the request that waits for it.
 type Notify struct{ Grant Grant }
 
 // Finish answers the caller. Exactly one of Answer and Err is set.
 type Finish struct {
 	Answer *Answer
 	Err    *problem.Error
-	// Settle says what must be done with Key before an Err that says NotRun is
-	// told. If it fails, the caller is told MayHaveRun instead.
+	// Settle says what must be done with Key before the caller gets an Err whose
+	// Execution is NotRun. If that fails, the caller gets MayHaveRun instead.
 	Settle Settle
 	Key    ClaimKey
 }
 
-// Settle is what makes a NotRun answer true for a request with a key.
+// Settle is the operation on a key that guarantees that the request of a NotRun
+// response has not run and will not run.
 type Settle uint8
 
-// The ways to settle.
+// Operations on the key of a refused request.
 const (
-	// SettleNone needs nothing.
+	// SettleNone does nothing.
 	SettleNone Settle = iota
-	// SettleRelease releases a claim under which nothing was sent.
+	// SettleRelease releases a claim under which no call was sent.
 	SettleRelease
-	// SettleVoid voids the attempts at a key that was not claimed yet.
+	// SettleVoid voids all attempts at a key that has not been claimed yet.
 	SettleVoid
 )
 
@@ -112,7 +114,7 @@
 func (Notify) isAction()   {}
 func (Finish) isAction()   {}
 
-// ClaimKey identifies a stage that may run once.
+// ClaimKey identifies a stage that may run at most once.
 type ClaimKey struct {
 	Customer string
 	// Key is the caller's Idempotency-Key, a UUIDv7.
@@ -120,7 +122,7 @@
 	Stage string
 }
 
-// Answer is the whole answer to a request.
+// Answer is the response to a successful request.
 type Answer struct {
 	RequestID     string          `json:"request_id"`
 	Pipeline      string          `json:"pipeline"`
@@ -129,12 +131,12 @@
 	Result        json.RawMessage `json:"result"`
 }
 
-// StageReport says how a stage went.
+// StageReport describes the execution of a stage.
 type StageReport struct {
 	Name     string `json:"name"`
 	Attempts int    `json:"attempts"`
-	// Millis is the time from the stage's begin to its end.
+	// Millis is the duration of the stage in milliseconds.
 	Millis int64 `json:"ms"`
-	// Reused is set when the result was kept or recorded earlier.
+	// Reused is set if the result was kept or recorded by an earlier request.
 	Reused bool `json:"reused,omitempty"`
 }
--- a/core/request/attempt.go
+++ b/core/request/attempt.go
@@ -7,7 +7,7 @@
 	"github.com/wheatseam/wheatseam/record"
 )
 
-// attemptState follows an attempt from its queue to its end.
+// attemptState is the state of an attempt.
 type attemptState uint8
 
 const (
@@ -16,149 +16,150 @@
 	attemptEnded
 )
 
-// attempt is one try at a stage.
+// attempt is one attempt to run a stage.
 type attempt struct {
-	number int
-	stage  int
-	state  attemptState
-	hedge  bool
-	ticket Ticket
-	choice Choice
-	sent   time.Time
-	// cancelled is set when this side has given the call up.
+	number     int
+	stageIndex int
+	state      attemptState
+	isHedge    bool
+	ticket     Ticket
+	choice     Choice
+	sentAt     time.Time
+	// cancelled is set when this daemon has cancelled the call.
 	cancelled bool
 }
 
-func liveOnly(all []*attempt) []*attempt {
-	var live []*attempt
+func activeAttempts(all []*attempt) []*attempt {
+	var active []*attempt
 	for _, a := range all {
 		if a.state != attemptEnded {
-			live = append(live, a)
+			active = append(active, a)
 		}
 	}
-	return live
+	return active
 }
 
-func (m *Machine) live() int { return len(liveOnly(m.attempts)) }
+func (m *Machine) activeAttemptCount() int { return len(activeAttempts(m.attempts)) }
 
-// running counts the attempts of the current stage that may still succeed.
-func (m *Machine) running() int {
+// pendingAttemptCount counts the attempts of the current stage that may still
+// succeed.
+func (m *Machine) pendingAttemptCount() int {
 	n := 0
 	for _, a := range m.attempts {
-		if a.stage == m.stage && a.state != attemptEnded && !a.cancelled {
+		if a.stageIndex == m.stageIndex && a.state != attemptEnded && !a.cancelled {
 			n++
 		}
 	}
 	return n
 }
 
-func (m *Machine) attemptsAt(stage int) int {
+func (m *Machine) attemptCount(stage int) int {
 	n := 0
 	for _, a := range m.attempts {
-		if a.stage == stage {
+		if a.stageIndex == stage {
 			n++
 		}
 	}
 	return n
 }
 
-func (m *Machine) find(number int) *attempt {
+func (m *Machine) findActiveAttempt(number int) *attempt {
 	for _, a := range m.attempts {
 		if a.number == number && a.state != attemptEnded {
 			return a
 		}
 	}
-	m.dropped++
+	m.droppedEvents++
 	return nil
 }
 
-// launch asks for a slot for a new attempt at the current stage.
-func (m *Machine) launch(now time.Time, hedge bool) {
+// startAttempt requests a slot for a new attempt at the current stage.
+func (m *Machine) startAttempt(now time.Time, hedge bool) {
 	m.nextAttempt++
-	s := m.current()
-	a := &attempt{number: m.nextAttempt, stage: m.stage, hedge: hedge}
+	s := m.currentStage()
+	a := &attempt{number: m.nextAttempt, stageIndex: m.stageIndex, isHedge: hedge}
 	a.ticket = Ticket{
 		Request: m.spec.ID, Attempt: a.number, Stage: s.Name, Pool: s.Pool,
 		Customer: m.spec.Customer, Deadline: m.spec.Deadline,
-		Expected: m.expected(s), After: m.expectedAfter(),
+		Expected: m.expectedServiceTime(s), ExpectedAfter: m.expectedTimeAfter(),
 	}
 	m.attempts = append(m.attempts, a)
-	verdict, err := m.deps.Admitter.Acquire(now, a.ticket, m.rec)
+	verdict, err := m.deps.Admitter.Acquire(now, a.ticket, m.recorder)
 	switch verdict {
 	case Granted:
 		m.send(now, a)
 	case Refused:
 		a.state = attemptEnded
-		m.attemptLost(now, a, err)
+		m.handleAttemptFailure(now, a, err)
 	case Queued:
 		if hedge {
-			m.skipHedge(now, a)
+			m.cancelQueuedHedge(now, a)
 		}
 	}
 }
 
-func (m *Machine) slotGranted(now time.Time, e SlotGranted) {
-	a := m.find(e.Grant.Ticket.Attempt)
+func (m *Machine) handleSlotGranted(now time.Time, e SlotGranted) {
+	a := m.findActiveAttempt(e.Grant.Ticket.Attempt)
 	if a == nil || a.state != attemptQueued {
-		m.returnSlot(now, e.Grant)
+		m.releaseUnneededSlot(now, e.Grant)
 		return
 	}
 	if e.Grant.Err != nil {
 		a.state = attemptEnded
-		m.attemptLost(now, a, e.Grant.Err)
+		m.handleAttemptFailure(now, a, e.Grant.Err)
 		return
 	}
 	m.send(now, a)
 }
 
-// returnSlot releases a slot that was granted to an attempt which had given up
-// its wait meanwhile.
-func (m *Machine) returnSlot(now time.Time, g Grant) {
+// releaseUnneededSlot releases a slot that was granted to an attempt that no
+// longer waits for it.
+func (m *Machine) releaseUnneededSlot(now time.Time, g Grant) {
 	if g.Err == nil {
-		m.notify(m.deps.Admitter.Release(now, g.Ticket, CallCancelled, 0))
+		m.deliverGrants(m.deps.Admitter.Release(now, g.Ticket, CallCancelled, 0))
 	}
 }
 
-// send picks an upstream for an attempt that has its slot and calls it.
+// send picks an upstream for an attempt that has a slot and calls it.
 func (m *Machine) send(now time.Time, a *attempt) {
-	if a.stage != m.stage || m.phase != phaseRunning || !now.Before(m.spec.Deadline) {
-		m.drop(now, a)
-		if m.phase == phaseRunning && a.stage == m.stage {
-			m.giveUp(now, problem.DeadlineExceeded, "the deadline passed before the call was sent")
+	if a.stageIndex != m.stageIndex || m.phase != phaseRunning || !now.Before(m.spec.Deadline) {
+		m.discardUnsent(now, a)
+		if m.phase == phaseRunning && a.stageIndex == m.stageIndex {
+			m.abort(now, problem.DeadlineExceeded, "the deadline passed before the call was sent")
 		}
 		return
 	}
-	s := m.current()
-	choice, err := m.deps.Router.Pick(now, m.query(now, a), m.rec)
+	s := m.currentStage()
+	choice, err := m.deps.Router.Pick(now, m.routerQuery(now, a), m.recorder)
 	if err != nil {
-		m.drop(now, a)
-		m.attemptLost(now, a, err)
+		m.discardUnsent(now, a)
+		m.handleAttemptFailure(now, a, err)
 		return
 	}
-	a.state, a.choice, a.sent = attemptSent, choice, now
+	a.state, a.choice, a.sentAt = attemptSent, choice, now
 	key := ""
 	if s.NonRepeatable {
-		m.claim.sent = true
+		m.claim.callSent = true
 		key = m.spec.Key
 	}
-	m.unknown = m.unknown || s.NonRepeatable
-	m.note(now, "send", a.number, choice.Upstream, record.Field{Key: "budget", Value: m.spec.Deadline.Sub(now).String()})
-	m.do(Call{
+	m.mayHaveRun = m.mayHaveRun || s.NonRepeatable
+	m.recordDecision(now, "send", a.number, choice.Upstream, record.Field{Key: "budget", Value: m.spec.Deadline.Sub(now).String()})
+	m.emit(Call{
 		Attempt: a.number, Stage: s, Choice: choice, Input: m.input,
-		NotAfter: m.spec.Deadline, StartBy: a.ticket.StartBy(), Key: key,
+		NotAfter: m.spec.Deadline, StartBy: a.ticket.LatestStart(), Key: key,
 	})
-	m.armHedge(now, a)
+	m.scheduleHedge(now, a)
 }
 
-func (m *Machine) query(now time.Time, a *attempt) Query {
-	s := m.current()
+func (m *Machine) routerQuery(now time.Time, a *attempt) Query {
+	s := m.currentStage()
 	q := Query{
 		Request: m.spec.ID, Customer: m.spec.Customer, Pool: s.Pool, Stage: s.Name,
-		Kind: s.Kind, Attempt: m.attemptsAt(m.stage), Prefix: m.spec.Prefix,
-		Budget: m.spec.Deadline.Sub(now) - a.ticket.After,
+		Kind: s.Kind, Attempt: m.attemptCount(m.stageIndex), Prefix: m.spec.Prefix,
+		Budget: m.spec.Deadline.Sub(now) - a.ticket.ExpectedAfter,
 	}
 	for _, other := range m.attempts {
-		if other.stage == m.stage && other != a && other.choice.Upstream != "" {
+		if other.stageIndex == m.stageIndex && other != a && other.choice.Upstream != "" {
 			q.Tried = append(q.Tried, other.choice.Upstream)
 			q.TriedDomains = append(q.TriedDomains, other.choice.FailureDomain)
 		}
@@ -166,36 +167,37 @@
 	return q
 }
 
-// drop returns the slot of an attempt that was granted but not sent.
-func (m *Machine) drop(now time.Time, a *attempt) {
+// discardUnsent ends an attempt that got a slot but was not sent, and releases
+// the slot.
+func (m *Machine) discardUnsent(now time.Time, a *attempt) {
 	a.state = attemptEnded
-	m.notify(m.deps.Admitter.Release(now, a.ticket, CallCancelled, 0))
+	m.deliverGrants(m.deps.Admitter.Release(now, a.ticket, CallCancelled, 0))
 }
 
-func (m *Machine) notify(grants []Grant) {
+func (m *Machine) deliverGrants(grants []Grant) {
 	for _, g := range grants {
-		m.do(Notify{Grant: g})
+		m.emit(Notify{Grant: g})
 	}
 }
 
-func (m *Machine) firstToken(now time.Time, e FirstToken) {
-	a := m.find(e.Attempt)
-	if a == nil || a.cancelled || a.stage != m.stage || m.phase != phaseRunning || m.winner != 0 {
+func (m *Machine) handleFirstToken(now time.Time, e FirstToken) {
+	a := m.findActiveAttempt(e.Attempt)
+	if a == nil || a.cancelled || a.stageIndex != m.stageIndex || m.phase != phaseRunning || m.selectedAttempt != 0 {
 		return
 	}
-	m.winner = a.number
+	m.selectedAttempt = a.number
 	m.deps.Health.Succeeded(a.choice.Pool)
 	m.cancelOthers(now, a)
-	if m.spec.Stream && m.stage == len(m.spec.Pipeline.Stages)-1 {
+	if m.spec.Stream && m.stageIndex == len(m.spec.Pipeline.Stages)-1 {
 		m.forwarded = true
-		m.do(Forward{Attempt: a.number})
+		m.emit(Forward{Attempt: a.number})
 	}
 }
 
-// cancelOthers gives up every other attempt at the current stage.
-func (m *Machine) cancelOthers(now time.Time, keep *attempt) {
+// cancelOthers cancels all attempts except selected.
+func (m *Machine) cancelOthers(now time.Time, selected *attempt) {
 	for _, a := range m.attempts {
-		if a != keep {
+		if a != selected {
 			m.cancel(now, a)
 		}
 	}
@@ -211,48 +213,49 @@
 		m.deps.Admitter.Abandon(now, a.ticket)
 	case attemptSent:
 		a.cancelled = true
-		m.note(now, "cancel", a.number, a.choice.Upstream)
-		m.do(Cancel{Attempt: a.number})
+		m.recordDecision(now, "cancel", a.number, a.choice.Upstream)
+		m.emit(Cancel{Attempt: a.number})
 	}
 }
 
-func (m *Machine) callEnded(now time.Time, e CallEnded) {
-	a := m.find(e.Attempt)
+func (m *Machine) handleCallEnded(now time.Time, e CallEnded) {
+	a := m.findActiveAttempt(e.Attempt)
 	if a == nil || a.state != attemptSent {
 		return
 	}
 	a.state = attemptEnded
-	m.settle(now, a, e)
+	m.releaseAndReport(now, a, e)
 	if m.detached {
-		m.detachedEnded(now, e)
+		m.handleDetachedCallEnded(now, e)
 		return
 	}
 	if m.phase == phaseFinished {
 		return
 	}
-	if a.stage != m.stage || a.cancelled {
-		m.noteUnused(now, a, e)
+	if a.stageIndex != m.stageIndex || a.cancelled {
+		m.handleUnusedCall(now, a, e)
 		return
 	}
 	if e.Result == CallOK {
-		m.callSucceeded(now, a, e)
+		m.handleCallSuccess(now, a, e)
 		return
 	}
-	m.callFailed(now, a, e)
+	m.handleCallFailure(now, a, e)
 }
 
-// settle returns the slot and tells the router how the call went.
-func (m *Machine) settle(now time.Time, a *attempt, e CallEnded) {
-	latency := now.Sub(a.sent)
+// releaseAndReport releases the slot of an ended call and reports the outcome to
+// the router, the admitter and the pool health.
+func (m *Machine) releaseAndReport(now time.Time, a *attempt, e CallEnded) {
+	latency := now.Sub(a.sentAt)
 	result := e.Result
-	if a.cancelled && result != CallOK || m.outOfTime(now, a, e) {
+	if a.cancelled && result != CallOK || m.endedByDeadline(now, a, e) {
 		result = CallCancelled
 	}
 	m.deps.Router.Done(now, Outcome{
 		Choice: a.choice, Stage: a.ticket.Stage, Result: result,
 		Latency: latency, FirstByte: e.FirstByte, Work: e.Tokens,
 	})
-	m.notify(m.deps.Admitter.Release(now, a.ticket, result, latency))
+	m.deliverGrants(m.deps.Admitter.Release(now, a.ticket, result, latency))
 	switch {
 	case result == CallOK || e.Rejected:
 		m.deps.Health.Succeeded(a.choice.Pool)
@@ -261,95 +264,96 @@
 	}
 }
 
-// outOfTime says whether a call was ended by its request's deadline and not by its
-// upstream. Calls that may not be repeated outlive the deadline.
-func (m *Machine) outOfTime(now time.Time, a *attempt, e CallEnded) bool {
-	lasting := m.spec.Pipeline.Stages[a.stage].NonRepeatable
-	return e.Result == CallFailed && !lasting && !now.Before(m.spec.Deadline)
+// endedByDeadline reports whether a call failed because of its request's deadline
+// and not because of its upstream. Non-repeatable calls continue after the deadline.
+func (m *Machine) endedByDeadline(now time.Time, a *attempt, e CallEnded) bool {
+	outlivesDeadline := m.spec.Pipeline.Stages[a.stageIndex].NonRepeatable
+	return e.Result == CallFailed && !outlivesDeadline && !now.Before(m.spec.Deadline)
 }
 
-func (m *Machine) noteUnused(now time.Time, a *attempt, e CallEnded) {
+func (m *Machine) handleUnusedCall(now time.Time, a *attempt, e CallEnded) {
 	if !e.NotExecuted {
-		m.unknown = true
+		m.mayHaveRun = true
 	}
 	if e.Result == CallOK {
-		m.note(now, "late", a.number, "answer not used")
+		m.recordDecision(now, "late", a.number, "answer not used")
 	}
 }
 
-func (m *Machine) callSucceeded(now time.Time, a *attempt, e CallEnded) {
-	m.note(now, "answer", a.number, "ok",
-		record.Field{Key: "latency", Value: now.Sub(a.sent).String()},
+func (m *Machine) handleCallSuccess(now time.Time, a *attempt, e CallEnded) {
+	m.recordDecision(now, "answer", a.number, "ok",
+		record.Field{Key: "latency", Value: now.Sub(a.sentAt).String()},
 		record.Field{Key: "tokens", Value: itoa(e.Tokens)})
 	m.cancelOthers(now, a)
-	if m.current().NonRepeatable {
-		m.ran = true
-		m.record(now, e.Output)
+	if m.currentStage().NonRepeatable {
+		m.nonRepeatableRan = true
+		m.recordResult(now, e.Output)
 		return
 	}
-	m.stageDone(now, e.Output, false)
+	m.completeStage(now, e.Output, false)
 }
 
-func (m *Machine) callFailed(now time.Time, a *attempt, e CallEnded) {
-	m.note(now, "answer", a.number, "failed",
+func (m *Machine) handleCallFailure(now time.Time, a *attempt, e CallEnded) {
+	m.recordDecision(now, "answer", a.number, "failed",
 		record.Field{Key: "detail", Value: e.Detail},
 		record.Field{Key: "not_executed", Value: boolText(e.NotExecuted)})
-	if m.winner == a.number {
-		m.winner = 0
+	if m.selectedAttempt == a.number {
+		m.selectedAttempt = 0
 	}
-	if m.current().NonRepeatable {
-		m.nonRepeatableFailed(now, a, e)
+	if m.currentStage().NonRepeatable {
+		m.handleNonRepeatableFailure(now, a, e)
 		return
 	}
 	if !e.NotExecuted {
-		m.unknown = true
+		m.mayHaveRun = true
 	}
-	if m.outOfTime(now, a, e) {
-		m.deadlinePassed(now)
+	if m.endedByDeadline(now, a, e) {
+		m.handleDeadline(now)
 		return
 	}
 	if e.Rejected {
-		m.rejected = m.problem(problem.UpstreamRefused, "%s refused: %s", a.choice.Upstream, e.Detail)
+		m.rejection = m.newProblem(problem.UpstreamRefused, "%s refused: %s", a.choice.Upstream, e.Detail)
 	}
-	m.attemptLost(now, a, m.problem(problem.UpstreamFailed, "%s: %s", a.choice.Upstream, e.Detail))
+	m.handleAttemptFailure(now, a, m.newProblem(problem.UpstreamFailed, "%s: %s", a.choice.Upstream, e.Detail))
 }
 
-// attemptLost decides what follows an attempt that ended without an answer:
-// wait for another one, retry, or refuse with err.
-func (m *Machine) attemptLost(now time.Time, a *attempt, err *problem.Error) {
-	if m.phase != phaseRunning || a.stage != m.stage {
+// handleAttemptFailure decides what follows an attempt that ended without an
+// answer: wait for another running attempt, retry, or refuse with err.
+func (m *Machine) handleAttemptFailure(now time.Time, a *attempt, err *problem.Error) {
+	if m.phase != phaseRunning || a.stageIndex != m.stageIndex {
 		return
 	}
-	if m.running() > 0 {
-		m.note(now, "retry", a.number, "another attempt is running")
+	if m.pendingAttemptCount() > 0 {
+		m.recordDecision(now, "retry", a.number, "another attempt is running")
 		return
 	}
-	if m.rejected != nil {
-		err = m.rejected
+	if m.rejection != nil {
+		err = m.rejection
 	}
-	if reason := m.mayRetry(now, err); reason != "" {
-		m.note(now, "retry", a.number, "no: "+reason)
+	if obstacle := m.retryObstacle(now, err); obstacle != "" {
+		m.recordDecision(now, "retry", a.number, "no: "+obstacle)
 		m.fail(now, err)
 		return
 	}
-	m.note(now, "retry", a.number, "yes")
+	m.recordDecision(now, "retry", a.number, "yes")
 	if m.forwarded {
 		m.forwarded = false
-		m.do(Reset{})
+		m.emit(Reset{})
 	}
-	m.launch(now, false)
+	m.startAttempt(now, false)
 }
 
-// mayRetry returns why the stage may not be tried again, or "".
-func (m *Machine) mayRetry(now time.Time, err *problem.Error) string {
+// retryObstacle returns the reason why the stage must not be retried, or "" if it
+// may be.
+func (m *Machine) retryObstacle(now time.Time, err *problem.Error) string {
 	if err.Kind != problem.UpstreamFailed {
 		return string(err.Kind)
 	}
-	if m.attemptsAt(m.stage) >= m.spec.Bundle.Retry.MaxAttempts {
+	if m.attemptCount(m.stageIndex) >= m.spec.Bundle.Retry.MaxAttempts {
 		return "attempts used up"
 	}
-	left := m.spec.Deadline.Sub(now) - m.expectedAfter()
-	if left < m.expected(m.current()) {
+	remaining := m.spec.Deadline.Sub(now) - m.expectedTimeAfter()
+	if remaining < m.expectedServiceTime(m.currentStage()) {
 		return "too little time left"
 	}
 	if !m.deps.Retries.Withdraw(now) {
--- a/core/request/event.go
+++ b/core/request/event.go
@@ -7,22 +7,23 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// Event is something that happened to a request.
+// Event is an input of the state machine of a request.
 type Event interface{ isEvent() }
 
-// Start begins the request.
+// Start starts the request.
 type Start struct{}
 
-// SlotGranted ends the wait of an attempt for a slot of its pool.
+// SlotGranted ends an attempt's wait for a slot: the slot is granted, or refused
+// if Grant.Err is set.
 type SlotGranted struct{ Grant Grant }
 
 // ClaimDecided answers a Claim action. Exactly one of the fields is set.
 type ClaimDecided struct {
-	// Won means that this request alone may run the stage.
+	// Won means that this request has the exclusive right to run the stage.
 	Won bool
 	// Result is the recorded result of an earlier request with the same key.
 	Result json.RawMessage
-	// Err says why the stage may not run.
+	// Err is the reason why the stage must not run.
 	Err *problem.Error
 }
 
@@ -34,10 +35,11 @@
 	Attempt int
 	Result  CallResult
 	// NotExecuted is set when the upstream is known not to have executed the
-	// call: it was never reached, or refused and said so.
+	// call: it was not reached, or it refused the call and reported that it did
+	// not execute it.
 	NotExecuted bool
-	// Rejected is set when the upstream found the call itself invalid (4xx):
-	// another upstream would say the same.
+	// Rejected is set when the upstream rejected the call as invalid (4xx).
+	// Other upstreams would reject it too.
 	Rejected  bool
 	Output    json.RawMessage
 	FirstByte time.Duration
@@ -47,22 +49,22 @@
 
 // StatusAnswered answers a LookUp action.
 type StatusAnswered struct {
-	// Known is set when the upstream has run the call; Output is its result.
+	// Known is set when an upstream has executed the call; Output is the result.
 	Known  bool
 	Output json.RawMessage
 }
 
-// Recorded answers a Record action. Err is nil when a majority of the holders
-// has the result.
+// Recorded answers a Record action. Err is nil if a majority of the claim holders
+// stored the result.
 type Recorded struct{ Err error }
 
-// TimerFired reports a timer that SetTimer asked for.
+// TimerFired reports that a timer set by SetTimer has fired.
 type TimerFired struct {
 	Timer   Timer
 	Attempt int
 }
 
-// CallerGone reports that nobody waits for the answer any more.
+// CallerGone reports that the caller has disconnected.
 type CallerGone struct{}
 
 func (Start) isEvent()          {}
@@ -75,13 +77,13 @@
 func (TimerFired) isEvent()     {}
 func (CallerGone) isEvent()     {}
 
-// Timer names a timer of a request.
+// Timer identifies a timer of a request.
 type Timer uint8
 
-// The timers.
+// Timers of a request.
 const (
 	// TimerDeadline fires at the request's deadline.
 	TimerDeadline Timer = iota
-	// TimerHedge fires when an attempt is slower than usual.
+	// TimerHedge fires when an attempt takes longer than the hedge delay.
 	TimerHedge
 )
--- a/core/request/fakes_test.go
+++ b/core/request/fakes_test.go
@@ -12,18 +12,18 @@
 
 var epoch = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// fakeRouter hands out upstreams u1, u2, ... and counts what is in flight.
+// fakeRouter returns the upstreams u1, u2, ... and counts the calls in flight.
 type fakeRouter struct {
-	picked   int
-	inFlight int
-	queries  []Query
-	outcomes []Outcome
-	latency  time.Duration
-	empty    bool
+	picked      int
+	inFlight    int
+	queries     []Query
+	outcomes    []Outcome
+	latency     time.Duration
+	noUpstreams bool
 }
 
 func (r *fakeRouter) Pick(_ time.Time, q Query, _ record.Recorder) (Choice, *problem.Error) {
-	if r.empty {
+	if r.noUpstreams {
 		return Choice{}, problem.New(problem.NoUpstream, "none")
 	}
 	r.queries = append(r.queries, q)
@@ -46,27 +46,27 @@
 	return r.latency, r.latency > 0
 }
 
-// fakeAdmitter grants up to slots and queues the rest.
+// fakeAdmitter grants up to slots tickets and queues the rest.
 type fakeAdmitter struct {
-	slots    int
-	held     int
-	queue    []Ticket
-	admitted int
-	refuse   *problem.Error
+	slots      int
+	slotsInUse int
+	queue      []Ticket
+	admitted   int
+	refusal    *problem.Error
 }
 
-func (a *fakeAdmitter) Arrive(time.Time, Plan, record.Recorder) *problem.Error {
-	if a.refuse == nil {
+func (a *fakeAdmitter) Admit(time.Time, Plan, record.Recorder) *problem.Error {
+	if a.refusal == nil {
 		a.admitted++
 	}
-	return a.refuse
+	return a.refusal
 }
 
-func (a *fakeAdmitter) Leave(time.Time, Plan, bool) { a.admitted-- }
+func (a *fakeAdmitter) Finish(time.Time, Plan, bool) { a.admitted-- }
 
-func (a *fakeAdmitter) Acquire(_ time.Time, t Ticket, _ record.Recorder) (Verdict, *problem.Error) {
-	if a.held < a.slots {
-		a.held++
+func (a *fakeAdmitter) Acquire(_ time.Time, t Ticket, _ record.Recorder) (AcquireResult, *problem.Error) {
+	if a.slotsInUse < a.slots {
+		a.slotsInUse++
 		return Granted, nil
 	}
 	a.queue = append(a.queue, t)
@@ -83,28 +83,28 @@
 }
 
 func (a *fakeAdmitter) Release(time.Time, Ticket, CallResult, time.Duration) []Grant {
-	a.held--
+	a.slotsInUse--
 	if len(a.queue) == 0 {
 		return nil
 	}
 	t := a.queue[0]
 	a.queue = a.queue[1:]
-	a.held++
+	a.slotsInUse++
 	return []Grant{{Ticket: t}}
 }
 
 func (a *fakeAdmitter) Tick(time.Time) []Grant { return nil }
 
-type fakeBudget struct{ left int }
+type fakeBudget struct{ remaining int }
 
 func (b *fakeBudget) Deposit(time.Time) {}
 
 func (b *fakeBudget) Withdraw(time.Time) bool {
-	b.left--
-	return b.left >= 0
+	b.remaining--
+	return b.remaining >= 0
 }
 
-// fakeHealth refuses when failing names a pool, and counts what it is told.
+// fakeHealth refuses requests if failing names a pool, and counts the reported results.
 type fakeHealth struct {
 	failing           string
 	succeeded, failed int
@@ -114,20 +114,20 @@
 func (h *fakeHealth) Succeeded(string)                         { h.succeeded++ }
 func (h *fakeHealth) Failed(time.Time, string)                 { h.failed++ }
 
-type recorder struct{ entries []record.Entry }
+type fakeRecorder struct{ entries []record.Entry }
 
-func (r *recorder) Add(e record.Entry) { r.entries = append(r.entries, e) }
+func (r *fakeRecorder) Add(e record.Entry) { r.entries = append(r.entries, e) }
 
 // harness drives one machine.
 type harness struct {
-	now     time.Time
-	router  *fakeRouter
-	admit   *fakeAdmitter
-	retries *fakeBudget
-	health  *fakeHealth
-	rec     *recorder
-	m       *Machine
-	log     []Action
+	now       time.Time
+	router    *fakeRouter
+	admitter  *fakeAdmitter
+	retries   *fakeBudget
+	health    *fakeHealth
+	recorder  *fakeRecorder
+	machine   *Machine
+	actionLog []Action
 }
 
 func testBundle(nonRepeatable bool) *bundle.Bundle {
@@ -163,27 +163,27 @@
 		f(&spec)
 	}
 	h := &harness{
-		now: epoch, router: &fakeRouter{}, admit: &fakeAdmitter{slots: 10},
-		retries: &fakeBudget{left: 5}, health: &fakeHealth{}, rec: &recorder{},
+		now: epoch, router: &fakeRouter{}, admitter: &fakeAdmitter{slots: 10},
+		retries: &fakeBudget{remaining: 5}, health: &fakeHealth{}, recorder: &fakeRecorder{},
 	}
-	deps := Deps{Router: h.router, Admitter: h.admit, Retries: h.retries, Hedges: &fakeBudget{left: 5}, Health: h.health}
-	h.m = New(spec, deps, h.rec)
+	deps := Deps{Router: h.router, Admitter: h.admitter, Retries: h.retries, Hedges: &fakeBudget{remaining: 5}, Health: h.health}
+	h.machine = New(spec, deps, h.recorder)
 	return h
 }
 
-// step delivers an event after a millisecond and returns the actions.
+// step advances the clock by a millisecond, delivers an event and returns the actions.
 func (h *harness) step(ev Event) []Action {
 	h.now = h.now.Add(time.Millisecond)
-	out := h.m.Step(h.now, ev)
-	h.log = append(h.log, out...)
+	out := h.machine.Step(h.now, ev)
+	h.actionLog = append(h.actionLog, out...)
 	return out
 }
 
-func (h *harness) ok(attempt int) []Action {
+func (h *harness) succeed(attempt int) []Action {
 	return h.step(CallEnded{Attempt: attempt, Result: CallOK, Output: json.RawMessage(`"out"`)})
 }
 
-// actions returns those of the harness's log that have type T.
+// actions returns the actions of type T.
 func actions[T Action](all []Action) []T {
 	var found []T
 	for _, a := range all {
@@ -194,8 +194,8 @@
 	return found
 }
 
-func (h *harness) finish() *Finish {
-	all := actions[Finish](h.log)
+func (h *harness) finishAction() *Finish {
+	all := actions[Finish](h.actionLog)
 	if len(all) != 1 {
 		return nil
 	}
--- a/core/request/finish.go
+++ b/core/request/finish.go
@@ -8,10 +8,11 @@
 	"github.com/wheatseam/wheatseam/record"
 )
 
-// defaultRetryAfter is told to callers when nothing better is known.
+// defaultRetryAfter is the Retry-After value for retryable refusals without an
+// estimate of their own.
 const defaultRetryAfter = time.Second
 
-func (m *Machine) problem(kind problem.Kind, format string, args ...any) *problem.Error {
+func (m *Machine) newProblem(kind problem.Kind, format string, args ...any) *problem.Error {
 	e := problem.New(kind, format, args...)
 	if problem.Lookup(kind).Retry {
 		e.RetryAfter = defaultRetryAfter
@@ -19,133 +20,136 @@
 	return e
 }
 
-// nonRepeatableFailed handles a claimed call that brought no result. It is
-// tried elsewhere only if the upstream is known not to have executed it.
-func (m *Machine) nonRepeatableFailed(now time.Time, a *attempt, e CallEnded) {
+// handleNonRepeatableFailure handles a claimed call that returned no result. The
+// call is retried only if the upstream is known not to have executed it.
+func (m *Machine) handleNonRepeatableFailure(now time.Time, a *attempt, e CallEnded) {
 	if e.NotExecuted || e.Rejected {
-		m.claim.sent = false
-		m.unknown = false
-		err := m.problem(problem.UpstreamFailed, "%s: %s", a.choice.Upstream, e.Detail)
+		m.claim.callSent = false
+		m.mayHaveRun = false
+		err := m.newProblem(problem.UpstreamFailed, "%s: %s", a.choice.Upstream, e.Detail)
 		if e.Rejected {
-			err = m.problem(problem.UpstreamRefused, "%s refused: %s", a.choice.Upstream, e.Detail)
+			err = m.newProblem(problem.UpstreamRefused, "%s refused: %s", a.choice.Upstream, e.Detail)
 		}
-		m.attemptLost(now, a, err)
+		m.handleAttemptFailure(now, a, err)
 		return
 	}
-	unknown := m.problem(problem.OutcomeUnknown, "%s: %s", a.choice.Upstream, e.Detail)
+	unknown := m.newProblem(problem.OutcomeUnknown, "%s: %s", a.choice.Upstream, e.Detail)
 	if m.poolSupportsStatus() {
-		m.lookUp(now, a.number, unknown)
+		m.lookUpStatus(now, a.number, unknown)
 		return
 	}
 	m.fail(now, unknown)
 }
 
-// mayHaveResult says whether a refused claim leaves open that an upstream has
-// the result: another request claimed the key and did not record one.
-func mayHaveResult(e *problem.Error) bool {
+// upstreamMayHaveResult reports whether an upstream may have the result although
+// the claim was refused: another request claimed the key and recorded no result.
+func upstreamMayHaveResult(e *problem.Error) bool {
 	return e.Execution != problem.NotRun && (e.Kind == problem.OutcomeUnknown || e.Kind == problem.InProgress)
 }
 
-// lookUp asks the pool's upstreams what became of the call with the request's
-// key; otherwise is the refusal when they do not know.
-func (m *Machine) lookUp(now time.Time, attempt int, otherwise *problem.Error) {
+// lookUpStatus asks the pool's upstreams for the outcome of the call with the
+// request's key. If they do not know it, the request is refused with ifUnknown.
+func (m *Machine) lookUpStatus(now time.Time, attempt int, ifUnknown *problem.Error) {
 	m.phase = phaseLookingUp
-	m.lookUpErr = otherwise
-	m.note(now, "status", attempt, "asked")
-	m.do(LookUp{Pool: m.current().Pool, Key: m.spec.Key})
+	m.lookUpFailure = ifUnknown
+	m.recordDecision(now, "status", attempt, "asked")
+	m.emit(LookUp{Pool: m.currentStage().Pool, Key: m.spec.Key})
 }
 
 func (m *Machine) poolSupportsStatus() bool {
 	for _, p := range m.spec.Bundle.Pools {
-		if p.Name == m.current().Pool {
+		if p.Name == m.currentStage().Pool {
 			return p.Supports.StatusLookup
 		}
 	}
 	return false
 }
 
-func (m *Machine) statusAnswered(now time.Time, e StatusAnswered) {
+func (m *Machine) handleStatusAnswered(now time.Time, e StatusAnswered) {
 	if m.phase != phaseLookingUp {
-		m.dropped++
+		m.droppedEvents++
 		return
 	}
 	if !e.Known {
-		m.note(now, "status", 0, "unknown")
-		m.fail(now, m.lookUpErr)
+		m.recordDecision(now, "status", 0, "unknown")
+		m.fail(now, m.lookUpFailure)
 		return
 	}
-	m.note(now, "status", 0, "done")
-	m.ran = true
+	m.recordDecision(now, "status", 0, "done")
+	m.nonRepeatableRan = true
 	if !m.claim.held {
-		// Only the owner of the claim may record.
-		m.stageDone(now, e.Output, true)
+		// Only the request that holds the claim may record the result.
+		m.completeStage(now, e.Output, true)
 		return
 	}
-	m.record(now, e.Output)
+	m.recordResult(now, e.Output)
 }
 
-// record stores the result of a claimed stage before anything builds on it.
-func (m *Machine) record(now time.Time, output json.RawMessage) {
+// recordResult stores the result of a claimed stage at the claim holders before
+// the request uses it.
+func (m *Machine) recordResult(now time.Time, output json.RawMessage) {
 	m.phase = phaseRecording
-	m.unknown = false
+	m.mayHaveRun = false
 	m.input = output
-	m.do(Record{Key: m.claim.key, Result: output})
+	m.emit(Record{Key: m.claim.key, Result: output})
 }
 
-// recorded goes on with the request. A result that could not be recorded is
-// still the caller's: a retry is then told that it may have run.
-func (m *Machine) recorded(now time.Time, e Recorded) {
+// handleRecorded continues the request. The caller gets the result even if it could
+// not be recorded; a retry with the same key is then told MayHaveRun.
+func (m *Machine) handleRecorded(now time.Time, e Recorded) {
 	if m.detached {
 		m.detached = false
-		m.note(now, "record", 0, "after the answer")
+		m.recordDecision(now, "record", 0, "after the answer")
 		return
 	}
 	if m.phase != phaseRecording {
-		m.dropped++
+		m.droppedEvents++
 		return
 	}
 	outcome := "majority"
 	if e.Err != nil {
 		outcome = "no majority"
 	}
-	m.note(now, "record", 0, outcome)
-	m.stageDone(now, m.input, false)
+	m.recordDecision(now, "record", 0, outcome)
+	m.completeStage(now, m.input, false)
 }
 
-// giveUp answers the caller at once. A non-repeatable call that is already
-// sent is seen through and recorded; all else is cancelled.
-func (m *Machine) giveUp(now time.Time, kind problem.Kind, detail string) {
-	sent := m.claim.sent && (m.phase == phaseRunning || m.phase == phaseRecording)
-	m.fail(now, m.problem(kind, "%s", detail))
-	m.detached = sent
+// abort answers the caller immediately with an error. A non-repeatable call that was
+// already sent runs to its end and its result is recorded; all other attempts are
+// cancelled.
+func (m *Machine) abort(now time.Time, kind problem.Kind, detail string) {
+	callContinues := m.claim.callSent && (m.phase == phaseRunning || m.phase == phaseRecording)
+	m.fail(now, m.newProblem(kind, "%s", detail))
+	m.detached = callContinues
 }
 
-func (m *Machine) detachedEnded(now time.Time, e CallEnded) {
+func (m *Machine) handleDetachedCallEnded(now time.Time, e CallEnded) {
 	if e.Result == CallOK {
-		m.note(now, "answer", e.Attempt, "ok after the answer to the caller")
-		m.do(Record{Key: m.claim.key, Result: e.Output})
+		m.recordDecision(now, "answer", e.Attempt, "ok after the answer to the caller")
+		m.emit(Record{Key: m.claim.key, Result: e.Output})
 		return
 	}
 	m.detached = false
 }
 
-// fail refuses the request. Its execution is worked out from what was sent.
+// fail refuses the request. The Execution of the error follows from the calls
+// that were sent.
 func (m *Machine) fail(now time.Time, err *problem.Error) {
 	out := *err
 	out.Execution = m.execution()
 	out.StagesRun = append([]string(nil), m.stagesRun...)
-	m.note(now, "finish", 0, string(out.Kind),
+	m.recordDecision(now, "finish", 0, string(out.Kind),
 		record.Field{Key: "execution", Value: string(out.Execution)},
 		record.Field{Key: "detail", Value: out.Detail})
 	f := Finish{Err: &out}
-	f.Settle, f.Key = m.settlement(out.Execution)
-	m.end(now, f, false)
+	f.Settle, f.Key = m.claimCleanup(out.Execution)
+	m.finish(now, f, false)
 }
 
-// settlement says what must be done so that a refusal of a request with a key
-// may say that it has not run.
-func (m *Machine) settlement(x problem.Execution) (Settle, ClaimKey) {
-	if m.claim.held && !m.claim.sent {
+// claimCleanup returns the operation that must succeed before a refusal of a request
+// with a key may say that the request has not run.
+func (m *Machine) claimCleanup(x problem.Execution) (Settle, ClaimKey) {
+	if m.claim.held && !m.claim.callSent {
 		return SettleRelease, m.claim.key
 	}
 	if x != problem.NotRun || m.claim.refused || m.claim.held {
@@ -158,20 +162,20 @@
 	return SettleVoid, ClaimKey{Customer: m.spec.Customer, Key: m.spec.Key, Stage: s.Name}
 }
 
-// execution says what a refusal may claim: NotRun only if no call can have
-// been executed.
+// execution returns the Execution of a refusal. It is NotRun only if no call can
+// have been executed.
 func (m *Machine) execution() problem.Execution {
 	switch {
-	case m.ran:
+	case m.nonRepeatableRan:
 		return problem.Ran
-	case m.unknown || m.anySent() || len(m.stagesRun) > 0:
+	case m.mayHaveRun || m.anyCallRunning() || len(m.stagesRun) > 0:
 		return problem.MayHaveRun
 	default:
 		return problem.NotRun
 	}
 }
 
-func (m *Machine) anySent() bool {
+func (m *Machine) anyCallRunning() bool {
 	for _, a := range m.attempts {
 		if a.state == attemptSent {
 			return true
@@ -182,26 +186,26 @@
 
 func (m *Machine) succeed(now time.Time, output json.RawMessage) {
 	if !now.Before(m.spec.Deadline) {
-		m.giveUp(now, problem.DeadlineExceeded, "the answer came after the deadline")
+		m.abort(now, problem.DeadlineExceeded, "the answer came after the deadline")
 		return
 	}
-	m.note(now, "finish", 0, "answered")
-	m.end(now, Finish{Answer: &Answer{
+	m.recordDecision(now, "finish", 0, "answered")
+	m.finish(now, Finish{Answer: &Answer{
 		RequestID: m.spec.ID, Pipeline: m.spec.Pipeline.Name,
-		BundleVersion: m.spec.Bundle.Version, Stages: m.reports, Result: output,
+		BundleVersion: m.spec.Bundle.Version, Stages: m.stageReports, Result: output,
 	}}, true)
 }
 
-func (m *Machine) end(now time.Time, f Finish, attained bool) {
+func (m *Machine) finish(now time.Time, f Finish, attained bool) {
 	m.phase = phaseFinished
 	for _, a := range m.attempts {
-		if a.state == attemptSent && m.spec.Pipeline.Stages[a.stage].NonRepeatable {
+		if a.state == attemptSent && m.spec.Pipeline.Stages[a.stageIndex].NonRepeatable {
 			continue
 		}
 		m.cancel(now, a)
 	}
 	if m.admitted {
-		m.deps.Admitter.Leave(now, m.plan, attained)
+		m.deps.Admitter.Finish(now, m.plan, attained)
 	}
-	m.do(f)
+	m.emit(f)
 }
--- a/core/request/hedge.go
+++ b/core/request/hedge.go
@@ -7,11 +7,11 @@
 	"github.com/wheatseam/wheatseam/record"
 )
 
-// armHedge sets the timer after which a repeatable attempt counts as slow.
-func (m *Machine) armHedge(now time.Time, a *attempt) {
+// scheduleHedge sets the timer that hedges a repeatable attempt if it is slow.
+func (m *Machine) scheduleHedge(now time.Time, a *attempt) {
 	policy := m.spec.Bundle.Hedge
-	s := m.current()
-	if s.NonRepeatable || a.hedge || policy.BudgetRatio <= 0 || policy.Quantile <= 0 {
+	s := m.currentStage()
+	if s.NonRepeatable || a.isHedge || policy.BudgetRatio <= 0 || policy.Quantile <= 0 {
 		return
 	}
 	delay, ok := m.hedgeDelay(s, policy.Quantile)
@@ -19,39 +19,40 @@
 		return
 	}
 	at := now.Add(delay)
-	if worth := hedgeFrom(m.spec.Bundle.Objective, a.ticket); worth.After(at) {
-		at = worth
+	if earliest := earliestHedge(m.spec.Bundle.Objective, a.ticket); earliest.After(at) {
+		at = earliest
 	}
-	m.do(SetTimer{Timer: TimerHedge, Attempt: a.number, At: at})
+	m.emit(SetTimer{Timer: TimerHedge, Attempt: a.number, At: at})
 }
 
-// hedgeReach is with how much slack before its deadline a slow call is hedged,
-// as a multiple of the time that the request still needs, when attainment and
-// cost weigh the same.
-const hedgeReach = 4.0
+// hedgeSlackFactor limits hedging to requests that have little slack: if attainment
+// and cost have equal weights, a slow call is hedged once its slack before the
+// deadline is at most this multiple of the time that the request still needs.
+const hedgeSlackFactor = 4.0
 
-// hedgeFrom returns from when on a hedge is worth its cost: a hedge saves a
-// request only if little slack is left, so the more cost weighs, the longer a
-// slow call is waited for. The zero time says that it always is.
-func hedgeFrom(o bundle.Objective, t Ticket) time.Time {
+// earliestHedge returns the earliest time at which a hedge is worth its cost. A hedge
+// makes a difference only if the request has little slack left, so a higher weight
+// of cost delays the hedge. The zero time means that a hedge is always worth it.
+func earliestHedge(o bundle.Objective, t Ticket) time.Time {
 	if o.CostByStage <= 0 {
 		return time.Time{}
 	}
-	reach := hedgeReach * o.Attainment / o.CostByStage
-	return t.StartBy().Add(-time.Duration(reach * float64(t.Expected+t.After)))
+	slackFactor := hedgeSlackFactor * o.Attainment / o.CostByStage
+	return t.LatestStart().Add(-time.Duration(slackFactor * float64(t.Expected+t.ExpectedAfter)))
 }
 
-// skipHedge takes a hedge out of the queue that it would have to wait in: it
-// would come late and displace calls that are not answered twice. It does not
+// cancelQueuedHedge removes a hedge that would have to wait for a slot. It would
+// start late and delay calls that have no other attempt running. It does not
 // count as an attempt.
-func (m *Machine) skipHedge(now time.Time, a *attempt) {
-	m.note(now, "hedge", a.number, "no: no slot is free")
+func (m *Machine) cancelQueuedHedge(now time.Time, a *attempt) {
+	m.recordDecision(now, "hedge", a.number, "no: no slot is free")
 	m.cancel(now, a)
 	m.attempts = m.attempts[:len(m.attempts)-1]
 }
 
-// hedgeDelay is measured on the first token of a generation, since its whole
-// length differs by request, and on the whole answer of all else.
+// hedgeDelay returns the time after which a call counts as slow. For a generation
+// stage it is a quantile of the time to the first token, since the total duration
+// depends on the length of the output; for other stages, of the total latency.
 func (m *Machine) hedgeDelay(s bundle.Stage, quantile float64) (time.Duration, bool) {
 	if s.Kind == bundle.StageGenerate {
 		return m.deps.Router.ExpectFirstByte(s.Pool, s.Name, quantile)
@@ -59,21 +60,21 @@
 	return m.deps.Router.Expect(s.Pool, s.Name, quantile)
 }
 
-// hedge sends a second attempt beside one that is slower than usual.
-func (m *Machine) hedge(now time.Time, number int) {
-	a := m.find(number)
-	if a == nil || a.stage != m.stage || m.phase != phaseRunning || m.winner != 0 || m.running() > 1 {
+// startHedge starts a second attempt in parallel with a slow one.
+func (m *Machine) startHedge(now time.Time, number int) {
+	a := m.findActiveAttempt(number)
+	if a == nil || a.stageIndex != m.stageIndex || m.phase != phaseRunning || m.selectedAttempt != 0 || m.pendingAttemptCount() > 1 {
 		return
 	}
-	left := m.spec.Deadline.Sub(now) - m.expectedAfter()
-	if left < m.expected(m.current()) {
-		m.note(now, "hedge", number, "no: too little time left")
+	remaining := m.spec.Deadline.Sub(now) - m.expectedTimeAfter()
+	if remaining < m.expectedServiceTime(m.currentStage()) {
+		m.recordDecision(now, "hedge", number, "no: too little time left")
 		return
 	}
 	if !m.deps.Hedges.Withdraw(now) {
-		m.note(now, "hedge", number, "no: hedge budget used up")
+		m.recordDecision(now, "hedge", number, "no: hedge budget used up")
 		return
 	}
-	m.note(now, "hedge", number, "yes", record.Field{Key: "after", Value: now.Sub(a.sent).String()})
-	m.launch(now, true)
+	m.recordDecision(now, "hedge", number, "yes", record.Field{Key: "after", Value: now.Sub(a.sentAt).String()})
+	m.startAttempt(now, true)
 }
--- a/core/request/machine.go
+++ b/core/request/machine.go
@@ -10,29 +10,28 @@
 	"github.com/wheatseam/wheatseam/record"
 )
 
-// Spec is what a request asks for. It does not change.
+// Spec describes a request. It is immutable.
 type Spec struct {
 	ID       string
 	Customer string
-	// Bundle is the configuration that the request was admitted under.
+	// Bundle is the configuration under which the request was admitted.
 	Bundle   *bundle.Bundle
 	Pipeline *bundle.Pipeline
 	Arrived  time.Time
 	Deadline time.Time
 	// Key is the Idempotency-Key, or empty.
 	Key string
-	// Stream is set when the caller wants tokens as they come.
+	// Stream is set if the caller wants the output as a stream of tokens.
 	Stream bool
-	// Prefix is a hash of the prompt's shared prefix; 0 when there is none.
+	// Prefix is a hash of the prompt's shared prefix, or 0 if there is none.
 	Prefix uint64
 	Input  json.RawMessage
-	// Kept holds results of stages that an earlier attempt at the same key
-	// completed, by stage name.
+	// Kept holds, by stage name, the results of stages that an earlier request
+	// with the same key completed.
 	Kept map[string]json.RawMessage
 }
 
-// Deps are the parts that a Machine decides with. They are shared by all
-// machines of a daemon.
+// Deps are the dependencies of a Machine. All machines of a daemon share them.
 type Deps struct {
 	Router   Router
 	Admitter Admitter
@@ -41,7 +40,7 @@
 	Health   Health
 }
 
-// phase says what the machine waits for.
+// phase is the state of a machine.
 type phase uint8
 
 const (
@@ -55,151 +54,156 @@
 
 // Machine is the state of one request.
 type Machine struct {
-	spec Spec
-	deps Deps
-	rec  record.Recorder
+	spec     Spec
+	deps     Deps
+	recorder record.Recorder
 
 	phase    phase
 	admitted bool
 	plan     Plan
-	// stage is the index of the current stage.
-	stage      int
-	stageBegan time.Time
-	input      json.RawMessage
-	reports    []StageReport
-	stagesRun  []string
+	// stageIndex is the index of the current stage in the pipeline.
+	stageIndex     int
+	stageStartedAt time.Time
+	input          json.RawMessage
+	stageReports   []StageReport
+	stagesRun      []string
 
 	attempts    []*attempt
 	nextAttempt int
-	// winner is the attempt whose stream the caller gets; 0 is none.
-	winner    int
-	forwarded bool
-	// rejected is the refusal once an upstream has found the current stage's call
-	// invalid: it is not tried again, but what is under way may still be answered.
-	rejected *problem.Error
+	// selectedAttempt is the number of the attempt whose first token arrived first,
+	// or 0 if there is none yet. A streaming caller gets the stream of this attempt.
+	selectedAttempt int
+	forwarded       bool
+	// rejection is set once an upstream has rejected the current stage's call as
+	// invalid. The call is not retried, but attempts that are already running may
+	// still succeed.
+	rejection *problem.Error
 
 	claim claimState
-	// lookUpErr is the refusal when a status look-up finds nothing.
-	lookUpErr *problem.Error
-	// unknown is set while a call may have been executed without our having
-	// its answer; ran when a non-repeatable stage is known to have run.
-	unknown bool
-	ran     bool
-	// detached is set when a sent non-repeatable call outlives the answer.
-	detached bool
-	dropped  int
-
-	out []Action
+	// lookUpFailure is the refusal to return if a status lookup finds no result.
+	lookUpFailure *problem.Error
+	// mayHaveRun is set while a call may have been executed although its response
+	// was not received. nonRepeatableRan is set once a non-repeatable stage is
+	// known to have run.
+	mayHaveRun       bool
+	nonRepeatableRan bool
+	// detached is set while a non-repeatable call is still running, or its result
+	// is being recorded, after the caller was answered.
+	detached      bool
+	droppedEvents int
+
+	actions []Action
 }
 
-// claimState follows the claim of the current stage.
+// claimState is the state of the claim on the current stage.
 type claimState struct {
 	key  ClaimKey
 	held bool
-	// refused is set when the holders have refused: their answer already says
-	// whether the stage has run.
+	// refused is set when the holders have refused the claim. Their response
+	// already says whether the stage has run.
 	refused bool
-	// sent is set before a call under the claim can leave.
-	sent bool
+	// callSent is set before a call is sent under the claim.
+	callSent bool
 }
 
-// New returns the machine of a request. rec takes its decisions.
+// New returns the machine of a request. It adds its decisions to rec.
 func New(spec Spec, deps Deps, rec record.Recorder) *Machine {
-	return &Machine{spec: spec, deps: deps, rec: rec}
+	return &Machine{spec: spec, deps: deps, recorder: rec}
 }
 
-// Spec returns what the request asks for.
+// Spec returns the description of the request.
 func (m *Machine) Spec() Spec { return m.spec }
 
 // Finished reports whether the caller has been answered.
 func (m *Machine) Finished() bool { return m.phase == phaseFinished }
 
-// Idle reports whether no call and no record of the request is outstanding.
+// Idle reports whether no call of the request and no recording of its result is
+// outstanding.
 func (m *Machine) Idle() bool {
-	return !m.detached && m.live() == 0
+	return !m.detached && m.activeAttemptCount() == 0
 }
 
-// Dropped returns the number of events that came for an unknown or ended
-// attempt.
-func (m *Machine) Dropped() int { return m.dropped }
+// Dropped returns the number of events that did not match the state of the machine,
+// such as those for an unknown or ended attempt.
+func (m *Machine) Dropped() int { return m.droppedEvents }
 
-// Step takes one event and returns the actions to carry out.
+// Step processes one event and returns the actions to carry out.
 func (m *Machine) Step(now time.Time, ev Event) []Action {
-	m.out = nil
+	m.actions = nil
 	switch e := ev.(type) {
 	case Start:
-		m.start(now)
+		m.handleStart(now)
 	case SlotGranted:
-		m.slotGranted(now, e)
+		m.handleSlotGranted(now, e)
 	case ClaimDecided:
-		m.claimDecided(now, e)
+		m.handleClaimDecided(now, e)
 	case FirstToken:
-		m.firstToken(now, e)
+		m.handleFirstToken(now, e)
 	case CallEnded:
-		m.callEnded(now, e)
+		m.handleCallEnded(now, e)
 	case StatusAnswered:
-		m.statusAnswered(now, e)
+		m.handleStatusAnswered(now, e)
 	case Recorded:
-		m.recorded(now, e)
+		m.handleRecorded(now, e)
 	case TimerFired:
-		m.timerFired(now, e)
+		m.handleTimerFired(now, e)
 	case CallerGone:
-		m.callerGone(now)
+		m.handleCallerGone(now)
 	}
-	return m.out
+	return m.actions
 }
 
-func (m *Machine) do(a Action) { m.out = append(m.out, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-func (m *Machine) note(now time.Time, step record.Step, attempt int, outcome string, fields ...record.Field) {
-	m.rec.Add(record.Entry{
+func (m *Machine) recordDecision(now time.Time, step record.Step, attempt int, outcome string, fields ...record.Field) {
+	m.recorder.Add(record.Entry{
 		At: now, Step: step, Stage: m.stageName(), Attempt: attempt, Outcome: outcome, Fields: fields,
 	})
 }
 
 func (m *Machine) stageName() string {
-	if m.stage >= len(m.spec.Pipeline.Stages) {
+	if m.stageIndex >= len(m.spec.Pipeline.Stages) {
 		return ""
 	}
-	return m.current().Name
+	return m.currentStage().Name
 }
 
-func (m *Machine) current() bundle.Stage { return m.spec.Pipeline.Stages[m.stage] }
+func (m *Machine) currentStage() bundle.Stage { return m.spec.Pipeline.Stages[m.stageIndex] }
 
-func (m *Machine) start(now time.Time) {
+func (m *Machine) handleStart(now time.Time) {
 	if m.phase != phaseNew {
-		m.dropped++
+		m.droppedEvents++
 		return
 	}
-	m.plan = m.makePlan()
-	if failing, ok := m.deps.Health.Allow(now, m.pools()); !ok {
-		m.note(now, "health", 0, "refused", record.Field{Key: "pool", Value: failing})
-		m.fail(now, m.problem(problem.NoUpstream, "pool %s fails as a whole", failing))
+	m.plan = m.buildPlan()
+	if failing, ok := m.deps.Health.Allow(now, m.poolNames()); !ok {
+		m.recordDecision(now, "health", 0, "refused", record.Field{Key: "pool", Value: failing})
+		m.fail(now, m.newProblem(problem.NoUpstream, "pool %s fails as a whole", failing))
 		return
 	}
-	if err := m.deps.Admitter.Arrive(now, m.plan, m.rec); err != nil {
+	if err := m.deps.Admitter.Admit(now, m.plan, m.recorder); err != nil {
 		m.fail(now, err)
 		return
 	}
 	m.admitted = true
-	m.do(SetTimer{Timer: TimerDeadline, At: m.spec.Deadline})
+	m.emit(SetTimer{Timer: TimerDeadline, At: m.spec.Deadline})
 	m.input = m.spec.Input
-	m.beginStage(now)
+	m.startStage(now)
 }
 
-func (m *Machine) makePlan() Plan {
+func (m *Machine) buildPlan() Plan {
 	p := Plan{
 		Request: m.spec.ID, Customer: m.spec.Customer,
 		Pipeline: m.spec.Pipeline.Name, Deadline: m.spec.Deadline,
 	}
 	for _, s := range m.spec.Pipeline.Stages {
-		p.Needs = append(p.Needs, Need{Stage: s.Name, Pool: s.Pool, Expected: m.expected(s)})
+		p.Stages = append(p.Stages, PlannedStage{Stage: s.Name, Pool: s.Pool, Expected: m.expectedServiceTime(s)})
 	}
 	return p
 }
 
-// pools names the pools that the request needs.
-func (m *Machine) pools() []string {
+// poolNames returns the names of the pools that the request needs.
+func (m *Machine) poolNames() []string {
 	var names []string
 	for _, s := range m.spec.Pipeline.Stages {
 		names = append(names, s.Pool)
@@ -207,112 +211,114 @@
 	return names
 }
 
-// expectedQuantile is the quantile of the measured latency that plans use.
-const expectedQuantile = 0.5
+// planLatencyQuantile is the quantile of the measured latency that serves as the
+// expected service time.
+const planLatencyQuantile = 0.5
 
-// expected is the measured service time of a stage, or the bundle's figure
-// until enough calls were measured.
-func (m *Machine) expected(s bundle.Stage) time.Duration {
-	if d, ok := m.deps.Router.Expect(s.Pool, s.Name, expectedQuantile); ok {
+// expectedServiceTime returns the measured service time of a stage, or the value
+// from the bundle until enough calls have been measured.
+func (m *Machine) expectedServiceTime(s bundle.Stage) time.Duration {
+	if d, ok := m.deps.Router.Expect(s.Pool, s.Name, planLatencyQuantile); ok {
 		return d
 	}
 	return s.Expected
 }
 
-// expectedAfter is the expected time of the stages behind the current one.
-func (m *Machine) expectedAfter() time.Duration {
+// expectedTimeAfter returns the expected total time of the stages after the current
+// one.
+func (m *Machine) expectedTimeAfter() time.Duration {
 	var sum time.Duration
-	for _, s := range m.spec.Pipeline.Stages[m.stage+1:] {
-		sum += m.expected(s)
+	for _, s := range m.spec.Pipeline.Stages[m.stageIndex+1:] {
+		sum += m.expectedServiceTime(s)
 	}
 	return sum
 }
 
-func (m *Machine) beginStage(now time.Time) {
-	m.stageBegan = now
-	m.attempts = liveOnly(m.attempts)
-	m.winner = 0
-	m.rejected = nil
+func (m *Machine) startStage(now time.Time) {
+	m.stageStartedAt = now
+	m.attempts = activeAttempts(m.attempts)
+	m.selectedAttempt = 0
+	m.rejection = nil
 	m.claim = claimState{}
 	m.phase = phaseRunning
-	s := m.current()
+	s := m.currentStage()
 	if kept, ok := m.spec.Kept[s.Name]; ok && !s.NonRepeatable {
-		m.note(now, "resume", 0, "kept result reused")
-		m.stageDone(now, kept, true)
+		m.recordDecision(now, "resume", 0, "kept result reused")
+		m.completeStage(now, kept, true)
 		return
 	}
 	if s.NonRepeatable {
 		m.phase = phaseClaiming
 		m.claim.key = ClaimKey{Customer: m.spec.Customer, Key: m.spec.Key, Stage: s.Name}
-		m.note(now, "claim", 0, "asked")
-		m.do(Claim{Key: m.claim.key, Stage: s})
+		m.recordDecision(now, "claim", 0, "asked")
+		m.emit(Claim{Key: m.claim.key, Stage: s})
 		return
 	}
 	m.deps.Retries.Deposit(now)
 	m.deps.Hedges.Deposit(now)
-	m.launch(now, false)
+	m.startAttempt(now, false)
 }
 
-func (m *Machine) claimDecided(now time.Time, e ClaimDecided) {
+func (m *Machine) handleClaimDecided(now time.Time, e ClaimDecided) {
 	if m.phase != phaseClaiming {
-		m.lateClaim(now, e)
+		m.handleLateClaim(now, e)
 		return
 	}
 	switch {
 	case e.Won:
 		m.claim.held = true
 		m.phase = phaseRunning
-		m.note(now, "claim", 0, "won")
-		m.launch(now, false)
+		m.recordDecision(now, "claim", 0, "won")
+		m.startAttempt(now, false)
 	case e.Result != nil:
-		m.note(now, "claim", 0, "recorded result found")
-		m.ran = true
-		m.stageDone(now, e.Result, true)
+		m.recordDecision(now, "claim", 0, "recorded result found")
+		m.nonRepeatableRan = true
+		m.completeStage(now, e.Result, true)
 	default:
 		m.claim.refused = true
-		m.note(now, "claim", 0, "refused", record.Field{Key: "kind", Value: string(e.Err.Kind)})
+		m.recordDecision(now, "claim", 0, "refused", record.Field{Key: "kind", Value: string(e.Err.Kind)})
 		if e.Err.Execution != problem.NotRun {
-			m.unknown = true
+			m.mayHaveRun = true
 		}
-		if mayHaveResult(e.Err) && m.poolSupportsStatus() {
-			m.lookUp(now, 0, e.Err)
+		if upstreamMayHaveResult(e.Err) && m.poolSupportsStatus() {
+			m.lookUpStatus(now, 0, e.Err)
 			return
 		}
 		m.fail(now, e.Err)
 	}
 }
 
-// lateClaim releases a claim that was won after the request was given up.
-func (m *Machine) lateClaim(now time.Time, e ClaimDecided) {
-	m.dropped++
-	if e.Won && !m.claim.held && !m.claim.sent {
-		m.note(now, "claim", 0, "won too late, released")
-		m.do(Release{Key: m.claim.key})
+// handleLateClaim releases a claim that was won after the request was aborted.
+func (m *Machine) handleLateClaim(now time.Time, e ClaimDecided) {
+	m.droppedEvents++
+	if e.Won && !m.claim.held && !m.claim.callSent {
+		m.recordDecision(now, "claim", 0, "won too late, released")
+		m.emit(Release{Key: m.claim.key})
 	}
 }
 
-func (m *Machine) stageDone(now time.Time, output json.RawMessage, reused bool) {
-	s := m.current()
+func (m *Machine) completeStage(now time.Time, output json.RawMessage, reused bool) {
+	s := m.currentStage()
 	m.stagesRun = append(m.stagesRun, s.Name)
-	m.reports = append(m.reports, StageReport{
-		Name: s.Name, Attempts: m.attemptsAt(m.stage),
-		Millis: now.Sub(m.stageBegan).Milliseconds(), Reused: reused,
+	m.stageReports = append(m.stageReports, StageReport{
+		Name: s.Name, Attempts: m.attemptCount(m.stageIndex),
+		Millis: now.Sub(m.stageStartedAt).Milliseconds(), Reused: reused,
 	})
 	if s.KeepResult && !reused && m.spec.Key != "" {
-		m.do(Keep{Stage: s.Name, Result: output})
+		m.emit(Keep{Stage: s.Name, Result: output})
 	}
-	if m.stage == len(m.spec.Pipeline.Stages)-1 {
+	if m.stageIndex == len(m.spec.Pipeline.Stages)-1 {
 		m.succeed(now, output)
 		return
 	}
-	m.input = chain(m.spec.Input, output)
-	m.stage++
-	m.beginStage(now)
+	m.input = nextStageInput(m.spec.Input, output)
+	m.stageIndex++
+	m.startStage(now)
 }
 
-// chain is the input of a later stage: the caller's input and what the stage
-// before made of it.
-func chain(input, previous json.RawMessage) json.RawMessage {
+// nextStageInput returns the input of a later stage: the caller's input and the
+// output of the previous stage.
+func nextStageInput(input, previous json.RawMessage) json.RawMessage {
 	b, err := json.Marshal(struct {
 		Input    json.RawMessage `json:"input"`
 		Previous json.RawMessage `json:"previous"`
@@ -323,27 +329,27 @@
 	return b
 }
 
-func (m *Machine) timerFired(now time.Time, e TimerFired) {
+func (m *Machine) handleTimerFired(now time.Time, e TimerFired) {
 	switch e.Timer {
 	case TimerDeadline:
 		if m.phase == phaseFinished {
 			return
 		}
-		m.deadlinePassed(now)
+		m.handleDeadline(now)
 	case TimerHedge:
-		m.hedge(now, e.Attempt)
+		m.startHedge(now, e.Attempt)
 	}
 }
 
-func (m *Machine) deadlinePassed(now time.Time) {
-	m.giveUp(now, problem.DeadlineExceeded, "the deadline passed in stage "+m.stageName())
+func (m *Machine) handleDeadline(now time.Time) {
+	m.abort(now, problem.DeadlineExceeded, "the deadline passed in stage "+m.stageName())
 }
 
-func (m *Machine) callerGone(now time.Time) {
+func (m *Machine) handleCallerGone(now time.Time) {
 	if m.phase == phaseFinished {
 		return
 	}
-	m.giveUp(now, problem.CallerGone, "the caller went away")
+	m.abort(now, problem.CallerGone, "the caller went away")
 }
 
 func itoa(n int) string { return strconv.Itoa(n) }
--- a/core/request/machine_test.go
+++ b/core/request/machine_test.go
@@ -17,371 +17,371 @@
 var _ = Describe("Machine", func() {
 	var h *harness
 
-	// settled checks what must hold after every request.
-	settled := func() {
+	// expectCompleted checks that the request is finished and holds no resources.
+	expectCompleted := func() {
 		GinkgoHelper()
-		Expect(h.finish()).NotTo(BeNil())
-		Expect(h.m.Finished()).To(BeTrue())
-		Expect(h.m.Idle()).To(BeTrue())
+		Expect(h.finishAction()).NotTo(BeNil())
+		Expect(h.machine.Finished()).To(BeTrue())
+		Expect(h.machine.Idle()).To(BeTrue())
 		Expect(h.router.inFlight).To(BeZero())
-		Expect(h.admit.held).To(BeZero())
-		Expect(h.admit.admitted).To(BeZero())
+		Expect(h.admitter.slotsInUse).To(BeZero())
+		Expect(h.admitter.admitted).To(BeZero())
 	}
 
-	It("walks the stages and answers", func() {
+	It("runs all stages and returns the result", func() {
 		h = newHarness(false)
 		h.step(Start{})
-		h.ok(1)
-		h.ok(2)
-		settled()
-		Expect(h.finish().Answer.Stages).To(HaveLen(2))
-		Expect(h.finish().Answer.BundleVersion).To(BeEquivalentTo(7))
-		Expect(actions[Keep](h.log)).To(HaveLen(1))
+		h.succeed(1)
+		h.succeed(2)
+		expectCompleted()
+		Expect(h.finishAction().Answer.Stages).To(HaveLen(2))
+		Expect(h.finishAction().Answer.BundleVersion).To(BeEquivalentTo(7))
+		Expect(actions[Keep](h.actionLog)).To(HaveLen(1))
 	})
 
-	It("tells each call by when it must start for the later stages to fit", func() {
+	It("sets the latest start of each call so that the later stages meet the deadline", func() {
 		h = newHarness(false)
 		h.step(Start{})
-		h.ok(1)
-		calls := actions[Call](h.log)
-		// Of one second, the first stage takes 10 ms and the last 100 ms.
+		h.succeed(1)
+		calls := actions[Call](h.actionLog)
+		// The deadline is 1 s. The stages are expected to take 10 ms and 100 ms.
 		Expect(calls[0].StartBy).To(Equal(epoch.Add(890 * time.Millisecond)))
 		Expect(calls[1].StartBy).To(Equal(epoch.Add(900 * time.Millisecond)))
 	})
 
-	It("refuses without a call when admission refuses", func() {
+	It("refuses without sending a call when admission refuses", func() {
 		h = newHarness(false)
-		h.admit.refuse = problem.New(problem.Overloaded, "full")
+		h.admitter.refusal = problem.New(problem.Overloaded, "full")
 		h.step(Start{})
-		settled()
-		Expect(h.finish().Err.Execution).To(Equal(problem.NotRun))
-		Expect(actions[Call](h.log)).To(BeEmpty())
+		expectCompleted()
+		Expect(h.finishAction().Err.Execution).To(Equal(problem.NotRun))
+		Expect(actions[Call](h.actionLog)).To(BeEmpty())
 	})
 
-	It("refuses without a call when a later pool fails as a whole", func() {
+	It("refuses without sending a call when the pool of a later stage fails as a whole", func() {
 		h = newHarness(false)
 		h.health.failing = "lm"
 		h.step(Start{})
-		settled()
-		Expect(h.finish().Err.Kind).To(Equal(problem.NoUpstream))
-		Expect(h.finish().Err.Execution).To(Equal(problem.NotRun))
+		expectCompleted()
+		Expect(h.finishAction().Err.Kind).To(Equal(problem.NoUpstream))
+		Expect(h.finishAction().Err.Execution).To(Equal(problem.NotRun))
 	})
 
-	It("tells which calls failed, and not those that it cancelled itself", func() {
+	It("reports failed calls to the pool health, but not calls that it cancelled", func() {
 		h = newHarness(false)
 		h.step(Start{})
 		h.step(CallEnded{Attempt: 1, Result: CallFailed})
-		h.ok(2)
+		h.succeed(2)
 		h.step(CallerGone{})
 		h.step(CallEnded{Attempt: 3, Result: CallFailed})
-		settled()
+		expectCompleted()
 		Expect(h.health.failed).To(Equal(1))
 		Expect(h.health.succeeded).To(Equal(1))
 	})
 
-	It("voids the key before it says not_run about a claimable request", func() {
+	It("asks to void the key when it refuses a request with a key as not_run", func() {
 		h = newHarness(true)
-		h.admit.refuse = problem.New(problem.Overloaded, "full")
+		h.admitter.refusal = problem.New(problem.Overloaded, "full")
 		h.step(Start{})
-		Expect(h.finish().Settle).To(Equal(SettleVoid))
-		Expect(h.finish().Key).To(Equal(ClaimKey{Customer: "c", Key: "k", Stage: "last"}))
+		Expect(h.finishAction().Settle).To(Equal(SettleVoid))
+		Expect(h.finishAction().Key).To(Equal(ClaimKey{Customer: "c", Key: "k", Stage: "last"}))
 	})
 
-	It("retries a failed repeatable stage elsewhere", func() {
+	It("retries a failed repeatable stage on another upstream", func() {
 		h = newHarness(false)
 		h.step(Start{})
 		h.step(CallEnded{Attempt: 1, Result: CallFailed})
 		Expect(h.router.queries[1].Tried).To(Equal([]string{"u1"}))
 		Expect(h.router.queries[1].TriedDomains).To(Equal([]string{"d-u1"}))
-		h.ok(2)
-		h.ok(3)
-		settled()
-		Expect(h.finish().Answer).NotTo(BeNil())
+		h.succeed(2)
+		h.succeed(3)
+		expectCompleted()
+		Expect(h.finishAction().Answer).NotTo(BeNil())
 	})
 
-	It("stops retrying when the budget is used up", func() {
+	It("does not retry when the retry budget is used up", func() {
 		h = newHarness(false)
-		h.retries.left = 0
+		h.retries.remaining = 0
 		h.step(Start{})
 		h.step(CallEnded{Attempt: 1, Result: CallFailed})
-		settled()
-		Expect(h.finish().Err.Kind).To(Equal(problem.UpstreamFailed))
-		Expect(h.finish().Err.Execution).To(Equal(problem.MayHaveRun))
+		expectCompleted()
+		Expect(h.finishAction().Err.Kind).To(Equal(problem.UpstreamFailed))
+		Expect(h.finishAction().Err.Execution).To(Equal(problem.MayHaveRun))
 	})
 
-	It("does not retry a call that the upstream found invalid", func() {
+	It("does not retry a call that the upstream rejected as invalid", func() {
 		h = newHarness(false)
 		h.step(Start{})
 		h.step(CallEnded{Attempt: 1, Result: CallFailed, Rejected: true})
-		settled()
-		Expect(h.finish().Err.Kind).To(Equal(problem.UpstreamRefused))
+		expectCompleted()
+		Expect(h.finishAction().Err.Kind).To(Equal(problem.UpstreamRefused))
 	})
 
-	It("says not_run when every call was refused unexecuted", func() {
+	It("reports not_run when every call was refused without being executed", func() {
 		h = newHarness(false)
-		h.retries.left = 1
+		h.retries.remaining = 1
 		h.step(Start{})
 		h.step(CallEnded{Attempt: 1, Result: CallRefused, NotExecuted: true})
 		h.step(CallEnded{Attempt: 2, Result: CallRefused, NotExecuted: true})
-		settled()
-		Expect(h.finish().Err.Execution).To(Equal(problem.NotRun))
+		expectCompleted()
+		Expect(h.finishAction().Err.Execution).To(Equal(problem.NotRun))
 	})
 
-	It("answers at the deadline and cancels what runs", func() {
+	It("answers at the deadline and cancels the running call", func() {
 		h = newHarness(false)
 		h.step(Start{})
 		h.now = epoch.Add(time.Second)
 		h.step(TimerFired{Timer: TimerDeadline})
-		Expect(h.finish().Err.Kind).To(Equal(problem.DeadlineExceeded))
-		Expect(h.finish().Err.Execution).To(Equal(problem.MayHaveRun))
-		Expect(actions[Cancel](h.log)).To(HaveLen(1))
+		Expect(h.finishAction().Err.Kind).To(Equal(problem.DeadlineExceeded))
+		Expect(h.finishAction().Err.Execution).To(Equal(problem.MayHaveRun))
+		Expect(actions[Cancel](h.actionLog)).To(HaveLen(1))
 		h.step(CallEnded{Attempt: 1, Result: CallCancelled})
-		settled()
+		expectCompleted()
 	})
 
-	It("drops an answer that comes twice or for an unknown attempt", func() {
+	It("drops a duplicate response and a response to an unknown attempt", func() {
 		h = newHarness(false)
 		h.step(Start{})
-		h.ok(1)
-		Expect(h.ok(1)).To(BeEmpty())
-		Expect(h.ok(9)).To(BeEmpty())
-		h.ok(2)
-		settled()
-		Expect(h.m.Dropped()).To(Equal(2))
+		h.succeed(1)
+		Expect(h.succeed(1)).To(BeEmpty())
+		Expect(h.succeed(9)).To(BeEmpty())
+		h.succeed(2)
+		expectCompleted()
+		Expect(h.machine.Dropped()).To(Equal(2))
 	})
 
-	It("resumes from a kept result", func() {
+	It("reuses the kept result of a stage", func() {
 		h = newHarness(false, func(s *Spec) { s.Kept = map[string]json.RawMessage{"first": json.RawMessage(`"kept"`)} })
 		h.step(Start{})
-		Expect(actions[Call](h.log)[0].Stage.Name).To(Equal("last"))
-		h.ok(1)
-		settled()
-		Expect(h.finish().Answer.Stages[0].Reused).To(BeTrue())
+		Expect(actions[Call](h.actionLog)[0].Stage.Name).To(Equal("last"))
+		h.succeed(1)
+		expectCompleted()
+		Expect(h.finishAction().Answer.Stages[0].Reused).To(BeTrue())
 	})
 
 	Describe("waiting for a slot", func() {
 		BeforeEach(func() {
 			h = newHarness(false)
-			h.admit.slots = 0
+			h.admitter.slots = 0
 			h.step(Start{})
-			Expect(h.admit.queue).To(HaveLen(1))
+			Expect(h.admitter.queue).To(HaveLen(1))
 		})
 
-		grant := func(err *problem.Error) SlotGranted {
-			t := h.admit.queue[0]
-			h.admit.queue = nil
+		endWait := func(err *problem.Error) SlotGranted {
+			t := h.admitter.queue[0]
+			h.admitter.queue = nil
 			if err == nil {
-				h.admit.held++
+				h.admitter.slotsInUse++
 			}
 			return SlotGranted{Grant: Grant{Ticket: t, Err: err}}
 		}
 
-		It("goes on when the slot is granted", func() {
-			h.admit.slots = 1
-			h.step(grant(nil))
-			h.ok(1)
-			h.ok(2)
-			settled()
+		It("sends the call when the slot is granted", func() {
+			h.admitter.slots = 1
+			h.step(endWait(nil))
+			h.succeed(1)
+			h.succeed(2)
+			expectCompleted()
 		})
 
-		It("refuses at once when the wait cannot succeed", func() {
-			h.step(grant(problem.New(problem.Overloaded, "too late")))
-			settled()
-			Expect(h.finish().Err.Execution).To(Equal(problem.NotRun))
+		It("refuses the request when its ticket is refused", func() {
+			h.step(endWait(problem.New(problem.Overloaded, "too late")))
+			expectCompleted()
+			Expect(h.finishAction().Err.Execution).To(Equal(problem.NotRun))
 		})
 
-		It("returns a slot that was granted to an attempt that gave up", func() {
-			g := grant(nil)
+		It("releases a slot that is granted after the request was aborted", func() {
+			g := endWait(nil)
 			h.step(CallerGone{})
 			h.step(g)
-			settled()
+			expectCompleted()
 		})
 	})
 
 	Describe("hedging", func() {
-		hedged := func() {
+		startHedged := func() {
 			h = newHarness(false)
 			h.router.latency = 20 * time.Millisecond
 			h.step(Start{})
 			h.now = h.now.Add(20 * time.Millisecond)
 			h.step(TimerFired{Timer: TimerHedge, Attempt: 1})
-			Expect(actions[Call](h.log)).To(HaveLen(2))
+			Expect(actions[Call](h.actionLog)).To(HaveLen(2))
 		}
 
-		It("takes the first answer and cancels the other", func() {
-			hedged()
-			h.ok(2)
-			Expect(actions[Cancel](h.log)).To(Equal([]Cancel{{Attempt: 1}}))
+		It("uses the first response and cancels the other attempt", func() {
+			startHedged()
+			h.succeed(2)
+			Expect(actions[Cancel](h.actionLog)).To(Equal([]Cancel{{Attempt: 1}}))
 			h.step(CallEnded{Attempt: 1, Result: CallOK})
-			h.ok(3)
-			settled()
-			Expect(h.finish().Answer).NotTo(BeNil())
+			h.succeed(3)
+			expectCompleted()
+			Expect(h.finishAction().Answer).NotTo(BeNil())
 		})
 
-		DescribeTable("waits with a hedge the longer, the more cost weighs",
+		DescribeTable("delays the hedge more if cost has more weight",
 			func(o bundle.Objective, want time.Duration) {
 				h = newHarness(false)
-				h.m.spec.Bundle.Objective = o
+				h.machine.spec.Bundle.Objective = o
 				h.router.latency = 20 * time.Millisecond
 				h.step(Start{})
-				// Sent after 1 ms; the two stages need 40 ms of one second.
-				timers := actions[SetTimer](h.log)
+				// The call is sent after 1 ms. The two stages need 40 ms, and the deadline is 1 s.
+				timers := actions[SetTimer](h.actionLog)
 				Expect(timers[len(timers)-1].At).To(Equal(epoch.Add(want)))
 			},
-			Entry("attainment alone: at the measured delay", bundle.Objective{Attainment: 1}, 21*time.Millisecond),
-			Entry("attainment first: with ample slack", bundle.Objective{Attainment: 1, CostByStage: 0.1}, 21*time.Millisecond),
-			Entry("cost first: with slack for 1.6 times the need", bundle.Objective{Attainment: 0.4, CostByStage: 1}, 896*time.Millisecond),
-			Entry("cost alone: only while it can still make it", bundle.Objective{CostByStage: 1}, 960*time.Millisecond),
+			Entry("attainment only: at the measured latency quantile", bundle.Objective{Attainment: 1}, 21*time.Millisecond),
+			Entry("mostly attainment: at the measured latency quantile, despite ample slack", bundle.Objective{Attainment: 1, CostByStage: 0.1}, 21*time.Millisecond),
+			Entry("mostly cost: when the slack is 1.6 times the remaining service time", bundle.Objective{Attainment: 0.4, CostByStage: 1}, 896*time.Millisecond),
+			Entry("cost only: at the latest start that meets the deadline", bundle.Objective{CostByStage: 1}, 960*time.Millisecond),
 		)
 
 		It("does not queue a hedge for a slot", func() {
 			h = newHarness(false)
-			h.admit.slots = 1
+			h.admitter.slots = 1
 			h.router.latency = 20 * time.Millisecond
 			h.step(Start{})
 			h.now = h.now.Add(20 * time.Millisecond)
 			h.step(TimerFired{Timer: TimerHedge, Attempt: 1})
-			Expect(h.admit.queue).To(BeEmpty())
-			h.ok(1)
-			h.ok(3)
-			settled()
-			Expect(h.finish().Answer.Stages[0].Attempts).To(Equal(1))
+			Expect(h.admitter.queue).To(BeEmpty())
+			h.succeed(1)
+			h.succeed(3)
+			expectCompleted()
+			Expect(h.finishAction().Answer.Stages[0].Attempts).To(Equal(1))
 		})
 
-		It("waits for the other attempt when one fails", func() {
-			hedged()
+		It("waits for the other attempt when one attempt fails", func() {
+			startHedged()
 			h.step(CallEnded{Attempt: 1, Result: CallFailed})
-			Expect(h.finish()).To(BeNil())
-			h.ok(2)
-			h.ok(3)
-			settled()
+			Expect(h.finishAction()).To(BeNil())
+			h.succeed(2)
+			h.succeed(3)
+			expectCompleted()
 		})
 	})
 
 	Describe("streaming", func() {
-		It("forwards the winner and resets when it is cut", func() {
+		It("forwards the stream of the first attempt to deliver a token and resets the caller when it fails", func() {
 			h = newHarness(false, func(s *Spec) { s.Stream = true })
 			h.step(Start{})
-			h.ok(1)
+			h.succeed(1)
 			h.step(FirstToken{Attempt: 2})
-			Expect(actions[Forward](h.log)).To(Equal([]Forward{{Attempt: 2}}))
+			Expect(actions[Forward](h.actionLog)).To(Equal([]Forward{{Attempt: 2}}))
 			h.step(CallEnded{Attempt: 2, Result: CallFailed})
-			Expect(actions[Reset](h.log)).To(HaveLen(1))
+			Expect(actions[Reset](h.actionLog)).To(HaveLen(1))
 			h.step(FirstToken{Attempt: 3})
-			h.ok(3)
-			settled()
+			h.succeed(3)
+			expectCompleted()
 		})
 	})
 
 	Describe("a non-repeatable stage", func() {
-		claimed := func() {
+		startClaiming := func() {
 			h = newHarness(true)
 			h.step(Start{})
-			h.ok(1)
-			Expect(actions[Claim](h.log)).To(HaveLen(1))
-			Expect(actions[Call](h.log)).To(HaveLen(1))
+			h.succeed(1)
+			Expect(actions[Claim](h.actionLog)).To(HaveLen(1))
+			Expect(actions[Call](h.actionLog)).To(HaveLen(1))
 		}
 
-		It("is sent only after the claim is won and recorded before the answer", func() {
-			claimed()
+		It("is sent only after the claim is won, and its result is recorded before the caller is answered", func() {
+			startClaiming()
 			h.step(ClaimDecided{Won: true})
-			h.ok(2)
-			Expect(h.finish()).To(BeNil())
+			h.succeed(2)
+			Expect(h.finishAction()).To(BeNil())
 			h.step(Recorded{})
-			settled()
-			Expect(h.finish().Answer).NotTo(BeNil())
+			expectCompleted()
+			Expect(h.finishAction().Answer).NotTo(BeNil())
 		})
 
-		It("gives the recorded result of an earlier request", func() {
-			claimed()
+		It("returns the recorded result of an earlier request", func() {
+			startClaiming()
 			h.step(ClaimDecided{Result: json.RawMessage(`"sealed"`)})
-			settled()
-			Expect(h.finish().Answer.Result).To(BeEquivalentTo(`"sealed"`))
+			expectCompleted()
+			Expect(h.finishAction().Answer.Result).To(BeEquivalentTo(`"sealed"`))
 		})
 
-		It("is never sent again when the answer is lost", func() {
-			claimed()
+		It("is not sent again when the response is lost", func() {
+			startClaiming()
 			h.step(ClaimDecided{Won: true})
 			h.step(CallEnded{Attempt: 2, Result: CallFailed})
-			settled()
-			Expect(h.finish().Err.Kind).To(Equal(problem.OutcomeUnknown))
-			Expect(h.finish().Err.Execution).To(Equal(problem.MayHaveRun))
+			expectCompleted()
+			Expect(h.finishAction().Err.Kind).To(Equal(problem.OutcomeUnknown))
+			Expect(h.finishAction().Err.Execution).To(Equal(problem.MayHaveRun))
 		})
 
-		It("is looked up when its answer is lost or its owner is gone", func() {
+		It("is looked up when the response is lost or the request that claimed it has recorded no result", func() {
 			withStatus := func(s *Spec) { s.Bundle.Pools[2].Supports.StatusLookup = true }
 			h = newHarness(true, withStatus)
 			h.step(Start{})
-			h.ok(1)
+			h.succeed(1)
 			h.step(ClaimDecided{Won: true})
 			h.step(CallEnded{Attempt: 2, Result: CallFailed})
-			Expect(actions[LookUp](h.log)).To(HaveLen(1))
+			Expect(actions[LookUp](h.actionLog)).To(HaveLen(1))
 			h.step(StatusAnswered{Known: true, Output: json.RawMessage(`"found"`)})
-			Expect(actions[Record](h.log)).To(HaveLen(1))
+			Expect(actions[Record](h.actionLog)).To(HaveLen(1))
 			h.step(Recorded{})
-			settled()
-			Expect(h.finish().Answer.Result).To(BeEquivalentTo(`"found"`))
+			expectCompleted()
+			Expect(h.finishAction().Answer.Result).To(BeEquivalentTo(`"found"`))
 
 			h = newHarness(true, withStatus)
 			h.step(Start{})
-			h.ok(1)
-			gone := problem.New(problem.OutcomeUnknown, "claimed")
-			gone.Execution = problem.MayHaveRun
-			h.step(ClaimDecided{Err: gone})
+			h.succeed(1)
+			outcomeUnknown := problem.New(problem.OutcomeUnknown, "claimed")
+			outcomeUnknown.Execution = problem.MayHaveRun
+			h.step(ClaimDecided{Err: outcomeUnknown})
 			h.step(StatusAnswered{Known: true, Output: json.RawMessage(`"found"`)})
-			settled()
-			Expect(actions[Record](h.log)).To(BeEmpty())
-			Expect(h.finish().Answer.Result).To(BeEquivalentTo(`"found"`))
+			expectCompleted()
+			Expect(actions[Record](h.actionLog)).To(BeEmpty())
+			Expect(h.finishAction().Answer.Result).To(BeEquivalentTo(`"found"`))
 
 			h = newHarness(true, withStatus)
 			h.step(Start{})
-			h.ok(1)
-			h.step(ClaimDecided{Err: gone})
+			h.succeed(1)
+			h.step(ClaimDecided{Err: outcomeUnknown})
 			h.step(StatusAnswered{})
-			settled()
-			Expect(h.finish().Err.Kind).To(Equal(problem.OutcomeUnknown))
-			Expect(h.finish().Err.Execution).To(Equal(problem.MayHaveRun))
+			expectCompleted()
+			Expect(h.finishAction().Err.Kind).To(Equal(problem.OutcomeUnknown))
+			Expect(h.finishAction().Err.Execution).To(Equal(problem.MayHaveRun))
 		})
 
-		It("is sent elsewhere when it was not executed", func() {
-			claimed()
+		It("is sent to another upstream when it was not executed", func() {
+			startClaiming()
 			h.step(ClaimDecided{Won: true})
 			h.step(CallEnded{Attempt: 2, Result: CallRefused, NotExecuted: true})
-			h.ok(3)
+			h.succeed(3)
 			h.step(Recorded{Err: errNoMajority})
-			settled()
-			Expect(h.finish().Answer).NotTo(BeNil())
+			expectCompleted()
+			Expect(h.finishAction().Answer).NotTo(BeNil())
 		})
 
-		It("is seen through and recorded after the deadline", func() {
-			claimed()
+		It("runs to its end after the deadline and its result is recorded", func() {
+			startClaiming()
 			h.step(ClaimDecided{Won: true})
 			h.now = epoch.Add(time.Second)
 			h.step(TimerFired{Timer: TimerDeadline})
-			Expect(h.finish().Err.Execution).To(Equal(problem.MayHaveRun))
-			Expect(actions[Cancel](h.log)).To(BeEmpty())
-			Expect(h.m.Idle()).To(BeFalse())
-			h.ok(2)
-			Expect(actions[Record](h.log)).To(HaveLen(1))
+			Expect(h.finishAction().Err.Execution).To(Equal(problem.MayHaveRun))
+			Expect(actions[Cancel](h.actionLog)).To(BeEmpty())
+			Expect(h.machine.Idle()).To(BeFalse())
+			h.succeed(2)
+			Expect(actions[Record](h.actionLog)).To(HaveLen(1))
 			h.step(Recorded{})
-			settled()
+			expectCompleted()
 		})
 
-		It("is not sent after a pause past the deadline, and its claim is released", func() {
-			claimed()
+		It("is not sent, and its claim is released, when the claim is decided after the deadline", func() {
+			startClaiming()
 			h.now = epoch.Add(2 * time.Second)
 			h.step(ClaimDecided{Won: true})
-			Expect(actions[Call](h.log)).To(HaveLen(1))
-			Expect(h.finish().Settle).To(Equal(SettleRelease))
-			settled()
+			Expect(actions[Call](h.actionLog)).To(HaveLen(1))
+			Expect(h.finishAction().Settle).To(Equal(SettleRelease))
+			expectCompleted()
 		})
 
-		It("releases a claim that is won after the request was given up", func() {
-			claimed()
+		It("releases a claim that is won after the request was aborted", func() {
+			startClaiming()
 			h.step(CallerGone{})
 			h.step(ClaimDecided{Won: true})
-			Expect(actions[Release](h.log)).To(HaveLen(1))
-			Expect(actions[Call](h.log)).To(HaveLen(1))
+			Expect(actions[Release](h.actionLog)).To(HaveLen(1))
+			Expect(actions[Call](h.actionLog)).To(HaveLen(1))
 		})
 	})
 })
--- a/core/request/ports.go
+++ b/core/request/ports.go
@@ -16,30 +16,30 @@
 	Pool     string
 	Stage    string
 	Kind     bundle.StageKind
-	// Attempt counts from 1.
+	// Attempt is the number of the attempt at this stage, starting at 1.
 	Attempt int
-	// Prefix is a hash of the prompt's shared prefix; 0 when there is none.
+	// Prefix is a hash of the prompt's shared prefix, or 0 if there is none.
 	Prefix uint64
-	// Tried names the upstreams that earlier attempts used; they are avoided.
+	// Tried holds the upstreams of earlier attempts, which the Router avoids.
 	Tried []string
-	// TriedDomains names the failure domains of earlier attempts; others are
-	// preferred.
+	// TriedDomains holds the failure domains of earlier attempts. The Router
+	// prefers other domains.
 	TriedDomains []string
-	// Domain is the failure domain in which the call's inputs lie; it is
-	// preferred. "" when that does not matter.
+	// Domain is the failure domain that stores the call's inputs. The Router
+	// prefers it. It is "" if the location of the inputs does not matter.
 	Domain string
 	// Budget is the time left for this stage.
 	Budget time.Duration
-	// Read is the time that an engine needs to read what the prompt does not
-	// share with others, and FirstByte the usual time to the first byte of the
-	// answer; 0 when they are not known.
+	// Read is the expected time that an engine needs to process the part of the
+	// prompt that is not in a shared prefix. FirstByte is the usual time to the
+	// first byte of the response. Either is 0 if it is not known.
 	Read, FirstByte time.Duration
 }
 
-// Choice is the upstream that a Router picked. It counts as in flight there
-// until Done is called for it.
+// Choice is the upstream that a Router picked for a call. The call counts as in
+// flight at the upstream until Done is called.
 type Choice struct {
-	// Request is the one that the upstream was picked for.
+	// Request is the ID of the request for which the upstream was picked.
 	Request       string
 	Pool          string
 	Upstream      string
@@ -47,17 +47,19 @@
 	FailureDomain string
 }
 
-// CallResult says how a call to an upstream ended.
+// CallResult is the result of a call to an upstream.
 type CallResult uint8
 
-// The call results.
+// Results of a call.
 const (
 	CallOK CallResult = iota
-	// CallFailed is a transport failure, a timeout or a 5xx answer.
+	// CallFailed is a transport failure, a timeout or a 5xx response.
 	CallFailed
-	// CallRefused is an answer that the upstream is busy or leaving.
+	// CallRefused means that the upstream responded that it is busy or is being
+	// taken out of service.
 	CallRefused
-	// CallCancelled is a call that this side gave up; it blames nobody.
+	// CallCancelled means that this daemon cancelled the call. It does not count
+	// as a failure of the upstream.
 	CallCancelled
 )
 
@@ -66,50 +68,49 @@
 	Choice Choice
 	Stage  string
 	Result CallResult
-	// Latency is the time from sending to the last byte.
+	// Latency is the time from sending the call to the last byte of the response.
 	Latency time.Duration
-	// FirstByte is the time from sending to the first byte or token.
+	// FirstByte is the time from sending the call to the first byte or token.
 	FirstByte time.Duration
-	// Work is how much the call had to do, in a unit that is the same for all
-	// calls of its stage: tokens, or the milliseconds that it was expected to
-	// take. Upstreams are compared by the latency for each unit; 0 when it is
-	// not known.
+	// Work is the amount of work in the call, in a unit that is the same for all
+	// calls of its stage: tokens, or the expected duration in milliseconds. It is
+	// 0 if unknown. Upstreams are compared by their latency per unit of work.
 	Work int
 }
 
 // Router picks upstreams. Implementations are safe for concurrent use, do no
 // I/O and read no clock.
 type Router interface {
-	// Pick chooses an upstream and counts the call as in flight. It adds its
-	// reasons to rec. The error is of kind problem.NoUpstream.
+	// Pick chooses an upstream and counts the call as in flight. It adds the
+	// reasons for the choice to rec. The error is of kind problem.NoUpstream.
 	Pick(now time.Time, q Query, rec record.Recorder) (Choice, *problem.Error)
-	// Done ends a picked call.
+	// Done reports the end of a call whose upstream was chosen by Pick.
 	Done(now time.Time, o Outcome)
-	// Expect returns the measured latency of a stage of a pool at quantile
-	// (0 to 1), and false while too few calls were measured.
+	// Expect returns the measured latency of a stage at a pool at the given
+	// quantile (0 to 1). It returns false until enough calls have been measured.
 	Expect(pool, stage string, quantile float64) (time.Duration, bool)
-	// ExpectFirstByte is Expect for the time to the first byte or token.
+	// ExpectFirstByte is like Expect, for the time to the first byte or token.
 	ExpectFirstByte(pool, stage string, quantile float64) (time.Duration, bool)
 }
 
-// Need is what one stage of a plan asks of its pool.
-type Need struct {
+// PlannedStage is one stage of a plan and the service time it needs from its pool.
+type PlannedStage struct {
 	Stage string
 	Pool  string
 	// Expected is the expected service time.
 	Expected time.Duration
 }
 
-// Plan is a whole request as admission sees it on arrival.
+// Plan is the information about a request that admission uses on arrival.
 type Plan struct {
 	Request  string
 	Customer string
 	Pipeline string
 	Deadline time.Time
-	Needs    []Need
+	Stages   []PlannedStage
 }
 
-// Ticket asks for one slot of a pool for one call.
+// Ticket is a request for one slot of a pool, for one call.
 type Ticket struct {
 	Request  string
 	Attempt  int
@@ -119,88 +120,94 @@
 	Deadline time.Time
 	// Expected is the expected service time of this stage.
 	Expected time.Duration
-	// After is the expected time of all later stages: the slot is of use only
-	// if it is granted before Deadline - After - Expected.
-	After time.Duration
+	// ExpectedAfter is the expected total time of all later stages. The slot is
+	// useful only if it is granted by Deadline - ExpectedAfter - Expected.
+	ExpectedAfter time.Duration
 }
 
-// StartBy is the last time at which a start is expected to meet the deadline.
-func (t Ticket) StartBy() time.Time { return t.Deadline.Add(-t.After - t.Expected) }
+// LatestStart returns the latest time at which the call can start and is still
+// expected to meet the deadline.
+func (t Ticket) LatestStart() time.Time { return t.Deadline.Add(-t.ExpectedAfter - t.Expected) }
 
-// Verdict is the answer to a Ticket.
-type Verdict uint8
+// AcquireResult is the result of Admitter.Acquire.
+type AcquireResult uint8
 
-// The verdicts.
+// Results of Admitter.Acquire.
 const (
-	Granted Verdict = iota
+	Granted AcquireResult = iota
 	Queued
 	Refused
 )
 
-// Grant ends the wait of a queued ticket: Err is nil when the slot is granted.
+// Grant ends the wait of a queued ticket. Err is nil if the slot is granted.
 type Grant struct {
 	Ticket Ticket
 	Err    *problem.Error
 }
 
-// Admitter limits what enters the system and each pool. Implementations are
-// safe for concurrent use, do no I/O and read no clock.
+// Admitter limits the requests that enter the system and the calls that run at
+// each pool. Implementations are safe for concurrent use, do no I/O and read no clock.
 type Admitter interface {
-	// Arrive admits or refuses a whole request.
-	Arrive(now time.Time, p Plan, rec record.Recorder) *problem.Error
-	// Leave ends an admitted request, whatever became of it.
-	Leave(now time.Time, p Plan, attained bool)
-	// Acquire asks for a slot. A queued ticket is answered by a later Grant.
-	Acquire(now time.Time, t Ticket, rec record.Recorder) (Verdict, *problem.Error)
-	// Abandon takes a queued ticket out of its queue. A ticket that was granted
-	// meanwhile is left: whoever gets its Grant owes the Release.
+	// Admit admits or refuses a whole request.
+	Admit(now time.Time, p Plan, rec record.Recorder) *problem.Error
+	// Finish ends an admitted request, whatever its outcome. attained says
+	// whether it was answered within its deadline.
+	Finish(now time.Time, p Plan, attained bool)
+	// Acquire requests a slot. A queued ticket is answered by a later Grant.
+	Acquire(now time.Time, t Ticket, rec record.Recorder) (AcquireResult, *problem.Error)
+	// Abandon removes a ticket from its queue. It does nothing if the ticket has
+	// already been granted; the receiver of the Grant must then call Release.
 	Abandon(now time.Time, t Ticket)
-	// Release returns a granted slot and reports how the call went.
+	// Release returns a granted slot and reports the result of the call. It
+	// returns the grants that follow.
 	Release(now time.Time, t Ticket, r CallResult, latency time.Duration) []Grant
-	// Tick ends the waits that can no longer succeed. It is called every
-	// 10 ms or so.
+	// Tick refuses queued tickets that can no longer meet their deadline. It
+	// returns their Grants and any others that are due. The caller calls it about
+	// every 10 ms.
 	Tick(now time.Time) []Grant
 }
 
-// Budget bounds retries or hedges to a share of the calls.
+// Budget limits retries or hedges to a fraction of the calls.
 // Implementations are safe for concurrent use.
 type Budget interface {
 	// Deposit counts one first attempt.
 	Deposit(now time.Time)
-	// Withdraw takes one extra attempt, or returns false.
+	// Withdraw takes one retry or hedge from the budget, or returns false if the
+	// budget is used up.
 	Withdraw(now time.Time) bool
 }
 
-// Health tells pools that fail as a whole. Implementations are safe for
+// Health detects pools that fail as a whole. Implementations are safe for
 // concurrent use.
 type Health interface {
-	// Allow says whether a request that needs the pools may start, and names a
-	// failing pool if not. Some requests are let through to probe.
+	// Allow reports whether a request that needs the pools may start. If not, it
+	// returns the name of a failing pool. Some requests are allowed as probes of
+	// a failing pool.
 	Allow(now time.Time, pools []string) (failing string, ok bool)
-	// Succeeded and Failed note how a call to a pool ended.
+	// Succeeded and Failed report the result of a call to a pool.
 	Succeeded(pool string)
 	Failed(now time.Time, pool string)
 }
 
-// Claimer is what carries out Claim, Release and Record actions. It does I/O
-// and is used by the runtime, never by a Machine. Implementations are safe for
-// concurrent use.
+// Claimer carries out Claim, Release and Record actions. It does I/O and is used
+// by the code that executes actions, never by a Machine. Implementations are safe
+// for concurrent use.
 type Claimer interface {
 	// Acquire claims key for the request, which arrived at the given time, and
 	// waits for the decision until ctx ends. digest identifies the pipeline
-	// and input: the same key with another digest is problem.KeyReused. A key
-	// with a recorded result gives that result. A key that another request
-	// has claimed is waited for; without a result in time the error is
-	// problem.OutcomeUnknown with MayHaveRun.
+	// and input: the same key with another digest fails with problem.KeyReused.
+	// If a result is recorded for the key, Acquire returns it. If another
+	// request has claimed the key, Acquire waits for its result; if there is
+	// none in time, the error is problem.OutcomeUnknown with MayHaveRun.
 	Acquire(ctx context.Context, key ClaimKey, request string, arrived time.Time, digest [32]byte) ClaimDecided
-	// Release gives up a claim under which nothing was sent. From then on the
+	// Release releases a claim under which no call was sent. From then on the
 	// holders refuse every attempt at key that arrived before the release, so
-	// that a NotRun answer stays true when a paused daemon wakes.
+	// that a NotRun response stays true even if a paused daemon resumes.
 	Release(ctx context.Context, key ClaimKey, request string) error
-	// Void makes a NotRun answer true for a request that is refused before it
-	// claimed: it places the same mark as Release does, unless the key is
-	// claimed or recorded, and reports whether nothing has run or will run for
-	// attempts that arrived before now.
+	// Void makes a NotRun response true for a request that is refused before it
+	// claimed the key. Unless the key is claimed or recorded, the holders refuse
+	// attempts at it as after Release. notRun reports that no attempt that
+	// arrived before now has run or will run.
 	Void(ctx context.Context, key ClaimKey) (notRun bool, err error)
 	// Record stores the result at a majority of the holders.
 	Record(ctx context.Context, key ClaimKey, request string, result []byte) error
--- a/core/request/rejected_test.go
+++ b/core/request/rejected_test.go
@@ -9,41 +9,41 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// hedgedRequest is a request whose first attempt runs with a hedge beside it.
-func hedgedRequest(g *WithT) *harness {
+// newHedgedHarness returns a harness whose first attempt is running together with a hedge.
+func newHedgedHarness(g *WithT) *harness {
 	h := newHarness(false)
 	h.router.latency = 20 * time.Millisecond
 	h.step(Start{})
 	h.now = h.now.Add(20 * time.Millisecond)
 	h.step(TimerFired{Timer: TimerHedge, Attempt: 1})
-	g.Expect(actions[Call](h.log)).To(HaveLen(2))
+	g.Expect(actions[Call](h.actionLog)).To(HaveLen(2))
 	return h
 }
 
-// TestRejectedBesideAnother: an upstream that rejects an attempt says nothing of the
-// one that is under way elsewhere.
-func TestRejectedBesideAnother(t *testing.T) {
+// TestRejectedHedgeKeepsFirstAttempt checks that the first attempt continues, and can still
+// succeed, when another upstream rejects the hedge as invalid.
+func TestRejectedHedgeKeepsFirstAttempt(t *testing.T) {
 	g := NewWithT(t)
-	h := hedgedRequest(g)
+	h := newHedgedHarness(g)
 	h.step(CallEnded{Attempt: 2, Result: CallFailed, NotExecuted: true, Rejected: true})
-	g.Expect(actions[Cancel](h.log)).To(BeEmpty())
-	g.Expect(h.finish()).To(BeNil())
-	h.ok(1)
-	h.ok(3)
-	g.Expect(h.finish()).NotTo(BeNil())
-	g.Expect(h.finish().Answer).NotTo(BeNil())
-	g.Expect(h.m.Idle()).To(BeTrue())
+	g.Expect(actions[Cancel](h.actionLog)).To(BeEmpty())
+	g.Expect(h.finishAction()).To(BeNil())
+	h.succeed(1)
+	h.succeed(3)
+	g.Expect(h.finishAction()).NotTo(BeNil())
+	g.Expect(h.finishAction().Answer).NotTo(BeNil())
+	g.Expect(h.machine.Idle()).To(BeTrue())
 }
 
-// TestRejectedAndTheOtherFails: once nothing is under way any more, a rejection is not
-// tried again.
-func TestRejectedAndTheOtherFails(t *testing.T) {
+// TestRejectedRequestIsNotRetried checks that a request with a rejected attempt is refused without
+// a retry once its other attempt has failed too.
+func TestRejectedRequestIsNotRetried(t *testing.T) {
 	g := NewWithT(t)
-	h := hedgedRequest(g)
+	h := newHedgedHarness(g)
 	h.step(CallEnded{Attempt: 2, Result: CallFailed, Rejected: true})
 	h.step(CallEnded{Attempt: 1, Result: CallFailed})
-	g.Expect(h.finish()).NotTo(BeNil())
-	g.Expect(h.finish().Err.Kind).To(Equal(problem.UpstreamRefused))
-	g.Expect(actions[Call](h.log)).To(HaveLen(2))
-	g.Expect(h.retries.left).To(Equal(5), "no retry is drawn")
+	g.Expect(h.finishAction()).NotTo(BeNil())
+	g.Expect(h.finishAction().Err.Kind).To(Equal(problem.UpstreamRefused))
+	g.Expect(actions[Call](h.actionLog)).To(HaveLen(2))
+	g.Expect(h.retries.remaining).To(Equal(5), "no retry is taken from the budget")
 }
--- a/core/request/suite_test.go
+++ b/core/request/suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestRequest(t *testing.T) {
+func TestRequestSuite(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "core/request")
 }
--- a/core/request/table.go
+++ b/core/request/table.go
@@ -7,19 +7,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// tableShards is the number of shards; a power of two well above the cores.
+// tableShards is the number of shards: a power of two well above the number of
+// processor cores.
 const tableShards = 64
 
-// Table holds the requests in flight in shards, each under its own lock. It is
-// safe for concurrent use.
+// Table holds the machines of the requests in flight in shards, each under its own
+// lock. It is safe for concurrent use.
 type Table struct {
 	shards [tableShards]tableShard
 }
 
 type tableShard struct {
-	mu       sync.Mutex
-	machines map[string]*Machine
-	dropped  uint64
+	mu            sync.Mutex
+	machines      map[string]*Machine
+	droppedEvents uint64
 }
 
 // NewTable returns an empty table.
@@ -35,7 +36,7 @@
 	return &t.shards[xxhash.Sum64String(id)%tableShards]
 }
 
-// Insert adds a machine. Its id must be new.
+// Insert adds a machine. Its request ID must not be in the table yet.
 func (t *Table) Insert(m *Machine) {
 	s := t.shard(m.spec.ID)
 	s.mu.Lock()
@@ -43,27 +44,28 @@
 	s.machines[m.spec.ID] = m
 }
 
-// Deliver passes an event to a request and returns the actions. An event for a
-// request that is gone is dropped and counted, and false returned.
+// Deliver passes an event to the machine of a request and returns the resulting
+// actions. If the request is not in the table, the event is dropped and counted
+// and Deliver returns false.
 func (t *Table) Deliver(now time.Time, id string, ev Event) ([]Action, bool) {
 	s := t.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m, ok := s.machines[id]
 	if !ok {
-		s.dropped++
+		s.droppedEvents++
 		return nil, false
 	}
 	actions := m.Step(now, ev)
 	if m.Finished() && m.Idle() {
-		s.dropped += uint64(m.Dropped())
+		s.droppedEvents += uint64(m.Dropped())
 		delete(s.machines, id)
 	}
 	return actions, true
 }
 
-// Len returns the number of requests in flight, including those that are
-// answered but whose calls are not over.
+// Len returns the number of requests in flight, including those that are answered
+// but still have running calls.
 func (t *Table) Len() int {
 	n := 0
 	for i := range t.shards {
@@ -75,14 +77,15 @@
 	return n
 }
 
-// Dropped returns the number of events that came for a request or attempt
-// that was over.
+// Dropped returns the number of events for requests or attempts that had already
+// ended or were unknown. Events that a machine in the table has dropped are counted
+// once the machine is removed.
 func (t *Table) Dropped() uint64 {
 	var n uint64
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.Lock()
-		n += s.dropped
+		n += s.droppedEvents
 		s.mu.Unlock()
 	}
 	return n
@@ -99,7 +102,7 @@
 	Answered bool      `json:"answered"`
 }
 
-// Overviews describes at most limit requests in flight.
+// Overviews returns descriptions of at most limit requests in flight.
 func (t *Table) Overviews(limit int) []Overview {
 	var all []Overview
 	for i := range t.shards {
