--- a/core/admit/bench_test.go
+++ b/core/admit/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/wheatseam/wheatseam/core/request"
 )
 
-// The sizes of the target: pipelines of four stages over pools of their own
-// for generation and shared ones for the rest.
+// The benchmark bundle has the size of the target deployment. Each pipeline has four
+// stages: a generation stage with its own pool, and three stages on shared pools.
 const (
 	benchPipelines = 12
 	benchCustomers = 410
@@ -57,7 +57,8 @@
 	return plans
 }
 
-// request plays one whole request: its arrival, four slots, and its end.
+// runRequest runs one whole request: its arrival, four slots and its end. It returns
+// the number of admitted requests, 0 or 1.
 func runRequest(c *Controller, p request.Plan) int {
 	if c.Admit(epoch, p, nil) != nil {
 		return 0
@@ -67,7 +68,7 @@
 			Request: p.Request, Attempt: 1, Stage: n.Stage, Pool: n.Pool, Customer: p.Customer,
 			Deadline: p.Deadline, Expected: n.Expected,
 		}
-		if verdict, _ := c.Acquire(epoch, t, nil); verdict == request.Granted {
+		if result, _ := c.Acquire(epoch, t, nil); result == request.Granted {
 			c.Release(epoch, t, request.CallOK, n.Expected)
 		}
 	}
@@ -98,13 +99,13 @@
 	}
 }
 
-// BenchmarkReleaseBacklog measures a slot that goes on to one of the tickets of
-// 410 backlogged customers.
+// BenchmarkReleaseBacklog measures a Release that grants the slot to one of the queued
+// tickets of 410 customers.
 func BenchmarkReleaseBacklog(b *testing.B) {
 	c := New(Config{MinQueue: 10 * benchCustomers})
-	bun := benchBundle()
-	bun.Hosts = make([]bundle.Host, 1280) // one slot
-	c.Apply(bun)
+	manyHosts := benchBundle()
+	manyHosts.Hosts = make([]bundle.Host, 1280) // one slot
+	c.Apply(manyHosts)
 	ticket := func(i int) request.Ticket {
 		return request.Ticket{
 			Request: fmt.Sprint(i), Attempt: 1, Stage: "encode", Pool: "encode",
@@ -123,18 +124,18 @@
 	}
 }
 
-// BenchmarkRequestParallel measures whole requests of four stages from all
-// processors at once.
+// BenchmarkRequestParallel measures whole requests of four stages, run in parallel on
+// all processors.
 func BenchmarkRequestParallel(b *testing.B) {
 	c, plans := New(Config{}), benchPlanList()
 	c.Apply(benchBundle())
 	var next, admitted atomic.Int64
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
-		own := int(next.Add(1)) * 1009
+		i := int(next.Add(1)) * 1009
 		for pb.Next() {
-			own++
-			admitted.Add(int64(runRequest(c, plans[own%benchPlans])))
+			i++
+			admitted.Add(int64(runRequest(c, plans[i%benchPlans])))
 		}
 	})
 	b.ReportMetric(float64(admitted.Load())/float64(b.N), "admitted/op")
--- a/core/admit/config.go
+++ b/core/admit/config.go
@@ -6,20 +6,22 @@
 	"github.com/wheatseam/wheatseam/bundle"
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	defaultQueuePerSlot  = 16
 	defaultMinQueue      = 64
 	defaultMaxRetryAfter = 30 * time.Second
 )
 
-// Config holds the settings of a Controller; zero fields take the defaults.
+// Config holds the settings of a Controller. Zero fields are replaced by defaults.
 type Config struct {
-	// QueuePerSlot bounds a pool's queue as a multiple of its limit.
+	// QueuePerSlot is the maximum length of a pool's queue, in tickets per slot
+	// of the pool's concurrency limit.
 	QueuePerSlot int
-	// MinQueue is the least bound of a pool's queue, in tickets.
+	// MinQueue is a lower bound for the maximum length of a pool's queue, in
+	// tickets.
 	MinQueue int
-	// MaxRetryAfter caps the advice to come back later.
+	// MaxRetryAfter is the maximum RetryAfter of a refusal.
 	MaxRetryAfter time.Duration
 }
 
@@ -36,34 +38,37 @@
 	return c
 }
 
-// Shares says which fraction, 0 to 1, of the fleet's limits this daemon may
-// use at a time. Implementations are immutable and safe for concurrent use.
+// Shares returns the fraction, from 0 to 1, of each fleet-wide limit that this
+// daemon may use at a given time. Implementations are immutable and safe for
+// concurrent use.
 type Shares interface {
-	// Pool returns the fraction of a pool's concurrency.
+	// Pool returns the share of a pool's concurrency limit.
 	Pool(now time.Time, pool string) float64
-	// Customer returns the fraction of a customer's requests per second.
+	// Customer returns the share of a customer's limit on requests per second.
 	Customer(now time.Time, customer string) float64
 }
 
-// equalShares gives each host of the bundle the same fraction. Its sum over
-// the fleet keeps every limit without a word from another daemon.
+// equalShares gives each host of the bundle the same share. The shares of all
+// hosts add up to 1, so the fleet keeps every limit even if the daemons do not
+// communicate.
 type equalShares float64
 
 func (s equalShares) Pool(time.Time, string) float64     { return float64(s) }
 func (s equalShares) Customer(time.Time, string) float64 { return float64(s) }
 
-// The margins on expected service times, between which the objective weighs.
+// Safety margins on expected service times, as a fraction of them. The objective's
+// weights interpolate between the two.
 const (
-	// minMargin applies when only attainment counts: a request is tried
-	// while it is expected to make it.
+	// minServiceMargin applies if only attainment has weight: a request is admitted
+	// as long as it is expected to meet its deadline.
 	minServiceMargin = 0.05
-	// maxMargin applies when only cost counts: a request is tried only when
-	// it is rather sure to make it, so that less work is wasted.
+	// maxServiceMargin applies if only cost has weight: a request is admitted only
+	// if it is likely to meet its deadline, so that less work is wasted.
 	maxServiceMargin = 0.25
 )
 
-// margin returns by how much expected service times are raised in every
-// prediction, as a fraction of them.
+// serviceMargin returns the fraction by which every forecast increases the expected
+// service times.
 func serviceMargin(o bundle.Objective) float64 {
 	sum := o.Attainment + o.CostByStage
 	if sum <= 0 {
--- a/core/admit/controller.go
+++ b/core/admit/controller.go
@@ -15,9 +15,9 @@
 	"github.com/wheatseam/wheatseam/record"
 )
 
-// The steps of admission in decision records.
+// Steps of admission in decision records.
 const (
-	StepArrive  record.Step = "admit.arrive"
+	StepAdmit   record.Step = "admit.arrive"
 	StepAcquire record.Step = "admit.acquire"
 )
 
@@ -28,24 +28,25 @@
 	shares    atomic.Pointer[Shares]
 	customers customerTable
 
-	applyMu sync.Mutex // serialises Apply
+	applyMu sync.Mutex // serializes Apply
 }
 
 var _ request.Admitter = (*Controller)(nil)
 
-// view is what admission needs of a bundle: immutable but for the pools,
-// which have locks of their own.
+// bundleState is the state that admission derives from a bundle. It is immutable
+// except for the pools, each of which has its own lock.
 type bundleState struct {
-	unlimited bool // a baseline policy
+	unlimited bool // the policy is a baseline without admission control
 	margin    float64
 	customers map[string]*bundle.Customer
 	pools     map[string]*pool
-	// ordered holds the pools by name, so that equal inputs give equal answers.
+	// poolsByName holds the pools ordered by name, which makes the order of the
+	// results of Tick and State deterministic.
 	poolsByName []*pool
 }
 
-func (v *bundleState) weight(customer string) float64 {
-	if c := v.customers[customer]; c != nil && c.Weight > 0 {
+func (state *bundleState) weight(customer string) float64 {
+	if c := state.customers[customer]; c != nil && c.Weight > 0 {
 		return c.Weight
 	}
 	return 1
@@ -59,8 +60,9 @@
 	return c
 }
 
-// Apply puts b in force. Pools that stay keep their state. Shares fall back to
-// equal ones of the new host list until SetShares is called again.
+// Apply makes b the active bundle. Pools that are also in b keep their state, and
+// pools that are not in b remain while they are in use. Every host of b gets an equal
+// share until SetShares is called again.
 func (c *Controller) Apply(b *bundle.Bundle) {
 	c.applyMu.Lock()
 	defer c.applyMu.Unlock()
@@ -102,35 +104,36 @@
 	return p
 }
 
-// SetShares makes s the shares in force.
+// SetShares replaces the active shares with s.
 func (c *Controller) SetShares(s Shares) { c.shares.Store(&s) }
 
 func (c *Controller) poolShare(now time.Time, pool string) float64 {
 	return (*c.shares.Load()).Pool(now, pool)
 }
 
-// Arrive implements request.Admitter. It refuses with problem.RateLimited,
-// problem.DeadlineTooShort or problem.Overloaded.
+// Admit implements request.Admitter. It refuses with problem.RateLimited,
+// problem.DeadlineTooShort or problem.Overloaded, and with problem.NoUpstream if a
+// pool of the plan does not exist.
 func (c *Controller) Admit(now time.Time, p request.Plan, rec record.Recorder) *problem.Error {
-	v := c.state.Load()
-	if err := c.checkRateLimit(now, v, p.Customer); err != nil {
-		c.recordDecision(rec, now, StepArrive, "refused", err.Kind, nil)
+	state := c.state.Load()
+	if err := c.checkRateLimit(now, state, p.Customer); err != nil {
+		c.recordDecision(rec, now, StepAdmit, "refused", err.Kind, nil)
 		return err
 	}
-	if v.unlimited {
+	if state.unlimited {
 		return nil
 	}
-	f, err := c.reserveAndForecast(now, v, p)
+	forecast, err := c.reserveAndForecast(now, state, p)
 	if err != nil {
-		c.removeReservations(v, p)
+		c.removeReservations(state, p)
 	}
-	c.recordAdmission(rec, now, f, err)
+	c.recordAdmission(rec, now, forecast, err)
 	return err
 }
 
-func (c *Controller) checkRateLimit(now time.Time, v *bundleState, customer string) *problem.Error {
+func (c *Controller) checkRateLimit(now time.Time, state *bundleState, customer string) *problem.Error {
 	limit, limited := 0.0, false
-	if cust := v.customers[customer]; cust != nil && cust.RequestsPerSecond > 0 && !v.unlimited {
+	if cust := state.customers[customer]; cust != nil && cust.RequestsPerSecond > 0 && !state.unlimited {
 		limited = true
 		limit = cust.RequestsPerSecond * (*c.shares.Load()).Customer(now, customer)
 	}
@@ -143,99 +146,104 @@
 	return err
 }
 
-// outlook is what admission foresees for a whole request.
+// requestForecast is the predicted execution of a whole request.
 type requestForecast struct {
+	// budget is the time from the arrival to the deadline.
 	budget      time.Duration
 	serviceTime time.Duration
-	// most is what the stages take in all but few cases.
+	// highServiceTime is a service time that the stages together rarely exceed.
 	highServiceTime time.Duration
 	wait            time.Duration
 	allowedWait     time.Duration
-	// tightest is the pool that the request waits for longest.
+	// longestWaitPool is the pool with the longest predicted wait.
 	longestWaitPool string
-	borrowed        float64
+	// borrowed is the highest poolForecast.borrowed of the pools that the request
+	// waits for.
+	borrowed float64
 }
 
-// plan reserves the request's work at each of its pools and predicts when it
-// would finish. On an error the reservations stay; the caller drops them.
-func (c *Controller) reserveAndForecast(now time.Time, v *bundleState, p request.Plan) (requestForecast, *problem.Error) {
-	o := requestForecast{budget: p.Deadline.Sub(now)}
-	at, longest := 0.0, 0.0
-	for _, n := range p.Stages {
-		o.serviceTime += n.Expected
-		shard := v.pools[n.Pool]
-		if shard == nil {
-			return o, problem.New(problem.NoUpstream, "there is no pool %s", n.Pool)
+// reserveAndForecast reserves the request's work at each of its pools and predicts
+// whether it will finish within its deadline. On an error the reservations remain;
+// the caller must remove them.
+func (c *Controller) reserveAndForecast(now time.Time, state *bundleState, p request.Plan) (requestForecast, *problem.Error) {
+	forecast := requestForecast{budget: p.Deadline.Sub(now)}
+	elapsed, longestWait := 0.0, 0.0
+	for _, stage := range p.Stages {
+		forecast.serviceTime += stage.Expected
+		target := state.pools[stage.Pool]
+		if target == nil {
+			return forecast, problem.New(problem.NoUpstream, "there is no pool %s", stage.Pool)
 		}
-		f := shard.reserve(now, reservationKeyOf(p, n), p.Customer, v.weight(p.Customer), n.Expected, c.poolShare(now, n.Pool))
-		if wait := f.wait - at; wait > 0 {
-			o.wait += seconds(wait)
-			o.borrowed = max(o.borrowed, f.borrowed)
-			at = f.wait
-			if wait > longest {
-				longest, o.longestWaitPool = wait, n.Pool
+		atPool := target.reserve(now, reservationKeyOf(p, stage), p.Customer, state.weight(p.Customer), stage.Expected, c.poolShare(now, stage.Pool))
+		if wait := atPool.wait - elapsed; wait > 0 {
+			forecast.wait += seconds(wait)
+			forecast.borrowed = max(forecast.borrowed, atPool.borrowed)
+			elapsed = atPool.wait
+			if wait > longestWait {
+				longestWait, forecast.longestWaitPool = wait, stage.Pool
 			}
 		}
-		at += n.Expected.Seconds() * (1 + v.margin)
-		o.highServiceTime += seconds(f.highServiceTime * (1 + v.margin))
+		elapsed += stage.Expected.Seconds() * (1 + state.margin)
+		forecast.highServiceTime += seconds(atPool.highServiceTime * (1 + state.margin))
 	}
-	return o, c.checkForecast(&o, v.margin)
+	return forecast, c.checkForecast(&forecast, state.margin)
 }
 
-// reserve plans one call and foresees its wait.
-func (p *pool) reserve(now time.Time, k reservationKey, customer string, weight float64, expected time.Duration, fraction float64) poolForecast {
+// reserve adds a reservation for one call and predicts the wait of the call.
+func (p *pool) reserve(now time.Time, k reservationKey, customer string, weight float64, expected time.Duration, share float64) poolForecast {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.offeredWork.add(now, expected.Seconds())
-	f := p.reservations.forecastWait(customer, weight, p.slots(fraction), p.meanServiceTime(expected))
+	f := p.reservations.forecastWait(customer, weight, p.slots(share), p.meanServiceTime(expected))
 	f.highServiceTime = max(expected.Seconds(), p.limiter.highLatency(k.stage))
 	p.reservations.add(k, customer, weight, expected)
 	return f
 }
 
-// judge compares the outlook with the deadline.
-func (c *Controller) checkForecast(o *requestForecast, margin float64) *problem.Error {
-	needed := seconds(o.serviceTime.Seconds() * (1 + margin))
-	if needed > o.budget {
-		return problem.New(problem.DeadlineTooShort, "the stages need %v, the deadline leaves %v", needed, o.budget)
-	}
-	slack := max(0, o.budget-max(needed, o.highServiceTime))
-	o.allowedWait = seconds(slack.Seconds() * (1 - reservedSlackFraction*o.borrowed))
-	if o.wait <= o.allowedWait {
+// checkForecast compares the forecast with the deadline. It sets allowedWait.
+func (c *Controller) checkForecast(forecast *requestForecast, margin float64) *problem.Error {
+	needed := seconds(forecast.serviceTime.Seconds() * (1 + margin))
+	if needed > forecast.budget {
+		return problem.New(problem.DeadlineTooShort, "the stages need %v, the deadline leaves %v", needed, forecast.budget)
+	}
+	slack := max(0, forecast.budget-max(needed, forecast.highServiceTime))
+	forecast.allowedWait = seconds(slack.Seconds() * (1 - reservedSlackFraction*forecast.borrowed))
+	if forecast.wait <= forecast.allowedWait {
 		return nil
 	}
-	err := problem.New(problem.Overloaded, "the wait for pool %s would be too long for the deadline", o.longestWaitPool)
-	err.RetryAfter = min(o.wait-o.allowedWait, c.cfg.MaxRetryAfter)
+	err := problem.New(problem.Overloaded, "the wait for pool %s would be too long for the deadline", forecast.longestWaitPool)
+	err.RetryAfter = min(forecast.wait-forecast.allowedWait, c.cfg.MaxRetryAfter)
 	return err
 }
 
-// drop takes the request out of every pool's plan.
-func (c *Controller) removeReservations(v *bundleState, p request.Plan) {
-	for _, n := range p.Stages {
-		shard := v.pools[n.Pool]
-		if shard == nil {
+// removeReservations removes the reservations of the request from all its pools.
+func (c *Controller) removeReservations(state *bundleState, p request.Plan) {
+	for _, stage := range p.Stages {
+		target := state.pools[stage.Pool]
+		if target == nil {
 			continue
 		}
-		shard.mu.Lock()
-		shard.reservations.remove(reservationKeyOf(p, n))
-		shard.mu.Unlock()
+		target.mu.Lock()
+		target.reservations.remove(reservationKeyOf(p, stage))
+		target.mu.Unlock()
 	}
 }
 
-// Leave implements request.Admitter.
+// Finish implements request.Admitter.
 func (c *Controller) Finish(_ time.Time, p request.Plan, _ bool) {
 	c.removeReservations(c.state.Load(), p)
 }
 
-// Acquire implements request.Admitter. It refuses with problem.Overloaded.
+// Acquire implements request.Admitter. It refuses with problem.Overloaded, and with
+// problem.NoUpstream if the pool does not exist.
 func (c *Controller) Acquire(now time.Time, t request.Ticket, rec record.Recorder) (request.AcquireResult, *problem.Error) {
-	v := c.state.Load()
-	p := v.pools[t.Pool]
+	state := c.state.Load()
+	p := state.pools[t.Pool]
 	if p == nil {
 		return request.Refused, problem.New(problem.NoUpstream, "there is no pool %s", t.Pool)
 	}
-	verdict, err := p.acquire(now, v, t, c.poolShare(now, t.Pool))
-	switch verdict {
+	result, err := p.acquire(now, state, t, c.poolShare(now, t.Pool))
+	switch result {
 	case request.Granted:
 		c.recordDecision(rec, now, StepAcquire, "granted", "", &t)
 	case request.Queued:
@@ -243,39 +251,40 @@
 	default:
 		c.recordDecision(rec, now, StepAcquire, "refused", err.Kind, &t)
 	}
-	return verdict, err
+	return result, err
 }
 
-func (p *pool) acquire(now time.Time, v *bundleState, t request.Ticket, fraction float64) (request.AcquireResult, *problem.Error) {
+func (p *pool) acquire(now time.Time, state *bundleState, t request.Ticket, share float64) (request.AcquireResult, *problem.Error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if v.unlimited {
+	if state.unlimited {
 		p.inFlight++
 		return request.Granted, nil
 	}
-	slots := p.slots(fraction)
-	latest := t.Deadline.Add(-t.ExpectedAfter - seconds(t.Expected.Seconds()*(1+v.margin)))
-	if latest.Before(now) {
+	slots := p.slots(share)
+	latestStart := t.Deadline.Add(-t.ExpectedAfter - seconds(t.Expected.Seconds()*(1+state.margin)))
+	if latestStart.Before(now) {
 		return request.Refused, p.overloadedError(t, slots, "stage %s can no longer finish within the deadline", t.Stage)
 	}
-	if p.queue.len() == 0 && !p.atLimit(fraction) {
+	if p.queue.len() == 0 && !p.atLimit(share) {
 		p.inFlight++
 		return request.Granted, nil
 	}
-	// A ticket may wait while it is safe; one that is not safe any more may
-	// wait while it is possible.
-	startBy := t.Deadline.Add(-t.ExpectedAfter - seconds(max(t.Expected.Seconds(), p.limiter.highLatency(t.Stage))*(1+v.margin)))
-	if startBy.Before(now) {
-		startBy = latest
+	// A ticket may wait as long as it would meet the deadline even with a high
+	// service time. If that time has already passed, it may wait as long as it
+	// would meet the deadline with the expected service time.
+	safeLatestStart := t.Deadline.Add(-t.ExpectedAfter - seconds(max(t.Expected.Seconds(), p.limiter.highLatency(t.Stage))*(1+state.margin)))
+	if safeLatestStart.Before(now) {
+		safeLatestStart = latestStart
 	}
-	if !p.enqueue(now, t, startBy, v.weight(t.Customer), slots) {
+	if !p.enqueue(now, t, safeLatestStart, state.weight(t.Customer), slots) {
 		return request.Refused, p.queueFullError(t, slots)
 	}
 	return request.Queued, nil
 }
 
-// Abandon implements request.Admitter. A ticket that is not queued is left as
-// it is: when it was granted meanwhile, the caller still owes its Release.
+// Abandon implements request.Admitter. It does nothing if the ticket is not queued.
+// If the ticket has been granted, the caller must still call Release.
 func (c *Controller) Abandon(_ time.Time, t request.Ticket) {
 	p := c.state.Load().pools[t.Pool]
 	if p == nil {
@@ -294,55 +303,55 @@
 	if p == nil {
 		return nil
 	}
-	fraction := c.poolShare(now, t.Pool)
+	share := c.poolShare(now, t.Pool)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	slots := p.slots(fraction)
-	used := float64(p.inFlight) >= slots*limitUsedFraction
+	slots := p.slots(share)
+	limitUsed := float64(p.inFlight) >= slots*limitUsedFraction
 	p.inFlight--
 	p.finishedCalls.add(now, 1)
 	switch r {
 	case request.CallOK:
-		p.limiter.recordSuccess(now, t.Stage, latency, used)
+		p.limiter.recordSuccess(now, t.Stage, latency, limitUsed)
 		p.reservations.remove(reservationKey{t.Request, t.Stage})
 	case request.CallRefused:
 		p.limiter.recordRefusal(now)
 	}
-	return p.processQueue(now, fraction)
+	return p.processQueue(now, share)
 }
 
 // Tick implements request.Admitter.
 func (c *Controller) Tick(now time.Time) []request.Grant {
 	var out []request.Grant
 	for _, p := range c.state.Load().poolsByName {
-		fraction := c.poolShare(now, p.name)
+		share := c.poolShare(now, p.name)
 		p.mu.Lock()
 		if p.queue.len() > 0 || len(p.evicted) > 0 {
-			out = append(out, p.processQueue(now, fraction)...)
+			out = append(out, p.processQueue(now, share)...)
 		}
 		p.mu.Unlock()
 	}
 	return out
 }
 
-func (c *Controller) recordAdmission(rec record.Recorder, now time.Time, o requestForecast, err *problem.Error) {
+func (c *Controller) recordAdmission(rec record.Recorder, now time.Time, forecast requestForecast, err *problem.Error) {
 	if rec == nil {
 		return
 	}
 	fields := []record.Field{
-		{Key: "budget_ms", Value: millis(o.budget)},
-		{Key: "service_ms", Value: millis(o.serviceTime)},
-		{Key: "wait_ms", Value: millis(o.wait)},
-		{Key: "wait_allowed_ms", Value: millis(o.allowedWait)},
-		{Key: "tightest_pool", Value: o.longestWaitPool},
-		{Key: "borrowed", Value: strconv.FormatFloat(o.borrowed, 'f', 2, 64)},
+		{Key: "budget_ms", Value: millis(forecast.budget)},
+		{Key: "service_ms", Value: millis(forecast.serviceTime)},
+		{Key: "wait_ms", Value: millis(forecast.wait)},
+		{Key: "wait_allowed_ms", Value: millis(forecast.allowedWait)},
+		{Key: "tightest_pool", Value: forecast.longestWaitPool},
+		{Key: "borrowed", Value: strconv.FormatFloat(forecast.borrowed, 'f', 2, 64)},
 	}
 	outcome := "admitted"
 	if err != nil {
 		outcome = "refused"
 		fields = append(fields, record.Field{Key: "kind", Value: string(err.Kind)})
 	}
-	rec.Add(record.Entry{At: now, Step: StepArrive, Outcome: outcome, Fields: fields})
+	rec.Add(record.Entry{At: now, Step: StepAdmit, Outcome: outcome, Fields: fields})
 }
 
 func (c *Controller) recordDecision(rec record.Recorder, now time.Time, step record.Step, outcome string, kind problem.Kind, t *request.Ticket) {
--- a/core/admit/controller_test.go
+++ b/core/admit/controller_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-func ticket(request_ string, customer string, deadline time.Duration) request.Ticket {
+func ticket(requestID string, customer string, deadline time.Duration) request.Ticket {
 	return request.Ticket{
-		Request: request_, Attempt: 1, Stage: "seal", Pool: "sealers", Customer: customer,
+		Request: requestID, Attempt: 1, Stage: "seal", Pool: "sealers", Customer: customer,
 		Deadline: epoch.Add(deadline), Expected: 100 * time.Millisecond,
 	}
 }
@@ -47,20 +47,21 @@
 
 var _ = Describe("Controller", func() {
 	var c *Controller
-	fill := func() {
+	fillSlots := func() {
 		for i := range 2 {
-			verdict, err := c.Acquire(epoch, ticket(fmt.Sprintf("running-%d", i), "a", time.Second), nil)
+			result, err := c.Acquire(epoch, ticket(fmt.Sprintf("running-%d", i), "a", time.Second), nil)
 			Expect(err).To(BeNil())
-			Expect(verdict).To(Equal(request.Granted))
+			Expect(result).To(Equal(request.Granted))
 		}
 	}
 	queue := func(t request.Ticket) {
 		GinkgoHelper()
-		verdict, _ := c.Acquire(epoch, t, nil)
-		Expect(verdict).To(Equal(request.Queued))
+		result, _ := c.Acquire(epoch, t, nil)
+		Expect(result).To(Equal(request.Queued))
 	}
-	// free ends the calls of fill, one after another, and returns who is next.
-	free := func(i int, at time.Duration) []string {
+	// endCall ends call i of those that fillSlots started, and returns the IDs of the requests
+	// that are granted a slot.
+	endCall := func(i int, at time.Duration) []string {
 		var granted []string
 		done := ticket(fmt.Sprintf("running-%d", i), "a", time.Second)
 		for _, g := range c.Release(epoch.Add(at), done, request.CallOK, 100*time.Millisecond) {
@@ -76,14 +77,14 @@
 		c.Apply(smallBundle(bundle.Customer{Name: "a", Weight: 1}, bundle.Customer{Name: "b", Weight: 1}))
 	})
 
-	It("grants the limit, then queues, and grants again as calls end", func() {
-		fill()
+	It("grants tickets up to the limit, queues others, and grants them as calls end", func() {
+		fillSlots()
 		queue(ticket("next", "a", time.Second))
-		Expect(free(0, 100*time.Millisecond)).To(Equal([]string{"next"}))
-		Expect(free(1, 100*time.Millisecond)).To(BeEmpty())
+		Expect(endCall(0, 100*time.Millisecond)).To(Equal([]string{"next"}))
+		Expect(endCall(1, 100*time.Millisecond)).To(BeEmpty())
 	})
 
-	DescribeTable("lets a host exceed its part of a pool by what varies by chance",
+	DescribeTable("lets a host exceed its share of a pool by the allowance for random variation",
 		func(fraction float64, want int) {
 			b := smallBundle(bundle.Customer{Name: "a", Weight: 1})
 			b.Pools[0].Concurrency = 12
@@ -91,112 +92,113 @@
 			c.SetShares(equalShares(fraction))
 			granted := 0
 			for i := range 64 {
-				if v, _ := c.Acquire(epoch, ticket(fmt.Sprint(i), "a", time.Second), nil); v == request.Granted {
+				if result, _ := c.Acquire(epoch, ticket(fmt.Sprint(i), "a", time.Second), nil); result == request.Granted {
 					granted++
 				}
 			}
 			Expect(granted).To(Equal(want))
 		},
-		Entry("not when it has all 24 slots", 1.0, 24),
-		// 12 and 2*sqrt(24/4) = 4.9; 2 and 2*sqrt(24*11/144) = 2.7.
-		Entry("with half of them", 0.5, 17),
-		Entry("with a twelfth", 1.0/12, 5),
+		Entry("no allowance with all 24 slots", 1.0, 24),
+		// Half: 12 slots and 2*sqrt(24/4) = 4.9. A twelfth: 2 slots and 2*sqrt(24*11/144) = 2.7.
+		Entry("with half of the slots", 0.5, 17),
+		Entry("with a twelfth of the slots", 1.0/12, 5),
 	)
 
-	It("grants the earliest feasible start first, not the earliest deadline", func() {
-		fill()
-		early := ticket("early-deadline", "a", 500*time.Millisecond)
-		late := ticket("late-deadline", "a", 900*time.Millisecond)
-		late.ExpectedAfter = 600 * time.Millisecond
-		queue(early)
-		queue(late)
-		Expect(free(0, 100*time.Millisecond)).To(Equal([]string{"late-deadline"}))
+	It("grants the ticket with the earliest latest start first, not the one with the earliest deadline", func() {
+		fillSlots()
+		earlyDeadline := ticket("early-deadline", "a", 500*time.Millisecond)
+		lateDeadline := ticket("late-deadline", "a", 900*time.Millisecond)
+		lateDeadline.ExpectedAfter = 600 * time.Millisecond
+		queue(earlyDeadline)
+		queue(lateDeadline)
+		Expect(endCall(0, 100*time.Millisecond)).To(Equal([]string{"late-deadline"}))
 	})
 
-	It("answers a ticket that can no longer finish at the next tick", func() {
-		fill()
-		queue(ticket("doomed", "a", 300*time.Millisecond))
+	It("refuses a ticket that can no longer meet its deadline at the next Tick", func() {
+		fillSlots()
+		queue(ticket("expiring", "a", 300*time.Millisecond))
 		Expect(c.Tick(epoch.Add(190 * time.Millisecond))).To(BeEmpty())
 		grants := c.Tick(epoch.Add(200 * time.Millisecond))
 		Expect(grants).To(HaveLen(1))
 		Expect(grants[0].Err.Kind).To(Equal(problem.Overloaded))
 		Expect(grants[0].Err.RetryAfter).To(BeNumerically(">", 0))
-		Expect(free(0, 210*time.Millisecond)).To(BeEmpty())
+		Expect(endCall(0, 210*time.Millisecond)).To(BeEmpty())
 	})
 
-	It("refuses a ticket at once when it could not finish even if it ran", func() {
-		t := ticket("doomed", "a", 300*time.Millisecond)
+	It("refuses a ticket immediately when it could not meet its deadline without a wait", func() {
+		t := ticket("infeasible", "a", 300*time.Millisecond)
 		t.ExpectedAfter = 250 * time.Millisecond
-		verdict, err := c.Acquire(epoch, t, nil)
-		Expect(verdict).To(Equal(request.Refused))
+		result, err := c.Acquire(epoch, t, nil)
+		Expect(result).To(Equal(request.Refused))
 		Expect(err.Kind).To(Equal(problem.Overloaded))
 		Expect(err.Execution).To(Equal(problem.NotRun))
 	})
 
-	It("bounds the queue and takes room from the longest queue only", func() {
-		fill()
+	It("bounds the queue and evicts only from the longest customer queue", func() {
+		fillSlots()
 		for i := range 4 {
 			queue(ticket(fmt.Sprintf("a-%d", i), "a", time.Duration(500+i)*time.Millisecond))
 		}
-		verdict, err := c.Acquire(epoch, ticket("a-4", "a", time.Second), nil)
-		Expect(verdict).To(Equal(request.Refused))
+		result, err := c.Acquire(epoch, ticket("a-4", "a", time.Second), nil)
+		Expect(result).To(Equal(request.Refused))
 		Expect(err.Kind).To(Equal(problem.Overloaded))
 		queue(ticket("b-0", "b", time.Second))
 		grants := c.Tick(epoch)
 		Expect(grants).To(HaveLen(1))
-		Expect(grants[0].Ticket.Request).To(Equal("a-3"), "the least urgent one of the longest queue")
+		Expect(grants[0].Ticket.Request).To(Equal("a-3"), "the least urgent ticket of the longest queue")
 		Expect(grants[0].Err.Kind).To(Equal(problem.Overloaded))
 		Expect(grants[0].Err.RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	It("forgets an abandoned ticket", func() {
-		fill()
-		queue(ticket("gone", "a", time.Second))
-		c.Abandon(epoch, ticket("gone", "a", time.Second))
-		Expect(free(0, 100*time.Millisecond)).To(BeEmpty())
+	It("does not grant an abandoned ticket", func() {
+		fillSlots()
+		queue(ticket("abandoned", "a", time.Second))
+		c.Abandon(epoch, ticket("abandoned", "a", time.Second))
+		Expect(endCall(0, 100*time.Millisecond)).To(BeEmpty())
 	})
 
-	DescribeTable("shares a backlogged pool by weight",
+	DescribeTable("divides the slots of a pool among customers with queued tickets by weight",
 		func(weight float64, lowest, highest int) {
 			c = New(Config{MinQueue: 1000})
 			c.Apply(smallBundle(bundle.Customer{Name: "a", Weight: weight}, bundle.Customer{Name: "b", Weight: 1}))
-			fill()
+			fillSlots()
 			for i := range 100 {
 				queue(ticket(fmt.Sprintf("a-%d", i), "a", time.Hour))
 				queue(ticket(fmt.Sprintf("b-%d", i), "b", time.Minute))
 			}
-			ofA, running := 0, []request.Ticket{ticket("running-0", "a", time.Second)}
+			grantsOfA, running := 0, []request.Ticket{ticket("running-0", "a", time.Second)}
 			for range 60 {
 				grants := c.Release(epoch, running[0], request.CallOK, 100*time.Millisecond)
 				Expect(grants).To(HaveLen(1))
 				running[0] = grants[0].Ticket
 				if running[0].Customer == "a" {
-					ofA++
+					grantsOfA++
 				}
 			}
-			Expect(ofA).To(And(BeNumerically(">=", lowest), BeNumerically("<=", highest)))
+			Expect(grantsOfA).To(And(BeNumerically(">=", lowest), BeNumerically("<=", highest)))
 		},
-		Entry("equal", 1.0, 28, 32),
-		Entry("three to one", 3.0, 42, 47),
+		Entry("equal weights", 1.0, 28, 32),
+		Entry("weights three to one", 3.0, 42, 47),
 	)
 
-	It("refuses a request whose predicted finish is late, with the time until it is not", func() {
+	It("refuses a request that is predicted to miss its deadline, and sets RetryAfter to the excess wait", func() {
 		for i := range 6 {
 			Expect(c.Admit(epoch, plan(fmt.Sprintf("a-%d", i), "a", 10*time.Second), nil)).To(BeNil())
 		}
-		var notes entries
-		err := c.Admit(epoch, plan("late", "a", 300*time.Millisecond), &notes)
+		var recorded entries
+		err := c.Admit(epoch, plan("late", "a", 300*time.Millisecond), &recorded)
 		Expect(err.Kind).To(Equal(problem.Overloaded))
-		// Five of the six end before a slot is free: 250 ms at two slots. The
-		// deadline leaves 300 - 105 ms, of which a borrower may wait half.
+		// Five of the six calls must end before a slot is free, which takes 250 ms with
+		// two slots. The slack is 300 - 105 ms. The customer has all reservations, so it
+		// may wait for half of that.
 		Expect(err.RetryAfter).To(BeNumerically("~", 152*time.Millisecond, 2*time.Millisecond))
-		Expect(notes).To(HaveLen(1))
-		Expect(notes[0].Outcome).To(Equal("refused"))
-		Expect(c.Admit(epoch, plan("patient", "a", 10*time.Second), nil)).To(BeNil())
-		Expect(c.Admit(epoch, plan("other", "b", 300*time.Millisecond), nil)).To(BeNil(), "its own share is free")
+		Expect(recorded).To(HaveLen(1))
+		Expect(recorded[0].Outcome).To(Equal("refused"))
+		Expect(c.Admit(epoch, plan("long-deadline", "a", 10*time.Second), nil)).To(BeNil())
+		Expect(c.Admit(epoch, plan("other", "b", 300*time.Millisecond), nil)).To(BeNil(), "the fair share of customer b is free")
 	})
 
-	It("plans nothing for a request that was refused or has left", func() {
+	It("keeps no reservations of a refused or finished request", func() {
 		for i := range 50 {
 			p := plan(fmt.Sprintf("a-%d", i), "a", 300*time.Millisecond)
 			if c.Admit(epoch, p, nil) == nil {
@@ -206,7 +208,7 @@
 		Expect(c.State(epoch)[0].Planned).To(BeZero())
 	})
 
-	It("never admits a request that would die in its last stage", func() {
+	It("does not admit a request that would miss its deadline in its last stage", func() {
 		b := smallBundle(bundle.Customer{Name: "a", Weight: 1})
 		b.Pools = append(b.Pools, bundle.Pool{Name: "wide", Kind: bundle.PoolService, Concurrency: 100, Upstreams: make([]bundle.Upstream, 1)})
 		c.Apply(b)
@@ -223,11 +225,11 @@
 		}
 	})
 
-	It("tells a deadline that no load would meet from overload", func() {
+	It("refuses a deadline that is too short even without load as DeadlineTooShort, not Overloaded", func() {
 		Expect(c.Admit(epoch, plan("short", "a", 50*time.Millisecond), nil).Kind).To(Equal(problem.DeadlineTooShort))
 	})
 
-	It("is more careful where cost weighs more", func() {
+	It("uses a larger margin when cost has more weight", func() {
 		tight := plan("tight", "a", 110*time.Millisecond)
 		Expect(c.Admit(epoch, tight, nil)).To(BeNil())
 		b := smallBundle(bundle.Customer{Name: "a", Weight: 1})
@@ -237,7 +239,7 @@
 		Expect(c.Admit(epoch, tight, nil).Kind).To(Equal(problem.DeadlineTooShort))
 	})
 
-	It("keeps this daemon's share of a customer's limit", func() {
+	It("enforces this daemon's share of a customer's rate limit", func() {
 		b := smallBundle(bundle.Customer{Name: "a", Weight: 1, RequestsPerSecond: 40})
 		b.Hosts = make([]bundle.Host, 4)
 		c.Apply(b)
@@ -254,12 +256,12 @@
 			Expect(err.Kind).To(Equal(problem.RateLimited))
 			Expect(err.RetryAfter).To(And(BeNumerically(">", 0), BeNumerically("<=", 100*time.Millisecond)))
 		}
-		// 10 a second for 4 s, and a burst of one second's worth, two deviations
-		// of that and one: 17.
+		// 10 per second for 4 s, and a burst of 17: the arrivals of one second, two
+		// standard deviations of them, and one.
 		Expect(admitted).To(And(BeNumerically(">=", 56), BeNumerically("<=", 57)))
 	})
 
-	It("hardly refuses a customer within its limit whose requests spread over hosts", func() {
+	It("refuses at most 5% of the requests of a customer within its limit that are spread over hosts", func() {
 		b := smallBundle(bundle.Customer{Name: "a", Weight: 1, RequestsPerSecond: 8})
 		b.Hosts = make([]bundle.Host, 6)
 		rng := rand.New(rand.NewPCG(5, 5))
@@ -283,7 +285,7 @@
 		Expect(refused).To(BeNumerically("<=", 50))
 	})
 
-	It("tells what callers ask for, refused or not, and what is planned", func() {
+	It("reports demand that includes refused arrivals and reserved calls", func() {
 		b := smallBundle(bundle.Customer{Name: "a", Weight: 1, RequestsPerSecond: 10}, bundle.Customer{Name: "b", Weight: 1})
 		c.Apply(b)
 		Expect(c.Demand(epoch).Pools).To(BeEmpty())
@@ -297,7 +299,7 @@
 		}
 		d := c.Demand(last)
 		Expect(d.Customers).To(HaveKeyWithValue("a", BeNumerically("~", 4, 0.2)))
-		Expect(d.Customers).NotTo(HaveKey("b"), "it has no limit")
+		Expect(d.Customers).NotTo(HaveKey("b"), "customer b has no limit")
 		for i := range 6 {
 			Expect(c.Admit(last, plan(fmt.Sprintf("b-%d", i), "b", time.Hour), nil)).To(BeNil())
 		}
@@ -312,21 +314,21 @@
 			for i := range 100 {
 				id := fmt.Sprintf("a-%d", i)
 				Expect(c.Admit(epoch, plan(id, "a", time.Millisecond), nil)).To(BeNil())
-				verdict, _ := c.Acquire(epoch, ticket(id, "a", time.Millisecond), nil)
-				Expect(verdict).To(Equal(request.Granted))
+				result, _ := c.Acquire(epoch, ticket(id, "a", time.Millisecond), nil)
+				Expect(result).To(Equal(request.Granted))
 			}
 		},
 		Entry(nil, bundle.PolicyRoundRobin), Entry(nil, bundle.PolicyLeastRequests),
 	)
 
-	It("keeps what it knows of a pool that stays, and of one that goes while in use", func() {
-		fill()
+	It("keeps the state of a pool that stays in the bundle, and of one that is removed while in use", func() {
+		fillSlots()
 		queue(ticket("next", "a", time.Second))
 		b := smallBundle()
 		b.Pools[0].Name = "others"
 		c.Apply(b)
 		c.Apply(smallBundle())
-		Expect(free(0, 100*time.Millisecond)).To(Equal([]string{"next"}))
+		Expect(endCall(0, 100*time.Millisecond)).To(Equal([]string{"next"}))
 	})
 })
 
@@ -350,14 +352,14 @@
 		Expect(l.estimate).To(BeNumerically("~", 40, 1))
 	})
 
-	It("is not shrunk by latency that rises while it is not used up", func() {
+	It("does not shrink when latency rises while the limit is not used up", func() {
 		l := newLimiter(pool)
 		at := feed(l, 0, 64, 10*time.Millisecond, false)
 		feed(l, at, 200, 50*time.Millisecond, false)
 		Expect(l.estimate).To(Equal(40.0))
 	})
 
-	It("grows while it is used up and latency stays low, to a bound", func() {
+	It("grows up to a bound while the limit is used up and latency stays low", func() {
 		l := newLimiter(pool)
 		feed(l, 0, 6400, 10*time.Millisecond, true)
 		Expect(l.estimate).To(BeNumerically(">", 80))
@@ -365,7 +367,7 @@
 		Expect(l.estimate).To(BeNumerically("<=", 160))
 	})
 
-	It("shrinks by refusals, once a window, to no less than one", func() {
+	It("shrinks on refusals, at most once per minWindow, down to one", func() {
 		l := newLimiter(pool)
 		l.recordRefusal(epoch)
 		l.recordRefusal(epoch.Add(time.Millisecond))
--- a/core/admit/doc.go
+++ b/core/admit/doc.go
@@ -1,22 +1,24 @@
-// Package admit decides what enters the system and what each pool runs: whole
-// requests on arrival, and one slot of a pool for each call of a stage.
+// Package admit implements admission control. It admits or refuses whole requests
+// on arrival, and grants one slot of a pool for each call of a stage.
 //
-// It is part of the decision core: no I/O, no clock, no goroutine. The caller
-// passes the time into each method and acts on what is answered. A Controller
-// is safe for concurrent use; its state is sharded by pool and by customer,
-// each shard under its own lock, and no two locks are ever held together.
+// It does no I/O, reads no clock and starts no goroutine. The caller passes the
+// current time to each method and carries out the returned decisions. A Controller
+// is safe for concurrent use. Its state is sharded by pool and by customer, each
+// shard under its own lock, and no goroutine holds the locks of two shards at the
+// same time.
 //
 // # Decisions
 //
-// Arrive predicts when a request would finish, from the work that is already
-// planned at each pool of its pipeline, and refuses it when that is past its
-// deadline. An admitted request is planned at every one of its pools until the
-// stage there has succeeded or the request leaves.
+// Admit predicts when a request would finish, from the work that is already
+// reserved at each pool of its pipeline, and refuses the request if that is after
+// its deadline. An admitted request has a reservation at each of its pools until
+// the stage there has succeeded or Finish is called.
 //
-// Acquire grants a slot while the pool's adaptive limit allows it and else
-// queues the ticket. Queues are bounded, fair among customers by weight, and
-// ordered by earliest feasible start within the fair window. Release and Tick
-// answer tickets whose start can no longer meet the deadline.
+// Acquire grants a slot if the pool's adaptive concurrency limit allows it, and
+// queues the ticket otherwise. Queues are bounded and weighted fair among customers.
+// Among customers within the fairness window, the ticket with the earliest latest
+// start goes first. Release and Tick refuse tickets that can no longer meet their
+// deadline.
 //
-// The limits are this daemon's share of the fleet's, see Shares.
+// Each limit is this daemon's share of the limit of the whole fleet; see Shares.
 package admit
--- a/core/admit/pool.go
+++ b/core/admit/pool.go
@@ -10,7 +10,8 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// pool is one shard: everything that admission knows of one pool.
+// pool is the admission state of one pool of the bundle. It is one shard of the
+// Controller; mu guards all fields except name and cfg.
 type pool struct {
 	name string
 	cfg  Config
@@ -20,12 +21,13 @@
 	queue        *queue
 	reservations *reservations
 	inFlight     int
-	// answered holds tickets that lost their place, until the next Tick or
-	// Release carries them out.
+	// evicted holds the refusals of tickets that were evicted from the queue. The
+	// next Tick or Release returns them.
 	evicted []request.Grant
-	// offered is the service time, in seconds, that arrivals asked for.
+	// offeredWork is the expected service time of arriving requests, in seconds,
+	// including those that are refused.
 	offeredWork decayingSum
-	// finished counts calls that released their slot.
+	// finishedCalls counts calls that released their slot.
 	finishedCalls decayingSum
 }
 
@@ -33,35 +35,35 @@
 	return &pool{name: p.Name, cfg: cfg, limiter: newLimiter(p), queue: newQueue(), reservations: newReservations()}
 }
 
-// idle says that nothing refers to the pool any more. The caller holds mu.
+// unused reports whether nothing refers to the pool any more. The caller must hold mu.
 func (p *pool) unused() bool {
 	return p.inFlight == 0 && p.queue.len() == 0 && len(p.evicted) == 0 && len(p.reservations.calls) == 0
 }
 
-// slots returns this daemon's concurrency limit, never below 1. The caller
-// holds mu.
-func (p *pool) slots(fraction float64) float64 {
-	return max(1, p.limiter.estimate*fraction)
+// slots returns this daemon's concurrency limit for the pool, which is at least 1.
+// share is this daemon's share of the pool. The caller must hold mu.
+func (p *pool) slots(share float64) float64 {
+	return max(1, p.limiter.estimate*share)
 }
 
-// spreadDeviations is how many standard deviations of its random part of the
-// pool's calls a host may exceed its share by.
-const burstDeviationsPerHost = 2.0
+// overShareDeviations is the number of standard deviations by which the calls at one
+// host may exceed its share of the pool. See atLimit.
+const overShareDeviations = 2.0
 
-// full says whether every slot is in use. A limit that is not whole is
-// rounded to the nearest. The caller holds mu.
+// atLimit reports whether all slots of this daemon are in use. A fractional limit is
+// rounded to the nearest integer. The caller must hold mu.
 //
-// Of the calls that the whole pool runs, the part that is at one host varies by
-// chance. Without an allowance for it calls would wait at one host for slots
-// that others leave idle; with it, a few wait at the upstreams when the pool is
-// full. A host that has the whole pool needs none.
-func (p *pool) atLimit(fraction float64) bool {
-	spread := math.Sqrt(p.limiter.estimate * fraction * max(0, 1-fraction))
-	return float64(p.inFlight) > p.slots(fraction)+burstDeviationsPerHost*spread-0.5
+// The number of the pool's calls that run at one host varies randomly. Without an
+// allowance for that, calls would wait at one host while slots of other hosts are
+// idle. With it, a few calls wait at the upstreams when the whole pool is at its
+// limit. A host with the whole pool as its share gets no allowance.
+func (p *pool) atLimit(share float64) bool {
+	spread := math.Sqrt(p.limiter.estimate * share * max(0, 1-share))
+	return float64(p.inFlight) > p.slots(share)+overShareDeviations*spread-0.5
 }
 
-// service returns the usual service time in seconds: measured, or else the
-// given expectation. The caller holds mu.
+// meanServiceTime returns the measured mean service time in seconds, or the expected
+// one if nothing was measured yet. The caller must hold mu.
 func (p *pool) meanServiceTime(expected time.Duration) float64 {
 	if p.limiter.latency.mean > 0 {
 		return p.limiter.latency.mean
@@ -69,47 +71,48 @@
 	return expected.Seconds()
 }
 
-// enqueue queues t, making room at the cost of the customer with the longest
-// queue for its weight. It returns false when that is t's own customer. The
-// caller holds mu.
-func (p *pool) enqueue(now time.Time, t request.Ticket, startBy time.Time, weight, slots float64) bool {
+// enqueue adds t to the queue. If the queue is full, it evicts a ticket of the
+// customer with the longest queue relative to its weight. It returns false if that
+// would be t's own customer or one whose queue would not be longer than that of t's
+// customer with t. The caller must hold mu.
+func (p *pool) enqueue(now time.Time, t request.Ticket, latestStart time.Time, weight, slots float64) bool {
 	bound := max(p.cfg.MinQueue, int(slots)*p.cfg.QueuePerSlot)
 	if p.queue.len() >= bound && !p.evictFor(t.Customer, weight, slots) {
 		return false
 	}
-	p.queue.push(&queuedTicket{ticket: t, latestStart: startBy, queuedAt: now}, weight)
+	p.queue.push(&queuedTicket{ticket: t, latestStart: latestStart, queuedAt: now}, weight)
 	return true
 }
 
 func (p *pool) evictFor(customer string, weight, slots float64) bool {
-	worst := p.queue.heaviest()
-	if worst == nil || worst.customer == customer {
+	heaviest := p.queue.heaviest()
+	if heaviest == nil || heaviest.customer == customer {
 		return false
 	}
-	own := 1 / weight
-	if b := p.queue.customers[customer]; b != nil {
-		own += b.weightedLength()
+	load := 1 / weight
+	if ownQueue := p.queue.customers[customer]; ownQueue != nil {
+		load += ownQueue.weightedLength()
 	}
-	if worst.weightedLength() <= own {
+	if heaviest.weightedLength() <= load {
 		return false
 	}
-	it := worst.leastUrgent()
+	it := heaviest.leastUrgent()
 	p.queue.remove(it)
 	p.evicted = append(p.evicted, request.Grant{Ticket: it.ticket, Err: p.queueFullError(it.ticket, slots)})
 	return true
 }
 
-// pump answers tickets that can no longer make it, then grants free slots.
-// The caller holds mu.
-func (p *pool) processQueue(now time.Time, fraction float64) []request.Grant {
-	slots := p.slots(fraction)
+// processQueue returns the refusals of evicted tickets and of tickets that can no
+// longer meet their deadline, then grants free slots. The caller must hold mu.
+func (p *pool) processQueue(now time.Time, share float64) []request.Grant {
+	slots := p.slots(share)
 	out := p.evicted
 	p.evicted = nil
 	for _, it := range p.queue.removeExpired(now) {
 		err := p.overloadedError(it.ticket, slots, "no slot of pool %s became free in time", p.name)
 		out = append(out, request.Grant{Ticket: it.ticket, Err: err})
 	}
-	for !p.atLimit(fraction) {
+	for !p.atLimit(share) {
 		it := p.queue.pop()
 		if it == nil {
 			break
@@ -120,8 +123,8 @@
 	return out
 }
 
-// overloaded refuses a ticket and says how long the queue takes to drain at the
-// measured rate. The caller holds mu.
+// overloadedError returns the refusal of a ticket. Its RetryAfter is the time to drain
+// the queue at the mean service time. The caller must hold mu.
 func (p *pool) overloadedError(t request.Ticket, slots float64, format string, args ...any) *problem.Error {
 	err := problem.New(problem.Overloaded, format, args...)
 	drain := seconds(float64(p.queue.len()+1) * p.meanServiceTime(t.Expected) / slots)
--- a/core/admit/queue.go
+++ b/core/admit/queue.go
@@ -7,8 +7,8 @@
 	"github.com/wheatseam/wheatseam/core/request"
 )
 
-// fairWindow is how many mean services a customer may be served ahead of the
-// least served one when its ticket is more urgent.
+// fairnessWindow is the number of mean weighted service times by which a customer's
+// virtual time may be ahead of the lowest one for its more urgent ticket to be chosen.
 const fairnessWindow = 2.0
 
 // ticketKey identifies a ticket.
@@ -22,62 +22,65 @@
 	return ticketKey{t.Request, t.Stage, t.Attempt}
 }
 
-// item is one queued ticket.
+// queuedTicket is a ticket in a queue.
 type queuedTicket struct {
 	ticket request.Ticket
-	// startBy is the last time at which a start still meets the deadline.
+	// latestStart is the latest time at which the call can start and still meet
+	// the deadline.
 	latestStart time.Time
 	queuedAt    time.Time
 	index       int
 	queue       *customerQueue
 }
 
-// backlog is the queue of one customer, earliest feasible start first.
+// customerQueue is the queue of one customer, a heap ordered by latest start.
 type customerQueue struct {
 	customer string
 	weight   float64
-	// served is the customer's virtual time: service seconds over weight.
+	// virtualTime is the expected service time of the customer's granted tickets,
+	// in seconds, divided by its weight.
 	virtualTime float64
 	items       []*queuedTicket
-	// slot is the position in queue.active, -1 while empty.
+	// activeIndex is the index in queue.active, or -1 if the queue is empty.
 	activeIndex int
 }
 
-func (b *customerQueue) Len() int { return len(b.items) }
-func (b *customerQueue) Less(i, j int) bool {
-	return b.items[i].latestStart.Before(b.items[j].latestStart)
+func (cq *customerQueue) Len() int { return len(cq.items) }
+func (cq *customerQueue) Less(i, j int) bool {
+	return cq.items[i].latestStart.Before(cq.items[j].latestStart)
 }
-func (b *customerQueue) Swap(i, j int) {
-	b.items[i], b.items[j] = b.items[j], b.items[i]
-	b.items[i].index, b.items[j].index = i, j
+func (cq *customerQueue) Swap(i, j int) {
+	cq.items[i], cq.items[j] = cq.items[j], cq.items[i]
+	cq.items[i].index, cq.items[j].index = i, j
 }
 
 // Push implements heap.Interface.
-func (b *customerQueue) Push(x any) {
+func (cq *customerQueue) Push(x any) {
 	it := x.(*queuedTicket)
-	it.index = len(b.items)
-	b.items = append(b.items, it)
+	it.index = len(cq.items)
+	cq.items = append(cq.items, it)
 }
 
 // Pop implements heap.Interface.
-func (b *customerQueue) Pop() any {
-	last := len(b.items) - 1
-	it := b.items[last]
-	b.items[last] = nil
-	b.items = b.items[:last]
+func (cq *customerQueue) Pop() any {
+	last := len(cq.items) - 1
+	it := cq.items[last]
+	cq.items[last] = nil
+	cq.items = cq.items[:last]
 	return it
 }
 
-// queue holds the waiting tickets of a pool. Customers are served by virtual
-// time, so that each gets its weighted share while all are backlogged; among
-// those within fairWindow of the least served, the earliest feasible start
-// goes first. It is guarded by the lock of its pool.
+// queue holds the waiting tickets of a pool. It schedules customers by virtual time,
+// so that each gets its weighted share while all have waiting tickets. Among the
+// customers whose virtual time is within fairnessWindow of the lowest, the ticket
+// with the earliest latestStart goes first. The lock of the pool guards the queue.
 type queue struct {
 	byKey     map[ticketKey]*queuedTicket
 	customers map[string]*customerQueue
 	active    []*customerQueue
-	// virtual is the virtual time of the least served customer at the last
-	// pop; a customer that was idle starts from there, not from its past.
+	// virtualTime is the lowest virtual time of the active customers at the last
+	// pop. A customer whose queue was empty starts at least there, so that it gets
+	// no credit for the time without waiting tickets.
 	virtualTime float64
 }
 
@@ -88,70 +91,70 @@
 func (q *queue) len() int { return len(q.byKey) }
 
 func (q *queue) push(it *queuedTicket, weight float64) {
-	b := q.customers[it.ticket.Customer]
-	if b == nil {
-		b = &customerQueue{customer: it.ticket.Customer, activeIndex: -1}
-		q.customers[b.customer] = b
+	cq := q.customers[it.ticket.Customer]
+	if cq == nil {
+		cq = &customerQueue{customer: it.ticket.Customer, activeIndex: -1}
+		q.customers[cq.customer] = cq
 	}
-	b.weight = weight
-	if b.activeIndex < 0 {
-		b.virtualTime = max(b.virtualTime, q.virtualTime)
-		b.activeIndex = len(q.active)
-		q.active = append(q.active, b)
+	cq.weight = weight
+	if cq.activeIndex < 0 {
+		cq.virtualTime = max(cq.virtualTime, q.virtualTime)
+		cq.activeIndex = len(q.active)
+		q.active = append(q.active, cq)
 	}
-	it.queue = b
-	heap.Push(b, it)
+	it.queue = cq
+	heap.Push(cq, it)
 	q.byKey[ticketKeyOf(it.ticket)] = it
 }
 
 func (q *queue) remove(it *queuedTicket) {
-	b := it.queue
-	heap.Remove(b, it.index)
+	cq := it.queue
+	heap.Remove(cq, it.index)
 	delete(q.byKey, ticketKeyOf(it.ticket))
-	if len(b.items) > 0 {
+	if len(cq.items) > 0 {
 		return
 	}
 	last := q.active[len(q.active)-1]
-	q.active[b.activeIndex] = last
-	last.activeIndex = b.activeIndex
+	q.active[cq.activeIndex] = last
+	last.activeIndex = cq.activeIndex
 	q.active = q.active[:len(q.active)-1]
-	b.activeIndex = -1
+	cq.activeIndex = -1
 }
 
-// pop takes the next ticket out and charges its customer for it; nil when
-// nothing waits.
+// pop removes the next ticket and adds its service time to its customer's virtual
+// time. It returns nil if the queue is empty.
 func (q *queue) pop() *queuedTicket {
 	if len(q.active) == 0 {
 		return nil
 	}
 	it := q.choose()
-	b := it.queue
-	b.virtualTime += it.ticket.Expected.Seconds() / b.weight
+	cq := it.queue
+	cq.virtualTime += it.ticket.Expected.Seconds() / cq.weight
 	q.remove(it)
 	return it
 }
 
-// next chooses the ticket to serve.
+// choose returns the ticket to grant next.
 func (q *queue) choose() *queuedTicket {
-	least, allowance := q.active[0].virtualTime, 0.0
-	for _, b := range q.active {
-		least = min(least, b.virtualTime)
-		allowance += b.items[0].ticket.Expected.Seconds() / b.weight
+	minVirtualTime, weightedService := q.active[0].virtualTime, 0.0
+	for _, cq := range q.active {
+		minVirtualTime = min(minVirtualTime, cq.virtualTime)
+		weightedService += cq.items[0].ticket.Expected.Seconds() / cq.weight
 	}
-	q.virtualTime = least
-	bound := least + fairnessWindow*allowance/float64(len(q.active))
+	q.virtualTime = minVirtualTime
+	bound := minVirtualTime + fairnessWindow*weightedService/float64(len(q.active))
 	var best *queuedTicket
-	for _, b := range q.active {
-		head := b.items[0]
-		if b.virtualTime <= bound && (best == nil || startsBefore(head, best)) {
+	for _, cq := range q.active {
+		head := cq.items[0]
+		if cq.virtualTime <= bound && (best == nil || startsBefore(head, best)) {
 			best = head
 		}
 	}
 	return best
 }
 
-// before orders by earliest feasible start, then by customer so that equal
-// inputs give equal decisions.
+// startsBefore orders tickets by latest start, then by customer to make decisions
+// deterministic.
 func startsBefore(a, b *queuedTicket) bool {
 	if !a.latestStart.Equal(b.latestStart) {
 		return a.latestStart.Before(b.latestStart)
@@ -159,38 +162,38 @@
 	return a.queue.customer < b.queue.customer
 }
 
-// longest returns the customer whose queue is longest for its weight.
+// heaviest returns the customer queue that is longest relative to its weight.
 func (q *queue) heaviest() *customerQueue {
-	var worst *customerQueue
-	for _, b := range q.active {
-		if worst == nil || b.weightedLength() > worst.weightedLength() ||
-			b.weightedLength() == worst.weightedLength() && b.customer < worst.customer {
-			worst = b
+	var heaviest *customerQueue
+	for _, cq := range q.active {
+		if heaviest == nil || cq.weightedLength() > heaviest.weightedLength() ||
+			cq.weightedLength() == heaviest.weightedLength() && cq.customer < heaviest.customer {
+			heaviest = cq
 		}
 	}
-	return worst
+	return heaviest
 }
 
-func (b *customerQueue) weightedLength() float64 { return float64(len(b.items)) / b.weight }
+func (cq *customerQueue) weightedLength() float64 { return float64(len(cq.items)) / cq.weight }
 
-// leastUrgent returns the ticket with the latest feasible start.
-func (b *customerQueue) leastUrgent() *queuedTicket {
-	worst := b.items[0]
-	for _, it := range b.items {
-		if it.latestStart.After(worst.latestStart) {
-			worst = it
+// leastUrgent returns the ticket with the latest latestStart.
+func (cq *customerQueue) leastUrgent() *queuedTicket {
+	latest := cq.items[0]
+	for _, it := range cq.items {
+		if it.latestStart.After(latest.latestStart) {
+			latest = it
 		}
 	}
-	return worst
+	return latest
 }
 
-// expired takes out every ticket whose feasible start has passed.
+// removeExpired removes and returns all tickets whose latestStart has passed.
 func (q *queue) removeExpired(now time.Time) []*queuedTicket {
 	var out []*queuedTicket
 	for i := len(q.active) - 1; i >= 0; i-- {
-		b := q.active[i]
-		for len(b.items) > 0 && b.items[0].latestStart.Before(now) {
-			it := b.items[0]
+		cq := q.active[i]
+		for len(cq.items) > 0 && cq.items[0].latestStart.Before(now) {
+			it := cq.items[0]
 			q.remove(it)
 			out = append(out, it)
 		}
--- a/core/admit/rate.go
+++ b/core/admit/rate.go
@@ -11,19 +11,21 @@
 
 const (
 	customerShards = 16
-	// demandSpan is the time constant of measured rates.
+	// demandTimeConstant is the default time constant of measured rates.
 	demandTimeConstant = 2 * time.Second
-	// steadySpan is the time constant for customers' usual rates, which a few
-	// arrivals a second show only over a longer time.
+	// steadyTimeConstant is the time constant for the usual rate of a customer. It
+	// is longer because a few arrivals per second give a usable rate only over a
+	// longer time.
 	steadyTimeConstant = 10 * time.Second
-	// burstSpan is how much of its rate a customer may use at once, beside
-	// burstDeviations of what arrives at random in that time.
+	// A customer may send a burst of the requests that its limit allows in
+	// burstPeriod, plus burstDeviations standard deviations of the number of random
+	// arrivals in that time.
 	burstPeriod     = time.Second
 	burstDeviations = 2.0
 )
 
-// decayed measures a rate a second with exponential decay over span, which is
-// demandSpan when it is zero.
+// decayingSum measures a rate per second as a sum that decays exponentially with
+// timeConstant, or with demandTimeConstant if that is zero.
 type decayingSum struct {
 	sum          float64
 	at           time.Time
@@ -42,7 +44,7 @@
 	d.at = now
 }
 
-// value returns the decayed sum.
+// value returns the sum decayed to the time now.
 func (d *decayingSum) value(now time.Time) float64 {
 	elapsed := now.Sub(d.at)
 	if d.sum == 0 || elapsed <= 0 {
@@ -51,13 +53,13 @@
 	return d.sum * math.Exp(-elapsed.Seconds()/d.timeConstantSeconds())
 }
 
-// rate returns the sum a second.
+// rate returns the measured rate per second.
 func (d *decayingSum) rate(now time.Time) float64 {
 	return d.value(now) / d.timeConstantSeconds()
 }
 
-// upper returns the sum a second and one standard deviation of it, for sums of
-// random arrivals.
+// ratePlusDeviation returns the measured rate per second plus one standard deviation,
+// for sums that count random arrivals.
 func (d *decayingSum) ratePlusDeviation(now time.Time) float64 {
 	sum := d.value(now)
 	return (sum + math.Sqrt(sum)) / d.timeConstantSeconds()
@@ -73,21 +75,22 @@
 type customerState struct {
 	arrivals       decayingSum
 	steadyArrivals decayingSum
-	// limiter is nil while the customer has no limit.
+	// limiter is nil if the customer has no limit.
 	limiter *rate.Limiter
 	limit   float64
 }
 
-// customers is the sharded table of customers.
+// customerTable holds the state of all customers in shards.
 type customerTable [customerShards]customerShard
 
 func (c *customerTable) shard(customer string) *customerShard {
 	return &c[xxhash.Sum64String(customer)%customerShards]
 }
 
-// take counts an arrival and takes it from the customer's limit, in requests
-// a second on this daemon; a limit of 0 is none. It returns how long the
-// customer has to wait for its next request, 0 when this one is within.
+// countArrival counts an arrival and, if limited is set, checks it against limit, the
+// customer's limit on this daemon in requests per second. It returns 0 if the request
+// is within the limit, and otherwise the time that the customer has to wait until its
+// next request is. A limit of 0 admits nothing beyond the burst.
 func (c *customerTable) countArrival(now time.Time, customer string, limit float64, limited bool) time.Duration {
 	s := c.shard(customer)
 	s.mu.Lock()
@@ -118,11 +121,11 @@
 	return delay
 }
 
-// set makes limit the limit in force. What is saved up stays within the burst.
+// setLimit changes the limit. Unused tokens are kept up to the burst size.
 func (s *customerState) setLimit(now time.Time, limit float64) {
 	usual := limit * burstPeriod.Seconds()
-	// A limit that is split over hosts would refuse what comes at random to one
-	// of them while the others have room.
+	// The limit is split over hosts. Without the additional burst, a host would refuse
+	// random peaks of arrivals while other hosts are below their limits.
 	burst := int(usual + burstDeviations*math.Sqrt(usual) + 1)
 	if s.limiter == nil {
 		s.limiter = rate.NewLimiter(rate.Limit(limit), burst)
@@ -137,8 +140,8 @@
 	s.limit = limit
 }
 
-// demand returns the arrivals a second, rather too many than too few, of each customer heard of lately
-// leaves out the others.
+// demand returns the arrivals per second of each customer. It overestimates rather than
+// underestimates the rate, and omits customers without recent arrivals.
 func (c *customerTable) demand(now time.Time) map[string]float64 {
 	out := map[string]float64{}
 	for i := range c {
@@ -154,5 +157,6 @@
 	return out
 }
 
-// leastDemand is the rate a second under which a customer counts as idle.
+// minDemand is the demand up to which a customer, in arrivals per second, or a pool,
+// as a fraction of its limit, counts as idle.
 const minDemand = 0.001
--- a/core/request/attempt.go
+++ b/core/request/attempt.go
@@ -84,8 +84,8 @@
 		Expected: m.expectedServiceTime(s), ExpectedAfter: m.expectedTimeAfter(),
 	}
 	m.attempts = append(m.attempts, a)
-	verdict, err := m.deps.Admitter.Acquire(now, a.ticket, m.recorder)
-	switch verdict {
+	result, err := m.deps.Admitter.Acquire(now, a.ticket, m.recorder)
+	switch result {
 	case Granted:
 		m.send(now, a)
 	case Refused:
