--- a/core/claim/bench_test.go
+++ b/core/claim/bench_test.go
@@ -9,7 +9,7 @@
 
 // benchKey returns a distinct key for each i, all of one time.
 func benchKey(i int) Key {
-	k := keyAt(base, 0)
+	k := keyAt(baseTime, 0)
 	binary.BigEndian.PutUint32(k.ID[12:], uint32(i))
 	return k
 }
@@ -23,8 +23,8 @@
 // BenchmarkAsk is one grant of a new key by one holder on one core, and the
 // memory that a holder keeps for it.
 func BenchmarkAsk(b *testing.B) {
-	h := NewHolder("a", 1, base.Add(-time.Hour), benchPolicy(b.N))
-	env := Env{Now: base, Epoch: 1, Ready: true}
+	h := NewHolder("a", 1, baseTime.Add(-time.Hour), benchPolicy(b.N))
+	env := Env{Now: baseTime, Epoch: 1, Ready: true}
 	asks := make([]Ask, b.N)
 	for i := range asks {
 		asks[i] = Ask{Key: benchKey(i), Owner: ownerOf("a", "0198c5a0-0000-7000-8000-000000000000"), Round: 1, Epoch: 1}
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -8,71 +8,81 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// Quorum is one group of holders of which a majority must grant.
+// Quorum is one claim group. A claim is won only when a majority of its holders
+// has granted the key.
 type Quorum struct {
-	// Epoch is the number of the host list that the group was computed from.
+	// Epoch is the epoch of the host list from which the group was computed.
 	Epoch   uint64
 	Holders []string
 }
 
-// Config describes one claim.
+// Config holds the parameters of one claim.
 type Config struct {
 	Key    Key
 	Owner  Owner
 	Digest Digest
-	// Epoch is the number of the daemon's current host list.
+	// Epoch is the epoch of the daemon's current host list.
 	Epoch uint64
-	// Quorums must all be won; Views.Quorums gives them.
+	// Quorums are the groups of which each must grant the key by a majority.
+	// Views.Quorums returns them.
 	Quorums []Quorum
-	// Arrived is when the request arrived, by this host's wall clock.
+	// Arrived is the time at which the request arrived, by this host's wall
+	// clock.
 	Arrived time.Time
-	// Deadline is the request's: after it nothing is sent.
+	// Deadline is the deadline of the request. From then on the request is not
+	// sent.
 	Deadline time.Time
-	// BackoffMin and BackoffMax bound the wait after a split vote.
+	// BackoffMin and BackoffMax are the bounds of the wait after a round in
+	// which no attempt won a majority.
 	BackoffMin, BackoffMax time.Duration
 }
 
-// Action is something that the caller of a Claim must do.
+// Action is an output of a Claim that its caller must carry out.
 type Action interface{ action() }
 
 type (
-	// SendAsk sends an Ask to a holder; the answer or the failure of the call
-	// goes to Claim.Reply or Claim.Unreachable.
+	// SendAsk sends an Ask to a holder. The caller passes the reply to
+	// Claim.Reply and a failed call to Claim.Unreachable.
 	SendAsk struct {
 		Holder string
 		Ask    Ask
 	}
-	// SendRelease sends a Release to a holder, best with a few retries.
+	// SendRelease sends a Release to a holder. The caller should retry it a few
+	// times.
 	SendRelease struct {
 		Holder  string
 		Release Release
 	}
-	// SendStore sends a Store to a holder; the answer goes to Claim.Stored.
+	// SendStore sends a Store to a holder. The caller passes the reply to
+	// Claim.Stored.
 	SendStore struct {
 		Holder string
 		Store  Store
 	}
-	// Wait calls Claim.Timer at Until.
+	// Wait asks the caller to call Claim.Timer at Until.
 	Wait struct{ Until time.Time }
-	// Won says that the request may be sent, after Claim.Send allowed it.
+	// Won reports that the claim succeeded. The request may be sent once
+	// Claim.Send returns true.
 	Won struct{}
-	// Lost says that the request ran already, and gives its result.
+	// Lost reports that another attempt has run the request, and carries its
+	// result.
 	Lost struct {
 		Owner  Owner
 		Record Record
 	}
-	// Refuse says that the request can't run now. Execution NotRun means that
-	// nobody had sent the key's request when this claim was started, and that
-	// this claim never will.
+	// Refuse reports that the request cannot run now. Execution NotRun means
+	// that no attempt had sent the key's request when this claim was started,
+	// and that this claim never will send it.
 	Refuse struct {
 		Kind      problem.Kind
 		Execution problem.Execution
-		// Owner is the owner that stood in the way; zero if there was none.
+		// Owner is the other owner that was last reported for the key; zero if
+		// there was none.
 		Owner Owner
 		// Verdict is the holders' reason; zero if they were unreachable.
 		Verdict Verdict
 	}
-	// Kept says that a majority of each quorum holds the result.
+	// Kept reports that a majority of each quorum has stored the result.
 	Kept struct{}
 )
 
@@ -85,11 +95,11 @@
 func (Refuse) action()      {}
 func (Kept) action()        {}
 
-// phase is where a Claim stands.
+// phase is the protocol phase of a Claim.
 type phase uint8
 
 const (
-	asking phase = iota + 1
+	acquiring phase = iota + 1
 	backingOff
 	won
 	sent
@@ -97,12 +107,13 @@
 	ended
 )
 
-// slot is what one holder said in the current round.
-type slot struct {
-	holder  string
+// holderState is a holder's reply in the current round, and whether the holder has
+// stored the result.
+type holderState struct {
+	name    string
 	failed  bool
 	verdict Verdict
-	// incarnation of the holder when it said so.
+	// incarnation is the holder's incarnation at the time of the reply.
 	incarnation uint64
 	owner       Owner
 	digest      Digest
@@ -110,84 +121,86 @@
 	stored      bool
 }
 
-// Claim is the owner's side of one attempt at a request. It is not safe for
-// concurrent use.
+// Claim is the owner's state machine for one attempt at a request. It is not safe
+// for concurrent use.
 type Claim struct {
-	cfg   Config
-	rng   *rand.Rand
-	off   guards
-	phase phase
-	round uint32
-	slots []slot
-	// lastOwner is the last other owner that a holder named.
+	cfg      Config
+	rng      *rand.Rand
+	disabled disabledChecks
+	phase    phase
+	round    uint32
+	holders  []holderState
+	// lastOwner is the other owner that a holder reported last.
 	lastOwner Owner
 }
 
-// New returns a claim; Start begins it. rng spreads the waits after split votes.
+// New returns a claim, which Start begins. rng randomizes the backoff, so that
+// competing attempts do not retry at the same time.
 func New(cfg Config, rng *rand.Rand) *Claim {
 	c := &Claim{cfg: cfg, rng: rng}
 	for _, q := range cfg.Quorums {
 		for _, h := range q.Holders {
-			if c.slot(h) == nil {
-				c.slots = append(c.slots, slot{holder: h})
+			if c.holder(h) == nil {
+				c.holders = append(c.holders, holderState{name: h})
 			}
 		}
 	}
 	return c
 }
 
-// Start asks all holders.
-func (c *Claim) Start() []Action { return c.ask() }
+// Start begins the first round: it asks all holders for the key.
+func (c *Claim) Start() []Action { return c.startRound() }
 
-func (c *Claim) slot(holder string) *slot {
-	i := slices.IndexFunc(c.slots, func(s slot) bool { return s.holder == holder })
+func (c *Claim) holder(holder string) *holderState {
+	i := slices.IndexFunc(c.holders, func(s holderState) bool { return s.name == holder })
 	if i < 0 {
 		return nil
 	}
-	return &c.slots[i]
+	return &c.holders[i]
 }
 
-// ask begins a round.
-func (c *Claim) ask() []Action {
-	c.phase = asking
+// startRound begins a round: it asks all holders for the key.
+func (c *Claim) startRound() []Action {
+	c.phase = acquiring
 	c.round++
 	a := Ask{Key: c.cfg.Key, Owner: c.cfg.Owner, Digest: c.cfg.Digest, Round: c.round, Epoch: c.cfg.Epoch, Arrived: c.cfg.Arrived}
-	actions := make([]Action, 0, len(c.slots))
-	for i := range c.slots {
-		if c.round > 1 && !c.off.noReplyRound {
-			c.slots[i] = slot{holder: c.slots[i].holder}
+	actions := make([]Action, 0, len(c.holders))
+	for i := range c.holders {
+		if c.round > 1 && !c.disabled.replyRound {
+			c.holders[i] = holderState{name: c.holders[i].name}
 		}
-		actions = append(actions, SendAsk{c.slots[i].holder, a})
+		actions = append(actions, SendAsk{c.holders[i].name, a})
 	}
 	return actions
 }
 
-// Reply takes a holder's answer to an Ask.
+// Reply handles a holder's reply to an Ask.
 func (c *Claim) Reply(now time.Time, r Reply) []Action {
-	s := c.slot(r.Holder)
+	s := c.holder(r.Holder)
 	if s == nil {
 		return nil
 	}
-	over := c.phase == backingOff || c.phase == ended && !c.off.noEndCheck
-	if (r.Round != c.round || over) && !c.off.noReplyRound {
-		return c.giveBack(r)
+	over := c.phase == backingOff || c.phase == ended && !c.disabled.endedBeforeSend
+	if (r.Round != c.round || over) && !c.disabled.replyRound {
+		return c.releaseLateGrant(r)
 	}
-	if c.phase != asking && c.phase != ended {
+	if c.phase != acquiring && c.phase != ended {
 		return nil
 	}
-	s.take(r, c.off)
+	s.applyReply(r, c.disabled)
 	if r.Verdict == Taken {
 		c.lastOwner = r.Owner
 	}
-	return c.decide(now)
+	return c.evaluate(now)
 }
 
-// take notes an answer. What a dead incarnation of the holder said is dropped.
-func (s *slot) take(r Reply, off guards) {
-	if r.Incarnation < s.incarnation && !off.noIncarnation {
+// applyReply records a reply. It ignores replies of an earlier incarnation of the
+// holder, since the holder has lost what it granted then.
+func (s *holderState) applyReply(r Reply, off disabledChecks) {
+	if r.Incarnation < s.incarnation && !off.holderIncarnation {
 		return
 	}
-	if s.verdict == Granted && (r.Incarnation == s.incarnation || off.noIncarnation) {
+	if s.verdict == Granted && (r.Incarnation == s.incarnation || off.holderIncarnation) {
 		return
 	}
 	s.failed = false
@@ -198,56 +211,59 @@
 	s.record = r.Record
 }
 
-// giveBack releases a grant that came too late to count.
-func (c *Claim) giveBack(r Reply) []Action {
+// releaseLateGrant releases a grant that arrived after its round or the claim had
+// ended.
+func (c *Claim) releaseLateGrant(r Reply) []Action {
 	if r.Verdict != Granted {
 		return nil
 	}
 	return []Action{SendRelease{r.Holder, Release{Key: c.cfg.Key, Owner: c.cfg.Owner, Round: r.Round}}}
 }
 
-// Unreachable takes the failure of an Ask of a round.
+// Unreachable handles the failure of an Ask that was sent in a round.
 func (c *Claim) Unreachable(now time.Time, holder string, round uint32) []Action {
-	s := c.slot(holder)
-	if s == nil || c.phase != asking || round != c.round || s.verdict != 0 {
+	s := c.holder(holder)
+	if s == nil || c.phase != acquiring || round != c.round || s.verdict != 0 {
 		return nil
 	}
 	s.failed = true
-	return c.decide(now)
+	return c.evaluate(now)
 }
 
-// Timer ends the wait after a split vote.
+// Timer ends the backoff and starts the next round.
 func (c *Claim) Timer() []Action {
 	if c.phase != backingOff {
 		return nil
 	}
-	return c.ask()
+	return c.startRound()
 }
 
-// Send allows the first byte of the request to leave, once. It must be called
-// right before that, with the time read right before; clock steps and pauses
-// show in it. It returns false if the request must not be sent.
+// Send returns true, at most once, if the request may be sent. The caller must
+// read now and call Send immediately before it writes the first byte, so that the
+// deadline check sees clock steps and process pauses up to that point.
 func (c *Claim) Send(now time.Time) bool {
-	if c.phase != won || passed(now, c.cfg.Deadline) {
+	if c.phase != won || deadlinePassed(now, c.cfg.Deadline) {
 		return false
 	}
 	c.phase = sent
 	return true
 }
 
-// passed compares by the monotonic clock and by the wall clock: the one stands
-// still while the machine is suspended, the other may be set.
-func passed(now, deadline time.Time) bool {
+// deadlinePassed compares both the monotonic and the wall clock readings: the
+// monotonic clock stops while the machine is suspended, and the wall clock may be
+// set.
+func deadlinePassed(now, deadline time.Time) bool {
 	return !now.Before(deadline) || !now.Round(0).Before(deadline.Round(0))
 }
 
-// Sent says whether the request may have been sent.
+// Sent reports whether the request may have been sent.
 func (c *Claim) Sent() bool { return c.phase == sent || c.phase == stored }
 
-// GiveUp ends a claim that was not sent: its deadline passed, its caller went
-// away or no upstream is available. It does nothing after Send.
+// GiveUp ends a claim whose request was not sent, because its deadline passed, its
+// caller disconnected or no upstream is available. It does nothing after Send has
+// returned true.
 func (c *Claim) GiveUp(kind problem.Kind) []Action {
-	if c.phase == ended || c.Sent() && !c.off.noSentCheck {
+	if c.phase == ended || c.Sent() && !c.disabled.sentBeforeRelease {
 		return nil
 	}
 	if kind == problem.DeadlineExceeded && c.lastOwner != (Owner{}) && c.phase != won {
@@ -256,16 +272,17 @@
 	return c.refuse(kind, 0)
 }
 
-// NotExecuted takes back a Send that verifiably did not run: the connection was
-// never made, or the upstream says that it did not execute. The claim is won
-// again and may be sent again or given up.
+// NotExecuted reverts Send when the request verifiably was not executed: the
+// connection was never established, or the upstream reports that it did not
+// execute the request. The claim is in the won phase again, so the request may be
+// sent again or the claim given up.
 func (c *Claim) NotExecuted() {
 	if c.phase == sent {
 		c.phase = won
 	}
 }
 
-// Store records the result of a sent request at all holders.
+// Store sends the result of a sent request to all holders.
 func (c *Claim) Store(rec Record) []Action {
 	if c.phase != sent {
 		return nil
@@ -273,20 +290,21 @@
 	rec.Digest = c.cfg.Digest
 	m := Store{Key: c.cfg.Key, Owner: c.cfg.Owner, Record: rec}
 	var actions []Action
-	for _, s := range c.slots {
-		actions = append(actions, SendStore{s.holder, m})
+	for _, s := range c.holders {
+		actions = append(actions, SendStore{s.name, m})
 	}
 	return actions
 }
 
-// Stored takes a holder's answer to a Store.
+// Stored handles a holder's reply to a Store. It returns Kept once a majority of
+// each quorum has stored the result.
 func (c *Claim) Stored(r Reply) []Action {
-	s := c.slot(r.Holder)
+	s := c.holder(r.Holder)
 	if s == nil || c.phase != sent || r.Verdict != Recorded {
 		return nil
 	}
 	s.stored = true
-	if !c.inEach(func(s *slot) bool { return s.stored }) {
+	if !c.majorityInEach(func(s *holderState) bool { return s.stored }) {
 		return nil
 	}
 	c.phase = stored
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -7,31 +7,32 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// decide weighs the answers of the current round.
-func (c *Claim) decide(now time.Time) []Action {
-	if i := slices.IndexFunc(c.slots, func(s slot) bool { return s.record != nil }); i >= 0 {
-		return c.deliver(c.slots[i])
+// evaluate decides from the replies of the current round whether the claim is won
+// or lost, backs off, is refused or waits for further replies.
+func (c *Claim) evaluate(now time.Time) []Action {
+	if i := slices.IndexFunc(c.holders, func(s holderState) bool { return s.record != nil }); i >= 0 {
+		return c.endWithRecord(c.holders[i])
 	}
-	if slices.ContainsFunc(c.slots, c.reused) {
+	if slices.ContainsFunc(c.holders, c.keyReused) {
 		return c.refuse(problem.KeyReused, Taken)
 	}
-	if c.inEach(func(s *slot) bool { return s.verdict == Granted }) {
+	if c.majorityInEach(func(s *holderState) bool { return s.verdict == Granted }) {
 		c.phase = won
 		return []Action{Won{}}
 	}
-	if c.inEach(func(s *slot) bool { return s.verdict == Granted || s.pending() }) {
+	if c.majorityInEach(func(s *holderState) bool { return s.verdict == Granted || s.unanswered() }) {
 		return nil
 	}
-	if slices.ContainsFunc(c.slots, slot.passing) {
+	if slices.ContainsFunc(c.holders, holderState.retryable) {
 		return c.backOff(now)
 	}
-	v := c.reason()
+	v := c.failureVerdict()
 	return c.refuse(kindOf(v), v)
 }
 
-// deliver ends the claim with a result that is known already.
-func (c *Claim) deliver(s slot) []Action {
-	if s.record.Digest != c.cfg.Digest && !c.off.noReuseCheck {
+// endWithRecord ends the claim with the result that a holder has stored.
+func (c *Claim) endWithRecord(s holderState) []Action {
+	if s.record.Digest != c.cfg.Digest && !c.disabled.digestMatch {
 		return c.refuse(problem.KeyReused, Taken)
 	}
 	actions := c.release()
@@ -39,38 +40,39 @@
 	return append(actions, Lost{Owner: s.owner, Record: *s.record})
 }
 
-// reused says that another owner claims the key for another request.
-func (c *Claim) reused(s slot) bool {
-	return s.verdict == Taken && s.digest != c.cfg.Digest && !c.off.noReuseCheck
+// keyReused reports whether another owner has claimed the key for a request with a
+// different digest.
+func (c *Claim) keyReused(s holderState) bool {
+	return s.verdict == Taken && s.digest != c.cfg.Digest && !c.disabled.digestMatch
 }
 
-// pending says that the holder has not answered yet.
-func (s *slot) pending() bool { return s.verdict == 0 && !s.failed }
+// unanswered reports whether the holder has neither replied nor failed yet.
+func (s *holderState) unanswered() bool { return s.verdict == 0 && !s.failed }
 
-// passing says that waiting may help: another owner may release or finish, a
-// holder is about to learn of the host list.
-func (s slot) passing() bool {
+// retryable reports whether a later round may succeed: another owner may release
+// the key or finish, or the holder may adopt the newer host list.
+func (s holderState) retryable() bool {
 	return s.verdict == Taken || s.verdict == NewView || s.verdict == Superseded
 }
 
-// inEach says whether a majority of each quorum fulfils ok.
-func (c *Claim) inEach(ok func(*slot) bool) bool {
+// majorityInEach reports whether ok holds for a majority of each quorum.
+func (c *Claim) majorityInEach(ok func(*holderState) bool) bool {
 	for _, q := range c.cfg.Quorums {
 		n := 0
 		for _, h := range q.Holders {
-			if ok(c.slot(h)) {
+			if ok(c.holder(h)) {
 				n++
 			}
 		}
-		if n == 0 || n < majority(len(q.Holders)) && !c.off.noMajority {
+		if n == 0 || n < majority(len(q.Holders)) && !c.disabled.majority {
 			return false
 		}
 	}
 	return len(c.cfg.Quorums) > 0
 }
 
-// backOff releases what was granted and waits before the next round. The wait
-// doubles with the rounds, and half of it is random.
+// backOff releases the grants of the round and waits before the next one. The wait
+// doubles with each round, up to BackoffMax, and half of it is random.
 func (c *Claim) backOff(now time.Time) []Action {
 	actions := c.release()
 	c.phase = backingOff
@@ -82,18 +84,18 @@
 	return append(actions, Wait{now.Add(wait)})
 }
 
-// release gives back the round at every holder: also where no answer came, for
-// the ask may still be under way.
+// release releases the grants of the round at every holder, including those that
+// have not replied: the Ask may still reach them.
 func (c *Claim) release() []Action {
 	m := Release{Key: c.cfg.Key, Owner: c.cfg.Owner, Round: c.round}
-	actions := make([]Action, 0, len(c.slots)+1)
-	for _, s := range c.slots {
-		actions = append(actions, SendRelease{s.holder, m})
+	actions := make([]Action, 0, len(c.holders)+1)
+	for _, s := range c.holders {
+		actions = append(actions, SendRelease{s.name, m})
 	}
 	return actions
 }
 
-// refuse ends the claim.
+// refuse releases all grants and ends the claim with a refusal.
 func (c *Claim) refuse(kind problem.Kind, v Verdict) []Action {
 	r := Refuse{Kind: kind, Execution: c.execution(), Owner: c.lastOwner, Verdict: v}
 	actions := c.release()
@@ -101,37 +103,38 @@
 	return append(actions, r)
 }
 
-// execution says what is known for certain. NotRun needs, in each quorum, a
-// majority that holds the key for this claim or knows of no owner: whoever had
-// sent before would have a grant among them. A result of another digest proves
-// it as well, since a key has one owner that ever sends.
+// execution returns NotRun only if it is certain that the request has not run. That
+// requires, in each quorum, a majority of holders that granted the key to this
+// claim or know of no owner: an earlier attempt that sent the request would have a
+// grant from at least one of them. A stored result with another digest proves it
+// too, since only one owner of a key ever sends.
 func (c *Claim) execution() problem.Execution {
-	other := func(s slot) bool { return s.record != nil && s.record.Digest != c.cfg.Digest }
-	clean := func(s *slot) bool { return s.verdict == Granted || s.verdict == Full }
-	if c.off.noCleanCheck || slices.ContainsFunc(c.slots, other) {
+	otherDigest := func(s holderState) bool { return s.record != nil && s.record.Digest != c.cfg.Digest }
+	noOtherOwner := func(s *holderState) bool { return s.verdict == Granted || s.verdict == Full }
+	if c.disabled.notRunMajority || slices.ContainsFunc(c.holders, otherDigest) {
 		return problem.NotRun
 	}
-	if c.phase != backingOff && c.inEach(clean) {
+	if c.phase != backingOff && c.majorityInEach(noOtherOwner) {
 		return problem.NotRun
 	}
 	return problem.MayHaveRun
 }
 
-// reasons orders the verdicts by how much they explain.
-var reasons = []Verdict{Voided, Forgotten, KeyTooOld, KeyTooNew, Full, OldView, NotReady}
+// verdictPriority lists the verdicts of failed rounds, the most specific first.
+var verdictPriority = []Verdict{Voided, Forgotten, KeyTooOld, KeyTooNew, Full, OldView, NotReady}
 
-// reason returns the verdict that best explains why the round failed; 0 if the
-// holders were unreachable.
-func (c *Claim) reason() Verdict {
-	for _, v := range reasons {
-		if slices.ContainsFunc(c.slots, func(s slot) bool { return s.verdict == v }) {
+// failureVerdict returns the verdict that best explains why the round failed; 0 if
+// the holders were unreachable.
+func (c *Claim) failureVerdict() Verdict {
+	for _, v := range verdictPriority {
+		if slices.ContainsFunc(c.holders, func(s holderState) bool { return s.verdict == v }) {
 			return v
 		}
 	}
 	return 0
 }
 
-// kindOf returns the kind of the refusal that a verdict leads to.
+// kindOf returns the error kind of a refusal with verdict v.
 func kindOf(v Verdict) problem.Kind {
 	switch v {
 	case Voided:
--- a/core/claim/group.go
+++ b/core/claim/group.go
@@ -7,11 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Group returns the names of the n holders of key among hosts: rendezvous
-// hashing, spread over failure domains. No domain gets a second holder while
-// another has none. It returns all hosts if there are no more than n.
+// Group returns the names of the n holders of key. It selects them from hosts by
+// rendezvous hashing and spreads them over failure domains: no failure domain gets
+// a second holder while another has none. It returns all hosts if there are at most
+// n.
 //
-// A host joining or leaving changes only the groups that it is or was in.
+// Adding or removing a host changes only the groups of which it is or was a member.
 func Group(hosts []Host, key Key, n int) []string {
 	ranked := rank(hosts, key.Hash())
 	group := make([]string, 0, n)
@@ -37,7 +38,7 @@
 	}
 	all := make([]weighted, len(hosts))
 	for i, h := range hosts {
-		all[i] = weighted{h, mix(xxhash.Sum64String(h.Name) ^ keyHash)}
+		all[i] = weighted{h, mixBits(xxhash.Sum64String(h.Name) ^ keyHash)}
 	}
 	slices.SortFunc(all, func(a, b weighted) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.host.Name, b.host.Name))
@@ -49,8 +50,9 @@
 	return ranked
 }
 
-// mix is the finaliser of splitmix64: it spreads the bits of a combined hash.
-func mix(x uint64) uint64 {
+// mixBits is the finalizer of splitmix64. It distributes the entropy of a combined
+// hash over all bits.
+func mixBits(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
@@ -58,5 +60,6 @@
 	return x ^ x>>31
 }
 
-// majority returns the smallest number of n that any two sets of it share.
+// majority returns the size of the smallest majority of n: any two subsets of that
+// size have a member in common.
 func majority(n int) int { return n/2 + 1 }
--- a/core/claim/holder.go
+++ b/core/claim/holder.go
@@ -5,56 +5,59 @@
 	"time"
 )
 
-// maxReleased bounds the released owners that are remembered for one key. They
-// only keep late asks from taking a key for an owner that gave up.
-const maxReleased = 4
+// maxReleasesPerKey bounds the number of releases recorded for one key. A recorded
+// release only prevents an Ask that arrives after it from granting the key to an
+// owner that has given up.
+const maxReleasesPerKey = 4
 
-// bucketWidth is the granularity at which a holder forgets keys.
+// bucketWidth is the granularity at which a holder evicts old keys.
 const bucketWidth = time.Minute
 
-// Env is what a daemon knows at the moment of a step.
+// Env is the state of the daemon at the time of a call to a Holder.
 type Env struct {
 	Now time.Time
-	// Epoch is the number of the daemon's current host list.
+	// Epoch is the epoch of the daemon's current host list.
 	Epoch uint64
-	// Ready is Views.Ready: caught up, and its clock agrees with its peers'.
+	// Ready reports whether the daemon may grant: it has synced since its start
+	// and its clock agrees with its peers' (see Views).
 	Ready bool
 }
 
-// Holder keeps the claims of a set of keys. It is not safe for concurrent use.
+// Holder stores and grants the claims on one shard of keys. It is not safe for
+// concurrent use.
 type Holder struct {
 	host        string
 	incarnation uint64
 	started     time.Time
 	policy      Policy
-	off         guards
+	disabled    disabledChecks
 
 	entries map[Key]*entry
 	buckets map[int64][]Key
-	// forgotten is the bucket up to which keys were dropped.
-	forgotten int64
-	bytes     int
+	// evictedBefore is the index of the oldest bucket that has not been evicted.
+	evictedBefore int64
+	bytes         int
 }
 
-// entry is what a holder knows of one key.
+// entry is a holder's state of one key.
 type entry struct {
-	held     bool
+	claimed  bool
 	owner    Owner
 	round    uint32
 	digest   Digest
 	record   *Record
 	released []released
-	// voided is the time up to which arrived attempts are void.
-	voided time.Time
+	// voidedUntil is the arrival time up to which attempts are voided.
+	voidedUntil time.Time
 }
 
-// released remembers that an owner gave a key back.
+// released records that an owner released a key.
 type released struct {
 	owner Owner
 	round uint32
 }
 
-// NewHolder returns an empty holder of a process that started at started.
+// NewHolder returns an empty holder for a process that started at started.
 func NewHolder(host string, incarnation uint64, started time.Time, p Policy) *Holder {
 	return &Holder{
 		host:        host,
@@ -66,12 +69,12 @@
 	}
 }
 
-// Ask grants a key or says why not.
+// Ask grants a key, or returns the verdict that prevents the grant.
 func (h *Holder) Ask(env Env, a Ask) Reply {
-	h.forget(env.Now)
-	r := h.reply(env, a.Round)
+	h.evictExpired(env.Now)
+	r := h.newReply(env, a.Round)
 	e := h.entries[a.Key]
-	if r.describe(e); e.takenFrom(a.Owner) && (e.record != nil || !h.off.noExclusive) {
+	if r.setClaim(e); e.unavailableTo(a.Owner) && (e.record != nil || !h.disabled.exclusiveGrant) {
 		r.Verdict = Taken
 		return r
 	}
@@ -81,7 +84,7 @@
 	if e == nil {
 		e = h.add(a.Key)
 	}
-	e.held = true
+	e.claimed = true
 	e.owner = a.Owner
 	e.digest = a.Digest
 	e.round = max(e.round, a.Round)
@@ -89,29 +92,31 @@
 	return r
 }
 
-// takenFrom says that somebody else than o has the key, or it is done with.
-func (e *entry) takenFrom(o Owner) bool {
-	return e != nil && (e.record != nil || e.held && e.owner != o)
+// unavailableTo reports whether another owner than o has the key, or its result is
+// recorded.
+func (e *entry) unavailableTo(o Owner) bool {
+	return e != nil && (e.record != nil || e.claimed && e.owner != o)
 }
 
-// refusal returns the verdict that keeps a free key from being granted, or 0.
+// refusal returns the verdict that prevents a grant of a key that no other owner
+// has, or 0.
 func (h *Holder) refusal(env Env, a Ask, e *entry) Verdict {
 	switch {
 	case !env.Ready:
 		return NotReady
-	case a.Epoch < env.Epoch && !h.off.noViewCheck:
+	case a.Epoch < env.Epoch && !h.disabled.epochMatch:
 		return OldView
-	case a.Epoch > env.Epoch && !h.off.noViewCheck:
+	case a.Epoch > env.Epoch && !h.disabled.epochMatch:
 		return NewView
-	case h.policy.tooOld(env.Now, a.Key) && !h.off.noTooOld:
+	case h.policy.tooOld(env.Now, a.Key) && !h.disabled.keyTooOld:
 		return KeyTooOld
-	case h.policy.tooNew(env.Now, a.Key) && !h.off.noTooNew:
+	case h.policy.tooNew(env.Now, a.Key) && !h.disabled.keyTooNew:
 		return KeyTooNew
-	case h.mayHaveForgotten(a.Key):
+	case h.mayBeGrantedBeforeRestart(a.Key):
 		return Forgotten
-	case e.superseded(a):
+	case e.alreadyReleased(a):
 		return Superseded
-	case e.isVoid(a.Arrived) && !h.off.noVoid:
+	case e.isVoided(a.Arrived) && !h.disabled.voidedAttempts:
 		return Voided
 	case e == nil && h.full():
 		return Full
@@ -119,13 +124,14 @@
 	return 0
 }
 
-// mayHaveForgotten says that an earlier incarnation can have granted the key.
-func (h *Holder) mayHaveForgotten(k Key) bool {
-	return !h.off.noAbstain && !k.Time().After(h.policy.horizon(h.started))
+// mayBeGrantedBeforeRestart reports whether an earlier incarnation of the holder
+// may have granted the key.
+func (h *Holder) mayBeGrantedBeforeRestart(k Key) bool {
+	return !h.disabled.restartAbstention && !k.Time().After(h.policy.latestGrantableKeyTime(h.started))
 }
 
-// superseded says that the ask's own release came first.
-func (e *entry) superseded(a Ask) bool {
+// alreadyReleased reports whether the release of a's round arrived before a.
+func (e *entry) alreadyReleased(a Ask) bool {
 	if e == nil {
 		return false
 	}
@@ -134,10 +140,10 @@
 	})
 }
 
-// Release frees a key that its owner never sent. A release that overtook its
-// ask, or comes twice, does no harm.
+// Release frees a key whose owner has not sent the request. It is idempotent, and a
+// release that arrives before its Ask has the same effect.
 func (h *Holder) Release(env Env, m Release) {
-	h.forget(env.Now)
+	h.evictExpired(env.Now)
 	e := h.entries[m.Key]
 	if e == nil {
 		if h.full() || h.policy.tooOld(env.Now, m.Key) {
@@ -145,36 +151,37 @@
 		}
 		e = h.add(m.Key)
 	}
-	e.remember(m)
-	if e.record != nil || !e.held {
+	e.addRelease(m)
+	if e.record != nil || !e.claimed {
 		return
 	}
-	own := e.owner == m.Owner || h.off.noOwnerCheck
-	current := m.Round >= e.round || h.off.noRoundCheck
+	own := e.owner == m.Owner || h.disabled.releaseOwner
+	current := m.Round >= e.round || h.disabled.releaseRound
 	if own && current {
-		e.held = false
+		e.claimed = false
 		e.round = 0
 	}
 }
 
-// remember notes a release, dropping the oldest one beyond maxReleased.
-func (e *entry) remember(m Release) {
+// addRelease records a release and drops the oldest one beyond maxReleasesPerKey.
+func (e *entry) addRelease(m Release) {
 	i := slices.IndexFunc(e.released, func(r released) bool { return r.owner == m.Owner })
 	if i >= 0 {
 		e.released[i].round = max(e.released[i].round, m.Round)
 		return
 	}
-	if len(e.released) == maxReleased {
+	if len(e.released) == maxReleasesPerKey {
 		e.released = slices.Delete(e.released, 0, 1)
 	}
 	e.released = append(e.released, released{m.Owner, m.Round})
 }
 
-// Store keeps a result. The first one of a key stays: only the one owner that
-// won sends any. A holder takes it whatever it granted or forgot.
+// Store records a result. Only the owner that won a key sends results for it, so
+// the first result is kept. The holder accepts it whether or not it has granted the
+// key to that owner.
 func (h *Holder) Store(env Env, m Store) Reply {
-	h.forget(env.Now)
-	r := h.reply(env, 0)
+	h.evictExpired(env.Now)
+	r := h.newReply(env, 0)
 	if h.policy.tooOld(env.Now, m.Key) {
 		r.Verdict = KeyTooOld
 		return r
@@ -188,37 +195,38 @@
 		e = h.add(m.Key)
 	}
 	if e.record == nil {
-		h.keep(e, m)
+		h.storeRecord(e, m)
 	}
 	r.Verdict = Recorded
 	return r
 }
 
-// keep stores a record in e, without a result that is too large.
-func (h *Holder) keep(e *entry, m Store) {
+// storeRecord stores the record of m in e, without the result if that exceeds
+// Policy.MaxResult.
+func (h *Holder) storeRecord(e *entry, m Store) {
 	rec := m.Record
 	if len(rec.Result) > h.policy.MaxResult {
 		rec.Result = nil
 		rec.Truncated = true
 	}
-	e.held = true
+	e.claimed = true
 	e.owner = m.Owner
 	e.digest = rec.Digest
 	e.record = &rec
 	h.bytes += len(rec.Result)
 }
 
-// Lookup says what the holder knows of a key and changes nothing.
+// Lookup returns the holder's state of a key without changing it.
 func (h *Holder) Lookup(env Env, k Key) Reply {
-	r := h.reply(env, 0)
+	r := h.newReply(env, 0)
 	e := h.entries[k]
-	r.describe(e)
+	r.setClaim(e)
 	switch {
-	case e != nil && e.held:
+	case e != nil && e.claimed:
 		r.Verdict = Taken
 	case h.policy.tooOld(env.Now, k):
 		r.Verdict = KeyTooOld
-	case h.mayHaveForgotten(k):
+	case h.mayBeGrantedBeforeRestart(k):
 		r.Verdict = Forgotten
 	default:
 		r.Verdict = None
@@ -226,13 +234,13 @@
 	return r
 }
 
-func (h *Holder) reply(env Env, round uint32) Reply {
+func (h *Holder) newReply(env Env, round uint32) Reply {
 	return Reply{Holder: h.host, Incarnation: h.incarnation, Round: round, Epoch: env.Epoch}
 }
 
-// describe tells the owner and the record of e.
-func (r *Reply) describe(e *entry) {
-	if e == nil || !e.held {
+// setClaim sets the owner, digest and record of the claim in e.
+func (r *Reply) setClaim(e *entry) {
+	if e == nil || !e.claimed {
 		return
 	}
 	r.Owner = e.owner
@@ -240,8 +248,9 @@
 	r.Record = e.record
 }
 
-// full says that no further key fits. Results of keys already granted are
-// always taken in, so bytes may pass MaxBytes by what is in flight.
+// full reports whether the holder accepts no further keys. Results of keys already
+// granted are always stored, so bytes may exceed MaxBytes by the results of
+// requests in flight.
 func (h *Holder) full() bool {
 	return len(h.entries) >= h.policy.MaxKeys || h.bytes >= h.policy.MaxBytes
 }
@@ -254,50 +263,50 @@
 	return e
 }
 
-// forget drops the keys that stay refused as too old even if the clock steps
-// back by MaxClockSkew.
-func (h *Holder) forget(now time.Time) {
+// evictExpired drops the keys that remain too old even if the clock steps back by
+// MaxClockSkew.
+func (h *Holder) evictExpired(now time.Time) {
 	limit := now.Add(-h.policy.Retention-h.policy.MaxClockSkew).UnixNano() / int64(bucketWidth)
-	if limit <= h.forgotten {
+	if limit <= h.evictedBefore {
 		return
 	}
-	h.forgotten = limit
+	h.evictedBefore = limit
 	for b, keys := range h.buckets {
 		if b >= limit {
 			continue
 		}
 		for _, k := range keys {
-			h.drop(k)
+			h.evict(k)
 		}
 		delete(h.buckets, b)
 	}
 }
 
-func (h *Holder) drop(k Key) {
+func (h *Holder) evict(k Key) {
 	if e := h.entries[k]; e != nil && e.record != nil {
 		h.bytes -= len(e.record.Result)
 	}
 	delete(h.entries, k)
 }
 
-// Stats counts what a Holder keeps.
+// Stats holds the number of claims in a Holder by state, and their size.
 type Stats struct {
 	Granted  int `json:"granted"`
 	Recorded int `json:"recorded"`
 	Released int `json:"released"`
 	Bytes    int `json:"result_bytes"`
-	// Oldest is the time of the oldest key; zero if there is none.
+	// Oldest is the time of the oldest key; zero if there is no key.
 	Oldest time.Time `json:"oldest,omitzero"`
 }
 
-// Stats counts the holder's claims by state.
+// Stats returns the holder's claims counted by state.
 func (h *Holder) Stats() Stats {
 	s := Stats{Bytes: h.bytes}
 	for k, e := range h.entries {
 		switch {
 		case e.record != nil:
 			s.Recorded++
-		case e.held:
+		case e.claimed:
 			s.Granted++
 		default:
 			s.Released++
--- a/core/claim/messages.go
+++ b/core/claim/messages.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// Verdict is a holder's answer.
+// Verdict is the outcome in a holder's reply.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Granted gives the key to the asking owner.
+	// Granted grants the key to the owner that asked.
 	Granted Verdict = iota + 1
-	// Taken says that another owner has the key, or a result is recorded.
+	// Taken reports that another owner has the key, or that its result is
+	// recorded.
 	Taken
-	// Forgotten says that the holder restarted and may have granted the key
-	// before; it abstains.
+	// Forgotten reports that the holder has restarted and may have granted the
+	// key before, so it neither grants nor denies it.
 	Forgotten
-	// KeyTooOld and KeyTooNew refuse the key's time.
+	// KeyTooOld and KeyTooNew refuse a key because of its creation time.
 	KeyTooOld
 	KeyTooNew
-	// OldView says that the asker's host list is older than the holder's, and
+	// OldView reports that the owner's host list is older than the holder's,
 	// NewView that it is newer.
 	OldView
 	NewView
-	// NotReady says that the holder has not caught up since its start or that
-	// its clock is off.
+	// NotReady reports that the holder has not synced since its start or that its
+	// clock is wrong.
 	NotReady
-	// Full says that the holder has no memory for a further key. It knows of no
-	// owner of the key.
+	// Full reports that the holder has no memory for another key and knows of no
+	// owner of this one.
 	Full
-	// Superseded answers an ask that arrived after its own release.
+	// Superseded refuses an Ask that arrived after the release of its round.
 	Superseded
-	// Recorded acknowledges a record.
+	// Recorded acknowledges a Store.
 	Recorded
-	// None says, to a look-up, that no owner of the key is known.
+	// None replies to a lookup that the holder knows of no owner of the key.
 	None
-	// Voided says that attempts which arrived when this one did are void: a
-	// later one was refused as not run.
+	// Voided refuses an attempt that arrived no later than one which was refused
+	// as not run. It also acknowledges a Void.
 	Voided
 )
 
@@ -43,7 +44,7 @@
 	"new_view", "not_ready", "full", "superseded", "recorded", "none", "voided",
 }
 
-// String returns the name used in logs and records.
+// String returns the name of the verdict in logs and records.
 func (v Verdict) String() string {
 	if int(v) < len(verdictNames) {
 		return verdictNames[v]
@@ -51,47 +52,48 @@
 	return "unknown"
 }
 
-// Ask asks a holder for a key.
+// Ask requests a grant of a key from a holder.
 type Ask struct {
 	Key    Key
 	Owner  Owner
 	Digest Digest
-	// Round counts the owner's tries, from 1.
+	// Round is the number of the owner's round, starting at 1.
 	Round uint32
-	// Epoch is the number of the owner's current host list.
+	// Epoch is the epoch of the owner's current host list.
 	Epoch uint64
-	// Arrived is when the request arrived, by the wall clock of the owner's
-	// host; zero is not checked.
+	// Arrived is the time at which the request arrived, by the wall clock of the
+	// owner's host. If it is zero, the holder does not check it.
 	Arrived time.Time
 }
 
-// Release gives back what was granted to the owner up to Round.
+// Release releases the grants of the owner in all rounds up to Round.
 type Release struct {
 	Key   Key
 	Owner Owner
 	Round uint32
 }
 
-// Store records the result of a request at a holder. Only an owner that won
-// its claim and sent may issue one.
+// Store asks a holder to record the result of a request. Only an owner that won its
+// claim and sent the request may issue it.
 type Store struct {
 	Key    Key
 	Owner  Owner
 	Record Record
 }
 
-// Reply is a holder's answer to an Ask, a Store or a look-up.
+// Reply is a holder's reply to an Ask, a Store, a Void or a lookup.
 type Reply struct {
 	Holder      string
 	Incarnation uint64
 	Verdict     Verdict
 	// Round is the round of the Ask.
 	Round uint32
-	// Epoch is the number of the holder's current host list.
+	// Epoch is the epoch of the holder's current host list.
 	Epoch uint64
-	// Owner and Digest are of the claim that Taken speaks of.
+	// Owner and Digest describe the claim that the holder has on the key; zero if
+	// there is none.
 	Owner  Owner
 	Digest Digest
-	// Record is set when the holder knows the result.
+	// Record is the result of the request; nil if the holder has none.
 	Record *Record
 }
--- a/core/claim/tally.go
+++ b/core/claim/tally.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// Tally counts votes of holders over quorums. It is not safe for concurrent
-// use.
+// Tally counts the votes of holders for a set of quorums. It is not safe for
+// concurrent use.
 type Tally struct {
 	quorums []Quorum
-	yes     map[string]bool
+	votes   map[string]bool
 }
 
 // NewTally returns a tally without votes.
 func NewTally(quorums []Quorum) *Tally {
-	return &Tally{quorums: quorums, yes: make(map[string]bool)}
+	return &Tally{quorums: quorums, votes: make(map[string]bool)}
 }
 
-// Holders returns every holder of the quorums once.
+// Holders returns each holder of the quorums once.
 func (t *Tally) Holders() []string {
 	var all []string
 	for _, q := range t.quorums {
@@ -27,15 +27,15 @@
 	return all
 }
 
-// Count notes a holder's vote.
-func (t *Tally) Count(holder string, yes bool) { t.yes[holder] = yes }
+// Count records a holder's vote, replacing an earlier one.
+func (t *Tally) Count(holder string, yes bool) { t.votes[holder] = yes }
 
-// Reached says whether a majority of each quorum has voted yes.
+// Reached reports whether a majority of each quorum has voted yes.
 func (t *Tally) Reached() bool {
 	for _, q := range t.quorums {
 		n := 0
 		for _, h := range q.Holders {
-			if t.yes[h] {
+			if t.votes[h] {
 				n++
 			}
 		}
--- a/core/claim/lineage.go
+++ b/core/claim/view.go
@@ -8,27 +8,28 @@
 	"github.com/wheatseam/wheatseam/bundle"
 )
 
-// Host is one entry host of a host list.
+// Host is one host of a host list.
 type Host struct {
 	Name          string
 	FailureDomain string
-	// EndedAt is the operators' word that the host's process had ended for good
-	// by then; zero if it may be running.
+	// EndedAt is set by the operators to a time at which the host's process had
+	// ended permanently; zero if the process may be running.
 	EndedAt time.Time
 }
 
-// View is one host list. Its epoch numbers it in the order of the lists.
+// View is one version of the host list. Epochs increase from one version to the
+// next.
 type View struct {
 	Epoch uint64
 	Hosts []Host
 }
 
-// Has says whether the view lists a host.
+// Has reports whether the view contains host.
 func (v View) Has(host string) bool {
 	return slices.ContainsFunc(v.Hosts, func(h Host) bool { return h.Name == host })
 }
 
-// sameHosts says whether two views list the same hosts, in any order.
+// sameHosts reports whether two views contain the same hosts, in any order.
 func (v View) sameHosts(o View) bool {
 	if len(v.Hosts) != len(o.Hosts) {
 		return false
@@ -40,14 +41,14 @@
 	})
 }
 
-// Lineage is the current host list and the earlier ones, newest first. It comes
-// from a signed bundle, so every host sees the same list under one epoch.
+// Lineage holds the current host list and the earlier ones, newest first. It comes
+// from a signed bundle, so an epoch denotes the same list on every host.
 type Lineage struct {
 	Current View
 	Earlier []View
 }
 
-// find returns the view with an epoch.
+// find returns the view with the given epoch.
 func (l Lineage) find(epoch uint64) (View, bool) {
 	if l.Current.Epoch == epoch {
 		return l.Current, true
@@ -59,24 +60,25 @@
 	return l.Earlier[i], true
 }
 
-// FromBundle returns the lineage of a bundle. The epoch of an earlier list is
-// its Version; the current list's is one more than the newest earlier one's, or
-// 1. So a bundle that replaces a host moves the old list into views under its
-// epoch, and a bundle that leaves the hosts alone leaves the views alone.
+// FromBundle returns the lineage of a bundle. The epoch of an earlier list is its
+// Version. The epoch of the current list is that of the newest earlier list plus 1,
+// or 1 if there is none. A bundle that replaces a host therefore adds the previous
+// list with its epoch to views, and a bundle that keeps the hosts keeps views as
+// they are.
 func FromBundle(b *bundle.Bundle) (Lineage, error) {
-	l := Lineage{Current: View{Epoch: 1, Hosts: hosts(b.Hosts)}}
+	l := Lineage{Current: View{Epoch: 1, Hosts: hostsFromBundle(b.Hosts)}}
 	for i, v := range b.Views {
 		if i == 0 {
 			l.Current.Epoch = v.Version + 1
 		} else if v.Version >= b.Views[i-1].Version {
 			return Lineage{}, fmt.Errorf("views[%d]: version %d is not older than the one before it", i, v.Version)
 		}
-		l.Earlier = append(l.Earlier, View{Epoch: v.Version, Hosts: hosts(v.Hosts)})
+		l.Earlier = append(l.Earlier, View{Epoch: v.Version, Hosts: hostsFromBundle(v.Hosts)})
 	}
 	return l, nil
 }
 
-func hosts(in []bundle.Host) []Host {
+func hostsFromBundle(in []bundle.Host) []Host {
 	out := make([]Host, len(in))
 	for i, h := range in {
 		out[i] = Host{Name: h.Name, FailureDomain: h.FailureDomain, EndedAt: h.EndedAt}
--- a/core/claim/views.go
+++ b/core/claim/views.go
@@ -10,28 +10,29 @@
 
 // Errors of Views.Adopt.
 var (
-	// ErrForeignLineage refuses a lineage that does not name the list in force:
-	// two majorities for one key could follow.
+	// ErrForeignLineage rejects a lineage that lacks the host list in force:
+	// adopting it could lead to two separate majorities for one key.
 	ErrForeignLineage = errors.New("lineage lacks the host list in force")
-	// ErrEpochReused refuses another host list under an epoch in force.
+	// ErrEpochReused rejects a lineage that gives the epoch in force to a
+	// different host list.
 	ErrEpochReused = errors.New("epoch names another host list")
 )
 
-// Adoption is the moment, by a daemon's wall clock, from which it granted under
-// no list before Epoch any more.
+// Adoption records when a daemon adopted a host list. From the time At, by the
+// daemon's wall clock, it grants no key under a list with an earlier epoch.
 type Adoption struct {
 	Epoch uint64
 	At    time.Time
 }
 
-// Ack is what one incarnation of a daemon has adopted, oldest first. An
-// incarnation never goes back to an earlier list.
+// Ack lists the host lists that one incarnation of a daemon has adopted, oldest
+// first. An incarnation never reverts to an earlier list.
 type Ack struct {
 	Incarnation uint64
 	Adopted     []Adoption
 }
 
-// epoch returns the list in force at the daemon.
+// epoch returns the epoch of the list in force at the daemon; 0 if there is none.
 func (a Ack) epoch() uint64 {
 	if len(a.Adopted) == 0 {
 		return 0
@@ -39,8 +40,9 @@
 	return a.Adopted[len(a.Adopted)-1].Epoch
 }
 
-// after returns when the daemon adopted the first list after epoch.
-func (a Ack) after(epoch uint64) (time.Time, bool) {
+// adoptedAfter returns the time at which the daemon adopted the first list after
+// epoch, and whether it has adopted one.
+func (a Ack) adoptedAfter(epoch uint64) (time.Time, bool) {
 	i := slices.IndexFunc(a.Adopted, func(x Adoption) bool { return x.Epoch > epoch })
 	if i < 0 {
 		return time.Time{}, false
@@ -48,42 +50,44 @@
 	return a.Adopted[i].At, true
 }
 
-// Status is what a daemon tells its peers about its host lists.
+// Status is the state of a daemon's host lists, which it sends to its peers.
 type Status struct {
 	Host string
 	Ack
-	// Synced says that the daemon has caught up since its start.
+	// Synced reports whether the daemon has learned the current host list since
+	// its start.
 	Synced bool
-	// Incarnations are the newest ones that the daemon has heard of, itself
-	// included.
+	// Incarnations are the newest incarnations known to the daemon by host,
+	// including its own.
 	Incarnations map[string]uint64
-	// Relayed are the acknowledgements that the daemon has heard, by host, so
-	// that they outlive the hosts that gave them.
+	// Relayed are the acknowledgements known to the daemon by host. They are
+	// relayed so that they remain known after the host that gave them is gone.
 	Relayed map[string]Ack
 }
 
-// Views is a daemon's knowledge of the host lists. It is not safe for
-// concurrent use; grants under a list and Adopt must exclude each other.
+// Views is a daemon's knowledge of the host lists. It is not safe for concurrent
+// use. The caller must not grant keys under a list while it calls Adopt.
 type Views struct {
 	host        string
 	incarnation uint64
 	policy      Policy
-	off         guards
+	disabled    disabledChecks
 
 	lineage Lineage
 	adopted []Adoption
 	synced  bool
-	// answered are the peers' statuses that know this incarnation.
-	answered map[string]Status
-	// acks are the newest ones heard of daemons that have caught up, by host.
+	// peerStatuses are the newest statuses of peers that know this incarnation, by
+	// host.
+	peerStatuses map[string]Status
+	// acks are the newest known acknowledgements of synced daemons, by host.
 	acks map[string]Ack
-	// incarnations are the newest ones known, by host.
+	// incarnations are the newest known incarnations, by host.
 	incarnations map[string]uint64
-	clockOff     bool
+	clockSkewed  bool
 }
 
-// NewViews returns the views of a process that found lineage at its start. It
-// is not synced until Hear says so.
+// NewViews returns the views of a process that found lineage l at its start. Unless
+// its host is the only one of the list, it becomes synced through Hear.
 func NewViews(host string, incarnation uint64, now time.Time, l Lineage, p Policy) *Views {
 	v := &Views{
 		host:         host,
@@ -91,16 +95,16 @@
 		policy:       p,
 		lineage:      l,
 		adopted:      []Adoption{{l.Current.Epoch, now}},
-		answered:     make(map[string]Status),
+		peerStatuses: make(map[string]Status),
 		acks:         make(map[string]Ack),
 		incarnations: map[string]uint64{host: incarnation},
 	}
-	v.sync()
+	v.updateSynced()
 	return v
 }
 
-// Adopt takes a newer lineage. An older one, or the same one again, is ignored:
-// a list in force never reverts.
+// Adopt replaces the lineage by l. It ignores an l whose current epoch is older than
+// the one in force, since a list in force never reverts.
 func (v *Views) Adopt(now time.Time, l Lineage) error {
 	inForce := v.lineage.Current
 	if l.Current.Epoch < inForce.Epoch {
@@ -117,11 +121,11 @@
 		v.adopted = append(slices.Clip(v.adopted), Adoption{l.Current.Epoch, now})
 	}
 	v.lineage = l
-	v.sync()
+	v.updateSynced()
 	return nil
 }
 
-// Status returns what to tell a peer. The peer must not change it.
+// Status returns the status to send to peers. Its receivers must not modify it.
 func (v *Views) Status() Status {
 	return Status{
 		Host:         v.host,
@@ -134,7 +138,7 @@
 
 func (v *Views) ack() Ack { return Ack{v.incarnation, v.adopted} }
 
-// Hear takes a peer's status.
+// Hear handles a peer's status.
 func (v *Views) Hear(s Status) {
 	if s.Incarnation < v.incarnations[s.Host] {
 		return
@@ -143,96 +147,99 @@
 		v.incarnations[host] = max(v.incarnations[host], inc)
 	}
 	for host, a := range s.Relayed {
-		v.note(host, a)
+		v.mergeAck(host, a)
 	}
 	if s.Synced {
-		v.note(s.Host, s.Ack)
+		v.mergeAck(s.Host, s.Ack)
 	}
-	if s.Incarnations[v.host] != v.incarnation && !v.off.noSyncEcho {
+	if s.Incarnations[v.host] != v.incarnation && !v.disabled.syncEcho {
 		return
 	}
-	if s.epoch() >= v.answered[s.Host].epoch() {
-		v.answered[s.Host] = s
-		v.sync()
+	if s.epoch() >= v.peerStatuses[s.Host].epoch() {
+		v.peerStatuses[s.Host] = s
+		v.updateSynced()
 	}
 }
 
-// note keeps the newest acknowledgement of a host.
-func (v *Views) note(host string, a Ack) {
+// mergeAck records an acknowledgement of a host if it is newer than the known one.
+func (v *Views) mergeAck(host string, a Ack) {
 	old := v.acks[host]
 	if a.Incarnation > old.Incarnation || a.Incarnation == old.Incarnation && a.epoch() > old.epoch() {
 		v.acks[host] = a
 	}
 }
 
-// SetClock tells by how much the peers' clocks differ from this host's. The
-// median decides, so that one wrong clock puts only its own host out.
+// SetClock sets the offsets of the peers' clocks from this host's clock. The median
+// decides whether this clock is wrong, so that one wrong clock excludes only its
+// own host.
 func (v *Views) SetClock(offsets []time.Duration) {
-	v.clockOff = false
+	v.clockSkewed = false
 	if len(offsets) == 0 {
 		return
 	}
 	sorted := slices.Sorted(slices.Values(offsets))
-	v.clockOff = sorted[len(sorted)/2].Abs() > v.policy.MaxClockSkew && !v.off.noClockCheck
+	v.clockSkewed = sorted[len(sorted)/2].Abs() > v.policy.MaxClockSkew && !v.disabled.clockSkew
 }
 
-// Ready says whether the daemon may grant and claim: it has caught up since its
-// start, its clock agrees with its peers', and its list names it.
+// Ready reports whether the daemon may grant and claim: it has synced since its
+// start, its clock agrees with its peers', and the current list contains its host.
 func (v *Views) Ready() bool {
-	return v.synced && !v.clockOff && v.lineage.Current.Has(v.host)
+	return v.synced && !v.clockSkewed && v.lineage.Current.Has(v.host)
 }
 
-// Serves says whether the daemon may grant: as Ready, but a host that the
-// current list has dropped still serves the earlier lists' groups.
-func (v *Views) Serves() bool { return v.synced && !v.clockOff }
+// Serves reports whether the daemon may grant. Unlike Ready it is also true for a
+// host that the current list no longer contains, since that host still belongs to
+// groups of earlier lists.
+func (v *Views) Serves() bool { return v.synced && !v.clockSkewed }
 
-// Epoch returns the number of the current list.
+// Epoch returns the epoch of the current list.
 func (v *Views) Epoch() uint64 { return v.lineage.Current.Epoch }
 
-// sync marks the daemon as caught up once it can't have missed a list that
-// anyone may count as acknowledged. A majority of the current list's hosts must
-// have answered this very incarnation, caught up themselves; whoever
-// acknowledged a later list is among them. When a deployment starts, nobody has
-// caught up: then all hosts must have answered.
-func (v *Views) sync() {
+// updateSynced marks the daemon as synced once it cannot have missed a list that any
+// daemon may count as acknowledged. That is the case when a majority of the current
+// list's hosts are synced and have replied to this incarnation: a host that
+// acknowledged a later list is among them. When a deployment starts, no host is
+// synced; then all hosts of the list must have replied.
+func (v *Views) updateSynced() {
 	if v.synced {
 		return
 	}
-	if v.off.noSync {
+	if v.disabled.startupSync {
 		v.synced = true
 		return
 	}
 	current := v.lineage.Current
-	caughtUp, heard := 0, 0
+	syncedHosts, answeredHosts := 0, 0
 	for _, h := range current.Hosts {
 		if h.Name == v.host {
-			heard++
+			answeredHosts++
 			continue
 		}
-		s, ok := v.answered[h.Name]
+		s, ok := v.peerStatuses[h.Name]
 		if !ok {
 			continue
 		}
-		heard++
+		answeredHosts++
 		if s.Synced {
-			caughtUp++
+			syncedHosts++
 		}
 	}
-	for _, s := range v.answered {
+	for _, s := range v.peerStatuses {
 		if s.epoch() > current.Epoch {
 			return
 		}
 	}
-	v.synced = caughtUp >= majority(len(current.Hosts)) || heard == len(current.Hosts)
+	v.synced = syncedHosts >= majority(len(current.Hosts)) || answeredHosts == len(current.Hosts)
 }
 
-// Quorums returns the groups of which a claim on key needs a majority each: the
-// current list's and those of the earlier lists that have not retired for key.
+// Quorums returns the groups from each of which a claim on key needs a majority:
+// the group under the current list, and the groups under those earlier lists that
+// are not retired for key.
 func (v *Views) Quorums(key Key) []Quorum {
 	quorums := []Quorum{v.quorum(v.lineage.Current, key)}
 	for _, e := range v.lineage.Earlier {
 		q := v.quorum(e, key)
-		if v.off.noJoint || v.retired(e, q, key) {
+		if v.disabled.earlierViews || v.retired(e, q, key) {
 			continue
 		}
 		quorums = append(quorums, q)
@@ -244,45 +251,47 @@
 	return Quorum{Epoch: view.Epoch, Holders: Group(view.Hosts, key, v.policy.GroupSize)}
 }
 
-// retired says that no majority of q can still grant key under view alone, nor
-// ever will: a majority of the view's hosts, among them a majority of q, has
-// acknowledged a later list before the key was made.
+// retired reports whether no majority of q can grant key under view alone, now or
+// later. That is the case when a majority of the view's hosts and a majority of q
+// acknowledged a later list before the key was created.
 func (v *Views) retired(view View, q Quorum, key Key) bool {
-	all, inGroup := 0, 0
+	acknowledgedHosts, acknowledgedHolders := 0, 0
 	for _, h := range view.Hosts {
 		if !v.acknowledged(h, view.Epoch, key) {
 			continue
 		}
-		all++
+		acknowledgedHosts++
 		if slices.Contains(q.Holders, h.Name) {
-			inGroup++
+			acknowledgedHolders++
 		}
 	}
-	if v.off.noAckQuorum {
-		return all > 0
+	if v.disabled.ackMajority {
+		return acknowledgedHosts > 0
 	}
-	return all >= majority(len(view.Hosts)) && inGroup >= majority(len(q.Holders))
+	return acknowledgedHosts >= majority(len(view.Hosts)) && acknowledgedHolders >= majority(len(q.Holders))
 }
 
-// acknowledged says that a host grants key under no list up to epoch.
+// acknowledged reports whether it is known that h does not grant key under any list
+// up to epoch.
 func (v *Views) acknowledged(h Host, epoch uint64, key Key) bool {
 	if !h.EndedAt.IsZero() {
-		return v.madeAfter(key, h.EndedAt)
+		return v.grantableOnlyAfter(key, h.EndedAt)
 	}
 	a := v.acks[h.Name]
 	if h.Name == v.host && v.synced {
 		a = v.ack()
 	}
-	// A restart since then may have forgotten the acknowledgement.
-	if a.Incarnation < v.incarnations[h.Name] && !v.off.noAckIncarnation {
+	// The host has restarted since it gave the acknowledgement, and may have
+	// started again with an earlier list.
+	if a.Incarnation < v.incarnations[h.Name] && !v.disabled.ackIncarnation {
 		return false
 	}
-	at, ok := a.after(epoch)
-	return ok && v.madeAfter(key, at)
+	at, ok := a.adoptedAfter(epoch)
+	return ok && v.grantableOnlyAfter(key, at)
 }
 
-// madeAfter says that a key can be granted only after the instant at of any
-// host's clock.
-func (v *Views) madeAfter(key Key, at time.Time) bool {
-	return v.off.noAckTime || key.Time().After(v.policy.horizon(at))
+// grantableOnlyAfter reports whether every host's clock reads later than at when it
+// grants key.
+func (v *Views) grantableOnlyAfter(key Key, at time.Time) bool {
+	return v.disabled.ackTime || key.Time().After(v.policy.latestGrantableKeyTime(at))
 }
--- a/core/claim/void.go
+++ b/core/claim/void.go
@@ -2,52 +2,55 @@
 
 import "time"
 
-// Void makes a refusal true that says that a request has not run: a holder that
-// takes it refuses every attempt at the key that arrived up to Until, also that
-// of a daemon which was paused and wakes later. The attempts that arrive after
-// it may claim.
+// Void asks a holder to refuse every attempt at the key that arrived up to Until,
+// including attempts of a daemon that was paused and resumes later. An owner sends
+// it before it reports that the request has not run, so that the report stays true.
+// Attempts that arrive after Until may claim the key.
 type Void struct {
 	Key Key
-	// Owner is the attempt that is refused; what was granted to it is freed.
+	// Owner is the attempt that is refused. The holder frees the key if it was
+	// granted to this attempt.
 	Owner Owner
-	// Epoch is the number of the owner's current host list.
+	// Epoch is the epoch of the owner's current host list.
 	Epoch uint64
-	// Until is the owner's wall clock plus MaxClockSkew, so that it covers the
-	// arrival of every earlier attempt by any host's clock.
+	// Until is the owner's wall clock plus MaxClockSkew, so that it is not before
+	// the arrival of any earlier attempt by any host's clock.
 	Until time.Time
 }
 
-// Void places the mark and answers Voided, unless another owner has the key or
-// the holder cannot know whether one had. A majority of Voided in each quorum
-// means that no attempt which arrived before has sent or ever will: whoever
-// sent holds a majority, and one of its holders would have said so.
+// Void voids the attempts that arrived up to m.Until and returns Voided, unless
+// another owner has the key or the holder cannot know whether one had. Voided from a
+// majority of each quorum means that no attempt that arrived before has sent the
+// request or will send it: an attempt that sends has the grants of a majority, so
+// at least one of the holders would have replied Taken.
 func (h *Holder) Void(env Env, m Void) Reply {
-	h.forget(env.Now)
-	r := h.reply(env, 0)
+	h.evictExpired(env.Now)
+	r := h.newReply(env, 0)
 	e := h.entries[m.Key]
-	if r.describe(e); e.takenFrom(m.Owner) {
+	if r.setClaim(e); e.unavailableTo(m.Owner) {
 		r.Verdict = Taken
 		return r
 	}
-	ask := Ask{Key: m.Key, Owner: m.Owner, Round: neverReleased, Epoch: m.Epoch}
+	ask := Ask{Key: m.Key, Owner: m.Owner, Round: unreleasedRound, Epoch: m.Epoch}
 	if r.Verdict = h.refusal(env, ask, e); r.Verdict != 0 {
 		return r
 	}
 	if e == nil {
 		e = h.add(m.Key)
 	}
-	e.held, e.round = false, 0
-	if m.Until.After(e.voided) {
-		e.voided = m.Until
+	e.claimed, e.round = false, 0
+	if m.Until.After(e.voidedUntil) {
+		e.voidedUntil = m.Until
 	}
 	r.Verdict = Voided
 	return r
 }
 
-// neverReleased is a round that no release has named.
-const neverReleased = ^uint32(0)
+// unreleasedRound is a round number that is higher than that of any release.
+const unreleasedRound = ^uint32(0)
 
-// isVoid says that an attempt which arrived at that time must not claim.
-func (e *entry) isVoid(arrived time.Time) bool {
-	return e != nil && !arrived.IsZero() && !e.voided.IsZero() && !arrived.After(e.voided)
+// isVoided reports whether attempts that arrived at arrived are voided. A zero time
+// is not checked.
+func (e *entry) isVoided(arrived time.Time) bool {
+	return e != nil && !arrived.IsZero() && !e.voidedUntil.IsZero() && !arrived.After(e.voidedUntil)
 }
--- a/core/claim/world_test.go
+++ b/core/claim/world_test.go
@@ -16,11 +16,11 @@
 	name     string
 	lineages []Lineage
 	// nodes are the hosts' names; starts is the lineage each starts under.
-	nodes  []string
-	starts []int
+	nodes         []string
+	startLineages []int
 	// owners are the nodes of the two attempts, digests those of their requests.
-	owners  []int
-	digests []Digest
+	ownerNodes []int
+	digests    []Digest
 	// keyTime lies after base; times are the instants the clock takes.
 	keyTime time.Duration
 	times   []time.Duration
@@ -29,32 +29,32 @@
 	// What may happen, and how often.
 	restarts, duplicates, failures, statuses int
 	rounds                                   [2]int
-	restartable, adopters                    []int
+	restartableNodes, adoptingNodes          []int
 	// queries are the pairs of asker and peer that exchange statuses.
-	queries [][2]int
+	statusQueries [][2]int
 	// givesUp has an attempt give up at any time.
-	givesUp [2]bool
+	canGiveUp [2]bool
 	// failing is the only host whose calls fail, and only attempt 0's; any
 	// host's and attempt's calls if empty.
-	failing string
+	failingHost string
 	// voids has a refused attempt void the earlier ones before it is answered.
-	voids bool
+	voidOnRefusal bool
 	// lostAsks are hosts that each attempt's first ask never reaches.
-	lostAsks [2]string
+	droppedFirstAsks [2]string
 	// noStore leaves out recording results.
-	noStore bool
+	skipStore bool
 	// quietStart has restarts, statuses and adoptions end before the attempts start.
-	quietStart bool
+	stableBeforeStart bool
 	// loseReleases has every release get lost.
-	loseReleases bool
+	dropReleases bool
 	// atomicCalls makes an ask and its answer one step, for each attempt.
 	atomicCalls [2]bool
 	// late is a host whose answers to attempt 0 still come on their own.
-	late string
+	asyncHolder string
 }
 
 var (
-	base       = time.UnixMilli(1_800_000_000_000)
+	baseTime   = time.UnixMilli(1_800_000_000_000)
 	testPolicy = Policy{
 		GroupSize: 3, Retention: time.Hour, MaxClockSkew: time.Second, MaxKeyAhead: time.Second,
 		MaxResult: 64, MaxKeys: 8, MaxBytes: 1024,
@@ -83,7 +83,7 @@
 	to      int // node, or owner for replies
 	owner   int
 	payload any // Ask, Release, Store, Void, Reply or Status
-	code    string
+	encoded string
 }
 
 type node struct {
@@ -94,13 +94,13 @@
 	// Hashes of holder and views; zero after a write.
 	holderHash, viewsHash uint64
 	// frozen says that the views change no more.
-	frozen bool
+	viewsFixed bool
 }
 
 type attempt struct {
-	claim *Claim
-	dead  bool
-	sent  bool
+	claim   *Claim
+	stopped bool
+	sent    bool
 	// sentBefore says that an attempt with this digest had sent when it started.
 	sentBefore bool
 	notRun     bool
@@ -110,31 +110,31 @@
 }
 
 // world is one state of the whole system.
-type world struct {
-	sc       *scenario
-	off      guards
+type systemState struct {
+	scenario *scenario
+	disabled disabledChecks
 	clock    int
 	nodes    []node
 	attempts []attempt
-	net      []message
+	network  []message
 
 	restarts, duplicates, failures, statuses int
 	violation                                string
 }
 
-func (w *world) now(n int) time.Time {
-	return base.Add(w.sc.times[w.clock] + w.nodes[n].skew)
+func (w *systemState) now(n int) time.Time {
+	return baseTime.Add(w.scenario.times[w.clock] + w.nodes[n].skew)
 }
 
-func (w *world) key() Key { return keyAt(base.Add(w.sc.keyTime), 1) }
+func (w *systemState) key() Key { return keyAt(baseTime.Add(w.scenario.keyTime), 1) }
 
 // newWorld starts the nodes long before the key and lets them catch up.
-func newWorld(sc *scenario, off guards) *world {
-	w := &world{sc: sc, off: off, attempts: make([]attempt, len(sc.owners)),
+func newSystemState(sc *scenario, off disabledChecks) *systemState {
+	w := &systemState{scenario: sc, disabled: off, attempts: make([]attempt, len(sc.ownerNodes)),
 		restarts: sc.restarts, duplicates: sc.duplicates, failures: sc.failures, statuses: sc.statuses}
 	w.nodes = make([]node, len(sc.nodes))
 	for i := range sc.nodes {
-		w.boot(i, base.Add(-time.Hour), sc.starts[i])
+		w.startNode(i, baseTime.Add(-time.Hour), sc.startLineages[i])
 	}
 	for range 3 {
 		w.exchangeAll()
@@ -142,19 +142,19 @@
 	return w
 }
 
-func (w *world) boot(i int, now time.Time, lineage int) {
+func (w *systemState) startNode(i int, now time.Time, lineage int) {
 	n := &w.nodes[i]
 	n.holderHash, n.viewsHash = 0, 0
 	n.incarnation++
-	n.holder = NewHolder(w.sc.nodes[i], n.incarnation, now, testPolicy)
-	n.holder.off = w.off
-	n.views = NewViews(w.sc.nodes[i], n.incarnation, now, w.sc.lineages[lineage], testPolicy)
-	n.views.off = w.off
-	n.views.sync()
+	n.holder = NewHolder(w.scenario.nodes[i], n.incarnation, now, testPolicy)
+	n.holder.disabled = w.disabled
+	n.views = NewViews(w.scenario.nodes[i], n.incarnation, now, w.scenario.lineages[lineage], testPolicy)
+	n.views.disabled = w.disabled
+	n.views.updateSynced()
 }
 
 // exchangeAll has every node ask every other one for its status.
-func (w *world) exchangeAll() {
+func (w *systemState) exchangeAll() {
 	for i := range w.nodes {
 		for j := range w.nodes {
 			w.nodes[i].views.Hear(w.nodes[j].views.Status())
@@ -162,17 +162,17 @@
 	}
 }
 
-func (w *world) clone() *world {
+func (w *systemState) clone() *systemState {
 	c := *w
 	c.nodes = slices.Clone(w.nodes)
 	c.attempts = slices.Clone(w.attempts)
-	c.net = slices.Clone(w.net)
+	c.network = slices.Clone(w.network)
 	return &c
 }
 
 // The parts of a world are shared between clones and copied before a write.
 
-func (w *world) writeHolder(i int) *Holder {
+func (w *systemState) writeHolder(i int) *Holder {
 	old := w.nodes[i].holder
 	h := *old
 	h.entries = make(map[Key]*entry, len(old.entries))
@@ -189,10 +189,10 @@
 	return &h
 }
 
-func (w *world) writeViews(i int) *Views {
+func (w *systemState) writeViews(i int) *Views {
 	old := w.nodes[i].views
 	v := *old
-	v.answered = cloneMap(old.answered)
+	v.peerStatuses = cloneMap(old.peerStatuses)
 	v.acks = cloneMap(old.acks)
 	v.incarnations = cloneMap(old.incarnations)
 	w.nodes[i].views, w.nodes[i].viewsHash = &v, 0
@@ -207,58 +207,58 @@
 	return c
 }
 
-func (w *world) writeClaim(i int) *Claim {
+func (w *systemState) writeClaim(i int) *Claim {
 	c := *w.attempts[i].claim
-	c.slots = slices.Clone(c.slots)
+	c.holders = slices.Clone(c.holders)
 	w.attempts[i].claim = &c
 	return &c
 }
 
-func (w *world) env(n int) Env {
+func (w *systemState) env(n int) Env {
 	v := w.nodes[n].views
 	return Env{Now: w.now(n), Epoch: v.Epoch(), Ready: v.Serves()}
 }
 
-func (w *world) nodeOf(host string) int { return slices.Index(w.sc.nodes, host) }
+func (w *systemState) nodeOf(host string) int { return slices.Index(w.scenario.nodes, host) }
 
 // post puts a message on the network. Equal messages are one: losing one of
 // two is a state that is visited anyway.
-func (w *world) post(m message) {
-	m.code = encodeMessage(m)
-	i, found := slices.BinarySearchFunc(w.net, m, func(a, b message) int {
-		if a.code < b.code {
+func (w *systemState) enqueue(m message) {
+	m.encoded = encodeMessage(m)
+	i, found := slices.BinarySearchFunc(w.network, m, func(a, b message) int {
+		if a.encoded < b.encoded {
 			return -1
 		}
-		if a.code > b.code {
+		if a.encoded > b.encoded {
 			return 1
 		}
 		return 0
 	})
 	if !found {
-		w.net = slices.Insert(w.net, i, m)
+		w.network = slices.Insert(w.network, i, m)
 	}
 }
 
 // carryOut does the actions of attempt i.
-func (w *world) carryOut(i int, actions []Action) {
+func (w *systemState) perform(i int, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case SendAsk:
-			if a.Ask.Round == 1 && a.Holder == w.sc.lostAsks[i] {
+			if a.Ask.Round == 1 && a.Holder == w.scenario.droppedFirstAsks[i] {
 				continue
 			}
-			w.post(message{to: w.nodeOf(a.Holder), owner: i, payload: a.Ask})
+			w.enqueue(message{to: w.nodeOf(a.Holder), owner: i, payload: a.Ask})
 		case SendRelease:
-			if w.sc.loseReleases {
+			if w.scenario.dropReleases {
 				continue
 			}
-			w.post(message{to: w.nodeOf(a.Holder), owner: i, payload: a.Release})
+			w.enqueue(message{to: w.nodeOf(a.Holder), owner: i, payload: a.Release})
 		case SendStore:
-			w.post(message{to: w.nodeOf(a.Holder), owner: i, payload: a.Store})
+			w.enqueue(message{to: w.nodeOf(a.Holder), owner: i, payload: a.Store})
 		case Lost:
 			w.checkLost(i, a)
 		case Refuse:
-			if w.sc.voids {
+			if w.scenario.voidOnRefusal {
 				w.void(i)
 				continue
 			}
@@ -268,16 +268,16 @@
 }
 
 // checkLost: a result that is delivered is the one of the attempt that sent.
-func (w *world) checkLost(i int, l Lost) {
+func (w *systemState) checkLost(i int, l Lost) {
 	from := int(l.Record.Result[0])
-	if !w.attempts[from].sent || w.sc.digests[from] != w.sc.digests[i] {
+	if !w.attempts[from].sent || w.scenario.digests[from] != w.scenario.digests[i] {
 		w.violation = fmt.Sprintf("attempt %d got the result of %d", i, from)
 	}
 }
 
 // checkRefusal: not_run means that none had sent before the attempt started and
 // that the attempt itself has not.
-func (w *world) checkRefusal(i int, r Refuse) {
+func (w *systemState) checkRefusal(i int, r Refuse) {
 	if r.Execution != problem.NotRun {
 		return
 	}
@@ -288,23 +288,23 @@
 }
 
 // void has every holder refuse the attempts that have arrived; both have.
-func (w *world) void(i int) {
+func (w *systemState) void(i int) {
 	c := w.attempts[i].claim
 	v := Void{Key: w.key(), Owner: c.cfg.Owner, Epoch: c.cfg.Epoch, Until: c.cfg.Arrived.Add(time.Second)}
-	for _, s := range c.slots {
-		w.post(message{to: w.nodeOf(s.holder), owner: i, payload: v})
+	for _, s := range c.holders {
+		w.enqueue(message{to: w.nodeOf(s.name), owner: i, payload: v})
 	}
 }
 
 // checkVoid: once a majority voided, nobody has sent and nobody will.
-func (w *world) checkVoid(i int, r Reply) {
+func (w *systemState) checkVoid(i int, r Reply) {
 	a := &w.attempts[i]
 	if r.Verdict != Voided || a.notRun {
 		return
 	}
 	a.voided |= 1 << w.nodeOf(r.Holder)
 	tally := NewTally(a.claim.cfg.Quorums)
-	for n, host := range w.sc.nodes {
+	for n, host := range w.scenario.nodes {
 		tally.Count(host, a.voided&(1<<n) != 0)
 	}
 	if !tally.Reached() {
@@ -319,7 +319,7 @@
 }
 
 // checkSent: at most one attempt sends, and none that was answered not_run.
-func (w *world) checkSent(i int) {
+func (w *systemState) checkSent(i int) {
 	w.attempts[i].sent = true
 	n := 0
 	for _, a := range w.attempts {
--- a/core/share/bench_test.go
+++ b/core/share/bench_test.go
@@ -13,7 +13,7 @@
 	benchCustomers = 410
 	benchPools     = 40
 	// benchWarmIntervals lets the allocators end their abstention and loans settle.
-	benchWarmIntervals = 14
+	benchWarmupIntervals = 14
 )
 
 // traffic counts what each daemon sends and receives.
@@ -59,20 +59,20 @@
 	runtime.ReadMemStats(&before)
 	f := newFleet(hosts, resources, 1)
 	f.encode = true
-	interval := f.nodes[f.names[0]].m.cfg.Interval
-	f.coast(benchWarmIntervals * interval)
+	interval := f.nodes[f.names[0]].machine.cfg.Interval
+	f.runUnchecked(benchWarmupIntervals * interval)
 	for i := range contended {
 		f.nodes[f.names[i*hosts/10]].demand[resources[i]] = 2
 	}
-	flooded := f.now
-	for f.now-flooded < 10*interval && !f.lent(contended) {
-		f.coast(time.Second)
+	overloadedAt := f.now
+	for f.now-overloadedAt < 10*interval && !f.allLeased(contended) {
+		f.runUnchecked(time.Second)
 	}
-	lentAfter := f.now - flooded
+	leasedAfter := f.now - overloadedAt
 	f.bytes, f.messages, f.traffic = 0, 0, newTraffic()
 	began := time.Now()
 	span := 12 * interval
-	f.coast(span)
+	f.runUnchecked(span)
 	spent := time.Since(began)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -88,17 +88,17 @@
 	b.ReportMetric(float64(messages)/span.Seconds(), "busiest-msg/s")
 	b.ReportMetric(spent.Seconds()*1e6/each, "cpu-us/s")
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(hosts)/1024, "KiB/daemon")
-	if !f.lent(contended) {
+	if !f.allLeased(contended) {
 		b.Fatal("a flooded customer was not lent half of its limit")
 	}
 	if contended > 0 {
-		b.ReportMetric(lentAfter.Seconds(), "lent-s")
+		b.ReportMetric(leasedAfter.Seconds(), "lent-s")
 	}
 	runtime.KeepAlive(f)
 }
 
 // lent says that each flooded daemon holds half of its customer's limit.
-func (f *fleet) lent(contended int) bool {
+func (f *fleet) allLeased(contended int) bool {
 	for i := range contended {
 		if f.share(f.names[i*len(f.names)/10], f.resources[i]) < Full/2 {
 			return false
@@ -109,14 +109,14 @@
 
 // coast plays d in steps of 100 ms without checks; demand is measured each
 // second.
-func (f *fleet) coast(d time.Duration) {
+func (f *fleet) runUnchecked(d time.Duration) {
 	const step = 100 * time.Millisecond
 	for end, n := f.now+d, 0; f.now < end; n++ {
 		next := f.now + step
-		for len(f.mail) > 0 && f.mail[0].at <= next {
-			l := heap.Pop(&f.mail).(letter)
+		for len(f.network) > 0 && f.network[0].at <= next {
+			l := heap.Pop(&f.network).(delivery)
 			f.now = max(f.now, l.at)
-			f.step(l.to, l.e)
+			f.step(l.to, l.event)
 		}
 		f.now = next
 		for _, name := range f.names {
@@ -130,7 +130,7 @@
 
 func BenchmarkViewPool(b *testing.B) {
 	f := newFleet(7, customersOf(benchCustomers), 1)
-	v := f.nodes[f.names[0]].m.View(f.clock(f.names[0]))
+	v := f.nodes[f.names[0]].machine.View(f.clock(f.names[0]))
 	now := f.clock(f.names[0])
 	b.ReportAllocs()
 	for b.Loop() {
--- a/core/share/config.go
+++ b/core/share/config.go
@@ -12,42 +12,42 @@
 	// Interval is the time between the reports of a daemon that wants more.
 	Interval time.Duration
 	// Loan is how long a loan lasts.
-	Loan time.Duration
+	LeaseDuration time.Duration
 	// Cession is how long a daemon binds itself.
-	Cession time.Duration
+	CapDuration time.Duration
 	// NudgesPerInterval bounds how many hosts an allocator asks for a report
 	// in an interval.
-	NudgesPerInterval int
+	ReportRequestsPerInterval int
 }
 
 // Times in intervals, and their growth with the fleet, which bounds the bytes
 // a second of each daemon.
 const (
-	minInterval      = 500 * time.Millisecond
-	intervalPerHost  = 20 * time.Millisecond
-	loanIntervals    = 3
-	cessionIntervals = 10
+	minInterval     = 500 * time.Millisecond
+	intervalPerHost = 20 * time.Millisecond
+	leaseIntervals  = 3
+	capIntervals    = 10
 	// cedingIntervals is between the reports of a daemon that wants no more
 	// than it has while another does.
-	cedingIntervals = 3
+	contendedIntervals = 3
 	// quietIntervals is between reports while nobody wants more. They serve to
 	// find lost agreement only: whoever wants more reports at once, and the
 	// allocator then asks the others.
-	quietIntervals = 60
-	defaultNudges  = 100
+	uncontendedIntervals  = 60
+	defaultReportRequests = 100
 	// driftPart bounds the difference in rate of two clocks: 1 in 20.
-	driftPart = 20
+	driftDivisor = 20
 )
 
 // NewConfig returns the settings for a fleet of hosts.
 func NewConfig(host string, incarnation uint64, hosts int) Config {
-	c := Config{Host: host, Incarnation: incarnation, NudgesPerInterval: defaultNudges}
-	c.setTimes(hosts)
+	c := Config{Host: host, Incarnation: incarnation, ReportRequestsPerInterval: defaultReportRequests}
+	c.setDurations(hosts)
 	return c
 }
 
-func (c *Config) setTimes(hosts int) {
+func (c *Config) setDurations(hosts int) {
 	c.Interval = max(minInterval, time.Duration(hosts)*intervalPerHost)
-	c.Loan = loanIntervals * c.Interval
-	c.Cession = cessionIntervals * c.Interval
+	c.LeaseDuration = leaseIntervals * c.Interval
+	c.CapDuration = capIntervals * c.Interval
 }
--- a/core/share/fleet_test.go
+++ b/core/share/fleet_test.go
@@ -19,13 +19,13 @@
 	names     []string
 	nodes     map[string]*node
 	resources []Resource
-	mail      mailbox
+	network   deliveryQueue
 	seq       int
 
 	loss     float64
 	maxDelay time.Duration
 	// side splits the fleet: messages pass only between equal sides.
-	side map[string]int
+	partition map[string]int
 
 	messages, bytes int
 	encode          bool
@@ -33,31 +33,31 @@
 }
 
 type node struct {
-	m      *Machine
-	offset time.Duration
-	rate   float64
-	demand map[Resource]float64
+	machine *Machine
+	offset  time.Duration
+	rate    float64
+	demand  map[Resource]float64
 	// pausedUntil is when a stopped process goes on.
 	pausedUntil time.Duration
 	starts      uint64
 }
 
-type letter struct {
-	at  time.Duration
-	seq int
-	to  string
-	e   Event
+type delivery struct {
+	at    time.Duration
+	seq   int
+	to    string
+	event Event
 }
 
-type mailbox []letter
+type deliveryQueue []delivery
 
-func (b mailbox) Len() int { return len(b) }
-func (b mailbox) Less(i, j int) bool {
+func (b deliveryQueue) Len() int { return len(b) }
+func (b deliveryQueue) Less(i, j int) bool {
 	return b[i].at < b[j].at || b[i].at == b[j].at && b[i].seq < b[j].seq
 }
-func (b mailbox) Swap(i, j int) { b[i], b[j] = b[j], b[i] }
-func (b *mailbox) Push(x any)   { *b = append(*b, x.(letter)) }
-func (b *mailbox) Pop() any {
+func (b deliveryQueue) Swap(i, j int) { b[i], b[j] = b[j], b[i] }
+func (b *deliveryQueue) Push(x any)   { *b = append(*b, x.(delivery)) }
+func (b *deliveryQueue) Pop() any {
 	old := *b
 	last := old[len(old)-1]
 	*b = old[:len(old)-1]
@@ -69,7 +69,7 @@
 func newFleet(hosts int, resources []Resource, seed uint64) *fleet {
 	f := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 9)), nodes: map[string]*node{}, resources: resources,
-		maxDelay: 5 * time.Millisecond, side: map[string]int{},
+		maxDelay: 5 * time.Millisecond, partition: map[string]int{},
 	}
 	for i := range hosts {
 		f.names = append(f.names, fmt.Sprintf("host-%03d", i))
@@ -90,8 +90,8 @@
 	n := f.nodes[name]
 	n.starts++
 	cfg := NewConfig(name, n.starts, len(f.names))
-	n.m = New(f.clock(name), cfg, rand.New(rand.NewPCG(f.rng.Uint64(), 2)))
-	n.m.Step(f.clock(name), HostsChanged{f.names, f.resources})
+	n.machine = New(f.clock(name), cfg, rand.New(rand.NewPCG(f.rng.Uint64(), 2)))
+	n.machine.Step(f.clock(name), HostsChanged{f.names, f.resources})
 }
 
 // clock returns the time as a daemon sees it.
@@ -101,7 +101,7 @@
 }
 
 func (f *fleet) step(name string, e Event) {
-	for _, a := range f.nodes[name].m.Step(f.clock(name), e) {
+	for _, a := range f.nodes[name].machine.Step(f.clock(name), e) {
 		switch a := a.(type) {
 		case SendReport:
 			f.send(name, a.To, a.Report, ReportReceived{name, a.Report})
@@ -122,7 +122,7 @@
 		f.traffic.count(from, to, len(raw))
 		e = decode(from, m, raw)
 	}
-	if f.side[from] != f.side[to] || f.rng.Float64() < f.loss {
+	if f.partition[from] != f.partition[to] || f.rng.Float64() < f.loss {
 		return
 	}
 	copies := 1
@@ -132,7 +132,7 @@
 	for range copies {
 		f.seq++
 		delay := time.Duration(f.rng.Float64() * float64(f.maxDelay))
-		heap.Push(&f.mail, letter{f.now + delay, f.seq, to, e})
+		heap.Push(&f.network, delivery{f.now + delay, f.seq, to, e})
 	}
 }
 
@@ -159,15 +159,15 @@
 	const step = 50 * time.Millisecond
 	for end := f.now + d; f.now < end; {
 		next := f.now + step
-		for len(f.mail) > 0 && f.mail[0].at <= next {
-			l := heap.Pop(&f.mail).(letter)
+		for len(f.network) > 0 && f.network[0].at <= next {
+			l := heap.Pop(&f.network).(delivery)
 			f.now = max(f.now, l.at)
 			if n := f.nodes[l.to]; f.now < n.pausedUntil {
 				l.at = n.pausedUntil
-				heap.Push(&f.mail, l)
+				heap.Push(&f.network, l)
 				continue
 			}
-			f.step(l.to, l.e)
+			f.step(l.to, l.event)
 			check()
 		}
 		f.now = next
@@ -186,7 +186,7 @@
 // its snapshot is read when it wakes.
 func (f *fleet) share(name string, r Resource) int64 {
 	now := f.clock(name)
-	return f.nodes[name].m.View(now).Millionths(now, r)
+	return f.nodes[name].machine.View(now).Millionths(now, r)
 }
 
 func (f *fleet) sum(r Resource) int64 {
--- a/core/share/machine.go
+++ b/core/share/machine.go
@@ -71,7 +71,7 @@
 func (SendReply) action()  {}
 
 // stamp is a point in the life of one process. The zero stamp is before all.
-type stamp struct {
+type timestamp struct {
 	incarnation uint64
 	us          uint64
 }
@@ -83,44 +83,44 @@
 	rng   *rand.Rand
 	start time.Time
 	// last is the newest stamp given out, in microseconds since start.
-	last uint64
+	lastTimestamp uint64
 
-	list      hostList
+	hostList  hostList
 	resources []ID
-	live      []string
+	liveHosts []string
 	// chosen holds the allocators found under list and live.
-	chosen map[ID]string
-	hashed *rendezvous.Rendezvous
+	allocators map[ID]string
+	rendezvous *rendezvous.Rendezvous
 
-	holdings map[ID]*holding
+	localShares map[ID]*localShare
 	// heard is the newest message of each host as allocator.
-	heard map[string]heardStamp
+	newestReplies map[string]receivedTimestamp
 
-	ledgers map[ID]*ledger
+	allocations map[ID]*resourceAllocation
 	// reported is the newest report of each host.
-	reported map[string]stamp
+	newestReports map[string]timestamp
 	// abstainUntil is when everything that an earlier process on this host
 	// may have lent has ended.
-	abstainUntil time.Time
-	nudges       float64
-	nudgedAt     time.Time
+	noLeasesUntil       time.Time
+	reportRequestTokens float64
+	tokensRefilledAt    time.Time
 
 	view  *View
 	dirty bool
 }
 
-type heardStamp struct {
-	stamp
-	at time.Time
+type receivedTimestamp struct {
+	timestamp
+	receivedAt time.Time
 }
 
 // New returns a Machine that starts at now; cfg.Incarnation must be higher than
 // that of any earlier process of the host.
 func New(now time.Time, cfg Config, rng *rand.Rand) *Machine {
 	return &Machine{
-		cfg: cfg, rng: rng, start: now, nudgedAt: now,
-		holdings: map[ID]*holding{}, heard: map[string]heardStamp{},
-		ledgers: map[ID]*ledger{}, reported: map[string]stamp{},
+		cfg: cfg, rng: rng, start: now, tokensRefilledAt: now,
+		localShares: map[ID]*localShare{}, newestReplies: map[string]receivedTimestamp{},
+		allocations: map[ID]*resourceAllocation{}, newestReports: map[string]timestamp{},
 		dirty: true,
 	}
 }
@@ -133,7 +133,7 @@
 	for len(pending) > 0 {
 		e, pending = pending[0], pending[1:]
 		for _, a := range m.handle(now, e) {
-			if own := m.toSelf(a); own != nil {
+			if own := m.selfEvent(a); own != nil {
 				pending = append(pending, own)
 				continue
 			}
@@ -146,25 +146,25 @@
 func (m *Machine) handle(now time.Time, e Event) []Action {
 	switch e := e.(type) {
 	case HostsChanged:
-		m.changeHosts(now, e)
+		m.setHosts(now, e)
 	case LiveChanged:
-		m.changeLive(e.Hosts)
+		m.setLiveHosts(e.Hosts)
 	case DemandMeasured:
-		m.measure(now, e.Demand)
-		return m.report(now)
+		m.setDemand(now, e.Demand)
+		return m.sendReports(now)
 	case ReportReceived:
 		return m.receiveReport(now, e.From, e.Report)
 	case ReplyReceived:
 		m.receiveReply(now, e.From, e.Reply)
-		return m.report(now)
+		return m.sendReports(now)
 	case TimerFired:
-		return append(m.report(now), m.nudge(now)...)
+		return append(m.sendReports(now), m.requestReports(now)...)
 	}
 	return nil
 }
 
 // toSelf turns a message to this daemon into an event; nil for any other.
-func (m *Machine) toSelf(a Action) Event {
+func (m *Machine) selfEvent(a Action) Event {
 	switch a := a.(type) {
 	case SendReport:
 		if a.To == m.cfg.Host {
@@ -181,29 +181,29 @@
 // changeHosts starts afresh under a new host list: loans end, a cession
 // holds to its end, and this allocator lends nothing until what was lent under
 // the old list has ended.
-func (m *Machine) changeHosts(now time.Time, e HostsChanged) {
+func (m *Machine) setHosts(now time.Time, e HostsChanged) {
 	list := newHostList(e.Hosts)
-	changed := list.id != m.list.id
-	m.list = list
-	m.hashed = nil
+	changed := list.id != m.hostList.id
+	m.hostList = list
+	m.rendezvous = nil
 	m.setResources(now, e.Resources)
 	if !changed {
 		return
 	}
-	m.abstain(now.Add(m.cession()))
-	m.cfg.setTimes(len(list.hosts))
-	m.abstain(now.Add(m.cession()))
-	m.ledgers = map[ID]*ledger{}
-	for _, h := range m.holdings {
-		h.loanUntil = time.Time{}
-		h.ceiling = min(h.ceiling, list.equal)
+	m.suspendLeasing(now.Add(m.localCapDuration()))
+	m.cfg.setDurations(len(list.hosts))
+	m.suspendLeasing(now.Add(m.localCapDuration()))
+	m.allocations = map[ID]*resourceAllocation{}
+	for _, h := range m.localShares {
+		h.leaseUntil = time.Time{}
+		h.cap = min(h.cap, list.equalShare)
 	}
 	m.dirty = true
 }
 
-func (m *Machine) abstain(until time.Time) {
-	if until.After(m.abstainUntil) {
-		m.abstainUntil = until
+func (m *Machine) suspendLeasing(until time.Time) {
+	if until.After(m.noLeasesUntil) {
+		m.noLeasesUntil = until
 	}
 }
 
@@ -217,15 +217,15 @@
 		}
 		known[id] = true
 		m.resources = append(m.resources, id)
-		if m.holdings[id] == nil {
-			m.holdings[id] = &holding{id: id, due: now.Add(m.firstWait(m.allocatorOf(id)))}
+		if m.localShares[id] == nil {
+			m.localShares[id] = &localShare{id: id, reportDue: now.Add(m.firstReportDelay(m.allocatorOf(id)))}
 		}
 	}
 	slices.Sort(m.resources)
-	for id := range m.holdings {
+	for id := range m.localShares {
 		if !known[id] {
-			delete(m.holdings, id)
-			delete(m.ledgers, id)
+			delete(m.localShares, id)
+			delete(m.allocations, id)
 		}
 	}
 	m.dirty = true
@@ -233,9 +233,9 @@
 
 // firstWait spreads the first reports of a fleet that starts: each pair of
 // hosts has its own time.
-func (m *Machine) firstWait(allocator string) time.Duration {
+func (m *Machine) firstReportDelay(allocator string) time.Duration {
 	part := float64(xxhash.Sum64String(m.cfg.Host+"/"+allocator)) / math.MaxUint64
-	return time.Duration(part * quietIntervals * float64(m.cfg.Interval))
+	return time.Duration(part * uncontendedIntervals * float64(m.cfg.Interval))
 }
 
 // jitter returns d within a tenth either way.
@@ -244,9 +244,9 @@
 }
 
 // next returns a new stamp, later than all before it.
-func (m *Machine) next(now time.Time) uint64 {
-	m.last = max(m.last+1, uint64(max(0, now.Sub(m.start).Microseconds())))
-	return m.last
+func (m *Machine) nextTimestamp(now time.Time) uint64 {
+	m.lastTimestamp = max(m.lastTimestamp+1, uint64(max(0, now.Sub(m.start).Microseconds())))
+	return m.lastTimestamp
 }
 
 // timeOf returns the time of one of this process's own stamps.
@@ -255,45 +255,45 @@
 }
 
 // changeLive takes over the hosts to choose allocators among.
-func (m *Machine) changeLive(hosts []string) {
+func (m *Machine) setLiveHosts(hosts []string) {
 	live := slices.Sorted(slices.Values(hosts))
-	if slices.Equal(live, m.live) {
+	if slices.Equal(live, m.liveHosts) {
 		return
 	}
-	m.live = live
-	m.hashed = nil
+	m.liveHosts = live
+	m.rendezvous = nil
 }
 
 // allocatorOf returns the allocator of a resource by rendezvous hashing over
 // the live hosts of the list.
 func (m *Machine) allocatorOf(id ID) string {
-	if m.hashed == nil {
-		m.hashed = rendezvous.New(m.candidates(), xxhash.Sum64String)
-		m.chosen = make(map[ID]string, len(m.resources))
+	if m.rendezvous == nil {
+		m.rendezvous = rendezvous.New(m.allocatorCandidates(), xxhash.Sum64String)
+		m.allocators = make(map[ID]string, len(m.resources))
 	}
-	name, ok := m.chosen[id]
+	name, ok := m.allocators[id]
 	if !ok {
-		name = m.hashed.Lookup(key(id))
-		m.chosen[id] = name
+		name = m.rendezvous.Lookup(idBytes(id))
+		m.allocators[id] = name
 	}
 	return name
 }
 
 // candidates returns the live hosts of the list, all of it when none is known
 // to be alive.
-func (m *Machine) candidates() []string {
-	names := make([]string, 0, len(m.list.hosts))
-	for _, n := range m.live {
-		if m.list.hosts[n] {
+func (m *Machine) allocatorCandidates() []string {
+	names := make([]string, 0, len(m.hostList.hosts))
+	for _, n := range m.liveHosts {
+		if m.hostList.hosts[n] {
 			names = append(names, n)
 		}
 	}
 	if len(names) == 0 {
-		names = slices.Sorted(maps.Keys(m.list.hosts))
+		names = slices.Sorted(maps.Keys(m.hostList.hosts))
 	}
 	return names
 }
 
-func key(id ID) string {
+func idBytes(id ID) string {
 	return string([]byte{byte(id), byte(id >> 8), byte(id >> 16), byte(id >> 24)})
 }
--- a/core/share/resource.go
+++ b/core/share/resource.go
@@ -47,13 +47,13 @@
 	hosts map[string]bool
 	// equal is each host's share without a word from another; least is what it
 	// keeps when it cedes all it can.
-	equal int64
-	least int64
+	equalShare int64
+	minShare   int64
 }
 
 // leastPart is the part of its equal share that a daemon never cedes, so that
 // the first requests of a burst need not wait for the allocator.
-const leastPart = 4
+const minShareDivisor = 4
 
 func newHostList(names []string) hostList {
 	sorted := slices.Clone(names)
@@ -64,7 +64,7 @@
 		l.hosts[n] = true
 	}
 	l.id = uint32(xxhash.Sum64String(strings.Join(sorted, "\n")))
-	l.equal = Full / int64(max(1, len(sorted)))
-	l.least = max(1, l.equal/leastPart)
+	l.equalShare = Full / int64(max(1, len(sorted)))
+	l.minShare = max(1, l.equalShare/minShareDivisor)
 	return l
 }
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -18,27 +18,27 @@
 
 // watch returns a check that no sum of shares ever exceeds Full plus slack,
 // and the highest sum seen.
-func watch(f *fleet, slack func() int64) (func(), *int64) {
-	highest := new(int64)
+func checkSums(f *fleet, allowedExcess func() int64) (func(), *int64) {
+	highestSum := new(int64)
 	return func() {
 		for _, r := range f.resources {
 			sum := f.sum(r)
-			*highest = max(*highest, sum)
-			if limit := Full + slack(); sum > limit {
+			*highestSum = max(*highestSum, sum)
+			if limit := Full + allowedExcess(); sum > limit {
 				Fail(fmt.Sprintf("at %v the shares of %v sum to %d, the bound is %d", f.now, r, sum, limit))
 			}
 		}
-	}, highest
+	}, highestSum
 }
 
-func noSlack() int64 { return 0 }
+func noExcess() int64 { return 0 }
 
 var _ = Describe("the shares of a fleet", func() {
 	It("are equal and keep the limit before anybody is heard", func() {
 		f := newFleet(7, customersOf(1), 1)
 		f.loss = 1
 		f.nodes[f.names[0]].demand[f.resources[0]] = 2
-		check, _ := watch(f, noSlack)
+		check, _ := checkSums(f, noExcess)
 		f.run(20*time.Second, check)
 		for _, n := range f.names {
 			Expect(f.share(n, f.resources[0])).To(BeEquivalentTo(Full / 7))
@@ -48,16 +48,16 @@
 	It("follow demand within seconds and return what was lent", func() {
 		f := newFleet(7, customersOf(1), 2)
 		r := f.resources[0]
-		check, _ := watch(f, noSlack)
+		check, _ := checkSums(f, noExcess)
 		f.run(10*time.Second, check)
-		greedy, idle := f.names[3], f.names[5]
-		f.nodes[greedy].demand[r] = 2
-		lent := f.until(func() bool { return f.share(greedy, r) >= 700_000 }, check)
+		heavy, idle := f.names[3], f.names[5]
+		f.nodes[heavy].demand[r] = 2
+		leasedAfter := f.until(func() bool { return f.share(heavy, r) >= 700_000 }, check)
 		f.nodes[idle].demand[r] = 0.1
-		returned := f.until(func() bool { return f.share(idle, r) >= 100_000 }, check)
-		AddReportEntry("convergence", fmt.Sprintf("lent in %v, returned in %v", lent, returned))
-		Expect(lent).To(BeNumerically("<=", 2*time.Second))
-		Expect(returned).To(BeNumerically("<=", 2*time.Second))
+		returnedAfter := f.until(func() bool { return f.share(idle, r) >= 100_000 }, check)
+		AddReportEntry("convergence", fmt.Sprintf("lent in %v, returned in %v", leasedAfter, returnedAfter))
+		Expect(leasedAfter).To(BeNumerically("<=", 2*time.Second))
+		Expect(returnedAfter).To(BeNumerically("<=", 2*time.Second))
 	})
 
 	It("keep at least the equal share of whoever wants it", func() {
@@ -67,7 +67,7 @@
 			f.nodes[n].demand[r] = 1
 		}
 		f.nodes[f.names[0]].demand[r] = 10
-		check, _ := watch(f, noSlack)
+		check, _ := checkSums(f, noExcess)
 		f.run(20*time.Second, check)
 		for _, n := range f.names {
 			Expect(f.share(n, r)).To(BeNumerically(">=", Full/7))
@@ -79,13 +79,13 @@
 		for i, r := range f.resources {
 			f.nodes[f.names[i]].demand[r] = 2
 		}
-		check, highest := watch(f, noSlack)
+		check, highestSum := checkSums(f, noExcess)
 		f.run(20*time.Second, check)
 		for i, n := range f.names {
-			f.side[n] = i % 2
+			f.partition[n] = i % 2
 		}
 		f.run(30*time.Second, check)
-		Expect(*highest).To(BeNumerically(">", Full*8/10), "nothing was lent")
+		Expect(*highestSum).To(BeNumerically(">", Full*8/10), "nothing was lent")
 		for _, n := range f.names[:5] {
 			f.step(n, LiveChanged{f.reachable(n)})
 		}
@@ -95,12 +95,12 @@
 	DescribeTable("never exceed the limit under delay, loss, reordering, partition and pauses",
 		func(seed uint64) {
 			f := newFleet(9, customersOf(4), seed)
-			check, highest := watch(f, noSlack)
+			check, highestSum := checkSums(f, noExcess)
 			for range 60 {
-				f.disturb()
+				f.injectFaults()
 				f.run(time.Duration(200+f.rng.IntN(4000))*time.Millisecond, check)
 			}
-			Expect(*highest).To(BeNumerically(">", Full*7/10), "nothing was lent")
+			Expect(*highestSum).To(BeNumerically(">", Full*7/10), "nothing was lent")
 		},
 		Entry(nil, uint64(11)), Entry(nil, uint64(12)), Entry(nil, uint64(13)),
 		// These two fail when a report counts while an answer is on its way.
@@ -113,18 +113,18 @@
 	It("exceed the limit by an equal share at most for each restart, and not for long", func() {
 		f := newFleet(9, customersOf(2), 21)
 		var restarts []time.Duration
-		slack := func() int64 {
+		allowedExcess := func() int64 {
 			recent := 0
 			for _, at := range restarts {
-				if f.now-at < 11*f.nodes[f.names[0]].m.cfg.Interval {
+				if f.now-at < 11*f.nodes[f.names[0]].machine.cfg.Interval {
 					recent++
 				}
 			}
 			return int64(recent) * Full / 9
 		}
-		check, _ := watch(f, slack)
+		check, _ := checkSums(f, allowedExcess)
 		for range 40 {
-			f.disturb()
+			f.injectFaults()
 			f.restart(f.names[f.rng.IntN(9)])
 			restarts = append(restarts, f.now)
 			f.run(time.Duration(500+f.rng.IntN(6000))*time.Millisecond, check)
@@ -135,44 +135,44 @@
 		f := newFleet(7, customersOf(1), 31)
 		r := f.resources[0]
 		allocator := f.allocator(r)
-		greedy := f.names[0]
-		if greedy == allocator {
-			greedy = f.names[1]
+		heavy := f.names[0]
+		if heavy == allocator {
+			heavy = f.names[1]
 		}
 		for _, n := range f.names {
 			f.nodes[n].rate = 1.02
 		}
-		f.nodes[allocator].rate, f.nodes[greedy].rate = 0.98, 0.98
-		f.nodes[greedy].demand[r] = 2
-		check, highest := watch(f, noSlack)
+		f.nodes[allocator].rate, f.nodes[heavy].rate = 0.98, 0.98
+		f.nodes[heavy].demand[r] = 2
+		check, highestSum := checkSums(f, noExcess)
 		for range 20 {
 			f.run(12*time.Second, check)
 			for _, n := range f.names {
-				f.side[n] = 1
+				f.partition[n] = 1
 			}
-			f.side[allocator], f.side[greedy] = 0, 0
+			f.partition[allocator], f.partition[heavy] = 0, 0
 			f.run(12*time.Second, check)
 			for _, n := range f.names {
-				f.side[n] = 0
+				f.partition[n] = 0
 			}
 		}
-		Expect(*highest).To(BeNumerically(">", Full*9/10), "nothing was lent")
+		Expect(*highestSum).To(BeNumerically(">", Full*9/10), "nothing was lent")
 	})
 
 	It("leave a margin for clock rates on both ends of a loan and a cession", func() {
 		f := newFleet(7, customersOf(1), 33)
 		r := f.resources[0]
-		greedy, idle := f.names[0], f.names[1]
-		f.nodes[greedy].demand[r] = 2
-		f.until(func() bool { return f.share(greedy, r) > Full/2 }, func() {})
-		cfg := f.nodes[greedy].m.cfg
-		loan := f.nodes[greedy].m.holdings[r.ID()]
-		Expect(loan.loanUntil.Sub(f.clock(greedy))).To(BeNumerically("<=", cfg.Loan*19/20))
-		ceder := f.nodes[idle].m
-		ceder.holdings[r.ID()].due = f.clock(idle)
+		heavy, idle := f.names[0], f.names[1]
+		f.nodes[heavy].demand[r] = 2
+		f.until(func() bool { return f.share(heavy, r) > Full/2 }, func() {})
+		cfg := f.nodes[heavy].machine.cfg
+		heavyShare := f.nodes[heavy].machine.localShares[r.ID()]
+		Expect(heavyShare.leaseUntil.Sub(f.clock(heavy))).To(BeNumerically("<=", cfg.LeaseDuration*19/20))
+		capped := f.nodes[idle].machine
+		capped.localShares[r.ID()].reportDue = f.clock(idle)
 		f.step(idle, TimerFired{}) // renews the cession
-		cession := ceder.holdings[r.ID()].ceilingUntil.Sub(ceder.heard[f.allocator(r)].at)
-		Expect(cession).To(BeNumerically(">=", cfg.Cession*21/20))
+		capDuration := capped.localShares[r.ID()].capUntil.Sub(capped.newestReplies[f.allocator(r)].receivedAt)
+		Expect(capDuration).To(BeNumerically(">=", cfg.CapDuration*21/20))
 	})
 
 	It("keep the limit but for the allocator's own share when an allocator is restarted", func() {
@@ -186,16 +186,16 @@
 			}
 		}
 		// The restarted daemon forgets its own cession, the loans it made not.
-		check, _ := watch(f, func() int64 { return Full / 7 * (leastPart - 1) / leastPart })
+		check, _ := checkSums(f, func() int64 { return Full / 7 * (minShareDivisor - 1) / minShareDivisor })
 		for round := range 12 {
 			before, after := others[round%6], others[(round+1)%6]
 			f.nodes[before].demand[r] = 3
 			Expect(f.until(func() bool { return f.share(before, r) > Full/2 }, check)).To(BeNumerically("<", 20*time.Second))
-			f.side[before] = 1
+			f.partition[before] = 1
 			f.restart(allocator)
 			f.nodes[before].demand[r], f.nodes[after].demand[r] = 0, 3
 			f.run(10*time.Second, check)
-			f.side[before] = 0
+			f.partition[before] = 0
 			f.nodes[after].demand[r] = 0
 			f.run(10*time.Second, check)
 		}
@@ -207,12 +207,12 @@
 		other := newFleet(4, customersOf(1), 6)
 		other.nodes[other.names[0]].demand[other.resources[0]] = 3
 		before := f.share(f.names[0], f.resources[0])
-		for _, a := range other.nodes[other.names[0]].m.Step(other.clock(other.names[0]).Add(time.Minute), TimerFired{}) {
+		for _, a := range other.nodes[other.names[0]].machine.Step(other.clock(other.names[0]).Add(time.Minute), TimerFired{}) {
 			if s, ok := a.(SendReport); ok {
-				Expect(f.nodes[f.names[1]].m.Step(f.clock(f.names[1]), ReportReceived{f.names[0], s.Report})).To(BeEmpty())
-				s.Report.View = f.nodes[f.names[1]].m.list.id
+				Expect(f.nodes[f.names[1]].machine.Step(f.clock(f.names[1]), ReportReceived{f.names[0], s.Report})).To(BeEmpty())
+				s.Report.View = f.nodes[f.names[1]].machine.hostList.id
 				s.Report.Demands = nil
-				Expect(f.nodes[f.names[1]].m.Step(f.clock(f.names[1]), ReportReceived{f.names[0], s.Report})).To(BeEmpty())
+				Expect(f.nodes[f.names[1]].machine.Step(f.clock(f.names[1]), ReportReceived{f.names[0], s.Report})).To(BeEmpty())
 			}
 		}
 		Expect(f.share(f.names[0], f.resources[0])).To(Equal(before))
@@ -231,13 +231,13 @@
 
 // allocator returns the allocator of r when all hosts are alive.
 func (f *fleet) allocator(r Resource) string {
-	return f.nodes[f.names[0]].m.allocatorOf(r.ID())
+	return f.nodes[f.names[0]].machine.allocatorOf(r.ID())
 }
 
 func (f *fleet) reachable(name string) []string {
 	var out []string
 	for _, n := range f.names {
-		if f.side[n] == f.side[name] {
+		if f.partition[n] == f.partition[name] {
 			out = append(out, n)
 		}
 	}
@@ -245,7 +245,7 @@
 }
 
 // disturb changes demand, the network and who runs, at random.
-func (f *fleet) disturb() {
+func (f *fleet) injectFaults() {
 	name := f.names[f.rng.IntN(len(f.names))]
 	r := f.resources[f.rng.IntN(len(f.resources))]
 	f.nodes[name].demand[r] = []float64{0, 0.05, 0.3, 1, 3}[f.rng.IntN(5)]
@@ -253,12 +253,12 @@
 	f.maxDelay = []time.Duration{5, 5, 200, 3000}[f.rng.IntN(4)] * time.Millisecond
 	if f.rng.IntN(3) == 0 {
 		for _, n := range f.names {
-			f.side[n] = 0
+			f.partition[n] = 0
 		}
 	}
 	if f.rng.IntN(4) == 0 {
 		for _, n := range f.names {
-			f.side[n] = f.rng.IntN(2)
+			f.partition[n] = f.rng.IntN(2)
 		}
 	}
 	if f.rng.IntN(2) == 0 {
--- a/core/share/view.go
+++ b/core/share/view.go
@@ -6,8 +6,8 @@
 // a reader that is not given a newer one falls back to the equal share in time.
 // It is safe for concurrent use.
 type View struct {
-	equal    int64
-	holdings map[ID]holding
+	equalShare  int64
+	localShares map[ID]localShare
 }
 
 // View returns the shares in force.
@@ -15,10 +15,10 @@
 	if !m.dirty {
 		return m.view
 	}
-	v := &View{equal: m.list.equal, holdings: map[ID]holding{}}
-	for id, h := range m.holdings {
-		if !h.free(now) {
-			v.holdings[id] = *h
+	v := &View{equalShare: m.hostList.equalShare, localShares: map[ID]localShare{}}
+	for id, s := range m.localShares {
+		if !s.unbound(now) {
+			v.localShares[id] = *s
 		}
 	}
 	m.view, m.dirty = v, false
@@ -27,11 +27,11 @@
 
 // Millionths returns the daemon's share of a resource in millionths.
 func (v *View) Millionths(now time.Time, r Resource) int64 {
-	h, ok := v.holdings[r.ID()]
+	s, ok := v.localShares[r.ID()]
 	if !ok {
-		return v.equal
+		return v.equalShare
 	}
-	return h.share(now, v.equal)
+	return s.share(now, v.equalShare)
 }
 
 // Pool returns the daemon's fraction of a pool's concurrency, 0 to 1.
