--- a/core/claim/view.go
+++ b/core/claim/view.go
@@ -71,7 +71,7 @@
 		if i == 0 {
 			l.Current.Epoch = v.Version + 1
 		} else if v.Version >= b.Views[i-1].Version {
-			return Lineage{}, fmt.Errorf("views[%d]: version %d is not older than the one before it", i, v.Version)
+			return Lineage{}, fmt.Errorf("views[%d]: version %d is not older than the version of the preceding view", i, v.Version)
 		}
 		l.Earlier = append(l.Earlier, View{Epoch: v.Version, Hosts: hostsFromBundle(v.Hosts)})
 	}
--- a/core/claim/views.go
+++ b/core/claim/views.go
@@ -15,7 +15,7 @@
 	ErrForeignLineage = errors.New("lineage lacks the host list in force")
 	// ErrEpochReused rejects a lineage that gives the epoch in force to a
 	// different host list.
-	ErrEpochReused = errors.New("epoch names another host list")
+	ErrEpochReused = errors.New("epoch in force belongs to a different host list")
 )
 
 // Adoption records when a daemon adopted a host list. From the time At, by the
--- a/core/share/allocation.go
+++ b/core/share/allocation.go
@@ -8,33 +8,36 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// ledger is what an allocator knows of one resource.
+// resourceAllocation is an allocator's record of how one resource is divided.
 type resourceAllocation struct {
 	hosts map[string]*hostAllocation
 }
 
-// account is what an allocator knows of one daemon's use of a resource. It
-// may overstate that use, never understate it.
+// hostAllocation is an allocator's record of one daemon's share of a resource. It
+// may overestimate that share but never underestimates it.
 type hostAllocation struct {
 	demand     int64
 	lastReport time.Time
-	// ceiling binds the daemon until ceilingUntil at least.
+	// cap limits the daemon's share until capUntil at least.
 	cap      int64
 	capUntil time.Time
-	// loan may be in use until loanUntil.
+	// lease is the leased share, which may be in use until leaseUntil.
 	lease      int64
 	leaseUntil time.Time
-	// answered is the stamp of the newest message. What a daemon reports counts
-	// only when it has seen that: an answer still on its way may raise it again.
+	// newestSent is the timestamp of the newest message sent to the daemon. A
+	// reported share counts only if the daemon has received that message: one that
+	// is still in flight may raise the share again.
 	newestSent      uint64
 	reportRequested time.Time
-	// told says that the newest answer said that the resource is contended.
+	// knowsContended reports whether the newest reply to the daemon said that the
+	// resource is contended.
 	knowsContended bool
 }
 
-// use bounds what the daemon may use at any time from now to until.
-func (a *hostAllocation) maxUse(now, until time.Time, equal int64) int64 {
-	use := equal
+// maxUse returns an upper bound of the daemon's share at any time from now to
+// until.
+func (a *hostAllocation) maxUse(now, until time.Time, equalShare int64) int64 {
+	use := equalShare
 	if !a.capUntil.Before(until) {
 		use = a.cap
 	}
@@ -44,11 +47,11 @@
 	return use
 }
 
-func (a *hostAllocation) demandWithHeadroom(least int64) int64 {
-	return max(least, a.demand*headroomNum/headroomDen)
+func (a *hostAllocation) demandWithHeadroom(minShare int64) int64 {
+	return max(minShare, a.demand*headroomNum/headroomDen)
 }
 
-// receiveReport answers a daemon's report.
+// receiveReport handles a daemon's report and replies with its new shares.
 func (m *Machine) receiveReport(now time.Time, from string, r *wire.ShareReport) []Action {
 	if r.View != m.hostList.id || !m.hostList.hosts[from] ||
 		len(r.Shares) != len(r.Resources) || len(r.Demands) != len(r.Resources) {
@@ -88,7 +91,8 @@
 	return []Action{SendReply{To: from, Reply: reply}}
 }
 
-// forget drops what a restarted daemon no longer keeps to nor uses.
+// dropCapsAndLeases removes the caps and leases of a daemon that was restarted: it
+// no longer obeys the former nor uses the latter.
 func (m *Machine) dropCapsAndLeases(host string) {
 	for _, res := range m.allocations {
 		if a := res.hosts[host]; a != nil {
@@ -115,9 +119,10 @@
 	return a
 }
 
-// settle takes over the share that a daemon reports, unless a message to it may
-// still be on its way. echo is the newest own stamp that the daemon has seen;
-// it has dropped whatever came out of order before that.
+// applyReportedShare records the share that a daemon reports, unless a message to
+// the daemon may still be in flight. echo is the newest timestamp of this allocator
+// that the daemon has received; the daemon drops messages that arrive out of order
+// after it.
 func (m *Machine) applyReportedShare(a *hostAllocation, used int64, echo uint64) {
 	if echo == 0 || echo < a.newestSent {
 		return
@@ -135,25 +140,26 @@
 	}
 }
 
-// allocate decides the share of one account and books it. Only equal shares
-// that were ceded to this allocator are lent, so that another one may lend too.
+// allocate decides the share of one daemon and records it. It leases only the parts
+// of equal shares that daemons have given up to this allocator, so that another
+// allocator may lease the resource at the same time.
 func (m *Machine) allocate(now time.Time, res *resourceAllocation, a *hostAllocation, used int64, sent uint64) (int64, bool) {
-	equal := m.hostList.equalShare
+	equalShare := m.hostList.equalShare
 	if now.Before(m.noLeasesUntil) {
 		a.newestSent = sent
-		return min(used, equal), false
+		return min(used, equalShare), false
 	}
 	target, contended := m.fairShare(now, res, a)
 	until := now.Add(m.cfg.LeaseDuration)
-	free := equal * int64(len(res.hosts))
+	available := equalShare * int64(len(res.hosts))
 	for _, other := range res.hosts {
 		if other != a {
-			free -= other.maxUse(now, until, equal)
+			available -= other.maxUse(now, until, equalShare)
 		}
 	}
-	share := max(min(target, free), m.hostList.minShare)
+	share := max(min(target, available), m.hostList.minShare)
 	switch {
-	case share > equal:
+	case share > equalShare:
 		if now.Before(a.leaseUntil) {
 			a.lease = max(a.lease, share)
 		} else {
@@ -167,33 +173,34 @@
 	return share, contended
 }
 
-// target returns what a daemon should use, and whether some daemon wants more
-// than its equal share. The part of daemons that were not heard of lately stays
-// theirs. The rest goes by max-min fairness: no daemon that wants its equal
-// share gets less. What nobody wants is spread evenly.
+// fairShare returns the share that a daemon should have, and whether any daemon
+// wants more than its equal share. Daemons without a recent report keep their equal
+// shares. The rest of the resource is divided by max-min fairness, so no daemon
+// that wants its equal share gets less, and capacity that no daemon wants is spread
+// evenly.
 func (m *Machine) fairShare(now time.Time, res *resourceAllocation, a *hostAllocation) (int64, bool) {
-	equal := m.hostList.equalShare
-	wants := make([]int64, 0, len(res.hosts))
+	equalShare := m.hostList.equalShare
+	demands := make([]int64, 0, len(res.hosts))
 	contended, sum := false, int64(0)
 	for _, other := range res.hosts {
 		if now.Sub(other.lastReport) >= m.cfg.CapDuration {
 			continue
 		}
 		w := other.demandWithHeadroom(m.hostList.minShare)
-		wants, sum = append(wants, w), sum+w
-		contended = contended || w > equal
+		demands, sum = append(demands, w), sum+w
+		contended = contended || w > equalShare
 	}
 	if !contended {
-		return equal, false
+		return equalShare, false
 	}
-	available := equal * int64(len(wants))
+	available := equalShare * int64(len(demands))
 	own := a.demandWithHeadroom(m.hostList.minShare)
 	if sum <= available {
-		return own + (available-sum)/int64(len(wants)), true
+		return own + (available-sum)/int64(len(demands)), true
 	}
-	slices.Sort(wants)
-	for i, w := range wants {
-		fairLevel := available / int64(len(wants)-i)
+	slices.Sort(demands)
+	for i, w := range demands {
+		fairLevel := available / int64(len(demands)-i)
 		if w >= fairLevel {
 			return min(own, fairLevel), true
 		}
@@ -202,8 +209,8 @@
 	return own, true
 }
 
-// nudge asks for a report of the resources that are contended: daemons that do
-// not know it yet, and those that were not heard of lately.
+// requestReports asks for reports of the contended resources from daemons that do
+// not know that they are contended, and from those without a recent report.
 func (m *Machine) requestReports(now time.Time) []Action {
 	elapsed := now.Sub(m.tokensRefilledAt)
 	m.tokensRefilledAt = now
@@ -238,7 +245,8 @@
 	return false
 }
 
-// nudgeAll adds the resource to the messages of those who are due.
+// requestReportsOf adds the resource to the messages to the daemons from which a
+// report is due.
 func (m *Machine) requestReportsOf(now time.Time, id ID, res *resourceAllocation, batches map[string]*wire.ShareReply) {
 	for _, host := range slices.Sorted(maps.Keys(m.hostList.hosts)) {
 		a := res.host(host)
--- a/core/share/config.go
+++ b/core/share/config.go
@@ -2,44 +2,47 @@
 
 import "time"
 
-// Config holds the settings of a Machine. Every daemon of a fleet must have
-// equal times; NewConfig derives them from the number of hosts.
+// Config holds the settings of a Machine. The durations must be equal on every
+// daemon of a fleet; NewConfig derives them from the number of hosts.
 type Config struct {
-	// Host is this daemon's name.
+	// Host is the name of this daemon's host.
 	Host string
-	// Incarnation is the start of this process in Unix milliseconds.
+	// Incarnation is the start time of this process in Unix milliseconds.
 	Incarnation uint64
-	// Interval is the time between the reports of a daemon that wants more.
+	// Interval is the time between the reports of a daemon that wants more than
+	// its equal share.
 	Interval time.Duration
-	// Loan is how long a loan lasts.
+	// LeaseDuration is how long a lease lasts.
 	LeaseDuration time.Duration
-	// Cession is how long a daemon binds itself.
+	// CapDuration is how long a daemon obeys a cap.
 	CapDuration time.Duration
-	// NudgesPerInterval bounds how many hosts an allocator asks for a report
-	// in an interval.
+	// ReportRequestsPerInterval is the maximum number of hosts that an allocator
+	// asks for a report in one Interval.
 	ReportRequestsPerInterval int
 }
 
-// Times in intervals, and their growth with the fleet, which bounds the bytes
-// a second of each daemon.
+// The interval grows with the number of hosts, which bounds the bytes per second of
+// each daemon. All other durations are multiples of the interval.
 const (
 	minInterval     = 500 * time.Millisecond
 	intervalPerHost = 20 * time.Millisecond
 	leaseIntervals  = 3
 	capIntervals    = 10
-	// cedingIntervals is between the reports of a daemon that wants no more
-	// than it has while another does.
+	// contendedIntervals is the time between the reports of a daemon that wants no
+	// more than its share while another daemon does.
 	contendedIntervals = 3
-	// quietIntervals is between reports while nobody wants more. They serve to
-	// find lost agreement only: whoever wants more reports at once, and the
-	// allocator then asks the others.
+	// uncontendedIntervals is the time between reports while no daemon wants more.
+	// These reports only detect a state that differs between daemon and allocator:
+	// a daemon that wants more reports at once, and the allocator then asks the
+	// others.
 	uncontendedIntervals  = 60
 	defaultReportRequests = 100
-	// driftPart bounds the difference in rate of two clocks: 1 in 20.
+	// driftDivisor bounds the difference in rate of two clocks: 1/driftDivisor.
 	driftDivisor = 20
 )
 
-// NewConfig returns the settings for a fleet of hosts.
+// NewConfig returns the settings of the daemon on host in a fleet of the given
+// number of hosts.
 func NewConfig(host string, incarnation uint64, hosts int) Config {
 	c := Config{Host: host, Incarnation: incarnation, ReportRequestsPerInterval: defaultReportRequests}
 	c.setDurations(hosts)
--- a/core/share/doc.go
+++ b/core/share/doc.go
@@ -4,36 +4,40 @@
 //
 // It is part of the decision core: no I/O, no clock, no goroutine. A Machine is
 // driven by Step, which takes the time and one typed event and returns the
-// messages to send; messages may be lost, delayed, repeated and reordered. One
-// goroutine at a time may call it. View is an immutable snapshot for any number
-// of readers.
+// messages to send. Messages may be lost, delayed, duplicated and reordered. A
+// Machine is not safe for concurrent use; View is an immutable snapshot for any
+// number of concurrent readers.
 //
 // # Mechanism
 //
-// Every daemon may use an equal share of each resource, limit / hosts of the
-// bundle, without a word from another. Rendezvous hashing names one allocator
-// among the hosts for each resource. Daemons report their demand to it. When one
-// wants more than its equal share, the allocator asks the others to cede what
-// they do not use and lends it out.
+// Every daemon may use an equal share of each resource, its limit divided by the
+// number of hosts in the bundle, without any communication. For each resource,
+// rendezvous hashing selects one host as its allocator, to which the daemons report
+// their demand. When a daemon wants more than its equal share, the allocator asks
+// the others to give up what they do not use, and leases it to that daemon.
 //
-//   - A cession binds a daemon to a ceiling for Cession after it last heard
-//     from the allocator. The allocator counts on it for Cession after the
-//     message that the daemon echoes was sent, which is earlier.
-//   - A loan may be used for Loan after the report that it answers was sent.
-//     The allocator counts it for Loan after its own answer, which is later.
-//   - A loan is backed only by cessions that outlast it.
+//   - A cap limits a daemon below its equal share for CapDuration after the daemon
+//     last received a message from the allocator. The allocator relies on the cap
+//     only for CapDuration after it sent the message that the daemon echoes, which
+//     is earlier.
+//   - A lease allows a daemon more than its equal share for LeaseDuration after the
+//     daemon sent the report to which the lease is the reply. The allocator counts
+//     it for LeaseDuration after its reply, which is later.
+//   - A lease is backed only by caps that outlast it.
 //
-// So the sum of the shares never exceeds the limit by delay, loss, reordering,
-// partition or pauses: whoever cannot hear its allocator is back at its equal
-// share when loans made from its cession have ended. Clocks need not agree; only
-// their rates are assumed to differ by less than drift. Safety does not rest
-// on daemons agreeing on the allocator: each daemon binds itself to one
-// allocator at a time.
+// So delay, loss, reordering, partitions and pauses never make the sum of the
+// shares exceed the limit. A daemon that cannot reach its allocator is back at its
+// equal share once the leases that its cap backed have ended. Clocks need not
+// agree; only their rates are assumed to differ by less than 1/driftDivisor. Safety
+// does not depend on the daemons agreeing on the allocator: each daemon binds
+// itself to one allocator at a time.
 //
-// The sum may exceed the limit in two cases, which are bounded. A daemon that is
-// restarted has forgotten its cession and starts at its equal share: at most
-// 1/hosts of the limit each, for at most Loan after its first report reaches
-// the allocator and at most Cession in any case. While a changed host list is rolled
-// out, daemons divide by the old and the new number of hosts: at most
-// |difference| / smaller number of the limit.
+// The sum may exceed the limit in two cases, by a bounded amount. A daemon that is
+// restarted loses its cap and starts at its equal share. That exceeds the limit by
+// at most 1/hosts of the limit for each restart, for at most LeaseDuration after the
+// first report of the new process reaches the allocator, and for at most CapDuration
+// in any case.
+// While a changed host list is rolled out, daemons divide by the old or the new
+// number of hosts. That exceeds the limit by at most
+// |difference| / smaller number of hosts of the limit.
 package share
--- a/core/share/local_share.go
+++ b/core/share/local_share.go
@@ -8,57 +8,62 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// headroomNum / headroomDen is what a daemon wants over its demand.
+// headroomNum / headroomDen is the ratio of the share that a daemon wants to its
+// demand.
 const (
 	headroomNum = 5
 	headroomDen = 4
-	// worthTelling is the part of the equal share from which giving it back is
-	// reported at once.
+	// reportDropDivisor is the threshold for reporting a lowered share early: a drop
+	// of more than 1/reportDropDivisor of the equal share.
 	reportDropDivisor = 10
 )
 
-// holding is what this daemon may use of one resource.
+// localShare is this daemon's share of one resource.
 type localShare struct {
 	id     ID
 	demand int64
-	// allocator is the host that ceiling and loan were agreed with.
+	// allocator is the host that set cap and lease.
 	allocator string
-	// ceiling binds this daemon until ceilingUntil; then the equal share holds.
+	// cap limits this daemon until capUntil; from then on the equal share applies.
 	cap      int64
 	capUntil time.Time
-	// loan may be used until loanUntil.
+	// lease is the share that may be used until leaseUntil.
 	lease      int64
 	leaseUntil time.Time
-	// contended says that some daemon wants more of the resource.
+	// contended reports whether some daemon wants more than its equal share of the
+	// resource.
 	contended  bool
 	reportDue  time.Time
 	lastReport time.Time
 }
 
-// bound returns what the daemon may use apart from a loan.
-func (s *localShare) baseShare(now time.Time, equal int64) int64 {
+// baseShare returns the daemon's share without a lease.
+func (s *localShare) baseShare(now time.Time, equalShare int64) int64 {
 	if now.Before(s.capUntil) {
-		return min(s.cap, equal)
+		return min(s.cap, equalShare)
 	}
-	return equal
+	return equalShare
 }
 
-// share returns what the daemon may use.
-func (s *localShare) share(now time.Time, equal int64) int64 {
+// share returns the daemon's share, including a lease.
+func (s *localShare) share(now time.Time, equalShare int64) int64 {
 	if now.Before(s.leaseUntil) {
 		return s.lease
 	}
-	return s.baseShare(now, equal)
+	return s.baseShare(now, equalShare)
 }
 
 func (s *localShare) demandWithHeadroom() int64 { return s.demand * headroomNum / headroomDen }
 
-// free says that nothing binds the holding to its allocator any more.
+// unbound reports whether both the cap and the lease have ended, so that the daemon
+// may choose another allocator.
 func (s *localShare) unbound(now time.Time) bool {
 	return !now.Before(s.capUntil) && !now.Before(s.leaseUntil)
 }
 
-// measure takes over the demand; a holding that wants more reports soon.
+// setDemand sets the demand of each resource. For a resource of which this daemon
+// wants more than its share, the next report is due half an interval after the last
+// one.
 func (m *Machine) setDemand(now time.Time, demand map[Resource]float64) {
 	byID := make(map[ID]int64, len(demand))
 	for r, d := range demand {
@@ -72,15 +77,15 @@
 	}
 }
 
-// hurry makes the next report due at t at the latest.
+// reportBy makes the next report due no later than t.
 func (s *localShare) reportBy(t time.Time) {
 	if t.Before(s.reportDue) {
 		s.reportDue = t
 	}
 }
 
-// report sends the reports that are due, one message for each allocator, which
-// takes along what would be due there before long.
+// sendReports sends the reports that are due, in one message for each allocator. The
+// message includes resources whose reports to that allocator would be due soon.
 func (m *Machine) sendReports(now time.Time) []Action {
 	if len(m.hostList.hosts) == 0 {
 		return nil
@@ -110,8 +115,8 @@
 	return out
 }
 
-// choose binds the holding to an allocator. While it is still bound to another
-// it stays silent until that has ended, and choose returns false.
+// bindTo binds the share to an allocator. While the share is still bound to another
+// allocator, bindTo delays the next report until that has ended and returns false.
 func (s *localShare) bindTo(now time.Time, allocator string) bool {
 	if s.allocator == allocator {
 		return true
@@ -127,7 +132,8 @@
 	return true
 }
 
-// addTo adds the holding to its allocator's report. The echo renews a cession.
+// addToReport adds the share to the report to its allocator. The report echoes the
+// allocator's newest timestamp, which extends a cap, so the daemon extends it too.
 func (m *Machine) addToReport(now time.Time, batches map[string]*wire.ShareReport, s *localShare) {
 	newest := m.newestReplies[s.allocator]
 	r := batches[s.allocator]
@@ -149,8 +155,8 @@
 	m.dirty = true
 }
 
-// cession is how long this daemon keeps to a ceiling: a little longer than the
-// allocator counts on it.
+// localCapDuration is how long this daemon obeys a cap: longer than the allocator
+// relies on it, by a margin for clock drift.
 func (m *Machine) localCapDuration() time.Duration {
 	return m.cfg.CapDuration + m.cfg.CapDuration/driftDivisor
 }
@@ -161,7 +167,7 @@
 	}
 }
 
-// receiveReply takes over the shares of an allocator's message.
+// receiveReply applies the shares in an allocator's message.
 func (m *Machine) receiveReply(now time.Time, from string, r *wire.ShareReply) {
 	if r.View != m.hostList.id || len(r.Shares) != len(r.Resources) || len(r.Contended) != len(r.Resources) {
 		return
@@ -171,14 +177,14 @@
 		return
 	}
 	m.newestReplies[from] = receivedTimestamp{timestamp{r.Incarnation, r.SentUs}, now}
-	answers := r.EchoIncarnation == m.cfg.Incarnation && r.EchoUs != 0
+	answersReport := r.EchoIncarnation == m.cfg.Incarnation && r.EchoUs != 0
 	for i, id := range r.Resources {
 		s := m.localShares[ID(id)]
 		if s == nil {
 			continue
 		}
 		if s.allocator == "" {
-			s.reportDue = now // asked before the first report
+			s.reportDue = now // The allocator requested a report before the first one.
 			continue
 		}
 		if s.allocator != from {
@@ -186,7 +192,7 @@
 		}
 		s.contended = r.Contended[i]
 		share := max(int64(r.Shares[i]), m.hostList.minShare)
-		if answers {
+		if answersReport {
 			m.applyShare(now, s, share, m.timeOf(r.EchoUs))
 		} else {
 			m.lowerShare(now, s, share)
@@ -196,20 +202,22 @@
 	m.dirty = true
 }
 
-// adopt makes share the daemon's own; asked is when it was asked for.
+// applyShare applies a share from a reply and schedules the next report. reportSent
+// is when the report to which the allocator replied was sent.
 func (m *Machine) applyShare(now time.Time, s *localShare, share int64, reportSent time.Time) {
 	before := s.share(now, m.hostList.equalShare)
 	m.setShare(now, s, share, reportSent)
 	s.reportDue = now.Add(m.jitter(m.reportDelay(now, s)))
-	// What is worth the message is given back at once, so that it can be lent.
+	// A large drop is reported early, so that the allocator can lease the
+	// difference to another daemon.
 	if before-s.share(now, m.hostList.equalShare) > m.hostList.equalShare/reportDropDivisor {
 		s.reportBy(now.Add(m.cfg.Interval / 4))
 	}
 }
 
 func (m *Machine) setShare(now time.Time, s *localShare, share int64, reportSent time.Time) {
-	equal := m.hostList.equalShare
-	if share > equal {
+	equalShare := m.hostList.equalShare
+	if share > equalShare {
 		s.lease = share
 		s.leaseUntil = reportSent.Add(m.cfg.LeaseDuration - m.cfg.LeaseDuration/driftDivisor)
 		s.capUntil = time.Time{}
@@ -217,34 +225,34 @@
 	}
 	s.leaseUntil = time.Time{}
 	switch {
-	case share < s.baseShare(now, equal):
+	case share < s.baseShare(now, equalShare):
 		m.lowerShare(now, s, share)
-	case share == equal:
+	case share == equalShare:
 		s.capUntil = time.Time{}
 	default:
 		s.cap = share
 	}
 }
 
-// cede lowers the holding to share, never raises it.
+// lowerShare lowers the daemon's share to share; it never raises it.
 func (m *Machine) lowerShare(now time.Time, s *localShare, share int64) {
-	equal := m.hostList.equalShare
-	if s.share(now, equal) <= share {
+	equalShare := m.hostList.equalShare
+	if s.share(now, equalShare) <= share {
 		return
 	}
-	if share >= equal {
+	if share >= equalShare {
 		s.lease = share
 		return
 	}
 	s.leaseUntil = time.Time{}
-	if s.baseShare(now, equal) <= share {
+	if s.baseShare(now, equalShare) <= share {
 		return
 	}
 	s.cap = share
 	s.extendCap(now.Add(m.localCapDuration()))
 }
 
-// pause is the time to the next report.
+// reportDelay returns the time to the next report.
 func (m *Machine) reportDelay(now time.Time, s *localShare) time.Duration {
 	switch {
 	case s.demandWithHeadroom() > m.hostList.equalShare:
--- a/core/share/machine.go
+++ b/core/share/machine.go
@@ -16,33 +16,33 @@
 // Event is one input of a Machine.
 type Event interface{ event() }
 
-// HostsChanged puts a bundle's host list and resources in force.
+// HostsChanged applies the host list and the resources of a bundle.
 type HostsChanged struct {
 	Hosts     []string
 	Resources []Resource
 }
 
-// LiveChanged names the hosts that this daemon believes to be alive: the
-// allocators are chosen among them. Daemons need not agree.
+// LiveChanged sets the hosts that this daemon considers alive. Allocators are chosen
+// among them. Daemons need not agree on them.
 type LiveChanged struct{ Hosts []string }
 
-// DemandMeasured tells what callers ask of this daemon, as fractions of each
-// resource's limit. Resources left out are idle.
+// DemandMeasured sets the demand of callers on this daemon, as a fraction of each
+// resource's limit. Resources that are not listed have no demand.
 type DemandMeasured struct{ Demand map[Resource]float64 }
 
-// ReportReceived is a fellow daemon's report.
+// ReportReceived is a report from another daemon or from this one.
 type ReportReceived struct {
 	From   string
 	Report *wire.ShareReport
 }
 
-// ReplyReceived is an allocator's message.
+// ReplyReceived is a message from an allocator: a reply or a request for a report.
 type ReplyReceived struct {
 	From  string
 	Reply *wire.ShareReply
 }
 
-// TimerFired comes every 50 to 100 ms.
+// TimerFired is a periodic event, every 50 to 100 ms.
 type TimerFired struct{}
 
 func (HostsChanged) event()   {}
@@ -52,7 +52,7 @@
 func (ReplyReceived) event()  {}
 func (TimerFired) event()     {}
 
-// Action is one output of a Machine. Messages need not arrive.
+// Action is one output of a Machine. Delivery of the messages is not required.
 type Action interface{ action() }
 
 // SendReport sends a report to an allocator.
@@ -70,37 +70,39 @@
 func (SendReport) action() {}
 func (SendReply) action()  {}
 
-// stamp is a point in the life of one process. The zero stamp is before all.
+// timestamp is a time within one process: its incarnation and the microseconds since
+// its start. The zero timestamp precedes all others.
 type timestamp struct {
 	incarnation uint64
 	us          uint64
 }
 
-// Machine holds both roles of a daemon: user of shares and allocator of some
-// resources. It is not safe for concurrent use.
+// Machine is the state machine of a daemon in both of its roles: it uses a share of
+// each resource, and it is the allocator of some resources. It is not safe for
+// concurrent use.
 type Machine struct {
 	cfg   Config
 	rng   *rand.Rand
 	start time.Time
-	// last is the newest stamp given out, in microseconds since start.
+	// lastTimestamp is the newest timestamp issued, in microseconds since start.
 	lastTimestamp uint64
 
 	hostList  hostList
 	resources []ID
 	liveHosts []string
-	// chosen holds the allocators found under list and live.
+	// allocators caches the allocators under hostList and liveHosts.
 	allocators map[ID]string
 	rendezvous *rendezvous.Rendezvous
 
 	localShares map[ID]*localShare
-	// heard is the newest message of each host as allocator.
+	// newestReplies holds the newest message of each host as allocator.
 	newestReplies map[string]receivedTimestamp
 
 	allocations map[ID]*resourceAllocation
-	// reported is the newest report of each host.
+	// newestReports holds the timestamp of the newest report of each host.
 	newestReports map[string]timestamp
-	// abstainUntil is when everything that an earlier process on this host
-	// may have lent has ended.
+	// noLeasesUntil is when all leases of an earlier process on this host, or under
+	// an earlier host list, have ended. Until then this allocator grants none.
 	noLeasesUntil       time.Time
 	reportRequestTokens float64
 	tokensRefilledAt    time.Time
@@ -125,8 +127,8 @@
 	}
 }
 
-// Step handles one event and returns the messages to send. Messages of the
-// daemon to itself are handled within.
+// Step handles one event and returns the messages to send. Messages from the daemon
+// to itself are handled immediately and not returned.
 func (m *Machine) Step(now time.Time, e Event) []Action {
 	var out []Action
 	pending := []Event{e}
@@ -163,7 +165,8 @@
 	return nil
 }
 
-// toSelf turns a message to this daemon into an event; nil for any other.
+// selfEvent converts a message to this daemon into an event. It returns nil for a
+// message to any other host.
 func (m *Machine) selfEvent(a Action) Event {
 	switch a := a.(type) {
 	case SendReport:
@@ -178,9 +181,9 @@
 	return nil
 }
 
-// changeHosts starts afresh under a new host list: loans end, a cession
-// holds to its end, and this allocator lends nothing until what was lent under
-// the old list has ended.
+// setHosts applies a host list. If the list is new, all leases of this daemon end,
+// caps remain until they expire, and this allocator grants no lease until the leases
+// under the old list have ended.
 func (m *Machine) setHosts(now time.Time, e HostsChanged) {
 	list := newHostList(e.Hosts)
 	changed := list.id != m.hostList.id
@@ -194,9 +197,9 @@
 	m.cfg.setDurations(len(list.hosts))
 	m.suspendLeasing(now.Add(m.localCapDuration()))
 	m.allocations = map[ID]*resourceAllocation{}
-	for _, h := range m.localShares {
-		h.leaseUntil = time.Time{}
-		h.cap = min(h.cap, list.equalShare)
+	for _, s := range m.localShares {
+		s.leaseUntil = time.Time{}
+		s.cap = min(s.cap, list.equalShare)
 	}
 	m.dirty = true
 }
@@ -231,30 +234,30 @@
 	m.dirty = true
 }
 
-// firstWait spreads the first reports of a fleet that starts: each pair of
-// hosts has its own time.
+// firstReportDelay spreads the first reports when a whole fleet starts: each pair of
+// host and allocator has a delay of its own.
 func (m *Machine) firstReportDelay(allocator string) time.Duration {
 	part := float64(xxhash.Sum64String(m.cfg.Host+"/"+allocator)) / math.MaxUint64
 	return time.Duration(part * uncontendedIntervals * float64(m.cfg.Interval))
 }
 
-// jitter returns d within a tenth either way.
+// jitter returns d changed at random by at most 10% either way.
 func (m *Machine) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.9 + 0.2*m.rng.Float64()))
 }
 
-// next returns a new stamp, later than all before it.
+// nextTimestamp returns a new timestamp, which is later than all previous ones.
 func (m *Machine) nextTimestamp(now time.Time) uint64 {
 	m.lastTimestamp = max(m.lastTimestamp+1, uint64(max(0, now.Sub(m.start).Microseconds())))
 	return m.lastTimestamp
 }
 
-// timeOf returns the time of one of this process's own stamps.
+// timeOf returns the time of a timestamp of this process.
 func (m *Machine) timeOf(us uint64) time.Time {
 	return m.start.Add(time.Duration(us) * time.Microsecond)
 }
 
-// changeLive takes over the hosts to choose allocators among.
+// setLiveHosts sets the hosts among which allocators are chosen.
 func (m *Machine) setLiveHosts(hosts []string) {
 	live := slices.Sorted(slices.Values(hosts))
 	if slices.Equal(live, m.liveHosts) {
@@ -279,8 +282,8 @@
 	return name
 }
 
-// candidates returns the live hosts of the list, all of it when none is known
-// to be alive.
+// allocatorCandidates returns the live hosts of the list, or all its hosts if none is
+// known to be alive.
 func (m *Machine) allocatorCandidates() []string {
 	names := make([]string, 0, len(m.hostList.hosts))
 	for _, n := range m.liveHosts {
--- a/core/share/resource.go
+++ b/core/share/resource.go
@@ -7,10 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Full is the whole of a resource: shares are counted in millionths.
+// Full is the share that equals a resource's whole limit. Shares are counted in
+// millionths of the limit.
 const Full = 1_000_000
 
-// Kind says what a resource limits.
+// Kind is the type of object that a resource limits.
 type Kind string
 
 // The kinds.
@@ -19,14 +20,14 @@
 	Customer Kind = "customer"
 )
 
-// Resource is one limit that the fleet divides.
+// Resource identifies one limit that is divided among the daemons.
 type Resource struct {
 	Kind Kind
 	Name string
 }
 
-// ID identifies a resource between daemons. Two resources with equal IDs share
-// one division, which keeps the limits of both.
+// ID identifies a resource in messages between daemons. Two resources with equal IDs
+// are divided as one, which keeps the limits of both.
 type ID uint32
 
 // ID returns the resource's identifier.
@@ -41,18 +42,20 @@
 	return ID(uint32(d.Sum64()))
 }
 
-// hostList is what shares refer to: equal hosts give equal ids.
+// hostList is the set of hosts among which resources are divided. Equal sets have
+// equal ids.
 type hostList struct {
 	id    uint32
 	hosts map[string]bool
-	// equal is each host's share without a word from another; least is what it
-	// keeps when it cedes all it can.
+	// equalShare is each host's share without an allocator; minShare is the share
+	// that it always keeps.
 	equalShare int64
 	minShare   int64
 }
 
-// leastPart is the part of its equal share that a daemon never cedes, so that
-// the first requests of a burst need not wait for the allocator.
+// minShareDivisor defines the part of its equal share that a daemon never gives up,
+// 1/minShareDivisor, so that the first requests of a burst need not wait for the
+// allocator.
 const minShareDivisor = 4
 
 func newHostList(names []string) hostList {
--- a/core/share/view.go
+++ b/core/share/view.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// View is an immutable snapshot of a daemon's shares. It holds its own expiry:
-// a reader that is not given a newer one falls back to the equal share in time.
-// It is safe for concurrent use.
+// View is an immutable snapshot of a daemon's shares. It contains the times at which
+// caps and leases expire, so a reader without a newer snapshot falls back to the
+// equal share when they do. It is safe for concurrent use.
 type View struct {
 	equalShare  int64
 	localShares map[ID]localShare
