--- a/core/claim/bench_test.go
+++ b/core/claim/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// benchKey returns a distinct key for each i, all of one time.
+// benchKey returns a distinct key for each i. All keys have the same creation time.
 func benchKey(i int) Key {
 	k := keyAt(baseTime, 0)
 	binary.BigEndian.PutUint32(k.ID[12:], uint32(i))
@@ -20,8 +20,8 @@
 	return p
 }
 
-// BenchmarkAsk is one grant of a new key by one holder on one core, and the
-// memory that a holder keeps for it.
+// BenchmarkAsk measures one grant of a new key by one holder on one core, and the
+// memory that the holder uses for it.
 func BenchmarkAsk(b *testing.B) {
 	h := NewHolder("a", 1, baseTime.Add(-time.Hour), benchPolicy(b.N))
 	env := Env{Now: baseTime, Epoch: 1, Ready: true}
@@ -47,7 +47,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkGroup is the computation of one key's group among 7 hosts.
+// BenchmarkGroup measures the computation of one key's group among 7 hosts.
 func BenchmarkGroup(b *testing.B) {
 	v := view(1, "a", "b", "c", "d", "e", "f", "g")
 	for i := 0; b.Loop(); i++ {
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -196,11 +196,11 @@
 
 // applyReply records a reply. It ignores replies of an earlier incarnation of the
 // holder, since the holder has lost what it granted then.
-func (s *holderState) applyReply(r Reply, off disabledChecks) {
-	if r.Incarnation < s.incarnation && !off.holderIncarnation {
+func (s *holderState) applyReply(r Reply, disabled disabledChecks) {
+	if r.Incarnation < s.incarnation && !disabled.holderIncarnation {
 		return
 	}
-	if s.verdict == Granted && (r.Incarnation == s.incarnation || off.holderIncarnation) {
+	if s.verdict == Granted && (r.Incarnation == s.incarnation || disabled.holderIncarnation) {
 		return
 	}
 	s.failed = false
--- a/core/claim/encode_test.go
+++ b/core/claim/encode_test.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// code builds the compact form of a state.
+// encoder builds the compact encoding of a state.
 type encoder struct{ buf []byte }
 
 func (c *encoder) uvarint(vs ...uint64) {
@@ -76,7 +76,7 @@
 
 func encodeMessage(m message) string {
 	var c encoder
-	c.uvarint(uint64(m.to), uint64(m.owner))
+	c.uvarint(uint64(m.to), uint64(m.attempt))
 	switch p := m.payload.(type) {
 	case Ask:
 		c.uvarint(1, uint64(p.Round), p.Epoch)
@@ -103,30 +103,30 @@
 	c.record(r.Record)
 }
 
-// hash returns a 64-bit hash of everything that decides what can follow.
-func (w *systemState) hash(c *encoder) uint64 {
+// hash returns a 64-bit hash of everything that determines the successor states.
+func (st *systemState) hash(c *encoder) uint64 {
 	c.buf = c.buf[:0]
-	c.uvarint(uint64(w.clock), uint64(w.restarts), uint64(w.duplicates), uint64(w.failures), uint64(w.statuses))
-	for i := range w.nodes {
-		n := &w.nodes[i]
+	c.uvarint(uint64(st.clock), uint64(st.restarts), uint64(st.duplicates), uint64(st.failures), uint64(st.statuses))
+	for i := range st.nodes {
+		n := &st.nodes[i]
 		if n.holderHash == 0 {
 			n.holderHash = n.hashHolder()
 		}
 		if n.viewsHash == 0 {
-			n.viewsHash = n.hashViews(w.key())
+			n.viewsHash = n.hashViews(st.key())
 		}
 		c.uvarint(n.incarnation, n.holderHash, n.viewsHash)
 	}
-	for _, a := range w.attempts {
+	for _, a := range st.attempts {
 		c.attempt(a)
 	}
-	for _, m := range w.network {
+	for _, m := range st.network {
 		c.string(m.encoded)
 	}
 	return xxhash.Sum64(c.buf)
 }
 
-// The hashes of a node's parts are kept until the part is written to.
+// The hashes of a node's holder and views are cached until these are written.
 
 func (n *node) hashHolder() uint64 {
 	var c encoder
@@ -150,7 +150,7 @@
 	v := n.views
 	c.uvarint(v.Epoch())
 	c.bool(v.synced, v.clockSkewed)
-	if n.viewsFixed { // Only what a claim asks of it matters now.
+	if n.viewsFixed { // Only the result of Quorums still matters.
 		for _, q := range v.Quorums(key) {
 			c.uvarint(q.Epoch)
 		}
@@ -159,7 +159,7 @@
 	c.ack(v.ack())
 	c.acks(v.acks)
 	c.incarnations(v.incarnations)
-	if v.synced { // What was answered is not looked at any more.
+	if v.synced { // The peer statuses are no longer read.
 		return xxhash.Sum64(c.buf)
 	}
 	for _, host := range slices.Sorted(maps.Keys(v.peerStatuses)) {
--- a/core/claim/explore_test.go
+++ b/core/claim/explore_test.go
@@ -17,16 +17,17 @@
 	RunSpecs(t, "core/claim")
 }
 
-// maxParallel bounds the scenarios explored at the same time.
+// maxParallel bounds the number of scenarios explored at the same time.
 const maxParallel = 4
 
-// exploreEnv set to "large" explores wider bounds, for a run of minutes.
+// exploreEnv is an environment variable. Set to "large", it selects wider bounds, with
+// which the exploration takes minutes.
 const exploreEnv = "WHEATSEAM_EXPLORE"
 
 var largeBounds = os.Getenv(exploreEnv) == "large"
 
-// narrow has the first ask of each attempt to a host get lost, unless the
-// bounds are large.
+// dropUnlessLarge returns the hosts that the first Ask of each attempt never reaches:
+// first and second, or none with large bounds.
 func dropUnlessLarge(first, second string) [2]string {
 	if largeBounds {
 		return [2]string{}
@@ -34,17 +35,17 @@
 	return [2]string{first, second}
 }
 
-// explore visits every state of a scenario, depth first, and returns how many
-// there are and the first violation found.
-func explore(sc *scenario, off disabledChecks) (states int, violation string) {
-	first := newSystemState(sc, off)
+// explore visits every state of a scenario depth first. It returns the number of
+// states visited and the first violation found.
+func explore(sc *scenario, disabled disabledChecks) (states int, violation string) {
+	first := newSystemState(sc, disabled)
 	var buf encoder
 	seen := map[uint64]struct{}{first.hash(&buf): {}}
 	stack := []*systemState{first}
 	for len(stack) > 0 {
-		w := stack[len(stack)-1]
+		st := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		for _, next := range w.steps() {
+		for _, next := range st.steps() {
 			if next.violation != "" {
 				return len(seen), next.violation
 			}
@@ -75,7 +76,7 @@
 	sameDigests = []Digest{{1}, {1}}
 )
 
-// three returns a scenario of three holders, an attempt at two of them.
+// threeHolders returns a scenario with three holders and an attempt at two of them.
 func threeHolders(name string, change func(*scenario)) *scenario {
 	sc := &scenario{
 		name: name, lineages: oneLineage, nodes: []string{"a", "b", "c"}, startLineages: []int{0, 0, 0},
@@ -85,8 +86,8 @@
 	return sc
 }
 
-// replaced returns a scenario in which host d takes the place of a. Attempt 0
-// runs at a, which never hears of it; attempt 1 at c.
+// hostReplaced returns a scenario in which host d replaces host a. Attempt 0 runs at
+// a, which never learns of the new host list; attempt 1 runs at c.
 func hostReplaced(name string, change func(*scenario)) *scenario {
 	sc := &scenario{
 		name: name, lineages: twoLineages, nodes: []string{"a", "b", "c", "d"}, startLineages: []int{0, 0, 0, 1},
@@ -104,12 +105,12 @@
 		s.droppedFirstAsks = dropUnlessLarge("c", "c")
 		s.skipStore, s.atomicCalls = true, [2]bool{true, true}
 	}),
-	threeHolders("late answers", func(s *scenario) {
+	threeHolders("late replies", func(s *scenario) {
 		s.rounds, s.failures, s.failingHost, s.asyncHolder = [2]int{2, 1}, 1, "c", "a"
 		s.droppedFirstAsks = dropUnlessLarge("c", "c")
 		s.skipStore, s.atomicCalls = true, [2]bool{true, true}
 	}),
-	threeHolders("loss", func(s *scenario) {
+	threeHolders("message loss", func(s *scenario) {
 		s.failures, s.duplicates = 1, 1
 		s.skipStore, s.dropReleases, s.atomicCalls = true, true, [2]bool{!largeBounds, true}
 	}),
@@ -127,7 +128,7 @@
 			s.restarts, s.restartableNodes = 1, []int{2}
 		}
 	}),
-	threeHolders("reuse", func(s *scenario) {
+	threeHolders("key reuse", func(s *scenario) {
 		s.digests, s.atomicCalls = []Digest{{1}, {2}}, [2]bool{true, true}
 	}),
 	threeHolders("restarts", func(s *scenario) {
@@ -138,18 +139,18 @@
 		s.times = []time.Duration{0, 2 * time.Hour}
 		s.skipStore, s.atomicCalls = true, [2]bool{true, true}
 	}),
-	threeHolders("key ahead", func(s *scenario) {
+	threeHolders("key in the future", func(s *scenario) {
 		s.keyTime, s.restarts, s.restartableNodes = time.Minute, 1, []int{2}
 		s.skipStore, s.atomicCalls = true, [2]bool{true, true}
 	}),
-	threeHolders("clock", func(s *scenario) {
+	threeHolders("wrong clock", func(s *scenario) {
 		s.restartSkew, s.restarts, s.restartableNodes = -time.Minute, 1, []int{2}
 		s.times, s.droppedFirstAsks = []time.Duration{0, time.Minute}, dropUnlessLarge("b", "a")
 		s.skipStore, s.atomicCalls = true, [2]bool{true, true}
 	}),
-	hostReplaced("replaced", func(s *scenario) { s.statuses, s.stableBeforeStart = 1, !largeBounds }),
-	hostReplaced("replaced, old key", func(s *scenario) { s.statuses, s.keyTime = 1, 0 }),
-	hostReplaced("replaced, restart", func(s *scenario) {
+	hostReplaced("host replaced", func(s *scenario) { s.statuses, s.stableBeforeStart = 1, !largeBounds }),
+	hostReplaced("host replaced, old key", func(s *scenario) { s.statuses, s.keyTime = 1, 0 }),
+	hostReplaced("host replaced, restart", func(s *scenario) {
 		s.statuses, s.restarts, s.restartableNodes = 3, 1, []int{1}
 		s.statusQueries, s.stableBeforeStart = [][2]int{{1, 0}, {1, 2}, {2, 1}}, true
 		if largeBounds {
@@ -163,7 +164,7 @@
 	return scenarios[i]
 }
 
-var _ = Describe("the claim protocol, exhaustively", func() {
+var _ = Describe("exhaustive exploration of the claim protocol", func() {
 	It("keeps its invariants in every scenario", func() {
 		results := make([]string, len(scenarios))
 		counts := make([]int, len(scenarios))
@@ -186,48 +187,49 @@
 		fmt.Printf("claim protocol: %d states in %d scenarios\n", total, len(scenarios))
 	})
 
-	It("notices each missing guard", func() {
+	It("finds a violation for each disabled check", func() {
 		violations := make([]string, len(disabledCheckCases))
 		var group errgroup.Group
 		group.SetLimit(maxParallel)
 		for i, f := range disabledCheckCases {
 			group.Go(func() error {
-				_, violations[i] = explore(scenarioNamed(f.scenario), f.off)
+				_, violations[i] = explore(scenarioNamed(f.scenario), f.disabled)
 				return nil
 			})
 		}
 		Expect(group.Wait()).To(Succeed())
 		for i, f := range disabledCheckCases {
-			Expect(violations[i]).NotTo(BeEmpty(), f.guard)
+			Expect(violations[i]).NotTo(BeEmpty(), f.check)
 		}
 	})
 })
 
-// faults take one guard out each, in a scenario that shows it.
+// disabledCheckCases each disable one check in a scenario that then finds a
+// violation.
 var disabledCheckCases = []struct {
-	guard    string
+	check    string
 	scenario string
-	off      disabledChecks
+	disabled disabledChecks
 }{
-	{"a key goes to one owner", "split votes", disabledChecks{exclusiveGrant: true}},
-	{"only the owner releases", "split votes", disabledChecks{releaseOwner: true}},
-	{"a release of an earlier round is void", "split votes", disabledChecks{releaseRound: true}},
-	{"a released round does not count", "late answers", disabledChecks{replyRound: true}},
+	{"a key is granted to one owner only", "split votes", disabledChecks{exclusiveGrant: true}},
+	{"only the owner releases a key", "split votes", disabledChecks{releaseOwner: true}},
+	{"a release of an earlier round is ignored", "split votes", disabledChecks{releaseRound: true}},
+	{"grants of a released round do not count", "late replies", disabledChecks{replyRound: true}},
 	{"a majority must grant", "split votes", disabledChecks{majority: true}},
-	{"nothing sent is released", "giving up", disabledChecks{sentBeforeRelease: true}},
+	{"a claim is not released after its request was sent", "giving up", disabledChecks{sentBeforeRelease: true}},
 	{"a refused claim never sends", "giving up", disabledChecks{endedBeforeSend: true}},
-	{"not_run needs a majority's word", "giving up", disabledChecks{notRunMajority: true}},
+	{"not_run requires a majority", "giving up", disabledChecks{notRunMajority: true}},
 	{"a voided attempt is not granted", "voiding", disabledChecks{voidedAttempts: true}},
-	{"a result belongs to its digest", "reuse", disabledChecks{digestMatch: true}},
-	{"a restarted holder abstains", "restarts", disabledChecks{restartAbstention: true}},
-	{"a forgotten key is refused", "retention", disabledChecks{keyTooOld: true}},
-	{"a key far ahead is refused", "key ahead", disabledChecks{keyTooNew: true}},
-	{"a wrong clock puts a daemon out", "clock", disabledChecks{clockSkew: true}},
-	{"a holder grants under its own list", "replaced", disabledChecks{epochMatch: true}},
-	{"the previous list grants too", "replaced", disabledChecks{earlierViews: true}},
-	{"a majority retires a list", "replaced", disabledChecks{ackMajority: true}},
-	{"a list retires for later keys", "replaced, old key", disabledChecks{ackTime: true}},
-	{"a restart voids an acknowledgement", "replaced, restart", disabledChecks{ackIncarnation: true}},
-	{"a restarted daemon catches up", "replaced, restart", disabledChecks{startupSync: true}},
-	{"an answer must know the incarnation", "replaced, restart", disabledChecks{syncEcho: true}},
+	{"a result is returned for its own digest only", "key reuse", disabledChecks{digestMatch: true}},
+	{"a restarted holder does not grant old keys", "restarts", disabledChecks{restartAbstention: true}},
+	{"a key that may have been evicted is refused", "retention", disabledChecks{keyTooOld: true}},
+	{"a key far in the future is refused", "key in the future", disabledChecks{keyTooNew: true}},
+	{"a daemon with a wrong clock is excluded", "wrong clock", disabledChecks{clockSkew: true}},
+	{"a holder grants only under its own host list", "host replaced", disabledChecks{epochMatch: true}},
+	{"the previous host list must grant too", "host replaced", disabledChecks{earlierViews: true}},
+	{"retiring a host list requires a majority", "host replaced", disabledChecks{ackMajority: true}},
+	{"a host list retires only for later keys", "host replaced, old key", disabledChecks{ackTime: true}},
+	{"a restart invalidates an acknowledgement", "host replaced, restart", disabledChecks{ackIncarnation: true}},
+	{"a restarted daemon syncs before it grants", "host replaced, restart", disabledChecks{startupSync: true}},
+	{"a status counts only if it knows the current incarnation", "host replaced, restart", disabledChecks{syncEcho: true}},
 }
--- a/core/claim/group_bench_test.go
+++ b/core/claim/group_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkGroupOf is the computation of one key's group among the hosts of
+// BenchmarkGroupOf measures the computation of one key's group among the hosts of
 // larger fleets, in 8 failure domains.
 func BenchmarkGroupOf(b *testing.B) {
 	for _, n := range []int{10, 50, 100, 200, 410} {
--- a/core/claim/holder_test.go
+++ b/core/claim/holder_test.go
@@ -12,7 +12,7 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// ownerOf returns an owner at a host.
+// ownerOf returns the owner with the given request ID on a host.
 func ownerOf(host, request string) Owner { return Owner{Host: host, Incarnation: 1, Request: request} }
 
 var _ = Describe("Key", func() {
@@ -27,7 +27,7 @@
 		Entry("the example of RFC 9562", "017F22E2-79B0-7CC3-98C4-DC0C0C07398F", true),
 		Entry("version 4", "919108f7-52d1-4320-9bac-f847db4148a8", false),
 		Entry("another variant", "017F22E2-79B0-7CC3-D8C4-DC0C0C07398F", false),
-		Entry("no UUID", "seal-1", false),
+		Entry("not a UUID", "seal-1", false),
 	)
 })
 
@@ -59,11 +59,11 @@
 			Expect(load[h.Name]).To(BeNumerically(">", 400), h.Name)
 		}
 	})
-	It("fills up from fewer failure domains than holders", func() {
+	It("selects several holders per failure domain when there are fewer domains than holders", func() {
 		Expect(Group(hosts(5, 2), keyAt(baseTime, 1), 3)).To(HaveLen(3))
 		Expect(Group(hosts(2, 2), keyAt(baseTime, 1), 3)).To(HaveLen(2))
 	})
-	It("ignores the order of the list", func() {
+	It("does not depend on the order of the host list", func() {
 		all := hosts(7, 3)
 		want := Group(all, keyAt(baseTime, 9), 3)
 		rand.New(rand.NewPCG(1, 1)).Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -76,19 +76,19 @@
 	ask := func(h *Holder, e Env, tail byte) Verdict {
 		return h.Ask(e, Ask{Key: keyAt(e.Now, tail), Owner: ownerOf("a", "r"), Round: 1, Epoch: 1}).Verdict
 	}
-	It("refuses new keys when full, and forgets none early", func() {
+	It("refuses new keys when full and evicts none before its retention ends", func() {
 		h := NewHolder("a", 1, baseTime.Add(-time.Hour), testPolicy)
 		for i := range testPolicy.MaxKeys {
 			Expect(ask(h, env, byte(i))).To(Equal(Granted))
 		}
 		Expect(ask(h, env, 200)).To(Equal(Full))
-		Expect(ask(h, env, 0)).To(Equal(Granted), "its own owner again")
+		Expect(ask(h, env, 0)).To(Equal(Granted), "the same owner asks again")
 		later := env
 		later.Now = baseTime.Add(testPolicy.Retention + testPolicy.MaxClockSkew + 2*bucketWidth)
 		Expect(ask(h, later, 200)).To(Equal(Granted))
 		Expect(h.Stats().Granted).To(Equal(1))
 	})
-	It("bounds results, and counts them off when it forgets them", func() {
+	It("bounds the size of results and subtracts it when they are evicted", func() {
 		h := NewHolder("a", 1, baseTime.Add(-time.Hour), testPolicy)
 		store := func(tail byte, size int) Reply {
 			return h.Store(env, Store{Key: keyAt(baseTime, tail), Owner: ownerOf("a", "r"), Record: Record{Result: make([]byte, size)}})
@@ -103,7 +103,7 @@
 		ask(h, later, 3)
 		Expect(h.Stats().Bytes).To(BeZero())
 	})
-	It("keeps a late ask of a released round from taking the key", func() {
+	It("refuses an Ask that arrives after the release of its round", func() {
 		h := NewHolder("a", 1, baseTime.Add(-time.Hour), testPolicy)
 		h.Release(env, Release{Key: keyAt(baseTime, 1), Owner: ownerOf("a", "r"), Round: 1})
 		Expect(ask(h, env, 1)).To(Equal(Superseded))
@@ -123,7 +123,7 @@
 		c.Reply(baseTime, Reply{Holder: "a", Incarnation: 1, Verdict: Granted, Round: 1})
 		Expect(c.Reply(baseTime, Reply{Holder: "b", Incarnation: 1, Verdict: Granted, Round: 1})).To(Equal([]Action{Won{}}))
 	}
-	It("sends once, and not from the deadline on", func() {
+	It("sends once, and not at or after the deadline", func() {
 		c := newClaim(baseTime.Add(time.Second))
 		win(c)
 		Expect(c.Send(baseTime.Add(time.Second))).To(BeFalse())
@@ -131,14 +131,14 @@
 		Expect(c.Send(baseTime)).To(BeFalse())
 		Expect(c.GiveUp(problem.DeadlineExceeded)).To(BeEmpty())
 	})
-	It("drops what a dead incarnation granted", func() {
+	It("ignores grants of an earlier incarnation of a holder", func() {
 		c := newClaim(baseTime.Add(time.Second))
 		c.Start()
 		c.Reply(baseTime, Reply{Holder: "a", Incarnation: 1, Verdict: Granted, Round: 1})
 		c.Reply(baseTime, Reply{Holder: "a", Incarnation: 2, Verdict: Forgotten, Round: 1})
 		Expect(c.Reply(baseTime, Reply{Holder: "b", Incarnation: 1, Verdict: Granted, Round: 1})).To(BeEmpty())
 	})
-	DescribeTable("refuses at once when a majority is out of reach",
+	DescribeTable("refuses immediately when a majority is impossible",
 		func(v Verdict, kind problem.Kind, execution problem.Execution) {
 			c := newClaim(baseTime.Add(time.Second))
 			c.Start()
@@ -158,7 +158,7 @@
 		Entry("an old key", KeyTooOld, problem.KeyExpired, problem.MayHaveRun),
 		Entry("an old host list", OldView, problem.NotReady, problem.MayHaveRun),
 	)
-	It("keeps the kind of a claim that is given up for another reason than time", func() {
+	It("reports the given error kind when a claim is given up for a reason other than its deadline", func() {
 		c := newClaim(baseTime.Add(time.Second))
 		c.Start()
 		for _, h := range []string{"a", "b"} {
@@ -181,7 +181,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(l).To(Equal(twoLineages[1]))
 	})
-	It("refuses a lineage that lacks the list in force, or renames it", func() {
+	It("rejects a lineage that lacks the list in force or reuses its epoch", func() {
 		v := NewViews("a", 1, baseTime, Lineage{Current: viewABC}, testPolicy)
 		Expect(v.Adopt(baseTime, Lineage{Current: viewBCD})).To(MatchError(ErrForeignLineage))
 		other := view(1, "x", "y", "z")
@@ -190,14 +190,14 @@
 		Expect(v.Adopt(baseTime, Lineage{Current: viewABC})).To(Succeed())
 		Expect(v.Epoch()).To(Equal(uint64(2)), "a list in force never reverts")
 	})
-	It("retires a list whose hosts have ended, for keys made after that", func() {
+	It("retires a list whose hosts have ended, for keys created after that", func() {
 		ended := view(1, "a", "b", "c")
 		ended.Hosts[0].EndedAt, ended.Hosts[1].EndedAt = baseTime, baseTime
 		v := NewViews("c", 1, baseTime, Lineage{Current: view(2, "c", "d", "e"), Earlier: []View{ended}}, testPolicy)
 		Expect(v.Quorums(keyAt(baseTime.Add(time.Second), 1))).To(HaveLen(2))
 		Expect(v.Quorums(keyAt(baseTime.Add(time.Minute), 1))).To(HaveLen(1))
 	})
-	It("goes by the median of the clocks", func() {
+	It("compares its clock with the median of the peers' clocks", func() {
 		v := NewViews("a", 1, baseTime, Lineage{Current: view(1, "a")}, testPolicy)
 		v.SetClock([]time.Duration{time.Hour, 0, 0})
 		Expect(v.Ready()).To(BeTrue())
--- a/core/claim/steps_test.go
+++ b/core/claim/steps_test.go
@@ -7,56 +7,56 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// steps returns every state that can follow w.
-func (w *systemState) steps() []*systemState {
+// steps returns all successor states of st.
+func (st *systemState) steps() []*systemState {
 	var next []*systemState
 	step := func(f func(*systemState)) {
-		c := w.clone()
+		c := st.clone()
 		f(c)
 		next = append(next, c)
 	}
-	for i := range w.network {
+	for i := range st.network {
 		step(func(c *systemState) { c.deliver(i, false) })
-		if w.duplicates > 0 {
+		if st.duplicates > 0 {
 			step(func(c *systemState) { c.deliver(i, true) })
 		}
 	}
-	for i := range w.attempts {
-		w.attemptSteps(i, step)
+	for i := range st.attempts {
+		st.attemptSteps(i, step)
 	}
-	stable := w.scenario.stableBeforeStart && w.started()
-	if w.restarts > 0 && !stable {
-		for _, n := range w.scenario.restartableNodes {
+	stable := st.scenario.stableBeforeStart && st.started()
+	if st.restarts > 0 && !stable {
+		for _, n := range st.scenario.restartableNodes {
 			step(func(c *systemState) { c.restart(n) })
 		}
 	}
-	for _, n := range w.scenario.adoptingNodes {
-		if !stable && w.nodes[n].views.Epoch() < w.newest().Current.Epoch {
+	for _, n := range st.scenario.adoptingNodes {
+		if !stable && st.nodes[n].views.Epoch() < st.newest().Current.Epoch {
 			step(func(c *systemState) { c.adopt(n) })
 		}
 	}
-	if w.statuses > 0 && !stable {
-		for _, q := range w.scenario.statusQueries {
+	if st.statuses > 0 && !stable {
+		for _, q := range st.scenario.statusQueries {
 			step(func(c *systemState) { c.query(q[0], q[1]) })
 		}
 	}
-	if w.clock+1 < len(w.scenario.times) && (len(w.scenario.adoptingNodes) == 0 || !w.started()) {
+	if st.clock+1 < len(st.scenario.times) && (len(st.scenario.adoptingNodes) == 0 || !st.started()) {
 		step(func(c *systemState) { c.clock++ })
 	}
 	return next
 }
 
-// started says that an attempt has begun. Time stands still from then on in the
-// scenarios about host lists, whose states would be too many.
-func (w *systemState) started() bool {
-	return slices.ContainsFunc(w.attempts, func(a attempt) bool { return a.claim != nil })
+// started reports whether an attempt has started. In scenarios with adopting nodes
+// the clock does not advance from then on, which limits the number of states.
+func (st *systemState) started() bool {
+	return slices.ContainsFunc(st.attempts, func(a attempt) bool { return a.claim != nil })
 }
 
-// attemptSteps are those that attempt i may take on its own.
-func (w *systemState) attemptSteps(i int, step func(func(*systemState))) {
-	a := &w.attempts[i]
+// attemptSteps adds the steps that attempt i can take without receiving a message.
+func (st *systemState) attemptSteps(i int, step func(func(*systemState))) {
+	a := &st.attempts[i]
 	if a.claim == nil {
-		if !a.stopped && w.nodes[w.scenario.ownerNodes[i]].views.Ready() {
+		if !a.stopped && st.nodes[st.scenario.ownerNodes[i]].views.Ready() {
 			step(func(c *systemState) { c.start(i) })
 		}
 		return
@@ -66,165 +66,166 @@
 	}
 	switch a.claim.phase {
 	case acquiring:
-		if w.failures > 0 && (i == 0 || w.scenario.failingHost == "") {
+		if st.failures > 0 && (i == 0 || st.scenario.failingHost == "") {
 			for _, s := range a.claim.holders {
-				if s.unanswered() && (w.scenario.failingHost == "" || w.scenario.failingHost == s.name) {
+				if s.unanswered() && (st.scenario.failingHost == "" || st.scenario.failingHost == s.name) {
 					step(func(c *systemState) { c.fail(i, s.name) })
 				}
 			}
 		}
 	case backingOff:
-		if int(a.claim.round) < w.scenario.rounds[i] {
+		if int(a.claim.round) < st.scenario.rounds[i] {
 			step(func(c *systemState) { c.perform(i, c.writeClaim(i).Timer()) })
 		}
 	case won:
 		step(func(c *systemState) { c.send(i) })
 	case sent:
-		if !a.stored && !w.scenario.skipStore {
+		if !a.stored && !st.scenario.skipStore {
 			step(func(c *systemState) { c.store(i) })
 		}
 	}
-	if w.scenario.canGiveUp[i] && a.claim.phase != ended && (!a.claim.Sent() || w.disabled.sentBeforeRelease) {
+	if st.scenario.canGiveUp[i] && a.claim.phase != ended && (!a.claim.Sent() || st.disabled.sentBeforeRelease) {
 		step(func(c *systemState) { c.perform(i, c.writeClaim(i).GiveUp(problem.DeadlineExceeded)) })
 	}
 }
 
-func (w *systemState) start(i int) {
-	host := w.scenario.ownerNodes[i]
-	v := w.nodes[host].views
+func (st *systemState) start(i int) {
+	host := st.scenario.ownerNodes[i]
+	v := st.nodes[host].views
 	c := New(Config{
-		Key:        w.key(),
-		Owner:      Owner{Host: w.scenario.nodes[host], Incarnation: w.nodes[host].incarnation, Request: string(rune('0' + i))},
-		Digest:     w.scenario.digests[i],
+		Key:        st.key(),
+		Owner:      Owner{Host: st.scenario.nodes[host], Incarnation: st.nodes[host].incarnation, Request: string(rune('0' + i))},
+		Digest:     st.scenario.digests[i],
 		Epoch:      v.Epoch(),
-		Quorums:    v.Quorums(w.key()),
+		Quorums:    v.Quorums(st.key()),
 		Arrived:    baseTime,
 		Deadline:   baseTime.Add(1000 * time.Hour),
 		BackoffMin: time.Millisecond,
 		BackoffMax: time.Second,
 	}, constantRand)
-	c.disabled = w.disabled
-	w.attempts[i].claim = c
-	for j, other := range w.attempts {
-		if other.sent && w.scenario.digests[j] == w.scenario.digests[i] {
-			w.attempts[i].sentBefore = true
+	c.disabled = st.disabled
+	st.attempts[i].claim = c
+	for j, other := range st.attempts {
+		if other.sent && st.scenario.digests[j] == st.scenario.digests[i] {
+			st.attempts[i].sentBefore = true
 		}
 	}
-	if w.scenario.stableBeforeStart {
-		w.fixViews()
+	if st.scenario.stableBeforeStart {
+		st.fixViews()
 	}
-	w.perform(i, c.Start())
+	st.perform(i, c.Start())
 }
 
-// freeze ends all exchange about host lists: what is under way is lost.
-func (w *systemState) fixViews() {
-	w.restarts, w.statuses = 0, 0
-	w.network = slices.DeleteFunc(w.network, func(m message) bool {
+// fixViews ends all exchange about host lists and drops the statuses in flight.
+func (st *systemState) fixViews() {
+	st.restarts, st.statuses = 0, 0
+	st.network = slices.DeleteFunc(st.network, func(m message) bool {
 		_, ok := m.payload.(Status)
 		return ok
 	})
-	for i := range w.nodes {
-		w.nodes[i].viewsFixed, w.nodes[i].viewsHash = true, 0
+	for i := range st.nodes {
+		st.nodes[i].viewsFixed, st.nodes[i].viewsHash = true, 0
 	}
 }
 
-func (w *systemState) fail(i int, holder string) {
-	w.failures--
-	c := w.writeClaim(i)
-	w.perform(i, c.Unreachable(w.now(w.scenario.ownerNodes[i]), holder, c.round))
+func (st *systemState) fail(i int, holder string) {
+	st.failures--
+	c := st.writeClaim(i)
+	st.perform(i, c.Unreachable(st.now(st.scenario.ownerNodes[i]), holder, c.round))
 }
 
-func (w *systemState) send(i int) {
-	if w.writeClaim(i).Send(w.now(w.scenario.ownerNodes[i])) {
-		w.checkSent(i)
+func (st *systemState) send(i int) {
+	if st.writeClaim(i).Send(st.now(st.scenario.ownerNodes[i])) {
+		st.checkSent(i)
 	}
 }
 
-func (w *systemState) store(i int) {
-	w.attempts[i].stored = true
-	w.perform(i, w.writeClaim(i).Store(Record{Result: []byte{byte(i)}}))
+func (st *systemState) store(i int) {
+	st.attempts[i].stored = true
+	st.perform(i, st.writeClaim(i).Store(Record{Result: []byte{byte(i)}}))
 }
 
-// deliver hands message i over; a duplicated one stays on the network.
-func (w *systemState) deliver(i int, duplicate bool) {
-	m := w.network[i]
+// deliver delivers message i. If duplicate is set, the message also remains on the
+// network.
+func (st *systemState) deliver(i int, duplicate bool) {
+	m := st.network[i]
 	if duplicate {
-		w.duplicates--
+		st.duplicates--
 	} else {
-		w.network = append(w.network[:i:i], w.network[i+1:]...)
+		st.network = append(st.network[:i:i], st.network[i+1:]...)
 	}
 	switch p := m.payload.(type) {
 	case Ask:
-		r := w.writeHolder(m.to).Ask(w.env(m.to), p)
-		if w.scenario.atomicCalls[m.owner] && (m.owner != 0 || r.Holder != w.scenario.asyncHolder) {
-			w.answer(m.owner, r)
+		r := st.writeHolder(m.to).Ask(st.env(m.to), p)
+		if st.scenario.atomicCalls[m.attempt] && (m.attempt != 0 || r.Holder != st.scenario.asyncHolder) {
+			st.handleReply(m.attempt, r)
 			return
 		}
-		if !w.attempts[m.owner].stopped {
-			w.enqueue(message{to: m.owner, owner: m.owner, payload: r})
+		if !st.attempts[m.attempt].stopped {
+			st.enqueue(message{to: m.attempt, attempt: m.attempt, payload: r})
 		}
 	case Release:
-		w.writeHolder(m.to).Release(w.env(m.to), p)
+		st.writeHolder(m.to).Release(st.env(m.to), p)
 	case Store:
-		w.writeHolder(m.to).Store(w.env(m.to), p) // Its answer decides nothing here.
+		st.writeHolder(m.to).Store(st.env(m.to), p) // The reply is ignored: it changes no checked state.
 	case Void:
-		r := w.writeHolder(m.to).Void(w.env(m.to), p)
-		if !w.attempts[m.owner].stopped {
-			w.checkVoid(m.owner, r)
+		r := st.writeHolder(m.to).Void(st.env(m.to), p)
+		if !st.attempts[m.attempt].stopped {
+			st.checkVoid(m.attempt, r)
 		}
 	case Reply:
-		w.answer(m.owner, p)
+		st.handleReply(m.attempt, p)
 	case Status:
-		w.writeViews(m.to).Hear(p)
+		st.writeViews(m.to).Hear(p)
 	}
 }
 
-func (w *systemState) answer(i int, r Reply) {
-	if !w.attempts[i].stopped {
-		w.perform(i, w.writeClaim(i).Reply(w.now(w.scenario.ownerNodes[i]), r))
+func (st *systemState) handleReply(i int, r Reply) {
+	if !st.attempts[i].stopped {
+		st.perform(i, st.writeClaim(i).Reply(st.now(st.scenario.ownerNodes[i]), r))
 	}
 }
 
-// restart ends a process and starts the next one, which finds the oldest
-// lineage. Without adopters in the scenario, it catches up at once.
-func (w *systemState) restart(n int) {
-	w.restarts--
-	for i, host := range w.scenario.ownerNodes {
-		if host == n && w.attempts[i].claim != nil {
-			w.attempts[i].stopped = true
+// restart ends a process and starts a new one with the node's start lineage. In a
+// scenario without adopting nodes, the new process syncs immediately.
+func (st *systemState) restart(n int) {
+	st.restarts--
+	for i, host := range st.scenario.ownerNodes {
+		if host == n && st.attempts[i].claim != nil {
+			st.attempts[i].stopped = true
 		}
 	}
-	w.nodes[n].skew = w.scenario.restartSkew
-	w.startNode(n, w.now(n), w.scenario.startLineages[n])
-	if len(w.scenario.adoptingNodes) > 0 {
+	st.nodes[n].skew = st.scenario.restartSkew
+	st.startNode(n, st.now(n), st.scenario.startLineages[n])
+	if len(st.scenario.adoptingNodes) > 0 {
 		return
 	}
-	for i := range w.nodes {
-		w.writeViews(i)
+	for i := range st.nodes {
+		st.writeViews(i)
 	}
-	w.exchangeAll()
-	w.exchangeAll()
+	st.exchangeAll()
+	st.exchangeAll()
 	var offsets []time.Duration
-	for i := range w.nodes {
+	for i := range st.nodes {
 		if i != n {
-			offsets = append(offsets, w.nodes[i].skew-w.nodes[n].skew)
+			offsets = append(offsets, st.nodes[i].skew-st.nodes[n].skew)
 		}
 	}
-	w.nodes[n].views.SetClock(offsets)
+	st.nodes[n].views.SetClock(offsets)
 }
 
-func (w *systemState) newest() Lineage { return w.scenario.lineages[len(w.scenario.lineages)-1] }
+func (st *systemState) newest() Lineage { return st.scenario.lineages[len(st.scenario.lineages)-1] }
 
-func (w *systemState) adopt(n int) {
-	if err := w.writeViews(n).Adopt(w.now(n), w.newest()); err != nil {
-		w.violation = err.Error()
+func (st *systemState) adopt(n int) {
+	if err := st.writeViews(n).Adopt(st.now(n), st.newest()); err != nil {
+		st.violation = err.Error()
 	}
 }
 
-// query has asker send its status to peer, whose answer comes later.
-func (w *systemState) query(asker, peer int) {
-	w.statuses--
-	p := w.writeViews(peer)
-	p.Hear(w.nodes[asker].views.Status())
-	w.enqueue(message{to: asker, payload: p.Status()})
+// query passes the status of asker to peer, whose reply is delivered later.
+func (st *systemState) query(asker, peer int) {
+	st.statuses--
+	p := st.writeViews(peer)
+	p.Hear(st.nodes[asker].views.Status())
+	st.enqueue(message{to: asker, payload: p.Status()})
 }
--- a/core/share/bench_test.go
+++ b/core/share/bench_test.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// The sizes of the target.
+// The number of resources in the benchmarked fleets.
 const (
 	benchCustomers = 410
 	benchPools     = 40
-	// benchWarmIntervals lets the allocators end their abstention and loans settle.
+	// benchWarmupIntervals is long enough for the allocators to start leasing and
+	// for the leases to become stable.
 	benchWarmupIntervals = 14
 )
 
-// traffic counts what each daemon sends and receives.
+// traffic counts the bytes that each daemon sends and receives, and its messages.
 type traffic struct{ sent, received, messages map[string]int }
 
 func newTraffic() traffic { return traffic{map[string]int{}, map[string]int{}, map[string]int{}} }
@@ -31,12 +32,13 @@
 	t.messages[to]++
 }
 
-// BenchmarkFleet runs whole fleets under a virtual clock and reports, for each
-// daemon and second: payload bytes and messages sent, the bytes of the busiest
-// daemon (sent and received), processor time of the machine, and memory. In a
-// quiet fleet demand stays within the equal shares; in a busy one each of 10
-// customers floods one daemon; lent-s is until each of these holds half of its
-// customer's limit, counted in whole seconds.
+// BenchmarkFleet runs whole fleets under a virtual clock. It reports per daemon and
+// second the payload bytes and messages sent and the processor time used; per second
+// the bytes (sent and received) and messages of the busiest daemon; and the memory
+// per daemon. With contended=0 demand stays within the equal shares. With
+// contended=10 each of 10 customers sends all its demand to one daemon; lent-s is the
+// time until each of these daemons has half of its customer's limit, in whole
+// seconds.
 func BenchmarkFleet(b *testing.B) {
 	for _, hosts := range []int{10, 50, 100, 200, 410} {
 		for _, contended := range []int{0, 10} {
@@ -89,7 +91,7 @@
 	b.ReportMetric(spent.Seconds()*1e6/each, "cpu-us/s")
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(hosts)/1024, "KiB/daemon")
 	if !f.allLeased(contended) {
-		b.Fatal("a flooded customer was not lent half of its limit")
+		b.Fatal("a daemon with excess demand did not get a lease of half of its customer's limit")
 	}
 	if contended > 0 {
 		b.ReportMetric(leasedAfter.Seconds(), "lent-s")
@@ -97,7 +99,8 @@
 	runtime.KeepAlive(f)
 }
 
-// lent says that each flooded daemon holds half of its customer's limit.
+// allLeased reports whether each daemon with excess demand has half of its
+// customer's limit.
 func (f *fleet) allLeased(contended int) bool {
 	for i := range contended {
 		if f.share(f.names[i*len(f.names)/10], f.resources[i]) < Full/2 {
@@ -107,8 +110,8 @@
 	return true
 }
 
-// coast plays d in steps of 100 ms without checks; demand is measured each
-// second.
+// runUnchecked advances the clock by d in steps of 100 ms without checks. Demand is
+// set each second.
 func (f *fleet) runUnchecked(d time.Duration) {
 	const step = 100 * time.Millisecond
 	for end, n := f.now+d, 0; f.now < end; n++ {
--- a/core/share/doc.go
+++ b/core/share/doc.go
@@ -36,8 +36,7 @@
 // restarted loses its cap and starts at its equal share. That exceeds the limit by
 // at most 1/hosts of the limit for each restart, for at most LeaseDuration after the
 // first report of the new process reaches the allocator, and for at most CapDuration
-// in any case.
-// While a changed host list is rolled out, daemons divide by the old or the new
-// number of hosts. That exceeds the limit by at most
-// |difference| / smaller number of hosts of the limit.
+// in any case. While a changed host list is rolled out, daemons divide by the old or
+// the new number of hosts. That exceeds the limit by at most the fraction
+// |difference| / smaller number of hosts.
 package share
--- a/core/share/fleet_test.go
+++ b/core/share/fleet_test.go
@@ -11,8 +11,8 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// fleet runs many Machines in one process under a virtual clock. Each has a
-// clock of its own, apart by days and running at a rate of its own.
+// fleet runs many Machines in one process under a virtual clock. The clock of each
+// node has its own rate and an offset of up to two days.
 type fleet struct {
 	rng       *rand.Rand
 	now       time.Duration
@@ -24,7 +24,8 @@
 
 	loss     float64
 	maxDelay time.Duration
-	// side splits the fleet: messages pass only between equal sides.
+	// partition is the network partition of each node. Messages are delivered only
+	// within a partition.
 	partition map[string]int
 
 	messages, bytes int
@@ -37,7 +38,7 @@
 	offset  time.Duration
 	rate    float64
 	demand  map[Resource]float64
-	// pausedUntil is when a stopped process goes on.
+	// pausedUntil is when a paused process resumes.
 	pausedUntil time.Duration
 	starts      uint64
 }
@@ -85,7 +86,7 @@
 	return f
 }
 
-// restart replaces the daemon by one that remembers nothing.
+// restart replaces the daemon by a new process without any state.
 func (f *fleet) restart(name string) {
 	n := f.nodes[name]
 	n.starts++
@@ -94,7 +95,7 @@
 	n.machine.Step(f.clock(name), HostsChanged{f.names, f.resources})
 }
 
-// clock returns the time as a daemon sees it.
+// clock returns the time by a daemon's own clock.
 func (f *fleet) clock(name string) time.Time {
 	n := f.nodes[name]
 	return testEpoch.Add(n.offset + time.Duration(float64(f.now)*n.rate))
@@ -153,8 +154,8 @@
 	return e
 }
 
-// run plays d in steps of 50 ms and calls check after each, and after each
-// message.
+// run advances the clock by d in steps of 50 ms. It calls check after each step and
+// after each message.
 func (f *fleet) run(d time.Duration, check func()) {
 	const step = 50 * time.Millisecond
 	for end := f.now + d; f.now < end; {
@@ -182,8 +183,8 @@
 	}
 }
 
-// share returns what a daemon would use now. A paused daemon uses nothing, but
-// its snapshot is read when it wakes.
+// share returns a daemon's current share. It includes paused daemons, which use
+// nothing now but read their snapshot when they resume.
 func (f *fleet) share(name string, r Resource) int64 {
 	now := f.clock(name)
 	return f.nodes[name].machine.View(now).Millionths(now, r)
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -16,8 +16,8 @@
 	return out
 }
 
-// watch returns a check that no sum of shares ever exceeds Full plus slack,
-// and the highest sum seen.
+// checkSums returns a check that no sum of shares exceeds Full plus allowedExcess,
+// and the highest sum that the check has seen.
 func checkSums(f *fleet, allowedExcess func() int64) (func(), *int64) {
 	highestSum := new(int64)
 	return func() {
@@ -25,7 +25,7 @@
 			sum := f.sum(r)
 			*highestSum = max(*highestSum, sum)
 			if limit := Full + allowedExcess(); sum > limit {
-				Fail(fmt.Sprintf("at %v the shares of %v sum to %d, the bound is %d", f.now, r, sum, limit))
+				Fail(fmt.Sprintf("at %v the sum of the shares of %v is %d, above the limit %d", f.now, r, sum, limit))
 			}
 		}
 	}, highestSum
@@ -33,8 +33,8 @@
 
 func noExcess() int64 { return 0 }
 
-var _ = Describe("the shares of a fleet", func() {
-	It("are equal and keep the limit before anybody is heard", func() {
+var _ = Describe("shares of a fleet", func() {
+	It("are equal and within the limit while no message arrives", func() {
 		f := newFleet(7, customersOf(1), 1)
 		f.loss = 1
 		f.nodes[f.names[0]].demand[f.resources[0]] = 2
@@ -45,7 +45,7 @@
 		}
 	})
 
-	It("follow demand within seconds and return what was lent", func() {
+	It("follow demand within seconds and return leased capacity", func() {
 		f := newFleet(7, customersOf(1), 2)
 		r := f.resources[0]
 		check, _ := checkSums(f, noExcess)
@@ -55,12 +55,12 @@
 		leasedAfter := f.until(func() bool { return f.share(heavy, r) >= 700_000 }, check)
 		f.nodes[idle].demand[r] = 0.1
 		returnedAfter := f.until(func() bool { return f.share(idle, r) >= 100_000 }, check)
-		AddReportEntry("convergence", fmt.Sprintf("lent in %v, returned in %v", leasedAfter, returnedAfter))
+		AddReportEntry("convergence", fmt.Sprintf("leased in %v, returned in %v", leasedAfter, returnedAfter))
 		Expect(leasedAfter).To(BeNumerically("<=", 2*time.Second))
 		Expect(returnedAfter).To(BeNumerically("<=", 2*time.Second))
 	})
 
-	It("keep at least the equal share of whoever wants it", func() {
+	It("are at least the equal share for each daemon that wants it", func() {
 		f := newFleet(7, customersOf(1), 3)
 		r := f.resources[0]
 		for _, n := range f.names {
@@ -74,7 +74,7 @@
 		}
 	})
 
-	It("lend on each side of a partition without exceeding the limit together", func() {
+	It("are leased in each partition without exceeding the limit in total", func() {
 		f := newFleet(7, customersOf(5), 4)
 		for i, r := range f.resources {
 			f.nodes[f.names[i]].demand[r] = 2
@@ -85,14 +85,14 @@
 			f.partition[n] = i % 2
 		}
 		f.run(30*time.Second, check)
-		Expect(*highestSum).To(BeNumerically(">", Full*8/10), "nothing was lent")
+		Expect(*highestSum).To(BeNumerically(">", Full*8/10), "no capacity was leased")
 		for _, n := range f.names[:5] {
 			f.step(n, LiveChanged{f.reachable(n)})
 		}
 		f.run(30*time.Second, check)
 	})
 
-	DescribeTable("never exceed the limit under delay, loss, reordering, partition and pauses",
+	DescribeTable("never exceed the limit under delay, loss, reordering, partitions and pauses",
 		func(seed uint64) {
 			f := newFleet(9, customersOf(4), seed)
 			check, highestSum := checkSums(f, noExcess)
@@ -100,17 +100,18 @@
 				f.injectFaults()
 				f.run(time.Duration(200+f.rng.IntN(4000))*time.Millisecond, check)
 			}
-			Expect(*highestSum).To(BeNumerically(">", Full*7/10), "nothing was lent")
+			Expect(*highestSum).To(BeNumerically(">", Full*7/10), "no capacity was leased")
 		},
 		Entry(nil, uint64(11)), Entry(nil, uint64(12)), Entry(nil, uint64(13)),
-		// These two fail when a report counts while an answer is on its way.
+		// These seeds fail if a reported share counts while a reply to the daemon is
+		// still in flight.
 		Entry(nil, uint64(1019)), Entry(nil, uint64(1041)),
-		// These two showed that an answer which is dropped as out of order must
-		// not be taken for adopted.
+		// These seeds fail if the allocator treats a reply as applied that the daemon
+		// dropped because it arrived out of order.
 		Entry(nil, uint64(1029)), Entry(nil, uint64(1159)),
 	)
 
-	It("exceed the limit by an equal share at most for each restart, and not for long", func() {
+	It("exceed the limit by at most one equal share per restart, for a bounded time", func() {
 		f := newFleet(9, customersOf(2), 21)
 		var restarts []time.Duration
 		allowedExcess := func() int64 {
@@ -131,7 +132,7 @@
 		}
 	})
 
-	It("keep the limit while clocks run at different rates and only the allocator is heard", func() {
+	It("stay within the limit while clocks run at different rates and only the allocator is reachable", func() {
 		f := newFleet(7, customersOf(1), 31)
 		r := f.resources[0]
 		allocator := f.allocator(r)
@@ -156,10 +157,10 @@
 				f.partition[n] = 0
 			}
 		}
-		Expect(*highestSum).To(BeNumerically(">", Full*9/10), "nothing was lent")
+		Expect(*highestSum).To(BeNumerically(">", Full*9/10), "no capacity was leased")
 	})
 
-	It("leave a margin for clock rates on both ends of a loan and a cession", func() {
+	It("include a margin for clock drift in the durations of leases and caps", func() {
 		f := newFleet(7, customersOf(1), 33)
 		r := f.resources[0]
 		heavy, idle := f.names[0], f.names[1]
@@ -170,12 +171,12 @@
 		Expect(heavyShare.leaseUntil.Sub(f.clock(heavy))).To(BeNumerically("<=", cfg.LeaseDuration*19/20))
 		capped := f.nodes[idle].machine
 		capped.localShares[r.ID()].reportDue = f.clock(idle)
-		f.step(idle, TimerFired{}) // renews the cession
+		f.step(idle, TimerFired{}) // Sends a report, which extends the cap.
 		capDuration := capped.localShares[r.ID()].capUntil.Sub(capped.newestReplies[f.allocator(r)].receivedAt)
 		Expect(capDuration).To(BeNumerically(">=", cfg.CapDuration*21/20))
 	})
 
-	It("keep the limit but for the allocator's own share when an allocator is restarted", func() {
+	It("exceed the limit by at most what a restarted allocator itself had given up", func() {
 		f := newFleet(7, customersOf(1), 32)
 		r := f.resources[0]
 		allocator := f.allocator(r)
@@ -185,7 +186,8 @@
 				others = append(others, n)
 			}
 		}
-		// The restarted daemon forgets its own cession, the loans it made not.
+		// The restarted daemon loses its own cap. It grants no leases until those of
+		// its earlier process have ended.
 		check, _ := checkSums(f, func() int64 { return Full / 7 * (minShareDivisor - 1) / minShareDivisor })
 		for round := range 12 {
 			before, after := others[round%6], others[(round+1)%6]
@@ -201,7 +203,7 @@
 		}
 	})
 
-	It("ignore messages that are malformed or about another host list", func() {
+	It("are not changed by messages that are malformed or refer to another host list", func() {
 		f := newFleet(3, customersOf(1), 5)
 		f.run(10*time.Second, func() {})
 		other := newFleet(4, customersOf(1), 6)
@@ -219,8 +221,8 @@
 	})
 })
 
-// until runs the fleet until ok holds, a minute at most, and returns how long
-// that took.
+// until runs the fleet until ok returns true, for at most a minute, and returns the
+// time that took.
 func (f *fleet) until(ok func() bool, check func()) time.Duration {
 	start := f.now
 	for !ok() && f.now-start < time.Minute {
@@ -229,7 +231,7 @@
 	return f.now - start
 }
 
-// allocator returns the allocator of r when all hosts are alive.
+// allocator returns the allocator of r while all hosts are alive.
 func (f *fleet) allocator(r Resource) string {
 	return f.nodes[f.names[0]].machine.allocatorOf(r.ID())
 }
@@ -244,7 +246,7 @@
 	return out
 }
 
-// disturb changes demand, the network and who runs, at random.
+// injectFaults changes demand and the network and pauses daemons, at random.
 func (f *fleet) injectFaults() {
 	name := f.names[f.rng.IntN(len(f.names))]
 	r := f.resources[f.rng.IntN(len(f.resources))]
