--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -121,7 +121,7 @@
 }
 
 // verdictPriority lists the verdicts of failed rounds, the most specific first.
-var verdictPriority = []Verdict{Voided, Forgotten, KeyTooOld, KeyTooNew, Full, OldView, NotReady}
+var verdictPriority = []Verdict{Voided, HolderRestarted, KeyTooOld, KeyTooNew, Full, OldView, NotReady}
 
 // failureVerdict returns the verdict that best explains why the round failed; 0 if
 // the holders were unreachable.
@@ -139,7 +139,7 @@
 	switch v {
 	case Voided:
 		return problem.InProgress
-	case Forgotten:
+	case HolderRestarted:
 		return problem.OutcomeUnknown
 	case KeyTooOld:
 		return problem.KeyExpired
--- a/core/claim/holder.go
+++ b/core/claim/holder.go
@@ -113,7 +113,7 @@
 	case h.policy.tooNew(env.Now, a.Key) && !h.disabled.keyTooNew:
 		return KeyTooNew
 	case h.mayBeGrantedBeforeRestart(a.Key):
-		return Forgotten
+		return HolderRestarted
 	case e.alreadyReleased(a):
 		return Superseded
 	case e.isVoided(a.Arrived) && !h.disabled.voidedAttempts:
@@ -227,9 +227,9 @@
 	case h.policy.tooOld(env.Now, k):
 		r.Verdict = KeyTooOld
 	case h.mayBeGrantedBeforeRestart(k):
-		r.Verdict = Forgotten
+		r.Verdict = HolderRestarted
 	default:
-		r.Verdict = None
+		r.Verdict = NoOwner
 	}
 	return r
 }
--- a/core/claim/holder_test.go
+++ b/core/claim/holder_test.go
@@ -135,7 +135,7 @@
 		c := newClaim(baseTime.Add(time.Second))
 		c.Start()
 		c.Reply(baseTime, Reply{Holder: "a", Incarnation: 1, Verdict: Granted, Round: 1})
-		c.Reply(baseTime, Reply{Holder: "a", Incarnation: 2, Verdict: Forgotten, Round: 1})
+		c.Reply(baseTime, Reply{Holder: "a", Incarnation: 2, Verdict: HolderRestarted, Round: 1})
 		Expect(c.Reply(baseTime, Reply{Holder: "b", Incarnation: 1, Verdict: Granted, Round: 1})).To(BeEmpty())
 	})
 	DescribeTable("refuses immediately when a majority is impossible",
@@ -153,7 +153,7 @@
 			Expect(last).To(ContainElement(Refuse{Kind: kind, Execution: execution, Verdict: v}))
 		},
 		Entry("unreachable", Verdict(0), problem.NoMajority, problem.MayHaveRun),
-		Entry("restarted holders", Forgotten, problem.OutcomeUnknown, problem.MayHaveRun),
+		Entry("restarted holders", HolderRestarted, problem.OutcomeUnknown, problem.MayHaveRun),
 		Entry("full holders", Full, problem.Overloaded, problem.NotRun),
 		Entry("an old key", KeyTooOld, problem.KeyExpired, problem.MayHaveRun),
 		Entry("an old host list", OldView, problem.NotReady, problem.MayHaveRun),
@@ -183,7 +183,7 @@
 	})
 	It("rejects a lineage that lacks the list in force or reuses its epoch", func() {
 		v := NewViews("a", 1, baseTime, Lineage{Current: viewABC}, testPolicy)
-		Expect(v.Adopt(baseTime, Lineage{Current: viewBCD})).To(MatchError(ErrForeignLineage))
+		Expect(v.Adopt(baseTime, Lineage{Current: viewBCD})).To(MatchError(ErrCurrentListMissing))
 		other := view(1, "x", "y", "z")
 		Expect(v.Adopt(baseTime, Lineage{Current: other})).To(MatchError(ErrEpochReused))
 		Expect(v.Adopt(baseTime, twoLineages[1])).To(Succeed())
--- a/core/claim/messages.go
+++ b/core/claim/messages.go
@@ -12,9 +12,9 @@
 	// Taken reports that another owner has the key, or that its result is
 	// recorded.
 	Taken
-	// Forgotten reports that the holder has restarted and may have granted the
+	// HolderRestarted reports that the holder has restarted and may have granted the
 	// key before, so it neither grants nor denies it.
-	Forgotten
+	HolderRestarted
 	// KeyTooOld and KeyTooNew refuse a key because of its creation time.
 	KeyTooOld
 	KeyTooNew
@@ -32,8 +32,8 @@
 	Superseded
 	// Recorded acknowledges a Store.
 	Recorded
-	// None replies to a lookup that the holder knows of no owner of the key.
-	None
+	// NoOwner replies to a lookup that the holder knows of no owner of the key.
+	NoOwner
 	// Voided refuses an attempt that arrived no later than one which was refused
 	// as not run. It also acknowledges a Void.
 	Voided
--- a/core/claim/views.go
+++ b/core/claim/views.go
@@ -10,9 +10,9 @@
 
 // Errors of Views.Adopt.
 var (
-	// ErrForeignLineage rejects a lineage that lacks the host list in force:
+	// ErrCurrentListMissing rejects a lineage that lacks the host list in force:
 	// adopting it could lead to two separate majorities for one key.
-	ErrForeignLineage = errors.New("lineage lacks the host list in force")
+	ErrCurrentListMissing = errors.New("lineage lacks the host list in force")
 	// ErrEpochReused rejects a lineage that gives the epoch in force to a
 	// different host list.
 	ErrEpochReused = errors.New("epoch in force belongs to a different host list")
@@ -112,7 +112,7 @@
 	}
 	same, ok := l.find(inForce.Epoch)
 	if !ok {
-		return fmt.Errorf("%w: epoch %d, in force %d", ErrForeignLineage, l.Current.Epoch, inForce.Epoch)
+		return fmt.Errorf("%w: epoch %d, in force %d", ErrCurrentListMissing, l.Current.Epoch, inForce.Epoch)
 	}
 	if !same.sameHosts(inForce) {
 		return fmt.Errorf("%w: epoch %d", ErrEpochReused, inForce.Epoch)
--- a/core/share/config.go
+++ b/core/share/config.go
@@ -37,7 +37,7 @@
 	// others.
 	uncontendedIntervals  = 60
 	defaultReportRequests = 100
-	// driftDivisor bounds the difference in rate of two clocks: 1/driftDivisor.
+	// driftDivisor defines the maximum difference in rate of two clocks: 1 in 20.
 	driftDivisor = 20
 )
 
--- a/core/share/machine.go
+++ b/core/share/machine.go
@@ -52,7 +52,8 @@
 func (ReplyReceived) event()  {}
 func (TimerFired) event()     {}
 
-// Action is one output of a Machine. Delivery of the messages is not required.
+// Action is one output of a Machine: a message to send. The protocol tolerates the
+// loss of any message.
 type Action interface{ action() }
 
 // SendReport sends a report to an allocator.
