--- a/core/claim/disabled_checks.go
+++ b/core/claim/disabled_checks.go
@@ -15,7 +15,7 @@
 	replyRound        bool // an owner counts grants of rounds that it released
 	sentBeforeRelease bool // an owner releases after it sent the request
 	endedBeforeSend   bool // an owner sends after its claim was refused
-	notRunMajority    bool // an owner reports not_run without a majority of holders that rule out a send
+	notRunMajority    bool // an owner reports not_run without a majority that rules out a send
 	digestMatch       bool // an owner returns a result with another digest
 	earlierViews      bool // an owner does not ask the holders of earlier host lists
 	ackMajority       bool // an earlier list retires on a single acknowledgement
