--- a/core/member/bench_test.go
+++ b/core/member/bench_test.go
@@ -17,7 +17,7 @@
 	benchDirectBytes = 512
 	benchFleetBytes  = 32
 	benchWarmUp      = 5 * time.Minute
-	benchSteady      = 60 * time.Second
+	benchDuration    = 60 * time.Second
 	benchLimit       = 5 * time.Minute
 )
 
@@ -25,21 +25,21 @@
 func benchFleet(n int, seed uint64) *fleet {
 	f := newFleet(n, benchDomains, seed, func(c *Config) {
 		c.Extensions = []Extension{
-			{ID: slotTest, MaxBytes: benchDirectBytes}, {ID: slotFleet, MaxBytes: benchFleetBytes, Fleet: true},
+			{ID: directTestSlot, MaxBytes: benchDirectBytes}, {ID: fleetTestSlot, MaxBytes: benchFleetBytes, Fleet: true},
 		}
 	})
-	f.wireCopy = true
+	f.encodeMessages = true
 	for _, name := range f.names {
-		f.step(name, SetSlot{ID: slotTest, Value: make([]byte, benchDirectBytes)})
-		f.step(name, SetSlot{ID: slotFleet, Value: make([]byte, benchFleetBytes)})
+		f.step(name, SetSlot{ID: directTestSlot, Value: make([]byte, benchDirectBytes)})
+		f.step(name, SetSlot{ID: fleetTestSlot, Value: make([]byte, benchFleetBytes)})
 	}
 	f.run(benchWarmUp)
-	f.reset()
+	f.resetCounters()
 	return f
 }
 
 // perDaemon sums over the running daemons.
-func (f *fleet) perDaemon(of func(*node) float64) (mean, worst float64) {
+func (f *fleet) perDaemon(value func(*node) float64) (mean, worst float64) {
 	count := 0
 	for _, name := range f.names {
 		n := f.nodes[name]
@@ -47,8 +47,8 @@
 			continue
 		}
 		count++
-		mean += of(n)
-		worst = max(worst, of(n))
+		mean += value(n)
+		worst = max(worst, value(n))
 	}
 	return mean / float64(count), worst
 }
@@ -65,11 +65,11 @@
 				f := benchFleet(n, 1)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
-				f.run(benchSteady)
-				seconds := benchSteady.Seconds()
+				f.run(benchDuration)
+				seconds := benchDuration.Seconds()
 				mean, worst := f.perDaemon(func(n *node) float64 { return float64(n.bytes) / seconds })
 				messages, _ := f.perDaemon(func(n *node) float64 { return float64(n.messages) / seconds })
-				cpu, _ := f.perDaemon(func(n *node) float64 { return n.spent.Seconds() / seconds })
+				cpu, _ := f.perDaemon(func(n *node) float64 { return n.cpuTime.Seconds() / seconds })
 				b.ReportMetric(mean, "B/s")
 				b.ReportMetric(worst, "worst-B/s")
 				b.ReportMetric(messages, "msgs-sent/s")
@@ -115,15 +115,15 @@
 		gone[name] = lost(i)
 	}
 	if cut {
-		f.cut = func(from, to string) bool { return gone[from] != gone[to] }
+		f.dropped = func(from, to string) bool { return gone[from] != gone[to] }
 	} else {
-		for name, g := range gone {
-			f.nodes[name].up = !g
+		for name, isGone := range gone {
+			f.nodes[name].up = !isGone
 		}
 	}
-	apart := func(name string, m *node) bool {
+	agrees := func(name string, m *node) bool {
 		for other, g := range gone {
-			if want := g != gone[name]; (m.m.believed(other) == Dead) != want {
+			if want := g != gone[name]; (m.machine.stateOfHost(other) == Dead) != want {
 				return false
 			}
 		}
@@ -131,35 +131,35 @@
 	}
 	settled := func() bool {
 		for _, name := range f.names {
-			if m := f.nodes[name]; m.up && !apart(name, m) {
+			if m := f.nodes[name]; m.up && !agrees(name, m) {
 				return false
 			}
 		}
 		return true
 	}
-	first, whole, peak := f.watch(settled, func() bool { return f.anyDead(gone) })
+	first, everywhere, peak := f.measureTransition(settled, func() bool { return f.anyDeclaredDead(gone) })
 	b.ReportMetric(first.Seconds(), "s-first")
-	b.ReportMetric(whole.Seconds(), "s-everywhere")
+	b.ReportMetric(everywhere.Seconds(), "s-everywhere")
 	b.ReportMetric(peak, "peak-B/s")
 	b.ReportMetric(0, "ns/op")
 	if !cut {
 		return
 	}
-	f.cut = func(string, string) bool { return false }
-	_, healed, healPeak := f.watch(f.each(func(m *node) bool { return m.m.Living() == n }), func() bool { return true })
+	f.dropped = func(string, string) bool { return false }
+	_, healed, healPeak := f.measureTransition(f.onAllNodes(func(m *node) bool { return m.machine.Living() == n }), func() bool { return true })
 	b.ReportMetric(healed.Seconds(), "s-healed")
 	b.ReportMetric(healPeak, "heal-peak-B/s")
 }
 
 // anyDead says whether some running daemon believes one of those dead.
-func (f *fleet) anyDead(gone map[string]bool) bool {
+func (f *fleet) anyDeclaredDead(gone map[string]bool) bool {
 	for _, name := range f.names {
 		m := f.nodes[name]
 		if !m.up || gone[name] {
 			continue
 		}
 		for other, g := range gone {
-			if g && m.m.believed(other) == Dead {
+			if g && m.machine.stateOfHost(other) == Dead {
 				return true
 			}
 		}
@@ -169,10 +169,10 @@
 
 // watch runs until settled and returns when started and settled first held,
 // and the highest mean of bytes a second of a daemon over any second.
-func (f *fleet) watch(settled, started func() bool) (first, whole time.Duration, peak float64) {
+func (f *fleet) measureTransition(settled, started func() bool) (first, everywhere time.Duration, peak float64) {
 	begin := f.now
 	for f.now.Sub(begin) < benchLimit {
-		f.reset()
+		f.resetCounters()
 		f.run(time.Second)
 		mean, _ := f.perDaemon(func(n *node) float64 { return float64(n.bytes) })
 		peak = max(peak, mean)
--- a/core/member/clock.go
+++ b/core/member/clock.go
@@ -5,41 +5,43 @@
 	"time"
 )
 
-// Samples of the peers' clocks are used for this long, and only when the
-// round trip bounds their error well.
+// A sample of a peer's clock is used for maxClockSampleAge. Samples with a
+// round trip above maxClockRoundTrip are discarded, because half the round trip
+// bounds their error.
 const (
-	clockSampleAge = 60 * time.Second
-	clockMaxTrip   = time.Second
+	maxClockSampleAge = 60 * time.Second
+	maxClockRoundTrip = time.Second
 )
 
-// clockSample is one peer's clock against ours.
+// clockSample is the offset of one peer's clock from the local clock.
 type clockSample struct {
 	offset time.Duration
 	at     time.Time
 }
 
-// clock estimates how far this host's wall clock is from its peers'.
-type clock struct {
+// clockEstimator estimates the offset of the peers' wall clocks from the local
+// one.
+type clockEstimator struct {
 	samples map[string]clockSample
 	skewed  bool
 }
 
-// add takes a peer's wall time that was read between sent and now.
-func (c *clock) add(host string, wallUnixMS int64, sent, now time.Time) {
-	trip := now.Sub(sent)
-	if trip > clockMaxTrip || wallUnixMS == 0 {
+// add records a peer's wall time, which the peer read between sent and now.
+func (c *clockEstimator) add(host string, wallUnixMS int64, sent, now time.Time) {
+	roundTrip := now.Sub(sent)
+	if roundTrip > maxClockRoundTrip || wallUnixMS == 0 {
 		return
 	}
-	middle := sent.Add(trip / 2).UnixMilli()
-	c.samples[host] = clockSample{time.Duration(wallUnixMS-middle) * time.Millisecond, now}
+	midpoint := sent.Add(roundTrip / 2).UnixMilli()
+	c.samples[host] = clockSample{time.Duration(wallUnixMS-midpoint) * time.Millisecond, now}
 }
 
-// offset returns the median of the peers' clocks minus ours, and the number
-// of peers that it rests on.
-func (c *clock) offset(now time.Time) (time.Duration, int) {
+// offset returns the median of the peers' clocks minus the local clock, and the
+// number of peers it is computed from.
+func (c *clockEstimator) offset(now time.Time) (time.Duration, int) {
 	offsets := make([]time.Duration, 0, len(c.samples))
 	for host, s := range c.samples {
-		if now.Sub(s.at) > clockSampleAge {
+		if now.Sub(s.at) > maxClockSampleAge {
 			delete(c.samples, host)
 			continue
 		}
@@ -50,12 +52,13 @@
 	}
 	slices.Sort(offsets)
 	n := len(offsets)
-	// The mean of the middle two, which are one for an odd count.
+	// The mean of the two middle values, which coincide for an odd count.
 	return (offsets[(n-1)/2] + offsets[n/2]) / 2, n
 }
 
-// check re-evaluates the skew and reports whether the verdict changed.
-func (c *clock) check(now time.Time, limit time.Duration) (SkewChanged, bool) {
+// updateSkew compares the offset with limit and reports whether the host became
+// skewed or stopped being skewed.
+func (c *clockEstimator) updateSkew(now time.Time, limit time.Duration) (SkewChanged, bool) {
 	offset, _ := c.offset(now)
 	skewed := offset.Abs() > limit
 	changed := skewed != c.skewed
--- a/core/member/event.go
+++ b/core/member/event.go
@@ -8,36 +8,36 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// Event is something that happened; see Machine.Step.
+// Event is an input of Machine.Step.
 type Event interface{ isEvent() }
 
-// Tick tells the machine the time; it is due every TickInterval.
+// Tick advances the machine's time. The caller passes one every TickInterval.
 type Tick struct{}
 
 // TickInterval is the time between two Tick events.
 const TickInterval = 100 * time.Millisecond
 
-// Received is a message from a fellow daemon: any message type of
+// Received is a message from another daemon, of any message type in
 // wire/member.proto. A *wire.MemberPing is answered by exactly one Send of a
-// *wire.MemberAck of the same seq, a *wire.MemberSync by one Send of a
-// *wire.MemberSyncReply, both to the sender.
+// *wire.MemberAck with the same seq, a *wire.MemberSync by one Send of a
+// *wire.MemberSyncReply; both go to the sender.
 type Received struct {
 	From string
 	Msg  proto.Message
 }
 
-// Failed says that a sent message did not reach its host.
+// Failed reports that a sent message did not reach its host.
 type Failed struct {
 	To  string
 	Msg proto.Message
 }
 
-// Configured replaces the hosts of the fleet, and the upstreams that may be
-// marked as leaving (nil allows every name).
+// Configured replaces the hosts of the fleet, and the names of the upstreams
+// that may be marked as leaving (nil allows every name).
 type Configured struct {
 	Hosts     []Host
 	Upstreams []string
-	// MaxClockSkew replaces the one of Config unless it is 0.
+	// MaxClockSkew replaces Config.MaxClockSkew unless it is 0.
 	MaxClockSkew time.Duration
 }
 
@@ -47,28 +47,28 @@
 	Leaving bool
 }
 
-// HostList is the platform's host list.
+// HostList is the host list served by the platform.
 type HostList struct {
 	AsOfUnixMS int64
 	Upstreams  []ListedUpstream
 }
 
-// UpstreamReported is an upstream's own word on whether it leaves.
+// UpstreamReported is an upstream's own report on whether it is leaving.
 type UpstreamReported struct {
 	Name       string
 	Leaving    bool
 	AsOfUnixMS int64
 }
 
-// Leave announces that this host drains.
+// Leave marks this host as draining and announces it to the fleet.
 type Leave struct{}
 
-// Paused says that the process stood still; long gaps between ticks are
-// noticed without it.
+// Paused reports that the process did not run for a while. Long gaps between
+// ticks are detected without this event.
 type Paused struct{ For time.Duration }
 
-// SetSlot replaces this host's value of an extension. Urgent news is pushed to
-// some neighbours at once instead of waiting for the next probe.
+// SetSlot replaces this host's value of a slot. An urgent value is sent to some
+// neighbours at once instead of with the next probe.
 type SetSlot struct {
 	ID     SlotID
 	Value  []byte
@@ -85,7 +85,8 @@
 func (Paused) isEvent()           {}
 func (SetSlot) isEvent()          {}
 
-// Action is something for the caller to do or to know.
+// Action is an output of Machine.Step that the caller carries out or takes note
+// of.
 type Action interface{ isAction() }
 
 // Send asks for a message to be sent to a host.
@@ -94,43 +95,47 @@
 	Msg proto.Message
 }
 
-// Changed says that the belief about a host changed.
+// Changed reports a change in this daemon's view of a host.
 type Changed struct{ Member Member }
 
-// SlotHeard hands over another host's value of an extension.
+// SlotHeard delivers another host's value of a slot.
 type SlotHeard struct {
 	ID          SlotID
 	Host        string
 	Incarnation uint64
 	Value       []byte
-	// Solicited says that the value rode on the answer to a ping that was
-	// sent since the last start or pause: it is no older than that.
+	// Solicited reports that the value came with the ack of a ping that this
+	// daemon sent since its last start or pause, so the value is no older than
+	// that.
 	Solicited bool
-	// SentUnixMS is the sender's clock when it sent a direct value; 0 for
-	// fleet values.
+	// SentUnixMS is the sender's clock when it sent the value of a direct slot,
+	// in Unix milliseconds; 0 for fleet-wide slots.
 	SentUnixMS int64
 }
 
-// UpstreamChanged says that an upstream leaves or is back.
+// UpstreamChanged reports that an upstream is leaving or has returned.
 type UpstreamChanged struct {
 	Name    string
 	Leaving bool
 }
 
-// Freshness says whether the views are renewed (after a start or a pause).
+// Freshness reports whether the membership view is fresh. It is stale after a
+// start or a pause until a majority of the live neighbours has answered.
 type Freshness struct{ Fresh bool }
 
-// SkewChanged says that this host's clock left or rejoined the peers' median.
+// SkewChanged reports that this host's clock came to differ from the peers'
+// median by more than MaxClockSkew, or no longer does.
 type SkewChanged struct {
 	Skewed bool
 	Offset time.Duration
 }
 
-// Superseded says that a later process of this host's name lives. This one
-// must stop serving.
+// Superseded reports that a later process runs under this host's name; By is its
+// incarnation. This process must stop serving.
 type Superseded struct{ By uint64 }
 
-// Refused says that an event or message broke a bound and was dropped.
+// Refused reports that an event or message was invalid or exceeded a limit and
+// was dropped.
 type Refused struct {
 	From   string
 	Reason string
@@ -145,50 +150,50 @@
 func (Superseded) isAction()      {}
 func (Refused) isAction()         {}
 
-// State is what is believed of a host.
+// State is this daemon's view of a host.
 type State uint8
 
-// The states.
+// The states of a host.
 const (
-	// Unknown hosts were not heard of since the start.
+	// Unknown means that nothing has been received about the host since the start.
 	Unknown State = iota
 	Alive
 	Suspect
 	Dead
-	// Leaving hosts are alive and take no new requests.
+	// Leaving hosts are alive but take no new requests.
 	Leaving
 )
 
 var stateNames = [...]string{"unknown", "alive", "suspect", "dead", "leaving"}
 
-// String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
-// Member is the belief about one host.
+// Member is this daemon's view of one host.
 type Member struct {
 	Host        Host
 	Incarnation uint64
 	State       State
 	// Since is when State was entered.
 	Since time.Time
-	// Heard is when the host last spoke to us itself; zero if never.
+	// Heard is when the last ping or ack from the host itself arrived; zero if
+	// none did.
 	Heard time.Time
-	// Neighbour says that we probe the host.
+	// Neighbour reports whether this daemon probes the host.
 	Neighbour bool
 }
 
-// Living says that the host is believed to live: a suspect counts until it is
-// held dead.
+// Living reports whether the host is alive or suspect. A suspect host counts as
+// live until it is declared dead.
 func (m Member) Living() bool { return m.State == Alive || m.State == Suspect }
 
-// Stats counts what a Machine did since its start.
+// Stats holds a Machine's event counts since its start.
 type Stats struct {
 	Probes, ProbesFailed, IndirectProbes uint64
 	Suspicions, Deaths, Refutations      uint64
 	Pushes, Syncs, Pauses                uint64
 }
 
-// stateOf maps a record to a State.
+// stateOf converts the state and the leaving flag of a record to a State.
 func stateOf(s wire.MemberState, leaving bool) State {
 	switch s {
 	case wire.MemberState_MEMBER_ALIVE:
--- a/core/member/health.go
+++ b/core/member/health.go
@@ -2,61 +2,65 @@
 
 import "time"
 
-// maxHealthScore bounds the local health score; timeouts grow by one plus it.
+// maxHealthScore bounds the local health score. Timeouts are multiplied by one
+// plus the score.
 const maxHealthScore = 3
 
-// recentProbes is the number of probes that tell a slow prober from slow
-// targets.
-const recentProbes = 8
+// healthWindow is the number of recent probes used to tell a slow local process
+// from slow targets.
+const healthWindow = 8
 
-// health judges this process itself (Lifeguard's local health multiplier): a
-// slow prober waits longer before it blames others.
-type health struct {
-	score  int
-	recent uint32 // one bit for each of the last probes; set means failed
-	count  int
+// localHealth estimates whether this process itself is slow (Lifeguard's local
+// health multiplier). A slow process waits longer before it suspects others.
+type localHealth struct {
+	score       int
+	failureBits uint32 // one bit per recent probe; set if it failed
+	probeCount  int
 }
 
-// probe notes the end of one probe.
-func (h *health) probe(failed bool) {
-	h.recent = h.recent << 1 & (1<<recentProbes - 1)
-	h.count = min(h.count+1, recentProbes)
+// recordProbe records the outcome of one probe.
+func (h *localHealth) recordProbe(failed bool) {
+	h.failureBits = h.failureBits << 1 & (1<<healthWindow - 1)
+	h.probeCount = min(h.probeCount+1, healthWindow)
 	if !failed {
 		h.score = max(h.score-1, 0)
 		return
 	}
-	h.recent |= 1
-	if h.mostFail() {
-		h.worsen()
+	h.failureBits |= 1
+	if h.mostProbesFailed() {
+		h.increaseScore()
 	}
 }
 
-// mostFail says that more than half of the recent probes failed, which speaks
-// against this process rather than against its targets.
-func (h *health) mostFail() bool {
+// mostProbesFailed reports whether more than half of the recent probes failed,
+// which indicates that this process is slow rather than its targets.
+func (h *localHealth) mostProbesFailed() bool {
 	failed := 0
-	for bits := h.recent; bits != 0; bits &= bits - 1 {
+	for bits := h.failureBits; bits != 0; bits &= bits - 1 {
 		failed++
 	}
-	return 2*failed > h.count && h.count > 2
+	return 2*failed > h.probeCount && h.probeCount > 2
 }
 
-// worsen notes a sign that this process is slow.
-func (h *health) worsen() { h.score = min(h.score+1, maxHealthScore) }
+// increaseScore records a sign that this process is slow.
+func (h *localHealth) increaseScore() { h.score = min(h.score+1, maxHealthScore) }
 
-// scale stretches a timeout by the health.
-func (h *health) scale(d time.Duration) time.Duration { return d * time.Duration(1+h.score) }
+// scaleTimeout multiplies a timeout by one plus the score.
+func (h *localHealth) scaleTimeout(d time.Duration) time.Duration {
+	return d * time.Duration(1+h.score)
+}
 
-// freshness tells whether the views were renewed since a start or a pause.
+// freshness tracks whether the membership view has been refreshed since the last
+// start or pause.
 type freshness struct {
-	fresh bool
-	since time.Time // start of the present stale time
-	acked map[string]bool
+	fresh      bool
+	staleSince time.Time       // start of the current stale period
+	acked      map[string]bool // hosts that acked a ping since staleSince
 }
 
-// lose begins a stale time.
-func (f *freshness) lose(now time.Time) {
+// markStale starts a stale period.
+func (f *freshness) markStale(now time.Time) {
 	f.fresh = false
-	f.since = now
+	f.staleSince = now
 	f.acked = map[string]bool{}
 }
--- a/core/member/machine.go
+++ b/core/member/machine.go
@@ -11,161 +11,163 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// entry is what a Machine holds about one host.
-type entry struct {
+// hostEntry is the state of one host in a Machine.
+type hostEntry struct {
 	host        Host
 	incarnation uint64
 	seq         uint32
 	state       wire.MemberState
 	leaving     bool
 	since       time.Time
-	heard       time.Time
+	lastContact time.Time
 	hash        uint64
 	suspicion   *suspicion
 	slots       []*fleetSlot
 }
 
-// member returns the public form of an entry.
-func (e *entry) member(neighbour bool) Member {
+// toMember converts an entry to its exported form.
+func (e *hostEntry) toMember(neighbour bool) Member {
 	return Member{
 		Host: e.host, Incarnation: e.incarnation, State: stateOf(e.state, e.leaving),
-		Since: e.since, Heard: e.heard, Neighbour: neighbour,
+		Since: e.since, Heard: e.lastContact, Neighbour: neighbour,
 	}
 }
 
-// Machine is the membership of one daemon; see the package comment.
+// Machine is the membership protocol of one daemon; see the package comment.
 type Machine struct {
-	cfg     Config
-	rng     *rand.Rand
-	self    *entry
-	hosts   map[string]*entry // self included
-	names   []string          // keys of hosts, sorted
-	near    []string          // neighbours, sorted
-	round   []string          // neighbours left in this probing round
-	probes  []*probe
-	seq     uint64 // of the last ping
-	probed  uint64 // probes begun, to send every n-th outside the overlay
-	nextAt  time.Time
-	lastAt  time.Time // of the last tick
-	rumors  rumors
-	hash    uint64 // over all items
-	direct  []*wire.MemberSlot
-	slotSeq uint64
-	marks   marks
-	clock   clock
-	health  health
-	fresh   freshness
-	push    pushes
-	sync    syncs
-	beaten  uint64 // highest later incarnation of this host heard of
-	stats   Stats
-	out     []Action
+	cfg           Config
+	rng           *rand.Rand
+	self          *hostEntry
+	hosts         map[string]*hostEntry // including self
+	names         []string              // keys of hosts, sorted
+	neighbours    []string              // neighbours, sorted
+	probeRound    []string              // neighbours not yet probed in this round
+	probes        []*probe
+	lastPingSeq   uint64 // seq of the last ping sent
+	probeCount    uint64 // probes started; every n-th goes to a non-neighbour
+	nextProbeAt   time.Time
+	lastTickAt    time.Time // time of the last tick or pause
+	gossip        gossipQueue
+	stateHash     uint64 // hash over all items
+	directSlots   []*wire.MemberSlot
+	lastSlotSeq   uint64
+	upstreamMarks upstreamMarks
+	clock         clockEstimator
+	health        localHealth
+	freshness     freshness
+	push          pushState
+	sync          syncState
+	supersededBy  uint64 // highest later incarnation of this host seen, or 0
+	stats         Stats
+	actions       []Action
 }
 
-// New returns a Machine that knows no other host yet. The error names an
-// extension that breaks the bounds.
+// New returns a Machine that knows no other host yet. It returns an error if a
+// slot is registered twice or exceeds a limit.
 func New(cfg Config, now time.Time, rng *rand.Rand) (*Machine, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
 	m := &Machine{
-		cfg:    cfg,
-		rng:    rng,
-		hosts:  map[string]*entry{},
-		rumors: rumors{index: map[itemKey]*rumor{}},
-		marks:  marks{byName: map[string]*mark{}},
-		clock:  clock{samples: map[string]clockSample{}},
-		lastAt: now,
+		cfg:           cfg,
+		rng:           rng,
+		hosts:         map[string]*hostEntry{},
+		gossip:        gossipQueue{index: map[itemKey]*gossipItem{}},
+		upstreamMarks: upstreamMarks{byName: map[string]*upstreamMark{}},
+		clock:         clockEstimator{samples: map[string]clockSample{}},
+		lastTickAt:    now,
 	}
-	m.fresh.lose(now)
-	// The first probe comes at a random part of the interval, so that daemons
-	// which start together do not probe together.
-	m.nextAt = now.Add(time.Duration(rng.Int64N(int64(cfg.Interval))))
-	m.self = &entry{host: cfg.Self, incarnation: cfg.Incarnation, state: wire.MemberState_MEMBER_ALIVE, since: now}
-	m.configure(now, Configured{})
-	m.rehash(m.self)
-	m.rumors.add(recordKey(cfg.Self.Name))
+	m.freshness.markStale(now)
+	// The first probe is sent at a random time within the interval, so that
+	// daemons that start together do not probe in step.
+	m.nextProbeAt = now.Add(time.Duration(rng.Int64N(int64(cfg.Interval))))
+	m.self = &hostEntry{host: cfg.Self, incarnation: cfg.Incarnation, state: wire.MemberState_MEMBER_ALIVE, since: now}
+	m.handleConfigured(now, Configured{})
+	m.updateHash(m.self)
+	m.gossip.add(recordKey(cfg.Self.Name))
 	return m, nil
 }
 
-// Step passes one event and returns the actions that follow from it. now must
-// carry a monotonic reading and never go back.
+// Step processes one event and returns the resulting actions. now must carry a
+// monotonic clock reading and must not decrease between calls.
 func (m *Machine) Step(now time.Time, event Event) []Action {
-	m.out = nil
-	// Any event may be the first after a pause: nothing is judged before.
-	if gap := now.Sub(m.lastAt); gap >= m.cfg.PauseAfter {
-		m.paused(now, gap)
+	m.actions = nil
+	// Any event may be the first one after a pause, and no timeout may be
+	// evaluated before the pause is handled.
+	if gap := now.Sub(m.lastTickAt); gap >= m.cfg.PauseThreshold {
+		m.handlePaused(now, gap)
 	}
 	switch e := event.(type) {
 	case Tick:
 		m.tick(now)
 	case Received:
-		m.receive(now, e.From, e.Msg)
+		m.handleMessage(now, e.From, e.Msg)
 	case Failed:
-		m.failed(now, e)
+		m.handleFailed(now, e)
 	case Configured:
-		m.configure(now, e)
+		m.handleConfigured(now, e)
 	case HostList:
-		m.listed(now, e)
+		m.handleHostList(now, e)
 	case UpstreamReported:
-		m.reported(now, e)
+		m.handleUpstreamReported(now, e)
 	case Leave:
-		m.leave(now)
+		m.handleLeave(now)
 	case Paused:
-		m.paused(now, e.For)
+		m.handlePaused(now, e.For)
 	case SetSlot:
-		m.setSlot(e)
+		m.handleSetSlot(e)
 	}
-	return m.out
+	return m.actions
 }
 
-// lateTick is the gap between two ticks that is a sign of a slow process.
-const lateTick = 5 * TickInterval
+// lateTickGap is the gap between two ticks from which this process counts as
+// slow.
+const lateTickGap = 5 * TickInterval
 
-// tick runs what is due.
+// tick runs the timers that are due.
 func (m *Machine) tick(now time.Time) {
-	if now.Sub(m.lastAt) >= lateTick {
-		m.health.worsen()
+	if now.Sub(m.lastTickAt) >= lateTickGap {
+		m.health.increaseScore()
 	}
-	m.lastAt = now
+	m.lastTickAt = now
 	m.expireProbes(now)
 	m.expireSuspicions(now)
-	if !now.Before(m.nextAt) {
-		m.nextAt = now.Add(m.cfg.Interval)
+	if !now.Before(m.nextProbeAt) {
+		m.nextProbeAt = now.Add(m.cfg.Interval)
 		m.probeNext(now)
-		if c, changed := m.clock.check(now, m.cfg.MaxClockSkew); changed {
-			m.act(c)
+		if c, changed := m.clock.updateSkew(now, m.cfg.MaxClockSkew); changed {
+			m.emit(c)
 		}
-		m.renew(now)
+		m.updateFreshness(now)
 	}
-	m.pushNews(now)
+	m.sendPushes(now)
 }
 
-// receive dispatches one message.
-func (m *Machine) receive(now time.Time, from string, msg proto.Message) {
+// handleMessage dispatches one message.
+func (m *Machine) handleMessage(now time.Time, from string, msg proto.Message) {
 	switch msg := msg.(type) {
 	case *wire.MemberPing:
-		outdated := m.digestHeard(now, from, msg.GetDigest(), false)
-		m.send(from, &wire.MemberAck{Seq: msg.GetSeq(), Digest: m.digest(now, from, outdated)})
+		outdated := m.handleDigest(now, from, msg.GetDigest(), false)
+		m.send(from, &wire.MemberAck{Seq: msg.GetSeq(), Digest: m.buildDigest(now, from, outdated)})
 	case *wire.MemberAck:
-		m.acked(now, from, msg)
+		m.handleAck(now, from, msg)
 	case *wire.MemberPingRequest:
-		m.pingFor(now, from, msg)
+		m.handlePingRequest(now, from, msg)
 	case *wire.MemberRelayAck:
-		m.relayed(msg)
+		m.handleRelayAck(msg)
 	case *wire.MemberSync:
-		m.answerSync(from, msg)
+		m.handleSync(from, msg)
 	case *wire.MemberSyncReply:
-		m.synced(now, from, msg)
+		m.handleSyncReply(now, from, msg)
 	case *wire.MemberPush:
 		m.mergeItems(now, from, msg.GetItems())
 	default:
-		m.act(Refused{from, "unknown message"})
+		m.emit(Refused{from, "unknown message type"})
 	}
 }
 
-// configure replaces the hosts. Known hosts keep what is believed of them.
-func (m *Machine) configure(now time.Time, e Configured) {
+// handleConfigured replaces the hosts. Hosts that stay keep their state.
+func (m *Machine) handleConfigured(now time.Time, e Configured) {
 	wanted := map[string]Host{m.cfg.Self.Name: m.cfg.Self}
 	for _, h := range e.Hosts {
 		if h.Name != m.cfg.Self.Name {
@@ -174,7 +176,7 @@
 	}
 	for name, old := range m.hosts {
 		if _, ok := wanted[name]; !ok {
-			m.forget(old)
+			m.removeHost(old)
 		}
 	}
 	m.names = m.names[:0]
@@ -184,132 +186,138 @@
 			old.host = h
 			continue
 		}
-		m.hosts[name] = &entry{host: h, since: now}
+		m.hosts[name] = &hostEntry{host: h, since: now}
 	}
 	m.hosts[m.cfg.Self.Name] = m.self
 	slices.Sort(m.names)
-	m.near = neighbours(m.cfg.Self.Name, m.names, m.cfg.Rings)
-	m.round = nil
-	m.configureMarks(e.Upstreams)
-	if !m.fresh.fresh {
-		m.push.urgent()
+	m.neighbours = selectNeighbours(m.cfg.Self.Name, m.names, m.cfg.Rings)
+	m.probeRound = nil
+	m.setAllowedUpstreams(e.Upstreams)
+	if !m.freshness.fresh {
+		m.push.request()
 	}
 	if e.MaxClockSkew > 0 {
 		m.cfg.MaxClockSkew = e.MaxClockSkew
 	}
-	m.renew(now)
+	m.updateFreshness(now)
 }
 
-// forget drops a host and all items about it.
-func (m *Machine) forget(e *entry) {
+// removeHost removes a host and all items about it.
+func (m *Machine) removeHost(e *hostEntry) {
 	name := e.host.Name
 	delete(m.hosts, name)
-	m.hash ^= e.hash
-	m.rumors.drop(recordKey(name))
+	m.stateHash ^= e.hash
+	m.gossip.remove(recordKey(name))
 	for _, s := range e.slots {
-		m.hash ^= s.hash
-		m.rumors.drop(slotKey(name, SlotID(s.wire.GetId())))
+		m.stateHash ^= s.hash
+		m.gossip.remove(slotKey(name, SlotID(s.wire.GetId())))
 	}
 	delete(m.clock.samples, name)
-	delete(m.fresh.acked, name)
+	delete(m.freshness.acked, name)
 }
 
-// leave announces that this host drains.
-func (m *Machine) leave(now time.Time) {
+// handleLeave announces that this host is draining.
+func (m *Machine) handleLeave(now time.Time) {
 	if m.self.leaving {
 		return
 	}
 	m.self.leaving = true
 	m.self.seq++
 	m.self.since = now
-	m.news(m.self)
-	m.push.urgent()
-	m.act(Changed{m.self.member(false)})
+	m.gossipRecord(m.self)
+	m.push.request()
+	m.emit(Changed{m.self.toMember(false)})
 }
 
-// paused begins a stale time: nothing that was believed counts until the
-// neighbours were heard again, and nobody is blamed for our silence.
-func (m *Machine) paused(now time.Time, gap time.Duration) {
+// handlePaused starts a stale period, which lasts until the neighbours have
+// answered again. Probes in flight are dropped and suspicions are extended by
+// the pause, so that no host is declared dead because this process did not run.
+func (m *Machine) handlePaused(now time.Time, gap time.Duration) {
 	m.stats.Pauses++
-	m.lastAt = now
+	m.lastTickAt = now
 	m.probes = nil
-	m.health.worsen()
+	m.health.increaseScore()
 	for _, name := range m.names {
 		if s := m.hosts[name].suspicion; s != nil {
 			s.start = s.start.Add(gap)
 		}
 	}
-	if m.fresh.fresh {
-		m.act(Freshness{false})
+	if m.freshness.fresh {
+		m.emit(Freshness{false})
 	}
-	m.fresh.lose(now)
-	m.sync = syncs{}
-	m.push.urgent()
-	m.renew(now)
+	m.freshness.markStale(now)
+	m.sync = syncState{}
+	m.push.request()
+	m.updateFreshness(now)
 }
 
-// renewAfter is how long a process waits for neighbours that are all dead
-// before it takes its views as they are.
-const renewAfter = 10 * time.Second
+// allDeadGracePeriod is how long a stale view stays stale when all neighbours
+// are dead and so none can refresh it.
+const allDeadGracePeriod = 10 * time.Second
 
-// renew ends the stale time once a majority of the neighbours that are not
-// dead were heard.
-func (m *Machine) renew(now time.Time) {
-	if m.fresh.fresh {
+// updateFreshness ends the stale period once a majority of the neighbours that
+// are not dead have acked a ping. Without such neighbours it ends at once if this
+// is the only host, else after allDeadGracePeriod.
+func (m *Machine) updateFreshness(now time.Time) {
+	if m.freshness.fresh {
 		return
 	}
 	living, acked := 0, 0
-	for _, name := range m.near {
+	for _, name := range m.neighbours {
 		if m.hosts[name].state != wire.MemberState_MEMBER_DEAD {
 			living++
 		}
-		if m.fresh.acked[name] {
+		if m.freshness.acked[name] {
 			acked++
 		}
 	}
-	alone := living == 0 && (len(m.near) == 0 && len(m.names) == 1 || now.Sub(m.fresh.since) >= renewAfter)
-	if !alone && (acked == 0 || 2*acked <= living) {
+	noLiveNeighbours := living == 0 && (len(m.neighbours) == 0 && len(m.names) == 1 || now.Sub(m.freshness.staleSince) >= allDeadGracePeriod)
+	if !noLiveNeighbours && (acked == 0 || 2*acked <= living) {
 		return
 	}
-	m.fresh.fresh = true
-	m.act(Freshness{true})
+	m.freshness.fresh = true
+	m.emit(Freshness{true})
 }
 
 // act queues an action.
-func (m *Machine) act(a Action) { m.out = append(m.out, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
 // send queues a message.
-func (m *Machine) send(to string, msg proto.Message) { m.act(Send{to, msg}) }
+func (m *Machine) send(to string, msg proto.Message) { m.emit(Send{to, msg}) }
 
-// Fresh says whether the views were renewed since the last start or pause.
-func (m *Machine) Fresh() bool { return m.fresh.fresh }
+// Fresh reports whether the membership view has been refreshed since the last
+// start or pause.
+func (m *Machine) Fresh() bool { return m.freshness.fresh }
 
-// Skewed says whether this host's clock is too far from the peers' median.
+// Skewed reports whether this host's clock differs from the peers' median by
+// more than MaxClockSkew.
 func (m *Machine) Skewed() bool { return m.clock.skewed }
 
-// ClockOffset returns the peers' median minus our clock, and the peers used.
+// ClockOffset returns the median of the peers' clocks minus this host's, and the
+// number of peers it is computed from.
 func (m *Machine) ClockOffset(now time.Time) (time.Duration, int) { return m.clock.offset(now) }
 
-// Superseded says whether a later process of this host's name was heard of.
-func (m *Machine) Superseded() bool { return m.beaten > m.self.incarnation }
+// Superseded reports whether a later process is known to run under this host's
+// name.
+func (m *Machine) Superseded() bool { return m.supersededBy > m.self.incarnation }
 
-// Stats returns the counts since the start.
+// Stats returns the event counts since the start.
 func (m *Machine) Stats() Stats { return m.stats }
 
 // Neighbours returns the hosts that this daemon probes, sorted.
-func (m *Machine) Neighbours() []string { return slices.Clone(m.near) }
+func (m *Machine) Neighbours() []string { return slices.Clone(m.neighbours) }
 
-// Members returns all hosts sorted by name, this one included.
+// Members returns all hosts sorted by name, including this one.
 func (m *Machine) Members() []Member {
 	out := make([]Member, 0, len(m.names))
 	for _, name := range m.names {
-		_, near := slices.BinarySearch(m.near, name)
-		out = append(out, m.hosts[name].member(near))
+		_, isNeighbour := slices.BinarySearch(m.neighbours, name)
+		out = append(out, m.hosts[name].toMember(isNeighbour))
 	}
 	return out
 }
 
-// Living returns the number of hosts not believed dead, this one included.
+// Living returns the number of hosts that are not dead, including this one.
 func (m *Machine) Living() int {
 	n := 0
 	for _, e := range m.hosts {
@@ -320,7 +328,7 @@
 	return n
 }
 
-// sortedKeys returns the keys of a map in order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[K cmp.Ordered, V any](in map[K]V) []K {
 	out := make([]K, 0, len(in))
 	for k := range in {
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -17,22 +17,22 @@
 	RunSpecs(t, "core/member")
 }
 
-const slotTest SlotID = 100
-const slotFleet SlotID = 101
+const directTestSlot SlotID = 100
+const fleetTestSlot SlotID = 101
 
-func withSlots(c *Config) {
-	c.Extensions = []Extension{{ID: slotTest, MaxBytes: 64}, {ID: slotFleet, MaxBytes: 64, Fleet: true}}
+func withTestSlots(c *Config) {
+	c.Extensions = []Extension{{ID: directTestSlot, MaxBytes: 64}, {ID: fleetTestSlot, MaxBytes: 64, Fleet: true}}
 }
 
 var _ = Describe("the overlay", func() {
 	It("gives every host a bounded number of targets and of probers", func() {
 		var names []string
-		for _, h := range hostsOf(410, 8) {
+		for _, h := range makeHosts(410, 8) {
 			names = append(names, h.Name)
 		}
 		probers := map[string]int{}
 		for _, name := range names {
-			near := neighbours(name, names, 8)
+			near := selectNeighbours(name, names, 8)
 			Expect(len(near)).To(BeNumerically("<=", 8))
 			Expect(near).NotTo(ContainElement(name))
 			for _, x := range near {
@@ -45,12 +45,12 @@
 	})
 	It("changes for few hosts when one goes", func() {
 		var names []string
-		for _, h := range hostsOf(100, 4) {
+		for _, h := range makeHosts(100, 4) {
 			names = append(names, h.Name)
 		}
 		changed := 0
 		for _, name := range names[1:] {
-			if fmt.Sprint(neighbours(name, names, 8)) != fmt.Sprint(neighbours(name, names[1:], 8)) {
+			if fmt.Sprint(selectNeighbours(name, names, 8)) != fmt.Sprint(selectNeighbours(name, names[1:], 8)) {
 				changed++
 			}
 		}
@@ -61,12 +61,12 @@
 var _ = Describe("membership", func() {
 	It("finds everybody alive and fresh, and stays quiet", func() {
 		f := newFleet(40, 4, 1, nil)
-		_, ok := f.until(60*time.Second, f.each(func(n *node) bool { return n.m.Fresh() && n.m.Living() == 40 }))
+		_, ok := f.runUntil(60*time.Second, f.onAllNodes(func(n *node) bool { return n.machine.Fresh() && n.machine.Living() == 40 }))
 		Expect(ok).To(BeTrue())
 		f.run(60 * time.Second)
 		for _, name := range f.names {
-			Expect(f.nodes[name].m.Stats().Suspicions).To(BeZero())
-			for _, m := range f.nodes[name].m.Members() {
+			Expect(f.nodes[name].machine.Stats().Suspicions).To(BeZero())
+			for _, m := range f.nodes[name].machine.Members() {
 				Expect(m.State).To(Equal(Alive), m.Host.Name)
 			}
 		}
@@ -76,13 +76,13 @@
 		f := newFleet(40, 4, 2, nil)
 		f.run(20 * time.Second)
 		f.nodes["entry-007"].up = false
-		_, ok := f.until(30*time.Second, f.all("entry-007", Dead))
+		_, ok := f.runUntil(30*time.Second, f.allSee("entry-007", Dead))
 		Expect(ok).To(BeTrue())
-		old := f.nodes["entry-006"].m.hosts["entry-007"].incarnation
-		f.start(Host{"entry-007", "domain-3"}, hostsOf(40, 4), nil)
-		_, ok = f.until(30*time.Second, f.all("entry-007", Alive))
+		old := f.nodes["entry-006"].machine.hosts["entry-007"].incarnation
+		f.start(Host{"entry-007", "domain-3"}, makeHosts(40, 4), nil)
+		_, ok = f.runUntil(30*time.Second, f.allSee("entry-007", Alive))
 		Expect(ok).To(BeTrue())
-		Expect(f.nodes["entry-006"].m.hosts["entry-007"].incarnation).To(BeNumerically(">", old))
+		Expect(f.nodes["entry-006"].machine.hosts["entry-007"].incarnation).To(BeNumerically(">", old))
 	})
 
 	It("tells a process whose name lives on in a later one that it is superseded", func() {
@@ -90,47 +90,47 @@
 		f.run(10 * time.Second)
 		old := f.nodes["entry-002"]
 		old.up = false
-		f.start(Host{"entry-002", "domain-2"}, hostsOf(7, 3), nil)
-		later := f.nodes["entry-002"].m.self.incarnation
-		_, ok := f.until(20*time.Second, func() bool { return f.nodes["entry-000"].m.hosts["entry-002"].incarnation == later })
+		f.start(Host{"entry-002", "domain-2"}, makeHosts(7, 3), nil)
+		later := f.nodes["entry-002"].machine.self.incarnation
+		_, ok := f.runUntil(20*time.Second, func() bool { return f.nodes["entry-000"].machine.hosts["entry-002"].incarnation == later })
 		Expect(ok).To(BeTrue())
 		// The old process, woken when the news has long spread, pings a peer
 		// and reads the answer.
 		f.run(60 * time.Second)
-		Expect(f.nodes["entry-000"].m.rumors.queue).To(BeEmpty())
+		Expect(f.nodes["entry-000"].machine.gossip.queue).To(BeEmpty())
 		// It notices the pause with whatever comes first.
-		out := old.m.Step(f.now, SetSlot{ID: slotTest})
+		out := old.machine.Step(f.now, SetSlot{ID: directTestSlot})
 		Expect(out).To(ConsistOf(Freshness{false}, BeAssignableToTypeOf(Refused{})))
-		ping := &wire.MemberPing{Seq: 9, Digest: old.m.digest(f.now, "entry-000", false)}
-		for _, a := range f.nodes["entry-000"].m.Step(f.now, Received{"entry-002", ping}) {
+		ping := &wire.MemberPing{Seq: 9, Digest: old.machine.buildDigest(f.now, "entry-000", false)}
+		for _, a := range f.nodes["entry-000"].machine.Step(f.now, Received{"entry-002", ping}) {
 			if s, ok := a.(Send); ok {
-				old.m.Step(f.now, Received{"entry-000", s.Msg})
+				old.machine.Step(f.now, Received{"entry-000", s.Msg})
 			}
 		}
-		Expect(old.m.Superseded()).To(BeTrue())
-		Expect(f.nodes["entry-002"].m.Superseded()).To(BeFalse())
+		Expect(old.machine.Superseded()).To(BeTrue())
+		Expect(f.nodes["entry-002"].machine.Superseded()).To(BeFalse())
 	})
 
 	It("keeps a host alive whose link to one prober is cut", func() {
 		f := newFleet(7, 3, 4, nil)
 		f.run(10 * time.Second)
-		f.cut = func(from, to string) bool { return from == "entry-000" && to == "entry-001" }
+		f.dropped = func(from, to string) bool { return from == "entry-000" && to == "entry-001" }
 		f.run(60 * time.Second)
-		Expect(f.states("entry-001")[Dead]).To(BeZero())
-		Expect(f.nodes["entry-000"].m.Stats().IndirectProbes).To(BeNumerically(">", 0))
-		Expect(f.nodes["entry-000"].m.Stats().Deaths).To(BeZero())
+		Expect(f.stateCounts("entry-001")[Dead]).To(BeZero())
+		Expect(f.nodes["entry-000"].machine.Stats().IndirectProbes).To(BeNumerically(">", 0))
+		Expect(f.nodes["entry-000"].machine.Stats().Deaths).To(BeZero())
 	})
 
 	It("lets a host that hears but is not heard be dead, and nobody else", func() {
 		f := newFleet(12, 3, 5, nil)
 		f.run(10 * time.Second)
-		f.cut = func(from, _ string) bool { return from == "entry-003" }
-		_, ok := f.until(60*time.Second, func() bool { return f.states("entry-003")[Dead] == 11 })
+		f.dropped = func(from, _ string) bool { return from == "entry-003" }
+		_, ok := f.runUntil(60*time.Second, func() bool { return f.stateCounts("entry-003")[Dead] == 11 })
 		Expect(ok).To(BeTrue())
 		f.run(30 * time.Second)
 		for _, name := range f.names {
 			if name != "entry-003" {
-				Expect(f.states(name)[Dead]).To(BeNumerically("<=", 1), name)
+				Expect(f.stateCounts(name)[Dead]).To(BeNumerically("<=", 1), name)
 			}
 		}
 	})
@@ -140,43 +140,43 @@
 		f.run(20 * time.Second)
 		n := f.nodes["entry-004"]
 		// The pause falls between a ping and its answer.
-		_, ok := f.until(5*time.Second, func() bool { return len(n.m.probes) > 0 })
+		_, ok := f.runUntil(5*time.Second, func() bool { return len(n.machine.probes) > 0 })
 		Expect(ok).To(BeTrue())
 		n.paused = true
 		f.run(2500 * time.Millisecond)
-		f.wake("entry-004")
-		Expect(n.m.Fresh()).To(BeFalse())
-		_, ok = f.until(15*time.Second, func() bool { return n.m.Fresh() && f.all("entry-004", Alive)() })
+		f.resume("entry-004")
+		Expect(n.machine.Fresh()).To(BeFalse())
+		_, ok = f.runUntil(15*time.Second, func() bool { return n.machine.Fresh() && f.allSee("entry-004", Alive)() })
 		Expect(ok).To(BeTrue())
-		Expect(n.m.Stats().Suspicions).To(BeZero())
+		Expect(n.machine.Stats().Suspicions).To(BeZero())
 		for _, name := range f.names {
-			Expect(f.nodes[name].m.Stats().Deaths).To(BeZero())
+			Expect(f.nodes[name].machine.Stats().Deaths).To(BeZero())
 		}
 		n.paused = true
-		_, ok = f.until(40*time.Second, f.all("entry-004", Dead))
+		_, ok = f.runUntil(40*time.Second, f.allSee("entry-004", Dead))
 		Expect(ok).To(BeTrue())
 		f.run(20 * time.Second)
-		incarnation := n.m.self.incarnation
-		f.wake("entry-004")
-		Expect(n.m.Fresh()).To(BeFalse())
+		incarnation := n.machine.self.incarnation
+		f.resume("entry-004")
+		Expect(n.machine.Fresh()).To(BeFalse())
 		// It blames nobody for its own silence.
-		_, ok = f.until(20*time.Second, func() bool { return n.m.Fresh() && f.all("entry-004", Alive)() })
+		_, ok = f.runUntil(20*time.Second, func() bool { return n.machine.Fresh() && f.allSee("entry-004", Alive)() })
 		Expect(ok).To(BeTrue())
-		Expect(n.m.Stats().Deaths).To(BeZero())
-		Expect(f.nodes["entry-000"].m.hosts["entry-004"].incarnation).To(Equal(incarnation))
+		Expect(n.machine.Stats().Deaths).To(BeZero())
+		Expect(f.nodes["entry-000"].machine.hosts["entry-004"].incarnation).To(Equal(incarnation))
 	})
 
 	It("splits and heals with a partition", func() {
 		f := newFleet(40, 4, 7, nil)
 		f.run(20 * time.Second)
-		side := func(name string) bool { return f.nodes[name].m.cfg.Self.FailureDomain == "domain-0" }
-		f.cut = func(from, to string) bool { return side(from) != side(to) }
-		_, ok := f.until(45*time.Second, f.each(func(n *node) bool { l := n.m.Living(); return l == 10 || l == 30 }))
+		side := func(name string) bool { return f.nodes[name].machine.cfg.Self.FailureDomain == "domain-0" }
+		f.dropped = func(from, to string) bool { return side(from) != side(to) }
+		_, ok := f.runUntil(45*time.Second, f.onAllNodes(func(n *node) bool { l := n.machine.Living(); return l == 10 || l == 30 }))
 		Expect(ok).To(BeTrue())
-		f.cut = func(string, string) bool { return false }
-		_, ok = f.until(60*time.Second, f.each(func(n *node) bool { return n.m.Living() == 40 && n.m.Fresh() }))
+		f.dropped = func(string, string) bool { return false }
+		_, ok = f.runUntil(60*time.Second, f.onAllNodes(func(n *node) bool { return n.machine.Living() == 40 && n.machine.Fresh() }))
 		Expect(ok).To(BeTrue())
-		_, ok = f.until(60*time.Second, f.each(func(n *node) bool { return n.m.hash == f.nodes["entry-000"].m.hash }))
+		_, ok = f.runUntil(60*time.Second, f.onAllNodes(func(n *node) bool { return n.machine.stateHash == f.nodes["entry-000"].machine.stateHash }))
 		Expect(ok).To(BeTrue())
 	})
 
@@ -184,42 +184,42 @@
 		f := newFleet(20, 3, 8, nil)
 		f.run(10 * time.Second)
 		f.step("entry-005", Leave{})
-		took, ok := f.until(20*time.Second, f.all("entry-005", Leaving))
+		took, ok := f.runUntil(20*time.Second, f.allSee("entry-005", Leaving))
 		Expect(ok).To(BeTrue())
 		Expect(took).To(BeNumerically("<", 5*time.Second))
 	})
 
 	It("notices a clock apart from the peers' median", func() {
 		f := newFleet(7, 3, 9, nil)
-		f.nodes["entry-000"].skew = 2 * time.Second
+		f.nodes["entry-000"].clockSkew = 2 * time.Second
 		f.run(20 * time.Second)
 		for _, name := range f.names {
-			Expect(f.nodes[name].m.Skewed()).To(Equal(name == "entry-000"), name)
+			Expect(f.nodes[name].machine.Skewed()).To(Equal(name == "entry-000"), name)
 		}
-		f.step("entry-000", Configured{Hosts: hostsOf(7, 3), MaxClockSkew: 3 * time.Second})
+		f.step("entry-000", Configured{Hosts: makeHosts(7, 3), MaxClockSkew: 3 * time.Second})
 		f.run(2 * time.Second)
-		Expect(f.nodes["entry-000"].m.Skewed()).To(BeFalse())
+		Expect(f.nodes["entry-000"].machine.Skewed()).To(BeFalse())
 	})
 
 	It("refuses extensions that are too large", func() {
 		c := DefaultConfig(Host{"a", "d"}, 1)
-		c.Extensions = []Extension{{ID: 9, MaxBytes: MaxDirectBytes + 1}}
-		_, err := New(c, epoch, rand.New(rand.NewPCG(1, 1)))
+		c.Extensions = []Extension{{ID: 9, MaxBytes: MaxDirectSlotBytes + 1}}
+		_, err := New(c, startTime, rand.New(rand.NewPCG(1, 1)))
 		Expect(err).To(HaveOccurred())
 	})
 
 	It("keeps every ping small whatever the fleet does", func() {
-		f := newFleet(60, 3, 10, withSlots)
+		f := newFleet(60, 3, 10, withTestSlots)
 		f.run(10 * time.Second)
 		largest := 0
 		for _, name := range f.names {
-			f.step(name, SetSlot{ID: slotFleet, Value: make([]byte, 64)})
+			f.step(name, SetSlot{ID: fleetTestSlot, Value: make([]byte, 64)})
 		}
 		for _, name := range f.names {
-			d := f.nodes[name].m.digest(f.now, "entry-000", false)
+			d := f.nodes[name].machine.buildDigest(f.now, "entry-000", false)
 			largest = max(largest, itemBytes(d.GetItems()))
 		}
-		Expect(largest).To(BeNumerically("<=", DefaultConfig(Host{}, 0).MaxItemBytes+MaxFleetBytes))
+		Expect(largest).To(BeNumerically("<=", DefaultConfig(Host{}, 0).MaxGossipBytes+MaxFleetSlotBytes))
 	})
 })
 
@@ -227,11 +227,11 @@
 
 var _ = Describe("extensions", func() {
 	It("hands direct values to neighbours and fleet values to all", func() {
-		f := newFleet(40, 4, 11, withSlots)
+		f := newFleet(40, 4, 11, withTestSlots)
 		f.run(5 * time.Second)
-		f.reset()
-		f.step("entry-009", SetSlot{ID: slotTest, Value: []byte("near")})
-		f.step("entry-009", SetSlot{ID: slotFleet, Value: []byte("far"), Urgent: true})
+		f.resetCounters()
+		f.step("entry-009", SetSlot{ID: directTestSlot, Value: []byte("near")})
+		f.step("entry-009", SetSlot{ID: fleetTestSlot, Value: []byte("far"), Urgent: true})
 		heard := func(id SlotID) int {
 			count := 0
 			for _, name := range f.names {
@@ -244,15 +244,15 @@
 			}
 			return count
 		}
-		_, ok := f.until(30*time.Second, func() bool { return heard(slotFleet) == 39 })
+		_, ok := f.runUntil(30*time.Second, func() bool { return heard(fleetTestSlot) == 39 })
 		Expect(ok).To(BeTrue())
 		f.run(10 * time.Second)
-		Expect(heard(slotTest)).To(And(BeNumerically(">", 6), BeNumerically("<=", 25)))
+		Expect(heard(directTestSlot)).To(And(BeNumerically(">", 6), BeNumerically("<=", 25)))
 	})
 	It("tells values sent before a pause from answers after it", func() {
-		f := newFleet(7, 3, 18, withSlots)
+		f := newFleet(7, 3, 18, withTestSlots)
 		for _, name := range f.names {
-			f.step(name, SetSlot{ID: slotTest, Value: []byte("x")})
+			f.step(name, SetSlot{ID: directTestSlot, Value: []byte("x")})
 		}
 		f.run(10 * time.Second)
 		n := f.nodes["entry-000"]
@@ -269,29 +269,29 @@
 			}
 			return yes, no
 		}
-		f.wake("entry-000")
+		f.resume("entry-000")
 		yes, no := solicited()
 		Expect(yes).To(BeZero())
 		Expect(no).To(BeNumerically(">", 0))
 		f.run(time.Second)
 		yes, _ = solicited()
 		Expect(yes).To(BeNumerically(">", 3), "all neighbours are asked at once")
-		Expect(n.m.Fresh()).To(BeTrue())
+		Expect(n.machine.Fresh()).To(BeTrue())
 	})
 	It("forgets the values of an earlier incarnation", func() {
-		f := newFleet(7, 3, 12, withSlots)
-		f.step("entry-001", SetSlot{ID: slotFleet, Value: []byte("old")})
+		f := newFleet(7, 3, 12, withTestSlots)
+		f.step("entry-001", SetSlot{ID: fleetTestSlot, Value: []byte("old")})
 		f.run(20 * time.Second)
-		Expect(f.nodes["entry-002"].m.fleetSlot("entry-001", slotFleet)).NotTo(BeNil())
+		Expect(f.nodes["entry-002"].machine.fleetSlot("entry-001", fleetTestSlot)).NotTo(BeNil())
 		f.nodes["entry-001"].up = false
 		f.run(20 * time.Second)
-		f.start(Host{"entry-001", "domain-1"}, hostsOf(7, 3), withSlots)
+		f.start(Host{"entry-001", "domain-1"}, makeHosts(7, 3), withTestSlots)
 		f.run(20 * time.Second)
-		Expect(f.nodes["entry-002"].m.fleetSlot("entry-001", slotFleet)).To(BeNil())
+		Expect(f.nodes["entry-002"].machine.fleetSlot("entry-001", fleetTestSlot)).To(BeNil())
 	})
 	It("refuses a value over its bound", func() {
-		f := newFleet(2, 1, 13, withSlots)
-		out := f.nodes["entry-000"].m.Step(f.now, SetSlot{ID: slotTest, Value: make([]byte, 65)})
+		f := newFleet(2, 1, 13, withTestSlots)
+		out := f.nodes["entry-000"].machine.Step(f.now, SetSlot{ID: directTestSlot, Value: make([]byte, 65)})
 		Expect(out).To(ConsistOf(BeAssignableToTypeOf(Refused{})))
 	})
 })
@@ -299,7 +299,7 @@
 var _ = Describe("leaving upstreams", func() {
 	leaving := func(name string) func(*node) bool {
 		return func(n *node) bool {
-			for _, u := range n.m.LeavingUpstreams() {
+			for _, u := range n.machine.LeavingUpstreams() {
 				if u == name {
 					return true
 				}
@@ -311,7 +311,7 @@
 		f := newFleet(size, 4, 14, nil)
 		f.run(20 * time.Second)
 		f.step("entry-000", UpstreamReported{"llm-3", true, f.now.UnixMilli()})
-		took, ok := f.until(30*time.Second, f.each(leaving("llm-3")))
+		took, ok := f.runUntil(30*time.Second, f.onAllNodes(leaving("llm-3")))
 		Expect(ok).To(BeTrue())
 		Expect(took).To(BeNumerically("<", 3*time.Second))
 	},
@@ -326,31 +326,31 @@
 		f.run(5 * time.Second)
 		f.step("entry-001", HostList{AsOfUnixMS: at + 1000, Upstreams: []ListedUpstream{{"llm-3", false}}})
 		f.run(5 * time.Second)
-		Expect(f.each(leaving("llm-3"))()).To(BeTrue())
+		Expect(f.onAllNodes(leaving("llm-3"))()).To(BeTrue())
 		f.step("entry-002", UpstreamReported{"llm-3", false, f.now.UnixMilli()})
 		f.run(5 * time.Second)
-		Expect(f.each(func(n *node) bool { return !leaving("llm-3")(n) })()).To(BeTrue())
+		Expect(f.onAllNodes(func(n *node) bool { return !leaving("llm-3")(n) })()).To(BeTrue())
 	})
 	It("are brought back by a list that is newer by the hold-down", func() {
 		f := newFleet(7, 3, 16, nil)
 		at := f.now.UnixMilli()
 		f.step("entry-000", HostList{AsOfUnixMS: at, Upstreams: []ListedUpstream{{"llm-3", true}}})
 		f.run(40 * time.Second)
-		Expect(f.each(leaving("llm-3"))()).To(BeTrue())
+		Expect(f.onAllNodes(leaving("llm-3"))()).To(BeTrue())
 		f.step("entry-001", HostList{AsOfUnixMS: at + 31_000, Upstreams: []ListedUpstream{{"llm-3", false}}})
 		f.run(5 * time.Second)
-		Expect(f.each(func(n *node) bool { return !leaving("llm-3")(n) })()).To(BeTrue())
+		Expect(f.onAllNodes(func(n *node) bool { return !leaving("llm-3")(n) })()).To(BeTrue())
 	})
 	It("reach a daemon that was cut off, after the heal", func() {
 		f := newFleet(12, 3, 17, nil)
 		f.run(10 * time.Second)
-		f.cut = func(from, to string) bool { return from == "entry-005" || to == "entry-005" }
+		f.dropped = func(from, to string) bool { return from == "entry-005" || to == "entry-005" }
 		f.run(5 * time.Second)
 		f.step("entry-000", UpstreamReported{"llm-9", true, f.now.UnixMilli()})
 		f.run(90 * time.Second)
 		Expect(leaving("llm-9")(f.nodes["entry-005"])).To(BeFalse())
-		f.cut = func(string, string) bool { return false }
-		_, ok := f.until(30*time.Second, f.each(leaving("llm-9")))
+		f.dropped = func(string, string) bool { return false }
+		_, ok := f.runUntil(30*time.Second, f.onAllNodes(leaving("llm-9")))
 		Expect(ok).To(BeTrue())
 	})
 })
--- a/core/member/overlay.go
+++ b/core/member/overlay.go
@@ -7,12 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// neighbours returns the hosts that self probes: its successor on each of
-// rings hash rings over all hosts. Every host so has at most rings probers and
-// rings targets, the graph is a random expander, and a change of one host
-// touches only the hosts beside it on each ring. With rings+1 hosts or fewer,
-// all others are neighbours. The result is sorted.
-func neighbours(self string, hosts []string, rings int) []string {
+// selectNeighbours returns the hosts that self probes: its successor on each of
+// rings hash rings over all hosts. Every host therefore has at most rings
+// probers and rings targets, the graph is a random expander, and adding or
+// removing a host affects only the adjacent hosts on each ring. With rings+1
+// hosts or fewer, all others are neighbours. The result is sorted.
+func selectNeighbours(self string, hosts []string, rings int) []string {
 	others := slices.DeleteFunc(slices.Clone(hosts), func(h string) bool { return h == self })
 	if len(others) > rings {
 		others = successors(self, others, rings)
@@ -21,14 +21,14 @@
 	return slices.Compact(others)
 }
 
-// successors returns self's successor on each ring.
+// successors returns self's successor on each ring; it may contain duplicates.
 func successors(self string, others []string, rings int) []string {
 	out := make([]string, 0, rings)
 	for ring := range rings {
-		own := ringPosition(ring, self)
+		selfPosition := ringPosition(ring, self)
 		best, bestGap := "", uint64(0)
 		for _, h := range others {
-			gap := ringPosition(ring, h) - own // wraps around the ring
+			gap := ringPosition(ring, h) - selfPosition // unsigned arithmetic wraps around the ring
 			if best == "" || gap < bestGap || gap == bestGap && h < best {
 				best, bestGap = h, gap
 			}
@@ -38,7 +38,7 @@
 	return out
 }
 
-// ringPosition places a host on a ring.
+// ringPosition returns the position of a host on a ring.
 func ringPosition(ring int, host string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/core/member/probe.go
+++ b/core/member/probe.go
@@ -7,91 +7,94 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// probe is one ping that is not yet answered.
+// probe is one ping that has not been answered yet.
 type probe struct {
 	seq    uint64
 	target string
 	sent   time.Time
-	// indirectAt is when others are asked; zero once they were.
+	// indirectAt is when other daemons are asked to probe the target; zero if
+	// they are never asked or already were.
 	indirectAt time.Time
-	// failAt is when the target becomes suspect.
+	// failAt is when the probe counts as failed.
 	failAt time.Time
-	// blame is unset for pings that push news or serve another daemon.
-	blame bool
-	// origin and originSeq name the daemon that asked for this ping.
-	origin    string
-	originSeq uint64
+	// suspectOnFailure makes the target suspect when the probe fails. It is unset
+	// for pings that push an update or that serve another daemon's request.
+	suspectOnFailure bool
+	// requester is the daemon that requested this ping, if any, and requesterSeq
+	// the seq of its own ping.
+	requester    string
+	requesterSeq uint64
 }
 
-// probeNext probes the next neighbour, and now and then another host.
+// probeNext probes the next neighbour, or occasionally another host.
 func (m *Machine) probeNext(now time.Time) {
-	target, ok := m.nextTarget()
+	target, ok := m.nextProbeTarget()
 	if !ok {
 		return
 	}
 	m.stats.Probes++
 	p := m.ping(now, target)
-	p.blame = true
-	p.indirectAt = now.Add(m.health.scale(m.cfg.ProbeTimeout))
-	p.failAt = now.Add(m.health.scale(m.cfg.Interval))
+	p.suspectOnFailure = true
+	p.indirectAt = now.Add(m.health.scaleTimeout(m.cfg.ProbeTimeout))
+	p.failAt = now.Add(m.health.scaleTimeout(m.cfg.Interval))
 }
 
-// deadEvery is how many turns of a dead neighbour pass for one probe of it;
-// its other turns go to hosts outside the overlay, whose own probers may have
-// gone with it.
-const deadEvery = 4
+// deadNeighbourProbeEvery is how many turns of a dead neighbour there are, on
+// average, per probe of it. The other turns go to random hosts that are not
+// neighbours, since their own probers may have failed along with the dead one.
+const deadNeighbourProbeEvery = 4
 
-// nextTarget goes through the neighbours in shuffled rounds.
-func (m *Machine) nextTarget() (string, bool) {
-	if len(m.near) == 0 {
+// nextProbeTarget iterates over the neighbours in rounds of random order.
+func (m *Machine) nextProbeTarget() (string, bool) {
+	if len(m.neighbours) == 0 {
 		return "", false
 	}
-	m.probed++
-	if m.cfg.RandomEvery > 0 && m.probed%uint64(m.cfg.RandomEvery) == 0 {
-		if name, ok := m.stranger(); ok {
+	m.probeCount++
+	if m.cfg.RandomProbeEvery > 0 && m.probeCount%uint64(m.cfg.RandomProbeEvery) == 0 {
+		if name, ok := m.randomNonNeighbour(); ok {
 			return name, true
 		}
 	}
-	if len(m.round) == 0 {
-		m.round = slices.Clone(m.near)
-		m.rng.Shuffle(len(m.round), func(i, j int) { m.round[i], m.round[j] = m.round[j], m.round[i] })
+	if len(m.probeRound) == 0 {
+		m.probeRound = slices.Clone(m.neighbours)
+		m.rng.Shuffle(len(m.probeRound), func(i, j int) { m.probeRound[i], m.probeRound[j] = m.probeRound[j], m.probeRound[i] })
 	}
-	target := m.round[0]
-	m.round = m.round[1:]
-	if m.hosts[target].state == wire.MemberState_MEMBER_DEAD && m.rng.IntN(deadEvery) != 0 {
-		if name, ok := m.stranger(); ok {
+	target := m.probeRound[0]
+	m.probeRound = m.probeRound[1:]
+	if m.hosts[target].state == wire.MemberState_MEMBER_DEAD && m.rng.IntN(deadNeighbourProbeEvery) != 0 {
+		if name, ok := m.randomNonNeighbour(); ok {
 			return name, true
 		}
 	}
 	return target, true
 }
 
-// stranger draws a host outside the overlay that is not believed dead; a few
-// draws are enough while most hosts live.
-func (m *Machine) stranger() (string, bool) {
-	if len(m.names) <= len(m.near)+1 {
+// randomNonNeighbour picks a random host that is not a neighbour and not dead.
+// It gives up after a few attempts, which suffice while most hosts are alive.
+func (m *Machine) randomNonNeighbour() (string, bool) {
+	if len(m.names) <= len(m.neighbours)+1 {
 		return "", false
 	}
-	for range 2 * deadEvery {
+	for range 2 * deadNeighbourProbeEvery {
 		name := m.names[m.rng.IntN(len(m.names))]
-		if name != m.cfg.Self.Name && !m.isNear(name) && m.hosts[name].state != wire.MemberState_MEMBER_DEAD {
+		if name != m.cfg.Self.Name && !m.isNeighbour(name) && m.hosts[name].state != wire.MemberState_MEMBER_DEAD {
 			return name, true
 		}
 	}
 	return "", false
 }
 
-// ping sends a ping that blames nobody and is forgotten after an interval.
+// ping sends a ping that raises no suspicion and is dropped after an interval.
 func (m *Machine) ping(now time.Time, target string) *probe {
-	m.seq++
-	p := &probe{seq: m.seq, target: target, sent: now, failAt: now.Add(m.health.scale(m.cfg.Interval))}
+	m.lastPingSeq++
+	p := &probe{seq: m.lastPingSeq, target: target, sent: now, failAt: now.Add(m.health.scaleTimeout(m.cfg.Interval))}
 	m.probes = append(m.probes, p)
-	m.send(target, &wire.MemberPing{Seq: p.seq, Digest: m.digest(now, target, false)})
+	m.send(target, &wire.MemberPing{Seq: p.seq, Digest: m.buildDigest(now, target, false)})
 	return p
 }
 
-// take removes and returns the probe of seq.
-func (m *Machine) take(seq uint64) *probe {
+// removeProbe removes and returns the probe with the given seq, or returns nil.
+func (m *Machine) removeProbe(seq uint64) *probe {
 	i := slices.IndexFunc(m.probes, func(p *probe) bool { return p.seq == seq })
 	if i < 0 {
 		return nil
@@ -101,27 +104,27 @@
 	return p
 }
 
-// acked takes an answer to a ping.
-func (m *Machine) acked(now time.Time, from string, ack *wire.MemberAck) {
-	p := m.take(ack.GetSeq())
+// handleAck processes the answer to a ping.
+func (m *Machine) handleAck(now time.Time, from string, ack *wire.MemberAck) {
+	p := m.removeProbe(ack.GetSeq())
 	solicited := p != nil && p.target == from
 	if solicited {
 		m.clock.add(from, ack.GetDigest().GetWallUnixMs(), p.sent, now)
-		m.fresh.acked[from] = true
-		if p.blame {
-			m.health.probe(false)
+		m.freshness.acked[from] = true
+		if p.suspectOnFailure {
+			m.health.recordProbe(false)
 		}
-		if p.origin != "" {
-			m.send(p.origin, &wire.MemberRelayAck{Seq: p.originSeq, Target: from})
+		if p.requester != "" {
+			m.send(p.requester, &wire.MemberRelayAck{Seq: p.requesterSeq, Target: from})
 		}
 	}
-	m.digestHeard(now, from, ack.GetDigest(), solicited)
-	m.renew(now)
+	m.handleDigest(now, from, ack.GetDigest(), solicited)
+	m.updateFreshness(now)
 }
 
-// relayed takes another daemon's word that the target answered it: the path
-// between us is cut, not the target dead.
-func (m *Machine) relayed(msg *wire.MemberRelayAck) {
+// handleRelayAck ends a probe whose target answered another daemon: the network
+// path to the target has failed, but the target is alive.
+func (m *Machine) handleRelayAck(msg *wire.MemberRelayAck) {
 	i := slices.IndexFunc(m.probes, func(p *probe) bool { return p.seq == msg.GetSeq() && p.target == msg.GetTarget() })
 	if i < 0 {
 		return
@@ -129,24 +132,26 @@
 	m.probes = slices.Delete(m.probes, i, i+1)
 }
 
-// pingFor pings a host for another daemon.
-func (m *Machine) pingFor(now time.Time, origin string, msg *wire.MemberPingRequest) {
+// handlePingRequest pings a host on behalf of another daemon.
+func (m *Machine) handlePingRequest(now time.Time, requester string, msg *wire.MemberPingRequest) {
 	if _, ok := m.hosts[msg.GetTarget()]; !ok || msg.GetTarget() == m.cfg.Self.Name {
 		return
 	}
 	if len(m.probes) >= maxProbes {
-		m.act(Refused{origin, "too many probes in flight"})
+		m.emit(Refused{requester, "too many pings in flight"})
 		return
 	}
 	p := m.ping(now, msg.GetTarget())
-	p.origin, p.originSeq = origin, msg.GetSeq()
+	p.requester, p.requesterSeq = requester, msg.GetSeq()
 }
 
-// maxProbes bounds the pings in flight.
+// maxProbes limits the pings in flight beyond which requests of other daemons
+// are refused.
 const maxProbes = 64
 
-// failed asks others at once when a ping did not reach its host.
-func (m *Machine) failed(now time.Time, e Failed) {
+// handleFailed schedules the indirect probes for the next tick when a ping did
+// not reach its host.
+func (m *Machine) handleFailed(now time.Time, e Failed) {
 	ping, ok := e.Msg.(*wire.MemberPing)
 	if !ok {
 		return
@@ -158,31 +163,32 @@
 	}
 }
 
-// expireProbes asks others about late acks and suspects those that never came.
+// expireProbes requests indirect probes of targets whose ack is late and
+// suspects targets whose probe has failed.
 func (m *Machine) expireProbes(now time.Time) {
 	for _, p := range slices.Clone(m.probes) {
 		if !p.indirectAt.IsZero() && !now.Before(p.indirectAt) {
 			p.indirectAt = time.Time{}
-			m.askOthers(p)
+			m.requestIndirectProbes(p)
 		}
 		if now.Before(p.failAt) {
 			continue
 		}
-		m.take(p.seq)
-		if p.blame {
+		m.removeProbe(p.seq)
+		if p.suspectOnFailure {
 			m.probeFailed(now, p)
 		}
 	}
 }
 
-// askOthers asks some living neighbours to probe the target, those of other
-// failure domains than ours first. A host believed dead is left alone.
-func (m *Machine) askOthers(p *probe) {
+// requestIndirectProbes asks some live neighbours to probe the target, preferring
+// those outside this host's failure domain. Dead targets are skipped.
+func (m *Machine) requestIndirectProbes(p *probe) {
 	e := m.hosts[p.target]
 	if e == nil || e.state == wire.MemberState_MEMBER_DEAD {
 		return
 	}
-	helpers := m.livingNear(p.target)
+	helpers := m.healthyNeighbours(p.target)
 	slices.SortStableFunc(helpers, func(a, b string) int {
 		return m.domainRank(a) - m.domainRank(b)
 	})
@@ -192,7 +198,8 @@
 	}
 }
 
-// domainRank is 0 for hosts of other failure domains, 1 for our own.
+// domainRank returns 0 for hosts of other failure domains, 1 for hosts in this
+// host's domain.
 func (m *Machine) domainRank(host string) int {
 	if m.hosts[host].host.FailureDomain == m.cfg.Self.FailureDomain {
 		return 1
@@ -200,10 +207,11 @@
 	return 0
 }
 
-// livingNear returns the neighbours not suspect or dead in random order.
-func (m *Machine) livingNear(except string) []string {
-	out := make([]string, 0, len(m.near))
-	for _, name := range m.near {
+// healthyNeighbours returns the neighbours that are neither suspect nor dead, in
+// random order.
+func (m *Machine) healthyNeighbours(except string) []string {
+	out := make([]string, 0, len(m.neighbours))
+	for _, name := range m.neighbours {
 		state := m.hosts[name].state
 		if name != except && state != wire.MemberState_MEMBER_DEAD && state != wire.MemberState_MEMBER_SUSPECT {
 			out = append(out, name)
@@ -213,7 +221,7 @@
 	return out
 }
 
-// probeFailed makes the target suspect.
+// probeFailed records a failed probe and makes its target suspect.
 func (m *Machine) probeFailed(now time.Time, p *probe) {
 	m.stats.ProbesFailed++
 	e := m.hosts[p.target]
@@ -221,49 +229,49 @@
 		return
 	}
 	if e.state == wire.MemberState_MEMBER_DEAD {
-		return // known; its silence says nothing about our health either
+		return // already dead; the failure says nothing about local health either
 	}
-	m.health.probe(true)
+	m.health.recordProbe(true)
 	m.mergeRecord(now, m.cfg.Self.Name, &wire.MemberRecord{
 		Host: p.target, Incarnation: e.incarnation, Seq: e.seq,
 		State: wire.MemberState_MEMBER_SUSPECT, Leaving: e.leaving, By: m.cfg.Self.Name,
 	})
 }
 
-// pushes paces the pings that carry urgent news.
-type pushes struct {
-	due    bool
-	tokens float64
-	at     time.Time
+// pushState rate-limits the pings that carry urgent updates.
+type pushState struct {
+	requested  bool
+	tokens     float64
+	refilledAt time.Time
 }
 
-// The pushes' token bucket: pings at once and pings a second.
+// The token bucket of pushes: burst size in pings and rate in pings per second.
 const (
 	pushBurst = 9
 	pushRate  = 1.0
 )
 
-// urgent asks for a push at the next tick.
-func (p *pushes) urgent() { p.due = true }
+// request schedules a push for the next tick.
+func (p *pushState) request() { p.requested = true }
 
-// pushNews pings some neighbours at once if there is urgent news; all of them
-// while the views are stale, so that they are renewed soon.
-func (m *Machine) pushNews(now time.Time) {
-	if !m.push.due {
+// sendPushes pings some neighbours if a push was requested, or all of them while
+// the membership view is stale, so that it is refreshed soon.
+func (m *Machine) sendPushes(now time.Time) {
+	if !m.push.requested {
 		return
 	}
-	if m.push.at.IsZero() {
+	if m.push.refilledAt.IsZero() {
 		m.push.tokens = pushBurst
 	} else {
-		m.push.tokens = min(pushBurst, m.push.tokens+now.Sub(m.push.at).Seconds()*pushRate)
+		m.push.tokens = min(pushBurst, m.push.tokens+now.Sub(m.push.refilledAt).Seconds()*pushRate)
 	}
-	m.push.at = now
-	m.push.due = false
-	near := m.livingNear("")
-	if m.fresh.fresh {
-		near = near[:min(len(near), m.cfg.PushFanout)]
+	m.push.refilledAt = now
+	m.push.requested = false
+	targets := m.healthyNeighbours("")
+	if m.freshness.fresh {
+		targets = targets[:min(len(targets), m.cfg.PushFanout)]
 	}
-	for _, name := range near {
+	for _, name := range targets {
 		if m.push.tokens < 1 {
 			return
 		}
--- a/core/member/record.go
+++ b/core/member/record.go
@@ -11,50 +11,53 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// suspicionConfirmations is the number of further accusers after which a
-// suspicion takes its shortest time.
+// suspicionConfirmations is the number of daemons beyond the first that must
+// report a suspicion for it to have the shortest timeout.
 const suspicionConfirmations = 3
 
-// suspicion is the time that a host has to refute.
+// suspicion tracks a suspect host, which is declared dead unless it refutes the
+// suspicion in time.
 type suspicion struct {
-	start time.Time
-	by    []string // accusers, at most 1 + suspicionConfirmations
+	start     time.Time
+	reporters []string // daemons reporting it, at most 1 + suspicionConfirmations
 }
 
-// timeout shrinks from the longest to the shortest with each accuser.
+// timeout decreases from longest to shortest with each reporter.
 func (s *suspicion) timeout(shortest, longest time.Duration) time.Duration {
-	share := math.Log(float64(len(s.by))) / math.Log(1+suspicionConfirmations)
+	share := math.Log(float64(len(s.reporters))) / math.Log(1+suspicionConfirmations)
 	return longest - time.Duration(share*float64(longest-shortest))
 }
 
-// accuse adds an accuser and reports whether it counts.
-func (s *suspicion) accuse(by string) bool {
-	if by == "" || len(s.by) > suspicionConfirmations || slices.Contains(s.by, by) {
+// addReporter adds a reporter and reports whether it was new and within the
+// limit.
+func (s *suspicion) addReporter(by string) bool {
+	if by == "" || len(s.reporters) > suspicionConfirmations || slices.Contains(s.reporters, by) {
 		return false
 	}
-	s.by = append(s.by, by)
+	s.reporters = append(s.reporters, by)
 	return true
 }
 
-// expireSuspicions declares hosts dead that did not refute in time.
+// expireSuspicions declares hosts dead that did not refute a suspicion in time.
 func (m *Machine) expireSuspicions(now time.Time) {
 	for _, name := range m.names {
 		e := m.hosts[name]
 		if e.suspicion == nil {
 			continue
 		}
-		wait := m.health.scale(e.suspicion.timeout(m.cfg.SuspicionMin, m.cfg.SuspicionMax))
+		wait := m.health.scaleTimeout(e.suspicion.timeout(m.cfg.SuspicionMin, m.cfg.SuspicionMax))
 		if now.Sub(e.suspicion.start) < wait {
 			continue
 		}
-		m.enter(now, e, wire.MemberState_MEMBER_DEAD)
-		// Most others have the suspicion and come to this by themselves.
-		m.rumors.shorten(recordKey(name), rumorLimit(len(m.names))/2)
+		m.setState(now, e, wire.MemberState_MEMBER_DEAD)
+		// Most other daemons have the suspicion too and reach the same result
+		// without this message, so it is sent fewer times.
+		m.gossip.setMinSent(recordKey(name), maxSends(len(m.names))/2)
 	}
 }
 
-// enter changes the state of an entry and spreads the news.
-func (m *Machine) enter(now time.Time, e *entry, state wire.MemberState) {
+// setState changes the state of a host and gossips its record.
+func (m *Machine) setState(now time.Time, e *hostEntry, state wire.MemberState) {
 	changed := e.state != state
 	e.state = state
 	if state != wire.MemberState_MEMBER_SUSPECT {
@@ -66,26 +69,27 @@
 	if changed && state == wire.MemberState_MEMBER_DEAD {
 		m.stats.Deaths++
 	}
-	m.news(e)
-	m.act(Changed{e.member(m.isNear(e.host.Name))})
+	m.gossipRecord(e)
+	m.emit(Changed{e.toMember(m.isNeighbour(e.host.Name))})
 }
 
-// isNear says whether a host is a neighbour.
-func (m *Machine) isNear(name string) bool {
-	_, ok := slices.BinarySearch(m.near, name)
+// isNeighbour reports whether a host is a neighbour.
+func (m *Machine) isNeighbour(name string) bool {
+	_, ok := slices.BinarySearch(m.neighbours, name)
 	return ok
 }
 
-// news queues the record of an entry for spreading.
-func (m *Machine) news(e *entry) {
-	m.rehash(e)
-	m.rumors.add(recordKey(e.host.Name))
+// gossipRecord queues the record of a host for gossip.
+func (m *Machine) gossipRecord(e *hostEntry) {
+	m.updateHash(e)
+	m.gossip.add(recordKey(e.host.Name))
 }
 
-// rehash renews the hash of a record within the hash of all items. A suspect
-// counts as alive: suspicions end by themselves, at each host in its time.
-func (m *Machine) rehash(e *entry) {
-	m.hash ^= e.hash
+// updateHash recomputes the hash of a record within the hash of all items. A
+// suspect host is hashed as alive, since suspicions are temporary and end at a
+// different time on each daemon.
+func (m *Machine) updateHash(e *hostEntry) {
+	m.stateHash ^= e.hash
 	leaving := uint64(0)
 	if e.leaving {
 		leaving = 1
@@ -95,28 +99,29 @@
 		state = wire.MemberState_MEMBER_ALIVE
 	}
 	e.hash = hashItem(recordKey(e.host.Name), [4]uint64{e.incarnation, uint64(e.seq), uint64(state), leaving}, nil)
-	m.hash ^= e.hash
+	m.stateHash ^= e.hash
 }
 
-// recordKey names the record of a host among the items.
+// recordKey returns the item key of a host's record.
 func recordKey(host string) itemKey { return itemKey{kind: kindRecord, name: host} }
 
-// record returns the record of an entry. Of the accusers only one is named.
-func (m *Machine) record(e *entry) *wire.MemberRecord {
+// record returns the record of a host. Of the reporters of a suspicion it names
+// only one, chosen at random.
+func (m *Machine) record(e *hostEntry) *wire.MemberRecord {
 	r := &wire.MemberRecord{
 		Host: e.host.Name, Incarnation: e.incarnation, Seq: e.seq, State: e.state, Leaving: e.leaving,
 	}
-	if e.suspicion != nil && len(e.suspicion.by) > 0 {
-		r.By = e.suspicion.by[m.rng.IntN(len(e.suspicion.by))]
+	if e.suspicion != nil && len(e.suspicion.reporters) > 0 {
+		r.By = e.suspicion.reporters[m.rng.IntN(len(e.suspicion.reporters))]
 	}
 	return r
 }
 
-// mergeRecord takes a belief heard from a host (or our own probe) and reports
-// whether it was news.
+// mergeRecord merges a record received from a host, or created by a local probe,
+// and reports whether it was new.
 func (m *Machine) mergeRecord(now time.Time, from string, r *wire.MemberRecord) bool {
 	if r.GetHost() == m.cfg.Self.Name {
-		m.aboutSelf(now, from, r)
+		m.handleRecordOfSelf(now, from, r)
 		return false
 	}
 	e := m.hosts[r.GetHost()]
@@ -127,7 +132,7 @@
 	case order < 0:
 		return false
 	case order == 0 && r.GetState() == e.state:
-		return m.confirm(e, r)
+		return m.addConfirmation(e, r)
 	case order == 0 && r.GetState() < e.state:
 		return false
 	}
@@ -136,73 +141,76 @@
 	if r.GetState() == wire.MemberState_MEMBER_SUSPECT {
 		m.stats.Suspicions++
 		e.suspicion = &suspicion{start: now}
-		e.suspicion.accuse(cmp.Or(r.GetBy(), from))
+		e.suspicion.addReporter(cmp.Or(r.GetBy(), from))
 	}
-	m.dropOldSlots(e)
-	m.enter(now, e, r.GetState())
+	m.removeStaleSlots(e)
+	m.setState(now, e, r.GetState())
 	return true
 }
 
-// confirm counts a further accuser of a suspect.
-func (m *Machine) confirm(e *entry, r *wire.MemberRecord) bool {
-	if e.suspicion == nil || !e.suspicion.accuse(r.GetBy()) {
+// addConfirmation adds a further reporter to a suspicion and reports whether it
+// was new.
+func (m *Machine) addConfirmation(e *hostEntry, r *wire.MemberRecord) bool {
+	if e.suspicion == nil || !e.suspicion.addReporter(r.GetBy()) {
 		return false
 	}
-	m.rumors.add(recordKey(e.host.Name))
+	m.gossip.add(recordKey(e.host.Name))
 	return true
 }
 
-// aboutSelf refutes what others wrongly believe of this process.
-func (m *Machine) aboutSelf(now time.Time, from string, r *wire.MemberRecord) {
+// handleRecordOfSelf refutes a wrong record of this process, or notes that a
+// later process runs under its name.
+func (m *Machine) handleRecordOfSelf(now time.Time, from string, r *wire.MemberRecord) {
 	switch {
 	case from == m.cfg.Self.Name:
 		return
 	case r.GetIncarnation() > m.self.incarnation:
-		if r.GetIncarnation() > m.beaten {
-			m.beaten = r.GetIncarnation()
-			m.act(Superseded{m.beaten})
+		if r.GetIncarnation() > m.supersededBy {
+			m.supersededBy = r.GetIncarnation()
+			m.emit(Superseded{m.supersededBy})
 		}
 		return
 	case r.GetIncarnation() < m.self.incarnation:
-		m.rumors.add(recordKey(m.cfg.Self.Name))
+		m.gossip.add(recordKey(m.cfg.Self.Name))
 		return
 	case r.GetSeq() < m.self.seq || r.GetSeq() == m.self.seq && r.GetState() == m.self.state:
 		return
 	}
 	m.self.seq = r.GetSeq() + 1
 	m.stats.Refutations++
-	m.health.worsen()
-	m.news(m.self)
-	m.push.urgent()
+	m.health.increaseScore()
+	m.gossipRecord(m.self)
+	m.push.request()
 }
 
-// digest builds what rides on a ping or ack to a host. tell includes what we
-// believe of that host itself.
-func (m *Machine) digest(now time.Time, to string, tell bool) *wire.MemberDigest {
+// buildDigest builds the digest of a ping or ack to a host. includeTarget forces
+// the digest to include that host's own record.
+func (m *Machine) buildDigest(now time.Time, to string, includeTarget bool) *wire.MemberDigest {
 	d := &wire.MemberDigest{
-		Self: m.record(m.self), WallUnixMs: now.UnixMilli(), Slots: slices.Clone(m.direct),
-		Items: &wire.MemberItems{}, StateHash: m.hash,
+		Self: m.record(m.self), WallUnixMs: now.UnixMilli(), Slots: slices.Clone(m.directSlots),
+		Items: &wire.MemberItems{}, StateHash: m.stateHash,
 	}
-	room := m.cfg.MaxItemBytes
-	// A host that is thought ill of hears so first, that it may refute.
-	if e := m.hosts[to]; e != nil && (tell || e.state >= wire.MemberState_MEMBER_SUSPECT) {
-		room -= m.put(d.Items, recordKey(to))
+	remaining := m.cfg.MaxGossipBytes
+	// A suspect or dead host gets its own record first, so that it can refute it.
+	if e := m.hosts[to]; e != nil && (includeTarget || e.state >= wire.MemberState_MEMBER_SUSPECT) {
+		remaining -= m.appendItem(d.Items, recordKey(to))
 	}
-	m.rumors.take(rumorLimit(len(m.names)), func(k itemKey) bool {
-		if room <= 0 {
+	m.gossip.selectItems(maxSends(len(m.names)), func(k itemKey) bool {
+		if remaining <= 0 {
 			return false
 		}
-		room -= m.put(d.Items, k)
+		remaining -= m.appendItem(d.Items, k)
 		return true
 	})
 	return d
 }
 
-// itemOverhead is the tag and length of one item on the wire, in bytes.
+// itemOverhead is the size of the tag and length of one encoded item, in bytes.
 const itemOverhead = 3
 
-// put appends the present content of an item and returns its bytes.
-func (m *Machine) put(items *wire.MemberItems, k itemKey) int {
+// appendItem appends the current content of an item and returns its encoded size
+// in bytes, or 0 if the item no longer exists.
+func (m *Machine) appendItem(items *wire.MemberItems, k itemKey) int {
 	switch k.kind {
 	case kindRecord:
 		if e := m.hosts[k.name]; e != nil {
@@ -211,7 +219,7 @@
 			return proto.Size(r) + itemOverhead
 		}
 	case kindUpstream:
-		if u := m.marks.wire(k.name); u != nil {
+		if u := m.upstreamMarks.toProto(k.name); u != nil {
 			items.Upstreams = append(items.Upstreams, u)
 			return proto.Size(u) + itemOverhead
 		}
@@ -224,44 +232,45 @@
 	return 0
 }
 
-// digestHeard takes what rode on a ping or ack, and reports whether it came
-// from an outdated process of its host, in which case nothing in it counts.
-// A solicited one answers our own ping.
-func (m *Machine) digestHeard(now time.Time, from string, d *wire.MemberDigest, solicited bool) bool {
+// handleDigest processes the digest of a ping or ack. It reports whether the
+// digest came from an earlier process of its host, in which case it is ignored.
+// solicited marks the answer to one of this daemon's own pings.
+func (m *Machine) handleDigest(now time.Time, from string, d *wire.MemberDigest, solicited bool) bool {
 	if d.GetSelf().GetHost() != from {
-		m.act(Refused{from, "digest without the sender's own record"})
+		m.emit(Refused{from, "digest does not hold the sender's own record"})
 		return false
 	}
 	e := m.hosts[from]
 	if e != nil && d.GetSelf().GetIncarnation() < e.incarnation {
-		m.act(Refused{from, "digest of an outdated process"})
+		m.emit(Refused{from, "digest from an earlier process of the host"})
 		return true
 	}
 	m.mergeRecord(now, from, d.GetSelf())
 	if e != nil {
-		e.heard = now
+		e.lastContact = now
 	}
 	m.mergeItems(now, from, d.GetItems())
-	m.slotsHeard(from, d, solicited)
-	m.maybeSync(now, from, d.GetStateHash())
+	m.handleDirectSlots(from, d, solicited)
+	m.syncIfDifferent(now, from, d.GetStateHash())
 	return false
 }
 
-// mergeItems takes items heard from a host. Repeats count as sent.
+// mergeItems merges items received from a host. An item that is not new counts
+// as sent once, since the sender already has it.
 func (m *Machine) mergeItems(now time.Time, from string, items *wire.MemberItems) {
 	for _, r := range items.GetRecords() {
 		if !m.mergeRecord(now, from, r) {
-			m.rumors.seen(recordKey(r.GetHost()))
+			m.gossip.countDuplicate(recordKey(r.GetHost()))
 		}
 	}
 	for _, u := range items.GetUpstreams() {
-		if !m.mergeMark(now, u) {
-			m.rumors.seen(upstreamKey(u.GetUpstream()))
+		if !m.mergeUpstreamMark(now, u) {
+			m.gossip.countDuplicate(upstreamKey(u.GetUpstream()))
 		}
 	}
 	for _, s := range items.GetSlots() {
 		if !m.mergeSlot(s) {
-			m.rumors.seen(slotKey(s.GetHost(), SlotID(s.GetId())))
+			m.gossip.countDuplicate(slotKey(s.GetHost(), SlotID(s.GetId())))
 		}
 	}
 }
--- a/core/member/fleet_test.go
+++ b/core/member/simulation_test.go
@@ -16,29 +16,29 @@
 	nodes   map[string]*node
 	names   []string
 	queue   deliveries
-	order   uint64
+	lastSeq uint64
 	latency time.Duration
 	// cut drops messages from one host to another.
-	cut func(from, to string) bool
+	dropped func(from, to string) bool
 	// wireCopy serialises every message as the daemon does.
-	wireCopy bool
+	encodeMessages bool
 }
 
 type node struct {
-	m       *Machine
-	up      bool
-	paused  bool
-	skew    time.Duration
-	inbox   []delivery
-	actions []Action
+	machine   *Machine
+	up        bool
+	paused    bool
+	clockSkew time.Duration
+	inbox     []delivery
+	actions   []Action
 	// counts since the last reset
 	messages, bytes int
-	spent           time.Duration
+	cpuTime         time.Duration
 }
 
 type delivery struct {
 	at    time.Time
-	order uint64
+	seq   uint64
 	to    string
 	event Event
 }
@@ -48,7 +48,7 @@
 func (d deliveries) Len() int { return len(d) }
 func (d deliveries) Less(i, j int) bool {
 	if d[i].at.Equal(d[j].at) {
-		return d[i].order < d[j].order
+		return d[i].seq < d[j].seq
 	}
 	return d[i].at.Before(d[j].at)
 }
@@ -61,10 +61,10 @@
 	return x
 }
 
-var epoch = time.Unix(1_800_000_000, 0)
+var startTime = time.Unix(1_800_000_000, 0)
 
 // hostsOf names n hosts spread over domains.
-func hostsOf(n, domains int) []Host {
+func makeHosts(n, domains int) []Host {
 	out := make([]Host, n)
 	for i := range out {
 		out[i] = Host{fmt.Sprintf("entry-%03d", i), fmt.Sprintf("domain-%d", i%domains)}
@@ -74,9 +74,9 @@
 
 // newFleet starts n hosts that know each other.
 func newFleet(n, domains int, seed uint64, adjust func(*Config)) *fleet {
-	f := &fleet{now: epoch, rng: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*node{}, latency: 500 * time.Microsecond}
-	f.cut = func(string, string) bool { return false }
-	hosts := hostsOf(n, domains)
+	f := &fleet{now: startTime, rng: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*node{}, latency: 500 * time.Microsecond}
+	f.dropped = func(string, string) bool { return false }
+	hosts := makeHosts(n, domains)
 	for _, h := range hosts {
 		f.names = append(f.names, h.Name)
 		f.start(h, hosts, adjust)
@@ -94,7 +94,7 @@
 	if err != nil {
 		panic(err)
 	}
-	f.nodes[h.Name] = &node{m: m, up: true}
+	f.nodes[h.Name] = &node{machine: m, up: true}
 	f.step(h.Name, Configured{Hosts: hosts})
 }
 
@@ -102,7 +102,7 @@
 func (f *fleet) step(name string, e Event) {
 	n := f.nodes[name]
 	begin := time.Now()
-	actions := n.m.Step(f.now.Add(n.skew), e)
+	actions := n.machine.Step(f.now.Add(n.clockSkew), e)
 	for _, a := range actions {
 		if s, ok := a.(Send); ok {
 			f.transmit(name, n, s)
@@ -110,7 +110,7 @@
 		}
 		n.actions = append(n.actions, a)
 	}
-	n.spent += time.Since(begin)
+	n.cpuTime += time.Since(begin)
 }
 
 // messageOverhead estimates the bytes around one message: the envelope (60),
@@ -123,25 +123,25 @@
 	n.messages++
 	n.bytes += size
 	msg := s.Msg
-	if f.wireCopy {
-		msg = wireCopy(msg)
+	if f.encodeMessages {
+		msg = encodeAndDecode(msg)
 	}
 	to := f.nodes[s.To]
 	switch {
 	case to == nil || !to.up:
-		f.deliver(f.latency*2, from, Failed(s))
-	case f.cut(from, s.To):
-		f.deliver(time.Second, from, Failed(s))
+		f.schedule(f.latency*2, from, Failed(s))
+	case f.dropped(from, s.To):
+		f.schedule(time.Second, from, Failed(s))
 	default:
 		to.bytes += size
 		jitter := time.Duration(f.rng.Int64N(int64(f.latency)))
-		f.deliver(f.latency+jitter, s.To, Received{from, msg})
+		f.schedule(f.latency+jitter, s.To, Received{from, msg})
 	}
 }
 
 // wireCopy serialises a message and reads it back; that counts as the sender's
 // processor time, as in step.
-func wireCopy(msg proto.Message) proto.Message {
+func encodeAndDecode(msg proto.Message) proto.Message {
 	raw, err := proto.Marshal(msg)
 	if err != nil {
 		panic(err)
@@ -153,9 +153,9 @@
 	return out
 }
 
-func (f *fleet) deliver(after time.Duration, to string, e Event) {
-	f.order++
-	heap.Push(&f.queue, delivery{f.now.Add(after), f.order, to, e})
+func (f *fleet) schedule(after time.Duration, to string, e Event) {
+	f.lastSeq++
+	heap.Push(&f.queue, delivery{f.now.Add(after), f.lastSeq, to, e})
 }
 
 // run lets virtual time pass. Ticks are due every TickInterval.
@@ -164,11 +164,11 @@
 	for f.now.Before(end) {
 		next := f.now.Add(TickInterval)
 		for len(f.queue) > 0 && f.queue[0].at.Before(next) {
-			x := heap.Pop(&f.queue).(delivery)
-			if x.at.After(f.now) {
-				f.now = x.at
+			next := heap.Pop(&f.queue).(delivery)
+			if next.at.After(f.now) {
+				f.now = next.at
 			}
-			f.arrive(x)
+			f.handleDelivery(next)
 		}
 		f.now = next
 		for _, name := range f.names {
@@ -179,30 +179,30 @@
 	}
 }
 
-func (f *fleet) arrive(x delivery) {
-	n := f.nodes[x.to]
+func (f *fleet) handleDelivery(d delivery) {
+	n := f.nodes[d.to]
 	switch {
 	case !n.up:
 	case n.paused:
-		n.inbox = append(n.inbox, x)
+		n.inbox = append(n.inbox, d)
 	default:
-		f.step(x.to, x.event)
+		f.step(d.to, d.event)
 	}
 }
 
 // wake ends a pause: the queued messages come first, as from a socket.
-func (f *fleet) wake(name string) {
+func (f *fleet) resume(name string) {
 	n := f.nodes[name]
 	n.paused = false
-	for _, x := range n.inbox {
-		f.step(name, x.event)
+	for _, d := range n.inbox {
+		f.step(name, d.event)
 	}
 	n.inbox = nil
 }
 
 // until runs until cond holds and returns the time it took; false if it did
 // not within limit.
-func (f *fleet) until(limit time.Duration, cond func() bool) (time.Duration, bool) {
+func (f *fleet) runUntil(limit time.Duration, cond func() bool) (time.Duration, bool) {
 	begin := f.now
 	for !cond() {
 		if f.now.Sub(begin) >= limit {
@@ -214,31 +214,31 @@
 }
 
 // states counts what the running hosts believe of one host.
-func (f *fleet) states(of string) map[State]int {
+func (f *fleet) stateCounts(of string) map[State]int {
 	out := map[State]int{}
 	for _, name := range f.names {
 		if n := f.nodes[name]; n.up && name != of {
-			out[n.m.believed(of)]++
+			out[n.machine.stateOfHost(of)]++
 		}
 	}
 	return out
 }
 
-func (m *Machine) believed(name string) State {
+func (m *Machine) stateOfHost(name string) State {
 	e := m.hosts[name]
 	return stateOf(e.state, e.leaving)
 }
 
 // all says whether every running host but of believes state of it.
-func (f *fleet) all(of string, state State) func() bool {
+func (f *fleet) allSee(of string, state State) func() bool {
 	return func() bool {
-		s := f.states(of)
+		s := f.stateCounts(of)
 		return len(s) == 1 && s[state] > 0
 	}
 }
 
 // each says whether cond holds at every running host.
-func (f *fleet) each(cond func(*node) bool) func() bool {
+func (f *fleet) onAllNodes(cond func(*node) bool) func() bool {
 	return func() bool {
 		for _, name := range f.names {
 			if n := f.nodes[name]; n.up && !cond(n) {
@@ -249,8 +249,8 @@
 	}
 }
 
-func (f *fleet) reset() {
+func (f *fleet) resetCounters() {
 	for _, n := range f.nodes {
-		n.messages, n.bytes, n.spent, n.actions = 0, 0, 0, nil
+		n.messages, n.bytes, n.cpuTime, n.actions = 0, 0, 0, nil
 	}
 }
--- a/core/member/slot.go
+++ b/core/member/slot.go
@@ -8,67 +8,68 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// fleetSlot is one host's value of one fleet extension.
+// fleetSlot is one host's value of a fleet-wide slot.
 type fleetSlot struct {
 	wire *wire.FleetSlot
 	hash uint64
 }
 
-// slotKey names a fleet slot among the items.
+// slotKey returns the item key of a fleet-wide slot of a host.
 func slotKey(host string, id SlotID) itemKey { return itemKey{kind: kindSlot, name: host, slot: id} }
 
-// setSlot replaces this host's own value.
-func (m *Machine) setSlot(e SetSlot) {
-	ext, ok := m.cfg.extension(e.ID)
-	if !ok || len(e.Value) > ext.MaxBytes {
-		m.act(Refused{m.cfg.Self.Name, fmt.Sprintf("slot %d: %d bytes, %d allowed", e.ID, len(e.Value), ext.MaxBytes)})
+// handleSetSlot replaces this host's own value of a slot.
+func (m *Machine) handleSetSlot(e SetSlot) {
+	registered, ok := m.cfg.slotConfig(e.ID)
+	if !ok || len(e.Value) > registered.MaxBytes {
+		m.emit(Refused{m.cfg.Self.Name, fmt.Sprintf("slot %d: value of %d bytes exceeds the limit of %d bytes", e.ID, len(e.Value), registered.MaxBytes)})
 		return
 	}
 	value := slices.Clone(e.Value)
-	if ext.Fleet {
-		m.slotSeq++
+	if registered.Fleet {
+		m.lastSlotSeq++
 		m.mergeSlot(&wire.FleetSlot{
-			Host: m.cfg.Self.Name, Incarnation: m.self.incarnation, Id: uint32(e.ID), Seq: m.slotSeq, Value: value,
+			Host: m.cfg.Self.Name, Incarnation: m.self.incarnation, Id: uint32(e.ID), Seq: m.lastSlotSeq, Value: value,
 		})
 	} else {
-		m.setDirect(&wire.MemberSlot{Id: uint32(e.ID), Value: value})
+		m.setDirectSlot(&wire.MemberSlot{Id: uint32(e.ID), Value: value})
 	}
 	if e.Urgent {
-		m.push.urgent()
+		m.push.request()
 	}
 }
 
-// setDirect replaces a direct value; messages already built keep the old one.
-func (m *Machine) setDirect(s *wire.MemberSlot) {
-	for i, old := range m.direct {
+// setDirectSlot replaces the value of a direct slot; messages already built keep
+// the old one.
+func (m *Machine) setDirectSlot(s *wire.MemberSlot) {
+	for i, old := range m.directSlots {
 		if old.GetId() == s.GetId() {
-			m.direct[i] = s
+			m.directSlots[i] = s
 			return
 		}
 	}
-	m.direct = append(m.direct, s)
+	m.directSlots = append(m.directSlots, s)
 }
 
-// slotsHeard hands over the sender's direct values.
-func (m *Machine) slotsHeard(from string, d *wire.MemberDigest, solicited bool) {
+// handleDirectSlots delivers the sender's values of direct slots.
+func (m *Machine) handleDirectSlots(from string, d *wire.MemberDigest, solicited bool) {
 	for _, s := range d.GetSlots() {
-		ext, ok := m.cfg.extension(SlotID(s.GetId()))
-		if !ok || ext.Fleet || len(s.GetValue()) > ext.MaxBytes {
-			continue // a later release's extension, or a faulty one
+		registered, ok := m.cfg.slotConfig(SlotID(s.GetId()))
+		if !ok || registered.Fleet || len(s.GetValue()) > registered.MaxBytes {
+			continue // a slot of a later release, or an invalid value
 		}
-		m.act(SlotHeard{
-			ID: ext.ID, Host: from, Incarnation: d.GetSelf().GetIncarnation(), Value: s.GetValue(),
+		m.emit(SlotHeard{
+			ID: registered.ID, Host: from, Incarnation: d.GetSelf().GetIncarnation(), Value: s.GetValue(),
 			Solicited: solicited, SentUnixMS: d.GetWallUnixMs(),
 		})
 	}
 }
 
-// mergeSlot takes a fleet value and reports whether it was news.
+// mergeSlot merges a value of a fleet-wide slot and reports whether it was new.
 func (m *Machine) mergeSlot(s *wire.FleetSlot) bool {
 	id := SlotID(s.GetId())
-	ext, ok := m.cfg.extension(id)
+	registered, ok := m.cfg.slotConfig(id)
 	e := m.hosts[s.GetHost()]
-	if !ok || !ext.Fleet || e == nil || len(s.GetValue()) > ext.MaxBytes || s.GetIncarnation() < e.incarnation {
+	if !ok || !registered.Fleet || e == nil || len(s.GetValue()) > registered.MaxBytes || s.GetIncarnation() < e.incarnation {
 		return false
 	}
 	if e == m.self && s.GetIncarnation() != e.incarnation {
@@ -82,19 +83,19 @@
 		old = &fleetSlot{}
 		e.slots = append(e.slots, old)
 	}
-	m.hash ^= old.hash
+	m.stateHash ^= old.hash
 	old.wire = s
 	key := slotKey(s.GetHost(), id)
 	old.hash = hashItem(key, [4]uint64{s.GetIncarnation(), s.GetSeq()}, s.GetValue())
-	m.hash ^= old.hash
-	m.rumors.add(key)
+	m.stateHash ^= old.hash
+	m.gossip.add(key)
 	if e != m.self {
-		m.act(SlotHeard{ID: id, Host: s.GetHost(), Incarnation: s.GetIncarnation(), Value: s.GetValue()})
+		m.emit(SlotHeard{ID: id, Host: s.GetHost(), Incarnation: s.GetIncarnation(), Value: s.GetValue()})
 	}
 	return true
 }
 
-// fleetSlot returns the value held for a host, or nil.
+// fleetSlot returns the stored value of a host's fleet-wide slot, or nil.
 func (m *Machine) fleetSlot(host string, id SlotID) *fleetSlot {
 	e := m.hosts[host]
 	if e == nil {
@@ -108,14 +109,14 @@
 	return nil
 }
 
-// dropOldSlots drops the values of a host's earlier incarnations.
-func (m *Machine) dropOldSlots(e *entry) {
+// removeStaleSlots removes the values of a host's earlier incarnations.
+func (m *Machine) removeStaleSlots(e *hostEntry) {
 	e.slots = slices.DeleteFunc(e.slots, func(s *fleetSlot) bool {
-		old := s.wire.GetIncarnation() < e.incarnation
-		if old {
-			m.hash ^= s.hash
-			m.rumors.drop(slotKey(e.host.Name, SlotID(s.wire.GetId())))
+		stale := s.wire.GetIncarnation() < e.incarnation
+		if stale {
+			m.stateHash ^= s.hash
+			m.gossip.remove(slotKey(e.host.Name, SlotID(s.wire.GetId())))
 		}
-		return old
+		return stale
 	})
 }
--- a/core/member/sync.go
+++ b/core/member/sync.go
@@ -9,76 +9,78 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// The bounds on one comparison.
+// The limits on one sync, which compares all items with those of a peer.
 const (
 	maxSyncBytes  = 64 << 10
 	maxSyncHashes = 8192
-	// syncPatience is how long a difference to the peers must last before it
-	// is not left to the rumors any more, and syncHaste the same while no
-	// rumors spread from here.
-	syncPatience = 10 * time.Second
-	syncHaste    = 5 * time.Second
+	// syncDelay is how long the state must differ from the peers' before a sync
+	// is started rather than leaving the repair to gossip. syncDelayIdle applies
+	// while this daemon's gossip queue is empty.
+	syncDelay     = 10 * time.Second
+	syncDelayIdle = 5 * time.Second
 )
 
-// syncs paces the comparisons.
-type syncs struct {
-	at time.Time // of the last one begun; zero since the start or a pause
-	// differs is since when every peer heard had another hash, with some
-	// jitter; zero after one that had ours.
-	differs time.Time
+// syncState limits how often syncs are started.
+type syncState struct {
+	startedAt time.Time // start of the last sync; zero after a start or a pause
+	// differentSince is when the first of the peers with a different hash was
+	// seen, plus random jitter; zero once a peer had the same hash.
+	differentSince time.Time
 }
 
-// maybeSync compares all items with a peer whose hash differs from ours, when
-// the difference lasts and not too often; at once after a start or a pause.
-func (m *Machine) maybeSync(now time.Time, peer string, hash uint64) {
-	if hash == m.hash {
-		m.sync.differs = time.Time{}
+// syncIfDifferent starts a sync with a peer whose hash differs, if the difference
+// has lasted long enough and the last sync is long enough ago. The first sync
+// after a start or a pause starts at once.
+func (m *Machine) syncIfDifferent(now time.Time, peer string, hash uint64) {
+	if hash == m.stateHash {
+		m.sync.differentSince = time.Time{}
 		return
 	}
 	if m.hosts[peer] == nil {
 		return
 	}
-	if m.sync.differs.IsZero() {
-		m.sync.differs = now.Add(time.Duration(m.rng.Int64N(int64(syncHaste))))
+	if m.sync.differentSince.IsZero() {
+		m.sync.differentSince = now.Add(time.Duration(m.rng.Int64N(int64(syncDelayIdle))))
 	}
-	if !m.sync.at.IsZero() && !m.syncDue(now) {
+	if !m.sync.startedAt.IsZero() && !m.syncDue(now) {
 		return
 	}
-	m.sync.at = now
-	m.sync.differs = time.Time{}
+	m.sync.startedAt = now
+	m.sync.differentSince = time.Time{}
 	m.stats.Syncs++
 	m.send(peer, &wire.MemberSync{Have: m.itemHashes()})
 }
 
-// syncDue says whether a difference has lasted long enough.
+// syncDue reports whether the difference has lasted long enough and the last
+// sync is at least SyncInterval ago.
 func (m *Machine) syncDue(now time.Time) bool {
-	patience := syncPatience
-	if len(m.rumors.queue) == 0 {
-		patience = syncHaste
+	delay := syncDelay
+	if len(m.gossip.queue) == 0 {
+		delay = syncDelayIdle
 	}
-	return now.Sub(m.sync.differs) >= patience && now.Sub(m.sync.at) >= m.cfg.SyncInterval
+	return now.Sub(m.sync.differentSince) >= delay && now.Sub(m.sync.startedAt) >= m.cfg.SyncInterval
 }
 
-// items calls f for each item and its hash, in a fixed order.
-func (m *Machine) items(f func(itemKey, uint64)) {
+// forEachItem calls visit for each item and its hash, in a fixed order.
+func (m *Machine) forEachItem(visit func(itemKey, uint64)) {
 	for _, name := range m.names {
 		e := m.hosts[name]
 		if e.state != wire.MemberState_MEMBER_UNKNOWN {
-			f(recordKey(name), e.hash)
+			visit(recordKey(name), e.hash)
 		}
 		for _, s := range e.slots {
-			f(slotKey(name, SlotID(s.wire.GetId())), s.hash)
+			visit(slotKey(name, SlotID(s.wire.GetId())), s.hash)
 		}
 	}
-	for _, name := range sortedKeys(m.marks.byName) {
-		f(upstreamKey(name), m.marks.byName[name].hash)
+	for _, name := range sortedKeys(m.upstreamMarks.byName) {
+		visit(upstreamKey(name), m.upstreamMarks.byName[name].hash)
 	}
 }
 
-// itemHashes lists the hashes of all items.
+// itemHashes returns the hashes of all items, at most maxSyncHashes.
 func (m *Machine) itemHashes() []uint64 {
 	var out []uint64
-	m.items(func(_ itemKey, hash uint64) {
+	m.forEachItem(func(_ itemKey, hash uint64) {
 		if len(out) < maxSyncHashes {
 			out = append(out, hash)
 		}
@@ -86,37 +88,38 @@
 	return out
 }
 
-// answerSync sends the items that the asker lacks and asks for ours.
-func (m *Machine) answerSync(from string, msg *wire.MemberSync) {
+// handleSync sends the items that the peer lacks and requests the items that
+// this daemon lacks.
+func (m *Machine) handleSync(from string, msg *wire.MemberSync) {
 	have := msg.GetHave()[:min(len(msg.GetHave()), maxSyncHashes)]
-	lacking := make(map[uint64]bool, len(have))
+	missing := make(map[uint64]bool, len(have))
 	for _, h := range have {
-		lacking[h] = true
+		missing[h] = true
 	}
 	reply := &wire.MemberSyncReply{Items: &wire.MemberItems{}}
-	room := maxSyncBytes
-	m.items(func(k itemKey, hash uint64) {
-		if lacking[hash] {
-			delete(lacking, hash)
-		} else if room > 0 {
-			room -= m.put(reply.Items, k)
+	remaining := maxSyncBytes
+	m.forEachItem(func(k itemKey, hash uint64) {
+		if missing[hash] {
+			delete(missing, hash)
+		} else if remaining > 0 {
+			remaining -= m.appendItem(reply.Items, k)
 		}
 	})
 	for _, h := range have {
-		if lacking[h] {
+		if missing[h] {
 			reply.Want = append(reply.Want, h)
 		}
 	}
 	m.send(from, reply)
 }
 
-// synced takes the items of a comparison and pushes those that were wanted.
-func (m *Machine) synced(now time.Time, from string, msg *wire.MemberSyncReply) {
+// handleSyncReply merges the items of a sync reply and sends the requested ones.
+func (m *Machine) handleSyncReply(now time.Time, from string, msg *wire.MemberSyncReply) {
 	m.pushWanted(from, msg.GetWant())
 	m.mergeItems(now, from, msg.GetItems())
 }
 
-// pushWanted sends the items of the given hashes.
+// pushWanted sends the items with the given hashes.
 func (m *Machine) pushWanted(to string, want []uint64) {
 	if len(want) == 0 {
 		return
@@ -126,10 +129,10 @@
 		wanted[h] = true
 	}
 	push := &wire.MemberPush{Items: &wire.MemberItems{}}
-	room := maxSyncBytes
-	m.items(func(k itemKey, hash uint64) {
-		if wanted[hash] && room > 0 {
-			room -= m.put(push.Items, k)
+	remaining := maxSyncBytes
+	m.forEachItem(func(k itemKey, hash uint64) {
+		if wanted[hash] && remaining > 0 {
+			remaining -= m.appendItem(push.Items, k)
 		}
 	})
 	if proto.Size(push.Items) > 0 {
@@ -137,7 +140,7 @@
 	}
 }
 
-// Dump is the state of a Machine for operators.
+// Dump is the state of a Machine, for operators.
 type Dump struct {
 	Self        string        `json:"self"`
 	Incarnation uint64        `json:"incarnation"`
@@ -149,7 +152,7 @@
 	Health      int           `json:"local_health_score"`
 	Neighbours  []string      `json:"neighbours"`
 	Leaving     []string      `json:"leaving_upstreams"`
-	Rumors      int           `json:"rumors"`
+	QueuedItems int           `json:"rumors"`
 	Stats       Stats         `json:"stats"`
 	Members     []MemberDump  `json:"members"`
 }
@@ -165,23 +168,23 @@
 	Neighbour     bool          `json:"neighbour"`
 }
 
-// Dump returns the whole state.
+// Dump returns the complete state.
 func (m *Machine) Dump(now time.Time) Dump {
 	offset, peers := m.clock.offset(now)
 	d := Dump{
-		Self: m.cfg.Self.Name, Incarnation: m.self.incarnation, Fresh: m.fresh.fresh, Skewed: m.clock.skewed,
-		ClockOffset: offset, ClockPeers: peers, Superseded: m.beaten, Health: m.health.score,
-		Neighbours: slices.Clone(m.near), Leaving: m.LeavingUpstreams(), Rumors: len(m.rumors.queue), Stats: m.stats,
+		Self: m.cfg.Self.Name, Incarnation: m.self.incarnation, Fresh: m.freshness.fresh, Skewed: m.clock.skewed,
+		ClockOffset: offset, ClockPeers: peers, Superseded: m.supersededBy, Health: m.health.score,
+		Neighbours: slices.Clone(m.neighbours), Leaving: m.LeavingUpstreams(), QueuedItems: len(m.gossip.queue), Stats: m.stats,
 	}
-	for _, x := range m.Members() {
-		one := MemberDump{
-			Name: x.Host.Name, FailureDomain: x.Host.FailureDomain, Incarnation: x.Incarnation,
-			State: x.State.String(), For: now.Sub(x.Since), Neighbour: x.Neighbour,
+	for _, member := range m.Members() {
+		dump := MemberDump{
+			Name: member.Host.Name, FailureDomain: member.Host.FailureDomain, Incarnation: member.Incarnation,
+			State: member.State.String(), For: now.Sub(member.Since), Neighbour: member.Neighbour,
 		}
-		if !x.Heard.IsZero() {
-			one.HeardAgo = now.Sub(x.Heard)
+		if !member.Heard.IsZero() {
+			dump.HeardAgo = now.Sub(member.Heard)
 		}
-		d.Members = append(d.Members, one)
+		d.Members = append(d.Members, dump)
 	}
 	return d
 }
--- a/core/member/upstream.go
+++ b/core/member/upstream.go
@@ -6,31 +6,32 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// The bounds on marks: their number while the bundle is unknown, and how far
-// ahead of our clock one may lie.
+// The limits on marks: their number, needed while the bundle and so the list of
+// upstreams is unknown, and how far their time may be ahead of the local clock.
 const (
-	maxMarks     = 4096
-	maxMarkAhead = time.Minute
+	maxUpstreamMarks = 4096
+	maxMarkFuture    = time.Minute
 )
 
-// mark says whether an upstream leaves.
-type mark struct {
+// upstreamMark records whether an upstream is leaving, as of a time in Unix
+// milliseconds.
+type upstreamMark struct {
 	leaving bool
 	asOf    int64
 	hash    uint64
 }
 
-// marks holds the upstreams that leave or left and came back.
-type marks struct {
-	byName  map[string]*mark
+// upstreamMarks holds the marks of upstreams that are leaving or have returned.
+type upstreamMarks struct {
+	byName  map[string]*upstreamMark
 	allowed map[string]bool // nil allows all
 }
 
-// upstreamKey names a mark among the items.
+// upstreamKey returns the item key of an upstream's mark.
 func upstreamKey(name string) itemKey { return itemKey{kind: kindUpstream, name: name} }
 
-// wire returns the mark of an upstream as it spreads, or nil.
-func (k *marks) wire(name string) *wire.UpstreamMark {
+// toProto returns the message form of an upstream's mark, or nil.
+func (k *upstreamMarks) toProto(name string) *wire.UpstreamMark {
 	u := k.byName[name]
 	if u == nil {
 		return nil
@@ -38,92 +39,93 @@
 	return &wire.UpstreamMark{Upstream: name, Leaving: u.leaving, AsOfUnixMs: u.asOf}
 }
 
-// configureMarks drops the marks of upstreams that the bundle does not name.
-func (m *Machine) configureMarks(upstreams []string) {
-	m.marks.allowed = nil
+// setAllowedUpstreams sets the upstreams that may be marked and removes the marks
+// of all others; nil allows all.
+func (m *Machine) setAllowedUpstreams(upstreams []string) {
+	m.upstreamMarks.allowed = nil
 	if upstreams == nil {
 		return
 	}
-	m.marks.allowed = make(map[string]bool, len(upstreams))
+	m.upstreamMarks.allowed = make(map[string]bool, len(upstreams))
 	for _, u := range upstreams {
-		m.marks.allowed[u] = true
+		m.upstreamMarks.allowed[u] = true
 	}
-	for name, u := range m.marks.byName {
-		if !m.marks.allowed[name] {
-			m.hash ^= u.hash
-			delete(m.marks.byName, name)
-			m.rumors.drop(upstreamKey(name))
+	for name, u := range m.upstreamMarks.byName {
+		if !m.upstreamMarks.allowed[name] {
+			m.stateHash ^= u.hash
+			delete(m.upstreamMarks.byName, name)
+			m.gossip.remove(upstreamKey(name))
 		}
 	}
 }
 
-// listed takes the host list. It lags, so its word "live" ends a mark only
-// when the list is newer by the hold-down.
-func (m *Machine) listed(now time.Time, e HostList) {
+// handleHostList processes the platform's host list. The list lags behind, so it
+// clears a leaving mark only when it is newer than the mark by LeavingHoldDown.
+func (m *Machine) handleHostList(now time.Time, e HostList) {
 	for _, u := range e.Upstreams {
-		old := m.marks.byName[u.Name]
-		known := old != nil && old.leaving
-		if u.Leaving == known {
+		old := m.upstreamMarks.byName[u.Name]
+		knownLeaving := old != nil && old.leaving
+		if u.Leaving == knownLeaving {
 			continue
 		}
 		if !u.Leaving && e.AsOfUnixMS < old.asOf+m.cfg.LeavingHoldDown.Milliseconds() {
 			continue
 		}
-		m.mergeMark(now, &wire.UpstreamMark{Upstream: u.Name, Leaving: u.Leaving, AsOfUnixMs: e.AsOfUnixMS})
+		m.mergeUpstreamMark(now, &wire.UpstreamMark{Upstream: u.Name, Leaving: u.Leaving, AsOfUnixMs: e.AsOfUnixMS})
 	}
 }
 
-// reported takes an upstream's own word.
-func (m *Machine) reported(now time.Time, e UpstreamReported) {
-	old := m.marks.byName[e.Name]
-	if known := old != nil && old.leaving; known == e.Leaving {
+// handleUpstreamReported processes an upstream's own report.
+func (m *Machine) handleUpstreamReported(now time.Time, e UpstreamReported) {
+	old := m.upstreamMarks.byName[e.Name]
+	if knownLeaving := old != nil && old.leaving; knownLeaving == e.Leaving {
 		return
 	}
-	m.mergeMark(now, &wire.UpstreamMark{Upstream: e.Name, Leaving: e.Leaving, AsOfUnixMs: e.AsOfUnixMS})
+	m.mergeUpstreamMark(now, &wire.UpstreamMark{Upstream: e.Name, Leaving: e.Leaving, AsOfUnixMs: e.AsOfUnixMS})
 }
 
-// mergeMark takes a mark and reports whether it was news. The later one wins;
-// of two of one time, the one that says leaving.
-func (m *Machine) mergeMark(now time.Time, u *wire.UpstreamMark) bool {
+// mergeUpstreamMark merges a mark and reports whether it was new. The later mark
+// wins; of two marks with the same time, the leaving one.
+func (m *Machine) mergeUpstreamMark(now time.Time, u *wire.UpstreamMark) bool {
 	name := u.GetUpstream()
-	if m.marks.allowed != nil && !m.marks.allowed[name] {
+	if m.upstreamMarks.allowed != nil && !m.upstreamMarks.allowed[name] {
 		return false
 	}
-	old := m.marks.byName[name]
-	asOf := min(u.GetAsOfUnixMs(), now.Add(maxMarkAhead).UnixMilli())
+	old := m.upstreamMarks.byName[name]
+	asOf := min(u.GetAsOfUnixMs(), now.Add(maxMarkFuture).UnixMilli())
 	if old == nil {
-		if len(m.marks.byName) >= maxMarks {
-			m.act(Refused{name, "too many leaving marks"})
+		if len(m.upstreamMarks.byName) >= maxUpstreamMarks {
+			m.emit(Refused{name, "too many upstream marks"})
 			return false
 		}
-		old = &mark{asOf: -1}
-		m.marks.byName[name] = old
+		old = &upstreamMark{asOf: -1}
+		m.upstreamMarks.byName[name] = old
 	}
 	if asOf < old.asOf || asOf == old.asOf && (old.leaving || !u.GetLeaving()) {
 		return false
 	}
 	changed := old.leaving != u.GetLeaving()
-	m.hash ^= old.hash
+	m.stateHash ^= old.hash
 	old.leaving, old.asOf = u.GetLeaving(), asOf
-	bit := uint64(0)
+	leavingBit := uint64(0)
 	if old.leaving {
-		bit = 1
+		leavingBit = 1
 	}
-	old.hash = hashItem(upstreamKey(name), [4]uint64{uint64(asOf), bit}, nil)
-	m.hash ^= old.hash
-	m.rumors.add(upstreamKey(name))
+	old.hash = hashItem(upstreamKey(name), [4]uint64{uint64(asOf), leavingBit}, nil)
+	m.stateHash ^= old.hash
+	m.gossip.add(upstreamKey(name))
 	if changed {
-		m.push.urgent()
-		m.act(UpstreamChanged{name, old.leaving})
+		m.push.request()
+		m.emit(UpstreamChanged{name, old.leaving})
 	}
 	return true
 }
 
-// LeavingUpstreams returns the names of the upstreams that leave, sorted.
+// LeavingUpstreams returns the sorted names of the upstreams that are leaving.
 func (m *Machine) LeavingUpstreams() []string {
 	out := []string{}
-	for _, name := range sortedKeys(m.marks.byName) {
-		if m.marks.byName[name].leaving {
+	for _, name := range sortedKeys(m.upstreamMarks.byName) {
+		if m.upstreamMarks.byName[name].leaving {
 			out = append(out, name)
 		}
 	}
--- a/core/rollout/inforce.go
+++ b/core/rollout/active.go
@@ -8,33 +8,37 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// The bounds on what travels between daemons.
+// The limits on transfers between daemons.
 const (
-	// MaxSize bounds a signed document: what the configuration service holds.
+	// MaxSize limits a signed document, in bytes. It is the limit of the
+	// configuration service.
 	MaxSize = 1 << 20
-	// MaxParts bounds the parts of a manifest.
+	// MaxParts limits the number of parts in a manifest.
 	MaxParts = 4096
-	// MaxBatchBytes bounds the parts in one answer: 52 ms of a link of 10 Mbit/s,
-	// so that 90 daemons that fetch from the same one are each answered in time.
+	// MaxBatchBytes limits the total size of the parts in one answer. Sending it
+	// takes 52 ms on a 10 Mbit/s link, so that 90 daemons fetching from the same
+	// one each get their answer within FetchTimeout.
 	MaxBatchBytes = 64 << 10
-	// MaxBatchParts bounds the parts asked for at once, of 4 KiB at most each.
+	// MaxBatchParts limits the number of parts in one request. A part is at most
+	// 4 KiB.
 	MaxBatchParts = 16
 )
 
-// Codec reads signed documents. Its functions are pure.
+// Codec verifies and splits signed documents. Its functions are pure.
 type Codec struct {
-	// Open verifies the signature and parses.
+	// Open verifies the signature and parses the document.
 	Open func(signed []byte) (*bundle.Bundle, error)
-	// Split cuts a document into parts whose concatenation it is.
+	// Split splits a document into parts, whose concatenation is the document.
 	Split func(signed []byte) [][]byte
-	// CheckSuccessor says why next must not follow current; nil allows all.
+	// CheckSuccessor returns an error if next must not replace current. A nil
+	// function allows every replacement.
 	CheckSuccessor func(current, next *bundle.Bundle) error
 }
 
-// hash is a SHA-256.
+// hash is a SHA-256 hash.
 type hash = [sha256.Size]byte
 
-// InForce is one accepted bundle with the parts that peers ask for.
+// InForce is an adopted bundle with its manifest and parts, which peers request.
 type InForce struct {
 	Bundle *bundle.Bundle
 	// Digest is the SHA-256 of the signed document.
@@ -45,8 +49,8 @@
 	parts    map[hash][]byte
 }
 
-// newInForce splits a verified document.
-func newInForce(b *bundle.Bundle, signed []byte, split func([]byte) [][]byte) *InForce {
+// newActiveBundle splits a verified document into parts.
+func newActiveBundle(b *bundle.Bundle, signed []byte, split func([]byte) [][]byte) *InForce {
 	f := &InForce{Bundle: b, Digest: sha256.Sum256(signed), signed: signed, parts: map[hash][]byte{}}
 	f.manifest = &wire.BundleManifest{Version: b.Version, Digest: f.Digest[:], Size: uint64(len(signed))}
 	for _, part := range split(signed) {
@@ -57,11 +61,11 @@
 	return f
 }
 
-// Manifest returns the list of parts. It must not be changed.
+// Manifest returns the manifest. It must not be modified.
 func (f *InForce) Manifest() *wire.BundleManifest { return f.manifest }
 
-// Parts returns the parts that were asked for, as far as they are known and
-// fit one answer.
+// Parts returns the requested parts that this bundle has, up to the limits of one
+// answer.
 func (f *InForce) Parts(req *wire.BundlePartsRequest) *wire.BundleParts {
 	out := &wire.BundleParts{}
 	size := 0
@@ -81,5 +85,5 @@
 	return out
 }
 
-// shortDigest is the part of a digest that rides on heartbeats.
+// shortDigest returns the first 8 bytes of a digest, which heartbeats carry.
 func shortDigest(d []byte) uint64 { return binary.BigEndian.Uint64(d) }
--- a/core/rollout/bench_test.go
+++ b/core/rollout/bench_test.go
@@ -21,8 +21,8 @@
 	benchRegions = 3
 	benchChanges = 10
 	// benchSpacing is the time between two changes, at 2,500 a day.
-	benchSpacing = 24 * time.Hour / 2500
-	benchLimit   = 2 * time.Minute
+	benchChangeInterval = 24 * time.Hour / 2500
+	benchLimit          = 2 * time.Minute
 )
 
 // benchKey signs the benchmarks' bundles.
@@ -72,9 +72,9 @@
 
 // benchFleet starts a fleet with version 1 in force.
 func benchFleet(b *testing.B, n int) *fleet {
-	f := newFleetOf(n, benchDomains, 1, benchCodec())
+	f := newFleetWithCodec(n, benchDomains, 1, benchCodec())
 	f.service.put(benchDocument(n, 1))
-	if _, ok := f.until(benchLimit, f.inForce(1)); !ok {
+	if _, ok := f.runUntil(benchLimit, f.isActive(1)); !ok {
 		b.Fatal("version 1 is not in force")
 	}
 	f.run(benchLimit)
@@ -82,10 +82,10 @@
 }
 
 // quiet zeroes the counts.
-func (f *fleet) quiet() {
+func (f *fleet) resetCounters() {
 	f.service.reads, f.service.bytes = 0, 0
 	for _, n := range f.nodes {
-		n.bytes, n.sent, n.spent, n.actions = 0, 0, 0, nil
+		n.bytes, n.messagesSent, n.cpuTime, n.actions = 0, 0, 0, nil
 	}
 }
 
@@ -119,29 +119,29 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	f := benchFleet(b, n)
-	f.quiet()
+	f.resetCounters()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	f.run(benchSpacing)
+	f.run(benchChangeInterval)
 	idle, _ := f.meanBytes()
-	f.quiet()
+	f.resetCounters()
 	var sum, worst time.Duration
 	for i := range benchChanges {
 		version := uint64(i + 2)
 		f.service.put(benchDocument(n, version))
-		took, ok := f.until(benchLimit, f.inForce(version))
+		took, ok := f.runUntil(benchLimit, f.isActive(version))
 		if !ok {
 			b.Fatalf("version %d is not in force", version)
 		}
 		sum += took
 		worst = max(worst, took)
-		f.run(benchSpacing - took)
+		f.run(benchChangeInterval - took)
 	}
-	seconds := (benchChanges * benchSpacing).Seconds()
+	seconds := (benchChanges * benchChangeInterval).Seconds()
 	mean, most := f.meanBytes()
 	var spent time.Duration
 	for _, x := range f.nodes {
-		spent += x.spent
+		spent += x.cpuTime
 	}
 	b.ReportMetric(sum.Seconds()/benchChanges, "s-in-force")
 	b.ReportMetric(worst.Seconds(), "s-worst")
@@ -165,7 +165,7 @@
 		lost func(i int) bool
 		// lone lets one daemon alone reach the service, for that long
 		// before the change.
-		lone time.Duration
+		singleReaderFor time.Duration
 	}{
 		{"host", func(i int) bool { return i == 3 }, 0},
 		{"domain", func(i int) bool { return domain(i) == 0 }, 0},
@@ -181,13 +181,13 @@
 					for i, name := range f.names {
 						f.nodes[name].up = !c.lost(i)
 					}
-					if c.lone > 0 {
-						f.cutService = func(host string) bool { return host != f.names[1] }
-						f.run(c.lone)
+					if c.singleReaderFor > 0 {
+						f.serviceUnreachable = func(host string) bool { return host != f.names[1] }
+						f.run(c.singleReaderFor)
 					}
-					f.quiet()
+					f.resetCounters()
 					f.service.put(benchDocument(n, 2))
-					took, ok := f.until(2*benchLimit, f.inForce(2))
+					took, ok := f.runUntil(2*benchLimit, f.isActive(2))
 					if !ok {
 						took = 2 * benchLimit
 					}
@@ -205,7 +205,7 @@
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				f := newFleetOf(n, benchDomains, 1, benchCodec())
+				f := newFleetWithCodec(n, benchDomains, 1, benchCodec())
 				f.service.put(benchDocument(n, 1))
 				ready := func() bool {
 					for _, x := range f.nodes {
--- a/core/rollout/event.go
+++ b/core/rollout/event.go
@@ -6,61 +6,63 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// Event is something that happened; see Machine.Step.
+// Event is an input of Machine.Step.
 type Event interface{ isEvent() }
 
-// Tick tells the machine the time; it is due every 100 ms or so.
+// Tick advances the machine's time. The caller passes one about every 100 ms.
 type Tick struct{}
 
-// PeerHeard is the mark that rode on a peer's heartbeat.
+// PeerHeard is the mark received with a peer's heartbeat.
 type PeerHeard struct {
 	Host string
 	Mark *wire.BundleMark
-	// Solicited says that the mark answers what this daemon asked since its
-	// start or last pause; others may be as old as the pause.
+	// Solicited reports that the mark came with the answer to a ping that this
+	// daemon sent since its start or last pause; other marks may have been sent
+	// before the pause.
 	Solicited bool
 }
 
-// PeersChanged is the fleet as membership sees it.
+// PeersChanged is the state of the fleet according to the membership protocol.
 type PeersChanged struct {
-	// Neighbours are the hosts whose heartbeats are heard.
+	// Neighbours are the hosts that this daemon exchanges heartbeats with.
 	Neighbours []string
-	// Living counts the hosts not believed dead, this one included.
+	// Living is the number of hosts that are not dead, including this one.
 	Living int
 }
 
-// ManifestArrived answers a FetchManifest.
+// ManifestArrived is the answer to a FetchManifest.
 type ManifestArrived struct {
 	From     string
 	Manifest *wire.BundleManifest
 }
 
-// PartsArrived answers a FetchParts.
+// PartsArrived is the answer to a FetchParts.
 type PartsArrived struct {
 	From  string
 	Parts *wire.BundleParts
 }
 
-// FetchFailed ends a FetchManifest or FetchParts without an answer.
+// FetchFailed reports that a FetchManifest or FetchParts got no answer.
 type FetchFailed struct {
 	From string
 	Err  error
 }
 
-// ServiceAnswered is a value read from the configuration service.
+// ServiceAnswered is a document read from the configuration service and the
+// revision at which the service holds it.
 type ServiceAnswered struct {
 	Revision uint64
 	Signed   []byte
 }
 
-// ServiceUnchanged says that the service has no later revision.
+// ServiceUnchanged reports that the service has no later revision.
 type ServiceUnchanged struct{}
 
-// ServiceFailed says that the service did not answer.
+// ServiceFailed reports that a read of the service failed.
 type ServiceFailed struct{ Err error }
 
-// Woke says that the process stood still: it is not ready until it has heard
-// from its peers again.
+// Woke reports that the process was paused. It is not ready until its peers have
+// answered again.
 type Woke struct{}
 
 func (Tick) isEvent()             {}
@@ -74,37 +76,39 @@
 func (ServiceUnchanged) isEvent() {}
 func (ServiceFailed) isEvent()    {}
 
-// Action is something for the caller to do or to know.
+// Action is an output of Machine.Step that the caller carries out or takes note
+// of.
 type Action interface{ isAction() }
 
-// PollService asks for one read of the service, answered by ServiceAnswered,
-// ServiceUnchanged or ServiceFailed. After is the revision already known; 0
-// reads whatever there is.
+// PollService requests one read of the service, which the caller answers with
+// ServiceAnswered, ServiceUnchanged or ServiceFailed. After is the revision
+// already known; 0 makes the read unconditional.
 type PollService struct{ After uint64 }
 
-// FetchManifest asks a peer for its manifest.
+// FetchManifest requests the manifest of a peer's active bundle.
 type FetchManifest struct{ From string }
 
-// FetchParts asks a peer for parts.
+// FetchParts requests parts of a document from a peer.
 type FetchParts struct {
 	From    string
 	Request *wire.BundlePartsRequest
 }
 
-// Adopt puts a bundle into force.
+// Adopt makes a bundle the active one.
 type Adopt struct {
 	InForce *InForce
 	Source  Source
 }
 
-// Announce replaces the mark on the heartbeats. It is urgent when a bundle
-// came into force.
+// Announce replaces the mark in this daemon's heartbeats. It is urgent when a
+// bundle became active.
 type Announce struct {
 	Mark   *wire.BundleMark
 	Urgent bool
 }
 
-// Rejected says that a document or a peer's transfer was refused.
+// Rejected reports that a document or a transfer from a peer was rejected.
+// Version is 0 if unknown; Digest is the short digest.
 type Rejected struct {
 	Source  Source
 	Version uint64
@@ -112,18 +116,21 @@
 	Err     error
 }
 
-// Conflict says that two documents claim one version. The one in force stays.
+// Conflict reports another document with the version of the active one, which
+// stays active.
 type Conflict struct {
 	Source         Source
 	Version        uint64
 	InForce, Other uint64 // short digests
 }
 
-// ServiceStale says that the service serves a lower version than is in force.
+// ServiceStale reports that the service serves a lower version than the active
+// one.
 type ServiceStale struct{ Served, InForce uint64 }
 
-// Readiness says that the daemon holds the newest bundle that it could hear
-// of. Alone means that too few peers answered in time to tell.
+// Readiness reports that the daemon became ready: its active bundle is the newest
+// one announced to it. Alone reports that too few peers answered in time to
+// confirm that.
 type Readiness struct{ Alone bool }
 
 func (PollService) isAction()   {}
@@ -136,13 +143,12 @@
 func (ServiceStale) isAction()  {}
 func (Readiness) isAction()     {}
 
-// Source says where a document came from.
+// Source is the origin of a document.
 type Source struct {
-	// Peer is the host, or empty for the configuration service.
+	// Peer is the name of the host, or empty for the configuration service.
 	Peer string
 }
 
-// String names the source.
 func (s Source) String() string {
 	if s.Peer == "" {
 		return "configuration service"
@@ -150,44 +156,44 @@
 	return "peer " + s.Peer
 }
 
-// Config holds the constants of one Machine.
+// Config holds the parameters of one Machine.
 type Config struct {
 	Codec Codec
-	// PollSpacing is the mean time between two reads of the service by the
-	// whole fleet.
-	PollSpacing time.Duration
-	// PollMin is the least mean time between two reads by this daemon.
+	// FleetPollInterval is the mean time between two reads of the service over
+	// all daemons of the fleet.
+	FleetPollInterval time.Duration
+	// PollMin is the lower bound of the mean time between two reads by this daemon.
 	PollMin time.Duration
-	// PollMax bounds the wait between two reads by this daemon.
-	PollMax time.Duration
-	// FullEvery makes every n-th read unconditional, which notices a service
-	// whose revisions began anew.
-	FullEvery int
-	// StartSpread is the time over which first reads are spread.
-	StartSpread time.Duration
-	// StartTimeout is how long a starting daemon waits for its peers.
+	// MaxPollDelay is the longest delay between two reads by this daemon.
+	MaxPollDelay time.Duration
+	// FullReadEvery makes every n-th read unconditional, which detects a service
+	// whose revision numbers were reset; 0 disables this.
+	FullReadEvery int
+	// FirstPollSpread is the upper bound of the random delay of the first read.
+	FirstPollSpread time.Duration
+	// StartTimeout is how long a starting daemon waits for its peers to answer.
 	StartTimeout time.Duration
-	// FetchTimeout bounds the wait for each answer of a fetch from a peer.
+	// FetchTimeout limits the wait for each answer during a transfer from a peer.
 	FetchTimeout time.Duration
-	// AvoidFor is how long a peer whose fetch failed is not asked again.
-	AvoidFor time.Duration
-	// PollTimeout is when an unanswered read counts as failed.
+	// PeerBackoff is how long a peer is not used again after a failed transfer.
+	PeerBackoff time.Duration
+	// PollTimeout is the time after which an unanswered read counts as failed.
 	PollTimeout time.Duration
 }
 
-// DefaultConfig returns the constants that docs/decisions/0006-rollout.md
-// argues for.
+// DefaultConfig returns the parameters that docs/decisions/0006-rollout.md gives
+// reasons for.
 func DefaultConfig(c Codec) Config {
 	return Config{
-		Codec:        c,
-		PollSpacing:  500 * time.Millisecond,
-		PollMin:      2 * time.Second,
-		PollMax:      10 * time.Minute,
-		FullEvery:    20,
-		StartSpread:  time.Second,
-		StartTimeout: 15 * time.Second,
-		FetchTimeout: 5 * time.Second,
-		AvoidFor:     15 * time.Second,
-		PollTimeout:  10 * time.Second,
+		Codec:             c,
+		FleetPollInterval: 500 * time.Millisecond,
+		PollMin:           2 * time.Second,
+		MaxPollDelay:      10 * time.Minute,
+		FullReadEvery:     20,
+		FirstPollSpread:   time.Second,
+		StartTimeout:      15 * time.Second,
+		FetchTimeout:      5 * time.Second,
+		PeerBackoff:       15 * time.Second,
+		PollTimeout:       10 * time.Second,
 	}
 }
--- a/core/rollout/machine.go
+++ b/core/rollout/machine.go
@@ -10,51 +10,54 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// The errors of a Rejected, beside those of the Codec.
+// The errors of this package. Rejected.Err holds the first two or an error of the
+// Codec.
 var (
-	// ErrTransfer is a manifest or part that does not match its hash or bound.
-	ErrTransfer = errors.New("rollout: transfer does not match")
-	// ErrSuccessor is a document that must not follow the one in force.
+	// ErrTransfer reports a manifest or part that does not match its hash or
+	// exceeds a limit.
+	ErrTransfer = errors.New("rollout: invalid transfer")
+	// ErrSuccessor reports a document that must not replace the active one.
 	ErrSuccessor = errors.New("rollout: not a successor")
-	// ErrPollTimeout is a read of the service that was never answered.
+	// ErrPollTimeout reports a read of the service that was not answered in time.
 	ErrPollTimeout = errors.New("rollout: read of the configuration service timed out")
 )
 
-// peerMark is what a peer last said of itself.
+// peerMark is the last mark received from a peer and the state of the peer as a
+// source of transfers.
 type peerMark struct {
 	mark       *wire.BundleMark
-	heardAt    time.Time
+	receivedAt time.Time
 	solicited  bool
 	avoidUntil time.Time
 }
 
-// Machine is the configuration of one daemon; see the package comment.
+// Machine is the configuration rollout of one daemon; see the package comment.
 type Machine struct {
-	cfg     Config
-	rng     *rand.Rand
-	current *InForce
-	source  Source
-	// revision at which the service served the document in force; 0 unknown.
+	cfg    Config
+	rng    *rand.Rand
+	active *InForce
+	source Source
+	// revision at which the service serves the active document; 0 if unknown.
 	revision uint64
-	// readRevision is the last one that this daemon read itself.
-	readRevision uint64
-	peers        map[string]*peerMark
-	near         []string
-	living       int
-	fetch        *fetch
-	// parts are those that transfers have brought and that are not in force yet.
-	parts    map[hash][]byte
-	poll     poll
-	started  time.Time
-	ready    bool
-	rejected memory
-	reported memory
-	stale    uint64 // version last reported as stale
-	stats    Stats
-	out      []Action
+	// lastReadRevision is the last revision that this daemon read itself.
+	lastReadRevision uint64
+	peers            map[string]*peerMark
+	neighbours       []string
+	liveHosts        int
+	fetch            *fetch
+	// parts are the parts fetched for a document that is not active yet.
+	parts             map[hash][]byte
+	poll              pollState
+	startedAt         time.Time
+	ready             bool
+	rejected          documentSet
+	reportedConflicts documentSet
+	reportedStale     uint64 // last version in a ServiceStale action
+	stats             Stats
+	actions           []Action
 }
 
-// Stats counts what a Machine did since its start.
+// Stats holds a Machine's event counts since its start.
 type Stats struct {
 	Polls, PollsFailed, Documents uint64
 	Fetches, FetchesFailed        uint64
@@ -63,108 +66,109 @@
 
 // New returns a Machine without a bundle.
 func New(cfg Config, now time.Time, rng *rand.Rand) *Machine {
-	m := &Machine{cfg: cfg, rng: rng, peers: map[string]*peerMark{}, living: 1, started: now}
-	m.poll.last = now
-	m.poll.first = time.Duration(rng.Int64N(int64(cfg.StartSpread) + 1))
+	m := &Machine{cfg: cfg, rng: rng, peers: map[string]*peerMark{}, liveHosts: 1, startedAt: now}
+	m.poll.lastEnd = now
+	m.poll.firstDelay = time.Duration(rng.Int64N(int64(cfg.FirstPollSpread) + 1))
 	return m
 }
 
-// Step passes one event and returns the actions that follow from it.
+// Step processes one event and returns the resulting actions.
 func (m *Machine) Step(now time.Time, event Event) []Action {
-	m.out = nil
+	m.actions = nil
 	switch e := event.(type) {
 	case Tick:
 		m.expireFetch(now)
-		m.pollDue(now)
+		m.pollIfDue(now)
 	case Woke:
-		m.woke(now)
+		m.handleWoke(now)
 	case PeerHeard:
-		m.heard(now, e)
+		m.handlePeerMark(now, e)
 	case PeersChanged:
-		m.peersChanged(e)
+		m.handlePeersChanged(e)
 	case ManifestArrived:
-		m.manifestArrived(now, e)
+		m.handleManifest(now, e)
 	case PartsArrived:
-		m.partsArrived(now, e)
+		m.handleParts(now, e)
 	case FetchFailed:
-		m.fetchFailed(now, e.From)
+		m.failFetch(now, e.From)
 	case ServiceAnswered:
-		m.answered(now, e)
+		m.handleServiceAnswer(now, e)
 	case ServiceUnchanged:
-		m.polled(now, nil)
+		m.endPoll(now, nil)
 	case ServiceFailed:
-		m.polled(now, e.Err)
+		m.endPoll(now, e.Err)
 	}
 	m.startFetch(now)
-	m.checkReady(now)
-	return m.out
+	m.updateReady(now)
+	return m.actions
 }
 
 // act queues an action.
-func (m *Machine) act(a Action) { m.out = append(m.out, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// woke begins the start anew, with the bundle in force kept.
-func (m *Machine) woke(now time.Time) {
+// handleWoke repeats the start sequence but keeps the active bundle.
+func (m *Machine) handleWoke(now time.Time) {
 	m.ready = false
-	m.started = now
+	m.startedAt = now
 	m.peers = map[string]*peerMark{}
 	m.fetch = nil
-	m.poll = poll{}
+	m.poll = pollState{}
 }
 
-// heard notes a peer's mark.
-func (m *Machine) heard(now time.Time, e PeerHeard) {
+// handlePeerMark stores a peer's mark, reports a conflicting document, and takes
+// over the service revision of the active one.
+func (m *Machine) handlePeerMark(now time.Time, e PeerHeard) {
 	p := m.peers[e.Host]
 	if p == nil {
-		if !slices.Contains(m.near, e.Host) && len(m.peers) >= maxStrangers+len(m.near) {
+		if !slices.Contains(m.neighbours, e.Host) && len(m.peers) >= maxNonNeighbours+len(m.neighbours) {
 			return
 		}
 		p = &peerMark{}
 		m.peers[e.Host] = p
 	}
-	p.mark, p.heardAt = e.Mark, now
+	p.mark, p.receivedAt = e.Mark, now
 	p.solicited = p.solicited || e.Solicited
 	switch {
-	case m.current == nil || e.Mark.GetVersion() != m.version():
-	case e.Mark.GetDigest() != shortDigest(m.current.Digest[:]):
-		m.conflict(Source{e.Host}, e.Mark.GetDigest())
+	case m.active == nil || e.Mark.GetVersion() != m.version():
+	case e.Mark.GetDigest() != shortDigest(m.active.Digest[:]):
+		m.reportConflict(Source{e.Host}, e.Mark.GetDigest())
 	case m.revision == 0 && e.Mark.GetRevision() != 0:
 		m.revision = e.Mark.GetRevision()
 		m.announce(false)
 	}
 }
 
-// maxStrangers bounds the marks kept of hosts that are not neighbours.
-const maxStrangers = 64
+// maxNonNeighbours limits the stored marks of hosts that are not neighbours.
+const maxNonNeighbours = 64
 
-// peersChanged drops the marks of hosts that are not neighbours any more.
-func (m *Machine) peersChanged(e PeersChanged) {
-	m.near = slices.Clone(e.Neighbours)
-	m.living = max(e.Living, 1)
+// handlePeersChanged drops the marks of hosts that are not neighbours.
+func (m *Machine) handlePeersChanged(e PeersChanged) {
+	m.neighbours = slices.Clone(e.Neighbours)
+	m.liveHosts = max(e.Living, 1)
 	for host := range m.peers {
-		if !slices.Contains(m.near, host) {
+		if !slices.Contains(m.neighbours, host) {
 			delete(m.peers, host)
 		}
 	}
 }
 
-// version returns the version in force, or 0.
+// version returns the active version, or 0.
 func (m *Machine) version() uint64 {
-	if m.current == nil {
+	if m.active == nil {
 		return 0
 	}
-	return m.current.Bundle.Version
+	return m.active.Bundle.Version
 }
 
-// consider takes a whole document and puts it into force if it is valid and
-// higher. It reports whether the document is the one in force now.
-func (m *Machine) consider(signed []byte, source Source) bool {
+// tryAdopt adopts a complete document if it is valid and has a higher version
+// than the active one. It reports whether the document is now the active one.
+func (m *Machine) tryAdopt(signed []byte, source Source) bool {
 	digest := digestOf(signed)
 	short := shortDigest(digest[:])
-	if m.current != nil && m.current.Digest == digest {
+	if m.active != nil && m.active.Digest == digest {
 		return true
 	}
-	if m.rejected.has(mark{digest: short}) {
+	if m.rejected.contains(documentID{digest: short}) {
 		return false
 	}
 	next, err := m.cfg.Codec.Open(signed)
@@ -176,137 +180,140 @@
 	case next.Version < m.version():
 		m.reportStale(source, next.Version)
 		return false
-	case next.Version == m.version() && m.current != nil:
-		m.conflict(source, short)
+	case next.Version == m.version() && m.active != nil:
+		m.reportConflict(source, short)
 		return false
 	}
 	if err := m.checkSuccessor(next); err != nil {
 		m.reject(source, next.Version, short, err)
 		return false
 	}
-	m.adopt(newInForce(next, signed, m.cfg.Codec.Split), source)
+	m.adopt(newActiveBundle(next, signed, m.cfg.Codec.Split), source)
 	return true
 }
 
-// checkSuccessor asks the codec whether next may follow.
+// checkSuccessor returns an error if next must not replace the active bundle.
 func (m *Machine) checkSuccessor(next *bundle.Bundle) error {
-	if m.current == nil || m.cfg.Codec.CheckSuccessor == nil {
+	if m.active == nil || m.cfg.Codec.CheckSuccessor == nil {
 		return nil
 	}
-	if err := m.cfg.Codec.CheckSuccessor(m.current.Bundle, next); err != nil {
+	if err := m.cfg.Codec.CheckSuccessor(m.active.Bundle, next); err != nil {
 		return errors.Join(ErrSuccessor, err)
 	}
 	return nil
 }
 
-// adopt puts a bundle into force.
+// adopt makes a bundle the active one.
 func (m *Machine) adopt(f *InForce, source Source) {
-	m.current, m.source = f, source
+	m.active, m.source = f, source
 	m.revision = 0
-	m.stale = 0
-	// What was refused beside the old bundle may be right after the new one.
-	m.rejected = memory{}
+	m.reportedStale = 0
+	// A document that was not a valid successor of the old bundle may be one of
+	// the new bundle.
+	m.rejected = documentSet{}
 	m.stats.Adopted++
 	if m.fetch != nil && m.fetch.version <= f.Bundle.Version {
 		m.fetch = nil
 	}
-	m.act(Adopt{f, source})
+	m.emit(Adopt{f, source})
 	m.announce(true)
 }
 
-// announce renews the mark on the heartbeats.
-func (m *Machine) announce(urgent bool) { m.act(Announce{m.mark(), urgent}) }
+// announce replaces the mark in the heartbeats.
+func (m *Machine) announce(urgent bool) { m.emit(Announce{m.currentMark(), urgent}) }
 
-// mark returns the mark of the bundle in force.
-func (m *Machine) mark() *wire.BundleMark {
+// currentMark returns the mark of the active bundle.
+func (m *Machine) currentMark() *wire.BundleMark {
 	out := &wire.BundleMark{ServiceFailed: m.poll.failures > 0}
-	if m.current != nil {
-		out.Version, out.Digest, out.Revision = m.version(), shortDigest(m.current.Digest[:]), m.revision
+	if m.active != nil {
+		out.Version, out.Digest, out.Revision = m.version(), shortDigest(m.active.Digest[:]), m.revision
 	}
 	return out
 }
 
-// reject reports a refused document once.
+// reject reports a rejected document, once.
 func (m *Machine) reject(source Source, version, digest uint64, err error) {
-	if !m.rejected.add(mark{digest: digest}) {
+	if !m.rejected.add(documentID{digest: digest}) {
 		return
 	}
 	m.stats.Rejected++
-	m.act(Rejected{source, version, digest, err})
+	m.emit(Rejected{source, version, digest, err})
 }
 
-// conflict reports another document of the version in force once.
-func (m *Machine) conflict(source Source, other uint64) {
-	if !m.reported.add(mark{m.version(), other}) {
+// reportConflict reports another document with the active version, once.
+func (m *Machine) reportConflict(source Source, other uint64) {
+	if !m.reportedConflicts.add(documentID{m.version(), other}) {
 		return
 	}
 	m.stats.Conflicts++
-	m.act(Conflict{source, m.version(), shortDigest(m.current.Digest[:]), other})
+	m.emit(Conflict{source, m.version(), shortDigest(m.active.Digest[:]), other})
 }
 
-// reportStale reports a service behind the version in force once for each.
+// reportStale reports a service that serves a lower version than the active one,
+// once per served version.
 func (m *Machine) reportStale(source Source, served uint64) {
-	if source.Peer != "" || m.stale == served {
+	if source.Peer != "" || m.reportedStale == served {
 		return
 	}
-	m.stale = served
-	m.act(ServiceStale{served, m.version()})
+	m.reportedStale = served
+	m.emit(ServiceStale{served, m.version()})
 }
 
-// checkReady ends the start: there is a bundle, a majority of the neighbours
-// answered (or the time for it is up), and no higher one is being fetched;
-// Step begins a fetch before it comes here.
-func (m *Machine) checkReady(now time.Time) {
-	if m.ready || m.current == nil || m.fetch != nil {
+// updateReady makes the daemon ready once it has a bundle, a majority of the
+// neighbours has answered or StartTimeout has passed, and no higher version is
+// being fetched. Step starts a fetch before it calls this method.
+func (m *Machine) updateReady(now time.Time) {
+	if m.ready || m.active == nil || m.fetch != nil {
 		return
 	}
-	heard := 0
-	for _, host := range m.near {
+	answered := 0
+	for _, host := range m.neighbours {
 		if p := m.peers[host]; p != nil && p.solicited {
-			heard++
+			answered++
 		}
 	}
-	enough := 2*heard > len(m.near)
+	majority := 2*answered > len(m.neighbours)
 	switch {
-	case enough && (len(m.near) > 0 || m.poll.done > 0):
+	case majority && (len(m.neighbours) > 0 || m.poll.completed > 0):
 		m.ready = true
-		m.act(Readiness{})
-	case now.Sub(m.started) >= m.cfg.StartTimeout && m.poll.done > 0:
+		m.emit(Readiness{})
+	case now.Sub(m.startedAt) >= m.cfg.StartTimeout && m.poll.completed > 0:
 		m.ready = true
-		m.act(Readiness{Alone: true})
+		m.emit(Readiness{Alone: true})
 	}
 }
 
-// Current returns the bundle in force, or nil.
-func (m *Machine) Current() *InForce { return m.current }
+// Current returns the active bundle, or nil.
+func (m *Machine) Current() *InForce { return m.active }
 
-// Ready says whether the daemon has held the newest bundle that it could hear
-// of since it started or woke.
+// Ready reports whether the daemon has become ready since its start or last
+// pause; see Readiness.
 func (m *Machine) Ready() bool { return m.ready }
 
-// Stats returns the counts since the start.
+// Stats returns the event counts since the start.
 func (m *Machine) Stats() Stats { return m.stats }
 
-// mark identifies a document in a memory.
-type mark struct{ version, digest uint64 }
+// documentID identifies a document in a documentSet.
+type documentID struct{ version, digest uint64 }
 
-// memory remembers the last marks, so that each is reported once.
-type memory struct{ marks []mark }
+// documentSet holds the most recently added documents, so that each is reported
+// once.
+type documentSet struct{ ids []documentID }
 
-// memorySize bounds a memory.
-const memorySize = 64
+// maxDocumentSet limits the size of a documentSet.
+const maxDocumentSet = 64
 
-// has says whether a mark is remembered.
-func (m *memory) has(k mark) bool { return slices.Contains(m.marks, k) }
+func (m *documentSet) contains(id documentID) bool { return slices.Contains(m.ids, id) }
 
-// add remembers a mark and reports whether it is new.
-func (m *memory) add(k mark) bool {
-	if m.has(k) {
+// add adds a document, removing the oldest one if the set is full, and reports
+// whether it is new.
+func (m *documentSet) add(id documentID) bool {
+	if m.contains(id) {
 		return false
 	}
-	if len(m.marks) >= memorySize {
-		m.marks = slices.Delete(m.marks, 0, 1)
+	if len(m.ids) >= maxDocumentSet {
+		m.ids = slices.Delete(m.ids, 0, 1)
 	}
-	m.marks = append(m.marks, k)
+	m.ids = append(m.ids, id)
 	return true
 }
--- a/core/rollout/poll.go
+++ b/core/rollout/poll.go
@@ -2,106 +2,107 @@
 
 import "time"
 
-// maxPollBackoff bounds the doublings of the wait after failed reads. The
-// fleet's reads are few anyway, so it need not be long.
-const maxPollBackoff = 2
+// maxPollBackoffDoublings limits how often the delay doubles after failed reads.
+// A low limit is enough because the fleet makes few reads in any case.
+const maxPollBackoffDoublings = 2
 
-// markAge is how long a peer's word on the service counts; neighbours are
-// heard every few seconds, others by chance.
-const markAge = 30 * time.Second
+// maxMarkAge is how long a peer's report on its last read of the service is
+// used. Marks of neighbours arrive every few seconds, those of other hosts only
+// when a random probe reaches them.
+const maxMarkAge = 30 * time.Second
 
-// poll is the reading of the configuration service.
-type poll struct {
-	last time.Time // end of the last read, or the start
-	// first is the wait before the first read, draw the random part (0.5 to
-	// 1.5) of the wait before a later one.
-	first    time.Duration
-	draw     float64
-	deadline time.Time // of the read in flight; zero when there is none
-	done     int       // reads that ended
-	failures int       // in a row
+// pollState is the state of the reads of the configuration service.
+type pollState struct {
+	lastEnd time.Time // end of the last read, or the start
+	// firstDelay is the delay before the first read. jitter is the random factor
+	// (0.5 to 1.5) of the delay before each later one.
+	firstDelay time.Duration
+	jitter     float64
+	deadline   time.Time // of the read in flight; zero if there is none
+	completed  int       // number of reads that ended
+	failures   int       // consecutive failed reads
 }
 
-// pollDue asks for a read when its time has come.
-func (m *Machine) pollDue(now time.Time) {
+// pollIfDue requests a read if one is due and ends a read that has timed out.
+func (m *Machine) pollIfDue(now time.Time) {
 	if !m.poll.deadline.IsZero() {
 		if !now.Before(m.poll.deadline) {
-			m.polled(now, ErrPollTimeout)
+			m.endPoll(now, ErrPollTimeout)
 		}
 		return
 	}
-	if now.Sub(m.poll.last) < m.pollWait(now) {
+	if now.Sub(m.poll.lastEnd) < m.pollDelay(now) {
 		return
 	}
 	m.poll.deadline = now.Add(m.cfg.PollTimeout)
 	m.stats.Polls++
 	after := m.revision
 	if after == 0 {
-		after = m.readRevision
+		after = m.lastReadRevision
 	}
-	if m.cfg.FullEvery > 0 && m.stats.Polls%uint64(m.cfg.FullEvery) == 0 {
+	if m.cfg.FullReadEvery > 0 && m.stats.Polls%uint64(m.cfg.FullReadEvery) == 0 {
 		after = 0
 	}
-	m.act(PollService{after})
+	m.emit(PollService{after})
 }
 
-// polled ends a read and draws the wait before the next.
-func (m *Machine) polled(now time.Time, err error) {
-	failing := m.poll.failures > 0
+// endPoll ends a read and picks the jitter of the delay before the next one.
+func (m *Machine) endPoll(now time.Time, err error) {
+	wasFailing := m.poll.failures > 0
 	m.poll.deadline = time.Time{}
-	m.poll.done++
+	m.poll.completed++
 	m.poll.failures++
 	if err == nil {
 		m.poll.failures = 0
 	} else {
 		m.stats.PollsFailed++
 	}
-	m.poll.last = now
-	m.poll.draw = 0.5 + m.rng.Float64()
-	if failing != (m.poll.failures > 0) {
+	m.poll.lastEnd = now
+	m.poll.jitter = 0.5 + m.rng.Float64()
+	if wasFailing != (m.poll.failures > 0) {
 		m.announce(false)
 	}
 }
 
-// pollWait returns the wait before the next read: uniform around a mean that
-// grows with the number of daemons that reach the service, so that the fleet's
-// successful reads a second stay the same. It follows the fleet's changes
-// while a daemon waits.
-func (m *Machine) pollWait(now time.Time) time.Duration {
-	if m.poll.done == 0 {
-		return m.poll.first
+// pollDelay returns the delay before the next read. It is uniformly distributed
+// around a mean that grows with the number of daemons that reach the service, so
+// that the fleet's rate of successful reads stays constant. Changes of the fleet
+// take effect while a daemon waits.
+func (m *Machine) pollDelay(now time.Time) time.Duration {
+	if m.poll.completed == 0 {
+		return m.poll.firstDelay
 	}
-	readers := float64(m.living) * m.readerShare(now)
-	mean := max(m.cfg.PollMin, time.Duration(readers*float64(m.cfg.PollSpacing)))
-	mean <<= min(m.poll.failures, maxPollBackoff)
-	if m.current == nil {
+	readers := float64(m.liveHosts) * m.readerShare(now)
+	mean := max(m.cfg.PollMin, time.Duration(readers*float64(m.cfg.FleetPollInterval)))
+	mean <<= min(m.poll.failures, maxPollBackoffDoublings)
+	if m.active == nil {
 		mean = m.cfg.PollMin
 	}
-	return min(time.Duration(m.poll.draw*float64(mean)), m.cfg.PollMax)
+	return min(time.Duration(m.poll.jitter*float64(mean)), m.cfg.MaxPollDelay)
 }
 
-// readerShare estimates the share of the fleet that reaches the service from
-// what the peers say of their last reads; it counts this daemon as a reader.
+// readerShare estimates the share of the fleet that reaches the service, from the
+// outcomes of the peers' last reads. It counts this daemon as a reader.
 func (m *Machine) readerShare(now time.Time) float64 {
-	readers, heard := 1, 1
+	readers, counted := 1, 1
 	for _, p := range m.peers {
-		if now.Sub(p.heardAt) > markAge {
+		if now.Sub(p.receivedAt) > maxMarkAge {
 			continue
 		}
-		heard++
+		counted++
 		if !p.mark.GetServiceFailed() {
 			readers++
 		}
 	}
-	return float64(readers) / float64(heard)
+	return float64(readers) / float64(counted)
 }
 
-// answered considers a document of the service.
-func (m *Machine) answered(now time.Time, e ServiceAnswered) {
-	m.polled(now, nil)
+// handleServiceAnswer tries to adopt a document read from the service.
+func (m *Machine) handleServiceAnswer(now time.Time, e ServiceAnswered) {
+	m.endPoll(now, nil)
 	m.stats.Documents++
-	m.readRevision = e.Revision
-	if !m.consider(e.Signed, Source{}) {
+	m.lastReadRevision = e.Revision
+	if !m.tryAdopt(e.Signed, Source{}) {
 		return
 	}
 	if m.revision != e.Revision {
@@ -110,7 +111,7 @@
 	}
 }
 
-// Dump is the state of a Machine for operators.
+// Dump is the state of a Machine, for operators.
 type Dump struct {
 	Version  uint64            `json:"version"`
 	Digest   uint64            `json:"digest"`
@@ -123,13 +124,13 @@
 	Stats    Stats             `json:"stats"`
 }
 
-// Dump returns the whole state.
+// Dump returns the complete state.
 func (m *Machine) Dump(now time.Time) Dump {
 	d := Dump{
-		Version: m.version(), Digest: m.mark().GetDigest(), Source: m.source.String(), Revision: m.revision,
-		Ready: m.ready, Peers: map[string]uint64{}, PollIn: m.pollWait(now) - now.Sub(m.poll.last), Stats: m.stats,
+		Version: m.version(), Digest: m.currentMark().GetDigest(), Source: m.source.String(), Revision: m.revision,
+		Ready: m.ready, Peers: map[string]uint64{}, PollIn: m.pollDelay(now) - now.Sub(m.poll.lastEnd), Stats: m.stats,
 	}
-	if m.current == nil {
+	if m.active == nil {
 		d.Source = ""
 	}
 	if m.fetch != nil {
--- a/core/rollout/fleet_test.go
+++ b/core/rollout/simulation_test.go
@@ -79,34 +79,34 @@
 	nodes   map[string]*node
 	names   []string
 	queue   deliveries
-	order   uint64
+	lastSeq uint64
 	hosts   []member.Host
-	cut     func(from, to string) bool
+	dropped func(from, to string) bool
 	// cutService hides the service from some hosts.
-	cutService func(host string) bool
-	codec      Codec
+	serviceUnreachable func(host string) bool
+	codec              Codec
 	// uplink is what each daemon's link carries, in bytes a second; 0 is no bound.
-	uplink float64
+	uplinkBytesPerSecond float64
 }
 
 type node struct {
-	name    string
-	up      bool
-	member  *member.Machine
-	rollout *Machine
-	actions []Action
-	bytes   int // sent and received, from and to peers
-	sent    int // messages
-	spent   time.Duration
-	history []uint64
+	name            string
+	up              bool
+	member          *member.Machine
+	rollout         *Machine
+	actions         []Action
+	bytes           int // sent and received, from and to peers
+	messagesSent    int // messages
+	cpuTime         time.Duration
+	adoptedVersions []uint64
 	// sentUntil is when the link has carried what was sent so far.
-	sentUntil time.Time
+	linkBusyUntil time.Time
 }
 
 type delivery struct {
-	at    time.Time
-	order uint64
-	run   func()
+	at  time.Time
+	seq uint64
+	run func()
 }
 
 type deliveries []delivery
@@ -114,7 +114,7 @@
 func (d deliveries) Len() int { return len(d) }
 func (d deliveries) Less(i, j int) bool {
 	if d[i].at.Equal(d[j].at) {
-		return d[i].order < d[j].order
+		return d[i].seq < d[j].seq
 	}
 	return d[i].at.Before(d[j].at)
 }
@@ -134,15 +134,15 @@
 )
 
 func newFleet(n, domains int, seed uint64) *fleet {
-	return newFleetOf(n, domains, seed, testCodec())
+	return newFleetWithCodec(n, domains, seed, testCodec())
 }
 
-func newFleetOf(n, domains int, seed uint64, codec Codec) *fleet {
+func newFleetWithCodec(n, domains int, seed uint64, codec Codec) *fleet {
 	f := &fleet{
 		codec: codec,
 		now:   time.Unix(1_800_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), service: &service{},
-		nodes: map[string]*node{}, cut: func(string, string) bool { return false },
-		cutService: func(string) bool { return false },
+		nodes: map[string]*node{}, dropped: func(string, string) bool { return false },
+		serviceUnreachable: func(string) bool { return false },
 	}
 	for i := range n {
 		f.hosts = append(f.hosts, member.Host{Name: fmt.Sprintf("entry-%03d", i), FailureDomain: fmt.Sprintf("domain-%d", i%domains)})
@@ -165,15 +165,15 @@
 	n := &node{name: h.Name, up: true, member: mm}
 	n.rollout = New(DefaultConfig(f.codec), f.now, rand.New(rand.NewPCG(f.rng.Uint64(), 3)))
 	f.nodes[h.Name] = n
-	f.memberStep(n, member.Configured{Hosts: f.hosts})
+	f.stepMember(n, member.Configured{Hosts: f.hosts})
 	f.announce(n, &wire.BundleMark{}, false)
-	f.peersChanged(n)
+	f.notifyPeersChanged(n)
 	return n
 }
 
-func (f *fleet) after(d time.Duration, run func()) {
-	f.order++
-	heap.Push(&f.queue, delivery{f.now.Add(d), f.order, run})
+func (f *fleet) schedule(d time.Duration, run func()) {
+	f.lastSeq++
+	heap.Push(&f.queue, delivery{f.now.Add(d), f.lastSeq, run})
 }
 
 func (f *fleet) announce(n *node, m *wire.BundleMark, urgent bool) {
@@ -181,76 +181,76 @@
 	if err != nil {
 		panic(err)
 	}
-	f.memberStep(n, member.SetSlot{ID: member.SlotBundle, Value: raw, Urgent: urgent})
+	f.stepMember(n, member.SetSlot{ID: member.SlotBundle, Value: raw, Urgent: urgent})
 }
 
-func (f *fleet) peersChanged(n *node) {
-	f.step(n, PeersChanged{Neighbours: n.member.Neighbours(), Living: n.member.Living()})
+func (f *fleet) notifyPeersChanged(n *node) {
+	f.stepRollout(n, PeersChanged{Neighbours: n.member.Neighbours(), Living: n.member.Living()})
 }
 
 // send counts a message and delivers it unless a cut or a death is in the way.
-func (f *fleet) send(from *node, to string, msg proto.Message, arrive func(*node), lost func()) {
+func (f *fleet) send(from *node, to string, msg proto.Message, onArrival func(*node), onLoss func()) {
 	size := proto.Size(msg) + messageOverhead
 	from.bytes += size
-	from.sent++
+	from.messagesSent++
 	dest := f.nodes[to]
-	if !dest.up || f.cut(from.name, to) {
-		f.after(time.Second, func() {
+	if !dest.up || f.dropped(from.name, to) {
+		f.schedule(time.Second, func() {
 			if from.up {
-				lost()
+				onLoss()
 			}
 		})
 		return
 	}
 	dest.bytes += size
-	f.after(f.carried(from, size)+latency+time.Duration(f.rng.Int64N(int64(latency))), func() {
+	f.schedule(f.transmissionDelay(from, size)+latency+time.Duration(f.rng.Int64N(int64(latency))), func() {
 		if dest.up && f.nodes[to] == dest {
-			arrive(dest)
+			onArrival(dest)
 		}
 	})
 }
 
 // carried returns how long it takes until a daemon's link has carried size bytes
 // more.
-func (f *fleet) carried(from *node, size int) time.Duration {
-	if f.uplink == 0 {
+func (f *fleet) transmissionDelay(from *node, size int) time.Duration {
+	if f.uplinkBytesPerSecond == 0 {
 		return 0
 	}
-	if from.sentUntil.Before(f.now) {
-		from.sentUntil = f.now
+	if from.linkBusyUntil.Before(f.now) {
+		from.linkBusyUntil = f.now
 	}
-	from.sentUntil = from.sentUntil.Add(time.Duration(float64(size) / f.uplink * float64(time.Second)))
-	return from.sentUntil.Sub(f.now)
+	from.linkBusyUntil = from.linkBusyUntil.Add(time.Duration(float64(size) / f.uplinkBytesPerSecond * float64(time.Second)))
+	return from.linkBusyUntil.Sub(f.now)
 }
 
-func (f *fleet) memberStep(n *node, e member.Event) {
+func (f *fleet) stepMember(n *node, e member.Event) {
 	for _, a := range n.member.Step(f.now, e) {
 		switch a := a.(type) {
 		case member.Send:
 			f.send(n, a.To, a.Msg,
-				func(d *node) { f.memberStep(d, member.Received{From: n.name, Msg: a.Msg}) },
-				func() { f.memberStep(n, member.Failed(a)) })
+				func(d *node) { f.stepMember(d, member.Received{From: n.name, Msg: a.Msg}) },
+				func() { f.stepMember(n, member.Failed(a)) })
 		case member.SlotHeard:
 			m := &wire.BundleMark{}
 			if err := proto.Unmarshal(a.Value, m); err != nil {
 				panic(err)
 			}
-			f.step(n, PeerHeard{a.Host, m, a.Solicited})
+			f.stepRollout(n, PeerHeard{a.Host, m, a.Solicited})
 		case member.Changed:
-			f.peersChanged(n)
+			f.notifyPeersChanged(n)
 		}
 	}
 }
 
-func (f *fleet) step(n *node, e Event) {
+func (f *fleet) stepRollout(n *node, e Event) {
 	begin := time.Now()
 	actions := n.rollout.Step(f.now, e)
-	n.spent += time.Since(begin)
+	n.cpuTime += time.Since(begin)
 	for _, a := range actions {
 		n.actions = append(n.actions, a)
 		switch a := a.(type) {
 		case PollService:
-			f.read(n, a.After)
+			f.readService(n, a.After)
 		case FetchManifest:
 			f.fetchManifest(n, a)
 		case FetchParts:
@@ -258,45 +258,45 @@
 		case Announce:
 			f.announce(n, a.Mark, a.Urgent)
 		case Adopt:
-			n.history = append(n.history, a.InForce.Bundle.Version)
+			n.adoptedVersions = append(n.adoptedVersions, a.InForce.Bundle.Version)
 		}
 	}
 }
 
 // read is one read of the service.
-func (f *fleet) read(n *node, after uint64) {
+func (f *fleet) readService(n *node, after uint64) {
 	f.service.reads++
-	f.after(serviceLatency, func() {
+	f.schedule(serviceLatency, func() {
 		switch {
 		case !n.up:
-		case f.service.down || f.cutService(n.name) || f.service.value == nil:
-			f.step(n, ServiceFailed{errors.New("down")})
+		case f.service.down || f.serviceUnreachable(n.name) || f.service.value == nil:
+			f.stepRollout(n, ServiceFailed{errors.New("down")})
 		case after != 0 && f.service.revision <= after:
-			f.step(n, ServiceUnchanged{})
+			f.stepRollout(n, ServiceUnchanged{})
 		default:
 			f.service.bytes += len(f.service.value)
-			f.step(n, ServiceAnswered{f.service.revision, f.service.value})
+			f.stepRollout(n, ServiceAnswered{f.service.revision, f.service.value})
 		}
 	})
 }
 
 func (f *fleet) fetchManifest(n *node, a FetchManifest) {
-	lost := func() { f.step(n, FetchFailed{a.From, errors.New("lost")}) }
+	lost := func() { f.stepRollout(n, FetchFailed{a.From, errors.New("lost")}) }
 	f.send(n, a.From, &wire.BundleManifestRequest{}, func(d *node) {
 		if d.rollout.Current() == nil {
 			lost()
 			return
 		}
 		m := d.rollout.Current().Manifest()
-		f.send(d, n.name, m, func(n *node) { f.step(n, ManifestArrived{d.name, m}) }, lost)
+		f.send(d, n.name, m, func(n *node) { f.stepRollout(n, ManifestArrived{d.name, m}) }, lost)
 	}, lost)
 }
 
 func (f *fleet) fetchParts(n *node, a FetchParts) {
-	lost := func() { f.step(n, FetchFailed{a.From, errors.New("lost")}) }
+	lost := func() { f.stepRollout(n, FetchFailed{a.From, errors.New("lost")}) }
 	f.send(n, a.From, a.Request, func(d *node) {
 		parts := d.rollout.Current().Parts(a.Request)
-		f.send(d, n.name, parts, func(n *node) { f.step(n, PartsArrived{d.name, parts}) }, lost)
+		f.send(d, n.name, parts, func(n *node) { f.stepRollout(n, PartsArrived{d.name, parts}) }, lost)
 	}, lost)
 }
 
@@ -306,24 +306,24 @@
 	for f.now.Before(end) {
 		next := f.now.Add(member.TickInterval)
 		for len(f.queue) > 0 && f.queue[0].at.Before(next) {
-			x := heap.Pop(&f.queue).(delivery)
-			if x.at.After(f.now) {
-				f.now = x.at
+			next := heap.Pop(&f.queue).(delivery)
+			if next.at.After(f.now) {
+				f.now = next.at
 			}
-			x.run()
+			next.run()
 		}
 		f.now = next
 		for _, name := range f.names {
 			if n := f.nodes[name]; n.up {
-				f.memberStep(n, member.Tick{})
-				f.step(n, Tick{})
+				f.stepMember(n, member.Tick{})
+				f.stepRollout(n, Tick{})
 			}
 		}
 	}
 }
 
 // until runs until cond holds; false if it did not within limit.
-func (f *fleet) until(limit time.Duration, cond func() bool) (time.Duration, bool) {
+func (f *fleet) runUntil(limit time.Duration, cond func() bool) (time.Duration, bool) {
 	begin := f.now
 	for !cond() {
 		if f.now.Sub(begin) >= limit {
@@ -335,7 +335,7 @@
 }
 
 // inForce says whether every running daemon of those has the version.
-func (f *fleet) inForce(version uint64, names ...string) func() bool {
+func (f *fleet) isActive(version uint64, names ...string) func() bool {
 	if len(names) == 0 {
 		names = f.names
 	}
