--- a/core/member/bench_test.go
+++ b/core/member/bench_test.go
@@ -7,13 +7,15 @@
 	"time"
 )
 
-// The sizes of fleet that docs/capacity/membership.md is worked out from, and
-// the direct bytes that other parts are taken to put on every heartbeat.
+// benchSizes are the fleet sizes, in hosts, behind the figures in
+// docs/capacity/membership.md.
 var benchSizes = []int{10, 50, 100, 200, 410}
 
 const (
-	benchDomains     = 8
-	benchRegions     = 3
+	benchDomains = 8
+	benchRegions = 3
+	// benchDirectBytes is the assumed size of the direct slots that other packages
+	// attach to every heartbeat.
 	benchDirectBytes = 512
 	benchFleetBytes  = 32
 	benchWarmUp      = 5 * time.Minute
@@ -21,7 +23,8 @@
 	benchLimit       = 5 * time.Minute
 )
 
-// benchFleet starts a fleet whose extensions are full, and lets it settle.
+// benchFleet starts a fleet whose slots hold values of the maximum size, and runs
+// it for benchWarmUp.
 func benchFleet(n int, seed uint64) *fleet {
 	f := newFleet(n, benchDomains, seed, func(c *Config) {
 		c.Extensions = []Extension{
@@ -38,7 +41,7 @@
 	return f
 }
 
-// perDaemon sums over the running daemons.
+// perDaemon returns the mean and the maximum of a value over the running daemons.
 func (f *fleet) perDaemon(value func(*node) float64) (mean, worst float64) {
 	count := 0
 	for _, name := range f.names {
@@ -53,8 +56,8 @@
 	return mean / float64(count), worst
 }
 
-// BenchmarkFleetSteady measures a fleet in which nothing happens. Bytes are
-// sent and received together, with an estimate of the framing.
+// BenchmarkFleetSteady measures a fleet without changes. Bytes are the sum of sent
+// and received bytes, including an estimate of the framing.
 func BenchmarkFleetSteady(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
@@ -81,9 +84,9 @@
 	}
 }
 
-// BenchmarkFleetLoss measures how long the others take to see hosts dead, and
-// the traffic meanwhile: one host, a failure domain, a region at once, and the
-// loss of that region's network with its later return.
+// BenchmarkFleetLoss measures how long the remaining daemons take to declare lost
+// hosts dead, and the traffic meanwhile. The losses are one host, a failure
+// domain, a region, and a network partition of that region that later heals.
 func BenchmarkFleetLoss(b *testing.B) {
 	domain := func(i int) int { return i % benchDomains }
 	losses := []struct {
@@ -107,23 +110,23 @@
 	}
 }
 
-// benchLoss loses hosts and, after a cut, lets them return.
+// benchLoss removes hosts, or partitions them off and then heals the partition.
 func benchLoss(b *testing.B, n int, lost func(int) bool, cut bool) {
 	f := benchFleet(n, 2)
-	gone := map[string]bool{}
+	lostHosts := map[string]bool{}
 	for i, name := range f.names {
-		gone[name] = lost(i)
+		lostHosts[name] = lost(i)
 	}
 	if cut {
-		f.dropped = func(from, to string) bool { return gone[from] != gone[to] }
+		f.dropped = func(from, to string) bool { return lostHosts[from] != lostHosts[to] }
 	} else {
-		for name, isGone := range gone {
-			f.nodes[name].up = !isGone
+		for name, isLost := range lostHosts {
+			f.nodes[name].up = !isLost
 		}
 	}
 	agrees := func(name string, m *node) bool {
-		for other, g := range gone {
-			if want := g != gone[name]; (m.machine.stateOfHost(other) == Dead) != want {
+		for other, isLost := range lostHosts {
+			if want := isLost != lostHosts[name]; (m.machine.stateOfHost(other) == Dead) != want {
 				return false
 			}
 		}
@@ -137,7 +140,7 @@
 		}
 		return true
 	}
-	first, everywhere, peak := f.measureTransition(settled, func() bool { return f.anyDeclaredDead(gone) })
+	first, everywhere, peak := f.measureTransition(settled, func() bool { return f.anyDeclaredDead(lostHosts) })
 	b.ReportMetric(first.Seconds(), "s-first")
 	b.ReportMetric(everywhere.Seconds(), "s-everywhere")
 	b.ReportMetric(peak, "peak-B/s")
@@ -151,15 +154,16 @@
 	b.ReportMetric(healPeak, "heal-peak-B/s")
 }
 
-// anyDead says whether some running daemon believes one of those dead.
-func (f *fleet) anyDeclaredDead(gone map[string]bool) bool {
+// anyDeclaredDead reports whether some remaining daemon has declared one of the
+// lost hosts dead.
+func (f *fleet) anyDeclaredDead(lostHosts map[string]bool) bool {
 	for _, name := range f.names {
 		m := f.nodes[name]
-		if !m.up || gone[name] {
+		if !m.up || lostHosts[name] {
 			continue
 		}
-		for other, g := range gone {
-			if g && m.machine.stateOfHost(other) == Dead {
+		for other, isLost := range lostHosts {
+			if isLost && m.machine.stateOfHost(other) == Dead {
 				return true
 			}
 		}
@@ -167,8 +171,9 @@
 	return false
 }
 
-// watch runs until settled and returns when started and settled first held,
-// and the highest mean of bytes a second of a daemon over any second.
+// measureTransition runs until settled holds. It returns the times after which
+// started and settled first held, and the highest mean traffic per daemon in any
+// one second, in bytes per second.
 func (f *fleet) measureTransition(settled, started func() bool) (first, everywhere time.Duration, peak float64) {
 	begin := f.now
 	for f.now.Sub(begin) < benchLimit {
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -25,17 +25,17 @@
 }
 
 var _ = Describe("the overlay", func() {
-	It("gives every host a bounded number of targets and of probers", func() {
+	It("gives every host a limited number of targets and probers", func() {
 		var names []string
 		for _, h := range makeHosts(410, 8) {
 			names = append(names, h.Name)
 		}
 		probers := map[string]int{}
 		for _, name := range names {
-			near := selectNeighbours(name, names, 8)
-			Expect(len(near)).To(BeNumerically("<=", 8))
-			Expect(near).NotTo(ContainElement(name))
-			for _, x := range near {
+			targets := selectNeighbours(name, names, 8)
+			Expect(len(targets)).To(BeNumerically("<=", 8))
+			Expect(targets).NotTo(ContainElement(name))
+			for _, x := range targets {
 				probers[x]++
 			}
 		}
@@ -43,7 +43,7 @@
 			Expect(probers[name]).To(And(BeNumerically(">=", 5), BeNumerically("<=", 8)), name)
 		}
 	})
-	It("changes for few hosts when one goes", func() {
+	It("changes for few hosts when one is removed", func() {
 		var names []string
 		for _, h := range makeHosts(100, 4) {
 			names = append(names, h.Name)
@@ -59,7 +59,7 @@
 })
 
 var _ = Describe("membership", func() {
-	It("finds everybody alive and fresh, and stays quiet", func() {
+	It("marks all hosts alive, becomes fresh, and raises no suspicions", func() {
 		f := newFleet(40, 4, 1, nil)
 		_, ok := f.runUntil(60*time.Second, f.onAllNodes(func(n *node) bool { return n.machine.Fresh() && n.machine.Living() == 40 }))
 		Expect(ok).To(BeTrue())
@@ -72,7 +72,7 @@
 		}
 	})
 
-	It("declares a killed host dead everywhere, and the replacement of its name alive", func() {
+	It("declares a killed host dead everywhere, and a new process under its name alive", func() {
 		f := newFleet(40, 4, 2, nil)
 		f.run(20 * time.Second)
 		f.nodes["entry-007"].up = false
@@ -85,7 +85,7 @@
 		Expect(f.nodes["entry-006"].machine.hosts["entry-007"].incarnation).To(BeNumerically(">", old))
 	})
 
-	It("tells a process whose name lives on in a later one that it is superseded", func() {
+	It("tells a process that a later process under its name supersedes it", func() {
 		f := newFleet(7, 3, 3, nil)
 		f.run(10 * time.Second)
 		old := f.nodes["entry-002"]
@@ -94,11 +94,11 @@
 		later := f.nodes["entry-002"].machine.self.incarnation
 		_, ok := f.runUntil(20*time.Second, func() bool { return f.nodes["entry-000"].machine.hosts["entry-002"].incarnation == later })
 		Expect(ok).To(BeTrue())
-		// The old process, woken when the news has long spread, pings a peer
-		// and reads the answer.
+		// The old process resumes after the gossip about the new one has ended,
+		// pings a peer and reads the answer.
 		f.run(60 * time.Second)
 		Expect(f.nodes["entry-000"].machine.gossip.queue).To(BeEmpty())
-		// It notices the pause with whatever comes first.
+		// The first event of any kind makes it detect the pause.
 		out := old.machine.Step(f.now, SetSlot{ID: directTestSlot})
 		Expect(out).To(ConsistOf(Freshness{false}, BeAssignableToTypeOf(Refused{})))
 		ping := &wire.MemberPing{Seq: 9, Digest: old.machine.buildDigest(f.now, "entry-000", false)}
@@ -111,7 +111,7 @@
 		Expect(f.nodes["entry-002"].machine.Superseded()).To(BeFalse())
 	})
 
-	It("keeps a host alive whose link to one prober is cut", func() {
+	It("keeps a host alive whose link from one prober is broken", func() {
 		f := newFleet(7, 3, 4, nil)
 		f.run(10 * time.Second)
 		f.dropped = func(from, to string) bool { return from == "entry-000" && to == "entry-001" }
@@ -121,7 +121,7 @@
 		Expect(f.nodes["entry-000"].machine.Stats().Deaths).To(BeZero())
 	})
 
-	It("lets a host that hears but is not heard be dead, and nobody else", func() {
+	It("declares a host dead whose outgoing messages are lost, and no other host", func() {
 		f := newFleet(12, 3, 5, nil)
 		f.run(10 * time.Second)
 		f.dropped = func(from, _ string) bool { return from == "entry-003" }
@@ -135,11 +135,11 @@
 		}
 	})
 
-	It("does not declare a short pause dead, and refutes after a long one", func() {
+	It("does not declare a host dead for a short pause, and lets it refute after a long one", func() {
 		f := newFleet(12, 3, 6, nil)
 		f.run(20 * time.Second)
 		n := f.nodes["entry-004"]
-		// The pause falls between a ping and its answer.
+		// The pause starts between a ping and its answer.
 		_, ok := f.runUntil(5*time.Second, func() bool { return len(n.machine.probes) > 0 })
 		Expect(ok).To(BeTrue())
 		n.paused = true
@@ -159,14 +159,14 @@
 		incarnation := n.machine.self.incarnation
 		f.resume("entry-004")
 		Expect(n.machine.Fresh()).To(BeFalse())
-		// It blames nobody for its own silence.
+		// It declares no other host dead because of its own pause.
 		_, ok = f.runUntil(20*time.Second, func() bool { return n.machine.Fresh() && f.allSee("entry-004", Alive)() })
 		Expect(ok).To(BeTrue())
 		Expect(n.machine.Stats().Deaths).To(BeZero())
 		Expect(f.nodes["entry-000"].machine.hosts["entry-004"].incarnation).To(Equal(incarnation))
 	})
 
-	It("splits and heals with a partition", func() {
+	It("recovers the full view after a partition heals", func() {
 		f := newFleet(40, 4, 7, nil)
 		f.run(20 * time.Second)
 		side := func(name string) bool { return f.nodes[name].machine.cfg.Self.FailureDomain == "domain-0" }
@@ -180,7 +180,7 @@
 		Expect(ok).To(BeTrue())
 	})
 
-	It("shows hosts that drain", func() {
+	It("marks draining hosts as leaving", func() {
 		f := newFleet(20, 3, 8, nil)
 		f.run(10 * time.Second)
 		f.step("entry-005", Leave{})
@@ -189,7 +189,7 @@
 		Expect(took).To(BeNumerically("<", 5*time.Second))
 	})
 
-	It("notices a clock apart from the peers' median", func() {
+	It("detects a clock that differs from the peers' median", func() {
 		f := newFleet(7, 3, 9, nil)
 		f.nodes["entry-000"].clockSkew = 2 * time.Second
 		f.run(20 * time.Second)
@@ -201,14 +201,14 @@
 		Expect(f.nodes["entry-000"].machine.Skewed()).To(BeFalse())
 	})
 
-	It("refuses extensions that are too large", func() {
+	It("rejects slots that are too large", func() {
 		c := DefaultConfig(Host{"a", "d"}, 1)
 		c.Extensions = []Extension{{ID: 9, MaxBytes: MaxDirectSlotBytes + 1}}
 		_, err := New(c, startTime, rand.New(rand.NewPCG(1, 1)))
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("keeps every ping small whatever the fleet does", func() {
+	It("limits the size of every ping when all hosts change at once", func() {
 		f := newFleet(60, 3, 10, withTestSlots)
 		f.run(10 * time.Second)
 		largest := 0
@@ -225,8 +225,8 @@
 
 func itemBytes(i *wire.MemberItems) int { return len(i.String()) / 2 }
 
-var _ = Describe("extensions", func() {
-	It("hands direct values to neighbours and fleet values to all", func() {
+var _ = Describe("slots", func() {
+	It("delivers direct slots to neighbours and fleet-wide slots to all hosts", func() {
 		f := newFleet(40, 4, 11, withTestSlots)
 		f.run(5 * time.Second)
 		f.resetCounters()
@@ -249,7 +249,7 @@
 		f.run(10 * time.Second)
 		Expect(heard(directTestSlot)).To(And(BeNumerically(">", 6), BeNumerically("<=", 25)))
 	})
-	It("tells values sent before a pause from answers after it", func() {
+	It("distinguishes values sent before a pause from answers after it", func() {
 		f := newFleet(7, 3, 18, withTestSlots)
 		for _, name := range f.names {
 			f.step(name, SetSlot{ID: directTestSlot, Value: []byte("x")})
@@ -275,10 +275,10 @@
 		Expect(no).To(BeNumerically(">", 0))
 		f.run(time.Second)
 		yes, _ = solicited()
-		Expect(yes).To(BeNumerically(">", 3), "all neighbours are asked at once")
+		Expect(yes).To(BeNumerically(">", 3), "all neighbours are pinged at once")
 		Expect(n.machine.Fresh()).To(BeTrue())
 	})
-	It("forgets the values of an earlier incarnation", func() {
+	It("removes the values of an earlier incarnation", func() {
 		f := newFleet(7, 3, 12, withTestSlots)
 		f.step("entry-001", SetSlot{ID: fleetTestSlot, Value: []byte("old")})
 		f.run(20 * time.Second)
@@ -289,7 +289,7 @@
 		f.run(20 * time.Second)
 		Expect(f.nodes["entry-002"].machine.fleetSlot("entry-001", fleetTestSlot)).To(BeNil())
 	})
-	It("refuses a value over its bound", func() {
+	It("refuses a value above its limit", func() {
 		f := newFleet(2, 1, 13, withTestSlots)
 		out := f.nodes["entry-000"].machine.Step(f.now, SetSlot{ID: directTestSlot, Value: make([]byte, 65)})
 		Expect(out).To(ConsistOf(BeAssignableToTypeOf(Refused{})))
@@ -307,7 +307,7 @@
 			return false
 		}
 	}
-	DescribeTable("are known everywhere within seconds of one daemon's knowing", func(size int) {
+	DescribeTable("are known everywhere within seconds of the first report", func(size int) {
 		f := newFleet(size, 4, 14, nil)
 		f.run(20 * time.Second)
 		f.step("entry-000", UpstreamReported{"llm-3", true, f.now.UnixMilli()})
@@ -318,7 +318,7 @@
 		Entry("at 7 hosts", 7),
 		Entry("at 100 hosts", 100),
 	)
-	It("are not brought back by a lagging list, but by their own later word", func() {
+	It("are not cleared by a lagging host list, but by their own later report", func() {
 		f := newFleet(7, 3, 15, nil)
 		f.run(5 * time.Second)
 		at := f.now.UnixMilli()
@@ -331,7 +331,7 @@
 		f.run(5 * time.Second)
 		Expect(f.onAllNodes(func(n *node) bool { return !leaving("llm-3")(n) })()).To(BeTrue())
 	})
-	It("are brought back by a list that is newer by the hold-down", func() {
+	It("are cleared by a host list that is newer by the hold-down", func() {
 		f := newFleet(7, 3, 16, nil)
 		at := f.now.UnixMilli()
 		f.step("entry-000", HostList{AsOfUnixMS: at, Upstreams: []ListedUpstream{{"llm-3", true}}})
@@ -341,7 +341,7 @@
 		f.run(5 * time.Second)
 		Expect(f.onAllNodes(func(n *node) bool { return !leaving("llm-3")(n) })()).To(BeTrue())
 	})
-	It("reach a daemon that was cut off, after the heal", func() {
+	It("become known to an isolated daemon after the partition heals", func() {
 		f := newFleet(12, 3, 17, nil)
 		f.run(10 * time.Second)
 		f.dropped = func(from, to string) bool { return from == "entry-005" || to == "entry-005" }
--- a/core/member/simulation_test.go
+++ b/core/member/simulation_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// fleet runs Machines over an in-memory network under a virtual clock.
+// fleet simulates Machines over an in-memory network with a virtual clock.
 type fleet struct {
 	now     time.Time
 	rng     *rand.Rand
@@ -18,9 +18,10 @@
 	queue   deliveries
 	lastSeq uint64
 	latency time.Duration
-	// cut drops messages from one host to another.
+	// dropped reports whether messages from one host to another are lost.
 	dropped func(from, to string) bool
-	// wireCopy serialises every message as the daemon does.
+	// encodeMessages makes every message pass through its wire encoding, as in
+	// the daemon.
 	encodeMessages bool
 }
 
@@ -31,7 +32,7 @@
 	clockSkew time.Duration
 	inbox     []delivery
 	actions   []Action
-	// counts since the last reset
+	// counts since the last resetCounters
 	messages, bytes int
 	cpuTime         time.Duration
 }
@@ -63,7 +64,7 @@
 
 var startTime = time.Unix(1_800_000_000, 0)
 
-// hostsOf names n hosts spread over domains.
+// makeHosts returns n hosts distributed over domains.
 func makeHosts(n, domains int) []Host {
 	out := make([]Host, n)
 	for i := range out {
@@ -72,7 +73,7 @@
 	return out
 }
 
-// newFleet starts n hosts that know each other.
+// newFleet starts n hosts that are configured with each other.
 func newFleet(n, domains int, seed uint64, adjust func(*Config)) *fleet {
 	f := &fleet{now: startTime, rng: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*node{}, latency: 500 * time.Microsecond}
 	f.dropped = func(string, string) bool { return false }
@@ -84,7 +85,7 @@
 	return f
 }
 
-// start begins a process of a host.
+// start starts a new process of a host.
 func (f *fleet) start(h Host, hosts []Host, adjust func(*Config)) {
 	cfg := DefaultConfig(h, uint64(f.now.UnixMilli()))
 	if adjust != nil {
@@ -113,9 +114,9 @@
 	n.cpuTime += time.Since(begin)
 }
 
-// messageOverhead estimates the bytes around one message: the envelope (60),
-// three yamux frames of 12, each in a TLS record (22) and a TCP segment (52),
-// and a TCP acknowledgement (52) for each.
+// messageOverhead is an estimate of the protocol overhead of one message in
+// bytes: the envelope (60) and three yamux frames of 12, each with a TLS record
+// (22), a TCP segment (52) and a TCP acknowledgement (52).
 const messageOverhead = 60 + 3*(12+22+52+52)
 
 func (f *fleet) transmit(from string, n *node, s Send) {
@@ -139,8 +140,8 @@
 	}
 }
 
-// wireCopy serialises a message and reads it back; that counts as the sender's
-// processor time, as in step.
+// encodeAndDecode encodes and decodes a message. Like the work in step, it counts
+// as the sender's CPU time.
 func encodeAndDecode(msg proto.Message) proto.Message {
 	raw, err := proto.Marshal(msg)
 	if err != nil {
@@ -158,7 +159,7 @@
 	heap.Push(&f.queue, delivery{f.now.Add(after), f.lastSeq, to, e})
 }
 
-// run lets virtual time pass. Ticks are due every TickInterval.
+// run advances virtual time by d and delivers a tick every TickInterval.
 func (f *fleet) run(d time.Duration) {
 	end := f.now.Add(d)
 	for f.now.Before(end) {
@@ -190,7 +191,8 @@
 	}
 }
 
-// wake ends a pause: the queued messages come first, as from a socket.
+// resume ends a pause. Messages queued meanwhile are delivered first, like those
+// buffered in a socket.
 func (f *fleet) resume(name string) {
 	n := f.nodes[name]
 	n.paused = false
@@ -200,8 +202,8 @@
 	n.inbox = nil
 }
 
-// until runs until cond holds and returns the time it took; false if it did
-// not within limit.
+// runUntil runs until cond holds and returns the time it took, or false if cond
+// did not hold within limit.
 func (f *fleet) runUntil(limit time.Duration, cond func() bool) (time.Duration, bool) {
 	begin := f.now
 	for !cond() {
@@ -213,7 +215,7 @@
 	return f.now.Sub(begin), true
 }
 
-// states counts what the running hosts believe of one host.
+// stateCounts counts the states that the other running hosts have for one host.
 func (f *fleet) stateCounts(of string) map[State]int {
 	out := map[State]int{}
 	for _, name := range f.names {
@@ -229,7 +231,7 @@
 	return stateOf(e.state, e.leaving)
 }
 
-// all says whether every running host but of believes state of it.
+// allSee reports whether every other running host has the given state for a host.
 func (f *fleet) allSee(of string, state State) func() bool {
 	return func() bool {
 		s := f.stateCounts(of)
@@ -237,7 +239,7 @@
 	}
 }
 
-// each says whether cond holds at every running host.
+// onAllNodes reports whether cond holds on every running host.
 func (f *fleet) onAllNodes(cond func(*node) bool) func() bool {
 	return func() bool {
 		for _, name := range f.names {
--- a/core/rollout/bench_test.go
+++ b/core/rollout/bench_test.go
@@ -12,24 +12,25 @@
 	"github.com/wheatseam/wheatseam/bundle/bundletest"
 )
 
-// The sizes of fleet that docs/capacity/membership.md is worked out from. The
-// bundle grows with the fleet, up to the users' target size.
+// benchSizes are the fleet sizes, in hosts, behind the figures in
+// docs/capacity/membership.md. The bundle grows with the fleet, up to the users'
+// target size.
 var benchSizes = []int{10, 50, 100, 200, 410}
 
 const (
 	benchDomains = 8
 	benchRegions = 3
 	benchChanges = 10
-	// benchSpacing is the time between two changes, at 2,500 a day.
+	// benchChangeInterval is the time between two changes, at 2,500 per day.
 	benchChangeInterval = 24 * time.Hour / 2500
 	benchLimit          = 2 * time.Minute
 )
 
-// benchKey signs the benchmarks' bundles.
+// benchKey signs the bundles of the benchmarks.
 var benchKey = ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
 
-// benchCodec reads real bundles. A document is parsed once for all daemons;
-// what parsing costs each is measured by the benchmarks of package bundle.
+// benchCodec reads real bundles. Each document is parsed once for all daemons; the
+// benchmarks of package bundle measure the cost of parsing per daemon.
 func benchCodec() Codec {
 	keys := []ed25519.PublicKey{benchKey.Public().(ed25519.PublicKey)}
 	opened := map[hash]*bundle.Bundle{}
@@ -54,8 +55,8 @@
 	}
 }
 
-// benchDocument signs a bundle for n hosts whose customers' weights change
-// with the version, one at a time.
+// benchDocument returns a signed bundle for n hosts. Each version changes the
+// weight of one customer.
 func benchDocument(n int, version uint64) []byte {
 	target := bundletest.Target
 	sizes := bundletest.Sizes{
@@ -70,18 +71,19 @@
 	return bundle.Sign([]byte(text), benchKey)
 }
 
-// benchFleet starts a fleet with version 1 in force.
+// benchFleet starts a fleet and runs it until version 1 is active, and then for
+// benchLimit.
 func benchFleet(b *testing.B, n int) *fleet {
 	f := newFleetWithCodec(n, benchDomains, 1, benchCodec())
 	f.service.put(benchDocument(n, 1))
 	if _, ok := f.runUntil(benchLimit, f.isActive(1)); !ok {
-		b.Fatal("version 1 is not in force")
+		b.Fatal("version 1 did not become active")
 	}
 	f.run(benchLimit)
 	return f
 }
 
-// quiet zeroes the counts.
+// resetCounters resets the counts and recorded actions.
 func (f *fleet) resetCounters() {
 	f.service.reads, f.service.bytes = 0, 0
 	for _, n := range f.nodes {
@@ -89,7 +91,8 @@
 	}
 }
 
-// meanBytes returns the mean bytes of the running daemons, and of the worst.
+// meanBytes returns the mean and the maximum number of bytes over the running
+// daemons.
 func (f *fleet) meanBytes() (mean, worst float64) {
 	count := 0.0
 	for _, name := range f.names {
@@ -102,8 +105,8 @@
 	return mean / count, worst
 }
 
-// BenchmarkFleetChanges measures changes at the users' rate. Bytes are sent
-// and received together between daemons, membership and framing included.
+// BenchmarkFleetChanges measures changes at the users' rate. Bytes are the sum of
+// bytes sent and received between daemons, including membership and framing.
 func BenchmarkFleetChanges(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
@@ -131,7 +134,7 @@
 		f.service.put(benchDocument(n, version))
 		took, ok := f.runUntil(benchLimit, f.isActive(version))
 		if !ok {
-			b.Fatalf("version %d is not in force", version)
+			b.Fatalf("version %d did not become active", version)
 		}
 		sum += took
 		worst = max(worst, took)
@@ -156,15 +159,15 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkFleetLost measures a change right after the loss of hosts, and one
-// that a single daemon can read.
+// BenchmarkFleetLost measures a change right after the loss of hosts, and a change
+// that only one daemon can read from the service.
 func BenchmarkFleetLost(b *testing.B) {
 	domain := func(i int) int { return i % benchDomains }
 	cases := []struct {
 		name string
 		lost func(i int) bool
-		// lone lets one daemon alone reach the service, for that long
-		// before the change.
+		// singleReaderFor is how long before the change only one daemon can
+		// reach the service; 0 leaves all connected.
 		singleReaderFor time.Duration
 	}{
 		{"host", func(i int) bool { return i == 3 }, 0},
@@ -200,7 +203,7 @@
 	}
 }
 
-// BenchmarkFleetStart measures a fleet of which all daemons start at once.
+// BenchmarkFleetStart measures a fleet whose daemons all start at the same time.
 func BenchmarkFleetStart(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
--- a/core/rollout/rollout_test.go
+++ b/core/rollout/rollout_test.go
@@ -18,10 +18,10 @@
 
 const activationLimit = 19 * time.Second
 
-var _ = Describe("a fleet's configuration", func() {
+var _ = Describe("the configuration of a fleet", func() {
 	var f *fleet
 	blocks := 20
-	// begin starts n daemons with version 1 in force everywhere.
+	// startFleet starts n daemons and makes version 1 active on all of them.
 	startFleet := func(n int) {
 		f = newFleet(n, 3, uint64(n))
 		f.service.put(document(1, blocks, ""))
@@ -40,7 +40,7 @@
 	}
 	AfterEach(func() { checkNeverReverted() })
 
-	DescribeTable("is in force everywhere within the bound", func(n int) {
+	DescribeTable("becomes active everywhere within the time limit", func(n int) {
 		startFleet(n)
 		f.service.put(document(2, blocks, ""))
 		took, ok := f.runUntil(activationLimit, f.isActive(2))
@@ -48,14 +48,14 @@
 		Expect(took).To(BeNumerically("<", activationLimit))
 	}, Entry("at 7 hosts", 7), Entry("at 100 hosts", 100))
 
-	It("reads the service at a rate that does not grow with the fleet", func() {
+	It("is read from the service at a rate that does not grow with the fleet", func() {
 		startFleet(100)
 		f.service.reads = 0
 		f.run(100 * time.Second)
 		Expect(f.service.reads).To(BeNumerically("<", 300))
 	})
 
-	It("is in force everywhere though one daemon alone reaches the service", func() {
+	It("becomes active everywhere when only one daemon reaches the service", func() {
 		startFleet(12)
 		f.serviceUnreachable = func(host string) bool { return host != "entry-005" }
 		f.service.put(document(2, blocks, ""))
@@ -63,19 +63,20 @@
 		Expect(ok).To(BeTrue())
 	})
 
-	It("is read more often by the few that reach the service", func() {
+	It("is read more often by the few daemons that reach the service", func() {
 		startFleet(40)
 		f.serviceUnreachable = func(host string) bool { return host != "entry-005" }
 		f.run(time.Minute)
 		f.service.reads = 0
 		before := f.nodes["entry-005"].rollout.stats.Polls
 		f.run(time.Minute)
-		// By the fleet's size one of forty would read three times a minute.
+		// From the fleet size alone, one of forty daemons would read three times a
+		// minute.
 		Expect(f.nodes["entry-005"].rollout.stats.Polls - before).To(BeNumerically(">", 10))
 		Expect(f.service.reads).To(BeNumerically("<", 600))
 	})
 
-	It("fetches only the parts that changed", func() {
+	It("is fetched from peers only in the parts that changed", func() {
 		startFleet(7)
 		for _, name := range f.names {
 			f.nodes[name].actions = nil
@@ -93,10 +94,11 @@
 		Expect(fetches).To(BeNumerically(">", 0))
 	})
 
-	// The first daemons that have a bundle send it to all others at once. What has
-	// come when an answer is late must not be sent again.
-	It("is in force everywhere within the bound behind links of 10 Mbit/s", func() {
-		const largeBlocks = 85 // blocks, 348 kB: twice the document of the largest deployment
+	// The first daemons that have a bundle serve it to all others at once, which
+	// makes their answers late. Parts that have arrived by then must not be fetched
+	// again.
+	It("becomes active everywhere within the time limit over 10 Mbit/s links", func() {
+		const largeBlocks = 85 // 348 kB, twice the size of the document of the largest deployment
 		blocks = 2
 		defer func() { blocks = 20 }()
 		startFleet(100)
@@ -107,7 +109,7 @@
 		Expect(took).To(BeNumerically("<", activationLimit))
 	})
 
-	It("keeps the parts that came when a peer fails, and gets only the rest from the next", func() {
+	It("resumes a transfer with the parts received so far when a peer fails", func() {
 		startFleet(3)
 		f.uplinkBytesPerSecond = 10e6 / 8
 		n := f.nodes["entry-002"]
@@ -117,7 +119,7 @@
 		f.dropped = func(from, to string) bool {
 			fetch := n.rollout.fetch
 			if partsBeforeLoss == 0 && fetch != nil && from == fetch.from && len(n.rollout.parts) >= 64 {
-				partsBeforeLoss = len(n.rollout.parts) // this answer is lost
+				partsBeforeLoss = len(n.rollout.parts) // the answer being sent is dropped
 				return true
 			}
 			return false
@@ -130,10 +132,10 @@
 		for _, a := range actionsOf[FetchParts](n) {
 			requestedParts += len(a.Request.Hashes)
 		}
-		Expect(requestedParts).To(BeNumerically("<=", 240+MaxBatchParts), "only the lost answer is asked for again")
+		Expect(requestedParts).To(BeNumerically("<=", 240+MaxBatchParts), "only the lost answer is requested again")
 	})
 
-	It("keeps what is in force while the service is down for long", func() {
+	It("stays active while the service is down for a long time", func() {
 		startFleet(7)
 		f.service.down = true
 		f.run(10 * time.Minute)
@@ -160,7 +162,7 @@
 		Expect(stale).To(BeNumerically(">", 0))
 	})
 
-	It("gives a restarted daemon the newest from its peers, not the stale one of the service", func() {
+	It("is taken by a restarted daemon from its peers, not from a stale service", func() {
 		startFleet(7)
 		old := f.service.value
 		f.service.put(document(2, blocks, ""))
@@ -176,7 +178,7 @@
 		Expect(actionsOf[Readiness](n)).To(Equal([]Readiness{{Alone: false}}))
 	})
 
-	It("starts a daemon from its peers while the service is down", func() {
+	It("is taken by a restarted daemon from its peers while the service is down", func() {
 		startFleet(7)
 		f.service.down = true
 		f.nodes["entry-003"].up = false
@@ -187,7 +189,7 @@
 		Expect(n.rollout.version()).To(Equal(uint64(1)))
 	})
 
-	It("lets a daemon that no peer answers become ready late, and says so", func() {
+	It("lets a daemon without answers from its peers become ready late, and reports it", func() {
 		startFleet(7)
 		f.nodes["entry-003"].up = false
 		f.dropped = func(from, to string) bool { return from == "entry-003" || to == "entry-003" }
@@ -199,9 +201,10 @@
 		Expect(actionsOf[Readiness](n)).To(Equal([]Readiness{{Alone: true}}))
 	})
 
-	It("refuses a second content of a version loudly, and heals with the next", func() {
+	It("reports a second document with the same version, and recovers with the next version", func() {
 		startFleet(7)
-		// Two operators race: the service serves one, then the other.
+		// Two operators publish the same version: the service serves one document,
+		// then the other.
 		f.service.put(document(2, blocks, "first"))
 		_, ok := f.runUntil(activationLimit, func() bool {
 			for _, name := range f.names {
@@ -219,7 +222,7 @@
 			n := f.nodes[name]
 			Expect(n.rollout.version()).To(Equal(uint64(2)))
 			Expect(n.rollout.stats.Adopted).To(Equal(uint64(2)), name)
-			Expect(len(actionsOf[Conflict](n))).To(BeNumerically("<=", 1), "reported once by each")
+			Expect(len(actionsOf[Conflict](n))).To(BeNumerically("<=", 1), "each daemon reports it once")
 			conflicts += len(actionsOf[Conflict](n))
 		}
 		Expect(conflicts).To(BeNumerically(">", 0))
@@ -228,7 +231,7 @@
 		Expect(ok).To(BeTrue())
 	})
 
-	It("takes the higher of two versions wherever each was seen first", func() {
+	It("converges on the higher of two versions that different daemons read", func() {
 		startFleet(12)
 		f.serviceUnreachable = func(string) bool { return true }
 		f.stepRollout(f.nodes["entry-001"], ServiceAnswered{5, document(2, blocks, "")})
@@ -237,7 +240,7 @@
 		Expect(ok).To(BeTrue())
 	})
 
-	It("reports a document with a bad signature and keeps the one in force", func() {
+	It("stays active when a document has a bad signature, which is reported", func() {
 		startFleet(7)
 		bad := document(9, blocks, "")
 		copy(bad, "9 evil ")
@@ -247,7 +250,7 @@
 		rejected := 0
 		for _, name := range f.names {
 			r := actionsOf[Rejected](f.nodes[name])
-			Expect(len(r)).To(BeNumerically("<=", 1), "reported once by each")
+			Expect(len(r)).To(BeNumerically("<=", 1), "each daemon reports it once")
 			rejected += len(r)
 		}
 		Expect(rejected).To(BeNumerically(">", 0))
@@ -256,7 +259,7 @@
 		Expect(ok).To(BeTrue())
 	})
 
-	It("lets each side of a partition go on, and the higher version win after the heal", func() {
+	It("differs between the sides of a partition and converges on the higher version afterwards", func() {
 		startFleet(12)
 		isolated := func(name string) bool { return name < "entry-004" }
 		f.dropped = func(from, to string) bool { return isolated(from) != isolated(to) }
@@ -270,7 +273,7 @@
 		Expect(ok).To(BeTrue())
 	})
 
-	It("notices a service whose revisions began anew", func() {
+	It("is still read from a service whose revision numbers were reset", func() {
 		startFleet(7)
 		f.service.put(document(2, blocks, ""))
 		f.service.put(document(3, blocks, ""))
@@ -295,7 +298,7 @@
 	}
 	complete := newActiveBundle(must(testCodec().Open(document(5, 3, ""))), document(5, 3, ""), testCodec().Split)
 
-	It("takes a document in any number of answers", func() {
+	It("accepts a document in any number of answers", func() {
 		m := start()
 		out := m.Step(now, ManifestArrived{"a", complete.Manifest()})
 		Expect(out).To(HaveLen(1))
@@ -308,7 +311,7 @@
 		out = m.Step(now, PartsArrived{"a", complete.Parts(&wire.BundlePartsRequest{Hashes: hashes[2:]})})
 		Expect(out).To(ContainElement(BeAssignableToTypeOf(Adopt{})))
 	})
-	DescribeTable("ends with a report and leaves the peer alone", func(e Event) {
+	DescribeTable("is reported, and the peer is avoided", func(e Event) {
 		m := start()
 		if p, ok := e.(PartsArrived); ok {
 			m.Step(now, ManifestArrived{p.From, complete.Manifest()})
@@ -318,11 +321,11 @@
 		Expect(out).NotTo(ContainElement(FetchManifest{"a"}))
 		Expect(m.Step(now, PeerHeard{"b", mark, true})).To(ContainElement(FetchManifest{"b"}))
 	},
-		Entry("on parts nobody asked for", PartsArrived{"a", &wire.BundleParts{Parts: [][]byte{[]byte("junk")}}}),
+		Entry("on parts that were not requested", PartsArrived{"a", &wire.BundleParts{Parts: [][]byte{[]byte("junk")}}}),
 		Entry("on an empty answer", PartsArrived{"a", &wire.BundleParts{}}),
 		Entry("on an oversized manifest", ManifestArrived{"a", &wire.BundleManifest{Version: 5, Digest: make([]byte, 32), Size: MaxSize + 1}}),
 	)
-	It("is refused when the document does not match the digest", func() {
+	It("is rejected when the document does not match the digest", func() {
 		m := start()
 		wrong := &wire.BundleManifest{Version: 5, Digest: make([]byte, 32), Parts: complete.Manifest().Parts}
 		out := m.Step(now, ManifestArrived{"a", wrong})
@@ -340,7 +343,7 @@
 		Expect(m.Ready()).To(BeTrue())
 		Expect(m.version()).To(Equal(uint64(5)))
 	})
-	It("keeps a daemon that wakes from a pause from being ready", func() {
+	It("keeps a daemon that resumes from a pause from being ready", func() {
 		m := start()
 		m.Step(now, PeerHeard{"a", &wire.BundleMark{}, true})
 		m.Step(now, FetchFailed{From: "a"})
@@ -349,7 +352,7 @@
 		Expect(m.Ready()).To(BeTrue())
 		m.Step(now, Woke{})
 		Expect(m.Ready()).To(BeFalse())
-		// What was sent before the pause and lay in the sockets says nothing.
+		// Marks sent before the pause and buffered in sockets do not count.
 		m.Step(now, PeerHeard{"a", &wire.BundleMark{}, false})
 		m.Step(now, PeerHeard{"b", &wire.BundleMark{}, false})
 		Expect(m.Ready()).To(BeFalse())
@@ -360,24 +363,24 @@
 		m.Step(now, PartsArrived{"a", complete.Parts(out[0].(FetchParts).Request)})
 		Expect(m.Ready()).To(BeTrue())
 	})
-	It("turns to another peer when one falls silent", func() {
+	It("switches to another peer when one stops answering", func() {
 		m := start()
 		m.Step(now, PeerHeard{"b", mark, true})
 		Expect(m.Step(now.Add(4*time.Second), Tick{})).NotTo(ContainElement(FetchManifest{"b"}))
 		Expect(m.Step(now.Add(6*time.Second), Tick{})).To(ContainElement(FetchManifest{"b"}))
 	})
-	It("does not ask again for a digest that was rejected", func() {
+	It("does not fetch a digest again that was rejected", func() {
 		m := start()
 		bad := document(5, 1, "")
 		copy(bad, "5 evil ")
-		signed := digestOf(bad)
-		m.Step(now, PeerHeard{"a", &wire.BundleMark{Version: 5, Digest: shortDigest(signed[:])}, true})
-		f := &InForce{parts: map[hash][]byte{signed: bad}}
-		m.Step(now, ManifestArrived{"a", &wire.BundleManifest{Version: 5, Digest: signed[:], Parts: [][]byte{signed[:]}}})
-		out := m.Step(now, PartsArrived{"a", f.Parts(&wire.BundlePartsRequest{Hashes: [][]byte{signed[:]}})})
+		digest := digestOf(bad)
+		m.Step(now, PeerHeard{"a", &wire.BundleMark{Version: 5, Digest: shortDigest(digest[:])}, true})
+		f := &InForce{parts: map[hash][]byte{digest: bad}}
+		m.Step(now, ManifestArrived{"a", &wire.BundleManifest{Version: 5, Digest: digest[:], Parts: [][]byte{digest[:]}}})
+		out := m.Step(now, PartsArrived{"a", f.Parts(&wire.BundlePartsRequest{Hashes: [][]byte{digest[:]}})})
 		Expect(out).To(ContainElement(BeAssignableToTypeOf(Rejected{})))
 		later := now.Add(time.Minute)
-		out = m.Step(later, PeerHeard{"b", &wire.BundleMark{Version: 5, Digest: shortDigest(signed[:])}, true})
+		out = m.Step(later, PeerHeard{"b", &wire.BundleMark{Version: 5, Digest: shortDigest(digest[:])}, true})
 		Expect(out).NotTo(ContainElement(BeAssignableToTypeOf(FetchManifest{})))
 	})
 })
--- a/core/rollout/simulation_test.go
+++ b/core/rollout/simulation_test.go
@@ -16,14 +16,14 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// The tests' documents: blocks of blockSize bytes, the first of which holds
-// "VERSION signature padding".
+// blockSize is the size in bytes of the blocks that test documents consist of. The
+// first block starts with the version and a simulated signature.
 const blockSize = 4 << 10
 
 var errSignature = errors.New("bad signature")
 
-// document builds a signed document of a version. edit marks one block, so
-// that two documents of one version differ.
+// document builds a signed document. edit changes the last block, so that two
+// documents with the same version differ.
 func document(version uint64, blocks int, edit string) []byte {
 	out := bytes.Repeat([]byte{'.'}, blocks*blockSize)
 	for i := range blocks {
@@ -56,7 +56,7 @@
 	}
 }
 
-// service is the configuration service.
+// service simulates the configuration service.
 type service struct {
 	down     bool
 	revision uint64
@@ -70,8 +70,8 @@
 	s.value = doc
 }
 
-// fleet runs both machines of each daemon over an in-memory network under a
-// virtual clock.
+// fleet simulates the membership and rollout machines of each daemon over an
+// in-memory network with a virtual clock.
 type fleet struct {
 	now     time.Time
 	rng     *rand.Rand
@@ -82,10 +82,10 @@
 	lastSeq uint64
 	hosts   []member.Host
 	dropped func(from, to string) bool
-	// cutService hides the service from some hosts.
+	// serviceUnreachable reports whether a host cannot reach the service.
 	serviceUnreachable func(host string) bool
 	codec              Codec
-	// uplink is what each daemon's link carries, in bytes a second; 0 is no bound.
+	// uplinkBytesPerSecond is the capacity of each daemon's link; 0 is unlimited.
 	uplinkBytesPerSecond float64
 }
 
@@ -95,11 +95,11 @@
 	member          *member.Machine
 	rollout         *Machine
 	actions         []Action
-	bytes           int // sent and received, from and to peers
-	messagesSent    int // messages
+	bytes           int // sent to and received from peers
+	messagesSent    int
 	cpuTime         time.Duration
 	adoptedVersions []uint64
-	// sentUntil is when the link has carried what was sent so far.
+	// linkBusyUntil is when the link has transmitted everything sent so far.
 	linkBusyUntil time.Time
 }
 
@@ -130,7 +130,7 @@
 const (
 	latency         = 500 * time.Microsecond
 	serviceLatency  = 5 * time.Millisecond
-	messageOverhead = 60 + 3*(12+22+52+52) // as in core/member's tests
+	messageOverhead = 60 + 3*(12+22+52+52) // bytes, as in the tests of core/member
 )
 
 func newFleet(n, domains int, seed uint64) *fleet {
@@ -154,7 +154,7 @@
 	return f
 }
 
-// start begins a process of a host.
+// start starts a new process of a host.
 func (f *fleet) start(h member.Host) *node {
 	cfg := member.DefaultConfig(h, uint64(f.now.UnixMilli()))
 	cfg.Extensions = []member.Extension{{ID: member.SlotBundle, MaxBytes: 40}}
@@ -188,7 +188,8 @@
 	f.stepRollout(n, PeersChanged{Neighbours: n.member.Neighbours(), Living: n.member.Living()})
 }
 
-// send counts a message and delivers it unless a cut or a death is in the way.
+// send counts a message and delivers it unless the link drops it or the receiver
+// is down.
 func (f *fleet) send(from *node, to string, msg proto.Message, onArrival func(*node), onLoss func()) {
 	size := proto.Size(msg) + messageOverhead
 	from.bytes += size
@@ -210,8 +211,8 @@
 	})
 }
 
-// carried returns how long it takes until a daemon's link has carried size bytes
-// more.
+// transmissionDelay returns the time until a daemon's link has transmitted size
+// more bytes.
 func (f *fleet) transmissionDelay(from *node, size int) time.Duration {
 	if f.uplinkBytesPerSecond == 0 {
 		return 0
@@ -263,7 +264,7 @@
 	}
 }
 
-// read is one read of the service.
+// readService simulates one read of the service.
 func (f *fleet) readService(n *node, after uint64) {
 	f.service.reads++
 	f.schedule(serviceLatency, func() {
@@ -300,7 +301,7 @@
 	}, lost)
 }
 
-// run lets virtual time pass.
+// run advances virtual time by d.
 func (f *fleet) run(d time.Duration) {
 	end := f.now.Add(d)
 	for f.now.Before(end) {
@@ -322,7 +323,8 @@
 	}
 }
 
-// until runs until cond holds; false if it did not within limit.
+// runUntil runs until cond holds and returns the time it took, or false if cond
+// did not hold within limit.
 func (f *fleet) runUntil(limit time.Duration, cond func() bool) (time.Duration, bool) {
 	begin := f.now
 	for !cond() {
@@ -334,7 +336,8 @@
 	return f.now.Sub(begin), true
 }
 
-// inForce says whether every running daemon of those has the version.
+// isActive reports whether the version is active on every running daemon among
+// names, or on all running daemons if there are none.
 func (f *fleet) isActive(version uint64, names ...string) func() bool {
 	if len(names) == 0 {
 		names = f.names
@@ -349,7 +352,7 @@
 	}
 }
 
-// actionsOf returns the actions of one type at a node.
+// actionsOf returns the recorded actions of one type at a node.
 func actionsOf[A Action](n *node) []A {
 	var out []A
 	for _, a := range n.actions {
