--- a/core/member/bench_test.go
+++ b/core/member/bench_test.go
@@ -90,9 +90,9 @@
 func BenchmarkFleetLoss(b *testing.B) {
 	domain := func(i int) int { return i % benchDomains }
 	losses := []struct {
-		name string
-		lost func(i int) bool
-		cut  bool
+		name      string
+		lost      func(i int) bool
+		partition bool
 	}{
 		{"host", func(i int) bool { return i == 3 }, false},
 		{"domain", func(i int) bool { return domain(i) == 0 }, false},
@@ -103,7 +103,7 @@
 		for _, n := range benchSizes {
 			b.Run(fmt.Sprintf("lost=%s/daemons=%d", loss.name, n), func(b *testing.B) {
 				for b.Loop() {
-					benchLoss(b, n, loss.lost, loss.cut)
+					benchLoss(b, n, loss.lost, loss.partition)
 				}
 			})
 		}
@@ -111,13 +111,13 @@
 }
 
 // benchLoss removes hosts, or partitions them off and then heals the partition.
-func benchLoss(b *testing.B, n int, lost func(int) bool, cut bool) {
+func benchLoss(b *testing.B, n int, lost func(int) bool, partition bool) {
 	f := benchFleet(n, 2)
 	lostHosts := map[string]bool{}
 	for i, name := range f.names {
 		lostHosts[name] = lost(i)
 	}
-	if cut {
+	if partition {
 		f.dropped = func(from, to string) bool { return lostHosts[from] != lostHosts[to] }
 	} else {
 		for name, isLost := range lostHosts {
@@ -145,7 +145,7 @@
 	b.ReportMetric(everywhere.Seconds(), "s-everywhere")
 	b.ReportMetric(peak, "peak-B/s")
 	b.ReportMetric(0, "ns/op")
-	if !cut {
+	if !partition {
 		return
 	}
 	f.dropped = func(string, string) bool { return false }
--- a/core/member/event.go
+++ b/core/member/event.go
@@ -175,9 +175,9 @@
 	State       State
 	// Since is when State was entered.
 	Since time.Time
-	// Heard is when the last ping or ack from the host itself arrived; zero if
+	// LastContact is when the last ping or ack from the host itself arrived; zero if
 	// none did.
-	Heard time.Time
+	LastContact time.Time
 	// Neighbour reports whether this daemon probes the host.
 	Neighbour bool
 }
--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -39,55 +39,55 @@
 }
 
 // add queues an item, or resets its send count if it is queued already.
-func (r *gossipQueue) add(k itemKey) {
-	if old, ok := r.index[k]; ok {
+func (q *gossipQueue) add(k itemKey) {
+	if old, ok := q.index[k]; ok {
 		old.sent = 0
 		return
 	}
 	item := &gossipItem{key: k}
-	r.index[k] = item
-	r.queue = append(r.queue, item)
+	q.index[k] = item
+	q.queue = append(q.queue, item)
 }
 
 // countDuplicate records that a peer already has the item, which counts as
 // sending it once.
-func (r *gossipQueue) countDuplicate(k itemKey) {
-	if old, ok := r.index[k]; ok {
+func (q *gossipQueue) countDuplicate(k itemKey) {
+	if old, ok := q.index[k]; ok {
 		old.sent++
 	}
 }
 
 // setMinSent raises the send count of an item to at least sent.
-func (r *gossipQueue) setMinSent(k itemKey, sent int) {
-	if old, ok := r.index[k]; ok {
+func (q *gossipQueue) setMinSent(k itemKey, sent int) {
+	if old, ok := q.index[k]; ok {
 		old.sent = max(old.sent, sent)
 	}
 }
 
 // selectItems calls tryAdd for the items in order until it returns false; each
 // item added counts as sent. Items sent limit times leave the queue.
-func (r *gossipQueue) selectItems(limit int, tryAdd func(itemKey) bool) {
-	slices.SortStableFunc(r.queue, func(a, b *gossipItem) int { return cmp.Compare(a.sent, b.sent) })
-	for _, item := range r.queue {
+func (q *gossipQueue) selectItems(limit int, tryAdd func(itemKey) bool) {
+	slices.SortStableFunc(q.queue, func(a, b *gossipItem) int { return cmp.Compare(a.sent, b.sent) })
+	for _, item := range q.queue {
 		if !tryAdd(item.key) {
 			break
 		}
 		item.sent++
 	}
-	r.queue = slices.DeleteFunc(r.queue, func(item *gossipItem) bool {
+	q.queue = slices.DeleteFunc(q.queue, func(item *gossipItem) bool {
 		if item.sent >= limit {
-			delete(r.index, item.key)
+			delete(q.index, item.key)
 		}
 		return item.sent >= limit
 	})
 }
 
-func (r *gossipQueue) remove(k itemKey) {
-	if _, ok := r.index[k]; !ok {
+func (q *gossipQueue) remove(k itemKey) {
+	if _, ok := q.index[k]; !ok {
 		return
 	}
-	delete(r.index, k)
-	r.queue = slices.DeleteFunc(r.queue, func(item *gossipItem) bool { return item.key == k })
+	delete(q.index, k)
+	q.queue = slices.DeleteFunc(q.queue, func(item *gossipItem) bool { return item.key == k })
 }
 
 // minSends allows for lost messages in small fleets.
--- a/core/member/machine.go
+++ b/core/member/machine.go
@@ -29,7 +29,7 @@
 func (e *hostEntry) toMember(neighbour bool) Member {
 	return Member{
 		Host: e.host, Incarnation: e.incarnation, State: stateOf(e.state, e.leaving),
-		Since: e.since, Heard: e.lastContact, Neighbour: neighbour,
+		Since: e.since, LastContact: e.lastContact, Neighbour: neighbour,
 	}
 }
 
@@ -262,24 +262,24 @@
 	if m.freshness.fresh {
 		return
 	}
-	living, acked := 0, 0
+	live, acked := 0, 0
 	for _, name := range m.neighbours {
 		if m.hosts[name].state != wire.MemberState_MEMBER_DEAD {
-			living++
+			live++
 		}
 		if m.freshness.acked[name] {
 			acked++
 		}
 	}
-	noLiveNeighbours := living == 0 && (len(m.neighbours) == 0 && len(m.names) == 1 || now.Sub(m.freshness.staleSince) >= allDeadGracePeriod)
-	if !noLiveNeighbours && (acked == 0 || 2*acked <= living) {
+	noLiveNeighbours := live == 0 && (len(m.neighbours) == 0 && len(m.names) == 1 || now.Sub(m.freshness.staleSince) >= allDeadGracePeriod)
+	if !noLiveNeighbours && (acked == 0 || 2*acked <= live) {
 		return
 	}
 	m.freshness.fresh = true
 	m.emit(Freshness{true})
 }
 
-// act queues an action.
+// emit queues an action.
 func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
 // send queues a message.
--- a/core/member/record.go
+++ b/core/member/record.go
@@ -24,8 +24,8 @@
 
 // timeout decreases from longest to shortest with each reporter.
 func (s *suspicion) timeout(shortest, longest time.Duration) time.Duration {
-	share := math.Log(float64(len(s.reporters))) / math.Log(1+suspicionConfirmations)
-	return longest - time.Duration(share*float64(longest-shortest))
+	fraction := math.Log(float64(len(s.reporters))) / math.Log(1+suspicionConfirmations)
+	return longest - time.Duration(fraction*float64(longest-shortest))
 }
 
 // addReporter adds a reporter and reports whether it was new and within the
--- a/core/member/simulation_test.go
+++ b/core/member/simulation_test.go
@@ -165,11 +165,11 @@
 	for f.now.Before(end) {
 		next := f.now.Add(TickInterval)
 		for len(f.queue) > 0 && f.queue[0].at.Before(next) {
-			next := heap.Pop(&f.queue).(delivery)
-			if next.at.After(f.now) {
-				f.now = next.at
+			due := heap.Pop(&f.queue).(delivery)
+			if due.at.After(f.now) {
+				f.now = due.at
 			}
-			f.handleDelivery(next)
+			f.handleDelivery(due)
 		}
 		f.now = next
 		for _, name := range f.names {
--- a/core/member/slot.go
+++ b/core/member/slot.go
@@ -21,7 +21,7 @@
 func (m *Machine) handleSetSlot(e SetSlot) {
 	registered, ok := m.cfg.slotConfig(e.ID)
 	if !ok || len(e.Value) > registered.MaxBytes {
-		m.emit(Refused{m.cfg.Self.Name, fmt.Sprintf("slot %d: value of %d bytes exceeds the limit of %d bytes", e.ID, len(e.Value), registered.MaxBytes)})
+		m.emit(Refused{m.cfg.Self.Name, fmt.Sprintf("slot %d: value of %d bytes rejected; the limit is %d bytes, 0 if the slot is not registered", e.ID, len(e.Value), registered.MaxBytes)})
 		return
 	}
 	value := slices.Clone(e.Value)
--- a/core/member/sync.go
+++ b/core/member/sync.go
@@ -181,8 +181,8 @@
 			Name: member.Host.Name, FailureDomain: member.Host.FailureDomain, Incarnation: member.Incarnation,
 			State: member.State.String(), For: now.Sub(member.Since), Neighbour: member.Neighbour,
 		}
-		if !member.Heard.IsZero() {
-			dump.HeardAgo = now.Sub(member.Heard)
+		if !member.LastContact.IsZero() {
+			dump.HeardAgo = now.Sub(member.LastContact)
 		}
 		d.Members = append(d.Members, dump)
 	}
--- a/core/member/upstream.go
+++ b/core/member/upstream.go
@@ -31,8 +31,8 @@
 func upstreamKey(name string) itemKey { return itemKey{kind: kindUpstream, name: name} }
 
 // toProto returns the message form of an upstream's mark, or nil.
-func (k *upstreamMarks) toProto(name string) *wire.UpstreamMark {
-	u := k.byName[name]
+func (marks *upstreamMarks) toProto(name string) *wire.UpstreamMark {
+	u := marks.byName[name]
 	if u == nil {
 		return nil
 	}
--- a/core/rollout/active.go
+++ b/core/rollout/active.go
@@ -10,9 +10,9 @@
 
 // The limits on transfers between daemons.
 const (
-	// MaxSize limits a signed document, in bytes. It is the limit of the
+	// MaxDocumentBytes limits a signed document, in bytes. It is the limit of the
 	// configuration service.
-	MaxSize = 1 << 20
+	MaxDocumentBytes = 1 << 20
 	// MaxParts limits the number of parts in a manifest.
 	MaxParts = 4096
 	// MaxBatchBytes limits the total size of the parts in one answer. Sending it
--- a/core/rollout/fetch.go
+++ b/core/rollout/fetch.go
@@ -90,7 +90,7 @@
 // validateManifest returns an error for a manifest that exceeds a limit or holds
 // a hash of the wrong size.
 func validateManifest(manifest *wire.BundleManifest) error {
-	if len(manifest.GetDigest()) != sha256.Size || manifest.GetSize() > MaxSize || len(manifest.GetParts()) > MaxParts {
+	if len(manifest.GetDigest()) != sha256.Size || manifest.GetSize() > MaxDocumentBytes || len(manifest.GetParts()) > MaxParts {
 		return fmt.Errorf("%w: manifest digest has the wrong size or the manifest exceeds a limit", ErrTransfer)
 	}
 	for _, part := range manifest.GetParts() {
@@ -178,8 +178,8 @@
 	signed := make([]byte, 0, f.manifest.GetSize())
 	for _, raw := range f.manifest.GetParts() {
 		part, _ := m.part(hash(raw))
-		if len(signed)+len(part) > MaxSize {
-			m.rejectTransfer(now, fmt.Errorf("%w: document exceeds %d bytes", ErrTransfer, MaxSize))
+		if len(signed)+len(part) > MaxDocumentBytes {
+			m.rejectTransfer(now, fmt.Errorf("%w: document exceeds %d bytes", ErrTransfer, MaxDocumentBytes))
 			return
 		}
 		signed = append(signed, part...)
--- a/core/rollout/machine.go
+++ b/core/rollout/machine.go
@@ -103,7 +103,7 @@
 	return m.actions
 }
 
-// act queues an action.
+// emit queues an action.
 func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
 // handleWoke repeats the start sequence but keeps the active bundle.
@@ -303,17 +303,17 @@
 // maxDocumentSet limits the size of a documentSet.
 const maxDocumentSet = 64
 
-func (m *documentSet) contains(id documentID) bool { return slices.Contains(m.ids, id) }
+func (s *documentSet) contains(id documentID) bool { return slices.Contains(s.ids, id) }
 
 // add adds a document, removing the oldest one if the set is full, and reports
 // whether it is new.
-func (m *documentSet) add(id documentID) bool {
-	if m.contains(id) {
+func (s *documentSet) add(id documentID) bool {
+	if s.contains(id) {
 		return false
 	}
-	if len(m.ids) >= maxDocumentSet {
-		m.ids = slices.Delete(m.ids, 0, 1)
+	if len(s.ids) >= maxDocumentSet {
+		s.ids = slices.Delete(s.ids, 0, 1)
 	}
-	m.ids = append(m.ids, id)
+	s.ids = append(s.ids, id)
 	return true
 }
--- a/core/rollout/rollout_test.go
+++ b/core/rollout/rollout_test.go
@@ -323,7 +323,7 @@
 	},
 		Entry("on parts that were not requested", PartsArrived{"a", &wire.BundleParts{Parts: [][]byte{[]byte("junk")}}}),
 		Entry("on an empty answer", PartsArrived{"a", &wire.BundleParts{}}),
-		Entry("on an oversized manifest", ManifestArrived{"a", &wire.BundleManifest{Version: 5, Digest: make([]byte, 32), Size: MaxSize + 1}}),
+		Entry("on an oversized manifest", ManifestArrived{"a", &wire.BundleManifest{Version: 5, Digest: make([]byte, 32), Size: MaxDocumentBytes + 1}}),
 	)
 	It("is rejected when the document does not match the digest", func() {
 		m := start()
