--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -11,15 +11,15 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// overlay is how many neighbours a host tells, as in membership.
-const overlay = 8
+// overlayDegree is the number of neighbours of a host, as in the membership overlay.
+const overlayDegree = 8
 
-// BenchmarkVerdict tells what a verdict takes to reach all hosts: messages and bytes
-// a host, and steps from neighbour to neighbour, over rings like membership's.
-func BenchmarkVerdict(b *testing.B) {
+// BenchmarkVerdictGossip measures the cost of propagating a verdict to all hosts:
+// messages and bytes per host, and hops, over rings like those of the membership overlay.
+func BenchmarkVerdictGossip(b *testing.B) {
 	for _, hosts := range []int{6, 300, 3020} {
 		b.Run(fmt.Sprint("hosts-", hosts), func(b *testing.B) {
-			neighbours := rings(hosts)
+			neighbours := ringNeighbours(hosts)
 			v := poison.Verdict{Request: content("x"), Round: 1, At: time.Now(), Since: time.Now()}
 			size := proto.Size(&wire.Verdicts{Verdicts: []*wire.Verdict{{
 				Request: v.Request[:], Round: v.Round, AgeMs: 1000, SinceMs: 5000,
@@ -28,9 +28,9 @@
 			for b.Loop() {
 				machines := make([]poison.Machine, hosts)
 				messages, steps = 0, 0
-				for told := []int{0}; len(told) > 0; steps++ {
+				for informed := []int{0}; len(informed) > 0; steps++ {
 					var next []int
-					for _, h := range told {
+					for _, h := range informed {
 						for _, n := range neighbours[h] {
 							messages++
 							if len(machines[n].Learn(time.Now(), []poison.Verdict{v})) > 0 {
@@ -38,7 +38,7 @@
 							}
 						}
 					}
-					told = next
+					informed = next
 				}
 			}
 			b.ReportMetric(float64(messages)/float64(hosts), "messages/host")
@@ -48,10 +48,10 @@
 	}
 }
 
-// rings gives each host its successor on some random rings.
-func rings(hosts int) [][]int {
+// ringNeighbours returns, for each host, its successors on overlayDegree random rings.
+func ringNeighbours(hosts int) [][]int {
 	out := make([][]int, hosts)
-	for ring := range min(overlay, hosts-1) {
+	for ring := range min(overlayDegree, hosts-1) {
 		order := permutation(hosts, uint64(ring))
 		for i, h := range order {
 			out[h] = append(out[h], order[(i+1)%hosts])
@@ -74,9 +74,9 @@
 	return order
 }
 
-// BenchmarkEnd is a deciding host's work for one report, with all that it may hold
-// beside it: one end with the suspects that a report may name.
-func BenchmarkEnd(b *testing.B) {
+// BenchmarkReplicaExit measures how long a coordinator takes to evaluate one replica exit
+// with the maximum number of suspects, while it retains as many exits as it can.
+func BenchmarkReplicaExit(b *testing.B) {
 	var m poison.Machine
 	now := time.Now()
 	n := 0
@@ -91,8 +91,9 @@
 	b.ReportMetric(float64(m.Stats().Ends), "ends")
 }
 
-// BenchmarkCondemned is what every request pays while one is condemned.
-func BenchmarkCondemned(b *testing.B) {
+// BenchmarkQuarantineCheck measures the check that every request pays while the table of
+// verdicts is full.
+func BenchmarkQuarantineCheck(b *testing.B) {
 	var m poison.Machine
 	now := time.Now()
 	for i := range poison.MaxVerdicts {
@@ -104,7 +105,8 @@
 	}
 }
 
-// BenchmarkFingerprint is what every request pays, for bodies of two sizes.
+// BenchmarkFingerprint measures hashing a request, which every request pays, for two body
+// sizes.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, size := range []int{1 << 10, 1 << 20} {
 		b.Run(fmt.Sprint("bytes-", size), func(b *testing.B) {
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,24 +1,25 @@
-// Package quarantine keeps requests that crash replicas away from them, on all
-// daemons of a fleet together. What is decided, and on what evidence, is in
-// core/poison; this package finds the evidence out, brings it together and spreads
-// the verdicts.
+// Package quarantine stops requests that crash replicas from reaching further
+// replicas, across all daemons of a fleet. The rules by which a request is
+// quarantined are in core/poison; this package detects replica exits, collects the
+// reports about them on a few hosts and propagates the verdicts.
 //
 // # How the fleet decides
 //
-// A daemon whose attempts break off at a replica asks whether its port still
-// listens. If it does not, the replica has ended, and the daemon reports which of
-// its requests that took along to two deciding hosts, those that rank first.
-// Reports are sent again until both have taken them, and to a successor. A daemon
-// that reaches neither decides on what it has seen itself.
+// When attempts at a replica break off, the daemon checks whether the replica's port
+// still listens. If it does not, the replica has exited, and the daemon reports which
+// of its requests were running there to two coordinators, the first hosts in rank
+// order. It resends a report until both have acknowledged it, and also sends it to a
+// host that becomes a coordinator later. A daemon that reaches neither coordinator
+// evaluates its own reports.
 //
-// A verdict goes from neighbour to neighbour: each host that hears news of it
-// tells its neighbours in the membership overlay, eight at most. So it is told in
-// some 8 messages a host of some 60 bytes, in four steps at 3,000 hosts. The
-// heartbeats carry a digest of the verdicts, and neighbours whose digests differ
-// exchange all of them: a host that starts later, or that was cut off or stood
-// still, knows them one heartbeat after it is back. Without verdicts that costs
-// nothing.
+// Verdicts propagate by gossip: each host that learns a new verdict sends it to its
+// neighbours in the membership overlay, at most eight. This costs each host about 8
+// messages of about 60 bytes, and a verdict reaches 3,000 hosts in four hops.
+// Heartbeats carry a digest of the verdicts, and neighbours whose digests differ
+// exchange all verdicts. A host that starts later, was disconnected or was suspended
+// therefore has all verdicts one heartbeat after it is back. Without verdicts this
+// costs nothing.
 //
-// Nothing is stored, and no host is special: the evidence is lost with both
-// deciding hosts, a verdict only with the whole fleet.
+// Nothing is persisted and no host has a fixed role: the collected reports are lost if
+// both coordinators fail, a verdict only if the whole fleet fails.
 package quarantine
--- /dev/null
+++ b/quarantine/exits.go
@@ -0,0 +1,84 @@
+package quarantine
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/wheatseam/wheatseam/core/poison"
+	"github.com/wheatseam/wheatseam/internal/clock"
+)
+
+// Attempt is an attempt whose connection the replica closed before the response was
+// complete.
+type Attempt struct {
+	Service, Replica string
+	// Address is the replica's ip:port.
+	Address string
+	Request poison.Fingerprint
+	Began   time.Time
+}
+
+// exitCheckDelay is the time between the first interrupted attempt at a replica and the
+// check whether the replica has exited. When a process exits, all its connections close
+// within 1 to 2 ms and its port is closed by then, so that one check covers all attempts
+// that ran there.
+const exitCheckDelay = 10 * time.Millisecond
+
+// exitCheck is a pending check of a replica at which attempts were interrupted.
+type exitCheck struct {
+	poison.End
+	address string
+}
+
+// BrokeOff records an attempt whose connection the replica closed, and schedules a check
+// whether the replica has exited. Attempts at the same replica that are interrupted
+// before the check are covered by it.
+func (s *Service) BrokeOff(a Attempt) {
+	now := clock.Now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	suspect := poison.Suspect{Request: a.Request, Ran: now.Sub(a.Began), Served: s.machine.LastServed(a.Request)}
+	if known := s.exitChecks[a.Replica]; known != nil {
+		known.Suspects = append(known.Suspects, suspect)
+		return
+	}
+	e := &exitCheck{poison.End{Service: a.Service, Replica: a.Replica, At: now, Suspects: []poison.Suspect{suspect}}, a.Address}
+	s.exitChecks[a.Replica] = e
+	clock.AfterFunc(exitCheckDelay, func() { s.checkExit(e) })
+}
+
+// checkExit checks whether a replica has exited: its address then refuses connections.
+// Connections also break for other reasons: after an aborted response or a network reset
+// the port is still open, and a machine that is down does not respond at all.
+func (s *Service) checkExit(e *exitCheck) {
+	refused, err := s.cfg.Replicas.Refused(context.Background(), e.address)
+	s.mu.Lock()
+	delete(s.exitChecks, e.Replica)
+	s.mu.Unlock()
+	switch {
+	case err != nil:
+		s.log.Info("could not check whether a replica has exited", zap.String("replica", e.Replica), zap.Error(err))
+	case refused:
+		s.recordExit(e.End)
+	}
+}
+
+// recordExit records a confirmed replica exit for reporting.
+func (s *Service) recordExit(e poison.End) {
+	if s.cfg.Ended != nil {
+		s.cfg.Ended(e)
+	}
+	contents, ran := make([]string, 0, len(e.Suspects)), make([]time.Duration, 0, len(e.Suspects))
+	for _, suspect := range e.Suspects {
+		contents, ran = append(contents, suspect.Request.String()), append(ran, suspect.Ran)
+	}
+	s.log.Warn("replica exited while requests were running on it", zap.String("service", e.Service), zap.String("replica", e.Replica),
+		zap.Strings("contents", contents), zap.Durations("ran", ran))
+	s.mu.Lock()
+	s.reports = append(s.reports, &report{exit: e, ackedBy: map[string]uint64{}})
+	s.reports = s.reports[max(0, len(s.reports)-maxReports):]
+	s.mu.Unlock()
+	s.wake()
+}
--- a/quarantine/messages.go
+++ b/quarantine/messages.go
@@ -9,55 +9,56 @@
 
 // The methods between daemons.
 const (
-	methodEnded    = "quarantine.ended"
+	methodExits    = "quarantine.ended"
 	methodVerdicts = "quarantine.verdicts"
 	methodTrial    = "quarantine.trial"
 )
 
-// Times go as ages: hosts agree on no time of day.
-func ageOf(now, at time.Time) int64 { return max(0, now.Sub(at).Milliseconds()) }
+// toAgeMS converts a time to an age. Messages carry ages because the clocks of hosts
+// differ.
+func toAgeMS(now, at time.Time) int64 { return max(0, now.Sub(at).Milliseconds()) }
 
-func atOf(now time.Time, ageMS int64) time.Time {
+func fromAgeMS(now time.Time, ageMS int64) time.Time {
 	return now.Add(-time.Duration(min(max(0, ageMS), maxAgeMS)) * time.Millisecond)
 }
 
-// maxAgeMS bounds the ages that a message may tell: twice the life of a verdict.
+// maxAgeMS limits the ages accepted from a message to twice the lifetime of a verdict.
 const maxAgeMS = int64(2 * poison.Lifetime / time.Millisecond)
 
-func endsToWire(now time.Time, ends []poison.End) *wire.ReplicasEnded {
+func exitsToWire(now time.Time, exits []poison.End) *wire.ReplicasEnded {
 	out := &wire.ReplicasEnded{}
-	for _, e := range ends {
-		end := &wire.ReplicaEnd{Service: e.Service, Replica: e.Replica, AgeMs: ageOf(now, e.At)}
+	for _, e := range exits {
+		exit := &wire.ReplicaEnd{Service: e.Service, Replica: e.Replica, AgeMs: toAgeMS(now, e.At)}
 		for _, s := range e.Suspects {
 			suspect := &wire.EndSuspect{Request: s.Request[:], RanMs: uint32(max(0, s.Ran.Milliseconds()))}
 			if !s.Served.IsZero() {
-				suspect.ServedMs = max(1, ageOf(now, s.Served))
+				suspect.ServedMs = max(1, toAgeMS(now, s.Served))
 			}
-			end.Suspects = append(end.Suspects, suspect)
+			exit.Suspects = append(exit.Suspects, suspect)
 		}
-		out.Ends = append(out.Ends, end)
+		out.Ends = append(out.Ends, exit)
 	}
 	return out
 }
 
-func endsFromWire(now time.Time, m *wire.ReplicasEnded) []poison.End {
-	var ends []poison.End
+func exitsFromWire(now time.Time, m *wire.ReplicasEnded) []poison.End {
+	var exits []poison.End
 	for _, e := range m.GetEnds() {
-		end := poison.End{Service: e.GetService(), Replica: e.GetReplica(), At: atOf(now, e.GetAgeMs())}
+		exit := poison.End{Service: e.GetService(), Replica: e.GetReplica(), At: fromAgeMS(now, e.GetAgeMs())}
 		for _, s := range e.GetSuspects() {
-			f, ok := fingerprint(s.GetRequest())
+			f, ok := parseFingerprint(s.GetRequest())
 			if !ok {
 				continue
 			}
 			suspect := poison.Suspect{Request: f, Ran: time.Duration(s.GetRanMs()) * time.Millisecond}
 			if s.GetServedMs() > 0 {
-				suspect.Served = atOf(now, s.GetServedMs())
+				suspect.Served = fromAgeMS(now, s.GetServedMs())
 			}
-			end.Suspects = append(end.Suspects, suspect)
+			exit.Suspects = append(exit.Suspects, suspect)
 		}
-		ends = append(ends, end)
+		exits = append(exits, exit)
 	}
-	return ends
+	return exits
 }
 
 func verdictsToWire(now time.Time, verdicts []poison.Verdict) []*wire.Verdict {
@@ -65,10 +66,10 @@
 	for _, v := range verdicts {
 		w := &wire.Verdict{
 			Request: v.Request[:], Round: v.Round, Lifted: v.Lifted, Trials: v.Trials, Untried: v.Untried, Doubtful: v.Doubtful,
-			AgeMs: ageOf(now, v.At), SinceMs: ageOf(now, v.Since),
+			AgeMs: toAgeMS(now, v.At), SinceMs: toAgeMS(now, v.Since),
 		}
 		if v.Trials > 0 {
-			w.TriedMs = ageOf(now, v.TriedAt)
+			w.TriedMs = toAgeMS(now, v.TriedAt)
 		}
 		out = append(out, w)
 	}
@@ -78,24 +79,24 @@
 func verdictsFromWire(now time.Time, in []*wire.Verdict) []poison.Verdict {
 	var out []poison.Verdict
 	for _, w := range in {
-		f, ok := fingerprint(w.GetRequest())
+		f, ok := parseFingerprint(w.GetRequest())
 		if !ok {
 			continue
 		}
 		v := poison.Verdict{
 			Request: f, Round: w.GetRound(), Lifted: w.GetLifted(), Trials: w.GetTrials(), Untried: w.GetUntried(), Doubtful: w.GetDoubtful(),
-			At: atOf(now, w.GetAgeMs()), Since: atOf(now, w.GetSinceMs()),
+			At: fromAgeMS(now, w.GetAgeMs()), Since: fromAgeMS(now, w.GetSinceMs()),
 		}
 		if v.Trials > 0 {
-			v.TriedAt = atOf(now, w.GetTriedMs())
+			v.TriedAt = fromAgeMS(now, w.GetTriedMs())
 		}
 		out = append(out, v)
 	}
 	return out
 }
 
-// fingerprint reads a fingerprint; false when it has another size.
-func fingerprint(raw []byte) (poison.Fingerprint, bool) {
+// parseFingerprint parses a fingerprint; it returns false if the size is wrong.
+func parseFingerprint(raw []byte) (poison.Fingerprint, bool) {
 	if len(raw) != poison.FingerprintSize {
 		return poison.Fingerprint{}, false
 	}
--- a/quarantine/messages_test.go
+++ b/quarantine/messages_test.go
@@ -16,32 +16,32 @@
 	f := poison.NewHasher("customer", "POST", "host", "/").Sum()
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
 
-	It("say of a verdict what it says here, in ages", func() {
+	It("preserve a verdict, with times sent as ages", func() {
 		v := poison.Verdict{
 			Request: f, Round: 2, Lifted: true, Doubtful: true, Trials: 2, Untried: 1,
 			At: ago(10 * time.Second), Since: ago(12 * time.Second), TriedAt: ago(time.Second),
 		}
-		later := now.Add(time.Hour) // the receiver's clock has nothing to do with the sender's
+		later := now.Add(time.Hour) // the receiver's clock is independent of the sender's
 		got := verdictsFromWire(later, verdictsToWire(now, []poison.Verdict{v}))
 		want := v
 		want.At, want.Since, want.TriedAt = v.At.Add(time.Hour), v.Since.Add(time.Hour), v.TriedAt.Add(time.Hour)
 		Expect(got).To(Equal([]poison.Verdict{want}))
 	})
 
-	It("say of an end what it says here", func() {
+	It("preserve a replica exit", func() {
 		e := poison.End{Service: "llm", Replica: "e1@7", At: ago(time.Second), Suspects: []poison.Suspect{
 			{Request: f, Ran: 50 * time.Millisecond}, {Request: f, Ran: time.Second, Served: ago(3 * time.Second)},
 		}}
-		Expect(endsFromWire(now, endsToWire(now, []poison.End{e}))).To(Equal([]poison.End{e}))
+		Expect(exitsFromWire(now, exitsToWire(now, []poison.End{e}))).To(Equal([]poison.End{e}))
 	})
 
-	It("that are faulty harm nothing", func() {
+	It("are decoded safely when malformed", func() {
 		verdicts := verdictsFromWire(now, []*wire.Verdict{
 			nil, {Request: []byte("short")}, {Request: make([]byte, 1<<10)},
 			{Request: f[:], Round: math.MaxUint32, AgeMs: -1, SinceMs: math.MaxInt64, Trials: math.MaxUint32, Untried: math.MaxUint32, TriedMs: math.MinInt64},
 		})
 		Expect(verdicts).To(HaveLen(1))
-		Expect(verdicts[0].At).To(Equal(now), "nothing is from the future")
+		Expect(verdicts[0].At).To(Equal(now), "times in the future are limited to now")
 		Expect(now.Sub(verdicts[0].Since)).To(Equal(2 * poison.Lifetime))
 		var m poison.Machine
 		m.Learn(now, verdicts)
@@ -49,12 +49,12 @@
 		Expect(condemned).To(BeTrue())
 		Expect(v.RetryAfter(now)).To(BeNumerically("<=", poison.Lifetime))
 
-		ends := endsFromWire(now, &wire.ReplicasEnded{Ends: []*wire.ReplicaEnd{
+		exits := exitsFromWire(now, &wire.ReplicasEnded{Ends: []*wire.ReplicaEnd{
 			nil, {Replica: "x", AgeMs: math.MinInt64, Suspects: []*wire.EndSuspect{nil, {Request: f[:], RanMs: math.MaxUint32, ServedMs: math.MaxInt64}}},
 		}})
-		Expect(ends).To(HaveLen(2))
-		Expect(ends[1].Suspects).To(HaveLen(1))
-		for _, e := range ends {
+		Expect(exits).To(HaveLen(2))
+		Expect(exits[1].Suspects).To(HaveLen(1))
+		for _, e := range exits {
 			m.Ended(now, e)
 		}
 	})
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -27,28 +27,29 @@
 	RunSpecs(t, "quarantine")
 }
 
-// network joins daemons in one process: calls, heartbeats and cuts.
+// network connects daemons in one process. It carries their calls and heartbeats and can
+// disconnect hosts.
 type network struct {
 	mu    sync.Mutex
 	hosts []*host
 	calls atomic.Int64
-	// listening are the addresses at which replicas live.
+	// listening are the addresses at which replicas accept connections.
 	listening map[string]bool
 }
 
 // host is one daemon on the network.
 type host struct {
 	*quarantine.Service
-	net     *network
-	name    string
-	started uint64
-	mux     *peer.Mux
-	cut     atomic.Bool
-	slot    atomic.Pointer[[]byte]
-	stop    context.CancelFunc
+	net          *network
+	name         string
+	started      uint64
+	mux          *peer.Mux
+	disconnected atomic.Bool
+	slot         atomic.Pointer[[]byte]
+	stop         context.CancelFunc
 }
 
-var errCut = errors.New("cut off")
+var errDisconnected = errors.New("host is disconnected")
 
 func newNetwork(hosts int) *network {
 	n := &network{listening: map[string]bool{}}
@@ -58,7 +59,7 @@
 	return n
 }
 
-// add starts a daemon; those that started earlier rank first.
+// add starts a daemon. Daemons that started earlier rank first.
 func (n *network) add() *host {
 	n.mu.Lock()
 	h := &host{net: n, name: fmt.Sprintf("h%d", len(n.hosts)), started: uint64(len(n.hosts) + 1), mux: peer.NewMux()}
@@ -88,19 +89,19 @@
 	return !n.listening[address], nil
 }
 
-// Reachable implements quarantine.Members: a host that is cut off believes in all
-// of its fellows for a while.
+// Reachable implements quarantine.Members. A host that is disconnected still considers
+// all other hosts reachable for a while.
 func (h *host) Reachable() []fleet.Host {
 	var out []fleet.Host
 	for _, o := range h.net.all() {
-		if !o.cut.Load() || h.cut.Load() {
+		if !o.disconnected.Load() || h.disconnected.Load() {
 			out = append(out, fleet.Host{Host: member.Host{Name: o.name}, Capacity: 1, Incarnation: o.started})
 		}
 	}
 	return out
 }
 
-// Neighbours implements quarantine.Members: a ring, each with the next two.
+// Neighbours implements quarantine.Members: the next two hosts on a ring.
 func (h *host) Neighbours() []string {
 	all := h.net.all()
 	var out []string
@@ -121,19 +122,19 @@
 func (h *host) Call(ctx context.Context, to, method string, req, resp proto.Message) error {
 	h.net.calls.Add(1)
 	for _, o := range h.net.all() {
-		if o.name == to && !o.cut.Load() && !h.cut.Load() {
+		if o.name == to && !o.disconnected.Load() && !h.disconnected.Load() {
 			return peer.CallLocal(ctx, o.mux, h.name, method, req, resp)
 		}
 	}
-	return errCut
+	return errDisconnected
 }
 
-// beat has each host hear the heartbeats of its neighbours.
-func (n *network) beat() {
+// deliverHeartbeats delivers to each host the heartbeats of its neighbours.
+func (n *network) deliverHeartbeats() {
 	for _, h := range n.all() {
 		for _, name := range h.Neighbours() {
 			for _, o := range n.all() {
-				if o.name == name && o.slot.Load() != nil && !o.cut.Load() && !h.cut.Load() {
+				if o.name == name && o.slot.Load() != nil && !o.disconnected.Load() && !h.disconnected.Load() {
 					h.Heard(member.SlotHeard{ID: member.SlotQuarantine, Host: o.name, Value: *o.slot.Load()})
 				}
 			}
@@ -141,8 +142,8 @@
 	}
 }
 
-// breaks has an attempt break off at a replica.
-func (h *host) breaks(replica, request string) {
+// interruptAttempt reports an attempt whose connection a replica closed.
+func (h *host) interruptAttempt(replica, request string) {
 	h.BrokeOff(quarantine.Attempt{Service: "llm", Replica: replica, Address: replica, Request: content(request), Began: clock.Now().Add(-50 * time.Millisecond)})
 }
 
@@ -150,130 +151,130 @@
 	return poison.NewHasher("customer", "POST", "host", name).Sum()
 }
 
-func (h *host) condemned(request string) bool {
-	_, c := h.Condemned(content(request))
-	return c
+func (h *host) isQuarantined(request string) bool {
+	_, quarantined := h.Condemned(content(request))
+	return quarantined
 }
 
-var _ = Describe("a fleet", func() {
-	// knows says that all hosts of some know of a culprit within contact.
-	const contact = 3 * time.Second
-	allKnow := func(hosts ...*host) {
+var _ = Describe("quarantine in a fleet", func() {
+	// propagationTimeout is the time within which all reachable hosts have a verdict.
+	const propagationTimeout = 3 * time.Second
+	expectQuarantined := func(hosts ...*host) {
 		GinkgoHelper()
 		for _, h := range hosts {
-			Eventually(func() bool { return h.condemned("x") }, contact).Should(BeTrue(), h.name)
+			Eventually(func() bool { return h.isQuarantined("x") }, propagationTimeout).Should(BeTrue(), h.name)
 		}
 	}
 
-	It("condemns a request whose three ends three daemons saw, one each", func() {
+	It("quarantines a request after three replica exits that three daemons observed, one each", func() {
 		n := newNetwork(6)
 		hosts := n.all()
 		for i, h := range hosts[3:] {
-			Expect(h.condemned("x")).To(BeFalse())
-			h.breaks(fmt.Sprint("r", i), "x")
+			Expect(h.isQuarantined("x")).To(BeFalse())
+			h.interruptAttempt(fmt.Sprint("r", i), "x")
 		}
-		allKnow(hosts...)
-		Expect(hosts[0].condemned("y")).To(BeFalse())
+		expectQuarantined(hosts...)
+		Expect(hosts[0].isQuarantined("y")).To(BeFalse())
 	})
 
-	It("does not take broken connections for an end while the replica listens", func() {
+	It("does not count closed connections as a replica exit while the replica listens", func() {
 		n := newNetwork(2)
 		n.listening["r0"], n.listening["r1"], n.listening["r2"] = true, true, true
 		for i := range 3 {
-			n.all()[1].breaks(fmt.Sprint("r", i), "x")
+			n.all()[1].interruptAttempt(fmt.Sprint("r", i), "x")
 		}
-		Consistently(func() bool { return n.all()[0].condemned("x") || n.all()[1].condemned("x") }, "300ms").Should(BeFalse())
+		Consistently(func() bool { return n.all()[0].isQuarantined("x") || n.all()[1].isQuarantined("x") }, "300ms").Should(BeFalse())
 	})
 
-	It("keeps the evidence when the daemon dies that saw it", func() {
+	It("keeps an exit report when the daemon that observed the exit fails", func() {
 		n := newNetwork(5)
 		hosts := n.all()
-		hosts[4].breaks("r0", "x")
-		hosts[4].breaks("r1", "x")
-		Eventually(func() int { return hosts[0].Dump().Stats.Ends }, contact).Should(Equal(2))
+		hosts[4].interruptAttempt("r0", "x")
+		hosts[4].interruptAttempt("r1", "x")
+		Eventually(func() int { return hosts[0].Dump().Stats.Ends }, propagationTimeout).Should(Equal(2))
 		hosts[4].stop()
-		hosts[4].cut.Store(true)
-		hosts[3].breaks("r2", "x")
-		allKnow(hosts[:4]...)
+		hosts[4].disconnected.Store(true)
+		hosts[3].interruptAttempt("r2", "x")
+		expectQuarantined(hosts[:4]...)
 	})
 
-	It("keeps the evidence when a deciding host dies, and tells its successor", func() {
+	It("reports known exits to the new coordinators when both coordinators fail", func() {
 		n := newNetwork(5)
 		hosts := n.all()
-		hosts[4].breaks("r0", "x")
-		hosts[3].breaks("r1", "x")
-		Eventually(func() int { return hosts[1].Dump().Stats.Ends }, contact).Should(Equal(2))
-		hosts[0].cut.Store(true)
-		hosts[1].cut.Store(true)
-		Eventually(func() int { return hosts[2].Dump().Stats.Ends }, contact).Should(Equal(2))
-		hosts[4].breaks("r2", "x")
-		allKnow(hosts[2:]...)
+		hosts[4].interruptAttempt("r0", "x")
+		hosts[3].interruptAttempt("r1", "x")
+		Eventually(func() int { return hosts[1].Dump().Stats.Ends }, propagationTimeout).Should(Equal(2))
+		hosts[0].disconnected.Store(true)
+		hosts[1].disconnected.Store(true)
+		Eventually(func() int { return hosts[2].Dump().Stats.Ends }, propagationTimeout).Should(Equal(2))
+		hosts[4].interruptAttempt("r2", "x")
+		expectQuarantined(hosts[2:]...)
 	})
 
-	It("tells a daemon that starts later, and one that was cut off", func() {
+	It("sends verdicts to a daemon that starts later and to one that was disconnected", func() {
 		n := newNetwork(4)
-		away := n.all()[3]
-		away.cut.Store(true)
+		other := n.all()[3]
+		other.disconnected.Store(true)
 		for i := range 3 {
-			n.all()[2].breaks(fmt.Sprint("r", i), "x")
+			n.all()[2].interruptAttempt(fmt.Sprint("r", i), "x")
 		}
-		allKnow(n.all()[:3]...)
-		away.cut.Store(false)
-		late := n.add()
-		Expect(away.condemned("x") || late.condemned("x")).To(BeFalse())
-		n.beat()
-		allKnow(away, late)
+		expectQuarantined(n.all()[:3]...)
+		other.disconnected.Store(false)
+		newHost := n.add()
+		Expect(other.isQuarantined("x") || newHost.isQuarantined("x")).To(BeFalse())
+		n.deliverHeartbeats()
+		expectQuarantined(other, newHost)
 	})
 
-	It("protects a daemon's replicas by what it saw itself when it reaches nobody", func() {
+	It("lets a daemon that reaches no other host evaluate its own reports", func() {
 		n := newNetwork(3)
-		alone := n.all()[2]
-		alone.cut.Store(true)
+		isolated := n.all()[2]
+		isolated.disconnected.Store(true)
 		for i := range 3 {
-			alone.breaks(fmt.Sprint("r", i), "x")
+			isolated.interruptAttempt(fmt.Sprint("r", i), "x")
 		}
-		allKnow(alone)
+		expectQuarantined(isolated)
 	})
 
-	It("gives up what waits for a condemned request", func() {
+	It("notifies watchers of a quarantined request", func() {
 		n := newNetwork(2)
-		var told, other atomic.Int64
-		n.all()[1].Watch(content("x"), func() { told.Add(1) })
-		stop := n.all()[1].Watch(content("x"), func() { other.Add(1) })
+		var notified, stopped atomic.Int64
+		n.all()[1].Watch(content("x"), func() { notified.Add(1) })
+		stop := n.all()[1].Watch(content("x"), func() { stopped.Add(1) })
 		stop()
 		for i := range 3 {
-			n.all()[0].breaks(fmt.Sprint("r", i), "x")
+			n.all()[0].interruptAttempt(fmt.Sprint("r", i), "x")
 		}
-		Eventually(told.Load, contact).Should(Equal(int64(1)))
-		Expect(other.Load()).To(BeZero())
+		Eventually(notified.Load, propagationTimeout).Should(Equal(int64(1)))
+		Expect(stopped.Load()).To(BeZero())
 	})
 
-	It("lifts a verdict everywhere when a run ends well anywhere", func() {
+	It("lifts a verdict on all hosts after a successful run on any of them", func() {
 		n := newNetwork(6)
 		for i := range 3 {
-			n.all()[0].breaks(fmt.Sprint("r", i), "x")
+			n.all()[0].interruptAttempt(fmt.Sprint("r", i), "x")
 		}
-		allKnow(n.all()...)
+		expectQuarantined(n.all()...)
 		n.all()[5].Served(content("x"))
 		for _, h := range n.all() {
-			Eventually(func() bool { return h.condemned("x") }, contact).Should(BeFalse())
+			Eventually(func() bool { return h.isQuarantined("x") }, propagationTimeout).Should(BeFalse())
 		}
 	})
 
-	It("grants one trial at a time, when it is due", func() {
+	It("grants one trial at a time, once it is due", func() {
 		n := newNetwork(4)
 		hosts := n.all()
-		By("other replicas ending beside those of the request, which makes the verdict doubtful")
+		By("making the verdict doubtful: other replicas exit at the same time without the request")
 		for i := range 3 {
-			hosts[1].breaks(fmt.Sprint("other", i), fmt.Sprint("bystander", i))
+			hosts[1].interruptAttempt(fmt.Sprint("other", i), fmt.Sprint("bystander", i))
 		}
 		for _, h := range hosts[:2] {
-			Eventually(func() int { return h.Dump().Stats.Ends }, contact).Should(Equal(3))
+			Eventually(func() int { return h.Dump().Stats.Ends }, propagationTimeout).Should(Equal(3))
 		}
 		for i := range 3 {
-			hosts[2].breaks(fmt.Sprint("r", i), "x")
+			hosts[2].interruptAttempt(fmt.Sprint("r", i), "x")
 		}
-		allKnow(hosts...)
+		expectQuarantined(hosts...)
 		v, _ := hosts[3].Condemned(content("x"))
 		Expect(v.Doubtful).To(BeTrue())
 		Expect(hosts[3].Try(context.Background(), v)).To(BeFalse())
@@ -289,26 +290,26 @@
 		Eventually(granted, 2*poison.DoubtfulTrial).Should(Equal(1))
 		Consistently(granted, "200ms").Should(BeZero())
 
-		By("granting it again when it came to no run")
+		By("granting a trial again that was returned without a run")
 		hosts[3].Untried(content("x"))
-		Eventually(granted, contact).Should(Equal(1))
+		Eventually(granted, propagationTimeout).Should(Equal(1))
 		Consistently(granted, "200ms").Should(BeZero())
 	})
 
-	It("forgets a verdict in the end, and neighbours tell each other nothing more", func() {
+	It("drops an expired verdict, after which neighbours exchange nothing", func() {
 		n := newNetwork(3)
 		for i := range 3 {
-			n.all()[0].breaks(fmt.Sprint("r", i), "x")
+			n.all()[0].interruptAttempt(fmt.Sprint("r", i), "x")
 		}
-		allKnow(n.all()...)
+		expectQuarantined(n.all()...)
 		Expect(n.all()[2].Refused()).To(Equal(1))
 		clock.Simulate(poison.Lifetime)
 		for range 3 {
-			n.beat()
-			time.Sleep(600 * time.Millisecond) // an exchange is tried once in half a second
+			n.deliverHeartbeats()
+			time.Sleep(600 * time.Millisecond) // longer than the minimum interval between exchanges, 500 ms
 		}
 		before := n.calls.Load()
-		n.beat()
+		n.deliverHeartbeats()
 		Consistently(n.calls.Load, "200ms").Should(Equal(before))
 		Expect(n.all()[2].Refused()).To(BeZero())
 	})
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -15,163 +15,164 @@
 )
 
 const (
-	// deciding is the number of hosts that are told of ends: with two, the evidence
-	// outlives either.
-	deciding = 2
-	// maxReports bounds the ends of which this daemon keeps its report, and
-	// reportFor how long it does: a host that comes to decide is told of them.
-	maxReports = 64
-	reportFor  = time.Minute
-	// reportAgain is the interval at which reports are sent that a deciding host has
-	// not taken.
-	reportAgain = 500 * time.Millisecond
-	// callTimeout bounds a call to a fellow; the next try, or a neighbour's exchange,
-	// makes up for one that is lost.
+	// coordinatorCount is the number of hosts that receive exit reports. With two, the
+	// reports survive the loss of either.
+	coordinatorCount = 2
+	// maxReports and reportRetention limit how many reports this daemon keeps and for
+	// how long. It keeps them so that a new coordinator receives them too.
+	maxReports      = 64
+	reportRetention = time.Minute
+	// reportRetryInterval is the interval at which a report is resent to a coordinator
+	// that has not acknowledged it.
+	reportRetryInterval = 500 * time.Millisecond
+	// callTimeout limits a call to a peer. A failed call needs no retry of its own: the
+	// next round of reports, or the next exchange with a neighbour, covers it.
 	callTimeout = 400 * time.Millisecond
-	// maxEndsTold bounds the ends of one message, 16 kB at 32 suspects each.
-	maxEndsTold = 16
+	// maxExitsPerMessage limits a message to about 16 kB at 32 suspects per exit.
+	maxExitsPerMessage = 16
 )
 
-// report is an end that this daemon saw, and who has taken it.
+// report is a replica exit that this daemon observed, with its delivery state.
 type report struct {
-	end poison.End
-	// taken holds the starts of the hosts that have taken it, by name; own says that
-	// this daemon decided on it by itself.
-	taken map[string]uint64
-	own   bool
+	exit poison.End
+	// ackedBy holds, by host name, the incarnation of each host that has acknowledged
+	// the report. evaluatedLocally is set once this daemon has evaluated the report
+	// itself because no coordinator had acknowledged it.
+	ackedBy          map[string]uint64
+	evaluatedLocally bool
 }
 
-// Run reports ends until ctx ends.
+// Run reports replica exits until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := time.Hour
-		if s.reportsDue() {
-			wait = reportAgain
+		if s.pruneReports() {
+			wait = reportRetryInterval
 		}
-		periodic.Await(ctx, s.work, wait)
-		for _, h := range s.deciders() {
-			s.reportTo(ctx, h)
+		periodic.Await(ctx, s.wakeup, wait)
+		for _, h := range s.coordinators() {
+			s.sendReports(ctx, h)
 		}
-		s.decideAlone()
+		s.evaluateUnacked()
 	}
 }
 
-// wake has Run look for something to report.
+// wake makes Run check for reports to send.
 func (s *Service) wake() {
 	select {
-	case s.work <- struct{}{}:
-	default: // it is about to look
+	case s.wakeup <- struct{}{}:
+	default: // a wakeup is already pending
 	}
 }
 
-// reportsDue says whether there are reports to keep, and drops old ones.
-func (s *Service) reportsDue() bool {
+// pruneReports drops expired reports and returns whether any are left.
+func (s *Service) pruneReports() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	s.reports = slices.DeleteFunc(s.reports, func(r *report) bool { return now.Sub(r.end.At) > reportFor })
+	s.reports = slices.DeleteFunc(s.reports, func(r *report) bool { return now.Sub(r.exit.At) > reportRetention })
 	return len(s.reports) > 0
 }
 
-// deciders are the hosts that decide, in order.
-func (s *Service) deciders() []fleet.Host {
-	var first []fleet.Host
+// coordinators returns the reachable hosts that evaluate reports, in rank order.
+func (s *Service) coordinators() []fleet.Host {
+	var ranked []fleet.Host
 	for _, h := range s.cfg.Members.Reachable() {
-		at, _ := slices.BinarySearchFunc(first, h, fleet.Host.Compare)
-		if at < deciding {
-			first = slices.Insert(first, at, h)
-			first = first[:min(deciding, len(first))]
+		at, _ := slices.BinarySearchFunc(ranked, h, fleet.Host.Compare)
+		if at < coordinatorCount {
+			ranked = slices.Insert(ranked, at, h)
+			ranked = ranked[:min(coordinatorCount, len(ranked))]
 		}
 	}
-	return first
+	return ranked
 }
 
-// reportTo tells a host of the ends that it has not taken.
-func (s *Service) reportTo(ctx context.Context, h fleet.Host) {
-	due := s.dueTo(h)
+// sendReports sends a host the reports that it has not acknowledged.
+func (s *Service) sendReports(ctx context.Context, h fleet.Host) {
+	due := s.pendingReports(h)
 	for len(due) > 0 {
-		part := due[:min(maxEndsTold, len(due))]
-		due = due[len(part):]
-		if err := s.tellEnds(ctx, h.Name, endsOf(part)); err != nil {
-			s.log.Info("ends of replicas not reported", zap.String("peer", h.Name), zap.Error(err))
+		batch := due[:min(maxExitsPerMessage, len(due))]
+		due = due[len(batch):]
+		if err := s.sendExits(ctx, h.Name, exitsOf(batch)); err != nil {
+			s.log.Info("reporting replica exits failed", zap.String("peer", h.Name), zap.Error(err))
 			return
 		}
 		s.mu.Lock()
-		for _, r := range part {
-			r.taken[h.Name] = h.Incarnation
+		for _, r := range batch {
+			r.ackedBy[h.Name] = h.Incarnation
 		}
 		s.mu.Unlock()
 	}
 }
 
-// dueTo returns the reports that a start of a host has not taken, without those
-// that an outage explains.
-func (s *Service) dueTo(h fleet.Host) []*report {
+// pendingReports returns the reports that the host's current incarnation has not
+// acknowledged, except exits that look like part of a mass outage (poison.Reportable).
+func (s *Service) pendingReports(h fleet.Host) []*report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var recent []poison.End
 	for _, r := range s.reports {
-		if clock.Since(r.end.At) < poison.MassWindow {
-			recent = append(recent, r.end)
+		if clock.Since(r.exit.At) < poison.MassWindow {
+			recent = append(recent, r.exit)
 		}
 	}
 	reportable := poison.Reportable(recent)
 	var due []*report
 	for _, r := range s.reports {
-		if at, taken := r.taken[h.Name]; taken && at == h.Incarnation {
+		if incarnation, acked := r.ackedBy[h.Name]; acked && incarnation == h.Incarnation {
 			continue
 		}
-		if len(reportable) < len(recent) && clock.Since(r.end.At) < poison.MassWindow {
-			i := slices.IndexFunc(reportable, func(e poison.End) bool { return e.Replica == r.end.Replica })
+		if len(reportable) < len(recent) && clock.Since(r.exit.At) < poison.MassWindow {
+			i := slices.IndexFunc(reportable, func(e poison.End) bool { return e.Replica == r.exit.Replica })
 			if i < 0 {
 				continue
 			}
-			r.end.Suspects = reportable[i].Suspects
+			r.exit.Suspects = reportable[i].Suspects
 		}
 		due = append(due, r)
 	}
 	return due
 }
 
-func endsOf(reports []*report) []poison.End {
-	ends := make([]poison.End, 0, len(reports))
+func exitsOf(reports []*report) []poison.End {
+	exits := make([]poison.End, 0, len(reports))
 	for _, r := range reports {
-		ends = append(ends, r.end)
+		exits = append(exits, r.exit)
 	}
-	return ends
+	return exits
 }
 
-// tellEnds passes ends to a host, which may be this one.
-func (s *Service) tellEnds(ctx context.Context, host string, ends []poison.End) error {
+// sendExits passes replica exits to a host, which may be this one.
+func (s *Service) sendExits(ctx context.Context, host string, exits []poison.End) error {
 	if host == s.cfg.Self {
-		s.judge(ends)
+		s.evaluate(exits)
 		return nil
 	}
 	ctx, cancel := clock.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return s.cfg.Caller.Call(ctx, host, methodEnded, endsToWire(clock.Now(), ends), &wire.ReplicasEndedNoted{})
+	return s.cfg.Caller.Call(ctx, host, methodExits, exitsToWire(clock.Now(), exits), &wire.ReplicasEndedNoted{})
 }
 
-// decideAlone decides on ends that no deciding host has taken.
-func (s *Service) decideAlone() {
+// evaluateUnacked evaluates, once, the reports that no coordinator has acknowledged.
+func (s *Service) evaluateUnacked() {
 	s.mu.Lock()
-	var alone []poison.End
+	var unacked []poison.End
 	for _, r := range s.reports {
-		if len(r.taken) == 0 && !r.own {
-			r.own = true
-			alone = append(alone, r.end)
+		if len(r.ackedBy) == 0 && !r.evaluatedLocally {
+			r.evaluatedLocally = true
+			unacked = append(unacked, r.exit)
 		}
 	}
 	s.mu.Unlock()
-	s.judge(alone)
+	s.evaluate(unacked)
 }
 
-// judge decides on ends.
-func (s *Service) judge(ends []poison.End) {
-	for _, e := range ends {
+// evaluate passes replica exits to the rules and applies the verdicts that follow.
+func (s *Service) evaluate(exits []poison.End) {
+	for _, e := range exits {
 		s.mu.Lock()
 		changed := s.machine.Ended(clock.Now(), e)
 		s.mu.Unlock()
-		s.changed(s.cfg.Self, changed)
+		s.applyVerdicts(s.cfg.Self, changed)
 	}
 }
--- a/quarantine/service.go
+++ b/quarantine/service.go
@@ -17,111 +17,113 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// Members names the hosts of the fleet.
+// Members gives access to the hosts of the fleet.
 type Members interface {
 	// Reachable returns the hosts that may be called, this one included.
 	Reachable() []fleet.Host
-	// Neighbours returns the hosts that this one tells of verdicts.
+	// Neighbours returns the hosts to which this one sends verdicts.
 	Neighbours() []string
-	// SetSlot replaces this host's value on the heartbeats.
+	// SetSlot replaces the value that this host's heartbeats carry in a slot.
 	SetSlot(id member.SlotID, value []byte)
 }
 
-// Replicas asks whether a replica's process has ended.
+// Replicas checks whether a replica's process has exited.
 type Replicas interface {
-	// Refused says whether nobody listens at an address; the error that this is not
-	// known.
+	// Refused returns whether an address refuses connections, or an error if that could
+	// not be determined.
 	Refused(ctx context.Context, address string) (bool, error)
 }
 
-// Config is what a Service needs.
+// Config holds the dependencies of a Service.
 type Config struct {
-	// Self is this host's name among its fellows.
+	// Self is the name of this host in the fleet.
 	Self     string
 	Members  Members
 	Replicas Replicas
 	Caller   peer.Caller
-	// Mux takes the methods that fellows may call.
+	// Mux is where New registers the methods that peers call.
 	Mux    *peer.Mux
 	Logger *zap.Logger
-	// Ended is told of each replica that ended under attempts; it may be nil and
-	// must not block.
+	// Ended is called for each replica that exited while attempts were running on it. It
+	// may be nil and must not block.
 	Ended func(poison.End)
 }
 
-// Service is one daemon's part. All methods are safe for concurrent use.
+// Service is the quarantine of one daemon. All methods are safe for concurrent use.
 type Service struct {
 	cfg Config
 	log *zap.Logger
-	// condemned is the number of verdicts that refuse a request: while it is 0, as
-	// on most days, no request waits for the lock.
-	condemned atomic.Int64
-	work      chan struct{}
+	// quarantinedCount is the number of requests that are refused. While it is 0, which
+	// is the normal case, requests are checked without taking the lock.
+	quarantinedCount atomic.Int64
+	wakeup           chan struct{}
 
-	mu      sync.Mutex
-	machine poison.Machine
-	ending  map[string]*ending // by replica
-	reports []*report
-	// watches are told when their request is condemned.
+	mu         sync.Mutex
+	machine    poison.Machine
+	exitChecks map[string]*exitCheck // by replica
+	reports    []*report
+	// watches are notified when their request is quarantined.
 	watches map[poison.Fingerprint]map[*watch]bool
-	// onSlot is the digest that stands on the heartbeats.
-	onSlot uint64
-	// exchanged is when verdicts were last exchanged with a neighbour.
-	exchanged time.Time
+	// publishedDigest is the digest that the heartbeats carry.
+	publishedDigest uint64
+	// lastExchange is when this daemon last started an exchange with a neighbour.
+	lastExchange time.Time
 }
 
-// watch waits for a verdict.
-type watch struct{ condemned func() }
+// watch is a registration made with Service.Watch.
+type watch struct{ notify func() }
 
-// Extension is the service's place on the heartbeats: the digest of its verdicts.
+// Extension returns the heartbeat slot that carries the digest of the verdicts.
 func Extension() member.Extension {
 	return member.Extension{ID: member.SlotQuarantine, MaxBytes: digestBytes}
 }
 
 const digestBytes = 8
 
-// New returns a service and registers its methods.
+// New returns a Service and registers its peer methods with cfg.Mux.
 func New(cfg Config) *Service {
 	s := &Service{
-		cfg: cfg, log: cfg.Logger, work: make(chan struct{}, 1), ending: map[string]*ending{},
+		cfg: cfg, log: cfg.Logger, wakeup: make(chan struct{}, 1), exitChecks: map[string]*exitCheck{},
 		watches: map[poison.Fingerprint]map[*watch]bool{},
 	}
-	peer.Handle(cfg.Mux, methodEnded, func(_ context.Context, _ peer.Sender, m *wire.ReplicasEnded) (*wire.ReplicasEndedNoted, error) {
-		s.judge(endsFromWire(clock.Now(), m))
+	peer.Handle(cfg.Mux, methodExits, func(_ context.Context, _ peer.Sender, m *wire.ReplicasEnded) (*wire.ReplicasEndedNoted, error) {
+		s.evaluate(exitsFromWire(clock.Now(), m))
 		return &wire.ReplicasEndedNoted{}, nil
 	})
 	peer.Handle(cfg.Mux, methodVerdicts, func(_ context.Context, from peer.Sender, m *wire.Verdicts) (*wire.Verdicts, error) {
-		s.learn(from.Host, m.GetVerdicts())
+		s.mergeVerdicts(from.Host, m.GetVerdicts())
 		if !m.GetExchange() {
 			return &wire.Verdicts{}, nil
 		}
 		return &wire.Verdicts{Verdicts: s.allVerdicts()}, nil
 	})
 	peer.Handle(cfg.Mux, methodTrial, func(_ context.Context, _ peer.Sender, m *wire.TrialRequest) (*wire.TrialReply, error) {
-		f, ok := fingerprint(m.GetRequest())
+		f, ok := parseFingerprint(m.GetRequest())
 		switch {
 		case !ok:
 		case m.GetUntried():
-			s.takeBack(f)
+			s.returnTrial(f)
 		default:
-			return &wire.TrialReply{Granted: s.grant(f)}, nil
+			return &wire.TrialReply{Granted: s.grantTrial(f)}, nil
 		}
 		return &wire.TrialReply{}, nil
 	})
 	return s
 }
 
-// Served takes a run that ended well: the replica answered and lives.
+// Served records a successful run of a request, which lifts any verdict on it: the
+// replica answered and did not exit.
 func (s *Service) Served(f poison.Fingerprint) {
 	s.mu.Lock()
 	changed := s.machine.Served(clock.Now(), f)
 	s.mu.Unlock()
-	s.changed(s.cfg.Self, changed)
+	s.applyVerdicts(s.cfg.Self, changed)
 }
 
-// Condemned returns the verdict by which a request must not reach a replica.
+// Condemned returns the verdict because of which a request must not be sent to a
+// replica. It returns false if the request is not quarantined.
 func (s *Service) Condemned(f poison.Fingerprint) (poison.Verdict, bool) {
-	if s.condemned.Load() == 0 {
+	if s.quarantinedCount.Load() == 0 {
 		return poison.Verdict{}, false
 	}
 	s.mu.Lock()
@@ -129,9 +131,9 @@
 	return s.machine.Condemned(clock.Now(), f)
 }
 
-// Watch calls condemned, once, when the request is; stop ends that.
-func (s *Service) Watch(f poison.Fingerprint, condemned func()) (stop func()) {
-	w := &watch{condemned}
+// Watch calls notify once when the request is quarantined. stop cancels the watch.
+func (s *Service) Watch(f poison.Fingerprint, notify func()) (stop func()) {
+	w := &watch{notify}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.watches[f] == nil {
@@ -148,83 +150,84 @@
 	}
 }
 
-// Try says whether a condemned request may be run once more, to see whether the
-// verdict was wrong. The first of the deciding hosts grants that; when it does not
-// answer, nobody does.
+// Try asks for a trial run of a quarantined request, which checks whether the verdict
+// was wrong. Only the first coordinator grants trials, so that one runs at a time; if it
+// does not answer, the trial is denied.
 func (s *Service) Try(ctx context.Context, v poison.Verdict) bool {
 	if v.RetryAfter(clock.Now()) > 0 {
 		return false
 	}
-	return s.askFirst(ctx, &wire.TrialRequest{Request: v.Request[:]}, s.grant)
+	return s.callFirstCoordinator(ctx, &wire.TrialRequest{Request: v.Request[:]}, s.grantTrial)
 }
 
-// Untried tells that a trial which Try granted came to no run.
+// Untried returns a trial that Try granted but that did not lead to a run.
 func (s *Service) Untried(f poison.Fingerprint) {
-	go s.askFirst(context.Background(), &wire.TrialRequest{Request: f[:], Untried: true}, s.takeBack)
+	go s.callFirstCoordinator(context.Background(), &wire.TrialRequest{Request: f[:], Untried: true}, s.returnTrial)
 }
 
-// askFirst asks the first of the deciding hosts about a trial; here does it when that
-// is this host.
-func (s *Service) askFirst(ctx context.Context, req *wire.TrialRequest, here func(poison.Fingerprint) bool) bool {
-	deciders := s.deciders()
-	if len(deciders) == 0 {
+// callFirstCoordinator sends a trial request to the first coordinator, or calls local if
+// that is this host. It returns whether the trial was granted.
+func (s *Service) callFirstCoordinator(ctx context.Context, req *wire.TrialRequest, local func(poison.Fingerprint) bool) bool {
+	coordinators := s.coordinators()
+	if len(coordinators) == 0 {
 		return false
 	}
-	f, first := poison.Fingerprint(req.GetRequest()), deciders[0].Name
-	if first == s.cfg.Self {
-		return here(f)
+	f, coordinator := poison.Fingerprint(req.GetRequest()), coordinators[0].Name
+	if coordinator == s.cfg.Self {
+		return local(f)
 	}
 	ctx, cancel := clock.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply := &wire.TrialReply{}
-	if err := s.cfg.Caller.Call(ctx, first, methodTrial, req, reply); err != nil {
-		s.log.Info("no answer about a trial", zap.String("peer", first), zap.Stringer("content", f), zap.Bool("untried", req.GetUntried()), zap.Error(err))
+	if err := s.cfg.Caller.Call(ctx, coordinator, methodTrial, req, reply); err != nil {
+		s.log.Info("trial request failed", zap.String("peer", coordinator), zap.Stringer("content", f), zap.Bool("untried", req.GetUntried()), zap.Error(err))
 		return false
 	}
 	return reply.GetGranted()
 }
 
-// grant decides on a trial.
-func (s *Service) grant(f poison.Fingerprint) bool {
+// grantTrial grants a trial if one is due, and returns whether it did.
+func (s *Service) grantTrial(f poison.Fingerprint) bool {
 	s.mu.Lock()
 	v, granted := s.machine.Try(clock.Now(), f)
 	s.mu.Unlock()
 	if granted {
-		s.changed(s.cfg.Self, []poison.Verdict{v})
+		s.applyVerdicts(s.cfg.Self, []poison.Verdict{v})
 	}
 	return granted
 }
 
-// takeBack notes that a trial came to no run.
-func (s *Service) takeBack(f poison.Fingerprint) bool {
+// returnTrial records that a granted trial did not lead to a run.
+func (s *Service) returnTrial(f poison.Fingerprint) bool {
 	s.mu.Lock()
 	v, changed := s.machine.Untried(f)
 	s.mu.Unlock()
 	if changed {
-		s.changed(s.cfg.Self, []poison.Verdict{v})
+		s.applyVerdicts(s.cfg.Self, []poison.Verdict{v})
 	}
 	return changed
 }
 
-// setSlot puts the digest of the verdicts on the heartbeats; the lock is held.
-func (s *Service) setSlot(now time.Time) {
+// publishDigest puts the digest of the verdicts on the heartbeats if it has changed. The
+// caller holds the lock.
+func (s *Service) publishDigest(now time.Time) {
 	digest := s.machine.Digest(now)
-	if digest == s.onSlot {
+	if digest == s.publishedDigest {
 		return
 	}
-	s.onSlot = digest
+	s.publishedDigest = digest
 	s.cfg.Members.SetSlot(member.SlotQuarantine, binary.LittleEndian.AppendUint64(nil, digest))
 }
 
-// Dump is the state for operators.
+// Dump is the state shown to operators.
 type Dump struct {
 	Stats poison.Stats `json:"stats"`
-	// Verdicts are those that are kept, also lifted ones.
+	// Verdicts are all retained verdicts, including lifted ones.
 	Verdicts []DumpedVerdict `json:"verdicts"`
 	Deciders []string        `json:"deciders"`
 }
 
-// DumpedVerdict is a verdict as operators see it.
+// DumpedVerdict is a verdict as shown to operators.
 type DumpedVerdict struct {
 	Content  string  `json:"content"`
 	Round    uint32  `json:"round"`
@@ -232,15 +235,15 @@
 	Doubtful bool    `json:"doubtful"`
 	Trials   uint32  `json:"trials"`
 	Age      float64 `json:"age_s"`
-	// Ends are the ends of replicas that this host knows of; hosts that decide know
-	// all.
-	Ends []string `json:"ends,omitempty"`
+	// Exits are the replica exits attributed to the request that this host knows of;
+	// coordinators know all of them.
+	Exits []string `json:"ends,omitempty"`
 }
 
-// Dump returns the state.
+// Dump returns the state shown to operators.
 func (s *Service) Dump() Dump {
 	d := Dump{Verdicts: []DumpedVerdict{}}
-	for _, h := range s.deciders() {
+	for _, h := range s.coordinators() {
 		d.Deciders = append(d.Deciders, h.Name)
 	}
 	s.mu.Lock()
@@ -250,16 +253,16 @@
 	for _, v := range s.machine.Verdicts() {
 		d.Verdicts = append(d.Verdicts, DumpedVerdict{
 			Content: v.Request.String(), Round: v.Round, Lifted: v.Lifted, Doubtful: v.Doubtful, Trials: v.Trials,
-			Age: now.Sub(v.At).Seconds(), Ends: s.endsUnder(now, v.Request),
+			Age: now.Sub(v.At).Seconds(), Exits: s.describeExits(now, v.Request),
 		})
 	}
 	return d
 }
 
-// Refused is the number of requests that are condemned.
+// Refused returns the number of quarantined requests.
 func (s *Service) Refused() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.count(clock.Now()) // some may have been forgotten
-	return int(s.condemned.Load())
+	s.updateQuarantinedCount(clock.Now()) // some verdicts may have expired
+	return int(s.quarantinedCount.Load())
 }
--- a/stages/asleep_test.go
+++ b/stages/asleep_test.go
@@ -19,41 +19,43 @@
 
 // busy replicas make nothing until the test ends, and count what is given up: calls,
 // and results.
-type busy struct {
-	until  chan struct{}
-	calls  atomic.Int32
-	closed atomic.Int32
-	freed  atomic.Int32
+type blockedReplicas struct {
+	unblock   chan struct{}
+	calls     atomic.Int32
+	cancelled atomic.Int32
+	releases  atomic.Int32
 }
 
-func (b *busy) RunPieces(ctx context.Context, _ stage.Run) ([]stage.Result, stage.CallOutcome, error) {
+func (b *blockedReplicas) RunPieces(ctx context.Context, _ stage.Run) ([]stage.Result, stage.CallOutcome, error) {
 	b.calls.Add(1)
 	select {
-	case <-b.until:
+	case <-b.unblock:
 	case <-ctx.Done():
-		b.closed.Add(1)
+		b.cancelled.Add(1)
 	}
 	return nil, stage.CallFailed, context.Canceled
 }
 
-func (b *busy) FreeResults(context.Context, stage.Free) error {
-	b.freed.Add(1)
+func (b *blockedReplicas) FreeResults(context.Context, stage.Free) error {
+	b.releases.Add(1)
 	return nil
 }
 
-func (b *busy) Room(context.Context, stage.Inspect) (stage.Room, error) { return stage.Room{}, nil }
+func (b *blockedReplicas) Room(context.Context, stage.Inspect) (stage.Room, error) {
+	return stage.Room{}, nil
+}
 
 // encoding makes pieces of encode at once, and none of render until the test ends.
-type encoding struct {
-	busy
-	mu      sync.Mutex
-	handles []string
-	given   []string
+type encodingReplicas struct {
+	blockedReplicas
+	mu              sync.Mutex
+	handles         []string
+	releasedHandles []string
 }
 
-func (e *encoding) RunPieces(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error) {
+func (e *encodingReplicas) RunPieces(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error) {
 	if a.Service != "encode" {
-		return e.busy.RunPieces(ctx, a)
+		return e.blockedReplicas.RunPieces(ctx, a)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,29 +68,29 @@
 	return out, stage.CallAnswered, nil
 }
 
-func (e *encoding) FreeResults(_ context.Context, a stage.Free) error {
+func (e *encodingReplicas) FreeResults(_ context.Context, a stage.Free) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.given = append(e.given, a.Handles...)
+	e.releasedHandles = append(e.releasedHandles, a.Handles...)
 	return nil
 }
 
-func (e *encoding) made() []string {
+func (e *encodingReplicas) made() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.handles)
 }
 
-func (e *encoding) givenUp() []string {
+func (e *encodingReplicas) released() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.given)
+	return slices.Clone(e.releasedHandles)
 }
 
 var _ = Describe("a planner", func() {
 	It("that slept leaves alone what the owners of its jobs were told of, and gives up the rest", func() {
-		replicas := &encoding{busy: busy{until: make(chan struct{})}}
-		DeferCleanup(func() { close(replicas.until) })
+		replicas := &encodingReplicas{blockedReplicas: blockedReplicas{unblock: make(chan struct{})}}
+		DeferCleanup(func() { close(replicas.unblock) })
 		p := newPlanner(stage.Config{}, replicas, zap.NewNop())
 		pieces := &catalog.Pieces{Concurrency: 2, Batch: 8, CallTime: time.Second, PieceTime: time.Millisecond, RoomBytes: 1 << 20, ResultLife: time.Second}
 		services := map[string]*catalog.Service{}
@@ -110,19 +112,19 @@
 		Eventually(func() int {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return len(p.jobs["told"].made) + len(p.jobs["untold"].made)
+			return len(p.jobs["told"].unreported) + len(p.jobs["untold"].unreported)
 		}).Should(Equal(2))
-		out, _, _ := p.look("fellow", []string{"told"}, true)
-		Expect(out.made["told"]).To(HaveLen(1))
-		clock.Simulate(2 * orphanAfter)
+		out, _, _ := p.checkJobs("fellow", []string{"told"}, true)
+		Expect(out.completed["told"]).To(HaveLen(1))
+		clock.Simulate(2 * orphanTimeout)
 		p.tick()
-		Eventually(replicas.givenUp).Should(Equal([]string{"untold/0"}))
-		Consistently(replicas.givenUp, 2*freeDelay).Should(HaveLen(1))
+		Eventually(replicas.released).Should(Equal([]string{"untold/0"}))
+		Consistently(replicas.released, 2*releaseDelay).Should(HaveLen(1))
 	})
 
 	It("closes a call that waits at its replica once no job waits for it, and not before", func() {
-		replicas := &busy{until: make(chan struct{})}
-		DeferCleanup(func() { close(replicas.until) })
+		replicas := &blockedReplicas{unblock: make(chan struct{})}
+		DeferCleanup(func() { close(replicas.unblock) })
 		p := newPlanner(stage.Config{}, replicas, zap.NewNop())
 		pieces := &catalog.Pieces{Concurrency: 1, Batch: 8, CallTime: 100 * time.Millisecond, PieceTime: time.Millisecond}
 		p.configure(map[string]*catalog.Service{"encode": {Name: "encode", Pieces: pieces}},
@@ -138,17 +140,17 @@
 			p.tick()
 		}
 		Eventually(replicas.calls.Load).Should(BeEquivalentTo(2), "the pieces are asked for again")
-		Consistently(replicas.closed.Load, 20*time.Millisecond).Should(BeZero())
-		p.drop("", []string{"own"}, false)
+		Consistently(replicas.cancelled.Load, 20*time.Millisecond).Should(BeZero())
+		p.dropJobs("", []string{"own"}, false)
 		clock.Simulate(time.Second)
 		p.tick()
-		Eventually(replicas.closed.Load).Should(BeEquivalentTo(1))
-		Consistently(replicas.closed.Load, 20*time.Millisecond).Should(BeEquivalentTo(1), "the replica may be at work on the first")
+		Eventually(replicas.cancelled.Load).Should(BeEquivalentTo(1))
+		Consistently(replicas.cancelled.Load, 20*time.Millisecond).Should(BeEquivalentTo(1), "the replica may be at work on the first")
 	})
 
 	It("that slept is one no more for others: they have gone on elsewhere", func() {
-		replicas := &busy{until: make(chan struct{})}
-		DeferCleanup(func() { close(replicas.until) })
+		replicas := &blockedReplicas{unblock: make(chan struct{})}
+		DeferCleanup(func() { close(replicas.unblock) })
 		p := newPlanner(stage.Config{}, replicas, zap.NewNop())
 		pieces := &catalog.Pieces{Concurrency: 1, Batch: 8, CallTime: 10 * time.Second, PieceTime: time.Millisecond, RoomBytes: 1 << 20, ResultLife: time.Second}
 		p.configure(map[string]*catalog.Service{"encode": {Name: "encode", Pieces: pieces}},
@@ -163,24 +165,24 @@
 			_, ok := p.submit(from, job(id))
 			Expect(ok).To(BeTrue())
 		}
-		out, _, _ := p.look("fellow", []string{"theirs"}, true)
+		out, _, _ := p.checkJobs("fellow", []string{"theirs"}, true)
 		Expect(out.unknown).To(BeEmpty())
-		clock.Simulate(2 * orphanAfter)
+		clock.Simulate(2 * orphanTimeout)
 		p.tick()
-		out, _, _ = p.look("fellow", []string{"theirs"}, true)
+		out, _, _ = p.checkJobs("fellow", []string{"theirs"}, true)
 		Expect(out.unknown).To(ConsistOf("theirs"))
-		out, _, _ = p.look("", []string{"own"}, true)
+		out, _, _ = p.checkJobs("", []string{"own"}, true)
 		Expect(out.unknown).To(BeEmpty())
-		Expect(replicas.freed.Load()).To(BeZero(), "what was made is the next planner's")
+		Expect(replicas.releases.Load()).To(BeZero(), "what was made is the next planner's")
 
 		By("not taking a time without jobs for a sleep")
-		p.drop("", []string{"own"}, false)
-		clock.Simulate(2 * orphanAfter)
+		p.dropJobs("", []string{"own"}, false)
+		clock.Simulate(2 * orphanTimeout)
 		p.tick()
 		_, ok := p.submit("fellow", job("later"))
 		Expect(ok).To(BeTrue())
 		p.tick()
-		out, _, _ = p.look("fellow", []string{"later"}, true)
+		out, _, _ = p.checkJobs("fellow", []string{"later"}, true)
 		Expect(out.unknown).To(BeEmpty())
 	})
 })
--- a/stages/messages.go
+++ b/stages/messages.go
@@ -14,13 +14,13 @@
 type wireMessage = proto.Message
 
 // toWire turns a job into its message; times become relative, as clocks differ.
-func toWire(j stage.Job, now time.Time) *wire.StageJob {
+func jobToWire(j stage.Job, now time.Time) *wire.StageJob {
 	out := &wire.StageJob{
 		Id: j.ID, Key: j.Key, Priority: uint32(max(0, j.Rank.Customer)), RoutePriority: uint32(max(0, j.Rank.Route)),
 		DueMs: j.Due.Sub(now).Milliseconds(), LatestMs: j.Latest.Sub(now).Milliseconds(), DeadlineMs: max(0, j.Deadline.Sub(now).Milliseconds()),
 		FailureDomain: j.Domain,
 	}
-	out.Made = madeToWire(j.Made)
+	out.Made = completedToWire(j.Made)
 	for _, s := range j.Stages {
 		w := &wire.StageWork{Service: s.Service, Pieces: uint32(max(0, s.Pieces)), ResultBytes: s.ResultBytes}
 		for _, a := range s.After {
@@ -33,7 +33,7 @@
 
 // fromWire turns a message into a job. Stages that come after themselves or
 // later ones do not occur: the sender's configuration was checked.
-func fromWire(m *wire.StageJob, now time.Time) stage.Job {
+func jobFromWire(m *wire.StageJob, now time.Time) stage.Job {
 	j := stage.Job{
 		ID: m.GetId(), Key: m.GetKey(), Rank: catalog.Rank{Customer: int(m.GetPriority()), Route: int(m.GetRoutePriority())},
 		Due:      now.Add(time.Duration(m.GetDueMs()) * time.Millisecond),
@@ -50,13 +50,13 @@
 		}
 		j.Stages = append(j.Stages, s)
 	}
-	j.Made = madeFromWire(m.GetMade())
+	j.Made = completedFromWire(m.GetMade())
 	return j
 }
 
-func madeToWire(made []stage.MadePiece) []*wire.StageMade {
-	out := make([]*wire.StageMade, 0, len(made))
-	for _, p := range made {
+func completedToWire(completed []stage.MadePiece) []*wire.StageMade {
+	out := make([]*wire.StageMade, 0, len(completed))
+	for _, p := range completed {
 		out = append(out, &wire.StageMade{
 			Stage: uint32(max(0, p.Stage)), Index: uint32(max(0, p.Index)), Handle: p.Handle, Replica: p.Replica,
 		})
@@ -64,9 +64,9 @@
 	return out
 }
 
-func madeFromWire(made []*wire.StageMade) []stage.MadePiece {
-	out := make([]stage.MadePiece, 0, len(made))
-	for _, p := range made {
+func completedFromWire(completed []*wire.StageMade) []stage.MadePiece {
+	out := make([]stage.MadePiece, 0, len(completed))
+	for _, p := range completed {
 		out = append(out, stage.MadePiece{
 			Stage: int(p.GetStage()), Index: int(p.GetIndex()), Handle: p.GetHandle(), Replica: p.GetReplica(),
 		})
@@ -74,28 +74,28 @@
 	return out
 }
 
-func polledToWire(p polled) *wire.StagePolled {
+func pollResultToWire(p pollResult) *wire.StagePolled {
 	out := &wire.StagePolled{Unknown: p.unknown, Number: p.number}
-	for id, e := range p.ends {
-		out.Ends = append(out.Ends, endToWire(id, e))
+	for id, outcome := range p.outcomes {
+		out.Ends = append(out.Ends, outcomeToWire(id, outcome))
 	}
-	for id, made := range p.made {
-		out.Progress = append(out.Progress, &wire.StageProgress{Job: id, Made: madeToWire(made)})
+	for id, completed := range p.completed {
+		out.Progress = append(out.Progress, &wire.StageProgress{Job: id, Made: completedToWire(completed)})
 	}
 	return out
 }
 
-func endToWire(id string, e *End) *wire.StageEnd {
-	if r := e.Refused; r != nil {
+func outcomeToWire(id string, outcome *End) *wire.StageEnd {
+	if r := outcome.Refused; r != nil {
 		return &wire.StageEnd{
 			Job: id, Reason: string(r.Reason),
 			RetryAfterMs: r.RetryAfter.Milliseconds(), PredictedMs: r.Predicted.Milliseconds(),
 		}
 	}
-	return &wire.StageEnd{Job: id, Handles: e.Ready.Handles, FailureDomain: e.Ready.Domain, DomainBytes: e.Ready.DomainBytes}
+	return &wire.StageEnd{Job: id, Handles: outcome.Ready.Handles, FailureDomain: outcome.Ready.Domain, DomainBytes: outcome.Ready.DomainBytes}
 }
 
-func endOf(m *wire.StageEnd) *End {
+func outcomeFromWire(m *wire.StageEnd) *End {
 	if m.GetReason() == "" {
 		return &End{Ready: stage.Ready{
 			Job: m.GetJob(), Handles: m.GetHandles(), Domain: m.GetFailureDomain(), DomainBytes: m.GetDomainBytes(),
--- a/stages/moved_test.go
+++ b/stages/moved_test.go
@@ -45,52 +45,52 @@
 		time.Sleep(2500 * time.Millisecond) // by then the first planner has given up what it was not told of
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		Expect(r.faults).To(BeEmpty())
+		Expect(r.violations).To(BeEmpty())
 	})
 })
 
 // trouble is what happens to the calls between two hosts.
-type trouble int
+type fault int
 
 const (
-	none trouble = iota
+	noFault fault = iota
 	// requestsLost and answersLost calls hear nothing; the latter were carried out.
-	requestsLost
-	answersLost
+	dropRequests
+	dropReplies
 	// cutBefore and cutAfter calls fail at once; the latter were carried out.
-	cutBefore
-	cutAfter
+	failBefore
+	failAfter
 	// still hosts answer nothing, and what they do is done when they go on.
-	still
-	troubles
+	suspended
+	faultCount
 )
 
 // spell is a time of trouble for one host; from is the only host whose calls have
 // it, or empty for all.
-type spell struct {
+type faultPeriod struct {
 	host, from string
-	what       trouble
+	fault      fault
 	begins     time.Time
 	ends       time.Time
 }
 
 // wires are the ways between hosts, and from hosts to replicas, without a network.
-type wires struct {
+type fakeNetwork struct {
 	muxes  map[string]*peer.Mux
-	spells []spell
+	faults []faultPeriod
 	// calling counts the calls to replicas that have not ended.
-	calling atomic.Int32
+	runningCalls atomic.Int32
 	// places has the calls that a replica works on, one at a time, where it is set.
-	places map[string]chan struct{}
+	slots map[string]chan struct{}
 }
 
 // queue has a call wait for its turn at a replica, and says whether it came.
-func (w *wires) queue(ctx context.Context, replica string) bool {
-	if w.places == nil {
+func (w *fakeNetwork) acquire(ctx context.Context, replica string) bool {
+	if w.slots == nil {
 		return true
 	}
 	select {
-	case w.places[replica] <- struct{}{}:
+	case w.slots[replica] <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
@@ -98,44 +98,44 @@
 }
 
 // leave ends a call's turn at a replica.
-func (w *wires) leave(replica string) {
-	if w.places != nil {
-		<-w.places[replica]
+func (w *fakeNetwork) release(replica string) {
+	if w.slots != nil {
+		<-w.slots[replica]
 	}
 }
 
 // trouble returns that of a call between two hosts now, and when it ends.
-func (w *wires) trouble(from, to string) (trouble, time.Time) {
+func (w *fakeNetwork) faultOf(from, to string) (fault, time.Time) {
 	now := time.Now()
-	for _, s := range w.spells {
-		concerns := s.host == to && (s.from == "" || s.from == from) || s.host == from && s.what == still
-		if concerns && !now.Before(s.begins) && now.Before(s.ends) {
-			return s.what, s.ends
+	for _, s := range w.faults {
+		applies := s.host == to && (s.from == "" || s.from == from) || s.host == from && s.fault == suspended
+		if applies && !now.Before(s.begins) && now.Before(s.ends) {
+			return s.fault, s.ends
 		}
 	}
-	return none, now
+	return noFault, now
 }
 
 // wire is one host's way to the others.
-type wire struct {
-	*wires
+type fakeCaller struct {
+	*fakeNetwork
 	self string
 }
 
-var errWireCut = errors.New("cut")
+var errConnectionCut = errors.New("cut")
 
-const oneWay = time.Millisecond
+const oneWayDelay = time.Millisecond
 
 // Call implements peer.Caller.
-func (w wire) Call(ctx context.Context, host, method string, req, resp proto.Message) error {
-	time.Sleep(oneWay)
-	switch what, ends := w.trouble(w.self, host); what {
-	case requestsLost:
+func (w fakeCaller) Call(ctx context.Context, host, method string, req, resp proto.Message) error {
+	time.Sleep(oneWayDelay)
+	switch what, ends := w.faultOf(w.self, host); what {
+	case dropRequests:
 		<-ctx.Done()
 		return ctx.Err()
-	case cutBefore:
-		return errWireCut
-	case still:
+	case failBefore:
+		return errConnectionCut
+	case suspended:
 		select {
 		case <-time.After(time.Until(ends)):
 		case <-ctx.Done():
@@ -150,60 +150,60 @@
 	if err := peer.CallLocal(ctx, w.muxes[host], w.self, method, req, resp); err != nil {
 		return err
 	}
-	time.Sleep(oneWay)
-	switch what, _ := w.trouble(w.self, host); what {
-	case answersLost, requestsLost, still:
+	time.Sleep(oneWayDelay)
+	switch what, _ := w.faultOf(w.self, host); what {
+	case dropReplies, dropRequests, suspended:
 		<-ctx.Done()
 		return ctx.Err()
-	case cutBefore, cutAfter:
-		return errWireCut
+	case failBefore, failAfter:
+		return errConnectionCut
 	}
 	return ctx.Err()
 }
 
 // reached is one planner's way to replicas: while its host stands still it calls none.
-type reached struct {
-	asked
-	wires *wires
-	work  func() time.Duration
+type networkedReplicas struct {
+	replicaClient
+	network *fakeNetwork
+	work    func() time.Duration
 }
 
-func (r reached) await() {
+func (r networkedReplicas) awaitResumed() {
 	for {
-		what, ends := r.wires.trouble(r.planner, "")
-		if what != still {
+		what, ends := r.network.faultOf(r.planner, "")
+		if what != suspended {
 			return
 		}
 		time.Sleep(time.Until(ends))
 	}
 }
 
-func (r reached) RunPieces(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error) {
-	r.wires.calling.Add(1)
-	defer r.wires.calling.Add(-1)
-	r.await()
-	if !r.wires.queue(ctx, a.Replica) {
+func (r networkedReplicas) RunPieces(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error) {
+	r.network.runningCalls.Add(1)
+	defer r.network.runningCalls.Add(-1)
+	r.awaitResumed()
+	if !r.network.acquire(ctx, a.Replica) {
 		return nil, stage.CallFailed, ctx.Err()
 	}
 	// A replica goes on with a call that it works on, whoever listens.
 	time.Sleep(r.work())
-	results, outcome, err := r.asked.RunPieces(context.WithoutCancel(ctx), a)
-	r.wires.leave(a.Replica)
-	r.await()
+	results, outcome, err := r.replicaClient.RunPieces(context.WithoutCancel(ctx), a)
+	r.network.release(a.Replica)
+	r.awaitResumed()
 	if ctx.Err() != nil {
 		return nil, stage.CallFailed, ctx.Err()
 	}
 	return results, outcome, err
 }
 
-func (r reached) FreeResults(ctx context.Context, a stage.Free) error {
-	r.await()
-	return r.asked.FreeResults(ctx, a)
+func (r networkedReplicas) FreeResults(ctx context.Context, a stage.Free) error {
+	r.awaitResumed()
+	return r.replicaClient.FreeResults(ctx, a)
 }
 
 // wired is a fleet before the same replicas.
-type wired struct {
-	*wires
+type fakeFleet struct {
+	*fakeNetwork
 	replicas *replicas
 	names    []string
 	services map[string]*stages.Service
@@ -211,10 +211,10 @@
 
 // newWired starts hosts, the first in rank first. Each call for pieces takes work.
 // The fleet ends with the test.
-func newWired(t *testing.T, hosts int, work func() time.Duration, spells ...spell) *wired {
-	f := &wired{
-		wires:    &wires{muxes: map[string]*peer.Mux{}, spells: spells},
-		replicas: newReplicas(), services: map[string]*stages.Service{},
+func newFakeFleet(t *testing.T, hosts int, work func() time.Duration, faults ...faultPeriod) *fakeFleet {
+	f := &fakeFleet{
+		fakeNetwork: &fakeNetwork{muxes: map[string]*peer.Mux{}, faults: faults},
+		replicas:    newReplicas(), services: map[string]*stages.Service{},
 	}
 	f.replicas.work = 0
 	for i := range hosts {
@@ -227,26 +227,26 @@
 	for _, name := range f.names {
 		f.muxes[name] = peer.NewMux()
 		s := stages.New(stages.Config{
-			Self: name, Replicas: reached{asked{f.replicas, name}, f.wires, work}, Members: m, Caller: wire{f.wires, name},
+			Self: name, Replicas: networkedReplicas{replicaClient{f.replicas, name}, f.fakeNetwork, work}, Members: m, Caller: fakeCaller{f.fakeNetwork, name},
 			Mux: f.muxes[name], Logger: zap.NewNop(),
 		})
-		s.Configure(services(), listed())
+		s.Configure(services(), listedReplicas())
 		f.services[name] = s
 		running.Go(func() { s.Run(ctx) })
 	}
-	t.Cleanup(func() { cancel(); running.Wait(); f.await() })
+	t.Cleanup(func() { cancel(); running.Wait(); f.awaitCalls() })
 	return f
 }
 
 // await waits until no call to a replica is under way.
-func (f *wired) await() {
-	for f.calling.Load() > 0 {
-		time.Sleep(soon)
+func (f *fakeFleet) awaitCalls() {
+	for f.runningCalls.Load() > 0 {
+		time.Sleep(settleTime)
 	}
 }
 
 // planned is the number of jobs that hosts still plan.
-func (f *wired) planned() int {
+func (f *fakeFleet) planned() int {
 	n := 0
 	for _, s := range f.services {
 		n += s.Dump().Planned
@@ -255,7 +255,7 @@
 }
 
 // chain is a job of three stages, each read by the next.
-func chain(id string, due time.Duration) stage.Job {
+func chainedJob(id string, due time.Duration) stage.Job {
 	now := time.Now()
 	return stage.Job{
 		ID: id, Key: "k", Due: now.Add(due), Deadline: now.Add(due + time.Second),
@@ -267,15 +267,15 @@
 
 // TestMovedJobs plays short days on which hosts lose each other in every way, and
 // holds their planners to giving no result up twice, and every job in the end.
-func TestMovedJobs(t *testing.T) {
+func TestJobsTransferredUnderFaults(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playMoved(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runTransferFaults(t, seed) })
 		})
 	}
 }
 
-func playMoved(t *testing.T, seed uint64) {
+func runTransferFaults(t *testing.T, seed uint64) {
 	const hosts, jobs = 4, 60
 	g := NewWithT(t)
 	rng := rand.New(rand.NewPCG(seed, 11))
@@ -285,27 +285,27 @@
 		defer lock.Unlock()
 		return time.Duration(rng.Int64N(int64(most)))
 	}
-	var spells []spell
+	var faults []faultPeriod
 	for range 6 {
-		s := spell{host: fmt.Sprint("host-", rng.IntN(3)), what: 1 + trouble(rng.IntN(int(troubles)-1))}
-		if rng.IntN(2) == 0 && s.what != still {
+		s := faultPeriod{host: fmt.Sprint("host-", rng.IntN(3)), fault: 1 + fault(rng.IntN(int(faultCount)-1))}
+		if rng.IntN(2) == 0 && s.fault != suspended {
 			s.from = fmt.Sprint("host-", rng.IntN(hosts))
 		}
 		s.begins = time.Now().Add(draw(3 * time.Second))
 		s.ends = s.begins.Add(50*time.Millisecond + draw(2*time.Second))
-		spells = append(spells, s)
+		faults = append(faults, s)
 	}
-	f := newWired(t, hosts, func() time.Duration { return 10*time.Millisecond + draw(400*time.Millisecond) }, spells...)
-	var asked sync.WaitGroup
+	f := newFakeFleet(t, hosts, func() time.Duration { return 10*time.Millisecond + draw(400*time.Millisecond) }, faults...)
+	var preparing sync.WaitGroup
 	ready := 0
 	for i := range jobs {
-		asked.Go(func() {
+		preparing.Go(func() {
 			time.Sleep(draw(3 * time.Second))
 			id := fmt.Sprint("job-", i)
 			s := f.services[f.names[i%hosts]]
 			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond+draw(5*time.Second))
 			defer cancel()
-			end := s.Prepare(ctx, chain(id, time.Second+draw(4*time.Second)))
+			end := s.Prepare(ctx, chainedJob(id, time.Second+draw(4*time.Second)))
 			if end == nil || end.Refused != nil {
 				return
 			}
@@ -316,60 +316,60 @@
 			s.Release(id)
 		})
 	}
-	asked.Wait()
+	preparing.Wait()
 	time.Sleep(30 * time.Second) // jobs of which no word came are given up by then
 	f.replicas.mu.Lock()
 	defer f.replicas.mu.Unlock()
-	g.Expect(f.replicas.faults).To(BeEmpty())
+	g.Expect(f.replicas.violations).To(BeEmpty())
 	g.Expect(f.planned()).To(BeZero())
 	g.Expect(ready).To(BeNumerically(">", 0))
 }
 
 // soon is a few messages, and the time for which results are kept back so that one call
 // gives many up; a poll is held for longer.
-const soon = 150 * time.Millisecond
+const settleTime = 150 * time.Millisecond
 
 // TestReadResults holds planners to giving results up soon after they have been read,
 // also those that the job's owner was told of meanwhile.
-func TestReadResults(t *testing.T) {
+func TestReadResultsAreReleasedPromptly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		f := newWired(t, 2, func() time.Duration { return slowWork })
+		f := newFakeFleet(t, 2, func() time.Duration { return slowWork })
 		owner := f.services[f.names[1]]
 		ready := make(chan *stages.End, 1)
-		go func() { ready <- owner.Prepare(context.Background(), chain("job", 20*time.Second)) }()
-		time.Sleep(2*slowWork + soon)
-		g.Expect(f.replicas.holds()).To(Equal(3), "the results of the second stage, which has read the first")
+		go func() { ready <- owner.Prepare(context.Background(), chainedJob("job", 20*time.Second)) }()
+		time.Sleep(2*slowWork + settleTime)
+		g.Expect(f.replicas.resultCount()).To(Equal(3), "the results of the second stage, which has read the first")
 		end := <-ready
 		g.Expect(end).NotTo(BeNil())
 		g.Expect(end.Refused).To(BeNil())
-		time.Sleep(soon)
-		g.Expect(f.replicas.holds()).To(Equal(2), "the results of the last stage")
+		time.Sleep(settleTime)
+		g.Expect(f.replicas.resultCount()).To(Equal(2), "the results of the last stage")
 		owner.Release("job")
-		time.Sleep(soon)
-		g.Expect(f.replicas.holds()).To(BeZero())
+		time.Sleep(settleTime)
+		g.Expect(f.replicas.resultCount()).To(BeZero())
 	})
 }
 
 // TestResultsOfLapsedCalls holds planners to giving up what calls bring that are too
 // late to be counted on, once a job's results are there: such calls make them all anew.
-func TestResultsOfLapsedCalls(t *testing.T) {
+func TestResultsOfTimedOutCallsAreReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const work = 2500 * time.Millisecond // several times that after which a call lapses
-		f := newWired(t, 2, func() time.Duration { return work })
-		f.places = map[string]chan struct{}{}
-		for _, r := range listed() {
-			f.places[r.ID] = make(chan struct{}, 1)
+		f := newFakeFleet(t, 2, func() time.Duration { return work })
+		f.slots = map[string]chan struct{}{}
+		for _, r := range listedReplicas() {
+			f.slots[r.ID] = make(chan struct{}, 1)
 		}
 		owner := f.services[f.names[1]]
-		end := owner.Prepare(context.Background(), chain("job", 20*time.Second))
+		end := owner.Prepare(context.Background(), chainedJob("job", 20*time.Second))
 		g.Expect(end).NotTo(BeNil())
 		g.Expect(end.Refused).To(BeNil())
 		owner.Release("job")
-		f.await()
-		time.Sleep(soon)
+		f.awaitCalls()
+		time.Sleep(settleTime)
 		g.Expect(f.replicas.made).To(BeNumerically(">", 7), "some of its seven pieces were made anew")
-		g.Expect(f.replicas.holds()).To(BeZero())
+		g.Expect(f.replicas.resultCount()).To(BeZero())
 	})
 }
--- a/stages/sweep.go
+++ b/stages/orphans.go
@@ -15,12 +15,12 @@
 	// orphanAfter is for jobs whose end the daemon does not know: while it waits
 	// for one it polls several times a second. It is also for refused ones of whose
 	// results it knows: it gives them up at once.
-	orphanAfter = 1500 * time.Millisecond
+	orphanTimeout = 1500 * time.Millisecond
 	// unreadAfter is for jobs whose results it has: it says when they have been
 	// read, and their holders keep them for seconds only.
-	unreadAfter = 20 * time.Second
+	unreadTimeout = 20 * time.Second
 	// sweepEvery is the interval at which silent daemons are looked for.
-	sweepEvery = 500 * time.Millisecond
+	sweepInterval = 500 * time.Millisecond
 )
 
 // run passes ticks when they are due and drops the jobs of silent daemons.
@@ -36,7 +36,7 @@
 		case <-timer.C:
 			p.tick()
 		}
-		if clock.Since(swept) >= sweepEvery {
+		if clock.Since(swept) >= sweepInterval {
 			swept = clock.Now()
 			p.sweep(swept)
 		}
@@ -58,7 +58,7 @@
 	defer p.mu.Unlock()
 	wait := time.Hour
 	if len(p.jobs) > 0 {
-		wait = sweepEvery
+		wait = sweepInterval
 	}
 	now := clock.Now()
 	if next, ok := p.machine.NextTick(now); ok {
@@ -77,11 +77,11 @@
 	for id, e := range p.jobs {
 		if e.orphaned(now) {
 			dropped[e.owner]++
-			actions = append(actions, p.cancel(id, true)...)
+			actions = append(actions, p.cancelJob(id, true)...)
 		}
 	}
 	for name, o := range p.owners {
-		if o.jobs == 0 && now.Sub(o.heard) > unreadAfter {
+		if o.jobs == 0 && now.Sub(o.lastSeen) > unreadTimeout {
 			delete(p.owners, name)
 		}
 	}
@@ -94,32 +94,32 @@
 
 // orphaned says whether the daemon that waits for a job, or has its results, has
 // not named it for too long.
-func (e *entry) orphaned(now time.Time) bool {
+func (e *plannedJob) orphaned(now time.Time) bool {
 	switch {
 	case e.owner == "":
 		return false
-	case e.told.IsZero():
-		return now.Sub(e.heard) >= orphanAfter
-	case e.end.Refused != nil:
-		return now.Sub(e.told) >= orphanAfter
+	case e.outcomeSentAt.IsZero():
+		return now.Sub(e.lastNamed) >= orphanTimeout
+	case e.outcome.Refused != nil:
+		return now.Sub(e.outcomeSentAt) >= orphanTimeout
 	}
-	return now.Sub(e.told) >= unreadAfter
+	return now.Sub(e.outcomeSentAt) >= unreadTimeout
 }
 
 // stoodStill gives the jobs of other daemons up when this one, with jobs to see to
 // several times a second, has done nothing for so long that their owners have gone on
 // with another planner: it was frozen or asleep. What was made is theirs, and left
 // alone. The lock is held.
-func (p *planner) stoodStill(now time.Time) []stage.Action {
-	gap := now.Sub(p.stepped)
-	p.stepped = now
-	if gap < orphanAfter || len(p.jobs) == 0 {
+func (p *planner) dropAfterStall(now time.Time) []stage.Action {
+	gap := now.Sub(p.lastStep)
+	p.lastStep = now
+	if gap < orphanTimeout || len(p.jobs) == 0 {
 		return nil
 	}
 	var actions []stage.Action
 	for id, e := range p.jobs {
-		if e.owner != "" && e.told.IsZero() {
-			p.forget(id) // not by step, which would look again
+		if e.owner != "" && e.outcomeSentAt.IsZero() {
+			p.removeJob(id) // not by step, which would look again
 			actions = append(actions, p.machine.Step(now, stage.Cancelled{Job: id, Moved: true})...)
 		}
 	}
--- a/stages/planner.go
+++ b/stages/planner.go
@@ -33,52 +33,52 @@
 }
 
 // entry is a job that this daemon plans.
-type entry struct {
+type plannedJob struct {
 	owner string
 	// end is set once the job has ended; held says of a refused one that its owner
 	// was told of results and has to say that it gives them up.
-	end  *End
-	held bool
+	outcome     *End
+	resultsHeld bool
 	// told is when the owner was first told of the end.
-	told time.Time
+	outcomeSentAt time.Time
 	// heard is when the owner last named the job.
-	heard time.Time
+	lastNamed time.Time
 	// made is what was made since the owner was last told, inform that it is to be
 	// told at once.
-	made   []stage.MadePiece
-	inform bool
+	unreported []stage.MadePiece
+	notify     bool
 }
 
 // polled is what an owner is told of its jobs.
-type polled struct {
+type pollResult struct {
 	// number names the answer if it has news of pieces, else it is 0.
-	number uint64
-	ends   map[string]*End
+	number   uint64
+	outcomes map[string]*End
 	// unknown are jobs that are not planned here.
 	unknown []string
 	// made is the progress of jobs without an end.
-	made map[string][]stage.MadePiece
+	completed map[string][]stage.MadePiece
 }
 
 // owner is a daemon whose jobs are planned here; "" is this one.
 type owner struct {
-	heard time.Time
+	lastSeen time.Time
 	// changed is closed and replaced when a job of the owner ends, or its progress is
 	// to be told at once.
 	changed chan struct{}
 	jobs    int
 	// telling is the last answer that had news of pieces, until the owner has heard it.
-	telling telling
+	unacked progressReport
 }
 
 // telling is the news of pieces of one answer.
-type telling struct {
+type progressReport struct {
 	number uint64
 	pieces []stage.Progress
 }
 
 // changes has those that wait for news of the owner's jobs look again.
-func (o *owner) changes() {
+func (o *owner) notify() {
 	close(o.changed)
 	o.changed = make(chan struct{})
 }
@@ -88,20 +88,20 @@
 	replicas Replicas
 	gates    *intake.Gates
 	log      *zap.Logger
-	freeing  *freeing
+	releaser *releaser
 
 	mu      sync.Mutex
 	machine *stage.Machine
 	ready   bool // a configuration was given
-	jobs    map[string]*entry
+	jobs    map[string]*plannedJob
 	owners  map[string]*owner
 	calls   map[uint64]context.CancelFunc
 	wake    chan struct{}
 	// stepped is when the machine last took an event.
-	stepped time.Time
+	lastStep time.Time
 	// answers is the number of the last answer that had news of pieces. It begins
 	// with the time, so that those of two starts of this daemon differ.
-	answers uint64
+	lastAnswer uint64
 }
 
 func newPlanner(cfg stage.Config, replicas Replicas, log *zap.Logger) *planner {
@@ -110,10 +110,10 @@
 	}
 	p := &planner{
 		replicas: replicas, gates: cfg.Gates, log: log, machine: stage.New(cfg),
-		jobs: map[string]*entry{}, owners: map[string]*owner{}, calls: map[uint64]context.CancelFunc{}, wake: make(chan struct{}, 1),
-		answers: uint64(clock.Now().UnixNano()),
+		jobs: map[string]*plannedJob{}, owners: map[string]*owner{}, calls: map[uint64]context.CancelFunc{}, wake: make(chan struct{}, 1),
+		lastAnswer: uint64(clock.Now().UnixNano()),
 	}
-	p.freeing = newFreeing(p.free)
+	p.releaser = newReleaser(p.release)
 	return p
 }
 
@@ -128,7 +128,7 @@
 
 // submit takes a job and returns its end if that is known at once. ok is false
 // while nothing is known of the services.
-func (p *planner) submit(from string, j stage.Job) (end *End, ok bool) {
+func (p *planner) submit(from string, j stage.Job) (outcome *End, ok bool) {
 	p.mu.Lock()
 	if !p.ready {
 		p.mu.Unlock()
@@ -136,27 +136,27 @@
 	}
 	o := p.owner(from)
 	if len(p.jobs) == 0 {
-		p.stepped = clock.Now() // there was nothing to do before
+		p.lastStep = clock.Now() // there was nothing to do before
 	}
-	actions := p.note(p.stoodStill(clock.Now()))
+	actions := p.applyActions(p.dropAfterStall(clock.Now()))
 	e := p.jobs[j.ID]
 	if e == nil {
-		e = &entry{owner: from}
+		e = &plannedJob{owner: from}
 		p.jobs[j.ID] = e
 		o.jobs++
 		j.Shared = from != ""
 		actions = append(actions, p.step(stage.Submitted{Job: j})...)
 	}
-	e.heard = clock.Now()
-	if end = e.end; end != nil {
-		if pieces := e.untold(j.ID); len(pieces) > 0 {
+	e.lastNamed = clock.Now()
+	if outcome = e.outcome; outcome != nil {
+		if pieces := e.takeUnreported(j.ID); len(pieces) > 0 {
 			actions = append(actions, p.step(stage.Told{Pieces: pieces})...)
 		}
-		p.tellEnd(j.ID, e)
+		p.markOutcomeSent(j.ID, e)
 	}
 	p.mu.Unlock()
 	p.perform(actions)
-	return end, true
+	return outcome, true
 }
 
 // owner returns the state of a daemon and notes that it was heard; the lock is
@@ -167,13 +167,13 @@
 		o = &owner{changed: make(chan struct{})}
 		p.owners[name] = o
 	}
-	o.heard = clock.Now()
+	o.lastSeen = clock.Now()
 	return o
 }
 
 // forget removes a job that the machine does not know any more; the lock is
 // held.
-func (p *planner) forget(id string) {
+func (p *planner) removeJob(id string) {
 	e := p.jobs[id]
 	if e == nil {
 		return
@@ -187,10 +187,10 @@
 // poll waits for the end of any of the owner's jobs, or one that is not planned
 // here, at most until ctx ends. The progress of the others comes with it. heard is
 // the number of the last answer that the owner has heard.
-func (p *planner) poll(ctx context.Context, from string, heard uint64, ids []string) polled {
-	p.hear(from, heard)
+func (p *planner) poll(ctx context.Context, from string, acked uint64, ids []string) pollResult {
+	p.acknowledge(from, acked)
 	for waiting := true; ; {
-		out, changed, due := p.look(from, ids, !waiting)
+		out, changed, due := p.checkJobs(from, ids, !waiting)
 		if due || !waiting {
 			return out
 		}
@@ -203,15 +203,15 @@
 }
 
 // hear takes an owner's word that it has heard an answer.
-func (p *planner) hear(from string, heard uint64) {
+func (p *planner) acknowledge(from string, acked uint64) {
 	p.mu.Lock()
 	o := p.owner(from)
-	if heard == 0 || o.telling.number != heard {
+	if acked == 0 || o.unacked.number != acked {
 		p.mu.Unlock()
 		return
 	}
-	pieces := o.telling.pieces
-	o.telling = telling{}
+	pieces := o.unacked.pieces
+	o.unacked = progressReport{}
 	actions := p.step(stage.Known{Pieces: pieces})
 	p.mu.Unlock()
 	p.perform(actions)
@@ -219,23 +219,23 @@
 
 // look returns what an owner is to be told of its jobs, if that is due or it has
 // waited for long enough.
-func (p *planner) look(from string, ids []string, last bool) (out polled, changed <-chan struct{}, due bool) {
+func (p *planner) checkJobs(from string, ids []string, final bool) (out pollResult, changed <-chan struct{}, due bool) {
 	p.mu.Lock()
 	o, now := p.owner(from), clock.Now()
-	due = last
+	due = final
 	for _, id := range ids {
 		e := p.jobs[id]
 		if e == nil || e.owner != from {
 			due = true
 			continue
 		}
-		e.heard = now
-		due = due || e.end != nil || e.inform
+		e.lastNamed = now
+		due = due || e.outcome != nil || e.notify
 	}
 	changed = o.changed
 	var actions []stage.Action
 	if due {
-		out, actions = p.tell(from, o, ids)
+		out, actions = p.collect(from, o, ids)
 	}
 	p.mu.Unlock()
 	p.perform(actions)
@@ -243,8 +243,8 @@
 }
 
 // tell collects what an owner is told of its jobs; the lock is held.
-func (p *planner) tell(from string, o *owner, ids []string) (polled, []stage.Action) {
-	out := polled{ends: map[string]*End{}, made: map[string][]stage.MadePiece{}}
+func (p *planner) collect(from string, o *owner, ids []string) (pollResult, []stage.Action) {
+	out := pollResult{outcomes: map[string]*End{}, completed: map[string][]stage.MadePiece{}}
 	var pieces []stage.Progress
 	for _, id := range ids {
 		e := p.jobs[id]
@@ -252,53 +252,53 @@
 			out.unknown = append(out.unknown, id)
 			continue
 		}
-		if e.end == nil && len(e.made) > 0 {
-			out.made[id] = e.made
+		if e.outcome == nil && len(e.unreported) > 0 {
+			out.completed[id] = e.unreported
 		}
-		pieces = append(pieces, e.untold(id)...)
-		if e.end != nil {
-			out.ends[id] = e.end
-			p.tellEnd(id, e)
+		pieces = append(pieces, e.takeUnreported(id)...)
+		if e.outcome != nil {
+			out.outcomes[id] = e.outcome
+			p.markOutcomeSent(id, e)
 		}
 	}
 	if len(pieces) == 0 {
 		return out, nil
 	}
-	p.answers++
-	out.number = p.answers
-	o.telling = telling{out.number, pieces}
+	p.lastAnswer++
+	out.number = p.lastAnswer
+	o.unacked = progressReport{out.number, pieces}
 	return out, p.step(stage.Told{Pieces: pieces})
 }
 
 // untold takes what the owner of a job was not told of yet.
-func (e *entry) untold(id string) []stage.Progress {
+func (e *plannedJob) takeUnreported(id string) []stage.Progress {
 	var pieces []stage.Progress
-	for _, made := range e.made {
-		pieces = append(pieces, stage.Progress{Job: id, Piece: made})
+	for _, piece := range e.unreported {
+		pieces = append(pieces, stage.Progress{Job: id, Piece: piece})
 	}
-	e.made, e.inform = nil, false
+	e.unreported, e.notify = nil, false
 	return pieces
 }
 
 // tellEnd notes that the owner of a job is being told of its end; the lock is held.
-func (p *planner) tellEnd(id string, e *entry) {
-	if e.told.IsZero() {
-		e.told = clock.Now()
+func (p *planner) markOutcomeSent(id string, e *plannedJob) {
+	if e.outcomeSentAt.IsZero() {
+		e.outcomeSentAt = clock.Now()
 	}
-	if e.end.Refused != nil && !e.held {
-		p.forget(id)
+	if e.outcome.Refused != nil && !e.resultsHeld {
+		p.removeJob(id)
 	}
 }
 
 // drop gives jobs of an owner up; moved says that another planner goes on with
 // them.
-func (p *planner) drop(from string, ids []string, moved bool) {
+func (p *planner) dropJobs(from string, ids []string, moved bool) {
 	p.mu.Lock()
 	p.owner(from)
 	var actions []stage.Action
 	for _, id := range ids {
 		if e := p.jobs[id]; e != nil && e.owner == from {
-			actions = append(actions, p.cancel(id, moved)...)
+			actions = append(actions, p.cancelJob(id, moved)...)
 		}
 	}
 	p.mu.Unlock()
@@ -306,8 +306,8 @@
 }
 
 // cancel gives a job up; the lock is held.
-func (p *planner) cancel(id string, moved bool) []stage.Action {
-	p.forget(id)
+func (p *planner) cancelJob(id string, moved bool) []stage.Action {
+	p.removeJob(id)
 	return p.step(stage.Cancelled{Job: id, Moved: moved})
 }
 
@@ -315,8 +315,8 @@
 // held. The caller performs the actions without it.
 func (p *planner) step(e stage.Event) []stage.Action {
 	now := clock.Now()
-	actions := p.stoodStill(now)
-	actions = p.note(append(actions, p.machine.Step(now, e)...))
+	actions := p.dropAfterStall(now)
+	actions = p.applyActions(append(actions, p.machine.Step(now, e)...))
 	select {
 	case p.wake <- struct{}{}:
 	default:
@@ -325,35 +325,35 @@
 }
 
 // note takes what became of jobs out of actions and returns them; the lock is held.
-func (p *planner) note(actions []stage.Action) []stage.Action {
+func (p *planner) applyActions(actions []stage.Action) []stage.Action {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case stage.Progress:
 			if e := p.jobs[a.Job]; e != nil && e.owner != "" {
-				e.made = append(e.made, a.Piece)
+				e.unreported = append(e.unreported, a.Piece)
 			}
 		case stage.Inform:
-			p.inform(a.Job)
+			p.notifyOwner(a.Job)
 		case stage.Ready:
 			p.log.Info("stages ready", logging.Request(a.Job), zap.String("failure_domain", a.Domain), zap.Array("stages", timings(a.Timings)),
 				zap.Duration("took", a.Took), zap.Duration("predicted", a.Predicted), zap.Duration("early", a.Early))
-			p.ended(a.Job, &End{Ready: a})
+			p.recordOutcome(a.Job, &End{Ready: a})
 		case stage.Refused:
-			p.ended(a.Job, &End{Refused: &a})
+			p.recordOutcome(a.Job, &End{Refused: &a})
 		}
 	}
 	return actions
 }
 
 // inform has the owner of a job told of its progress at once; the lock is held.
-func (p *planner) inform(id string) {
+func (p *planner) notifyOwner(id string) {
 	e := p.jobs[id]
 	if e == nil {
 		return
 	}
-	e.inform = true
+	e.notify = true
 	if o := p.owners[e.owner]; o != nil {
-		o.changes()
+		o.notify()
 	}
 }
 
@@ -373,17 +373,17 @@
 }
 
 // ended notes the end of a job; the lock is held.
-func (p *planner) ended(id string, end *End) {
+func (p *planner) recordOutcome(id string, outcome *End) {
 	e := p.jobs[id]
 	if e == nil {
 		return
 	}
-	e.end = end
-	if end.Refused != nil {
-		e.made, e.held = nil, end.Refused.Held
+	e.outcome = outcome
+	if outcome.Refused != nil {
+		e.unreported, e.resultsHeld = nil, outcome.Refused.Held
 	}
 	if o := p.owners[e.owner]; o != nil {
-		o.changes()
+		o.notify()
 	}
 }
 
@@ -391,17 +391,17 @@
 func (p *planner) perform(actions []stage.Action) {
 	for _, a := range actions {
 		if a, ok := a.(stage.Free); ok {
-			p.freeing.add(a)
+			p.releaser.add(a)
 		}
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case stage.Run:
-			go p.call(p.track(a.Call), a, p.freeing.flush(a.Replica))
+			go p.runCall(p.newCallContext(a.Call), a, p.releaser.flush(a.Replica))
 		case stage.Abandon:
-			p.untrack(a.Call)
+			p.cancelCall(a.Call)
 		case stage.Inspect:
-			go p.inspect(a)
+			go p.queryMemory(a)
 		case stage.Suspected:
 			p.log.Warn("stage replica suspected", zap.String("service", a.Service), zap.String("replica", a.Replica),
 				zap.String("why", a.Why), zap.Int("failures", a.Failures), zap.Duration("for", a.For))
@@ -412,7 +412,7 @@
 }
 
 // track returns the context of a call.
-func (p *planner) track(call uint64) context.Context {
+func (p *planner) newCallContext(call uint64) context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -421,7 +421,7 @@
 }
 
 // untrack ends the context of a call.
-func (p *planner) untrack(call uint64) {
+func (p *planner) cancelCall(call uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if cancel := p.calls[call]; cancel != nil {
@@ -432,20 +432,20 @@
 
 // freeWait is how long a call to a replica waits for results that are being
 // given up there: some round trips between failure domains.
-const freeWait = 50 * time.Millisecond
+const releaseWait = 50 * time.Millisecond
 
 // call makes one call to a replica, once freed is closed, and reports its end.
-func (p *planner) call(ctx context.Context, a stage.Run, freed <-chan struct{}) {
-	defer p.untrack(a.Call)
+func (p *planner) runCall(ctx context.Context, a stage.Run, released <-chan struct{}) {
+	defer p.cancelCall(a.Call)
 	select {
-	case <-freed:
-	case <-clock.After(freeWait):
+	case <-released:
+	case <-clock.After(releaseWait):
 	}
 	began := clock.Now()
 	results, outcome, err := p.send(ctx, a)
 	p.log.Info("stage call", zap.String("service", a.Service), zap.String("replica", a.Replica), zap.Int("pieces", len(a.Pieces)),
 		zap.Uint64("call", a.Call), zap.Duration("took", clock.Since(began)), zap.Stringer("outcome", outcome),
-		zap.Int("no_room", count(results, stage.NoRoom)), zap.Int("input_gone", count(results, stage.InputGone)), zap.Error(err))
+		zap.Int("no_room", countKind(results, stage.NoRoom)), zap.Int("input_gone", countKind(results, stage.InputGone)), zap.Error(err))
 	p.mu.Lock()
 	actions := p.step(stage.CallEnded{Call: a.Call, Outcome: outcome, Results: results})
 	p.mu.Unlock()
@@ -453,23 +453,23 @@
 }
 
 // errTurnedAway: the replica has said, since the call was chosen, that it takes nothing.
-var errTurnedAway = errors.New("the replica takes no calls")
+var errReplicaClosed = errors.New("the replica takes no calls")
 
 // send makes the call, unless the replica has said meanwhile that it takes nothing.
 func (p *planner) send(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error) {
 	if p.gates.Of(a.Replica).TurnsAway(clock.Now()) {
-		return nil, stage.CallNotExecuted, errTurnedAway
+		return nil, stage.CallNotExecuted, errReplicaClosed
 	}
 	return p.replicas.RunPieces(ctx, a)
 }
 
 // roomTimeout bounds asking a replica for its room; later the answer is of no use.
-const roomTimeout = 500 * time.Millisecond
+const memoryQueryTimeout = 500 * time.Millisecond
 
 // inspect asks a replica for its room. What is not told costs a call that finds
 // none.
-func (p *planner) inspect(a stage.Inspect) {
-	ctx, cancel := clock.WithTimeout(context.Background(), roomTimeout)
+func (p *planner) queryMemory(a stage.Inspect) {
+	ctx, cancel := clock.WithTimeout(context.Background(), memoryQueryTimeout)
 	defer cancel()
 	asked := clock.Now()
 	room, err := p.replicas.Room(ctx, a)
@@ -484,7 +484,7 @@
 }
 
 // count counts the results of a kind.
-func count(results []stage.Result, kind stage.ResultKind) int {
+func countKind(results []stage.Result, kind stage.ResultKind) int {
 	n := 0
 	for _, r := range results {
 		if r.Kind == kind {
@@ -496,10 +496,10 @@
 
 // freeTimeout bounds a call that gives results up; their holder drops them
 // after seconds anyway.
-const freeTimeout = time.Second
+const releaseTimeout = time.Second
 
-func (p *planner) free(a stage.Free) {
-	ctx, cancel := clock.WithTimeout(context.Background(), freeTimeout)
+func (p *planner) release(a stage.Free) {
+	ctx, cancel := clock.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	if err := p.replicas.FreeResults(ctx, a); err != nil {
 		p.log.Info("results not freed", zap.String("replica", a.Replica), zap.Int("results", len(a.Handles)), zap.Error(err))
--- a/stages/remote.go
+++ b/stages/remote.go
@@ -41,72 +41,72 @@
 	// same replicas cost all jobs of some seconds. A host that is well takes a
 	// session and answers in four round trips, 15 ms. With pollWait and pollGrace
 	// it is what a planner's silence costs.
-	confirmTimeout = 200 * time.Millisecond
+	retryTimeout = 200 * time.Millisecond
 	// dropTimeout bounds giving jobs up.
 	dropTimeout = time.Second
 )
 
 // planning is what this daemon waits for at one planner.
-type planning struct {
-	waiting map[string]*waiter
+type remotePlanner struct {
+	waiters map[string]*waiter
 	polling bool
 }
 
 // waiter waits for the end of one job.
 type waiter struct {
-	end chan *End // nil says that the job is lost
+	outcome chan *End // nil says that the job is lost
 	// made is the progress of the job as the planner told it.
-	made []stage.MadePiece
+	completed []stage.MadePiece
 }
 
 // prepareThere has a job planned by another host.
-func (s *Service) prepareThere(ctx context.Context, host fleet.Host, j stage.Job) (*End, error) {
-	req := toWire(j, clock.Now())
+func (s *Service) prepareRemote(ctx context.Context, host fleet.Host, j stage.Job) (*End, error) {
+	req := jobToWire(j, clock.Now())
 	req.Incarnation = host.Incarnation
 	accepted := &wire.StageAccepted{}
-	if err := s.askSurely(ctx, host.Name, methodSubmit, req, req, accepted, submitTimeout); err != nil {
+	if err := s.callWithRetry(ctx, host.Name, methodSubmit, req, req, accepted, submitTimeout); err != nil {
 		s.log.Info("planner does not take jobs", zap.String("peer", host.Name), zap.Error(err))
 		// It may have taken the job all the same.
-		go s.dropThere(host.Name, []string{j.ID}, true)
+		go s.dropRemote(host.Name, []string{j.ID}, true)
 		if ctx.Err() != nil {
 			return nil, nil
 		}
-		return nil, &lostError{}
+		return nil, &plannerLostError{}
 	}
 	if n := accepted.GetIncarnation(); n > 0 {
 		s.log.Info("planner has restarted", logging.Request(j.ID), zap.String("peer", host.Name),
 			zap.Uint64("believed", host.Incarnation), zap.Uint64("incarnation", n))
-		return nil, &restartedError{n}
+		return nil, &plannerRestartedError{n}
 	}
 	if accepted.GetEnd() != nil {
-		end := endOf(accepted.GetEnd())
-		s.refused(host.Name, end, j.Made)
-		return end, nil
+		outcome := outcomeFromWire(accepted.GetEnd())
+		s.releaseRefused(host.Name, outcome, j.Made)
+		return outcome, nil
 	}
-	w := s.wait(host.Name, j.ID)
+	w := s.addWaiter(host.Name, j.ID)
 	select {
-	case end := <-w.end:
-		if end == nil {
-			return nil, &lostError{w.made}
+	case outcome := <-w.outcome:
+		if outcome == nil {
+			return nil, &plannerLostError{w.completed}
 		}
-		s.refused(host.Name, end, j.Made, w.made)
-		return end, nil
+		s.releaseRefused(host.Name, outcome, j.Made, w.completed)
+		return outcome, nil
 	case <-ctx.Done():
-		s.unwait(host.Name, j.ID)
-		go s.dropThere(host.Name, []string{j.ID}, false)
+		s.removeWaiter(host.Name, j.ID)
+		go s.dropRemote(host.Name, []string{j.ID}, false)
 		return nil, nil
 	}
 }
 
 // refused has a planner give up the results of a job that it has refused, if this
 // daemon knows of any: it keeps them until then.
-func (s *Service) refused(host string, end *End, known ...[]stage.MadePiece) {
-	if end.Refused != nil && len(slices.Concat(known...)) > 0 {
-		go s.dropThere(host, []string{end.Refused.Job}, false)
+func (s *Service) releaseRefused(host string, outcome *End, known ...[]stage.MadePiece) {
+	if outcome.Refused != nil && len(slices.Concat(known...)) > 0 {
+		go s.dropRemote(host, []string{outcome.Refused.Job}, false)
 	}
 }
 
-func (s *Service) ask(ctx context.Context, host, method string, req, resp wireMessage, timeout time.Duration) error {
+func (s *Service) call(ctx context.Context, host, method string, req, resp wireMessage, timeout time.Duration) error {
 	ctx, cancel := clock.WithTimeout(ctx, timeout)
 	defer cancel()
 	return s.cfg.Caller.Call(ctx, host, method, req, resp)
@@ -114,33 +114,33 @@
 
 // askSurely is ask, and asks again with a request that is answered at once when
 // the host did not answer and turns out to be well.
-func (s *Service) askSurely(ctx context.Context, host, method string, req, again, resp wireMessage, timeout time.Duration) error {
-	err := s.ask(ctx, host, method, req, resp, timeout)
-	if err == nil || ctx.Err() != nil || !s.answers(host) {
+func (s *Service) callWithRetry(ctx context.Context, host, method string, req, retry, resp wireMessage, timeout time.Duration) error {
+	err := s.call(ctx, host, method, req, resp, timeout)
+	if err == nil || ctx.Err() != nil || !s.isResponsive(host) {
 		return err
 	}
 	s.log.Info("planner asked again", zap.String("peer", host), zap.String("method", method), zap.NamedError("before", err))
-	return s.ask(ctx, host, method, again, resp, confirmTimeout)
+	return s.call(ctx, host, method, retry, resp, retryTimeout)
 }
 
 const (
 	// confirmEvery is the pause between two tries to reach a host: another dial
 	// to it may be under way, whose session is then taken.
-	confirmEvery = 10 * time.Millisecond
+	probeInterval = 10 * time.Millisecond
 	// confirmTry bounds one try, so that a session that goes silent meanwhile
 	// costs one of them.
-	confirmTry = 60 * time.Millisecond
+	probeTimeout = 60 * time.Millisecond
 )
 
 // answers says whether a host that did not answer a call answers one that asks
 // for nothing. All calls that failed together wait for the same question.
-func (s *Service) answers(host string) bool {
-	_, err, _ := s.confirming.Do(host, func() (any, error) {
-		ctx, cancel := clock.WithTimeout(context.Background(), confirmTimeout)
+func (s *Service) isResponsive(host string) bool {
+	_, err, _ := s.probes.Do(host, func() (any, error) {
+		ctx, cancel := clock.WithTimeout(context.Background(), retryTimeout)
 		defer cancel()
 		for {
-			err := s.greet(ctx, host, confirmTry)
-			if err == nil || ended(err) || !periodic.Sleep(ctx, confirmEvery) {
+			err := s.probe(ctx, host, probeTimeout)
+			if err == nil || connectionRefused(err) || !periodic.Sleep(ctx, probeInterval) {
 				return nil, err
 			}
 		}
@@ -149,144 +149,144 @@
 }
 
 // greet asks a host for nothing: whether it answers is the question.
-func (s *Service) greet(ctx context.Context, host string, timeout time.Duration) error {
-	return s.ask(ctx, host, methodPoll, &wire.StagePoll{}, &wire.StagePolled{}, timeout)
+func (s *Service) probe(ctx context.Context, host string, timeout time.Duration) error {
+	return s.call(ctx, host, methodPoll, &wire.StagePoll{}, &wire.StagePolled{}, timeout)
 }
 
 // ended says, of the error of a call, whether the process there is known to have
 // ended, and all that it knew with it: its kernel refuses connections.
-func ended(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func connectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // dropThere gives jobs up at another planner; moved says that their results
 // stay, as another goes on with them.
-func (s *Service) dropThere(host string, ids []string, moved bool) {
-	err := s.ask(context.Background(), host, methodDrop, &wire.StageDrop{Jobs: ids, Moved: moved}, &wire.StageDropped{}, dropTimeout)
+func (s *Service) dropRemote(host string, ids []string, moved bool) {
+	err := s.call(context.Background(), host, methodDrop, &wire.StageDrop{Jobs: ids, Moved: moved}, &wire.StageDropped{}, dropTimeout)
 	if err != nil {
 		s.log.Debug("jobs not given up", zap.String("peer", host), zap.Int("jobs", len(ids)), zap.Error(err))
 	}
 }
 
 // wait registers a job and has its planner polled.
-func (s *Service) wait(host, id string) *waiter {
+func (s *Service) addWaiter(host, id string) *waiter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.remote[host]
+	p := s.remotePlanners[host]
 	if p == nil {
-		p = &planning{waiting: map[string]*waiter{}}
-		s.remote[host] = p
+		p = &remotePlanner{waiters: map[string]*waiter{}}
+		s.remotePlanners[host] = p
 	}
-	w := &waiter{end: make(chan *End, 1)}
-	p.waiting[id] = w
+	w := &waiter{outcome: make(chan *End, 1)}
+	p.waiters[id] = w
 	if !p.polling {
 		p.polling = true
-		go s.poll(host)
+		go s.pollRemote(host)
 	}
 	return w
 }
 
-func (s *Service) unwait(host, id string) {
+func (s *Service) removeWaiter(host, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p := s.remote[host]; p != nil {
-		delete(p.waiting, id)
+	if p := s.remotePlanners[host]; p != nil {
+		delete(p.waiters, id)
 	}
 }
 
 // poll polls a planner while jobs wait there, and tells it which of its answers has
 // come: it then gives up what has been read.
-func (s *Service) poll(host string) {
-	var heard uint64
-	owed := false // the planner waits for that
+func (s *Service) pollRemote(host string) {
+	var received uint64
+	ackDue := false // the planner waits for that
 	for {
-		ids := s.waitingAt(host)
+		ids := s.waitingJobs(host)
 		if len(ids) == 0 {
-			if owed {
-				s.acknowledge(host, heard)
+			if ackDue {
+				s.acknowledge(host, received)
 			}
 			return
 		}
 		answer := &wire.StagePolled{}
-		req := &wire.StagePoll{Jobs: ids, WaitMs: uint32(pollWait.Milliseconds()), Heard: heard}
-		now := &wire.StagePoll{Jobs: ids, Heard: heard}
-		err := s.askSurely(context.Background(), host, methodPoll, req, now, answer, pollWait+pollGrace)
+		req := &wire.StagePoll{Jobs: ids, WaitMs: uint32(pollWait.Milliseconds()), Heard: received}
+		immediate := &wire.StagePoll{Jobs: ids, Heard: received}
+		err := s.callWithRetry(context.Background(), host, methodPoll, req, immediate, answer, pollWait+pollGrace)
 		if err != nil {
 			s.log.Warn("planner lost", zap.String("peer", host), zap.Int("jobs", len(ids)), zap.Error(err))
-			s.lose(host, ids)
-			go s.dropThere(host, ids, true)
+			s.failJobs(host, ids)
+			go s.dropRemote(host, ids, true)
 			continue
 		}
 		if n := answer.GetNumber(); n > 0 {
-			heard = n
+			received = n
 		}
-		owed = s.take(host, answer)
+		ackDue = s.handleAnswer(host, answer)
 	}
 }
 
 // acknowledge tells a planner at which no job waits any more which of its answers has
 // come.
-func (s *Service) acknowledge(host string, heard uint64) {
-	req := &wire.StagePoll{Heard: heard}
-	if err := s.ask(context.Background(), host, methodPoll, req, &wire.StagePolled{}, confirmTimeout); err != nil {
+func (s *Service) acknowledge(host string, received uint64) {
+	req := &wire.StagePoll{Heard: received}
+	if err := s.call(context.Background(), host, methodPoll, req, &wire.StagePolled{}, retryTimeout); err != nil {
 		s.log.Debug("answer not acknowledged", zap.String("peer", host), zap.Error(err))
 	}
 }
 
 // take takes the answer of a planner and says whether that one may wait for the word
 // that it has come: it does so where results of a job that has ended were told of before.
-func (s *Service) take(host string, answer *wire.StagePolled) (owed bool) {
-	s.note(host, answer.GetProgress())
+func (s *Service) handleAnswer(host string, answer *wire.StagePolled) (ackDue bool) {
+	s.recordProgress(host, answer.GetProgress())
 	for _, e := range answer.GetEnds() {
-		owed = s.deliver(host, e.GetJob(), endOf(e)) || owed
+		ackDue = s.deliver(host, e.GetJob(), outcomeFromWire(e)) || ackDue
 	}
-	s.lose(host, answer.GetUnknown())
-	return owed && answer.GetNumber() > 0
+	s.failJobs(host, answer.GetUnknown())
+	return ackDue && answer.GetNumber() > 0
 }
 
 // note keeps the progress of jobs for a planner that may have to go on with
 // them.
-func (s *Service) note(host string, progress []*wire.StageProgress) {
+func (s *Service) recordProgress(host string, progress []*wire.StageProgress) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range progress {
-		if w := s.remote[host].waiting[p.GetJob()]; w != nil {
-			w.made = append(w.made, madeFromWire(p.GetMade())...)
+		if w := s.remotePlanners[host].waiters[p.GetJob()]; w != nil {
+			w.completed = append(w.completed, completedFromWire(p.GetMade())...)
 		}
 	}
 }
 
 // waitingAt returns the jobs that wait at a host; without any the poller ends.
-func (s *Service) waitingAt(host string) []string {
+func (s *Service) waitingJobs(host string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.remote[host]
-	if len(p.waiting) == 0 {
-		delete(s.remote, host)
+	p := s.remotePlanners[host]
+	if len(p.waiters) == 0 {
+		delete(s.remotePlanners, host)
 		return nil
 	}
-	return slices.Collect(maps.Keys(p.waiting))
+	return slices.Collect(maps.Keys(p.waiters))
 }
 
 // deliver hands an end to whoever waits, and says whether that one was told of
 // results before; a result that nobody waits for is given up.
-func (s *Service) deliver(host, id string, end *End) (told bool) {
+func (s *Service) deliver(host, id string, outcome *End) (reported bool) {
 	s.mu.Lock()
-	p := s.remote[host]
-	w := p.waiting[id]
-	delete(p.waiting, id)
+	p := s.remotePlanners[host]
+	w := p.waiters[id]
+	delete(p.waiters, id)
 	s.mu.Unlock()
 	if w != nil {
-		told = len(w.made) > 0
-		w.end <- end
-		return told
+		reported = len(w.completed) > 0
+		w.outcome <- outcome
+		return reported
 	}
-	if end != nil && end.Refused == nil {
-		go s.dropThere(host, []string{id}, false)
+	if outcome != nil && outcome.Refused == nil {
+		go s.dropRemote(host, []string{id}, false)
 	}
 	return false
 }
 
 // lose tells that jobs have no planner any more.
-func (s *Service) lose(host string, ids []string) {
+func (s *Service) failJobs(host string, ids []string) {
 	for _, id := range ids {
 		s.deliver(host, id, nil)
 	}
@@ -296,27 +296,27 @@
 var errNotReady = errors.New("stages: no configuration yet")
 
 // handle registers the methods.
-func (s *Service) handle(mux *peer.Mux) {
+func (s *Service) registerHandlers(mux *peer.Mux) {
 	peer.Handle(mux, methodSubmit, func(_ context.Context, from peer.Sender, req *wire.StageJob) (*wire.StageAccepted, error) {
 		if believed := req.GetIncarnation(); believed > 0 && believed < s.cfg.Incarnation {
 			return &wire.StageAccepted{Incarnation: s.cfg.Incarnation}, nil
 		}
-		end, ok := s.planner.submit(from.Host, fromWire(req, clock.Now()))
+		outcome, ok := s.planner.submit(from.Host, jobFromWire(req, clock.Now()))
 		if !ok {
 			return nil, errNotReady
 		}
-		if end == nil {
+		if outcome == nil {
 			return &wire.StageAccepted{}, nil
 		}
-		return &wire.StageAccepted{End: endToWire(req.GetId(), end)}, nil
+		return &wire.StageAccepted{End: outcomeToWire(req.GetId(), outcome)}, nil
 	})
 	peer.Handle(mux, methodPoll, func(ctx context.Context, from peer.Sender, req *wire.StagePoll) (*wire.StagePolled, error) {
 		ctx, cancel := clock.WithTimeout(ctx, time.Duration(req.GetWaitMs())*time.Millisecond)
 		defer cancel()
-		return polledToWire(s.planner.poll(ctx, from.Host, req.GetHeard(), req.GetJobs())), nil
+		return pollResultToWire(s.planner.poll(ctx, from.Host, req.GetHeard(), req.GetJobs())), nil
 	})
 	peer.Handle(mux, methodDrop, func(_ context.Context, from peer.Sender, req *wire.StageDrop) (*wire.StageDropped, error) {
-		s.planner.drop(from.Host, req.GetJobs(), req.GetMoved())
+		s.planner.dropJobs(from.Host, req.GetJobs(), req.GetMoved())
 		return &wire.StageDropped{}, nil
 	})
 }
--- a/stages/send_test.go
+++ b/stages/send_test.go
@@ -14,22 +14,22 @@
 )
 
 // counting counts the calls that are made.
-type counting struct{ calls int }
+type countingReplicas struct{ calls int }
 
-func (c *counting) RunPieces(context.Context, stage.Run) ([]stage.Result, stage.CallOutcome, error) {
+func (c *countingReplicas) RunPieces(context.Context, stage.Run) ([]stage.Result, stage.CallOutcome, error) {
 	c.calls++
 	return nil, stage.CallAnswered, nil
 }
-func (c *counting) FreeResults(context.Context, stage.Free) error { return nil }
-func (c *counting) Room(context.Context, stage.Inspect) (stage.Room, error) {
+func (c *countingReplicas) FreeResults(context.Context, stage.Free) error { return nil }
+func (c *countingReplicas) Room(context.Context, stage.Inspect) (stage.Room, error) {
 	return stage.Room{}, nil
 }
 
 // Guards against calls that were chosen before their replica said that it takes nothing, and
 // are sent after it: a call waits for results that are being given up.
-func TestCallThatWasChosenBeforeIsNotSent(t *testing.T) {
+func TestCallToReplicaThatClosedSinceDispatchIsNotSent(t *testing.T) {
 	g := NewWithT(t)
-	replicas, gates := &counting{}, intake.NewGates()
+	replicas, gates := &countingReplicas{}, intake.NewGates()
 	p := newPlanner(stage.Config{Gates: gates}, replicas, zap.NewNop())
 	send := func() stage.CallOutcome {
 		_, outcome, _ := p.send(context.Background(), stage.Run{Replica: "r"})
--- a/stages/service.go
+++ b/stages/service.go
@@ -54,22 +54,22 @@
 
 	avoided fleet.Avoided // planners that failed
 	// confirming asks each host that did not answer once for all.
-	confirming singleflight.Group
+	probes singleflight.Group
 
-	mu     sync.Mutex
-	remote map[string]*planning // planners that jobs of ours wait at
-	placed map[string]string    // jobs to the host that plans them
-	chosen string               // the planner that was last chosen
+	mu             sync.Mutex
+	remotePlanners map[string]*remotePlanner // planners that jobs of ours wait at
+	plannerOf      map[string]string         // jobs to the host that plans them
+	chosen         string                    // the planner that was last chosen
 }
 
 // New returns a service that has not started and registers its methods.
 func New(cfg Config) *Service {
 	s := &Service{
 		cfg: cfg, log: cfg.Logger,
-		remote: map[string]*planning{}, placed: map[string]string{},
+		remotePlanners: map[string]*remotePlanner{}, plannerOf: map[string]string{},
 	}
 	s.planner = newPlanner(cfg.Plan, cfg.Replicas, cfg.Logger)
-	s.handle(cfg.Mux)
+	s.registerHandlers(cfg.Mux)
 	return s
 }
 
@@ -101,58 +101,58 @@
 	for n := 1; ; {
 		host := fleet.Host{Host: member.Host{Name: s.cfg.Self}}
 		if n < maxPlanners {
-			host = s.choose(clock.Now())
+			host = s.choosePlanner(clock.Now())
 		}
-		end, err := s.prepareAt(ctx, host, j)
-		var restarted *restartedError
-		var lost *lostError
+		outcome, err := s.prepareAt(ctx, host, j)
+		var restarted *plannerRestartedError
+		var lost *plannerLostError
 		switch {
 		case err == nil:
-			return end
+			return outcome
 		case errors.As(err, &restarted):
 			// Its rank changes with that, so that it is not asked the same again.
 			s.cfg.Members.Restarted(host.Name, restarted.incarnation)
 			continue
 		case errors.As(err, &lost):
-			j.Made = merge(j.Made, lost.made)
+			j.Made = mergeCompleted(j.Made, lost.completed)
 		}
 		n++
-		s.avoided.Add(host.Name, avoidFor)
+		s.avoided.Add(host.Name, avoidDuration)
 		if host.Name == s.cfg.Self {
-			return &End{Refused: &stage.Refused{Job: j.ID, Reason: stage.ReasonNoReplica, RetryAfter: notReadyRetry}}
+			return &End{Refused: &stage.Refused{Job: j.ID, Reason: stage.ReasonNoReplica, RetryAfter: notReadyRetryAfter}}
 		}
 	}
 }
 
 // notReadyRetry is told when this daemon knows no services yet.
-const notReadyRetry = 500 * time.Millisecond
+const notReadyRetryAfter = 500 * time.Millisecond
 
 // lostError says that a planner brought no end of a job.
-type lostError struct {
+type plannerLostError struct {
 	// made is what it is known to have made of the job.
-	made []stage.MadePiece
+	completed []stage.MadePiece
 }
 
-func (e *lostError) Error() string { return "stages: planner lost" }
+func (e *plannerLostError) Error() string { return "stages: planner lost" }
 
 // restartedError says that a host has started anew since it was last heard of.
-type restartedError struct{ incarnation uint64 }
+type plannerRestartedError struct{ incarnation uint64 }
 
-func (e *restartedError) Error() string { return "stages: planner restarted" }
+func (e *plannerRestartedError) Error() string { return "stages: planner restarted" }
 
 // merge adds what a later planner made to what earlier ones had made. Of a piece
 // that was made again, since its result was gone, the last result counts.
-func merge(earlier, later []stage.MadePiece) []stage.MadePiece {
+func mergeCompleted(earlier, later []stage.MadePiece) []stage.MadePiece {
 	type key struct{ stage, index int }
-	at := make(map[key]int, len(earlier)+len(later))
+	positions := make(map[key]int, len(earlier)+len(later))
 	var out []stage.MadePiece
 	for _, p := range slices.Concat(earlier, later) {
 		k := key{p.Stage, p.Index}
-		if i, ok := at[k]; ok {
+		if i, ok := positions[k]; ok {
 			out[i] = p
 			continue
 		}
-		at[k] = len(out)
+		positions[k] = len(out)
 		out = append(out, p)
 	}
 	return out
@@ -160,61 +160,61 @@
 
 // prepareAt hands a job to one planner. A nil end without an error says that
 // ctx ended first.
-func (s *Service) prepareAt(ctx context.Context, host fleet.Host, j stage.Job) (end *End, err error) {
+func (s *Service) prepareAt(ctx context.Context, host fleet.Host, j stage.Job) (outcome *End, err error) {
 	if host.Name == s.cfg.Self {
-		end, err = s.prepareHere(ctx, j)
+		outcome, err = s.prepareLocal(ctx, j)
 	} else {
-		end, err = s.prepareThere(ctx, host, j)
+		outcome, err = s.prepareRemote(ctx, host, j)
 	}
-	if end != nil && end.Refused == nil {
+	if outcome != nil && outcome.Refused == nil {
 		s.mu.Lock()
-		s.placed[j.ID] = host.Name
+		s.plannerOf[j.ID] = host.Name
 		s.mu.Unlock()
 	}
-	return end, err
+	return outcome, err
 }
 
 // prepareHere plans a job in this daemon.
-func (s *Service) prepareHere(ctx context.Context, j stage.Job) (*End, error) {
-	end, ok := s.planner.submit("", j)
+func (s *Service) prepareLocal(ctx context.Context, j stage.Job) (*End, error) {
+	outcome, ok := s.planner.submit("", j)
 	if !ok {
-		return nil, &lostError{}
+		return nil, &plannerLostError{}
 	}
-	if end != nil {
-		return end, nil
+	if outcome != nil {
+		return outcome, nil
 	}
-	if end := s.planner.poll(ctx, "", 0, []string{j.ID}).ends[j.ID]; end != nil {
-		return end, nil
+	if outcome := s.planner.poll(ctx, "", 0, []string{j.ID}).outcomes[j.ID]; outcome != nil {
+		return outcome, nil
 	}
-	s.planner.drop("", []string{j.ID}, false)
+	s.planner.dropJobs("", []string{j.ID}, false)
 	return nil, nil
 }
 
 // Release gives the results of a ready job up.
 func (s *Service) Release(id string) {
 	s.mu.Lock()
-	host := s.placed[id]
-	delete(s.placed, id)
+	host := s.plannerOf[id]
+	delete(s.plannerOf, id)
 	s.mu.Unlock()
 	switch host {
 	case "":
 	case s.cfg.Self:
-		s.planner.drop("", []string{id}, false)
+		s.planner.dropJobs("", []string{id}, false)
 	default:
-		go s.dropThere(host, []string{id}, false)
+		go s.dropRemote(host, []string{id}, false)
 	}
 }
 
 // avoidFor is how long a planner that failed is avoided. No job comes back to it before
 // it has dropped it (orphanAfter): it would go on with results that another planner may
 // have given up.
-const avoidFor = 2 * time.Second
+const avoidDuration = 2 * time.Second
 
 // choose returns the host that plans: of those that may be called and did not
 // fail a moment ago, the first in rank.
-func (s *Service) choose(now time.Time) fleet.Host {
+func (s *Service) choosePlanner(now time.Time) fleet.Host {
 	chosen := fleet.Host{Host: member.Host{Name: s.cfg.Self}}
-	if best := s.first(now); best != nil {
+	if best := s.firstRanked(now); best != nil {
 		chosen = *best
 	}
 	s.mu.Lock()
@@ -229,13 +229,13 @@
 
 // Plans says whether this host is the one that plans, as far as it knows.
 func (s *Service) Plans() bool {
-	first := s.first(clock.Now())
+	first := s.firstRanked(clock.Now())
 	return first != nil && first.Name == s.cfg.Self
 }
 
 // first returns the first in rank of the hosts that may be called and did not fail a
 // moment ago; nil if there is none.
-func (s *Service) first(now time.Time) *fleet.Host {
+func (s *Service) firstRanked(now time.Time) *fleet.Host {
 	var best *fleet.Host
 	for _, h := range s.cfg.Members.Reachable() {
 		if !s.avoided.Has(h.Name, now) && (best == nil || h.Compare(*best) < 0) {
@@ -258,7 +258,7 @@
 // Dump returns the state.
 func (s *Service) Dump() Dump {
 	s.mu.Lock()
-	d := Dump{Chosen: s.chosen, Placed: len(s.placed), Avoided: s.avoided.Names()}
+	d := Dump{Chosen: s.chosen, Placed: len(s.plannerOf), Avoided: s.avoided.Names()}
 	s.mu.Unlock()
 	s.planner.mu.Lock()
 	d.Planned = len(s.planner.jobs)
--- a/stages/stages_test.go
+++ b/stages/stages_test.go
@@ -34,38 +34,38 @@
 	mu   sync.Mutex
 	work time.Duration
 	// slow is a service whose calls take slowWork.
-	slow   string
-	by     map[string]int // pieces made for each planner
-	held   map[string]string
-	faults []string
-	made   int
+	slowService string
+	piecesBy    map[string]int // pieces made for each planner
+	results     map[string]string
+	violations  []string
+	made        int
 	// dead planners free nothing any more.
-	dead map[string]bool
+	stopped map[string]bool
 	// freeTime is what giving results up takes, heldAtCall the results held when
 	// each call for pieces came.
-	freeTime   time.Duration
-	heldAtCall []int
+	releaseTime   time.Duration
+	resultsAtCall []int
 }
 
 const slowWork = 900 * time.Millisecond
 
 // asked is one planner's way to the replicas.
-type asked struct {
+type replicaClient struct {
 	*replicas
 	planner string
 }
 
-func (r asked) RunPieces(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error) {
+func (r replicaClient) RunPieces(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error) {
 	r.mu.Lock()
-	r.heldAtCall = append(r.heldAtCall, len(r.held))
+	r.resultsAtCall = append(r.resultsAtCall, len(r.results))
 	work := r.work
-	if a.Service == r.slow {
+	if a.Service == r.slowService {
 		work = slowWork
 	}
 	// A replica fetches the inputs before it works.
-	gone := make([]bool, len(a.Pieces))
+	missing := make([]bool, len(a.Pieces))
 	for i, p := range a.Pieces {
-		gone[i] = r.gone(p)
+		missing[i] = r.inputMissing(p)
 	}
 	r.mu.Unlock()
 	if work > 0 {
@@ -79,14 +79,14 @@
 	defer r.mu.Unlock()
 	var out []stage.Result
 	for i, p := range a.Pieces {
-		if gone[i] {
+		if missing[i] {
 			out = append(out, stage.Result{Kind: stage.InputGone})
 			continue
 		}
 		r.made++
-		r.by[r.planner]++
+		r.piecesBy[r.planner]++
 		handle := fmt.Sprint("h", r.made)
-		r.held[handle] = p.Job
+		r.results[handle] = p.Job
 		out = append(out, stage.Result{Handle: handle})
 	}
 	return out, stage.CallAnswered, nil
@@ -94,56 +94,56 @@
 
 // gone says whether an input of a piece no longer exists, and notes inputs of
 // other jobs.
-func (r *replicas) gone(p stage.Piece) bool {
+func (r *replicas) inputMissing(p stage.Piece) bool {
 	for _, in := range p.Inputs {
-		owner, held := r.held[in]
+		owner, held := r.results[in]
 		if !held {
 			return true
 		}
 		if owner != p.Job {
-			r.faults = append(r.faults, fmt.Sprintf("%s was given %s of %q", p.Job, in, owner))
+			r.violations = append(r.violations, fmt.Sprintf("%s was given %s of %q", p.Job, in, owner))
 		}
 	}
 	return false
 }
 
-func (r asked) FreeResults(_ context.Context, a stage.Free) error {
-	time.Sleep(r.freeTime)
+func (r replicaClient) FreeResults(_ context.Context, a stage.Free) error {
+	time.Sleep(r.releaseTime)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.dead[r.planner] {
+	if r.stopped[r.planner] {
 		return nil
 	}
 	for _, h := range a.Handles {
-		if _, ok := r.held[h]; !ok {
-			r.faults = append(r.faults, "freed twice: "+h)
+		if _, ok := r.results[h]; !ok {
+			r.violations = append(r.violations, "freed twice: "+h)
 		}
-		delete(r.held, h)
+		delete(r.results, h)
 	}
 	return nil
 }
 
 // Room implements stages.Replicas: these replicas have room for all.
-func (r asked) Room(context.Context, stage.Inspect) (stage.Room, error) {
+func (r replicaClient) Room(context.Context, stage.Inspect) (stage.Room, error) {
 	return stage.Room{Least: 1 << 40, Most: 1 << 40}, nil
 }
 
-func (r *replicas) kill(planner string) {
+func (r *replicas) stopReleasesOf(planner string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.dead = map[string]bool{planner: true}
+	r.stopped = map[string]bool{planner: true}
 }
 
-func (r *replicas) holds() int {
+func (r *replicas) resultCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.held)
+	return len(r.results)
 }
 
-func (r *replicas) madeBy(planner string) int {
+func (r *replicas) piecesMadeBy(planner string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.by[planner]
+	return r.piecesBy[planner]
 }
 
 // members are the hosts that a daemon believes in; ranks follow their order.
@@ -152,24 +152,24 @@
 	// forming is closed when the fleet has formed; nil when it has long.
 	forming chan struct{}
 	// starts are the incarnations that hosts have said.
-	mu     sync.Mutex
-	starts map[string]uint64
+	mu           sync.Mutex
+	incarnations map[string]uint64
 }
 
 // formed is closed: the fleet is known.
-var formed = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
+var closedChannel = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
 
 func (m *members) Formed() <-chan struct{} {
 	if m.forming != nil {
 		return m.forming
 	}
-	return formed
+	return closedChannel
 }
 
 func (m *members) Reachable() []fleet.Host {
 	var out []fleet.Host
 	for i, n := range *m.names.Load() {
-		out = append(out, fleet.Host{Host: member.Host{Name: n}, Incarnation: max(uint64(i+1), m.start(n))})
+		out = append(out, fleet.Host{Host: member.Host{Name: n}, Incarnation: max(uint64(i+1), m.incarnation(n))})
 	}
 	return out
 }
@@ -177,16 +177,16 @@
 func (m *members) Restarted(host string, incarnation uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.starts == nil {
-		m.starts = map[string]uint64{}
+	if m.incarnations == nil {
+		m.incarnations = map[string]uint64{}
 	}
-	m.starts[host] = incarnation
+	m.incarnations[host] = incarnation
 }
 
-func (m *members) start(host string) uint64 {
+func (m *members) incarnation(host string) uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.starts[host]
+	return m.incarnations[host]
 }
 
 var nextIP atomic.Uint32
@@ -238,9 +238,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		relay.SetTarget(t.Addr())
 		s := stages.New(stages.Config{
-			Self: name, Incarnation: incarnations[i], Replicas: asked{r, name}, Members: m, Caller: t, Mux: mux, Logger: zap.NewNop(),
+			Self: name, Incarnation: incarnations[i], Replicas: replicaClient{r, name}, Members: m, Caller: t, Mux: mux, Logger: zap.NewNop(),
 		})
-		s.Configure(services(), listed())
+		s.Configure(services(), listedReplicas())
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { defer close(done); s.Run(ctx) }()
@@ -255,7 +255,7 @@
 	return map[string]*catalog.Service{"a": {Name: "a", Pieces: pieces}, "b": {Name: "b", Pieces: pieces}}
 }
 
-func listed() []catalog.Replica {
+func listedReplicas() []catalog.Replica {
 	var out []catalog.Replica
 	for i := range 3 {
 		for _, s := range []string{"a", "b"} {
@@ -266,7 +266,7 @@
 }
 
 func newReplicas() *replicas {
-	return &replicas{work: 20 * time.Millisecond, by: map[string]int{}, held: map[string]string{}}
+	return &replicas{work: 20 * time.Millisecond, piecesBy: map[string]int{}, results: map[string]string{}}
 }
 
 func job(id string) stage.Job {
@@ -300,9 +300,9 @@
 			})
 		}
 		wg.Wait()
-		Expect(r.madeBy(nodes[0].name)).To(Equal(150))
-		Eventually(r.holds, "2s").Should(BeZero())
-		Expect(r.faults).To(BeEmpty())
+		Expect(r.piecesMadeBy(nodes[0].name)).To(Equal(150))
+		Eventually(r.resultCount, "2s").Should(BeZero())
+		Expect(r.violations).To(BeEmpty())
 	})
 
 	DescribeTable("hands the jobs of a lost planner to the next", func(lose func(n *node)) {
@@ -320,8 +320,8 @@
 		lose(nodes[0])
 		Eventually(done, "4s").Should(Receive())
 		Expect(time.Since(began)).To(BeNumerically("<", 2500*time.Millisecond))
-		Expect(r.madeBy(nodes[1].name)).To(BeNumerically(">", 0), "the next in rank plans")
-		Expect(r.faults).To(BeEmpty())
+		Expect(r.piecesMadeBy(nodes[1].name)).To(BeNumerically(">", 0), "the next in rank plans")
+		Expect(r.violations).To(BeEmpty())
 	},
 		Entry("that has died", func(n *node) { _ = n.transport.Close(); _ = n.relay.Close() }),
 		Entry("that is cut off", func(n *node) { n.relay.Set(faultrelay.Conditions{Cut: true}) }),
@@ -345,13 +345,13 @@
 		Eventually(done, "4s").Should(Receive())
 		Expect(nodes[0].relay.Silence()).To(BeNumerically(">", 0), "and once more with no job under way")
 		prepare(nodes[2], "after")
-		Expect(r.madeBy(nodes[1].name)+r.madeBy(nodes[2].name)).To(BeZero(), "nobody else has planned")
-		Expect(r.faults).To(BeEmpty())
+		Expect(r.piecesMadeBy(nodes[1].name)+r.piecesMadeBy(nodes[2].name)).To(BeZero(), "nobody else has planned")
+		Expect(r.violations).To(BeEmpty())
 	})
 
 	It("goes on with what the lost planner had made", func() {
 		r := newReplicas()
-		r.slow = "b"
+		r.slowService = "b"
 		nodes, _ := newNodes(r, 3)
 		done := make(chan stage.Ready, 1)
 		go func() {
@@ -359,19 +359,19 @@
 			done <- prepare(nodes[2], "under-way")
 		}()
 		time.Sleep(500 * time.Millisecond) // the first stage is made, and a poll has told so
-		r.kill(nodes[0].name)
+		r.stopReleasesOf(nodes[0].name)
 		_ = nodes[0].transport.Close()
 		_ = nodes[0].relay.Close()
 		Eventually(done, "4s").Should(Receive())
-		Expect(r.madeBy(nodes[1].name)).To(Equal(3), "the three pieces of the second stage")
-		Expect(r.faults).To(BeEmpty())
+		Expect(r.piecesMadeBy(nodes[1].name)).To(Equal(3), "the three pieces of the second stage")
+		Expect(r.violations).To(BeEmpty())
 	})
 
 	It("makes no call that could overtake results being given up at the same replica", func() {
 		r := newReplicas()
-		r.freeTime = 30 * time.Millisecond
+		r.releaseTime = 30 * time.Millisecond
 		nodes, _ := newNodes(r, 1)
-		nodes[0].service.Configure(services(), listed()[:1]) // one replica
+		nodes[0].service.Configure(services(), listedReplicas()[:1]) // one replica
 		one := job("one")
 		one.Stages = one.Stages[:1]
 		Expect(nodes[0].service.Prepare(context.Background(), one).Refused).To(BeNil())
@@ -379,16 +379,16 @@
 		two := one
 		two.ID = "two"
 		Expect(nodes[0].service.Prepare(context.Background(), two).Refused).To(BeNil())
-		Expect(r.heldAtCall).To(Equal([]int{0, 0}))
+		Expect(r.resultsAtCall).To(Equal([]int{0, 0}))
 	})
 
 	It("does not take a host that has restarted for the oldest", func() {
 		r := newReplicas()
 		nodes, m := newNodesOf(r, []uint64{100, 2, 3})
 		prepare(nodes[2], "one")
-		Expect(m.start(nodes[0].name)).To(Equal(uint64(100)))
-		Expect(r.madeBy(nodes[0].name)).To(BeZero())
-		Expect(r.madeBy(nodes[1].name)).To(Equal(5))
+		Expect(m.incarnation(nodes[0].name)).To(Equal(uint64(100)))
+		Expect(r.piecesMadeBy(nodes[0].name)).To(BeZero())
+		Expect(r.piecesMadeBy(nodes[1].name)).To(Equal(5))
 	})
 
 	It("plans alone when nobody can be reached", func() {
@@ -398,7 +398,7 @@
 		began := clock.Now()
 		prepare(nodes[0], "alone")
 		Expect(time.Since(began)).To(BeNumerically("<", 2*time.Second))
-		Expect(r.madeBy(nodes[0].name)).To(Equal(5))
+		Expect(r.piecesMadeBy(nodes[0].name)).To(Equal(5))
 	})
 
 	It("drops the jobs of a daemon that has fallen silent, and what was made for them", func() {
@@ -413,7 +413,7 @@
 		_ = nodes[1].relay.Close()
 		cancel()
 		Eventually(func() int { return nodes[0].service.Dump().Planned }, "5s").Should(BeZero())
-		Eventually(r.holds, "3s").Should(BeZero())
+		Eventually(r.resultCount, "3s").Should(BeZero())
 	})
 
 	It("plans nothing while the fleet forms, then where the fleet plans", func() {
@@ -428,13 +428,13 @@
 			made <- prepare(nodes[1], "early")
 		}()
 		Consistently(made, "200ms").ShouldNot(Receive())
-		Expect(r.madeBy(nodes[1].name)).To(BeZero())
+		Expect(r.piecesMadeBy(nodes[1].name)).To(BeZero())
 		m.names.Store(&all)
 		close(m.forming)
 		Eventually(made, "2s").Should(Receive())
-		Expect(r.madeBy(nodes[0].name)).To(Equal(5))
+		Expect(r.piecesMadeBy(nodes[0].name)).To(Equal(5))
 		nodes[1].service.Release("early")
-		Eventually(r.holds, "2s").Should(BeZero())
+		Eventually(r.resultCount, "2s").Should(BeZero())
 	})
 
 	It("gives a job up with its request, and makes no further call for it", func() {
@@ -445,9 +445,9 @@
 		defer cancel()
 		Expect(nodes[1].service.Prepare(ctx, job("left"))).To(BeNil())
 		Expect(errors.Is(ctx.Err(), context.DeadlineExceeded)).To(BeTrue())
-		Eventually(r.holds, "1s").Should(BeZero())
+		Eventually(r.resultCount, "1s").Should(BeZero())
 		time.Sleep(200 * time.Millisecond)
-		Expect(r.madeBy(nodes[0].name)).To(BeNumerically("<=", 2), "the second stage is not made")
+		Expect(r.piecesMadeBy(nodes[0].name)).To(BeNumerically("<=", 2), "the second stage is not made")
 	})
 
 	It("hears refusals of the planner", func() {
@@ -466,7 +466,7 @@
 		m := &members{}
 		m.names.Store(&[]string{"self"})
 		s := stages.New(stages.Config{
-			Self: "self", Replicas: asked{newReplicas(), "self"}, Members: m, Mux: mux, Logger: zap.NewNop(),
+			Self: "self", Replicas: replicaClient{newReplicas(), "self"}, Members: m, Mux: mux, Logger: zap.NewNop(),
 		})
 		end := s.Prepare(context.Background(), job("early"))
 		Expect(end.Refused.Reason).To(Equal(stage.ReasonNoReplica))
