--- a/stages/merge_test.go
+++ b/stages/merge_test.go
@@ -7,12 +7,12 @@
 	"github.com/wheatseam/wheatseam/core/stage"
 )
 
-var _ = Describe("what planners had made of a job", func() {
+var _ = Describe("merging the pieces completed by several planners", func() {
 	completed := func(stg, index int, handle string) stage.MadePiece {
 		return stage.MadePiece{Stage: stg, Index: index, Handle: handle, Replica: "r"}
 	}
 
-	It("counts by its last results, also when one planner made a piece twice", func() {
+	It("keeps the last result of a piece, also if one planner ran it twice", func() {
 		Expect(mergeCompleted(nil, nil)).To(BeEmpty())
 		Expect(mergeCompleted(
 			[]stage.MadePiece{completed(0, 0, "a"), completed(0, 1, "b")},
--- a/stages/messages.go
+++ b/stages/messages.go
@@ -13,7 +13,8 @@
 // wireMessage is a message between daemons.
 type wireMessage = proto.Message
 
-// toWire turns a job into its message; times become relative, as clocks differ.
+// jobToWire converts a job to its message. Times become relative to now, since the clocks
+// of hosts differ.
 func jobToWire(j stage.Job, now time.Time) *wire.StageJob {
 	out := &wire.StageJob{
 		Id: j.ID, Key: j.Key, Priority: uint32(max(0, j.Rank.Customer)), RoutePriority: uint32(max(0, j.Rank.Route)),
@@ -31,8 +32,8 @@
 	return out
 }
 
-// fromWire turns a message into a job. Stages that come after themselves or
-// later ones do not occur: the sender's configuration was checked.
+// jobFromWire converts a message to a job. It ignores dependencies of a stage on itself or
+// on later stages; they do not occur, since the sender's configuration was validated.
 func jobFromWire(m *wire.StageJob, now time.Time) stage.Job {
 	j := stage.Job{
 		ID: m.GetId(), Key: m.GetKey(), Rank: catalog.Rank{Customer: int(m.GetPriority()), Route: int(m.GetRoutePriority())},
--- a/stages/orphans.go
+++ b/stages/orphans.go
@@ -10,20 +10,20 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// The times after which the jobs of a silent daemon are dropped.
+// Timeouts after which the jobs of an unresponsive owner are dropped.
 const (
-	// orphanAfter is for jobs whose end the daemon does not know: while it waits
-	// for one it polls several times a second. It is also for refused ones of whose
-	// results it knows: it gives them up at once.
+	// orphanTimeout applies to jobs whose outcome has not been sent to the owner: an
+	// owner that waits for an outcome polls several times a second. It also applies to
+	// refused jobs with results known to the owner, which drops those at once.
 	orphanTimeout = 1500 * time.Millisecond
-	// unreadAfter is for jobs whose results it has: it says when they have been
-	// read, and their holders keep them for seconds only.
+	// unreadTimeout applies to jobs whose results the owner has: it drops the job once
+	// the results have been read, and replicas keep results only for some seconds.
 	unreadTimeout = 20 * time.Second
-	// sweepEvery is the interval at which silent daemons are looked for.
+	// sweepInterval is the interval between checks for orphaned jobs.
 	sweepInterval = 500 * time.Millisecond
 )
 
-// run passes ticks when they are due and drops the jobs of silent daemons.
+// run passes due ticks to the machine and drops orphaned jobs, until ctx ends.
 func (p *planner) run(ctx context.Context) {
 	timer := clock.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -51,8 +51,8 @@
 	p.perform(actions)
 }
 
-// nextTick is the time until the machine's next tick or sweep, whichever comes
-// first; with nothing to do it is long.
+// nextTick returns the time until the machine's next tick or the next sweep, whichever
+// comes first; an hour if nothing is due.
 func (p *planner) nextTick() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,9 +67,10 @@
 	return max(time.Millisecond, wait)
 }
 
-// sweep drops the jobs of daemons that have been silent for too long. They may have
-// gone on with another planner, and the word of that have been lost: results that they
-// were told of are left alone, and outlive their time.
+// sweep drops the jobs of owners that have not named them for too long. Such an owner may
+// have handed its jobs over to another planner and its message about that may have been
+// lost, so results that were reported to the owner are not released here; they expire at
+// the replica.
 func (p *planner) sweep(now time.Time) {
 	p.mu.Lock()
 	var actions []stage.Action
@@ -87,13 +88,13 @@
 	}
 	p.mu.Unlock()
 	for name, jobs := range dropped {
-		p.log.Warn("jobs of a silent daemon dropped", zap.String("peer", name), zap.Int("jobs", jobs))
+		p.log.Warn("dropped jobs of an unresponsive daemon", zap.String("peer", name), zap.Int("jobs", jobs))
 	}
 	p.perform(actions)
 }
 
-// orphaned says whether the daemon that waits for a job, or has its results, has
-// not named it for too long.
+// orphaned returns whether the owner of a job, which waits for its outcome or has its
+// results, has exceeded the timeout for it.
 func (e *plannedJob) orphaned(now time.Time) bool {
 	switch {
 	case e.owner == "":
@@ -106,10 +107,11 @@
 	return now.Sub(e.outcomeSentAt) >= unreadTimeout
 }
 
-// stoodStill gives the jobs of other daemons up when this one, with jobs to see to
-// several times a second, has done nothing for so long that their owners have gone on
-// with another planner: it was frozen or asleep. What was made is theirs, and left
-// alone. The lock is held.
+// dropAfterStall drops the unfinished jobs of other daemons if this process was suspended
+// (frozen, or the machine asleep) for so long that their owners have handed them over to
+// another planner. It detects this by the time since the last event, since a planner with
+// jobs receives events several times a second. Results that were reported to the owners
+// are not released. The caller holds the lock.
 func (p *planner) dropAfterStall(now time.Time) []stage.Action {
 	gap := now.Sub(p.lastStep)
 	p.lastStep = now
@@ -119,10 +121,10 @@
 	var actions []stage.Action
 	for id, e := range p.jobs {
 		if e.owner != "" && e.outcomeSentAt.IsZero() {
-			p.removeJob(id) // not by step, which would look again
+			p.removeJob(id) // not through step, which would call dropAfterStall again
 			actions = append(actions, p.machine.Step(now, stage.Cancelled{Job: id, Moved: true})...)
 		}
 	}
-	p.log.Warn("planner stood still; jobs of others given up", zap.Duration("for", gap), zap.Int("left", len(p.jobs)))
+	p.log.Warn("planner was suspended; dropped the jobs of other daemons", zap.Duration("for", gap), zap.Int("left", len(p.jobs)))
 	return actions
 }
--- a/stages/planner.go
+++ b/stages/planner.go
@@ -17,73 +17,76 @@
 	"github.com/wheatseam/wheatseam/logging"
 )
 
-// Replicas makes the calls to replicas that run stages. Implementations are
-// safe for concurrent use.
+// Replicas calls the replicas that run stages. Implementations are safe for concurrent
+// use.
 type Replicas interface {
+	// RunPieces runs pieces in one call. An answered call has one result per piece.
 	RunPieces(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error)
+	// FreeResults releases results at the replica that holds them.
 	FreeResults(ctx context.Context, a stage.Free) error
-	// Room is the room for results that a replica had a moment ago.
+	// Room returns the memory that a replica last reported as free for results.
 	Room(ctx context.Context, a stage.Inspect) (stage.Room, error)
 }
 
-// End is the end of a job: Ready, or Refused when that is set.
+// End is the outcome of a job: Refused if that is set, else Ready.
 type End struct {
 	Ready   stage.Ready
 	Refused *stage.Refused
 }
 
-// entry is a job that this daemon plans.
+// plannedJob is a job that this daemon plans.
 type plannedJob struct {
 	owner string
-	// end is set once the job has ended; held says of a refused one that its owner
-	// was told of results and has to say that it gives them up.
+	// outcome is set once the job has ended. resultsHeld is set for a refused job whose
+	// owner has been told of results: they are held until the owner drops the job.
 	outcome     *End
 	resultsHeld bool
-	// told is when the owner was first told of the end.
+	// outcomeSentAt is when the outcome was first sent to the owner.
 	outcomeSentAt time.Time
-	// heard is when the owner last named the job.
+	// lastNamed is when the owner last submitted or polled for the job.
 	lastNamed time.Time
-	// made is what was made since the owner was last told, inform that it is to be
-	// told at once.
+	// unreported are the pieces completed since the last report to the owner. notify is
+	// set if the owner is to receive the next report at once.
 	unreported []stage.MadePiece
 	notify     bool
 }
 
-// polled is what an owner is told of its jobs.
+// pollResult is the answer to an owner's poll.
 type pollResult struct {
-	// number names the answer if it has news of pieces, else it is 0.
+	// number identifies an answer that reports pieces, for acknowledgement; else it is 0.
 	number   uint64
 	outcomes map[string]*End
-	// unknown are jobs that are not planned here.
+	// unknown are the polled jobs that are not planned here.
 	unknown []string
-	// made is the progress of jobs without an end.
+	// completed are newly completed pieces of jobs that have no outcome yet.
 	completed map[string][]stage.MadePiece
 }
 
-// owner is a daemon whose jobs are planned here; "" is this one.
+// owner is a daemon whose jobs are planned here. The name "" is this daemon.
 type owner struct {
 	lastSeen time.Time
-	// changed is closed and replaced when a job of the owner ends, or its progress is
-	// to be told at once.
+	// changed is closed and replaced when a job of the owner ends or its progress is to
+	// be reported at once.
 	changed chan struct{}
 	jobs    int
-	// telling is the last answer that had news of pieces, until the owner has heard it.
+	// unacked is the last report of pieces, until the owner acknowledges it.
 	unacked progressReport
 }
 
-// telling is the news of pieces of one answer.
+// progressReport is the set of pieces that one answer reported.
 type progressReport struct {
 	number uint64
 	pieces []stage.Progress
 }
 
-// changes has those that wait for news of the owner's jobs look again.
+// notify wakes the polls that wait for changes to the owner's jobs.
 func (o *owner) notify() {
 	close(o.changed)
 	o.changed = make(chan struct{})
 }
 
-// planner plans in this daemon.
+// planner plans jobs in this daemon, its own and those of other daemons. It passes
+// events to a stage.Machine and performs the actions that the machine returns.
 type planner struct {
 	replicas Replicas
 	gates    *intake.Gates
@@ -92,15 +95,16 @@
 
 	mu      sync.Mutex
 	machine *stage.Machine
-	ready   bool // a configuration was given
+	ready   bool // a configuration has been received
 	jobs    map[string]*plannedJob
 	owners  map[string]*owner
 	calls   map[uint64]context.CancelFunc
 	wake    chan struct{}
-	// stepped is when the machine last took an event.
+	// lastStep is when the machine last received an event.
 	lastStep time.Time
-	// answers is the number of the last answer that had news of pieces. It begins
-	// with the time, so that those of two starts of this daemon differ.
+	// lastAnswer is the number of the last answer that reported pieces. It starts at the
+	// current Unix time in nanoseconds, so that numbers from before and after a restart of
+	// this daemon differ.
 	lastAnswer uint64
 }
 
@@ -117,7 +121,7 @@
 	return p
 }
 
-// configure passes the services and replicas in force on.
+// configure passes the current services and replicas to the machine.
 func (p *planner) configure(services map[string]*catalog.Service, replicas []catalog.Replica) {
 	p.mu.Lock()
 	p.ready = true
@@ -126,8 +130,8 @@
 	p.perform(actions)
 }
 
-// submit takes a job and returns its end if that is known at once. ok is false
-// while nothing is known of the services.
+// submit adds a job and returns its outcome if that is known at once. ok is false until a
+// configuration has been received.
 func (p *planner) submit(from string, j stage.Job) (outcome *End, ok bool) {
 	p.mu.Lock()
 	if !p.ready {
@@ -136,7 +140,7 @@
 	}
 	o := p.owner(from)
 	if len(p.jobs) == 0 {
-		p.lastStep = clock.Now() // there was nothing to do before
+		p.lastStep = clock.Now() // the planner was idle, not suspended
 	}
 	actions := p.applyActions(p.dropAfterStall(clock.Now()))
 	e := p.jobs[j.ID]
@@ -159,8 +163,8 @@
 	return outcome, true
 }
 
-// owner returns the state of a daemon and notes that it was heard; the lock is
-// held.
+// owner returns the state of an owner, creating it if needed, and records that the owner
+// was heard from. The caller holds the lock.
 func (p *planner) owner(name string) *owner {
 	o := p.owners[name]
 	if o == nil {
@@ -171,8 +175,7 @@
 	return o
 }
 
-// forget removes a job that the machine does not know any more; the lock is
-// held.
+// removeJob removes a job that the machine no longer plans. The caller holds the lock.
 func (p *planner) removeJob(id string) {
 	e := p.jobs[id]
 	if e == nil {
@@ -184,9 +187,9 @@
 	}
 }
 
-// poll waits for the end of any of the owner's jobs, or one that is not planned
-// here, at most until ctx ends. The progress of the others comes with it. heard is
-// the number of the last answer that the owner has heard.
+// poll waits until one of the polled jobs has an outcome, is to be reported at once or is
+// not planned here, at most until ctx ends. It also returns the progress of the other
+// jobs. acked is the number of the last answer that the owner has received.
 func (p *planner) poll(ctx context.Context, from string, acked uint64, ids []string) pollResult {
 	p.acknowledge(from, acked)
 	for waiting := true; ; {
@@ -202,7 +205,7 @@
 	}
 }
 
-// hear takes an owner's word that it has heard an answer.
+// acknowledge records that an owner has received an answer.
 func (p *planner) acknowledge(from string, acked uint64) {
 	p.mu.Lock()
 	o := p.owner(from)
@@ -217,8 +220,9 @@
 	p.perform(actions)
 }
 
-// look returns what an owner is to be told of its jobs, if that is due or it has
-// waited for long enough.
+// checkJobs returns the answer to a poll if one is due. If final is set, the poll has
+// waited for its full time and an answer is always due. changed is closed when the state
+// of the owner's jobs changes.
 func (p *planner) checkJobs(from string, ids []string, final bool) (out pollResult, changed <-chan struct{}, due bool) {
 	p.mu.Lock()
 	o, now := p.owner(from), clock.Now()
@@ -242,7 +246,8 @@
 	return out, changed, due
 }
 
-// tell collects what an owner is told of its jobs; the lock is held.
+// collect builds the answer to a poll and records the pieces it reports. The caller holds
+// the lock.
 func (p *planner) collect(from string, o *owner, ids []string) (pollResult, []stage.Action) {
 	out := pollResult{outcomes: map[string]*End{}, completed: map[string][]stage.MadePiece{}}
 	var pieces []stage.Progress
@@ -270,7 +275,8 @@
 	return out, p.step(stage.Told{Pieces: pieces})
 }
 
-// untold takes what the owner of a job was not told of yet.
+// takeUnreported returns the pieces that have not been reported to the owner yet and
+// marks them as reported.
 func (e *plannedJob) takeUnreported(id string) []stage.Progress {
 	var pieces []stage.Progress
 	for _, piece := range e.unreported {
@@ -280,7 +286,8 @@
 	return pieces
 }
 
-// tellEnd notes that the owner of a job is being told of its end; the lock is held.
+// markOutcomeSent records that the outcome of a job is being sent to its owner. The
+// caller holds the lock.
 func (p *planner) markOutcomeSent(id string, e *plannedJob) {
 	if e.outcomeSentAt.IsZero() {
 		e.outcomeSentAt = clock.Now()
@@ -290,29 +297,29 @@
 	}
 }
 
-// drop gives jobs of an owner up; moved says that another planner goes on with
+// dropJobs cancels jobs of an owner. handedOver is set if another planner continues with
 // them.
-func (p *planner) dropJobs(from string, ids []string, moved bool) {
+func (p *planner) dropJobs(from string, ids []string, handedOver bool) {
 	p.mu.Lock()
 	p.owner(from)
 	var actions []stage.Action
 	for _, id := range ids {
 		if e := p.jobs[id]; e != nil && e.owner == from {
-			actions = append(actions, p.cancelJob(id, moved)...)
+			actions = append(actions, p.cancelJob(id, handedOver)...)
 		}
 	}
 	p.mu.Unlock()
 	p.perform(actions)
 }
 
-// cancel gives a job up; the lock is held.
-func (p *planner) cancelJob(id string, moved bool) []stage.Action {
+// cancelJob cancels a job. The caller holds the lock.
+func (p *planner) cancelJob(id string, handedOver bool) []stage.Action {
 	p.removeJob(id)
-	return p.step(stage.Cancelled{Job: id, Moved: moved})
+	return p.step(stage.Cancelled{Job: id, Moved: handedOver})
 }
 
-// step passes an event to the machine and notes the ends of jobs; the lock is
-// held. The caller performs the actions without it.
+// step passes an event to the machine, records the effects on jobs and returns the
+// actions. The caller holds the lock, and performs the actions after releasing it.
 func (p *planner) step(e stage.Event) []stage.Action {
 	now := clock.Now()
 	actions := p.dropAfterStall(now)
@@ -324,7 +331,8 @@
 	return actions
 }
 
-// note takes what became of jobs out of actions and returns them; the lock is held.
+// applyActions records the progress and outcomes of jobs from actions, and returns all
+// actions. The caller holds the lock.
 func (p *planner) applyActions(actions []stage.Action) []stage.Action {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -345,7 +353,8 @@
 	return actions
 }
 
-// inform has the owner of a job told of its progress at once; the lock is held.
+// notifyOwner makes the progress of a job be reported to its owner at once. The caller
+// holds the lock.
 func (p *planner) notifyOwner(id string) {
 	e := p.jobs[id]
 	if e == nil {
@@ -357,7 +366,8 @@
 	}
 }
 
-// timings logs the course of stages, each as stage:wait+work.
+// timings logs the times of stages, each as stage:wait+work in milliseconds, followed by
+// ":crossed" if the stage crossed failure domains.
 type timings []stage.Timing
 
 // MarshalLogArray implements zapcore.ArrayMarshaler.
@@ -372,7 +382,7 @@
 	return nil
 }
 
-// ended notes the end of a job; the lock is held.
+// recordOutcome records the outcome of a job. The caller holds the lock.
 func (p *planner) recordOutcome(id string, outcome *End) {
 	e := p.jobs[id]
 	if e == nil {
@@ -387,7 +397,8 @@
 	}
 }
 
-// perform makes the calls that the machine decided on and logs what it believes.
+// perform makes the calls that the machine decided on and logs changes in its view of
+// replicas.
 func (p *planner) perform(actions []stage.Action) {
 	for _, a := range actions {
 		if a, ok := a.(stage.Free); ok {
@@ -411,7 +422,7 @@
 	}
 }
 
-// track returns the context of a call.
+// newCallContext returns a context for a call; cancelCall cancels it.
 func (p *planner) newCallContext(call uint64) context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.mu.Lock()
@@ -420,7 +431,7 @@
 	return ctx
 }
 
-// untrack ends the context of a call.
+// cancelCall cancels the context of a call.
 func (p *planner) cancelCall(call uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -430,11 +441,12 @@
 	}
 }
 
-// freeWait is how long a call to a replica waits for results that are being
-// given up there: some round trips between failure domains.
+// releaseWait is how long a call to a replica waits for pending releases of results
+// there: a few round trips between failure domains.
 const releaseWait = 50 * time.Millisecond
 
-// call makes one call to a replica, once freed is closed, and reports its end.
+// runCall makes one call to a replica and passes its outcome to the machine. It first
+// waits until released is closed, at most for releaseWait.
 func (p *planner) runCall(ctx context.Context, a stage.Run, released <-chan struct{}) {
 	defer p.cancelCall(a.Call)
 	select {
@@ -452,10 +464,11 @@
 	p.perform(actions)
 }
 
-// errTurnedAway: the replica has said, since the call was chosen, that it takes nothing.
-var errReplicaClosed = errors.New("the replica takes no calls")
+// errReplicaClosed reports that a replica has announced, after the call was dispatched,
+// that it accepts no calls.
+var errReplicaClosed = errors.New("the replica accepts no calls")
 
-// send makes the call, unless the replica has said meanwhile that it takes nothing.
+// send makes the call unless the replica has announced meanwhile that it accepts no calls.
 func (p *planner) send(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error) {
 	if p.gates.Of(a.Replica).TurnsAway(clock.Now()) {
 		return nil, stage.CallNotExecuted, errReplicaClosed
@@ -463,18 +476,19 @@
 	return p.replicas.RunPieces(ctx, a)
 }
 
-// roomTimeout bounds asking a replica for its room; later the answer is of no use.
+// memoryQueryTimeout limits a query for a replica's free memory; a later answer is of no
+// use.
 const memoryQueryTimeout = 500 * time.Millisecond
 
-// inspect asks a replica for its room. What is not told costs a call that finds
-// none.
+// queryMemory asks a replica for its free memory. If the query fails, a later call may
+// find that the replica has no memory left.
 func (p *planner) queryMemory(a stage.Inspect) {
 	ctx, cancel := clock.WithTimeout(context.Background(), memoryQueryTimeout)
 	defer cancel()
 	asked := clock.Now()
 	room, err := p.replicas.Room(ctx, a)
 	if err != nil {
-		p.log.Info("room not told", zap.String("service", a.Service), zap.String("replica", a.Replica), zap.Error(err))
+		p.log.Info("querying the free memory of a replica failed", zap.String("service", a.Service), zap.String("replica", a.Replica), zap.Error(err))
 		return
 	}
 	p.mu.Lock()
@@ -483,7 +497,7 @@
 	p.perform(actions)
 }
 
-// count counts the results of a kind.
+// countKind counts the results of a kind.
 func countKind(results []stage.Result, kind stage.ResultKind) int {
 	n := 0
 	for _, r := range results {
@@ -494,14 +508,14 @@
 	return n
 }
 
-// freeTimeout bounds a call that gives results up; their holder drops them
-// after seconds anyway.
+// releaseTimeout limits a call that releases results. A lost call does little harm, since
+// results expire at the replica after some seconds.
 const releaseTimeout = time.Second
 
 func (p *planner) release(a stage.Free) {
 	ctx, cancel := clock.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	if err := p.replicas.FreeResults(ctx, a); err != nil {
-		p.log.Info("results not freed", zap.String("replica", a.Replica), zap.Int("results", len(a.Handles)), zap.Error(err))
+		p.log.Info("releasing results failed", zap.String("replica", a.Replica), zap.Int("results", len(a.Handles)), zap.Error(err))
 	}
 }
--- a/stages/asleep_test.go
+++ b/stages/planner_test.go
@@ -17,8 +17,8 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// busy replicas make nothing until the test ends, and count what is given up: calls,
-// and results.
+// blockedReplicas complete no call until unblock is closed. They count calls, cancelled
+// calls and releases of results.
 type blockedReplicas struct {
 	unblock   chan struct{}
 	calls     atomic.Int32
@@ -45,7 +45,8 @@
 	return stage.Room{}, nil
 }
 
-// encoding makes pieces of encode at once, and none of render until the test ends.
+// encodingReplicas complete pieces of the service encode at once, and pieces of other
+// services like blockedReplicas.
 type encodingReplicas struct {
 	blockedReplicas
 	mu              sync.Mutex
@@ -88,7 +89,7 @@
 }
 
 var _ = Describe("a planner", func() {
-	It("that slept leaves alone what the owners of its jobs were told of, and gives up the rest", func() {
+	It("releases only unreported results of other daemons' jobs after it was suspended", func() {
 		replicas := &encodingReplicas{blockedReplicas: blockedReplicas{unblock: make(chan struct{})}}
 		DeferCleanup(func() { close(replicas.unblock) })
 		p := newPlanner(stage.Config{}, replicas, zap.NewNop())
@@ -108,7 +109,7 @@
 			Expect(ok).To(BeTrue())
 			Eventually(replicas.made).Should(ContainElement(id + "/0"))
 		}
-		Eventually(replicas.calls.Load).Should(BeNumerically(">", 0), "the results have been taken in")
+		Eventually(replicas.calls.Load).Should(BeNumerically(">", 0), "the results have been accepted")
 		Eventually(func() int {
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -122,7 +123,7 @@
 		Consistently(replicas.released, 2*releaseDelay).Should(HaveLen(1))
 	})
 
-	It("closes a call that waits at its replica once no job waits for it, and not before", func() {
+	It("cancels a call that is queued at its replica once no job waits for it, and not before", func() {
 		replicas := &blockedReplicas{unblock: make(chan struct{})}
 		DeferCleanup(func() { close(replicas.unblock) })
 		p := newPlanner(stage.Config{}, replicas, zap.NewNop())
@@ -139,16 +140,16 @@
 			clock.Simulate(2 * time.Second)
 			p.tick()
 		}
-		Eventually(replicas.calls.Load).Should(BeEquivalentTo(2), "the pieces are asked for again")
+		Eventually(replicas.calls.Load).Should(BeEquivalentTo(2), "the pieces are called again")
 		Consistently(replicas.cancelled.Load, 20*time.Millisecond).Should(BeZero())
 		p.dropJobs("", []string{"own"}, false)
 		clock.Simulate(time.Second)
 		p.tick()
 		Eventually(replicas.cancelled.Load).Should(BeEquivalentTo(1))
-		Consistently(replicas.cancelled.Load, 20*time.Millisecond).Should(BeEquivalentTo(1), "the replica may be at work on the first")
+		Consistently(replicas.cancelled.Load, 20*time.Millisecond).Should(BeEquivalentTo(1), "the replica may be executing the first call")
 	})
 
-	It("that slept is one no more for others: they have gone on elsewhere", func() {
+	It("drops the jobs of other daemons after it was suspended, since they were handed over", func() {
 		replicas := &blockedReplicas{unblock: make(chan struct{})}
 		DeferCleanup(func() { close(replicas.unblock) })
 		p := newPlanner(stage.Config{}, replicas, zap.NewNop())
@@ -175,7 +176,7 @@
 		Expect(out.unknown).To(BeEmpty())
 		Expect(replicas.releases.Load()).To(BeZero(), "what was made is the next planner's")
 
-		By("not taking a time without jobs for a sleep")
+		By("not treating a period without jobs as a suspension")
 		p.dropJobs("", []string{"own"}, false)
 		clock.Simulate(2 * orphanTimeout)
 		p.tick()
--- a/stages/releaser.go
+++ b/stages/releaser.go
@@ -8,30 +8,30 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// freeDelay is how long results that are of no more use are kept back, so that
-// one call gives many up. The room that they take is needed by the next call to
-// their replica, which has them given up first; nobody else needs it. With 700
-// jobs a second a planner made some 1,300 such calls a second, and now at most
-// ten for each replica, beside those before its calls for pieces.
+// releaseDelay is how long the release of results is delayed so that one call releases
+// many. Nobody but the next call to the same replica needs their memory, and that call
+// has pending results released first. At 700 jobs per second, releasing at once took
+// about 1,300 calls per second; the delay limits this to ten per second and replica,
+// besides those made ahead of calls for pieces.
 const releaseDelay = 100 * time.Millisecond
 
-// freeing gives results up at their replicas, many in one call, and knows where
-// that is under way: a call for pieces that overtook it would find no room. It is
-// safe for concurrent use.
+// releaser releases results at their replicas in batches. It tracks which releases are in
+// progress, since a call for pieces that overtakes a release would find no free memory.
+// It is safe for concurrent use.
 type releaser struct {
-	// send makes one call and returns when it has ended.
+	// send makes one release call and returns when it has completed.
 	send func(stage.Free)
 
 	mu        sync.Mutex
 	byReplica map[string]*replicaReleases // by replica
 }
 
-// giving is what is being given up at one replica.
+// replicaReleases are the pending and running releases at one replica.
 type replicaReleases struct {
-	// held is kept back; its call is due when timer fires.
+	// pending is the next batch; it is sent when timer fires, or earlier by flush.
 	pending stage.Free
 	timer   *clock.Timer
-	// calls are under way, done is closed when none is left.
+	// runningCalls counts release calls in progress; done is closed when none is left.
 	runningCalls int
 	done         chan struct{}
 }
@@ -40,60 +40,61 @@
 	return &releaser{send: send, byReplica: map[string]*replicaReleases{}}
 }
 
-// add has results given up, soon or with the next call for pieces.
+// add queues results for release, after releaseDelay or before the next call for pieces
+// to their replica.
 func (f *releaser) add(a stage.Free) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	g := f.byReplica[a.Replica]
-	if g == nil {
-		g = &replicaReleases{}
-		f.byReplica[a.Replica] = g
+	releases := f.byReplica[a.Replica]
+	if releases == nil {
+		releases = &replicaReleases{}
+		f.byReplica[a.Replica] = releases
 	}
-	g.pending.Replica, g.pending.Address = a.Replica, a.Address
-	g.pending.Handles = append(g.pending.Handles, a.Handles...)
-	if g.timer == nil {
-		g.timer = clock.AfterFunc(releaseDelay, func() { f.flush(a.Replica) })
+	releases.pending.Replica, releases.pending.Address = a.Replica, a.Address
+	releases.pending.Handles = append(releases.pending.Handles, a.Handles...)
+	if releases.timer == nil {
+		releases.timer = clock.AfterFunc(releaseDelay, func() { f.flush(a.Replica) })
 	}
 }
 
-// nothing is closed: no results are being given up.
+// closedChannel is returned by flush when no release is in progress.
 var closedChannel = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
 
-// flush gives up at once what is kept back for a replica. The channel is closed
-// when nothing is being given up there any more.
+// flush sends the pending batch of a replica at once. The returned channel is closed when
+// no release is in progress there any more.
 func (f *releaser) flush(replica string) <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	g := f.byReplica[replica]
-	if g == nil {
+	releases := f.byReplica[replica]
+	if releases == nil {
 		return closedChannel
 	}
-	if g.timer != nil {
-		g.timer.Stop()
-		g.timer = nil
+	if releases.timer != nil {
+		releases.timer.Stop()
+		releases.timer = nil
 	}
-	if len(g.pending.Handles) == 0 {
-		return g.done
+	if len(releases.pending.Handles) == 0 {
+		return releases.done
 	}
-	if g.runningCalls == 0 {
-		g.done = make(chan struct{})
+	if releases.runningCalls == 0 {
+		releases.done = make(chan struct{})
 	}
-	g.runningCalls++
-	go f.call(g, g.pending)
-	g.pending.Handles = nil
-	return g.done
+	releases.runningCalls++
+	go f.call(releases, releases.pending)
+	releases.pending.Handles = nil
+	return releases.done
 }
 
-// call makes one call.
-func (f *releaser) call(g *replicaReleases, a stage.Free) {
+// call makes one release call and records its completion.
+func (f *releaser) call(releases *replicaReleases, a stage.Free) {
 	f.send(a)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if g.runningCalls--; g.runningCalls > 0 {
+	if releases.runningCalls--; releases.runningCalls > 0 {
 		return
 	}
-	close(g.done)
-	if len(g.pending.Handles) == 0 {
+	close(releases.done)
+	if len(releases.pending.Handles) == 0 {
 		delete(f.byReplica, a.Replica)
 	}
 }
--- a/stages/releaser_test.go
+++ b/stages/releaser_test.go
@@ -9,7 +9,7 @@
 	"github.com/wheatseam/wheatseam/core/stage"
 )
 
-// sender notes the calls that give results up; each ends when it is let go.
+// fakeSender records the release calls. Each call blocks until it receives from proceed.
 type fakeSender struct {
 	mu      sync.Mutex
 	calls   []stage.Free
@@ -33,7 +33,7 @@
 	return out
 }
 
-var _ = Describe("a replica at which results are being given up", func() {
+var _ = Describe("releasing results at a replica", func() {
 	releaseOf := func(replica string, handles ...string) stage.Free {
 		return stage.Free{Replica: replica, Address: replica + ":80", Handles: handles}
 	}
@@ -42,7 +42,7 @@
 		return newReleaser(s.send), s
 	}
 
-	It("is waited for until the last of them is, others are not", func() {
+	It("signals completion after the last running call, for that replica only", func() {
 		f, s := start()
 		Expect(f.flush("r")).To(BeClosed())
 		f.add(releaseOf("r", "1"))
@@ -65,7 +65,7 @@
 		}).Should(BeZero())
 	})
 
-	It("is told of many in one call, at the latest after a short while", func() {
+	It("batches results into one call, sent after releaseDelay at the latest", func() {
 		f, s := start()
 		close(s.proceed)
 		f.add(releaseOf("r", "1"))
--- a/stages/remote.go
+++ b/stages/remote.go
@@ -19,54 +19,55 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// The methods between daemons.
+// Peer methods.
 const (
 	methodSubmit = "stage.submit"
 	methodPoll   = "stage.poll"
 	methodDrop   = "stage.drop"
 )
 
-// The times of calls to a planner.
+// Timeouts of calls to a planner.
 const (
-	// submitTimeout bounds handing a job over: a planner answers at once.
+	// submitTimeout limits submitting a job, which a planner answers at once.
 	submitTimeout = 250 * time.Millisecond
-	// pollWait is how long a planner holds a poll without an end, and
-	// pollGrace how much later its answer may come. Daemons run as batch work on
-	// a share of a core that may pause for a tenth of a second.
+	// pollWait is how long a planner holds a poll while there is no outcome, and
+	// pollGrace how much later its answer may arrive. Daemons run as batch processes on
+	// a share of a core and may be paused for 100 ms.
 	pollWait  = 250 * time.Millisecond
 	pollGrace = 250 * time.Millisecond
-	// confirmTimeout bounds asking a planner that did not answer once more, on a
-	// new session, before another one is chosen: the connection may have gone
-	// silent and not the planner, and two planners that fill the queues of the
-	// same replicas cost all jobs of some seconds. A host that is well takes a
-	// session and answers in four round trips, 15 ms. With pollWait and pollGrace
-	// it is what a planner's silence costs.
+	// retryTimeout limits probing an unresponsive planner on a new session, and calling
+	// it again, before another planner is chosen. The connection may be broken and not the
+	// planner, and two planners that fill the queues of the same replicas delay all jobs
+	// for some seconds. A healthy host accepts a session and answers in four round trips,
+	// 15 ms. The delay caused by an unresponsive planner is pollWait + pollGrace +
+	// retryTimeout.
 	retryTimeout = 200 * time.Millisecond
-	// dropTimeout bounds giving jobs up.
+	// dropTimeout limits a call that drops jobs.
 	dropTimeout = time.Second
 )
 
-// planning is what this daemon waits for at one planner.
+// remotePlanner holds the jobs of this daemon that wait at one planner.
 type remotePlanner struct {
 	waiters map[string]*waiter
 	polling bool
 }
 
-// waiter waits for the end of one job.
+// waiter waits for the outcome of one job.
 type waiter struct {
-	outcome chan *End // nil says that the job is lost
-	// made is the progress of the job as the planner told it.
+	outcome chan *End // receives nil if the planner no longer has the job
+	// completed are the pieces of the job that the planner has reported.
 	completed []stage.MadePiece
 }
 
-// prepareThere has a job planned by another host.
+// prepareRemote has a job planned by another host. A nil outcome without an error means
+// that ctx ended first.
 func (s *Service) prepareRemote(ctx context.Context, host fleet.Host, j stage.Job) (*End, error) {
 	req := jobToWire(j, clock.Now())
 	req.Incarnation = host.Incarnation
 	accepted := &wire.StageAccepted{}
 	if err := s.callWithRetry(ctx, host.Name, methodSubmit, req, req, accepted, submitTimeout); err != nil {
-		s.log.Info("planner does not take jobs", zap.String("peer", host.Name), zap.Error(err))
-		// It may have taken the job all the same.
+		s.log.Info("submitting a job to the planner failed", zap.String("peer", host.Name), zap.Error(err))
+		// The planner may have received the job although the call failed.
 		go s.dropRemote(host.Name, []string{j.ID}, true)
 		if ctx.Err() != nil {
 			return nil, nil
@@ -74,7 +75,7 @@
 		return nil, &plannerLostError{}
 	}
 	if n := accepted.GetIncarnation(); n > 0 {
-		s.log.Info("planner has restarted", logging.Request(j.ID), zap.String("peer", host.Name),
+		s.log.Info("planner has restarted since it was chosen", logging.Request(j.ID), zap.String("peer", host.Name),
 			zap.Uint64("believed", host.Incarnation), zap.Uint64("incarnation", n))
 		return nil, &plannerRestartedError{n}
 	}
@@ -98,8 +99,8 @@
 	}
 }
 
-// refused has a planner give up the results of a job that it has refused, if this
-// daemon knows of any: it keeps them until then.
+// releaseRefused drops a refused job at its planner if this daemon knows of results of
+// the job, since the planner holds those results until then.
 func (s *Service) releaseRefused(host string, outcome *End, known ...[]stage.MadePiece) {
 	if outcome.Refused != nil && len(slices.Concat(known...)) > 0 {
 		go s.dropRemote(host, []string{outcome.Refused.Job}, false)
@@ -112,28 +113,28 @@
 	return s.cfg.Caller.Call(ctx, host, method, req, resp)
 }
 
-// askSurely is ask, and asks again with a request that is answered at once when
-// the host did not answer and turns out to be well.
+// callWithRetry makes a call. If that fails but a probe shows that the host responds, it
+// calls once more, with the request retry, which the host has to answer at once.
 func (s *Service) callWithRetry(ctx context.Context, host, method string, req, retry, resp wireMessage, timeout time.Duration) error {
 	err := s.call(ctx, host, method, req, resp, timeout)
 	if err == nil || ctx.Err() != nil || !s.isResponsive(host) {
 		return err
 	}
-	s.log.Info("planner asked again", zap.String("peer", host), zap.String("method", method), zap.NamedError("before", err))
+	s.log.Info("retrying a call to the planner", zap.String("peer", host), zap.String("method", method), zap.NamedError("before", err))
 	return s.call(ctx, host, method, retry, resp, retryTimeout)
 }
 
 const (
-	// confirmEvery is the pause between two tries to reach a host: another dial
-	// to it may be under way, whose session is then taken.
+	// probeInterval is the pause between two probes of a host. Another dial to the host
+	// may be in progress, and the next probe can then use its session.
 	probeInterval = 10 * time.Millisecond
-	// confirmTry bounds one try, so that a session that goes silent meanwhile
-	// costs one of them.
+	// probeTimeout limits one probe, so that a session that breaks meanwhile delays the
+	// check by one probe only.
 	probeTimeout = 60 * time.Millisecond
 )
 
-// answers says whether a host that did not answer a call answers one that asks
-// for nothing. All calls that failed together wait for the same question.
+// isResponsive probes a host that did not answer a call, and returns whether it answers.
+// Concurrent failed calls share one check.
 func (s *Service) isResponsive(host string) bool {
 	_, err, _ := s.probes.Do(host, func() (any, error) {
 		ctx, cancel := clock.WithTimeout(context.Background(), retryTimeout)
@@ -148,25 +149,27 @@
 	return err == nil
 }
 
-// greet asks a host for nothing: whether it answers is the question.
+// probe polls a host for no jobs, to see whether it answers.
 func (s *Service) probe(ctx context.Context, host string, timeout time.Duration) error {
 	return s.call(ctx, host, methodPoll, &wire.StagePoll{}, &wire.StagePolled{}, timeout)
 }
 
-// ended says, of the error of a call, whether the process there is known to have
-// ended, and all that it knew with it: its kernel refuses connections.
+// connectionRefused returns whether a call failed because the host refused the
+// connection. The planner process there has then exited and lost all its state, so that
+// further probes are of no use.
 func connectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// dropThere gives jobs up at another planner; moved says that their results
-// stay, as another goes on with them.
-func (s *Service) dropRemote(host string, ids []string, moved bool) {
-	err := s.call(context.Background(), host, methodDrop, &wire.StageDrop{Jobs: ids, Moved: moved}, &wire.StageDropped{}, dropTimeout)
+// dropRemote drops jobs at another planner. handedOver is set if a further planner
+// continues with them, so that their reported results have to be kept.
+func (s *Service) dropRemote(host string, ids []string, handedOver bool) {
+	err := s.call(context.Background(), host, methodDrop, &wire.StageDrop{Jobs: ids, Moved: handedOver}, &wire.StageDropped{}, dropTimeout)
 	if err != nil {
-		s.log.Debug("jobs not given up", zap.String("peer", host), zap.Int("jobs", len(ids)), zap.Error(err))
+		s.log.Debug("dropping jobs at the planner failed", zap.String("peer", host), zap.Int("jobs", len(ids)), zap.Error(err))
 	}
 }
 
-// wait registers a job and has its planner polled.
+// addWaiter registers a job that waits at a planner and starts polling the planner if
+// nothing polls it yet.
 func (s *Service) addWaiter(host, id string) *waiter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,11 +195,11 @@
 	}
 }
 
-// poll polls a planner while jobs wait there, and tells it which of its answers has
-// come: it then gives up what has been read.
+// pollRemote polls a planner while jobs wait there. Each poll acknowledges the last
+// numbered answer, after which the planner releases results that have been read.
 func (s *Service) pollRemote(host string) {
 	var received uint64
-	ackDue := false // the planner waits for that
+	ackDue := false // the planner waits for the acknowledgement
 	for {
 		ids := s.waitingJobs(host)
 		if len(ids) == 0 {
@@ -222,17 +225,17 @@
 	}
 }
 
-// acknowledge tells a planner at which no job waits any more which of its answers has
-// come.
+// acknowledge acknowledges the last answer of a planner at which no job waits any more.
 func (s *Service) acknowledge(host string, received uint64) {
 	req := &wire.StagePoll{Heard: received}
 	if err := s.call(context.Background(), host, methodPoll, req, &wire.StagePolled{}, retryTimeout); err != nil {
-		s.log.Debug("answer not acknowledged", zap.String("peer", host), zap.Error(err))
+		s.log.Debug("acknowledging an answer of the planner failed", zap.String("peer", host), zap.Error(err))
 	}
 }
 
-// take takes the answer of a planner and says whether that one may wait for the word
-// that it has come: it does so where results of a job that has ended were told of before.
+// handleAnswer processes the answer of a planner. ackDue is set if the planner may wait
+// for its acknowledgement, which is so if the answer ends a job of which results had been
+// reported before.
 func (s *Service) handleAnswer(host string, answer *wire.StagePolled) (ackDue bool) {
 	s.recordProgress(host, answer.GetProgress())
 	for _, e := range answer.GetEnds() {
@@ -242,8 +245,8 @@
 	return ackDue && answer.GetNumber() > 0
 }
 
-// note keeps the progress of jobs for a planner that may have to go on with
-// them.
+// recordProgress records the reported pieces of jobs, for another planner that may have to
+// continue with them.
 func (s *Service) recordProgress(host string, progress []*wire.StageProgress) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -254,7 +257,8 @@
 	}
 }
 
-// waitingAt returns the jobs that wait at a host; without any the poller ends.
+// waitingJobs returns the jobs that wait at a host. If there are none, it removes the
+// host's entry, and the caller has to stop polling.
 func (s *Service) waitingJobs(host string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -266,8 +270,9 @@
 	return slices.Collect(maps.Keys(p.waiters))
 }
 
-// deliver hands an end to whoever waits, and says whether that one was told of
-// results before; a result that nobody waits for is given up.
+// deliver passes an outcome to the waiter of a job and returns whether results of the job
+// had been reported to it before. A ready job that nobody waits for is dropped at its
+// planner.
 func (s *Service) deliver(host, id string, outcome *End) (reported bool) {
 	s.mu.Lock()
 	p := s.remotePlanners[host]
@@ -285,17 +290,17 @@
 	return false
 }
 
-// lose tells that jobs have no planner any more.
+// failJobs tells the waiters of jobs that the planner no longer has them.
 func (s *Service) failJobs(host string, ids []string) {
 	for _, id := range ids {
 		s.deliver(host, id, nil)
 	}
 }
 
-// errNotReady says that this daemon cannot plan yet.
+// errNotReady reports that this daemon cannot plan yet.
 var errNotReady = errors.New("stages: no configuration yet")
 
-// handle registers the methods.
+// registerHandlers registers the peer methods.
 func (s *Service) registerHandlers(mux *peer.Mux) {
 	peer.Handle(mux, methodSubmit, func(_ context.Context, from peer.Sender, req *wire.StageJob) (*wire.StageAccepted, error) {
 		if believed := req.GetIncarnation(); believed > 0 && believed < s.cfg.Incarnation {
--- a/stages/send_test.go
+++ b/stages/send_test.go
@@ -13,7 +13,7 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// counting counts the calls that are made.
+// countingReplicas count the calls for pieces.
 type countingReplicas struct{ calls int }
 
 func (c *countingReplicas) RunPieces(context.Context, stage.Run) ([]stage.Result, stage.CallOutcome, error) {
@@ -25,8 +25,9 @@
 	return stage.Room{}, nil
 }
 
-// Guards against calls that were chosen before their replica said that it takes nothing, and
-// are sent after it: a call waits for results that are being given up.
+// Guards against sending a call to a replica that has announced, after the call was
+// dispatched, that it accepts no calls. There is time for that because a call first waits
+// for pending releases of results.
 func TestCallToReplicaThatClosedSinceDispatchIsNotSent(t *testing.T) {
 	g := NewWithT(t)
 	replicas, gates := &countingReplicas{}, intake.NewGates()
@@ -43,6 +44,6 @@
 	g.Expect(send()).To(Equal(stage.CallNotExecuted))
 	gates.SetParts(intake.Resting, nil)
 	gates.SetParts(intake.Named, map[string]intake.Part{"r": {Window: time.Hour}})
-	g.Expect(send()).To(Equal(stage.CallAnswered), "a call of this host's part, which it was chosen by")
+	g.Expect(send()).To(Equal(stage.CallAnswered), "the replica accepts this host's share of calls, and dispatch has accounted for the call")
 	g.Expect(replicas.calls).To(Equal(2))
 }
--- a/stages/service.go
+++ b/stages/service.go
@@ -18,21 +18,21 @@
 	"github.com/wheatseam/wheatseam/peer"
 )
 
-// Members is what is known of the fleet.
+// Members gives access to the hosts of the fleet.
 type Members interface {
 	// Reachable returns the hosts that may be called, this one included.
 	Reachable() []fleet.Host
-	// Formed is closed once Reachable can be counted on, within a second of the
-	// start of this host.
+	// Formed returns a channel that is closed once Reachable is reliable, within one
+	// second of the start of this host.
 	Formed() <-chan struct{}
-	// Restarted tells the start of a host's process, in Unix milliseconds, that
-	// the host itself has said.
+	// Restarted records a newer incarnation of a host, the start of its process in Unix
+	// milliseconds, as reported by the host itself.
 	Restarted(host string, incarnation uint64)
 }
 
-// Config is what a Service needs.
+// Config holds the settings and dependencies of a Service.
 type Config struct {
-	// Self is this host's name among its fellows.
+	// Self is the name of this host in the fleet.
 	Self string
 	// Incarnation is the start of this process in Unix milliseconds.
 	Incarnation uint64
@@ -40,29 +40,30 @@
 	Replicas    Replicas
 	Members     Members
 	Caller      peer.Caller
-	// Mux takes the methods that fellows may call.
+	// Mux is where New registers the methods that peers call.
 	Mux    *peer.Mux
 	Logger *zap.Logger
 }
 
-// Service has stages made, by whichever daemon plans. All methods are safe for
-// concurrent use.
+// Service has the stages of jobs run by the daemon that plans for the fleet. All methods
+// are safe for concurrent use.
 type Service struct {
 	cfg     Config
 	log     *zap.Logger
 	planner *planner
 
-	avoided fleet.Avoided // planners that failed
-	// confirming asks each host that did not answer once for all.
+	avoided fleet.Avoided // planners that failed recently
+	// probes makes concurrent failed calls to a host share one check of the host.
 	probes singleflight.Group
 
 	mu             sync.Mutex
-	remotePlanners map[string]*remotePlanner // planners that jobs of ours wait at
-	plannerOf      map[string]string         // jobs to the host that plans them
-	chosen         string                    // the planner that was last chosen
+	remotePlanners map[string]*remotePlanner // planners at which jobs of this daemon wait, by host
+	plannerOf      map[string]string         // by ready job, the host that planned it
+	chosen         string                    // the planner chosen last
 }
 
-// New returns a service that has not started and registers its methods.
+// New returns a Service that is not running yet and registers its peer methods with
+// cfg.Mux.
 func New(cfg Config) *Service {
 	s := &Service{
 		cfg: cfg, log: cfg.Logger,
@@ -73,25 +74,24 @@
 	return s
 }
 
-// Run plans until ctx ends.
+// Run runs the planner of this daemon until ctx ends.
 func (s *Service) Run(ctx context.Context) { s.planner.run(ctx) }
 
-// Configure passes the services and replicas in force on.
+// Configure replaces the services that run stages and their replicas.
 func (s *Service) Configure(services map[string]*catalog.Service, replicas []catalog.Replica) {
 	s.planner.configure(services, replicas)
 }
 
-// maxPlanners bounds the planners that one job is handed to, the daemon's own
-// at last.
+// maxPlanners limits the number of planners to which one job is submitted; the last one is
+// the daemon's own.
 const maxPlanners = 3
 
-// Prepare has the stages of a job made. After a Ready end the caller owes a
-// Release. When ctx ends first the job is given up and nil is returned. When
-// the planner is lost, the next one goes on with what is known to be made.
+// Prepare has the stages of a job run and returns the outcome. After a Ready outcome the
+// caller must call Release. If ctx ends first, Prepare drops the job and returns nil. If
+// the planner is lost, the next planner continues with the pieces known to be completed.
 //
-// A daemon that has just started waits for its fleet to form: when all start
-// together and each plans for itself, their calls fill the queues of the same
-// replicas.
+// Prepare first waits for the fleet to form: if all daemons start at the same time and
+// each plans for itself, their calls fill the queues of the same replicas.
 func (s *Service) Prepare(ctx context.Context, j stage.Job) *End {
 	select {
 	case <-s.cfg.Members.Formed():
@@ -110,7 +110,7 @@
 		case err == nil:
 			return outcome
 		case errors.As(err, &restarted):
-			// Its rank changes with that, so that it is not asked the same again.
+			// This changes the rank of the host, so that the loop does not repeat the same call.
 			s.cfg.Members.Restarted(host.Name, restarted.incarnation)
 			continue
 		case errors.As(err, &lost):
@@ -124,24 +124,26 @@
 	}
 }
 
-// notReadyRetry is told when this daemon knows no services yet.
+// notReadyRetryAfter is the retry delay reported while this daemon has no configuration.
 const notReadyRetryAfter = 500 * time.Millisecond
 
-// lostError says that a planner brought no end of a job.
+// plannerLostError reports that a planner did not deliver the outcome of a job.
 type plannerLostError struct {
-	// made is what it is known to have made of the job.
+	// completed are the pieces of the job that the planner reported.
 	completed []stage.MadePiece
 }
 
 func (e *plannerLostError) Error() string { return "stages: planner lost" }
 
-// restartedError says that a host has started anew since it was last heard of.
+// plannerRestartedError reports that a host has restarted since this daemon learned its
+// incarnation.
 type plannerRestartedError struct{ incarnation uint64 }
 
 func (e *plannerRestartedError) Error() string { return "stages: planner restarted" }
 
-// merge adds what a later planner made to what earlier ones had made. Of a piece
-// that was made again, since its result was gone, the last result counts.
+// mergeCompleted adds the pieces completed by a later planner to those completed by
+// earlier ones. If a piece was run again because its result was gone, the last result is
+// used.
 func mergeCompleted(earlier, later []stage.MadePiece) []stage.MadePiece {
 	type key struct{ stage, index int }
 	positions := make(map[key]int, len(earlier)+len(later))
@@ -158,8 +160,8 @@
 	return out
 }
 
-// prepareAt hands a job to one planner. A nil end without an error says that
-// ctx ended first.
+// prepareAt submits a job to one planner and waits for the outcome. A nil outcome without
+// an error means that ctx ended first.
 func (s *Service) prepareAt(ctx context.Context, host fleet.Host, j stage.Job) (outcome *End, err error) {
 	if host.Name == s.cfg.Self {
 		outcome, err = s.prepareLocal(ctx, j)
@@ -174,7 +176,7 @@
 	return outcome, err
 }
 
-// prepareHere plans a job in this daemon.
+// prepareLocal plans a job in this daemon.
 func (s *Service) prepareLocal(ctx context.Context, j stage.Job) (*End, error) {
 	outcome, ok := s.planner.submit("", j)
 	if !ok {
@@ -190,7 +192,7 @@
 	return nil, nil
 }
 
-// Release gives the results of a ready job up.
+// Release releases the results of a ready job.
 func (s *Service) Release(id string) {
 	s.mu.Lock()
 	host := s.plannerOf[id]
@@ -205,13 +207,13 @@
 	}
 }
 
-// avoidFor is how long a planner that failed is avoided. No job comes back to it before
-// it has dropped it (orphanAfter): it would go on with results that another planner may
-// have given up.
+// avoidDuration is how long a planner that failed is avoided. It is longer than
+// orphanTimeout, so that a job returns to a planner only after that planner has dropped
+// it: else the planner would continue with results that another planner may have released.
 const avoidDuration = 2 * time.Second
 
-// choose returns the host that plans: of those that may be called and did not
-// fail a moment ago, the first in rank.
+// choosePlanner returns the host that plans: the first in rank order of the reachable hosts
+// that did not fail recently, or this host if there is none.
 func (s *Service) choosePlanner(now time.Time) fleet.Host {
 	chosen := fleet.Host{Host: member.Host{Name: s.cfg.Self}}
 	if best := s.firstRanked(now); best != nil {
@@ -227,14 +229,14 @@
 	return chosen
 }
 
-// Plans says whether this host is the one that plans, as far as it knows.
+// Plans returns whether, in this host's view, it is the one that plans.
 func (s *Service) Plans() bool {
 	first := s.firstRanked(clock.Now())
 	return first != nil && first.Name == s.cfg.Self
 }
 
-// first returns the first in rank of the hosts that may be called and did not fail a
-// moment ago; nil if there is none.
+// firstRanked returns the first in rank order of the reachable hosts that did not fail
+// recently, or nil if there is none.
 func (s *Service) firstRanked(now time.Time) *fleet.Host {
 	var best *fleet.Host
 	for _, h := range s.cfg.Members.Reachable() {
@@ -245,17 +247,17 @@
 	return best
 }
 
-// Dump is the state of a Service for operators.
+// Dump is the state of a Service shown to operators.
 type Dump struct {
 	Chosen  string   `json:"chosen"`
 	Avoided []string `json:"avoided"`
-	// Planned is the number of jobs planned here, Placed that of ready jobs of
-	// this daemon.
+	// Planned is the number of jobs planned here, Placed the number of ready jobs of
+	// this daemon that have not been released.
 	Planned int `json:"planned"`
 	Placed  int `json:"placed"`
 }
 
-// Dump returns the state.
+// Dump returns the state shown to operators.
 func (s *Service) Dump() Dump {
 	s.mu.Lock()
 	d := Dump{Chosen: s.chosen, Placed: len(s.plannerOf), Avoided: s.avoided.Names()}
--- a/stages/stages_test.go
+++ b/stages/stages_test.go
@@ -29,27 +29,27 @@
 	RunSpecs(t, "stages")
 }
 
-// replicas make pieces at once and remember who asked for them.
+// replicas run pieces in the time work and count them by the planner that called.
 type replicas struct {
 	mu   sync.Mutex
 	work time.Duration
-	// slow is a service whose calls take slowWork.
+	// slowService is a service whose calls take slowWork.
 	slowService string
-	piecesBy    map[string]int // pieces made for each planner
+	piecesBy    map[string]int // completed pieces by planner
 	results     map[string]string
 	violations  []string
 	made        int
-	// dead planners free nothing any more.
+	// stopped are planners whose releases are ignored.
 	stopped map[string]bool
-	// freeTime is what giving results up takes, heldAtCall the results held when
-	// each call for pieces came.
+	// releaseTime is the duration of a release. resultsAtCall has, for each call for
+	// pieces, the number of results held when it arrived.
 	releaseTime   time.Duration
 	resultsAtCall []int
 }
 
 const slowWork = 900 * time.Millisecond
 
-// asked is one planner's way to the replicas.
+// replicaClient is the client through which one planner calls the replicas.
 type replicaClient struct {
 	*replicas
 	planner string
@@ -62,7 +62,7 @@
 	if a.Service == r.slowService {
 		work = slowWork
 	}
-	// A replica fetches the inputs before it works.
+	// A replica fetches the inputs before it runs the pieces.
 	missing := make([]bool, len(a.Pieces))
 	for i, p := range a.Pieces {
 		missing[i] = r.inputMissing(p)
@@ -92,8 +92,8 @@
 	return out, stage.CallAnswered, nil
 }
 
-// gone says whether an input of a piece no longer exists, and notes inputs of
-// other jobs.
+// inputMissing returns whether an input of a piece no longer exists, and records a
+// violation for inputs that belong to other jobs.
 func (r *replicas) inputMissing(p stage.Piece) bool {
 	for _, in := range p.Inputs {
 		owner, held := r.results[in]
@@ -101,7 +101,7 @@
 			return true
 		}
 		if owner != p.Job {
-			r.violations = append(r.violations, fmt.Sprintf("%s was given %s of %q", p.Job, in, owner))
+			r.violations = append(r.violations, fmt.Sprintf("%s was given input %s of job %q", p.Job, in, owner))
 		}
 	}
 	return false
@@ -116,14 +116,14 @@
 	}
 	for _, h := range a.Handles {
 		if _, ok := r.results[h]; !ok {
-			r.violations = append(r.violations, "freed twice: "+h)
+			r.violations = append(r.violations, "released twice: "+h)
 		}
 		delete(r.results, h)
 	}
 	return nil
 }
 
-// Room implements stages.Replicas: these replicas have room for all.
+// Room implements stages.Replicas: these replicas never run out of memory.
 func (r replicaClient) Room(context.Context, stage.Inspect) (stage.Room, error) {
 	return stage.Room{Least: 1 << 40, Most: 1 << 40}, nil
 }
@@ -146,17 +146,17 @@
 	return r.piecesBy[planner]
 }
 
-// members are the hosts that a daemon believes in; ranks follow their order.
+// members are the reachable hosts in the view of all daemons, in rank order.
 type members struct {
 	names atomic.Pointer[[]string]
-	// forming is closed when the fleet has formed; nil when it has long.
+	// forming is closed when the fleet has formed; nil if it has formed before the test.
 	forming chan struct{}
-	// starts are the incarnations that hosts have said.
+	// incarnations are the incarnations that hosts have reported.
 	mu           sync.Mutex
 	incarnations map[string]uint64
 }
 
-// formed is closed: the fleet is known.
+// closedChannel stands for a fleet that has formed.
 var closedChannel = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
 
 func (m *members) Formed() <-chan struct{} {
@@ -203,8 +203,8 @@
 	relay     *faultrelay.Relay
 }
 
-// newNodes starts daemons that call each other over sessions, each through a
-// relay that can cut and silence it.
+// newNodes starts daemons that call each other over peer sessions, each through a relay
+// that can close or block its connections.
 func newNodes(r *replicas, n int) ([]*node, *members) { return newNodesOf(r, make([]uint64, n)) }
 
 // newNodesOf starts a daemon for each incarnation given.
@@ -276,7 +276,7 @@
 	}
 }
 
-// prepare has a job made and fails the test without results.
+// prepare has a job run and fails the test unless it becomes ready.
 func prepare(n *node, id string) stage.Ready {
 	GinkgoHelper()
 	end := n.service.Prepare(context.Background(), job(id))
@@ -286,8 +286,8 @@
 	return end.Ready
 }
 
-var _ = Describe("planning together", func() {
-	It("has one daemon plan for all, and frees every result in the end", func() {
+var _ = Describe("planning in a fleet", func() {
+	It("uses one planner for all daemons and releases every result", func() {
 		r := newReplicas()
 		nodes, _ := newNodes(r, 3)
 		var wg sync.WaitGroup
@@ -305,7 +305,7 @@
 		Expect(r.violations).To(BeEmpty())
 	})
 
-	DescribeTable("hands the jobs of a lost planner to the next", func(lose func(n *node)) {
+	DescribeTable("hands the jobs over to the next planner when the first one", func(lose func(n *node)) {
 		r := newReplicas()
 		r.work = 300 * time.Millisecond
 		nodes, _ := newNodes(r, 3)
@@ -320,17 +320,17 @@
 		lose(nodes[0])
 		Eventually(done, "4s").Should(Receive())
 		Expect(time.Since(began)).To(BeNumerically("<", 2500*time.Millisecond))
-		Expect(r.piecesMadeBy(nodes[1].name)).To(BeNumerically(">", 0), "the next in rank plans")
+		Expect(r.piecesMadeBy(nodes[1].name)).To(BeNumerically(">", 0), "the next host in rank order plans")
 		Expect(r.violations).To(BeEmpty())
 	},
-		Entry("that has died", func(n *node) { _ = n.transport.Close(); _ = n.relay.Close() }),
-		Entry("that is cut off", func(n *node) { n.relay.Set(faultrelay.Conditions{Cut: true}) }),
-		Entry("that stands still", func(n *node) {
+		Entry("exits", func(n *node) { _ = n.transport.Close(); _ = n.relay.Close() }),
+		Entry("refuses connections", func(n *node) { n.relay.Set(faultrelay.Conditions{Cut: true}) }),
+		Entry("does not respond", func(n *node) {
 			n.relay.Set(faultrelay.Conditions{ToTarget: faultrelay.Direction{Blackhole: true}, ToCaller: faultrelay.Direction{Blackhole: true}})
 		}),
 	)
 
-	It("keeps the planner when only its connections have gone silent", func() {
+	It("keeps the planner when only its connections stop responding", func() {
 		r := newReplicas()
 		r.work = 300 * time.Millisecond
 		nodes, _ := newNodes(r, 3)
@@ -343,13 +343,13 @@
 		time.Sleep(100 * time.Millisecond)
 		Expect(nodes[0].relay.Silence()).To(BeNumerically(">", 0))
 		Eventually(done, "4s").Should(Receive())
-		Expect(nodes[0].relay.Silence()).To(BeNumerically(">", 0), "and once more with no job under way")
+		Expect(nodes[0].relay.Silence()).To(BeNumerically(">", 0), "again, with no job in progress")
 		prepare(nodes[2], "after")
-		Expect(r.piecesMadeBy(nodes[1].name)+r.piecesMadeBy(nodes[2].name)).To(BeZero(), "nobody else has planned")
+		Expect(r.piecesMadeBy(nodes[1].name)+r.piecesMadeBy(nodes[2].name)).To(BeZero(), "no other host has planned")
 		Expect(r.violations).To(BeEmpty())
 	})
 
-	It("goes on with what the lost planner had made", func() {
+	It("continues with the pieces that a lost planner had reported", func() {
 		r := newReplicas()
 		r.slowService = "b"
 		nodes, _ := newNodes(r, 3)
@@ -358,7 +358,7 @@
 			defer GinkgoRecover()
 			done <- prepare(nodes[2], "under-way")
 		}()
-		time.Sleep(500 * time.Millisecond) // the first stage is made, and a poll has told so
+		time.Sleep(500 * time.Millisecond) // by then the first stage is completed and a poll has reported it
 		r.stopReleasesOf(nodes[0].name)
 		_ = nodes[0].transport.Close()
 		_ = nodes[0].relay.Close()
@@ -367,7 +367,7 @@
 		Expect(r.violations).To(BeEmpty())
 	})
 
-	It("makes no call that could overtake results being given up at the same replica", func() {
+	It("makes no call that could overtake a release of results at the same replica", func() {
 		r := newReplicas()
 		r.releaseTime = 30 * time.Millisecond
 		nodes, _ := newNodes(r, 1)
@@ -382,7 +382,7 @@
 		Expect(r.resultsAtCall).To(Equal([]int{0, 0}))
 	})
 
-	It("does not take a host that has restarted for the oldest", func() {
+	It("does not rank a restarted host by its previous incarnation", func() {
 		r := newReplicas()
 		nodes, m := newNodesOf(r, []uint64{100, 2, 3})
 		prepare(nodes[2], "one")
@@ -391,7 +391,7 @@
 		Expect(r.piecesMadeBy(nodes[1].name)).To(Equal(5))
 	})
 
-	It("plans alone when nobody can be reached", func() {
+	It("plans locally when no other host can be reached", func() {
 		r := newReplicas()
 		nodes, m := newNodes(r, 1)
 		m.names.Store(&[]string{address(), address(), nodes[0].name})
@@ -401,7 +401,7 @@
 		Expect(r.piecesMadeBy(nodes[0].name)).To(Equal(5))
 	})
 
-	It("drops the jobs of a daemon that has fallen silent, and what was made for them", func() {
+	It("drops the jobs and releases the results of a daemon that stops responding", func() {
 		r := newReplicas()
 		r.work = 500 * time.Millisecond
 		nodes, _ := newNodes(r, 2)
@@ -416,7 +416,7 @@
 		Eventually(r.resultCount, "3s").Should(BeZero())
 	})
 
-	It("plans nothing while the fleet forms, then where the fleet plans", func() {
+	It("waits for the fleet to form, then uses the planner of the fleet", func() {
 		r := newReplicas()
 		nodes, m := newNodes(r, 2)
 		all := *m.names.Load()
@@ -437,7 +437,7 @@
 		Eventually(r.resultCount, "2s").Should(BeZero())
 	})
 
-	It("gives a job up with its request, and makes no further call for it", func() {
+	It("drops a job when its context ends, and makes no further call for it", func() {
 		r := newReplicas()
 		r.work = 100 * time.Millisecond
 		nodes, _ := newNodes(r, 2)
@@ -447,10 +447,10 @@
 		Expect(errors.Is(ctx.Err(), context.DeadlineExceeded)).To(BeTrue())
 		Eventually(r.resultCount, "1s").Should(BeZero())
 		time.Sleep(200 * time.Millisecond)
-		Expect(r.piecesMadeBy(nodes[0].name)).To(BeNumerically("<=", 2), "the second stage is not made")
+		Expect(r.piecesMadeBy(nodes[0].name)).To(BeNumerically("<=", 2), "the second stage is not run")
 	})
 
-	It("hears refusals of the planner", func() {
+	It("returns refusals of the planner", func() {
 		r := newReplicas()
 		nodes, _ := newNodes(r, 2)
 		j := job("late")
@@ -461,7 +461,7 @@
 		Expect(end.Refused.RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	It("refuses while no services are known", func() {
+	It("refuses jobs before the first configuration", func() {
 		mux := peer.NewMux()
 		m := &members{}
 		m.names.Store(&[]string{"self"})
--- a/stages/moved_test.go
+++ b/stages/transfer_test.go
@@ -22,8 +22,8 @@
 	"github.com/wheatseam/wheatseam/stages"
 )
 
-var _ = Describe("a planner that cannot be reached for a while", func() {
-	It("leaves results alone that another planner goes on with, once it can be reached again", func() {
+var _ = Describe("a planner that is unreachable for a while", func() {
+	It("does not release results that another planner continues with", func() {
 		r := newReplicas()
 		nodes, _ := newNodes(r, 3)
 		silent := faultrelay.Direction{Blackhole: true}
@@ -42,31 +42,32 @@
 			})
 		}
 		jobs.Wait()
-		time.Sleep(2500 * time.Millisecond) // by then the first planner has given up what it was not told of
+		time.Sleep(2500 * time.Millisecond) // by then the first planner has dropped the jobs that their owner no longer names
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		Expect(r.violations).To(BeEmpty())
 	})
 })
 
-// trouble is what happens to the calls between two hosts.
+// fault is a fault that affects the calls between two hosts.
 type fault int
 
 const (
 	noFault fault = iota
-	// requestsLost and answersLost calls hear nothing; the latter were carried out.
+	// With dropRequests and dropReplies the caller gets no answer; with dropReplies the
+	// call was executed.
 	dropRequests
 	dropReplies
-	// cutBefore and cutAfter calls fail at once; the latter were carried out.
+	// With failBefore and failAfter a call fails at once; with failAfter it was executed.
 	failBefore
 	failAfter
-	// still hosts answer nothing, and what they do is done when they go on.
+	// A suspended host answers nothing; it executes what is due when it resumes.
 	suspended
 	faultCount
 )
 
-// spell is a time of trouble for one host; from is the only host whose calls have
-// it, or empty for all.
+// faultPeriod is a period in which one host has a fault. from is the only host whose calls
+// are affected, or empty if all are.
 type faultPeriod struct {
 	host, from string
 	fault      fault
@@ -74,17 +75,18 @@
 	ends       time.Time
 }
 
-// wires are the ways between hosts, and from hosts to replicas, without a network.
+// fakeNetwork carries the calls between hosts, and from hosts to replicas, in memory.
 type fakeNetwork struct {
 	muxes  map[string]*peer.Mux
 	faults []faultPeriod
-	// calling counts the calls to replicas that have not ended.
+	// runningCalls counts the calls to replicas that are in progress.
 	runningCalls atomic.Int32
-	// places has the calls that a replica works on, one at a time, where it is set.
+	// slots, if set, limits each replica to executing one call at a time.
 	slots map[string]chan struct{}
 }
 
-// queue has a call wait for its turn at a replica, and says whether it came.
+// acquire waits for the slot of a replica and returns whether the call got it before ctx
+// ended.
 func (w *fakeNetwork) acquire(ctx context.Context, replica string) bool {
 	if w.slots == nil {
 		return true
@@ -97,14 +99,14 @@
 	}
 }
 
-// leave ends a call's turn at a replica.
+// release frees the slot of a replica.
 func (w *fakeNetwork) release(replica string) {
 	if w.slots != nil {
 		<-w.slots[replica]
 	}
 }
 
-// trouble returns that of a call between two hosts now, and when it ends.
+// faultOf returns the current fault of calls between two hosts, and when it ends.
 func (w *fakeNetwork) faultOf(from, to string) (fault, time.Time) {
 	now := time.Now()
 	for _, s := range w.faults {
@@ -116,13 +118,13 @@
 	return noFault, now
 }
 
-// wire is one host's way to the others.
+// fakeCaller is the peer.Caller of one host.
 type fakeCaller struct {
 	*fakeNetwork
 	self string
 }
 
-var errConnectionCut = errors.New("cut")
+var errConnectionCut = errors.New("connection cut")
 
 const oneWayDelay = time.Millisecond
 
@@ -139,7 +141,7 @@
 		select {
 		case <-time.After(time.Until(ends)):
 		case <-ctx.Done():
-			// A host that goes on reads what came meanwhile.
+			// A host that resumes reads the requests that arrived meanwhile.
 			go func() {
 				time.Sleep(time.Until(ends))
 				_ = peer.CallLocal(context.Background(), w.muxes[host], w.self, method, req, proto.Clone(resp))
@@ -161,7 +163,8 @@
 	return ctx.Err()
 }
 
-// reached is one planner's way to replicas: while its host stands still it calls none.
+// networkedReplicas is the replica client of one planner, which makes no calls while its
+// host is suspended.
 type networkedReplicas struct {
 	replicaClient
 	network *fakeNetwork
@@ -185,7 +188,7 @@
 	if !r.network.acquire(ctx, a.Replica) {
 		return nil, stage.CallFailed, ctx.Err()
 	}
-	// A replica goes on with a call that it works on, whoever listens.
+	// A replica completes a call that it is executing even if the caller has cancelled it.
 	time.Sleep(r.work())
 	results, outcome, err := r.replicaClient.RunPieces(context.WithoutCancel(ctx), a)
 	r.network.release(a.Replica)
@@ -201,7 +204,7 @@
 	return r.replicaClient.FreeResults(ctx, a)
 }
 
-// wired is a fleet before the same replicas.
+// fakeFleet is a fleet of hosts that share the same replicas.
 type fakeFleet struct {
 	*fakeNetwork
 	replicas *replicas
@@ -209,8 +212,8 @@
 	services map[string]*stages.Service
 }
 
-// newWired starts hosts, the first in rank first. Each call for pieces takes work.
-// The fleet ends with the test.
+// newFakeFleet starts hosts in rank order. Each call for pieces takes the time that work
+// returns. The fleet stops at the end of the test.
 func newFakeFleet(t *testing.T, hosts int, work func() time.Duration, faults ...faultPeriod) *fakeFleet {
 	f := &fakeFleet{
 		fakeNetwork: &fakeNetwork{muxes: map[string]*peer.Mux{}, faults: faults},
@@ -238,14 +241,14 @@
 	return f
 }
 
-// await waits until no call to a replica is under way.
+// awaitCalls waits until no call to a replica is in progress.
 func (f *fakeFleet) awaitCalls() {
 	for f.runningCalls.Load() > 0 {
 		time.Sleep(settleTime)
 	}
 }
 
-// planned is the number of jobs that hosts still plan.
+// planned returns the number of jobs that all hosts still plan.
 func (f *fakeFleet) planned() int {
 	n := 0
 	for _, s := range f.services {
@@ -254,7 +257,8 @@
 	return n
 }
 
-// chain is a job of three stages, each read by the next.
+// chainedJob returns a job of three stages, each of which reads the results of the previous
+// one.
 func chainedJob(id string, due time.Duration) stage.Job {
 	now := time.Now()
 	return stage.Job{
@@ -265,8 +269,9 @@
 	}
 }
 
-// TestMovedJobs plays short days on which hosts lose each other in every way, and
-// holds their planners to giving no result up twice, and every job in the end.
+// TestJobsTransferredUnderFaults runs random loads with random faults between hosts. It
+// guards against planners that release a result twice, use a result of another job or never
+// drop a job.
 func TestJobsTransferredUnderFaults(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -317,7 +322,7 @@
 		})
 	}
 	preparing.Wait()
-	time.Sleep(30 * time.Second) // jobs of which no word came are given up by then
+	time.Sleep(30 * time.Second) // by then planners have dropped the jobs that their owners no longer name
 	f.replicas.mu.Lock()
 	defer f.replicas.mu.Unlock()
 	g.Expect(f.replicas.violations).To(BeEmpty())
@@ -325,12 +330,12 @@
 	g.Expect(ready).To(BeNumerically(">", 0))
 }
 
-// soon is a few messages, and the time for which results are kept back so that one call
-// gives many up; a poll is held for longer.
+// settleTime is long enough for a few messages and the delay before a release of results,
+// but shorter than the time for which a planner holds a poll.
 const settleTime = 150 * time.Millisecond
 
-// TestReadResults holds planners to giving results up soon after they have been read,
-// also those that the job's owner was told of meanwhile.
+// TestReadResultsAreReleasedPromptly guards against results that stay at a replica after
+// they have been read, in particular results that were reported to the job's owner.
 func TestReadResultsAreReleasedPromptly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -351,12 +356,13 @@
 	})
 }
 
-// TestResultsOfLapsedCalls holds planners to giving up what calls bring that are too
-// late to be counted on, once a job's results are there: such calls make them all anew.
+// TestResultsOfTimedOutCallsAreReleased guards against leaking the results of timed-out
+// calls that are answered after the job is ready. Pieces of timed-out calls run again, so
+// that their results exist twice.
 func TestResultsOfTimedOutCallsAreReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		const work = 2500 * time.Millisecond // several times that after which a call lapses
+		const work = 2500 * time.Millisecond // several times the timeout of a call
 		f := newFakeFleet(t, 2, func() time.Duration { return work })
 		f.slots = map[string]chan struct{}{}
 		for _, r := range listedReplicas() {
@@ -369,7 +375,7 @@
 		owner.Release("job")
 		f.awaitCalls()
 		time.Sleep(settleTime)
-		g.Expect(f.replicas.made).To(BeNumerically(">", 7), "some of its seven pieces were made anew")
+		g.Expect(f.replicas.made).To(BeNumerically(">", 7), "some of its seven pieces ran again")
 		g.Expect(f.replicas.resultCount()).To(BeZero())
 	})
 }
