--- a/stages/transfer_test.go
+++ b/stages/handover_test.go
@@ -269,18 +269,18 @@
 	}
 }
 
-// TestJobsTransferredUnderFaults runs random loads with random faults between hosts. It
+// TestJobsHandedOverUnderFaults runs random loads with random faults between hosts. It
 // guards against planners that release a result twice, use a result of another job or never
 // drop a job.
-func TestJobsTransferredUnderFaults(t *testing.T) {
+func TestJobsHandedOverUnderFaults(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { runTransferFaults(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runHandoverFaults(t, seed) })
 		})
 	}
 }
 
-func runTransferFaults(t *testing.T, seed uint64) {
+func runHandoverFaults(t *testing.T, seed uint64) {
 	const hosts, jobs = 4, 60
 	g := NewWithT(t)
 	rng := rand.New(rand.NewPCG(seed, 11))
@@ -375,7 +375,7 @@
 		owner.Release("job")
 		f.awaitCalls()
 		time.Sleep(settleTime)
-		g.Expect(f.replicas.made).To(BeNumerically(">", 7), "some of its seven pieces ran again")
+		g.Expect(f.replicas.completed).To(BeNumerically(">", 7), "some of its seven pieces ran again")
 		g.Expect(f.replicas.resultCount()).To(BeZero())
 	})
 }
--- a/stages/planner_test.go
+++ b/stages/planner_test.go
@@ -76,7 +76,7 @@
 	return nil
 }
 
-func (e *encodingReplicas) made() []string {
+func (e *encodingReplicas) completedHandles() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.handles)
@@ -101,25 +101,25 @@
 			listed = append(listed, catalog.Replica{ID: name, Service: name, Address: "127.0.0.1:1", FailureDomain: "x", Concurrency: 2})
 		}
 		p.configure(services, listed)
-		for _, id := range []string{"told", "untold"} {
-			_, ok := p.submit("fellow", stage.Job{
+		for _, id := range []string{"reported", "unreported"} {
+			_, ok := p.submit("peer", stage.Job{
 				ID: id, Key: "k", Due: clock.Now().Add(time.Hour), Deadline: clock.Now().Add(time.Hour),
 				Stages: []stage.Stage{{Service: "encode", Pieces: 1, ResultBytes: 100}, {Service: "render", After: []int{0}, Pieces: 1}},
 			})
 			Expect(ok).To(BeTrue())
-			Eventually(replicas.made).Should(ContainElement(id + "/0"))
+			Eventually(replicas.completedHandles).Should(ContainElement(id + "/0"))
 		}
 		Eventually(replicas.calls.Load).Should(BeNumerically(">", 0), "the results have been accepted")
 		Eventually(func() int {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return len(p.jobs["told"].unreported) + len(p.jobs["untold"].unreported)
+			return len(p.jobs["reported"].unreported) + len(p.jobs["unreported"].unreported)
 		}).Should(Equal(2))
-		out, _, _ := p.checkJobs("fellow", []string{"told"}, true)
-		Expect(out.completed["told"]).To(HaveLen(1))
+		out, _, _ := p.checkJobs("peer", []string{"reported"}, true)
+		Expect(out.completed["reported"]).To(HaveLen(1))
 		clock.Simulate(2 * orphanTimeout)
 		p.tick()
-		Eventually(replicas.released).Should(Equal([]string{"untold/0"}))
+		Eventually(replicas.released).Should(Equal([]string{"unreported/0"}))
 		Consistently(replicas.released, 2*releaseDelay).Should(HaveLen(1))
 	})
 
@@ -162,28 +162,28 @@
 				Stages: []stage.Stage{{Service: "encode", Pieces: 1, ResultBytes: 100}},
 			}
 		}
-		for from, id := range map[string]string{"": "own", "fellow": "theirs"} {
+		for from, id := range map[string]string{"": "own", "peer": "theirs"} {
 			_, ok := p.submit(from, job(id))
 			Expect(ok).To(BeTrue())
 		}
-		out, _, _ := p.checkJobs("fellow", []string{"theirs"}, true)
+		out, _, _ := p.checkJobs("peer", []string{"theirs"}, true)
 		Expect(out.unknown).To(BeEmpty())
 		clock.Simulate(2 * orphanTimeout)
 		p.tick()
-		out, _, _ = p.checkJobs("fellow", []string{"theirs"}, true)
+		out, _, _ = p.checkJobs("peer", []string{"theirs"}, true)
 		Expect(out.unknown).To(ConsistOf("theirs"))
 		out, _, _ = p.checkJobs("", []string{"own"}, true)
 		Expect(out.unknown).To(BeEmpty())
-		Expect(replicas.releases.Load()).To(BeZero(), "what was made is the next planner's")
+		Expect(replicas.releases.Load()).To(BeZero(), "the results now belong to the next planner")
 
 		By("not treating a period without jobs as a suspension")
 		p.dropJobs("", []string{"own"}, false)
 		clock.Simulate(2 * orphanTimeout)
 		p.tick()
-		_, ok := p.submit("fellow", job("later"))
+		_, ok := p.submit("peer", job("later"))
 		Expect(ok).To(BeTrue())
 		p.tick()
-		out, _, _ = p.checkJobs("fellow", []string{"later"}, true)
+		out, _, _ = p.checkJobs("peer", []string{"later"}, true)
 		Expect(out.unknown).To(BeEmpty())
 	})
 })
--- a/stages/releaser.go
+++ b/stages/releaser.go
@@ -23,7 +23,7 @@
 	send func(stage.Free)
 
 	mu        sync.Mutex
-	byReplica map[string]*replicaReleases // by replica
+	byReplica map[string]*replicaReleases
 }
 
 // replicaReleases are the pending and running releases at one replica.
--- a/stages/stages_test.go
+++ b/stages/stages_test.go
@@ -38,7 +38,7 @@
 	piecesBy    map[string]int // completed pieces by planner
 	results     map[string]string
 	violations  []string
-	made        int
+	completed   int
 	// stopped are planners whose releases are ignored.
 	stopped map[string]bool
 	// releaseTime is the duration of a release. resultsAtCall has, for each call for
@@ -83,9 +83,9 @@
 			out = append(out, stage.Result{Kind: stage.InputGone})
 			continue
 		}
-		r.made++
+		r.completed++
 		r.piecesBy[r.planner]++
-		handle := fmt.Sprint("h", r.made)
+		handle := fmt.Sprint("h", r.completed)
 		r.results[handle] = p.Job
 		out = append(out, stage.Result{Handle: handle})
 	}
@@ -422,16 +422,16 @@
 		all := *m.names.Load()
 		m.forming = make(chan struct{})
 		m.names.Store(&[]string{nodes[1].name})
-		made := make(chan stage.Ready, 1)
+		prepared := make(chan stage.Ready, 1)
 		go func() {
 			defer GinkgoRecover()
-			made <- prepare(nodes[1], "early")
+			prepared <- prepare(nodes[1], "early")
 		}()
-		Consistently(made, "200ms").ShouldNot(Receive())
+		Consistently(prepared, "200ms").ShouldNot(Receive())
 		Expect(r.piecesMadeBy(nodes[1].name)).To(BeZero())
 		m.names.Store(&all)
 		close(m.forming)
-		Eventually(made, "2s").Should(Receive())
+		Eventually(prepared, "2s").Should(Receive())
 		Expect(r.piecesMadeBy(nodes[0].name)).To(Equal(5))
 		nodes[1].service.Release("early")
 		Eventually(r.resultCount, "2s").Should(BeZero())
