--- a/replica/client.go
+++ b/replica/client.go
@@ -1,5 +1,6 @@
-// Package replica is the client of the platform's replicas: requests that are
-// relayed to them, and the calls to those that run stages.
+// Package replica is the HTTP client for the platform's replicas. It sends the
+// requests that the gateway relays, the calls to replicas that run stages, and
+// the calls that query and reserve capacity at engines.
 package replica
 
 import (
@@ -20,30 +21,33 @@
 	"github.com/wheatseam/wheatseam/platform"
 )
 
-// connectTimeout bounds the opening of a connection to a replica. Replicas are
-// at most a region away (20 ms each way); a lost opening packet is sent again
-// only after a second, and another replica is faster than that.
+// connectTimeout bounds the TCP connect to a replica. Replicas are at most one
+// region away (20 ms one-way latency). The kernel retransmits a lost SYN only after
+// a second, so trying another replica is faster.
 const connectTimeout = 300 * time.Millisecond
 
-// keptIdle is how long an idle connection for giving results up is kept:
-// replicas close theirs after a whole number of seconds.
-const keptIdle = 900 * time.Millisecond
+// pooledIdleTimeout is how long the pooled connection for releasing results may
+// stay idle. It is below one second because replicas close idle connections
+// after a whole number of seconds.
+const pooledIdleTimeout = 900 * time.Millisecond
 
-// Client makes calls to replicas. Each call has a connection of its own: bytes
-// that a replica sends after an answer then belong to no other request. Calls
-// that give results up share one, as nothing depends on what their answers say.
-// It is safe for concurrent use.
+// Client makes calls to replicas. Each call opens a connection of its own, so
+// that excess bytes after a response can't be taken for the response to another
+// request. Calls that release results share a pooled connection, since nothing
+// depends on the contents of their responses; free-memory queries use it too.
+// A Client is safe for concurrent use.
 type Client struct {
-	transport, kept *http.Transport
-	heard           func(intake.Answer)
+	singleUse, pooled *http.Transport
+	onResponse        func(intake.Answer)
 }
 
-// NewClient returns a client. heard is told of what replicas say of themselves, with
-// each answer of a replica that was meant; it must not block, and nil is for nobody.
-func NewClient(heard func(intake.Answer)) *Client {
-	c := &Client{transport: newTransport(), kept: newTransport(), heard: heard}
-	c.transport.DisableKeepAlives = true
-	c.kept.MaxIdleConnsPerHost, c.kept.IdleConnTimeout = 1, keptIdle
+// NewClient returns a client. onResponse is called with the replica's own notices
+// for every response that came from the replica the call was addressed to. It must
+// not block, and may be nil.
+func NewClient(onResponse func(intake.Answer)) *Client {
+	c := &Client{singleUse: newTransport(), pooled: newTransport(), onResponse: onResponse}
+	c.singleUse.DisableKeepAlives = true
+	c.pooled.MaxIdleConnsPerHost, c.pooled.IdleConnTimeout = 1, pooledIdleTimeout
 	return c
 }
 
@@ -56,9 +60,10 @@
 	}
 }
 
-// Refused says whether nobody listens at a replica's address: its process has
-// ended. It opens a connection and sends nothing. The error says why that is not
-// known: no answer came.
+// Refused reports whether connections to a replica's address are refused, which
+// means that its process has ended. It opens a connection and sends nothing. It
+// returns an error when the connect fails in any other way and the state of the
+// replica is therefore unknown.
 func (c *Client) Refused(ctx context.Context, address string) (bool, error) {
 	conn, err := (&net.Dialer{Timeout: connectTimeout, KeepAlive: -1}).DialContext(ctx, "tcp", address)
 	switch {
@@ -72,33 +77,34 @@
 
 // Call is one call to a replica.
 type Call struct {
-	// Replica names the start of the replica that is meant.
+	// Replica is the id of the replica's incarnation that the call is addressed to.
 	Replica string
-	// Request is the id of the caller's request that the call passes on; "" for the
-	// other calls.
+	// Request is the id of the caller's request that the call relays; "" for other
+	// calls.
 	Request string
-	// Work says that the call passes a request on, or asks for pieces.
+	// Work is set for calls that relay a request or run pieces.
 	Work   bool
 	Method string
 	// Address is the replica's ip:port.
 	Address string
-	// Target is the path and query exactly as they are sent.
+	// Target is the path and query, sent unchanged.
 	Target string
-	// Host is the Host header.
+	// Host is the value of the Host header.
 	Host   string
 	Header http.Header
 	Body   []byte
 }
 
-// Response is the answer to a call. Its body must be closed.
+// Response is the response to a call. The caller must close its body.
 type Response struct {
 	*http.Response
 	Head platform.Answer
 }
 
-// Do makes a call. The answer ends with ctx.
+// Do makes a call on a connection of its own. Canceling ctx also ends the read of
+// the response body.
 func (c *Client) Do(ctx context.Context, call Call) (*Response, error) {
-	return c.do(ctx, c.transport, call)
+	return c.do(ctx, c.singleUse, call)
 }
 
 func (c *Client) do(ctx context.Context, t *http.Transport, call Call) (*Response, error) {
@@ -110,25 +116,25 @@
 		req.Body = io.NopCloser(bytes.NewReader(call.Body))
 		req.ContentLength = int64(len(call.Body))
 	}
-	sent := clock.Now()
+	sentAt := clock.Now()
 	resp, err := t.RoundTrip(req.WithContext(ctx))
 	if err != nil {
 		return nil, err
 	}
-	r := &Response{Response: resp, Head: platform.DecodeAnswer(resp.StatusCode, resp.Header)}
-	c.hear(sent, call, r)
+	r := &Response{Response: resp, Head: platform.DecodeResponseHead(resp.StatusCode, resp.Header)}
+	c.notifyResponse(sentAt, call, r)
 	return r, nil
 }
 
-// hear passes on what a replica says of itself, unless another one answered, or
-// another request's answer came.
-func (c *Client) hear(sent time.Time, call Call, r *Response) {
-	if c.heard == nil || r.Head.OtherReplica {
+// notifyResponse passes the replica's own notices to onResponse, unless another
+// replica answered or the response belongs to another request.
+func (c *Client) notifyResponse(sentAt time.Time, call Call, r *Response) {
+	if c.onResponse == nil || r.Head.OtherReplica {
 		return
 	}
 	if call.Request != r.Head.RequestID && !r.Head.NotExecuted {
 		return
 	}
 	served := call.Work && r.StatusCode < http.StatusMultipleChoices
-	c.heard(intake.Answer{Replica: call.Replica, Address: call.Address, Sent: sent, Served: served, Notice: r.Head.Notice})
+	c.onResponse(intake.Answer{Replica: call.Replica, Address: call.Address, Sent: sentAt, Served: served, Notice: r.Head.Notice})
 }
--- a/replica/engine.go
+++ b/replica/engine.go
@@ -11,24 +11,27 @@
 	"github.com/wheatseam/wheatseam/platform"
 )
 
-// The errors of calls to engines.
+// Errors returned by calls to engines.
 var (
-	// ErrNoRoom: the engine has no place to hold.
-	ErrNoRoom = errors.New("no place to hold")
-	// ErrUnknownCall: the replica answers, and does not serve the call.
-	ErrUnknownCall = errors.New("the replica does not serve the call")
-	// ErrOtherReplica: the address belongs to another replica now.
-	ErrOtherReplica = errors.New("another replica has the address")
+	// ErrNoRoom means that the engine has no free capacity for a reservation.
+	ErrNoRoom = errors.New("engine has no capacity for a reservation")
+	// ErrUnknownCall means that the replica responds but does not support the call.
+	ErrUnknownCall = errors.New("replica does not support the call")
+	// ErrMisdirected means that the address now belongs to another replica.
+	ErrMisdirected = errors.New("address belongs to another replica")
 )
 
-// maxHoldAnswer bounds the answers to calls about held places: a name.
-const maxHoldAnswer = 4 << 10
+// maxReservationResponseBytes bounds responses about reservations, which hold only
+// an id.
+const maxReservationResponseBytes = 4 << 10
 
-// Runs asks an engine for its account of its runs, on a connection of its own: an
-// open one may be what has failed. An engine that answers otherwise than asked, or
-// resets the connection, gives ErrUnknownCall; other errors say that none answers.
+// Runs fetches an engine's report of its runs. It opens a new connection, since an
+// existing one may itself be what has failed. It returns ErrUnknownCall when the
+// engine answers with another status than 200 or resets the connection, and
+// platform.ErrMalformed when the report can't be parsed. Any other error means that
+// the engine did not respond.
 func (c *Client) Runs(ctx context.Context, replica, address string) (platform.Runs, error) {
-	status, body, err := c.ask(ctx, engineCall(http.MethodGet, platform.ReportPath, replica, address, nil), maxReport)
+	status, body, err := c.doSingleUse(ctx, newEngineCall(http.MethodGet, platform.ReportPath, replica, address, nil), maxReportBytes)
 	switch {
 	case err != nil && httpbody.BrokenOff(err):
 		return platform.Runs{}, fmt.Errorf("%w: %w", ErrUnknownCall, err)
@@ -37,17 +40,18 @@
 	case status != http.StatusOK:
 		return platform.Runs{}, fmt.Errorf("%w: status %d", ErrUnknownCall, status)
 	}
-	return platform.DecodeRuns(body)
+	return platform.DecodeEngineReport(body)
 }
 
-// Hold reserves a place for a request of so many tokens and returns its name. It
-// lapses after life, unless a request uses it.
-func (c *Client) Hold(ctx context.Context, replica, address string, tokens int, life time.Duration) (string, error) {
-	body, err := platform.EncodeHold(tokens, life)
+// Hold reserves a slot and memory at an engine for a request of the given number of
+// tokens and returns the id of the reservation. The reservation expires after ttl
+// unless a request uses it.
+func (c *Client) Hold(ctx context.Context, replica, address string, tokens int, ttl time.Duration) (string, error) {
+	body, err := platform.EncodeReservation(tokens, ttl)
 	if err != nil {
 		return "", err
 	}
-	status, answer, err := c.ask(ctx, engineCall(http.MethodPost, platform.HoldTakePath, replica, address, body), maxHoldAnswer)
+	status, responseBody, err := c.doSingleUse(ctx, newEngineCall(http.MethodPost, platform.ReservePath, replica, address, body), maxReservationResponseBytes)
 	switch {
 	case err != nil:
 		return "", err
@@ -56,36 +60,36 @@
 	case status != http.StatusOK:
 		return "", fmt.Errorf("%w: status %d", ErrUnknownCall, status)
 	}
-	return platform.DecodeHold(answer)
+	return platform.DecodeReservation(responseBody)
 }
 
-// DropHold gives a reserved place back.
-func (c *Client) DropHold(ctx context.Context, replica, address, hold string) error {
-	call := engineCall(http.MethodDelete, platform.HoldDropTarget(hold), replica, address, nil)
-	status, _, err := c.ask(ctx, call, maxHoldAnswer)
+// DropHold releases a reservation.
+func (c *Client) DropHold(ctx context.Context, replica, address, reservationID string) error {
+	call := newEngineCall(http.MethodDelete, platform.ReleaseReservationTarget(reservationID), replica, address, nil)
+	status, _, err := c.doSingleUse(ctx, call, maxReservationResponseBytes)
 	if err == nil && status >= http.StatusMultipleChoices {
-		return fmt.Errorf("give a held place back: status %d", status)
+		return fmt.Errorf("release reservation: status %d", status)
 	}
 	return err
 }
 
-// ask makes a call on a connection of its own and reads the answer, which has at
-// most so many bytes.
-func (c *Client) ask(ctx context.Context, call Call, most int64) (status int, body []byte, err error) {
+// doSingleUse makes a call on a connection of its own and reads a response body of
+// at most maxBytes.
+func (c *Client) doSingleUse(ctx context.Context, call Call, maxBytes int64) (status int, body []byte, err error) {
 	resp, err := c.Do(ctx, call)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
 	if resp.Head.OtherReplica {
-		return 0, nil, ErrOtherReplica
+		return 0, nil, ErrMisdirected
 	}
-	body, err = httpbody.Read(resp.Body, most)
+	body, err = httpbody.Read(resp.Body, maxBytes)
 	return resp.StatusCode, body, err
 }
 
-// engineCall is a call about an engine's runs and places.
-func engineCall(method, target, replica, address string, body []byte) Call {
+// newEngineCall returns a call that concerns an engine's runs or reservations.
+func newEngineCall(method, target, replica, address string, body []byte) Call {
 	h := http.Header{}
 	if body != nil {
 		h.Set("Content-Type", "application/json")
--- a/replica/engine_test.go
+++ b/replica/engine_test.go
@@ -14,66 +14,66 @@
 	"github.com/wheatseam/wheatseam/replica"
 )
 
-var _ = Describe("asking an engine for its runs", func() {
-	ask := func(address string, within time.Duration) (platform.Runs, error) {
-		ctx, cancel := context.WithTimeout(context.Background(), within)
+var _ = Describe("fetching an engine's report", func() {
+	fetchReport := func(address string, timeout time.Duration) (platform.Runs, error) {
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		return replica.NewClient(nil).Runs(ctx, "r", address)
 	}
 
-	It("returns them", func() {
+	It("returns the runs", func() {
 		s := serve(func(w http.ResponseWriter, r *http.Request) {
 			Expect(r.Method + " " + r.URL.Path).To(Equal("GET /-/report"))
 			Expect(r.Header.Get("Expected-Replica")).To(Equal("r"))
 			_, _ = io.WriteString(w, `{"queued":1,"runs":[["a",10,3,5]]}`)
 		})
-		Expect(ask(s.address(), time.Second)).To(Equal(platform.Runs{Told: true, Waiting: 1, Made: map[string]int{"a": 3}}))
+		Expect(fetchReport(s.address(), time.Second)).To(Equal(platform.Runs{Told: true, Waiting: 1, Made: map[string]int{"a": 3}}))
 	})
 
-	DescribeTable("tells an engine that answers otherwise from one that does not answer", func(handler http.HandlerFunc, want error) {
-		_, err := ask(serve(handler).address(), 200*time.Millisecond)
+	DescribeTable("distinguishes an engine with an unexpected response from one that does not respond", func(handler http.HandlerFunc, want error) {
+		_, err := fetchReport(serve(handler).address(), 200*time.Millisecond)
 		Expect(err).To(MatchError(want))
 	},
-		Entry("which serves no reports", http.HandlerFunc(http.NotFound), replica.ErrUnknownCall),
-		Entry("which resets the connection", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, replica.ErrUnknownCall),
-		Entry("which is another replica", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) }, replica.ErrOtherReplica),
-		Entry("which hangs", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, context.DeadlineExceeded),
+		Entry("reports not supported", http.HandlerFunc(http.NotFound), replica.ErrUnknownCall),
+		Entry("connection reset", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, replica.ErrUnknownCall),
+		Entry("another replica", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) }, replica.ErrMisdirected),
+		Entry("no response", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, context.DeadlineExceeded),
 	)
 
-	It("fails where nobody listens", func() {
+	It("fails when the connection is refused", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(l.Close()).To(Succeed())
-		_, err = ask(l.Addr().String(), time.Second)
+		_, err = fetchReport(l.Addr().String(), time.Second)
 		Expect(err).To(HaveOccurred())
 		Expect(err).NotTo(MatchError(replica.ErrUnknownCall))
 	})
 })
 
-var _ = Describe("holding a place at an engine", func() {
-	hold := func(s *server) (string, error) {
+var _ = Describe("reserving capacity at an engine", func() {
+	reserve := func(s *server) (string, error) {
 		return replica.NewClient(nil).Hold(context.Background(), "r", s.address(), 1460, time.Second)
 	}
 
-	It("returns its name, and gives it back", func() {
+	It("returns the reservation's id, with which it is released", func() {
 		var calls []string
 		s := serve(func(w http.ResponseWriter, r *http.Request) {
 			body, _ := io.ReadAll(r.Body)
 			calls = append(calls, r.Method+" "+r.URL.Path+" "+string(body))
 			_, _ = io.WriteString(w, `{"hold":"h7"}`)
 		})
-		Expect(hold(s)).To(Equal("h7"))
+		Expect(reserve(s)).To(Equal("h7"))
 		Expect(replica.NewClient(nil).DropHold(context.Background(), "r", s.address(), "h7")).To(Succeed())
 		Expect(calls).To(Equal([]string{`POST /-/hold-take {"token_count":1460,"ttl_ms":1000}`, `DELETE /-/hold-drop/h7 `}))
 	})
 
-	DescribeTable("says why there is none", func(status int, want error) {
-		_, err := hold(serve(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
+	DescribeTable("returns the reason when it fails", func(status int, want error) {
+		_, err := reserve(serve(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
 		Expect(err).To(MatchError(want))
 	},
-		Entry("no room", http.StatusServiceUnavailable, replica.ErrNoRoom),
+		Entry("no capacity", http.StatusServiceUnavailable, replica.ErrNoRoom),
 		Entry("too many calls", http.StatusTooManyRequests, replica.ErrNoRoom),
-		Entry("not served", http.StatusNotFound, replica.ErrUnknownCall),
-		Entry("another replica", http.StatusMisdirectedRequest, replica.ErrOtherReplica),
+		Entry("not supported", http.StatusNotFound, replica.ErrUnknownCall),
+		Entry("another replica", http.StatusMisdirectedRequest, replica.ErrMisdirected),
 	)
 })
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -24,7 +24,7 @@
 	RunSpecs(t, "replica")
 }
 
-// server counts the connections and the calls of a stand-in of a replica.
+// server is a fake replica that counts its connections and calls.
 type server struct {
 	*httptest.Server
 	connections, calls atomic.Int64
@@ -48,12 +48,12 @@
 
 func (s *server) address() string { return s.Listener.Addr().String() }
 
-var _ = Describe("giving results up", func() {
-	free := func(s *server) error {
+var _ = Describe("releasing results", func() {
+	release := func(s *server) error {
 		return replica.NewClient(nil).FreeResults(context.Background(), stage.Free{Replica: "r", Address: s.address(), Handles: []string{"h"}})
 	}
 
-	It("takes one connection for call after call", func() {
+	It("reuses one connection for successive calls", func() {
 		s := serve(func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) })
 		c := replica.NewClient(nil)
 		for range 5 {
@@ -63,48 +63,48 @@
 		Expect(s.connections.Load()).To(Equal(int64(1)))
 	})
 
-	It("is tried once more when the connection breaks", func() {
+	It("is retried once when the connection breaks", func() {
 		var failed atomic.Bool
 		s := serve(func(http.ResponseWriter, *http.Request) {
 			if failed.CompareAndSwap(false, true) {
 				panic(http.ErrAbortHandler)
 			}
 		})
-		Expect(free(s)).To(Succeed())
+		Expect(release(s)).To(Succeed())
 		Expect(s.calls.Load()).To(Equal(int64(2)))
 	})
 
-	It("is tried on a new connection when the kept one has gone silent", func() {
+	It("is retried on a new connection when the pooled one stops delivering packets", func() {
 		s := serve(func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) })
 		relay, err := faultrelay.New(faultrelay.Config{Target: s.address()})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(relay.Close)
 		c := replica.NewClient(nil)
-		results := stage.Free{Replica: "r", Address: relay.Address(), Handles: []string{"h"}}
-		Expect(c.FreeResults(context.Background(), results)).To(Succeed())
+		request := stage.Free{Replica: "r", Address: relay.Address(), Handles: []string{"h"}}
+		Expect(c.FreeResults(context.Background(), request)).To(Succeed())
 		Expect(relay.Silence()).To(Equal(1))
-		bound, cancel := context.WithTimeout(context.Background(), time.Second)
+		boundedCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		Expect(c.FreeResults(bound, results)).To(Succeed())
+		Expect(c.FreeResults(boundedCtx, request)).To(Succeed())
 	})
 
-	It("is not tried once more when this host slept until after the answer had come", func() {
+	It("is not retried when this host was suspended until after the response had arrived", func() {
 		for range 10 {
 			s := serve(func(_ http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
 				clock.Simulate(500 * time.Millisecond)
 			})
-			Expect(free(s)).To(Succeed())
+			Expect(release(s)).To(Succeed())
 			Expect(s.calls.Load()).To(Equal(int64(1)))
 		}
 	})
 
-	It("fails when both tries do, and ends with its context", func() {
+	It("fails when both attempts fail, and ends with its context", func() {
 		s := serve(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-		Expect(free(s)).NotTo(Succeed())
+		Expect(release(s)).NotTo(Succeed())
 		Expect(s.calls.Load()).To(Equal(int64(2)))
 		silent := serve(func(_ http.ResponseWriter, r *http.Request) {
-			_, _ = io.Copy(io.Discard, r.Body) // or the server does not notice that the caller leaves
+			_, _ = io.Copy(io.Discard, r.Body) // the server detects a disconnect only after reading the body
 			<-r.Context().Done()
 		})
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
@@ -115,37 +115,37 @@
 	})
 })
 
-var _ = Describe("asking for room", func() {
-	ask := func(answer http.HandlerFunc) (stage.Room, error) {
-		s := serve(answer)
+var _ = Describe("querying free memory", func() {
+	fetchFreeMemory := func(handler http.HandlerFunc) (stage.Room, error) {
+		s := serve(handler)
 		return replica.NewClient(nil).Room(context.Background(), stage.Inspect{Replica: "r@7", Address: s.address()})
 	}
 
-	It("is answered in whole megabytes, which bound the bytes", func() {
-		room, err := ask(func(w http.ResponseWriter, r *http.Request) {
+	It("returns bounds in bytes for a report in whole megabytes", func() {
+		freeMemory, err := fetchFreeMemory(func(w http.ResponseWriter, r *http.Request) {
 			Expect(r.Method + " " + r.URL.Path).To(Equal("GET /-/report"))
 			Expect(r.Header.Get("Expected-Replica")).To(Equal("r"))
 			_, _ = io.WriteString(w, `{"queued":1,"busy":1,"free_mb":3}`)
 		})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(room).To(Equal(stage.Room{Least: 3_000_000, Most: 4_000_000}))
+		Expect(freeMemory).To(Equal(stage.Room{Least: 3_000_000, Most: 4_000_000}))
 	})
 
-	DescribeTable("fails without an answer", func(status int, body string) {
-		_, err := ask(func(w http.ResponseWriter, _ *http.Request) {
+	DescribeTable("fails without a valid report", func(status int, body string) {
+		_, err := fetchFreeMemory(func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(status)
 			_, _ = io.WriteString(w, body)
 		})
 		Expect(err).To(HaveOccurred())
 	},
-		Entry("another replica", http.StatusMisdirectedRequest, ""), Entry("no room told", http.StatusOK, `{"queued":1}`),
-		Entry("less than none", http.StatusOK, `{"free_mb":-1}`),
-		Entry("room as text", http.StatusOK, `{"free_mb":"1"}`), Entry("no JSON", http.StatusOK, `{`),
+		Entry("another replica", http.StatusMisdirectedRequest, ""), Entry("no free_mb", http.StatusOK, `{"queued":1}`),
+		Entry("negative free_mb", http.StatusOK, `{"free_mb":-1}`),
+		Entry("free_mb as a string", http.StatusOK, `{"free_mb":"1"}`), Entry("no JSON", http.StatusOK, `{`),
 	)
 })
 
-var _ = Describe("calls for pieces", func() {
-	It("have a connection each", func() {
+var _ = Describe("calls that run pieces", func() {
+	It("use a connection each", func() {
 		s := serve(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"entries":[{"handle":"h"}]}`) })
 		c := replica.NewClient(nil)
 		run := stage.Run{Replica: "r", Address: s.address(), Timeout: time.Second, Pieces: []stage.Piece{{Job: "j", Key: "k"}}}
@@ -158,7 +158,7 @@
 		Expect(s.connections.Load()).To(Equal(int64(3)))
 	})
 
-	It("are not executed when the replica says so, and unreachable when there is none", func() {
+	It("return CallNotExecuted when the replica says so, and CallUnreachable when the connection is refused", func() {
 		s := serve(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Not-Executed", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
--- a/replica/stage.go
+++ b/replica/stage.go
@@ -13,22 +13,24 @@
 	"github.com/wheatseam/wheatseam/platform"
 )
 
-// maxStageAnswer bounds the answer of a call: handles of some 40 bytes each.
-const maxStageAnswer = 1 << 20
+// maxStageResponseBytes bounds the response to a call for pieces: result handles of
+// about 40 bytes each.
+const maxStageResponseBytes = 1 << 20
 
-// errNotExecuted: the replica says that it did not run a call.
-var errNotExecuted = errors.New("not executed")
+// errNotExecuted means that the replica reports not having executed a call.
+var errNotExecuted = errors.New("replica did not execute the call")
 
-// RunPieces asks a replica for pieces and says how that ended; the error says
-// why there are no results.
-func (c *Client) RunPieces(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error) {
-	ctx, cancel := clock.WithTimeout(ctx, a.Timeout)
+// RunPieces runs pieces on a replica and returns their results, in the order of the
+// pieces, with the outcome of the call. Unless the outcome is stage.CallAnswered, the
+// error states why there are no results.
+func (c *Client) RunPieces(ctx context.Context, run stage.Run) ([]stage.Result, stage.CallOutcome, error) {
+	ctx, cancel := clock.WithTimeout(ctx, run.Timeout)
 	defer cancel()
-	body, err := platform.EncodePieces(piecesOf(a))
+	body, err := platform.EncodePieces(encodablePieces(run))
 	if err != nil {
 		return nil, stage.CallNotExecuted, err
 	}
-	call := stageCall(platform.StageRunPath, a.Replica, a.Address, body)
+	call := newStageCall(platform.StageRunPath, run.Replica, run.Address, body)
 	call.Work = true
 	resp, err := c.Do(ctx, call)
 	if err != nil {
@@ -38,10 +40,10 @@
 		return nil, stage.CallFailed, err
 	}
 	defer resp.Body.Close()
-	raw, err := httpbody.Read(resp.Body, maxStageAnswer)
+	respBody, err := httpbody.Read(resp.Body, maxStageResponseBytes)
 	switch {
 	case resp.Head.OtherReplica:
-		return nil, stage.CallUnreachable, ErrOtherReplica
+		return nil, stage.CallUnreachable, ErrMisdirected
 	case resp.Head.NotExecuted:
 		return nil, stage.CallNotExecuted, fmt.Errorf("%w: status %d", errNotExecuted, resp.StatusCode)
 	case err != nil:
@@ -49,106 +51,112 @@
 	case resp.StatusCode != http.StatusOK:
 		return nil, stage.CallFailed, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	made, err := platform.DecodeResults(raw, len(a.Pieces))
+	results, err := platform.DecodeResults(respBody, len(run.Pieces))
 	if err != nil {
 		return nil, stage.CallFailed, err
 	}
-	return resultsOf(made), stage.CallAnswered, nil
+	return stageResults(results), stage.CallAnswered, nil
 }
 
-// maxFreeAnswer bounds the answer to giving results up: there is nothing in it.
-const maxFreeAnswer = 4 << 10
+// maxReleaseResponseBytes bounds the response to a call that releases results. It
+// carries no data.
+const maxReleaseResponseBytes = 4 << 10
 
-// firstFreeTry bounds the first try of a call that gives results up, by the time that
-// this process runs: the kept connection that it takes may have gone silent, and the
-// results keep their room until a call arrives. Such a call takes some 2 ms, and more on a
-// busy host. A second try beside an answer would give the same results up again.
-const firstFreeTry = 250 * time.Millisecond
+// firstReleaseTimeout bounds the first attempt of a call that releases results,
+// measured in run time of this process. The attempt uses a pooled connection, which may
+// have stopped delivering packets, and the results occupy memory until a call arrives.
+// Such a call takes about 2 ms, and longer on a busy host. The timeout is well above
+// that because a second attempt while a response is on its way would release the same
+// results twice.
+const firstReleaseTimeout = 250 * time.Millisecond
 
-// FreeResults gives results up at the replica that holds them. A replica may
-// have dropped the idle connection that the first try takes, also without a
-// word, so that there is a second.
-func (c *Client) FreeResults(ctx context.Context, a stage.Free) error {
-	body, err := platform.EncodeFree(a.Handles)
+// FreeResults releases results at the replica that holds them. It makes a second
+// attempt when the first fails, because the replica may have dropped the idle
+// connection that the first attempt uses, even without closing it.
+func (c *Client) FreeResults(ctx context.Context, release stage.Free) error {
+	body, err := platform.EncodeRelease(release.Handles)
 	if err != nil {
 		return err
 	}
-	call := stageCall(platform.StageFreePath, a.Replica, a.Address, body)
-	first, cancel := context.WithCancel(ctx)
+	call := newStageCall(platform.StageReleasePath, release.Replica, release.Address, body)
+	firstCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer afterRunning(firstFreeTry, cancel)()
-	if err = c.free(first, call); err != nil && ctx.Err() == nil {
-		err = c.free(ctx, call)
+	defer afterRunTime(firstReleaseTimeout, cancel)()
+	if err = c.release(firstCtx, call); err != nil && ctx.Err() == nil {
+		err = c.release(ctx, call)
 	}
 	return err
 }
 
-// maxReport bounds a replica's report: a line for each request that it runs.
-const maxReport = 256 << 10
+// maxReportBytes bounds a replica's report, which has one entry for each request that
+// the replica runs.
+const maxReportBytes = 256 << 10
 
-// Room asks a replica how much room for results it had a moment ago.
-func (c *Client) Room(ctx context.Context, a stage.Inspect) (stage.Room, error) {
-	call := stageCall(platform.ReportPath, a.Replica, a.Address, nil)
+// Room fetches how much memory for results a replica had free a moment ago, as lower
+// and upper bounds in bytes.
+func (c *Client) Room(ctx context.Context, query stage.Inspect) (stage.Room, error) {
+	call := newStageCall(platform.ReportPath, query.Replica, query.Address, nil)
 	call.Method = http.MethodGet
 	call.Header.Del("Content-Type")
-	status, raw, err := c.askKept(ctx, call, maxReport)
+	status, respBody, err := c.doPooled(ctx, call, maxReportBytes)
 	switch {
 	case err != nil:
 		return stage.Room{}, err
 	case status != http.StatusOK:
 		return stage.Room{}, fmt.Errorf("status %d", status)
 	}
-	least, below, err := platform.DecodeRoom(raw)
-	return stage.Room{Least: least, Most: below}, err
+	minBytes, maxBytes, err := platform.DecodeFreeMemory(respBody)
+	return stage.Room{Least: minBytes, Most: maxBytes}, err
 }
 
-// free makes one try; what the answer says does not matter.
-func (c *Client) free(ctx context.Context, call Call) error {
-	_, _, err := c.askKept(ctx, call, maxFreeAnswer)
+// release makes one attempt to release results. It ignores status and body of the
+// response, since nothing depends on them.
+func (c *Client) release(ctx context.Context, call Call) error {
+	_, _, err := c.doPooled(ctx, call, maxReleaseResponseBytes)
 	return err
 }
 
-// askKept makes a call on the kept connection and reads the answer, which has at
-// most so many bytes.
-func (c *Client) askKept(ctx context.Context, call Call, most int64) (status int, body []byte, err error) {
-	resp, err := c.do(ctx, c.kept, call)
+// doPooled makes a call on a pooled connection and reads a response body of at most
+// maxBytes.
+func (c *Client) doPooled(ctx context.Context, call Call, maxBytes int64) (status int, body []byte, err error) {
+	resp, err := c.do(ctx, c.pooled, call)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	body, err = httpbody.Read(resp.Body, most)
+	body, err = httpbody.Read(resp.Body, maxBytes)
 	return resp.StatusCode, body, err
 }
 
-// stageCall is a call to a replica that runs stages.
-func stageCall(path, replica, address string, body []byte) Call {
+// newStageCall returns a call to a replica that runs stages.
+func newStageCall(path, replica, address string, body []byte) Call {
 	h := platform.EncodeAttempt(http.Header{"Content-Type": {"application/json"}}, platform.Attempt{Replica: replica, Priority: -1})
 	return Call{Replica: replica, Method: http.MethodPost, Address: address, Target: path, Host: address, Header: h, Body: body}
 }
 
-func piecesOf(a stage.Run) []platform.Piece {
-	pieces := make([]platform.Piece, 0, len(a.Pieces))
-	for _, p := range a.Pieces {
+func encodablePieces(run stage.Run) []platform.Piece {
+	pieces := make([]platform.Piece, 0, len(run.Pieces))
+	for _, p := range run.Pieces {
 		pieces = append(pieces, platform.Piece{
-			Request: p.Job, Stage: p.Stage, Index: p.Index, LeftMS: platform.LeftMS(p.Left), Key: p.Key, Inputs: p.Inputs,
+			Request: p.Job, Stage: p.Stage, Index: p.Index, TimeLeftMS: platform.PositiveMS(p.Left), Key: p.Key, Inputs: p.Inputs,
 		})
 	}
 	return pieces
 }
 
-// resultsOf translates what became of the pieces.
-func resultsOf(made []platform.PieceResult) []stage.Result {
-	out := make([]stage.Result, 0, len(made))
-	for _, r := range made {
+// stageResults converts the platform's piece results.
+func stageResults(results []platform.PieceResult) []stage.Result {
+	out := make([]stage.Result, 0, len(results))
+	for _, r := range results {
 		res := stage.Result{Handle: r.Handle}
 		switch r.Reason {
 		case "":
 			res.Kind = stage.Made
-		case platform.ReasonLate:
+		case platform.ReasonExpired:
 			res.Kind = stage.TooLate
-		case platform.ReasonGone:
+		case platform.ReasonInputMissing:
 			res.Kind = stage.InputGone
-		case platform.ReasonRoom:
+		case platform.ReasonOutOfMemory:
 			res.Kind = stage.NoRoom
 		default:
 			res.Kind = stage.Broken
