--- a/replica/run_timer_test.go
+++ b/replica/run_timer_test.go
@@ -15,10 +15,10 @@
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	ticks, elapsed := make(chan time.Time), make(chan time.Duration, 1)
-	began := time.Now()
+	start := time.Now()
 	go func() {
 		waitRunTime(firstReleaseTimeout, ticks, nil)
-		elapsed <- time.Since(began)
+		elapsed <- time.Since(start)
 	}()
 	for range 20 {
 		ticks <- <-ticker.C
