--- a/discovery/blocks.go
+++ b/discovery/blocks.go
@@ -29,10 +29,10 @@
 )
 
 var (
-	errOutOfOrder = errors.New("discovery: block out of order")
-	errNotNewer   = errors.New("discovery: no newer configuration there")
-	errOtherBase  = errors.New("discovery: step from another revision")
-	errNotHere    = errors.New("discovery: block not here yet")
+	errBlockOutOfOrder = errors.New("discovery: block out of order")
+	errNoNewerConfig   = errors.New("discovery: no newer configuration there")
+	errBaseMismatch    = errors.New("discovery: step from another revision")
+	errBlockPending    = errors.New("discovery: block not here yet")
 )
 
 // download is a step that is being fetched. It survives the hosts that it is
@@ -41,14 +41,14 @@
 // behind 10 Mbit/s a configuration of a megabyte is in force after 2.0 s that way
 // and after 3.0 s otherwise, by the simulated links of the tests.
 type download struct {
-	step
+	configDelta
 	size int
 	// grown is closed and replaced with every block.
-	grown chan struct{}
+	blockAdded chan struct{}
 }
 
 // serves says whether the step is what a host asks for, now or a little later.
-func (l *download) serves(req *wire.ConfigBlockRequest) bool {
+func (l *download) canServe(req *wire.ConfigBlockRequest) bool {
 	return l != nil && (l.base == 0 || l.base == req.GetBaseRevision()) && l.revision > req.GetBaseRevision() &&
 		(req.GetDigest() == 0 || req.GetDigest() == l.digest)
 }
@@ -57,16 +57,16 @@
 func (l *download) complete() bool { return l.digest != 0 && len(l.data) >= l.size }
 
 // take adds a block. A block of another step replaces what was fetched.
-func (l *download) take(b *wire.ConfigBlock) error {
+func (l *download) addBlock(b *wire.ConfigBlock) error {
 	if b.GetDigest() != l.digest {
 		*l = download{
-			grown: l.grown,
-			step:  step{base: b.GetBaseRevision(), revision: b.GetRevision(), digest: b.GetDigest()},
-			size:  int(min(b.GetSize(), maxConfigBytes)),
+			blockAdded:  l.blockAdded,
+			configDelta: configDelta{base: b.GetBaseRevision(), revision: b.GetRevision(), digest: b.GetDigest()},
+			size:        int(min(b.GetSize(), maxConfigBytes)),
 		}
 	}
 	if int(b.GetOffset()) != len(l.data) || len(b.GetData()) == 0 {
-		return fmt.Errorf("%w: at %d, want %d", errOutOfOrder, b.GetOffset(), len(l.data))
+		return fmt.Errorf("%w: at %d, want %d", errBlockOutOfOrder, b.GetOffset(), len(l.data))
 	}
 	l.data = append(l.data, b.GetData()...)
 	return nil
@@ -85,11 +85,11 @@
 		}
 		switch from := block.GetBaseRevision(); {
 		case block.GetRevision() <= base:
-			return errNotNewer
+			return errNoNewerConfig
 		case from != 0 && from != base:
-			return errOtherBase
+			return errBaseMismatch
 		}
-		if err := d.grow(l, block); err != nil {
+		if err := d.receiveBlock(l, block); err != nil {
 			return err
 		}
 	}
@@ -97,54 +97,54 @@
 }
 
 // grow adds a block to a download and passes it on.
-func (d *Discovery) grow(l *download, block *wire.ConfigBlock) error {
-	d.serving.Lock()
-	defer d.serving.Unlock()
-	grown := l.grown
-	if err := l.take(block); err != nil {
+func (d *Discovery) receiveBlock(l *download, block *wire.ConfigBlock) error {
+	d.deltaMu.Lock()
+	defer d.deltaMu.Unlock()
+	grown := l.blockAdded
+	if err := l.addBlock(block); err != nil {
 		return err
 	}
 	if grown != nil {
 		close(grown)
 	}
-	l.grown = make(chan struct{})
+	l.blockAdded = make(chan struct{})
 	d.incoming = l
-	if d.passing.Swap(l.revision) != l.revision {
+	if d.relayedRevision.Swap(l.revision) != l.revision {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.tellFellows()
+		d.notifyWaiters()
 	}
 	return nil
 }
 
 // keepStep keeps a whole step for fellows.
-func (d *Discovery) keepStep(s step) {
-	d.serving.Lock()
-	defer d.serving.Unlock()
-	d.configSteps = d.configSteps.add(s)
+func (d *Discovery) storeDelta(s configDelta) {
+	d.deltaMu.Lock()
+	defer d.deltaMu.Unlock()
+	d.configDeltas = d.configDeltas.add(s)
 	d.incoming = nil
 }
 
 // giveUp ends a download that no host completes; who waits for it is answered.
-func (d *Discovery) giveUp() {
-	d.serving.Lock()
-	defer d.serving.Unlock()
+func (d *Discovery) abandonDownload() {
+	d.deltaMu.Lock()
+	defer d.deltaMu.Unlock()
 	if d.incoming != nil {
-		close(d.incoming.grown)
+		close(d.incoming.blockAdded)
 		d.incoming = nil
 	}
-	d.passing.Store(0)
+	d.relayedRevision.Store(0)
 }
 
 // fetchStep fetches a step from the revision held, from one host after the
 // other until it is whole.
-func (d *Discovery) fetchStep(ctx context.Context, base uint64) (step, error) {
+func (d *Discovery) fetchDelta(ctx context.Context, base uint64) (configDelta, error) {
 	l := &download{}
-	err := errNotNewer
-	for _, host := range d.holders() {
+	err := errNoNewerConfig
+	for _, host := range d.configSources() {
 		if err = d.downloadFrom(ctx, host, base, l); err == nil {
-			d.keepStep(l.step)
-			return l.step, nil
+			d.storeDelta(l.configDelta)
+			return l.configDelta, nil
 		}
 		if ctx.Err() != nil {
 			break
@@ -152,17 +152,17 @@
 		d.log.Info("no block of the configuration", zap.String("peer", host), zap.Uint64("base", base),
 			zap.Int("fetched", len(l.data)), zap.Int("of", l.size), zap.Error(err))
 	}
-	d.giveUp()
-	return step{}, err
+	d.abandonDownload()
+	return configDelta{}, err
 }
 
 // holders are the hosts to fetch a configuration from: the one that named it,
 // then those that rank first.
-func (d *Discovery) holders() []string {
+func (d *Discovery) configSources() []string {
 	d.mu.Lock()
-	hosts := []string{d.wanted.from}
+	hosts := []string{d.advertised.from}
 	d.mu.Unlock()
-	for _, h := range ranked(d.cfg.Members.Reachable()) {
+	for _, h := range rankedHosts(d.cfg.Members.Reachable()) {
 		if len(hosts) < maxSources && h.Name != d.cfg.Self && h.Name != hosts[0] {
 			hosts = append(hosts, h.Name)
 		}
@@ -171,7 +171,7 @@
 }
 
 // handleConfig registers the method by which fellows fetch blocks.
-func (d *Discovery) handleConfig(mux *peer.Mux) {
+func (d *Discovery) registerConfigBlocks(mux *peer.Mux) {
 	peer.Handle(mux, methodConfig, func(ctx context.Context, _ peer.Sender, req *wire.ConfigBlockRequest) (*wire.ConfigBlock, error) {
 		for {
 			block, grown, err := d.block(req)
@@ -181,7 +181,7 @@
 			select {
 			case <-grown:
 			case <-ctx.Done():
-				return nil, errNotHere
+				return nil, errBlockPending
 			}
 		}
 	})
@@ -191,19 +191,19 @@
 // when that one is not held; of a step that is on its way here, what is closed
 // when more of it has come.
 func (d *Discovery) block(req *wire.ConfigBlockRequest) (*wire.ConfigBlock, <-chan struct{}, error) {
-	d.serving.Lock()
-	defer d.serving.Unlock()
+	d.deltaMu.Lock()
+	defer d.deltaMu.Unlock()
 	offset := int(req.GetOffset())
-	if s, known := d.configSteps.withDigest(req.GetDigest()); known && offset < len(s.data) {
+	if s, known := d.configDeltas.withDigest(req.GetDigest()); known && offset < len(s.data) {
 		return s.block(offset, len(s.data)), nil, nil
 	}
-	if l := d.incoming; l.serves(req) {
+	if l := d.incoming; l.canServe(req) {
 		if offset < len(l.data) {
 			return l.block(offset, l.size), nil, nil
 		}
-		return nil, l.grown, nil
+		return nil, l.blockAdded, nil
 	}
-	s, err := d.stepFrom(req.GetBaseRevision())
+	s, err := d.deltaFrom(req.GetBaseRevision())
 	if err != nil {
 		return nil, nil, err
 	}
@@ -212,7 +212,7 @@
 
 // block returns the bytes from an offset on as they are sent; size is that of
 // the whole step.
-func (s step) block(offset, size int) *wire.ConfigBlock {
+func (s configDelta) block(offset, size int) *wire.ConfigBlock {
 	return &wire.ConfigBlock{
 		BaseRevision: s.base, Revision: s.revision, Digest: s.digest, Size: uint32(size),
 		Offset: uint32(offset), Data: s.data[offset:min(len(s.data), offset+blockBytes)],
@@ -221,21 +221,21 @@
 
 // stepFrom returns a step from a revision, or from none. The lock of what is
 // served is held, so that a whole step is made once for all who ask.
-func (d *Discovery) stepFrom(base uint64) (step, error) {
-	if s, known := d.configSteps.from(base); known && base != 0 {
+func (d *Discovery) deltaFrom(base uint64) (configDelta, error) {
+	if s, known := d.configDeltas.from(base); known && base != 0 {
 		return s, nil
 	}
 	v := d.View()
 	if v.Config == nil {
-		return step{}, errNoView
+		return configDelta{}, errNoView
 	}
-	if s, known := d.configSteps.from(0); known && s.revision == v.revision {
+	if s, known := d.configDeltas.from(0); known && s.revision == v.revision {
 		return s, nil
 	}
-	s, err := newStep(0, nil, v.revision, v.raw)
+	s, err := newConfigDelta(0, nil, v.revision, v.raw)
 	if err != nil {
-		return step{}, err
+		return configDelta{}, err
 	}
-	d.configSteps = d.configSteps.add(s)
+	d.configDeltas = d.configDeltas.add(s)
 	return s, nil
 }
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -63,62 +63,62 @@
 	registry catalog.Registry
 	// changed is closed and replaced with every view, also one that is only
 	// younger.
-	changed chan struct{}
+	viewChanged chan struct{}
 	// lost and configLost say that the last read of the replicas, or of the
 	// configuration, failed.
-	lost, configLost bool
-	avoided          fleet.Avoided
+	replicaReadFailed, configReadFailed bool
+	avoided                             fleet.Avoided
 	// source is whom news are asked of; this host itself while it reads the store.
 	source string
 	// askedAt is when a fellow last asked for news, by clock.Nanos.
-	askedAt atomic.Int64
-	reads   atomic.Uint64
-	news    atomic.Uint64
+	lastPeerRequest atomic.Int64
+	storeReads      atomic.Uint64
+	peerReplies     atomic.Uint64
 
 	// wanted is the newest configuration that a fellow has named, refused the last
 	// revision that is faulty, and marks how far the store was checked.
-	wanted  wantedConfig
-	refused uint64
-	marks   marks
+	advertised       advertisedConfig
+	rejectedRevision uint64
+	checkedRevisions checkedRevisions
 	// evacuationsPartial says that changes of the evacuations may have been missed:
 	// who reads the store lists them.
-	evacuationsPartial bool
+	evacuationsIncomplete bool
 	// faults says what is wrong with the entries that name no replica, by key.
-	faults map[string]string
+	invalidEntries map[string]string
 	// listed is the store's revision when this host last listed the replicas.
-	listed uint64
+	replicaListRevision uint64
 	// checkDue says that the store is to be asked once for a newer configuration.
-	checkDue atomic.Bool
+	configCheckRequested atomic.Bool
 	// looked is closed when the store was first asked for the configuration, and
 	// unwritten says that there was none yet.
-	looked    chan struct{}
-	lookOnce  sync.Once
-	unwritten atomic.Bool
+	firstConfigRead     chan struct{}
+	firstConfigReadOnce sync.Once
+	configMissing       atomic.Bool
 	// work has keepConfig look for something to do.
-	work chan struct{}
+	configWork chan struct{}
 
 	// serving guards the steps that fellows fetch, whole ones and the one that is
 	// on its way here; it is taken before mu. passing is the revision that the
 	// latter leads to: fellows may fetch it before it is in force here.
-	serving     sync.Mutex
-	configSteps steps
-	incoming    *download
-	passing     atomic.Uint64
+	deltaMu         sync.Mutex
+	configDeltas    configDeltas
+	incoming        *download
+	relayedRevision atomic.Uint64
 }
 
 // neverAsked stands for the time since a fellow asked while none has.
-const neverAsked = time.Hour
+const noPeerRequestAge = time.Hour
 
 // New returns a discovery that has not started and registers its method.
 func New(cfg Config) *Discovery {
 	d := &Discovery{
-		cfg: cfg, log: cfg.Logger, changed: make(chan struct{}), source: cfg.Self, work: make(chan struct{}, 1), looked: make(chan struct{}),
-		evacuationsPartial: true,
+		cfg: cfg, log: cfg.Logger, viewChanged: make(chan struct{}), source: cfg.Self, configWork: make(chan struct{}, 1), firstConfigRead: make(chan struct{}),
+		evacuationsIncomplete: true,
 	}
 	d.view.Store(&View{})
-	d.askedAt.Store(int64(-neverAsked))
-	d.handleNews(cfg.Mux)
-	d.handleConfig(cfg.Mux)
+	d.lastPeerRequest.Store(int64(-noPeerRequestAge))
+	d.registerChanges(cfg.Mux)
+	d.registerConfigBlocks(cfg.Mux)
 	return d
 }
 
@@ -130,12 +130,12 @@
 // as little time as a configuration of a megabyte.
 func (d *Discovery) Run(ctx context.Context) {
 	var group sync.WaitGroup
-	group.Go(func() { d.keepReplicas(ctx) })
-	group.Go(func() { d.keepConfig(ctx) })
+	group.Go(func() { d.syncReplicas(ctx) })
+	group.Go(func() { d.syncConfig(ctx) })
 	group.Wait()
 }
 
-func (d *Discovery) share(part float64) time.Duration {
+func (d *Discovery) boundFraction(part float64) time.Duration {
 	return time.Duration(part * float64(d.cfg.Bound()))
 }
 
@@ -149,7 +149,7 @@
 	next.Replicas = d.registry.Replicas()
 	next.digest = digestOf(next.Replicas)
 	first := old.Replicas == nil
-	defer d.tellFellows()
+	defer d.notifyWaiters()
 	sameEvacuations := next.Evacuations.Same(old.Evacuations)
 	if !first && next.Config == old.Config && next.digest == old.digest && sameEvacuations {
 		next.Replicas = old.Replicas
@@ -175,34 +175,34 @@
 }
 
 // tellFellows has those that wait for news look again; the lock is held.
-func (d *Discovery) tellFellows() {
-	close(d.changed)
-	d.changed = make(chan struct{})
+func (d *Discovery) notifyWaiters() {
+	close(d.viewChanged)
+	d.viewChanged = make(chan struct{})
 }
 
 // Dump is the state of a Discovery for operators.
 type Dump struct {
-	Version  uint64    `json:"version"`
-	Revision uint64    `json:"revision"`
-	AsOf     time.Time `json:"as_of"`
-	Source   string    `json:"source"`
-	Lost     bool      `json:"store_lost"`
+	Version          uint64    `json:"version"`
+	Revision         uint64    `json:"revision"`
+	AsOf             time.Time `json:"as_of"`
+	Source           string    `json:"source"`
+	StoreUnavailable bool      `json:"store_lost"`
 	// Wanted is the newest revision that a fellow has named, Behind for how many
 	// seconds it has not been in force; Checked is the store's revision up to
 	// which no newer configuration is known.
-	Wanted  uint64  `json:"revision_wanted"`
-	Behind  float64 `json:"behind_s"`
-	Checked uint64  `json:"revision_checked"`
+	AdvertisedRevision uint64  `json:"revision_wanted"`
+	BehindSeconds      float64 `json:"behind_s"`
+	CheckedRevision    uint64  `json:"revision_checked"`
 	// Reads counts reads of the store, News answers of other hosts.
-	Reads uint64 `json:"reads"`
-	News  uint64 `json:"news"`
+	StoreReads  uint64 `json:"reads"`
+	PeerReplies uint64 `json:"news"`
 	// Evacuated are the failure domains whose replicas get no new work, as of a
 	// revision of the store.
 	Evacuated           []string          `json:"evacuated"`
 	EvacuationsRevision uint64            `json:"evacuations_revision"`
 	Replicas            []catalog.Replica `json:"replicas"`
 	// Faults says what is wrong with entries that name no replica, by their keys.
-	Faults map[string]string `json:"faults,omitempty"`
+	InvalidEntries map[string]string `json:"faults,omitempty"`
 }
 
 // Dump returns the state.
@@ -211,9 +211,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	dump := Dump{
-		Revision: v.revision, AsOf: v.AsOf, Source: v.Source, Lost: d.lost || d.configLost,
-		Wanted: d.wanted.revision, Behind: behind.Seconds(), Checked: d.marks.oldest(),
-		Reads: d.reads.Load(), News: d.news.Load(), Replicas: sorted(v.Replicas), Faults: d.faults,
+		Revision: v.revision, AsOf: v.AsOf, Source: v.Source, StoreUnavailable: d.replicaReadFailed || d.configReadFailed,
+		AdvertisedRevision: d.advertised.revision, BehindSeconds: behind.Seconds(), CheckedRevision: d.checkedRevisions.oldest(),
+		StoreReads: d.storeReads.Load(), PeerReplies: d.peerReplies.Load(), Replicas: sortedReplicas(v.Replicas), InvalidEntries: d.invalidEntries,
 		Evacuated: v.Evacuations.Domains, EvacuationsRevision: v.Evacuations.Revision,
 	}
 	if v.Config != nil {
--- a/discovery/evacuations.go
+++ b/discovery/evacuations.go
@@ -16,10 +16,10 @@
 // accounts the one of the later revision holds, whoever tells it.
 
 // missedEvacuations says whether changes of the evacuations may have been missed.
-func (d *Discovery) missedEvacuations() bool {
+func (d *Discovery) mayMissEvacuations() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.evacuationsPartial
+	return d.evacuationsIncomplete
 }
 
 // listEvacuations reads the evacuations from the store and says whether that
@@ -30,7 +30,7 @@
 		changes = append(changes, d.decodeEvacuations(items)...)
 	})
 	if err != nil {
-		d.storeFailed(ctx, err)
+		d.noteConfigReadError(ctx, err)
 		return false
 	}
 	domains := make([]string, 0, len(changes))
@@ -39,8 +39,8 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.evacuationsPartial = false
-	d.evacuate(catalog.NewEvacuations(revision, domains))
+	d.evacuationsIncomplete = false
+	d.applyEvacuations(catalog.NewEvacuations(revision, domains))
 	return true
 }
 
@@ -60,7 +60,7 @@
 }
 
 // evacuate puts evacuations in force unless those known are as new; the lock is held.
-func (d *Discovery) evacuate(e catalog.Evacuations) {
+func (d *Discovery) applyEvacuations(e catalog.Evacuations) {
 	next := *d.View()
 	if e.Revision <= next.Evacuations.Revision {
 		return
@@ -71,16 +71,16 @@
 
 // hearEvacuations takes a fellow's evacuations, whatever the age of its other news;
 // the lock is held.
-func (d *Discovery) hearEvacuations(told *wire.Evacuations) {
+func (d *Discovery) receiveEvacuations(told *wire.Evacuations) {
 	if told != nil {
-		d.evacuate(catalog.NewEvacuations(told.GetRevision(), told.GetFailureDomains()))
+		d.applyEvacuations(catalog.NewEvacuations(told.GetRevision(), told.GetFailureDomains()))
 	}
 }
 
 // tellEvacuations is what a fellow that knows those of a revision is told; the lock
 // is held.
-func (d *Discovery) tellEvacuations(v *View, known uint64) *wire.Evacuations {
-	told := &wire.Evacuations{Revision: v.Evacuations.Revision, Complete: !d.evacuationsPartial}
+func (d *Discovery) evacuationsReply(v *View, known uint64) *wire.Evacuations {
+	told := &wire.Evacuations{Revision: v.Evacuations.Revision, Complete: !d.evacuationsIncomplete}
 	if told.Revision > known {
 		told.FailureDomains = v.Evacuations.Domains
 	}
--- a/discovery/export_test.go
+++ b/discovery/export_test.go
@@ -11,7 +11,7 @@
 )
 
 // decoded is a configuration that is decoded once for all hosts of a test.
-type decoded struct {
+type decodedConfig struct {
 	once   sync.Once
 	config *catalog.Config
 	err    error
@@ -21,8 +21,8 @@
 func ShareDecoding() {
 	var known sync.Map // hash to *decoded
 	decodeConfig = func(raw []byte) (*catalog.Config, error) {
-		entry, _ := known.LoadOrStore(xxhash.Sum64(raw), &decoded{})
-		d := entry.(*decoded)
+		entry, _ := known.LoadOrStore(xxhash.Sum64(raw), &decodedConfig{})
+		d := entry.(*decodedConfig)
 		d.once.Do(func() { d.config, d.err = platform.DecodeConfig(raw) })
 		return d.config, d.err
 	}
@@ -30,8 +30,8 @@
 
 // StepRoundTrip returns the size of the step between two configurations, and an
 // error unless it leads from one to the other and from nothing else.
-func StepRoundTrip(from, to string) (int, error) {
-	s, err := newStep(1, []byte(from), 2, []byte(to))
+func DeltaRoundTrip(from, to string) (int, error) {
+	s, err := newConfigDelta(1, []byte(from), 2, []byte(to))
 	if err != nil {
 		return 0, err
 	}
--- a/discovery/begin_test.go
+++ b/discovery/first_config_test.go
@@ -15,7 +15,7 @@
 var _ = Describe("a fleet that starts before the first configuration", func() {
 	It("has one host watch for it, and is ready together within the bound", func() {
 		const hosts = 24
-		d := newDay(hosts)
+		d := newTestFleet(hosts)
 		d.store.Delete(platform.ConfigKey)
 		d.hosts.forming = make(chan struct{})
 		var names []string
@@ -26,9 +26,9 @@
 		Eventually(d.store.Calls, "2s").Should(BeNumerically(">=", hosts), "each looks once")
 		close(d.hosts.forming)
 		time.Sleep(bound / 10)
-		d.config(1)
+		d.writeConfig(1)
 		for _, name := range names {
-			Eventually(func() bool { return d.found[name].View().Ready() }, 2*bound).Should(BeTrue(), name)
+			Eventually(func() bool { return d.discoveries[name].View().Ready() }, 2*bound).Should(BeTrue(), name)
 		}
 		Expect(d.store.Calls()).To(BeNumerically("<", 4*hosts), "148 where each reads for itself")
 	})
--- a/discovery/foreign_test.go
+++ b/discovery/invalid_entries_test.go
@@ -20,35 +20,35 @@
 	refused := func(logs *observer.ObservedLogs) int { return logs.FilterMessage("replica entry refused").Len() }
 
 	// among writes them between the ids of the replicas, so that every page has some.
-	among := func(d *day) {
+	among := func(d *testFleet) {
 		for i := range foreign {
 			d.store.Put(fmt.Sprintf("%si-%03d", platform.ReplicaPrefix, i), []byte(`{"service":"s","phase":"sleeping"}`))
 		}
-		d.replica("i-2", "ready")
-		d.replica("zz", "ready")
+		d.writeReplica("i-2", "ready")
+		d.writeReplica("zz", "ready")
 	}
 
 	It("hide no replica and delay none", func() {
-		d := newDay(2)
+		d := newTestFleet(2)
 		among(d)
 		d.run("host-1", "host-2")
 		for _, name := range []string{"host-1", "host-2"} {
-			Eventually(func() int { return len(d.found[name].View().Replicas) }, "2s").Should(Equal(3))
+			Eventually(func() int { return len(d.discoveries[name].View().Replicas) }, "2s").Should(Equal(3))
 		}
-		d.replica("zz", "draining")
+		d.writeReplica("zz", "draining")
 		for _, name := range []string{"host-1", "host-2"} {
-			Eventually(func() bool { return d.found[name].View().Replicas["zz"].Draining }, bound).Should(BeTrue())
+			Eventually(func() bool { return d.discoveries[name].View().Replicas["zz"].Draining }, bound).Should(BeTrue())
 		}
 	})
 
 	It("are counted and logged once a change", func() {
 		core, logs := observer.New(zapcore.WarnLevel)
-		d := newDay(1, func(c *discovery.Config) { c.Logger = zap.New(core) })
+		d := newTestFleet(1, func(c *discovery.Config) { c.Logger = zap.New(core) })
 		among(d)
 		d.run("host-1")
-		Eventually(d.found["host-1"].Faults, "2s").Should(Equal(foreign))
-		reads := d.found["host-1"].Dump().Reads
-		Eventually(func() uint64 { return d.found["host-1"].Dump().Reads }, "2s").Should(BeNumerically(">", reads+1))
+		Eventually(d.discoveries["host-1"].Faults, "2s").Should(Equal(foreign))
+		reads := d.discoveries["host-1"].Dump().StoreReads
+		Eventually(func() uint64 { return d.discoveries["host-1"].Dump().StoreReads }, "2s").Should(BeNumerically(">", reads+1))
 		Expect(refused(logs)).To(Equal(foreign), "nothing changed in them")
 		d.store.Put(platform.ReplicaPrefix+"i-007", []byte(`{"service":5}`))
 		Eventually(func() int { return refused(logs) }, "2s").Should(Equal(foreign + 1))
--- a/discovery/spread_test.go
+++ b/discovery/propagation_test.go
@@ -13,24 +13,24 @@
 var spreadLarge = flag.Bool("spread.large", false, "measure fleets of up to 300 hosts as well")
 
 // spread is a change that is passed on in a fleet.
-type spread struct {
-	wide, narrow int
+type propagationCase struct {
+	fast, slow int
 	// from and to are numbers of routes.
-	from, to int
+	fromRoutes, toRoutes int
 }
 
 // TestSpreadOfConfigurations measures what a change of the configuration costs by
 // hosts and routes, in seconds until it is in force on all and in bytes over the
 // links of the busiest hosts, and what the fleet exchanges while nothing changes.
 // It prints a row a change; docs/CAPACITY.md has them.
-func TestSpreadOfConfigurations(t *testing.T) {
-	spreads := []spread{{8, 22, 2, 1402}, {8, 72, 2800, 4200}, {0, 80, 0, 5600}}
+func TestConfigPropagation(t *testing.T) {
+	spreads := []propagationCase{{8, 22, 2, 1402}, {8, 72, 2800, 4200}, {0, 80, 0, 5600}}
 	if *spreadLarge {
 		spreads = nil
 		for _, hosts := range []int{30, 80, 300} {
 			for _, routes := range [][2]int{{0, 1400}, {1400, 2800}, {2800, 4200}, {4200, 4201}, {0, 5600}} {
 				for _, wide := range []int{8, 0} {
-					spreads = append(spreads, spread{wide, hosts - wide, routes[0], routes[1]})
+					spreads = append(spreads, propagationCase{wide, hosts - wide, routes[0], routes[1]})
 				}
 			}
 		}
@@ -41,32 +41,32 @@
 	}
 }
 
-func (s spread) measure(t *testing.T) {
+func (s propagationCase) measure(t *testing.T) {
 	const limit, idle = 30 * time.Second, 5 * time.Second
 	g := NewWithT(t)
-	f := newLinkedFleet(s.wide, s.narrow)
-	f.store.writeConfig(1, s.from)
+	f := newSimulatedFleet(s.fast, s.slow)
+	f.store.writeConfig(1, s.fromRoutes)
 	for id := range 120 {
 		f.store.writeReplica(id, "ready")
 	}
 	stop := f.run()
 	defer stop()
 	g.Expect(f.awaitVersion(1, limit)).To(BeNumerically("<", limit))
-	time.Sleep(3 * dueIn)
-	received, sent := f.carried()
+	time.Sleep(3 * propagationBound)
+	received, sent := f.transferredBytes()
 	time.Sleep(idle)
 	idleReceived, idleSent := busiestSince(f, received, sent)
-	received, sent = f.carried()
-	f.store.writeConfig(2, s.to)
+	received, sent = f.transferredBytes()
+	f.store.writeConfig(2, s.toRoutes)
 	took := f.awaitVersion(2, limit)
 	changeReceived, changeSent := busiestSince(f, received, sent)
-	t.Logf("| %d (%d) | %d to %d | %.2f | %d | %d | %.1f |", s.wide+s.narrow, s.wide, s.from, s.to, took.Seconds(),
+	t.Logf("| %d (%d) | %d to %d | %.2f | %d | %d | %.1f |", s.fast+s.slow, s.fast, s.fromRoutes, s.toRoutes, took.Seconds(),
 		changeReceived/1000, changeSent/1000, float64(max(idleReceived, idleSent))/1000/idle.Seconds())
-	g.Expect(took).To(BeNumerically("<", dueIn), fmt.Sprint(s))
+	g.Expect(took).To(BeNumerically("<", propagationBound), fmt.Sprint(s))
 }
 
 // carried returns the bytes of each host so far.
-func (f *linkedFleet) carried() (received, sent map[string]int64) {
+func (f *simulatedFleet) transferredBytes() (received, sent map[string]int64) {
 	received, sent = map[string]int64{}, map[string]int64{}
 	for name, m := range f.machines {
 		received[name], sent[name] = m.down.bytes.Load(), m.up.bytes.Load()
@@ -76,8 +76,8 @@
 
 // busiestSince returns the bytes since then of the host that received, and of
 // the one that sent, most.
-func busiestSince(f *linkedFleet, received, sent map[string]int64) (mostReceived, mostSent int64) {
-	nowReceived, nowSent := f.carried()
+func busiestSince(f *simulatedFleet, received, sent map[string]int64) (mostReceived, mostSent int64) {
+	nowReceived, nowSent := f.transferredBytes()
 	for name := range f.machines {
 		mostReceived = max(mostReceived, nowReceived[name]-received[name])
 		mostSent = max(mostSent, nowSent[name]-sent[name])
--- a/discovery/replicas.go
+++ b/discovery/replicas.go
@@ -18,37 +18,37 @@
 
 // keepReplicas keeps the replicas up to date until ctx ends, and hears of newer
 // configurations while fellows are asked.
-func (d *Discovery) keepReplicas(ctx context.Context) {
-	d.begin(ctx)
-	wait := firstRetry
+func (d *Discovery) syncReplicas(ctx context.Context) {
+	d.awaitFirstPeers(ctx)
+	wait := minRetryInterval
 	for ctx.Err() == nil {
 		source := d.chooseSource(clock.Now())
 		if source != d.cfg.Self {
 			// A fellow that refused at once, as it has just started, costs no read of
 			// the store: the next one is asked.
-			if d.askFor(ctx, source, d.share(newsWait)) || clock.Since(d.View().AsOf) < d.share(readShare) {
-				wait = firstRetry
+			if d.requestChanges(ctx, source, d.boundFraction(changesWaitFraction)) || clock.Since(d.View().AsOf) < d.boundFraction(readFraction) {
+				wait = minRetryInterval
 				continue
 			}
-			d.checkSoon()
+			d.requestConfigCheck()
 		}
 		started := clock.Now()
 		if !d.readReplicas(ctx) {
-			if !d.View().Ready() && d.askAny(ctx) {
+			if !d.View().Ready() && d.requestChangesFromAny(ctx) {
 				continue
 			}
-			if d.View().Ready() && d.askOther(ctx) {
-				periodic.Sleep(ctx, d.share(readShare))
-				wait = firstRetry
+			if d.View().Ready() && d.requestChangesFromRandomPeer(ctx) {
+				periodic.Sleep(ctx, d.boundFraction(readFraction))
+				wait = minRetryInterval
 				continue
 			}
 			periodic.Sleep(ctx, wait/2+rand.N(wait/2+1))
 			wait = min(2*wait, d.retryLimit())
 			continue
 		}
-		wait = firstRetry
+		wait = minRetryInterval
 		if d.View().Config == nil {
-			d.awaitChange(ctx, maxRetry) // nothing can be served before
+			d.awaitChange(ctx, maxRetryInterval) // nothing can be served before
 		} else if source == d.cfg.Self {
 			periodic.Sleep(ctx, d.interval()-clock.Since(started))
 		}
@@ -59,15 +59,15 @@
 // to ask: nothing can be served before, and of a whole fleet that starts for the
 // first time one host watches the store and the others hear from it. 295 hosts
 // that each did made some 1,900 calls.
-func (d *Discovery) begin(ctx context.Context) {
-	periodic.Await(ctx, d.looked, firstRetry)
-	if d.unwritten.Load() {
-		d.awaitFleet(ctx)
+func (d *Discovery) awaitFirstPeers(ctx context.Context) {
+	periodic.Await(ctx, d.firstConfigRead, minRetryInterval)
+	if d.configMissing.Load() {
+		d.awaitFormed(ctx)
 	}
 }
 
 // awaitFleet waits until the hosts of the fleet are known.
-func (d *Discovery) awaitFleet(ctx context.Context) {
+func (d *Discovery) awaitFormed(ctx context.Context) {
 	select {
 	case <-d.cfg.Members.Formed():
 	case <-ctx.Done():
@@ -77,7 +77,7 @@
 // awaitChange waits until the view changes, at most for limit.
 func (d *Discovery) awaitChange(ctx context.Context, limit time.Duration) {
 	d.mu.Lock()
-	changed := d.changed
+	changed := d.viewChanged
 	d.mu.Unlock()
 	periodic.Await(ctx, changed, limit)
 }
@@ -86,24 +86,24 @@
 // something to serve.
 func (d *Discovery) interval() time.Duration {
 	if !d.View().Ready() || len(d.View().Replicas) == 0 {
-		return firstRetry
+		return minRetryInterval
 	}
-	if d.lone() {
-		return d.share(loneShare)
+	if d.noRecentPeerRequests() {
+		return d.boundFraction(idleReadFraction)
 	}
-	return d.share(readShare)
+	return d.boundFraction(readFraction)
 }
 
 // lone says whether no fellow has asked this host for news since its last read but
 // one.
-func (d *Discovery) lone() bool {
-	return time.Duration(clock.Nanos()-d.askedAt.Load()) > 2*d.share(loneShare)
+func (d *Discovery) noRecentPeerRequests() bool {
+	return time.Duration(clock.Nanos()-d.lastPeerRequest.Load()) > 2*d.boundFraction(idleReadFraction)
 }
 
 // readReplicas reads the replicas from the store and says whether that succeeded.
 func (d *Discovery) readReplicas(ctx context.Context) bool {
 	started := clock.Now()
-	d.reads.Add(1)
+	d.storeReads.Add(1)
 	entries := []catalog.Replica{}
 	faults := map[string]string{}
 	revision, err := d.cfg.Store.Pages(ctx, platform.ReplicaPrefix, func(items []platform.Item) {
@@ -119,22 +119,22 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil {
-		if !d.lost && ctx.Err() == nil {
-			d.lost = true
+		if !d.replicaReadFailed && ctx.Err() == nil {
+			d.replicaReadFailed = true
 			d.log.Warn("store lost", zap.Error(err), zap.Duration("view_age", started.Sub(d.View().AsOf)))
 		}
 		return false
 	}
-	if d.lost {
-		d.lost = false
-		d.wake()
+	if d.replicaReadFailed {
+		d.replicaReadFailed = false
+		d.wakeConfigSync()
 		d.log.Info("store regained", zap.Uint64("revision", revision))
 	}
-	d.noteFaults(faults)
+	d.recordInvalidEntries(faults)
 	next := *d.View()
 	next.replicasAsOf, next.Source = started, sourceStore
 	d.registry.Update(clock.Now(), entries)
-	d.listed = revision
+	d.replicaListRevision = revision
 	d.publish(&next)
 	return true
 }
@@ -142,13 +142,13 @@
 // noteFaults takes the entries that name no replica, by key, with what is wrong
 // with them: anybody may write beside the replicas. Each change is logged once;
 // the lock is held.
-func (d *Discovery) noteFaults(faults map[string]string) {
+func (d *Discovery) recordInvalidEntries(faults map[string]string) {
 	for key, why := range faults {
-		if d.faults[key] != why {
+		if d.invalidEntries[key] != why {
 			d.log.Warn("replica entry refused", zap.String("key", key), zap.String("why", why))
 		}
 	}
-	d.faults = faults
+	d.invalidEntries = faults
 }
 
 // Faults is the number of entries among the replicas that name none, as of this
@@ -156,5 +156,5 @@
 func (d *Discovery) Faults() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.faults)
+	return len(d.invalidEntries)
 }
--- a/discovery/source.go
+++ b/discovery/source.go
@@ -18,14 +18,14 @@
 // or falls silent: the call to it ends after newsWait and newsGrace, and the
 // store is read in a third of a second; together that is within the bound.
 const (
-	readShare = 0.3
+	readFraction = 0.3
 	// loneShare is the share after which a host reads that nobody asks: what it reads
 	// passes through no further host. It is under staleAfter, for the first fellow that
 	// does ask. 100 hosts that are cut off from their fellows for 12 s make a third
 	// fewer calls with it; each list is eight.
-	loneShare  = 0.45
-	newsWait   = 0.4
-	staleAfter = 0.5
+	idleReadFraction    = 0.45
+	changesWaitFraction = 0.4
+	staleFraction       = 0.5
 )
 
 // fanout is the number of hosts that ask the same host for news: a change of
@@ -40,17 +40,17 @@
 	// hosts made 1,300. A first failure is tried again as soon as in a small fleet,
 	// and a host that fails again and again learns the store's return from the
 	// fellow that hears of it first.
-	firstRetry   = 100 * time.Millisecond
-	maxRetry     = 500 * time.Millisecond
-	retryPerHost = 8 * time.Millisecond
-	retryShare   = 0.5
+	minRetryInterval     = 100 * time.Millisecond
+	maxRetryInterval     = 500 * time.Millisecond
+	retryIntervalPerHost = 8 * time.Millisecond
+	maxRetryFraction     = 0.5
 	// newsGrace is how much later than newsWait an answer may come.
-	newsGrace = 250 * time.Millisecond
+	replyGrace = 250 * time.Millisecond
 	// avoidFor is how long a host whose news were too old, or that did not
 	// answer, is not asked, avoidStarting how long one that refused at once:
 	// it may have started a moment ago.
-	avoidFor      = 2 * time.Second
-	avoidStarting = 300 * time.Millisecond
+	failureAvoidTime = 2 * time.Second
+	startupAvoidTime = 300 * time.Millisecond
 )
 
 // chooseSource returns the host whose news are asked for, or this host, which
@@ -59,8 +59,8 @@
 // the ranked hosts.
 func (d *Discovery) chooseSource(now time.Time) string {
 	var hosts []fleet.Host
-	if d.View().Ready() || d.unwritten.Load() {
-		hosts = ranked(d.cfg.Members.Reachable())
+	if d.View().Ready() || d.configMissing.Load() {
+		hosts = rankedHosts(d.cfg.Members.Reachable())
 	}
 	at := slices.IndexFunc(hosts, func(h fleet.Host) bool { return h.Name == d.cfg.Self })
 	d.mu.Lock()
@@ -76,7 +76,7 @@
 	if source != d.source {
 		d.log.Info("source of news chosen", zap.String("source", source), zap.String("before", d.source))
 		d.source = source
-		d.wake()
+		d.wakeConfigSync()
 	}
 	return source
 }
@@ -84,8 +84,8 @@
 // retryLimit bounds the wait after reads of the store that fail again and again,
 // in a fleet of so many hosts.
 func retryLimit(hosts int, bound time.Duration) time.Duration {
-	most := max(maxRetry, time.Duration(retryShare*float64(bound)))
-	return min(max(maxRetry, time.Duration(hosts)*retryPerHost), most)
+	most := max(maxRetryInterval, time.Duration(maxRetryFraction*float64(bound)))
+	return min(max(maxRetryInterval, time.Duration(hosts)*retryIntervalPerHost), most)
 }
 
 // retryLimit is that of this host's fleet.
@@ -95,7 +95,7 @@
 
 // ranked sorts hosts by rank; the first two change places, as the first has the
 // stage work to plan.
-func ranked(hosts []fleet.Host) []fleet.Host {
+func rankedHosts(hosts []fleet.Host) []fleet.Host {
 	slices.SortFunc(hosts, fleet.Host.Compare)
 	if len(hosts) > 2 {
 		hosts[0], hosts[1] = hosts[1], hosts[0]
@@ -105,9 +105,9 @@
 
 // askAny asks hosts for news until one has some. A host that has just started
 // and that the store turns away learns from its fellows what is in force.
-func (d *Discovery) askAny(ctx context.Context) bool {
-	for _, h := range ranked(d.cfg.Members.Reachable()) {
-		if h.Name != d.cfg.Self && !d.avoided.Has(h.Name, clock.Now()) && d.askFor(ctx, h.Name, d.share(newsWait)) {
+func (d *Discovery) requestChangesFromAny(ctx context.Context) bool {
+	for _, h := range rankedHosts(d.cfg.Members.Reachable()) {
+		if h.Name != d.cfg.Self && !d.avoided.Has(h.Name, clock.Now()) && d.requestChanges(ctx, h.Name, d.boundFraction(changesWaitFraction)) {
 			return true
 		}
 	}
@@ -116,10 +116,10 @@
 
 // askOther asks one host, any, for what it knows at this moment. The store may turn
 // away the host that reads it for others and serve those.
-func (d *Discovery) askOther(ctx context.Context) bool {
+func (d *Discovery) requestChangesFromRandomPeer(ctx context.Context) bool {
 	now := clock.Now()
 	hosts := slices.DeleteFunc(d.cfg.Members.Reachable(), func(h fleet.Host) bool {
 		return h.Name == d.cfg.Self || d.avoided.Has(h.Name, now)
 	})
-	return len(hosts) > 0 && d.askFor(ctx, hosts[rand.IntN(len(hosts))].Name, 0)
+	return len(hosts) > 0 && d.requestChanges(ctx, hosts[rand.IntN(len(hosts))].Name, 0)
 }
--- a/discovery/levels_test.go
+++ b/discovery/tree_test.go
@@ -12,7 +12,7 @@
 )
 
 // deleteReplica removes the entry of a replica.
-func (s *linkedStore) deleteReplica(id int) {
+func (s *simulatedStore) deleteReplica(id int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -20,20 +20,20 @@
 }
 
 // sources lists where the view of each host is from, in the order of their ranks.
-func (f *linkedFleet) sources() []string {
+func (f *simulatedFleet) viewSources() []string {
 	var out []string
 	for _, name := range f.names {
-		out = append(out, f.found[name].View().Source)
+		out = append(out, f.discoveries[name].View().Source)
 	}
 	return out
 }
 
 // missing lists the hosts on which a condition on the view of replicas does not hold.
-func (f *linkedFleet) missing(holds func(ready, draining int) bool) []string {
+func (f *simulatedFleet) hostsNotMatching(holds func(ready, draining int) bool) []string {
 	var names []string
 	for _, name := range f.names {
 		ready, draining := 0, 0
-		for _, r := range f.found[name].View().Replicas {
+		for _, r := range f.discoveries[name].View().Replicas {
 			if r.Draining {
 				draining++
 			} else {
@@ -51,11 +51,11 @@
 // along the tree: one of them reads the store, eight ask it and the others ask those. By
 // a simulated clock, since a host whose news are too old for want of processor time is
 // rightly not asked for a while.
-func TestChangesOfManyReplicasPassThroughSeveralLevels(t *testing.T) {
+func TestReplicaChangesPropagateThroughTreeLevels(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const hosts, replicas, changed = 20, 300, 20
 		g := NewWithT(t)
-		f := newLinkedFleet(0, hosts)
+		f := newSimulatedFleet(0, hosts)
 		f.store.writeConfig(1, 1)
 		for id := range replicas {
 			f.store.writeReplica(id, "ready")
@@ -63,13 +63,13 @@
 		stop := f.run()
 		defer stop()
 		all := func(ready, draining int) bool { return ready == replicas }
-		g.Eventually(func() []string { return f.missing(all) }, dueIn, "5ms").Should(BeEmpty())
+		g.Eventually(func() []string { return f.hostsNotMatching(all) }, propagationBound, "5ms").Should(BeEmpty())
 
 		tree := []string{"host-001", "store"}
 		for at := 2; at < hosts; at++ {
 			tree = append(tree, []string{"host-001", "host-000", "host-002"}[(at-1)/8])
 		}
-		g.Eventually(f.sources, dueIn, "5ms").Should(Equal(tree))
+		g.Eventually(f.viewSources, propagationBound, "5ms").Should(Equal(tree))
 
 		for id := range changed {
 			f.store.writeReplica(id, "draining")
@@ -77,8 +77,8 @@
 		}
 		after := func(ready, draining int) bool { return ready == replicas-2*changed && draining == changed }
 		began := time.Now()
-		g.Eventually(func() []string { return f.missing(after) }, dueIn, "5ms").Should(BeEmpty())
+		g.Eventually(func() []string { return f.hostsNotMatching(after) }, propagationBound, "5ms").Should(BeEmpty())
 		t.Logf("in force on all hosts after %s", time.Since(began))
-		g.Expect(f.sources()).To(Equal(tree))
+		g.Expect(f.viewSources()).To(Equal(tree))
 	})
 }
--- a/discovery/view.go
+++ b/discovery/view.go
@@ -67,6 +67,6 @@
 }
 
 // sorted returns the replicas by id.
-func sorted(replicas map[string]catalog.Replica) []catalog.Replica {
+func sortedReplicas(replicas map[string]catalog.Replica) []catalog.Replica {
 	return slices.SortedFunc(maps.Values(replicas), func(a, b catalog.Replica) int { return cmp.Compare(a.ID, b.ID) })
 }
--- a/fleet/avoided.go
+++ b/fleet/avoided.go
@@ -8,14 +8,14 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// Avoided are hosts that failed a moment ago and are not called for a while.
-// The zero value is ready; it is safe for concurrent use.
+// Avoided is a set of hosts that failed recently and are not called until their wait is
+// over. The zero value is ready to use; it is safe for concurrent use.
 type Avoided struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 }
 
-// Add avoids a host for a while.
+// Add excludes a host from calls for the given wait.
 func (a *Avoided) Add(host string, wait time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -31,15 +31,15 @@
 	a.until[host] = now.Add(wait)
 }
 
-// Has says whether a host is avoided.
+// Has reports whether calls to a host are excluded at the given time.
 func (a *Avoided) Has(host string, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return now.Before(a.until[host])
 }
 
-// Names returns the hosts that were avoided last, sorted; the time of some may
-// be over.
+// Names returns the hosts that were added last, sorted by name; the wait of some may be
+// over.
 func (a *Avoided) Names() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/fleet/avoided_test.go
+++ b/fleet/avoided_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = Describe("avoided hosts", func() {
-	It("are avoided for their time, and forgotten when another is added", func() {
+	It("are excluded for their wait and dropped when another host is added", func() {
 		var a fleet.Avoided
 		now := time.Now()
 		Expect(a.Has("a", now)).To(BeFalse())
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -23,70 +23,74 @@
 
 const methodRoster = "fleet.roster"
 
-// The times of introductions.
+// Timing of roster requests.
 const (
-	// firstAsk is the interval of introductions while new hosts turn up.
-	firstAsk = 300 * time.Millisecond
-	// quietRounds is the number of introductions in a row without a new host
-	// after which the interval is laterAsk.
-	quietRounds = 6
-	// manyHosts is the number of known hosts from which one seed at a time is
-	// asked, and for each as many more a first interval longer: when 300 start
-	// at once, three seeds answer them all.
-	manyHosts = 40
-	// laterAsk is the interval afterwards; the answer is empty unless there
-	// are new hosts.
-	laterAsk = 5 * time.Second
-	// askTimeout bounds one introduction.
-	askTimeout = time.Second
+	// initialRosterInterval is the interval between roster requests while new hosts are
+	// being discovered.
+	initialRosterInterval = 300 * time.Millisecond
+	// stableRounds is the number of consecutive roster requests without a new host after
+	// which the interval becomes steadyRosterInterval.
+	stableRounds = 6
+	// largeFleetSize is the number of known hosts above which only one seed is asked at a
+	// time. The interval also grows by one initialRosterInterval for each further
+	// largeFleetSize hosts: when 300 hosts start at once, three seeds answer them all.
+	largeFleetSize = 40
+	// steadyRosterInterval is the interval once no new hosts are found; the reply is then
+	// empty unless there are new hosts.
+	steadyRosterInterval = 5 * time.Second
+	// rosterTimeout limits one roster request.
+	rosterTimeout = time.Second
 )
 
-// Config is what a Fleet needs.
+// Config holds the settings and dependencies of a Fleet.
 type Config struct {
 	Self Host
-	// Seeds are the names of some hosts to begin with; they may be down.
+	// Seeds are the names of hosts to contact first; they may be down.
 	Seeds []string
-	// Listen is the ip:port for fellow daemons.
+	// Listen is the ip:port on which peer daemons reach this host.
 	Listen string
-	// Mux takes the methods that fellows may call.
+	// Mux is where the Fleet registers the methods that peers may call.
 	Mux    *peer.Mux
 	Logger *zap.Logger
-	// Changed is called when a host's state changes; it must not block.
+	// Changed is called when a host's membership state changes; it must not block.
 	Changed func(member.Member)
-	// Extensions are places on the heartbeats, and Heard is told of their values; it
-	// must not block.
+	// Extensions are values that heartbeats carry. Heard is called with the values that
+	// other hosts send; it must not block.
 	Extensions []member.Extension
 	Heard      func(member.SlotHeard)
 }
 
-// Fleet is one daemon among its fellows. All methods are safe for concurrent
+// Fleet is this daemon's participation in its fleet. All methods are safe for concurrent
 // use.
 type Fleet struct {
-	cfg       Config
-	log       *zap.Logger
-	roster    *roster
-	loop      *membership.Loop
-	calls     *membership.Calls
-	transport *peer.Transport
-	seeds     atomic.Pointer[[]string]
-	formed    chan struct{}
-	formOnce  sync.Once
-	// told is the number of hosts that a seed knew while the fleet formed.
-	told atomic.Int64
-	// asked holds the seeds that are being asked while the fleet forms.
-	asked sync.Map
+	cfg        Config
+	log        *zap.Logger
+	roster     *roster
+	loop       *membership.Loop
+	calls      *membership.Calls
+	transport  *peer.Transport
+	seeds      atomic.Pointer[[]string]
+	formed     chan struct{}
+	formedOnce sync.Once
+	// reportedSize is the number of hosts that a seed reported while the fleet was
+	// forming.
+	reportedSize atomic.Int64
+	// pendingRequests holds the seeds that have an outstanding roster request while the
+	// fleet is forming.
+	pendingRequests sync.Map
 }
 
-// New returns a fleet that listens but does not take part yet.
+// New returns a Fleet that accepts connections but does not participate until Run is
+// called.
 func New(cfg Config) (*Fleet, error) {
 	incarnation := uint64(time.Now().UnixMilli())
 	cfg.Self.Incarnation = incarnation
 	f := &Fleet{cfg: cfg, log: cfg.Logger, roster: newRoster(cfg.Self), calls: membership.NewCalls(), formed: make(chan struct{})}
 	f.SetSeeds(cfg.Seeds)
-	peer.Handle(cfg.Mux, methodRoster, f.introduced)
+	peer.Handle(cfg.Mux, methodRoster, f.handleRosterRequest)
 	members := member.DefaultConfig(cfg.Self.Host, incarnation)
 	members.Extensions = cfg.Extensions
-	loop, err := membership.New(members, rand.Uint64(), cfg.Mux, f.calls, membership.Hooks{Changed: f.changed, Slot: cfg.Heard}, cfg.Logger)
+	loop, err := membership.New(members, rand.Uint64(), cfg.Mux, f.calls, membership.Hooks{Changed: f.memberChanged, Slot: cfg.Heard}, cfg.Logger)
 	if err != nil {
 		return nil, err
 	}
@@ -103,67 +107,65 @@
 	return f, nil
 }
 
-// maxMessage bounds a message between daemons. What can be larger goes in parts,
-// each of which a link of 10 Mbit/s carries in a fraction of its call's time:
-// configurations, replicas and hosts in messages of 32 KiB at most.
+// maxMessage limits a message between daemons, in bytes. Larger content is split into
+// parts, each of which a link of 10 Mbit/s transfers in a fraction of its call's timeout:
+// configurations, replicas and hosts travel in messages of at most 32 KiB.
 const maxMessage = 256 << 10
 
-// The bounds of sessions: a fellow that is gone costs its callers little, and
-// one that is back is found soon. silenceTimeout is less than a poll of a planner
-// takes, so that a poll that fails has ended a silent session too; with 350 ms
-// links that lose packets cost more sessions than they should (0.05 of worth).
+// Session limits: callers detect a lost peer at little cost and reconnect soon to one that
+// is back. silenceTimeout is shorter than a planner's poll, so that a failed poll has also
+// closed a silent session. A silenceTimeout of 350 ms closes too many sessions on links
+// that lose packets and costs 0.05 of the achieved value.
 const (
 	dialTimeout    = 500 * time.Millisecond
 	silenceTimeout = 400 * time.Millisecond
 	maxBackoff     = 100 * time.Millisecond
 )
 
-// resolve returns the address of a host: its name.
+// resolve returns the address of a host, which is its name.
 func resolve(host string) (string, bool) {
 	_, err := netip.ParseAddrPort(host)
 	return host, err == nil
 }
 
-// Caller calls fellow daemons.
+// Caller returns the transport for calls to peer daemons.
 func (f *Fleet) Caller() peer.Caller { return f.transport }
 
-// SetSeeds replaces the seeds.
 func (f *Fleet) SetSeeds(seeds []string) { f.seeds.Store(&seeds) }
 
-// Members returns all hosts sorted by name, this one included. The slice must
-// not be changed.
+// Members returns all hosts sorted by name, including this one. The slice must not be
+// modified.
 func (f *Fleet) Members() []member.Member { return f.loop.View().Members }
 
-// Neighbours returns the hosts beside this one in the membership overlay, eight at
-// most, this one not included.
+// Neighbours returns this host's neighbours in the membership overlay, at most eight,
+// excluding this host.
 func (f *Fleet) Neighbours() []string { return f.loop.View().Neighbours }
 
-// SetSlot replaces this host's value of an extension.
+// SetSlot replaces the value that this host publishes for a membership extension.
 func (f *Fleet) SetSlot(id member.SlotID, value []byte) {
 	f.loop.Post(member.SetSlot{ID: id, Value: value})
 }
 
-// Size returns the number of hosts that were heard of, dead ones of the last
-// minutes included. A seed's word for it counts until this host knows their
-// names.
-func (f *Fleet) Size() int { return max(f.roster.size(), int(f.told.Load())) }
+// Size returns the number of known hosts, including those that died within the last
+// minutes. The number reported by a seed counts until this host knows their names.
+func (f *Fleet) Size() int { return max(f.roster.size(), int(f.reportedSize.Load())) }
 
-// Known returns the names of all hosts that were heard of, dead ones of the last
-// minutes included, and whether this host may count on knowing all: it has learned of
-// its fleet, and no seed knows more.
+// Known returns the names of all known hosts, including those that died within the last
+// minutes, and whether the list can be assumed complete: the fleet has formed and no seed
+// knows more hosts.
 func (f *Fleet) Known() (names []string, complete bool) {
 	all := f.roster.all()
 	names = make([]string, 0, len(all))
 	for _, h := range all {
 		names = append(names, h.Name)
 	}
-	alone := len(all) == 1 && len(f.otherSeeds()) > 0
-	return names, f.hasFormed() && !alone && len(all) >= int(f.told.Load())
+	onlySelfKnown := len(all) == 1 && len(f.otherSeeds()) > 0
+	return names, f.hasFormed() && !onlySelfKnown && len(all) >= int(f.reportedSize.Load())
 }
 
-// Reachable returns the hosts that may be called: all that were heard of but
-// for those that are believed dead or leaving. While none but this host is
-// known, the seeds stand in for the fleet.
+// Reachable returns the hosts that may be called: all known ones except those that are
+// considered dead or are leaving. While only this host is known, the seeds are returned in
+// place of the fleet.
 func (f *Fleet) Reachable() []Host {
 	states := make(map[string]member.Member)
 	for _, m := range f.Members() {
@@ -187,99 +189,103 @@
 	return hosts
 }
 
-// otherSeeds are the names of the seeds without this host.
+// otherSeeds returns the names of the seeds without this host.
 func (f *Fleet) otherSeeds() []string {
 	self := f.cfg.Self.Name
 	return slices.DeleteFunc(slices.Clone(*f.seeds.Load()), func(s string) bool { return s == self })
 }
 
-// Leave announces that this host drains.
+// Leave announces that this host is draining.
 func (f *Fleet) Leave() { f.loop.Post(member.Leave{}) }
 
-// Run takes part until ctx ends.
+// Run participates in the fleet until ctx ends.
 func (f *Fleet) Run(ctx context.Context) error {
 	var group errgroup.Group
 	group.Go(func() error { f.loop.Run(ctx); return nil })
-	group.Go(func() error { f.introduce(ctx); return nil })
+	group.Go(func() error { f.syncRoster(ctx); return nil })
 	err := group.Wait()
-	closing, cancel := clock.WithTimeout(context.Background(), dialTimeout)
+	shutdownCtx, cancel := clock.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	if closeErr := f.transport.Shutdown(closing); closeErr != nil {
-		f.log.Info("sessions cut", zap.Error(closeErr))
+	if closeErr := f.transport.Shutdown(shutdownCtx); closeErr != nil {
+		f.log.Info("peer sessions closed before they finished", zap.Error(closeErr))
 	}
 	return err
 }
 
-// changed logs nothing itself: the loop does.
-func (f *Fleet) changed(m member.Member) {
+// memberChanged does not log the change, since the membership loop does.
+func (f *Fleet) memberChanged(m member.Member) {
 	if f.cfg.Changed != nil {
 		f.cfg.Changed(m)
 	}
 }
 
-// introduced answers a fellow's introduction.
-func (f *Fleet) introduced(_ context.Context, from peer.Sender, req *wire.RosterRequest) (*wire.RosterReply, error) {
+// handleRosterRequest answers a peer's roster request and adds the peer.
+func (f *Fleet) handleRosterRequest(_ context.Context, from peer.Sender, req *wire.RosterRequest) (*wire.RosterReply, error) {
 	self := fromWire([]*wire.RosterHost{req.GetSelf()})
 	self[0].Name = from.Host
-	f.learn(from.Host, self)
+	f.addHosts(from.Host, self)
 	reply := &wire.RosterReply{Formed: f.hasFormed()}
 	if req.GetForming() {
-		reply.First, reply.Size = toWire(f.roster.first(firstNamed)), uint32(f.roster.size())
+		reply.First, reply.Size = toWire(f.roster.topRanked(formingReplyHosts)), uint32(f.roster.size())
 		return reply, nil
 	}
-	reply.Hosts = toWire(unlike(f.roster.all(), req.GetKnownBuckets()))
+	reply.Hosts = toWire(differingHosts(f.roster.all(), req.GetKnownBuckets()))
 	return reply, nil
 }
 
-// learn takes hosts that another host named.
-func (f *Fleet) learn(from string, hosts []Host) {
+// addHosts adds hosts that another host reported.
+func (f *Fleet) addHosts(from string, hosts []Host) {
 	if !f.roster.add(hosts...) {
 		return
 	}
 	all := f.roster.all()
-	f.log.Info("hosts learned", zap.String("from", from), zap.Int("hosts", len(all)))
-	f.loop.Post(member.Configured{Hosts: members(all), Upstreams: []string{}})
+	f.log.Info("hosts added from a peer's roster", zap.String("from", from), zap.Int("hosts", len(all)))
+	f.loop.Post(member.Configured{Hosts: memberHosts(all), Upstreams: []string{}})
 }
 
-// Restarted takes the start of a host's process that the host itself has said:
-// its rank changes with that before the news of it comes round.
-func (f *Fleet) Restarted(host string, incarnation uint64) { f.roster.restarted(host, incarnation) }
+// Restarted records a newer incarnation that a host reported itself, so that its rank
+// changes before membership propagates the restart.
+func (f *Fleet) Restarted(host string, incarnation uint64) {
+	f.roster.updateIncarnation(host, incarnation)
+}
 
-// Incarnation is the start of this process in Unix milliseconds.
+// Incarnation returns the start time of this process in Unix milliseconds.
 func (f *Fleet) Incarnation() uint64 { return f.cfg.Self.Incarnation }
 
-// introduce tells seeds who this host is and learns whom they know.
-func (f *Fleet) introduce(ctx context.Context) {
-	f.loop.Post(member.Configured{Hosts: members(f.roster.all()), Upstreams: []string{}})
-	f.introduceForming(ctx)
-	quiet, known := 0, 0
+// syncRoster announces this host to the seeds and fetches the hosts that they know, until
+// ctx ends.
+func (f *Fleet) syncRoster(ctx context.Context) {
+	f.loop.Post(member.Configured{Hosts: memberHosts(f.roster.all()), Upstreams: []string{}})
+	f.syncRosterUntilFormed(ctx)
+	unchangedRounds, known := 0, 0
 	for ctx.Err() == nil {
 		n := f.Size()
-		wait := min(laterAsk, firstAsk*time.Duration(1+n/manyHosts))
+		wait := min(steadyRosterInterval, initialRosterInterval*time.Duration(1+n/largeFleetSize))
 		switch {
-		case quiet >= quietRounds:
-			wait = laterAsk
+		case unchangedRounds >= stableRounds:
+			wait = steadyRosterInterval
 		case known == 0:
 			wait = formingInterval(n)
 		}
 		if !periodic.Sleep(ctx, wait/2+rand.N(wait)) {
 			return
 		}
-		answered := f.askRound(ctx, quiet >= quietRounds || n > manyHosts)
+		answered := f.requestRosters(ctx, unchangedRounds >= stableRounds || n > largeFleetSize)
 		if n = f.roster.size(); answered && n == known {
-			quiet++
+			unchangedRounds++
 		} else {
-			quiet, known = 0, n
+			unchangedRounds, known = 0, n
 		}
-		f.forgetDead()
+		f.removeLongDead()
 	}
 }
 
-// askRound asks the seeds, all or one of them, and says whether any answered.
-func (f *Fleet) askRound(ctx context.Context, one bool) bool {
-	targets := f.targets()
+// requestRosters sends a roster request to all seeds, or to one of them, and reports
+// whether any answered.
+func (f *Fleet) requestRosters(ctx context.Context, one bool) bool {
+	targets := f.rosterTargets()
 	if len(targets) == 0 {
-		return true // alone, as the settings say
+		return true // the settings name no other host
 	}
 	if one {
 		targets = targets[:1]
@@ -288,19 +294,19 @@
 	var answered atomic.Bool
 	for _, host := range targets {
 		group.Go(func() error {
-			if f.ask(ctx, host) {
+			if f.requestRoster(ctx, host) {
 				answered.Store(true)
 			}
 			return nil
 		})
 	}
-	_ = group.Wait() // no error is returned
+	_ = group.Wait() // the functions never return an error
 	return answered.Load()
 }
 
-// targets are the seeds in random order, without this host; hosts that are
-// known to live when there is no seed else.
-func (f *Fleet) targets() []string {
+// rosterTargets returns the seeds without this host in random order, or the live hosts
+// when there is no other seed.
+func (f *Fleet) rosterTargets() []string {
 	targets := f.otherSeeds()
 	if len(targets) == 0 {
 		for _, m := range f.Members() {
@@ -313,33 +319,34 @@
 	return targets
 }
 
-// ask introduces this host to another and says whether it answered.
-func (f *Fleet) ask(ctx context.Context, host string) bool {
-	ctx, cancel := clock.WithTimeout(ctx, askTimeout)
+// requestRoster announces this host to another, takes over the hosts that it reports, and
+// reports whether it answered.
+func (f *Fleet) requestRoster(ctx context.Context, host string) bool {
+	ctx, cancel := clock.WithTimeout(ctx, rosterTimeout)
 	defer cancel()
 	req := &wire.RosterRequest{Self: toWire([]Host{f.cfg.Self})[0], Forming: !f.hasFormed()}
 	if !req.Forming {
-		known := digestOf(f.roster.all())
+		known := rosterDigest(f.roster.all())
 		req.KnownBuckets = known[:]
 	}
 	reply := &wire.RosterReply{}
 	if err := f.transport.Call(ctx, host, methodRoster, req, reply); err != nil {
-		f.log.Debug("introduction failed", zap.String("peer", host), zap.Error(err))
+		f.log.Debug("roster request failed", zap.String("peer", host), zap.Error(err))
 		return false
 	}
-	f.learn(host, fromWire(slices.Concat(reply.GetHosts(), reply.GetFirst())))
-	f.told.Store(int64(reply.GetSize()))
+	f.addHosts(host, fromWire(slices.Concat(reply.GetHosts(), reply.GetFirst())))
+	f.reportedSize.Store(int64(reply.GetSize()))
 	if reply.GetFormed() {
-		f.form("a seed knows the fleet")
+		f.markFormed("a seed reported that the fleet has formed")
 	}
 	return true
 }
 
-// forgetDead forgets hosts that have been dead for long.
-func (f *Fleet) forgetDead() {
+// removeLongDead removes hosts that have been dead for longer than deadRetention.
+func (f *Fleet) removeLongDead() {
 	var dead []string
 	for _, m := range f.Members() {
-		if m.State == member.Dead && clock.Since(m.Since) > forgetAfter && !slices.Contains(*f.seeds.Load(), m.Host.Name) {
+		if m.State == member.Dead && clock.Since(m.Since) > deadRetention && !slices.Contains(*f.seeds.Load(), m.Host.Name) {
 			dead = append(dead, m.Host.Name)
 		}
 	}
@@ -347,6 +354,6 @@
 		return
 	}
 	f.roster.remove(dead)
-	f.log.Info("dead hosts forgotten", zap.Strings("hosts", dead))
-	f.loop.Post(member.Configured{Hosts: members(f.roster.all()), Upstreams: []string{}})
+	f.log.Info("dead hosts removed", zap.Strings("hosts", dead))
+	f.loop.Post(member.Configured{Hosts: memberHosts(f.roster.all()), Upstreams: []string{}})
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -25,7 +25,7 @@
 
 var nextIP atomic.Uint32
 
-// address is one that no other test process uses.
+// address returns an address that no other test process uses.
 func address() string {
 	return fmt.Sprintf("127.%d.%d.%d:7401", 2+os.Getpid()>>8&0x7f, os.Getpid()&0xff, nextIP.Add(1))
 }
@@ -55,23 +55,23 @@
 }
 
 var _ = Describe("a fleet", func() {
-	It("is found through one seed of three, the others being down", func() {
-		a, b, c, gone := address(), address(), address(), address()
-		first, _ := start(a, 1, gone, a)
-		second, _ := start(b, 1, gone, a)
-		third, _ := start(c, 1, gone, a)
+	It("is discovered through one live seed while another seed is down", func() {
+		a, b, c, stopped := address(), address(), address(), address()
+		first, _ := start(a, 1, stopped, a)
+		second, _ := start(b, 1, stopped, a)
+		third, _ := start(c, 1, stopped, a)
 		for _, f := range []*fleet.Fleet{first, second, third} {
 			Eventually(names(f), "5s").Should(ConsistOf(a, b, c))
 		}
 	})
 
-	It("takes seeds for the fleet until one has answered", func() {
+	It("returns the seeds as reachable until one has answered", func() {
 		self, seed := address(), address()
 		f, _ := start(self, 1, seed)
 		Expect(names(f)()).To(ConsistOf(self, seed))
 	})
 
-	It("has formed at once when a seed knows it, and alone", func() {
+	It("forms at once on a seed that is alone, and on a host whose seed has formed", func() {
 		a, b := address(), address()
 		first, _ := start(a, 1, a)
 		Eventually(first.Formed(), "500ms").Should(BeClosed())
@@ -80,13 +80,13 @@
 		Expect(names(second)()).To(ConsistOf(a, b))
 	})
 
-	It("has not formed while its seeds are silent, for a second at most", func() {
+	It("forms after a second when its seeds do not answer", func() {
 		f, _ := start(address(), 1, address(), address())
 		Consistently(f.Formed(), "500ms").ShouldNot(BeClosed())
 		Eventually(f.Formed(), "2s").Should(BeClosed())
 	})
 
-	It("counts on knowing all hosts once it has formed, and not while no seed has answered", func() {
+	It("reports the host list as complete once it has formed, but not while no seed has answered", func() {
 		complete := func(f *fleet.Fleet) func() bool {
 			return func() bool { _, all := f.Known(); return all }
 		}
@@ -98,41 +98,41 @@
 			Eventually(func() []string { all, _ := f.Known(); return all }, "5s").Should(ConsistOf(a, b))
 		}
 		stop()
-		Consistently(func() []string { all, _ := first.Known(); return all }, "500ms").Should(ConsistOf(a, b), "who is gone may be back")
+		Consistently(func() []string { all, _ := first.Known(); return all }, "500ms").Should(ConsistOf(a, b), "a stopped host may return")
 
-		cutOff, _ := start(address(), 1, address(), address())
-		Eventually(cutOff.Formed(), "2s").Should(BeClosed())
-		Expect(complete(cutOff)()).To(BeFalse())
+		isolated, _ := start(address(), 1, address(), address())
+		Eventually(isolated.Formed(), "2s").Should(BeClosed())
+		Expect(complete(isolated)()).To(BeFalse())
 	})
 
-	It("that starts together agrees on who ranks first once it has formed, the seeds being last", func() {
+	It("agrees on the highest-ranked host once it has formed when all hosts start together and the seeds start last", func() {
 		seeds := []string{address(), address()}
 		var all []*fleet.Fleet
 		for range 8 {
 			f, _ := start(address(), 1, seeds...)
 			all = append(all, f)
 		}
-		time.Sleep(200 * time.Millisecond) // the platform starts seeds late
+		time.Sleep(200 * time.Millisecond) // seeds may start later than other hosts
 		for _, s := range seeds {
 			f, _ := start(s, 1, seeds...)
 			all = append(all, f)
 		}
-		began := time.Now()
+		started := time.Now()
 		first := map[string]int{}
 		for _, f := range all {
 			Eventually(f.Formed(), "3s").Should(BeClosed())
 			first[ranked(f)[0]]++
 		}
 		Expect(first).To(HaveLen(1))
-		Expect(time.Since(began)).To(BeNumerically("<", 900*time.Millisecond), "the seeds say so once they have settled")
-		By("learning the names of all soon after")
+		Expect(time.Since(started)).To(BeNumerically("<", 900*time.Millisecond), "seeds report it after their settle time")
+		By("learning the names of all hosts soon after")
 		for _, f := range all {
 			Eventually(names(f), "3s").Should(HaveLen(len(all)))
 			Expect(f.Size()).To(Equal(len(all)))
 		}
 	})
 
-	It("agrees on who ranks first: capacity, then the start of the process", func() {
+	It("ranks hosts by capacity, then by the start of the process", func() {
 		a, b, c := address(), address(), address()
 		first, _ := start(a, 1, a)
 		time.Sleep(5 * time.Millisecond)
@@ -145,7 +145,7 @@
 		}
 	})
 
-	It("leaves out a host that is leaving, and one that is dead", func() {
+	It("excludes leaving and dead hosts from the reachable ones", func() {
 		a, b, c := address(), address(), address()
 		first, _ := start(a, 1, a)
 		second, _ := start(b, 1, a)
@@ -157,7 +157,7 @@
 		Eventually(names(first), "20s").Should(ConsistOf(a))
 	})
 
-	It("knows a host again that has restarted", func() {
+	It("lists a restarted host with its new incarnation", func() {
 		a, b := address(), address()
 		first, _ := start(a, 1, a)
 		_, stop := start(b, 1, a)
@@ -180,8 +180,7 @@
 	return 0
 }
 
-// ranked returns the names of the hosts that a fleet may call, first in rank
-// first.
+// ranked returns the names of the reachable hosts in order of rank.
 func ranked(f *fleet.Fleet) []string {
 	hosts := f.Reachable()
 	slices.SortFunc(hosts, fleet.Host.Compare)
--- a/fleet/form.go
+++ b/fleet/form.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// formingAsk is the interval of introductions while the fleet forms, and
-	// formingHosts the number of hosts for each of which it is as much longer.
-	formingAsk   = 100 * time.Millisecond
-	formingHosts = 160
-	// seedSettles is how long a seed listens before it counts on having heard
-	// of all hosts that run: they introduce themselves at formingAsk, and the
-	// last of those that start together is up half a second after the first.
-	seedSettles = 400 * time.Millisecond
-	// firstNamed is the number of hosts that a seed names to one whose fleet
-	// forms.
-	firstNamed = 3
-	// formBound is when a host counts on what it knows, whether its seeds
-	// answered or not: seeds start up to 300 ms after the others and settle, and
-	// a dial of one that is dark takes dialTimeout.
-	formBound = time.Second
+	// formingBaseInterval is the interval between roster requests while the fleet is
+	// forming; it doubles at formingIntervalHosts known hosts and grows in proportion to
+	// their number.
+	formingBaseInterval  = 100 * time.Millisecond
+	formingIntervalHosts = 160
+	// seedSettleTime is how long a seed waits before it assumes that all running hosts
+	// have contacted it: they send requests every formingBaseInterval, and the last of
+	// those that start together is up half a second after the first.
+	seedSettleTime = 400 * time.Millisecond
+	// formingReplyHosts is the number of hosts that a seed reports to a host whose fleet
+	// is still forming.
+	formingReplyHosts = 3
+	// formTimeout is when a host relies on the hosts that it knows, whether or not its
+	// seeds answered: seeds start up to 300 ms after the others and then wait for
+	// seedSettleTime, and a connection attempt to an unresponsive seed takes dialTimeout.
+	formTimeout = time.Second
 )
 
-// Formed returns a channel that is closed once this host knows the fleet well
-// enough to agree with its fellows on who ranks first: a seed that has settled,
-// or had done so long ago, has named the first in rank. It is closed after
-// formBound in any case, since a host may be cut off.
+// Formed returns a channel that is closed once this host knows the fleet well enough to
+// agree with its peers on which host ranks first, that is once a seed that has formed has
+// reported the highest-ranked hosts. It is closed after formTimeout in any case, since a
+// host may be disconnected.
 //
-// Hosts that start together know different parts of the fleet for a moment.
-// What only one host of the fleet should do, each would do for itself.
+// Hosts that start together know different parts of the fleet for a moment. Each of them
+// would then do the work that only one host of the fleet should do.
 func (f *Fleet) Formed() <-chan struct{} { return f.formed }
 
-// hasFormed says whether Formed is closed.
+// hasFormed reports whether the channel of Formed is closed.
 func (f *Fleet) hasFormed() bool {
 	select {
 	case <-f.formed:
@@ -48,30 +49,30 @@
 	}
 }
 
-// form closes Formed.
-func (f *Fleet) form(why string) {
-	f.formOnce.Do(func() {
-		f.log.Info("fleet formed", zap.String("why", why), zap.Int("hosts", f.Size()))
+// markFormed closes the channel of Formed.
+func (f *Fleet) markFormed(reason string) {
+	f.formedOnce.Do(func() {
+		f.log.Info("fleet formed", zap.String("why", reason), zap.Int("hosts", f.Size()))
 		close(f.formed)
 	})
 }
 
-// introduceForming introduces this host to all seeds, again and again, until
-// the fleet has formed. The hosts that rank first are all that it learns: the
-// names of all, sent to all at once, would fill the links of the seeds.
-func (f *Fleet) introduceForming(ctx context.Context) {
-	bound := clock.AfterFunc(formBound, func() { f.form("time is over") })
-	defer bound.Stop()
+// syncRosterUntilFormed sends roster requests to all seeds until the fleet has formed. It
+// receives only the highest-ranked hosts: sending all names to all hosts at once would
+// saturate the links of the seeds.
+func (f *Fleet) syncRosterUntilFormed(ctx context.Context) {
+	timeout := clock.AfterFunc(formTimeout, func() { f.markFormed("timed out waiting for seeds") })
+	defer timeout.Stop()
 	if slices.Contains(*f.seeds.Load(), f.cfg.Self.Name) {
-		settled := clock.AfterFunc(seedSettles, func() { f.form("a seed, and the others had time to say so") })
-		defer settled.Stop()
+		settleTimer := clock.AfterFunc(seedSettleTime, func() { f.markFormed("this host is a seed and the settle time has passed") })
+		defer settleTimer.Stop()
 	}
-	if len(f.targets()) == 0 {
-		f.form("no seed but this host")
+	if len(f.rosterTargets()) == 0 {
+		f.markFormed("there is no seed other than this host")
 	}
 	for !f.hasFormed() {
-		for _, host := range f.targets() {
-			f.askForming(ctx, host)
+		for _, host := range f.rosterTargets() {
+			f.requestRosterAsync(ctx, host)
 		}
 		interval := formingInterval(f.Size())
 		wait := clock.NewTimer(interval/2 + rand.N(interval))
@@ -86,19 +87,19 @@
 	}
 }
 
-// formingInterval is the interval of introductions while a fleet of n hosts
-// forms.
+// formingInterval returns the interval between roster requests while a fleet of n hosts is
+// forming.
 func formingInterval(n int) time.Duration {
-	return formingAsk * time.Duration(formingHosts+n) / formingHosts
+	return formingBaseInterval * time.Duration(formingIntervalHosts+n) / formingIntervalHosts
 }
 
-// askForming introduces this host to a seed, unless that is under way.
-func (f *Fleet) askForming(ctx context.Context, host string) {
-	if _, under := f.asked.LoadOrStore(host, true); under {
+// requestRosterAsync sends a roster request to a seed unless one is already outstanding.
+func (f *Fleet) requestRosterAsync(ctx context.Context, host string) {
+	if _, pending := f.pendingRequests.LoadOrStore(host, true); pending {
 		return
 	}
 	go func() {
-		defer f.asked.Delete(host)
-		f.ask(ctx, host)
+		defer f.pendingRequests.Delete(host)
+		f.requestRoster(ctx, host)
 	}()
 }
--- a/fleet/roster.go
+++ b/fleet/roster.go
@@ -17,31 +17,32 @@
 )
 
 const (
-	// maxHosts bounds the hosts that are kept.
+	// maxHosts limits the number of hosts that are kept.
 	maxHosts = 4096
-	// forgetAfter is how long a host that is held dead is kept: it may be back
-	// after a restart, and its name is cheap.
-	forgetAfter = 2 * time.Minute
+	// deadRetention is how long a dead host is kept: it may come back after a restart, and
+	// keeping its name costs little.
+	deadRetention = 2 * time.Minute
 )
 
-// roster is the set of hosts that were heard of. It is safe for concurrent use.
+// roster is the set of known hosts. It is safe for concurrent use.
 type roster struct {
 	mu    sync.Mutex
 	hosts map[string]Host
 }
 
-// Host is a host as its fellows know it.
+// Host is a host as its peers know it.
 type Host struct {
 	member.Host
-	// Capacity is what its machine can do, in thousandths of a processor.
+	// Capacity is the processing capacity of the machine in thousandths of a processor.
 	Capacity int
-	// Incarnation is the start of its process in Unix milliseconds.
+	// Incarnation is the start time of the process in Unix milliseconds.
 	Incarnation uint64
 }
 
-// Compare ranks hosts; the first does what one host does for all. It is the host
-// with the most capacity, then the one that has run for longest, so that a host
-// that is back takes nothing over. All hosts with like views agree on it.
+// Compare orders hosts by rank; the first one does the work that a single host does for
+// the fleet. The host with the most capacity ranks first, then the one that has run for
+// longest, so that a restarted host does not displace another. All hosts with the same
+// view of the fleet agree on the order.
 func (h Host) Compare(o Host) int {
 	if c := cmp.Or(cmp.Compare(o.Capacity, h.Capacity), cmp.Compare(h.Incarnation, o.Incarnation)); c != 0 {
 		return c
@@ -53,7 +54,8 @@
 	return &roster{hosts: map[string]Host{self.Name: self}}
 }
 
-// add takes hosts and says whether one of them is new or has moved.
+// add adds or updates hosts and reports whether any of them is new or has a newer
+// incarnation.
 func (r *roster) add(hosts ...Host) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,8 +71,8 @@
 	return changed
 }
 
-// restarted notes a later start of a known host's process.
-func (r *roster) restarted(name string, incarnation uint64) {
+// updateIncarnation records a newer incarnation of a known host.
+func (r *roster) updateIncarnation(name string, incarnation uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if h, ok := r.hosts[name]; ok && incarnation > h.Incarnation {
@@ -79,7 +81,6 @@
 	}
 }
 
-// remove forgets hosts.
 func (r *roster) remove(names []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,16 +89,15 @@
 	}
 }
 
-// size returns the number of hosts.
 func (r *roster) size() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.hosts)
 }
 
-// first returns the n hosts that rank first, in order. It does not sort all: a
-// seed answers hundreds of hosts that start at once.
-func (r *roster) first(n int) []Host {
+// topRanked returns the n highest-ranked hosts in order. It does not sort all hosts, since
+// a seed answers hundreds of hosts that start at once.
+func (r *roster) topRanked(n int) []Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	best := make([]Host, 0, n+1)
@@ -121,8 +121,9 @@
 	return slices.SortedFunc(maps.Values(r.hosts), func(a, b Host) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// digestOf is the same for rosters with the same hosts.
-func digestOf(hosts []Host) bucket.Digest {
+// rosterDigest returns a digest that is equal for rosters with the same hosts and
+// incarnations.
+func rosterDigest(hosts []Host) bucket.Digest {
 	var d bucket.Digest
 	for _, h := range hosts {
 		d.Add(h.Name, xxhash.Sum64String(h.Name+"\x00"+strconv.FormatUint(h.Incarnation, 36)))
@@ -130,23 +131,25 @@
 	return d
 }
 
-// maxNamed bounds the hosts of one answer, some 16 kB: a seed whose fleet of
-// 1,000 starts at once behind a link of 10 Mbit/s would else be asked for twice
-// what the link carries, and answer nobody. The rest comes with the next answers.
-const maxNamed = 300
-
-// unlike returns hosts of buckets that differ from a peer's, from a random one
-// on: buckets that go on to differ must not keep others back.
-func unlike(hosts []Host, theirs []uint64) []Host {
-	d := digestOf(hosts)
+// maxReplyHosts limits the hosts in one reply to some 16 kB. Without the limit, a seed
+// behind a link of 10 Mbit/s whose fleet of 1,000 hosts starts at once would be asked for
+// twice what the link carries, and no reply would arrive. Later replies contain the
+// remaining hosts.
+const maxReplyHosts = 300
+
+// differingHosts returns the hosts in buckets that differ from a peer's digest, starting
+// at a random bucket, so that buckets which never become equal do not keep others from
+// being sent.
+func differingHosts(hosts []Host, peerDigest []uint64) []Host {
+	d := rosterDigest(hosts)
 	byBucket := make([][]Host, bucket.Count)
 	for _, h := range hosts {
 		b := bucket.Of(h.Name)
 		byBucket[b] = append(byBucket[b], h)
 	}
 	var out []Host
-	for _, b := range d.Differing(theirs, rand.IntN(bucket.Count)) {
-		if len(out) > 0 && len(out)+len(byBucket[b]) > maxNamed {
+	for _, b := range d.Differing(peerDigest, rand.IntN(bucket.Count)) {
+		if len(out) > 0 && len(out)+len(byBucket[b]) > maxReplyHosts {
 			break
 		}
 		out = append(out, byBucket[b]...)
@@ -173,8 +176,8 @@
 	return out
 }
 
-// members are the hosts as membership takes them.
-func members(hosts []Host) []member.Host {
+// memberHosts converts hosts to the type that package core/member uses.
+func memberHosts(hosts []Host) []member.Host {
 	out := make([]member.Host, 0, len(hosts))
 	for _, h := range hosts {
 		out = append(out, h.Host)
--- a/fleet/roster_test.go
+++ b/fleet/roster_test.go
@@ -16,7 +16,7 @@
 		return Host{Host: member.Host{Name: name}, Capacity: capacity, Incarnation: incarnation}
 	}
 
-	It("names the hosts that rank first, in order, without sorting all", func() {
+	It("returns the highest-ranked hosts in order", func() {
 		r := rand.New(rand.NewPCG(1, 2))
 		for range 50 {
 			ros := newRoster(host("self", 1+r.IntN(3), uint64(r.IntN(4))))
@@ -25,39 +25,39 @@
 			}
 			all := ros.all()
 			slices.SortFunc(all, Host.Compare)
-			Expect(ros.first(3)).To(Equal(all[:min(3, len(all))]))
+			Expect(ros.topRanked(3)).To(Equal(all[:min(3, len(all))]))
 		}
 	})
 
-	It("is told in parts, whatever the asker knows and the teller does not", func() {
-		seed, asker := newRoster(host("seed", 1, 1)), newRoster(host("asker", 1, 1))
+	It("is transferred in parts, also when the requester knows hosts that the seed does not", func() {
+		seed, requester := newRoster(host("seed", 1, 1)), newRoster(host("requester", 1, 1))
 		for i := range 1000 {
 			seed.add(host(fmt.Sprint("h", i), 1, 1))
 		}
 		for i := range 100 {
-			asker.add(host(fmt.Sprint("gone", i), 1, 1))
+			requester.add(host(fmt.Sprint("gone", i), 1, 1))
 		}
 		rounds := 0
-		for ; asker.size() < 1102 && rounds < 100; rounds++ {
-			known := digestOf(asker.all())
-			named := unlike(seed.all(), known[:])
-			Expect(len(named)).To(BeNumerically("<=", maxNamed))
-			asker.add(named...)
+		for ; requester.size() < 1102 && rounds < 100; rounds++ {
+			known := rosterDigest(requester.all())
+			reply := differingHosts(seed.all(), known[:])
+			Expect(len(reply)).To(BeNumerically("<=", maxReplyHosts))
+			requester.add(reply...)
 		}
-		Expect(asker.size()).To(Equal(1102))
+		Expect(requester.size()).To(Equal(1102))
 		Expect(rounds).To(BeNumerically("<", 40))
-		known := digestOf(asker.all())
-		Expect(unlike(asker.all(), known[:])).To(BeEmpty())
+		known := rosterDigest(requester.all())
+		Expect(differingHosts(requester.all(), known[:])).To(BeEmpty())
 	})
 
-	It("ranks a host anew that says when it has restarted, and never goes back", func() {
+	It("lowers the rank of a restarted host and ignores older incarnations", func() {
 		ros := newRoster(host("self", 1, 20))
 		ros.add(host("old", 1, 10))
-		Expect(ros.first(1)[0].Name).To(Equal("old"))
-		ros.restarted("old", 30)
-		Expect(ros.first(1)[0].Name).To(Equal("self"))
-		ros.restarted("old", 10)
-		ros.restarted("unknown", 40)
-		Expect(ros.first(3)).To(HaveExactElements(HaveField("Name", "self"), HaveField("Incarnation", uint64(30))))
+		Expect(ros.topRanked(1)[0].Name).To(Equal("old"))
+		ros.updateIncarnation("old", 30)
+		Expect(ros.topRanked(1)[0].Name).To(Equal("self"))
+		ros.updateIncarnation("old", 10)
+		ros.updateIncarnation("unknown", 40)
+		Expect(ros.topRanked(3)).To(HaveExactElements(HaveField("Name", "self"), HaveField("Incarnation", uint64(30))))
 	})
 })
