--- a/discovery/blocks.go
+++ b/discovery/blocks.go
@@ -16,66 +16,67 @@
 const methodConfig = "discovery.config"
 
 const (
-	// blockBytes is the size of a block: 13 ms of a link of 10 Mbit/s, so that
-	// eight hosts that fetch at once keep the messages of others waiting for 0.1 s
-	// at most.
+	// blockBytes is the size of a block. It occupies a link of 10 Mbit/s for 13 ms, so
+	// that eight hosts that fetch at once delay other messages by at most 0.1 s.
 	blockBytes = 16 << 10
-	// blockTimeout bounds the call for one block: five times what it takes when
-	// eight fetch behind a link of 10 Mbit/s. What came before it is kept.
+	// blockTimeout limits the call for one block to five times what it takes when eight
+	// hosts fetch over a link of 10 Mbit/s. Blocks received before are kept.
 	blockTimeout = 500 * time.Millisecond
-	// maxSources bounds the hosts that are asked for one step before the store is
-	// read: together less than the time within which news must be in force.
+	// maxSources limits the hosts that are asked for one delta before the store is read,
+	// so that all attempts together take less than the time within which changes must be
+	// active.
 	maxSources = 3
 )
 
 var (
-	errBlockOutOfOrder = errors.New("discovery: block out of order")
-	errNoNewerConfig   = errors.New("discovery: no newer configuration there")
-	errBaseMismatch    = errors.New("discovery: step from another revision")
+	errBlockOutOfOrder = errors.New("discovery: block at an unexpected offset")
+	errNoNewerConfig   = errors.New("discovery: peer has no newer configuration")
+	errBaseMismatch    = errors.New("discovery: configuration delta has another base revision")
 	errBlockPending    = errors.New("discovery: block not here yet")
 )
 
-// download is a step that is being fetched. It survives the hosts that it is
-// fetched from, and is passed on while it grows: the levels of a tree of hosts
-// then take a step one block, and not one step, after the other. On 80 hosts
-// behind 10 Mbit/s a configuration of a megabyte is in force after 2.0 s that way
-// and after 3.0 s otherwise, by the simulated links of the tests.
+// download is a configuration delta that is being fetched. It continues from another host
+// when one fails, and its blocks are offered to peers before it is complete: the levels of
+// the tree of hosts are then one block apart, and not one delta. In a simulation of 80
+// hosts with links of 10 Mbit/s, a configuration of a megabyte is active after 2.0 s
+// that way, and after 3.0 s otherwise.
 type download struct {
 	configDelta
 	size int
-	// grown is closed and replaced with every block.
+	// blockAdded is closed and replaced with every block.
 	blockAdded chan struct{}
 }
 
-// serves says whether the step is what a host asks for, now or a little later.
-func (l *download) canServe(req *wire.ConfigBlockRequest) bool {
-	return l != nil && (l.base == 0 || l.base == req.GetBaseRevision()) && l.revision > req.GetBaseRevision() &&
-		(req.GetDigest() == 0 || req.GetDigest() == l.digest)
+// canServe reports whether the delta is the one that a host requests. The requested block
+// may not have arrived yet.
+func (dl *download) canServe(req *wire.ConfigBlockRequest) bool {
+	return dl != nil && (dl.base == 0 || dl.base == req.GetBaseRevision()) && dl.revision > req.GetBaseRevision() &&
+		(req.GetDigest() == 0 || req.GetDigest() == dl.digest)
 }
 
-// complete says whether all bytes are there.
-func (l *download) complete() bool { return l.digest != 0 && len(l.data) >= l.size }
+// complete reports whether all bytes have been received.
+func (dl *download) complete() bool { return dl.digest != 0 && len(dl.data) >= dl.size }
 
-// take adds a block. A block of another step replaces what was fetched.
-func (l *download) addBlock(b *wire.ConfigBlock) error {
-	if b.GetDigest() != l.digest {
-		*l = download{
-			blockAdded:  l.blockAdded,
+// addBlock appends a block. A block of another delta discards what was fetched before.
+func (dl *download) addBlock(b *wire.ConfigBlock) error {
+	if b.GetDigest() != dl.digest {
+		*dl = download{
+			blockAdded:  dl.blockAdded,
 			configDelta: configDelta{base: b.GetBaseRevision(), revision: b.GetRevision(), digest: b.GetDigest()},
 			size:        int(min(b.GetSize(), maxConfigBytes)),
 		}
 	}
-	if int(b.GetOffset()) != len(l.data) || len(b.GetData()) == 0 {
-		return fmt.Errorf("%w: at %d, want %d", errBlockOutOfOrder, b.GetOffset(), len(l.data))
+	if int(b.GetOffset()) != len(dl.data) || len(b.GetData()) == 0 {
+		return fmt.Errorf("%w: got %d, want %d", errBlockOutOfOrder, b.GetOffset(), len(dl.data))
 	}
-	l.data = append(l.data, b.GetData()...)
+	dl.data = append(dl.data, b.GetData()...)
 	return nil
 }
 
-// downloadFrom fetches what is left of the step from a host.
-func (d *Discovery) downloadFrom(ctx context.Context, host string, base uint64, l *download) error {
-	for !l.complete() {
-		req := &wire.ConfigBlockRequest{BaseRevision: base, Digest: l.digest, Offset: uint32(len(l.data))}
+// downloadFrom fetches the rest of the delta from a host.
+func (d *Discovery) downloadFrom(ctx context.Context, host string, base uint64, dl *download) error {
+	for !dl.complete() {
+		req := &wire.ConfigBlockRequest{BaseRevision: base, Digest: dl.digest, Offset: uint32(len(dl.data))}
 		block := &wire.ConfigBlock{}
 		call, cancel := clock.WithTimeout(ctx, blockTimeout)
 		err := d.cfg.Caller.Call(call, host, methodConfig, req, block)
@@ -83,33 +84,33 @@
 		if err != nil {
 			return err
 		}
-		switch from := block.GetBaseRevision(); {
+		switch blockBase := block.GetBaseRevision(); {
 		case block.GetRevision() <= base:
 			return errNoNewerConfig
-		case from != 0 && from != base:
+		case blockBase != 0 && blockBase != base:
 			return errBaseMismatch
 		}
-		if err := d.receiveBlock(l, block); err != nil {
+		if err := d.receiveBlock(dl, block); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// grow adds a block to a download and passes it on.
-func (d *Discovery) receiveBlock(l *download, block *wire.ConfigBlock) error {
+// receiveBlock adds a block to a download and makes it available to peers.
+func (d *Discovery) receiveBlock(dl *download, block *wire.ConfigBlock) error {
 	d.deltaMu.Lock()
 	defer d.deltaMu.Unlock()
-	grown := l.blockAdded
-	if err := l.addBlock(block); err != nil {
+	blockAdded := dl.blockAdded
+	if err := dl.addBlock(block); err != nil {
 		return err
 	}
-	if grown != nil {
-		close(grown)
+	if blockAdded != nil {
+		close(blockAdded)
 	}
-	l.blockAdded = make(chan struct{})
-	d.incoming = l
-	if d.relayedRevision.Swap(l.revision) != l.revision {
+	dl.blockAdded = make(chan struct{})
+	d.incoming = dl
+	if d.relayedRevision.Swap(dl.revision) != dl.revision {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.notifyWaiters()
@@ -117,15 +118,16 @@
 	return nil
 }
 
-// keepStep keeps a whole step for fellows.
-func (d *Discovery) storeDelta(s configDelta) {
+// storeDelta keeps a complete delta for peers.
+func (d *Discovery) storeDelta(delta configDelta) {
 	d.deltaMu.Lock()
 	defer d.deltaMu.Unlock()
-	d.configDeltas = d.configDeltas.add(s)
+	d.configDeltas = d.configDeltas.add(delta)
 	d.incoming = nil
 }
 
-// giveUp ends a download that no host completes; who waits for it is answered.
+// abandonDownload ends a download that no host completes and wakes the requests that wait
+// for its blocks.
 func (d *Discovery) abandonDownload() {
 	d.deltaMu.Lock()
 	defer d.deltaMu.Unlock()
@@ -136,28 +138,28 @@
 	d.relayedRevision.Store(0)
 }
 
-// fetchStep fetches a step from the revision held, from one host after the
-// other until it is whole.
+// fetchDelta fetches a delta from the given revision, trying one host after another until
+// the delta is complete.
 func (d *Discovery) fetchDelta(ctx context.Context, base uint64) (configDelta, error) {
-	l := &download{}
+	dl := &download{}
 	err := errNoNewerConfig
 	for _, host := range d.configSources() {
-		if err = d.downloadFrom(ctx, host, base, l); err == nil {
-			d.storeDelta(l.configDelta)
-			return l.configDelta, nil
+		if err = d.downloadFrom(ctx, host, base, dl); err == nil {
+			d.storeDelta(dl.configDelta)
+			return dl.configDelta, nil
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		d.log.Info("no block of the configuration", zap.String("peer", host), zap.Uint64("base", base),
-			zap.Int("fetched", len(l.data)), zap.Int("of", l.size), zap.Error(err))
+		d.log.Info("could not fetch the configuration from a peer", zap.String("peer", host), zap.Uint64("base", base),
+			zap.Int("fetched", len(dl.data)), zap.Int("of", dl.size), zap.Error(err))
 	}
 	d.abandonDownload()
 	return configDelta{}, err
 }
 
-// holders are the hosts to fetch a configuration from: the one that named it,
-// then those that rank first.
+// configSources returns the hosts to fetch a configuration from: the host that advertised
+// it, then the highest-ranked ones.
 func (d *Discovery) configSources() []string {
 	d.mu.Lock()
 	hosts := []string{d.advertised.from}
@@ -170,16 +172,16 @@
 	return hosts
 }
 
-// handleConfig registers the method by which fellows fetch blocks.
+// registerConfigBlocks registers the method by which peers fetch blocks.
 func (d *Discovery) registerConfigBlocks(mux *peer.Mux) {
 	peer.Handle(mux, methodConfig, func(ctx context.Context, _ peer.Sender, req *wire.ConfigBlockRequest) (*wire.ConfigBlock, error) {
 		for {
-			block, grown, err := d.block(req)
+			block, blockAdded, err := d.block(req)
 			if block != nil || err != nil {
 				return block, err
 			}
 			select {
-			case <-grown:
+			case <-blockAdded:
 			case <-ctx.Done():
 				return nil, errBlockPending
 			}
@@ -187,55 +189,56 @@
 	})
 }
 
-// block returns the block that was asked for, or the first one of another step
-// when that one is not held; of a step that is on its way here, what is closed
-// when more of it has come.
+// block returns the requested block, or the first block of another delta when the
+// requested delta is not available. For a block of a delta that is still being downloaded,
+// it returns a channel that is closed when more has arrived.
 func (d *Discovery) block(req *wire.ConfigBlockRequest) (*wire.ConfigBlock, <-chan struct{}, error) {
 	d.deltaMu.Lock()
 	defer d.deltaMu.Unlock()
 	offset := int(req.GetOffset())
-	if s, known := d.configDeltas.withDigest(req.GetDigest()); known && offset < len(s.data) {
-		return s.block(offset, len(s.data)), nil, nil
+	if delta, ok := d.configDeltas.withDigest(req.GetDigest()); ok && offset < len(delta.data) {
+		return delta.block(offset, len(delta.data)), nil, nil
 	}
-	if l := d.incoming; l.canServe(req) {
-		if offset < len(l.data) {
-			return l.block(offset, l.size), nil, nil
+	if dl := d.incoming; dl.canServe(req) {
+		if offset < len(dl.data) {
+			return dl.block(offset, dl.size), nil, nil
 		}
-		return nil, l.blockAdded, nil
+		return nil, dl.blockAdded, nil
 	}
-	s, err := d.deltaFrom(req.GetBaseRevision())
+	delta, err := d.deltaFrom(req.GetBaseRevision())
 	if err != nil {
 		return nil, nil, err
 	}
-	return s.block(0, len(s.data)), nil, nil
+	return delta.block(0, len(delta.data)), nil, nil
 }
 
-// block returns the bytes from an offset on as they are sent; size is that of
-// the whole step.
-func (s configDelta) block(offset, size int) *wire.ConfigBlock {
+// block returns the message with the block at an offset; size is that of the whole delta
+// in bytes.
+func (d configDelta) block(offset, size int) *wire.ConfigBlock {
 	return &wire.ConfigBlock{
-		BaseRevision: s.base, Revision: s.revision, Digest: s.digest, Size: uint32(size),
-		Offset: uint32(offset), Data: s.data[offset:min(len(s.data), offset+blockBytes)],
+		BaseRevision: d.base, Revision: d.revision, Digest: d.digest, Size: uint32(size),
+		Offset: uint32(offset), Data: d.data[offset:min(len(d.data), offset+blockBytes)],
 	}
 }
 
-// stepFrom returns a step from a revision, or from none. The lock of what is
-// served is held, so that a whole step is made once for all who ask.
+// deltaFrom returns a delta from a revision, or the whole configuration when there is
+// none. The caller holds deltaMu, so that the delta of a whole configuration is encoded
+// once for all requests.
 func (d *Discovery) deltaFrom(base uint64) (configDelta, error) {
-	if s, known := d.configDeltas.from(base); known && base != 0 {
-		return s, nil
+	if delta, ok := d.configDeltas.from(base); ok && base != 0 {
+		return delta, nil
 	}
 	v := d.View()
 	if v.Config == nil {
 		return configDelta{}, errNoView
 	}
-	if s, known := d.configDeltas.from(0); known && s.revision == v.revision {
-		return s, nil
+	if delta, ok := d.configDeltas.from(0); ok && delta.revision == v.revision {
+		return delta, nil
 	}
-	s, err := newConfigDelta(0, nil, v.revision, v.raw)
+	delta, err := newConfigDelta(0, nil, v.revision, v.raw)
 	if err != nil {
 		return configDelta{}, err
 	}
-	d.configDeltas = d.configDeltas.add(s)
-	return s, nil
+	d.configDeltas = d.configDeltas.add(delta)
+	return delta, nil
 }
--- a/discovery/changes.go
+++ b/discovery/changes.go
@@ -17,28 +17,28 @@
 
 const methodChanges = "discovery.changes"
 
-// askFor asks a host for news, which it may wait for, and says whether its answer was
-// fresh enough.
+// requestChanges asks a host for changes, which that host may wait for, applies its reply,
+// and reports whether the reply was recent enough.
 func (d *Discovery) requestChanges(ctx context.Context, host string, wait time.Duration) bool {
-	asked := clock.Now()
-	req := d.changesRequest(asked, wait)
+	sentAt := clock.Now()
+	req := d.changesRequest(sentAt, wait)
 	reply := &wire.NewsReply{}
 	call, cancel := clock.WithTimeout(ctx, wait+replyGrace)
 	defer cancel()
 	if err := d.cfg.Caller.Call(call, host, methodChanges, req, reply); err != nil {
-		if clock.Since(asked) < d.boundFraction(changesWaitFraction) {
+		if clock.Since(sentAt) < d.boundFraction(changesWaitFraction) {
 			d.avoided.Add(host, startupAvoidTime)
 		} else {
 			d.avoided.Add(host, failureAvoidTime)
 		}
-		d.log.Info("no news", zap.String("peer", host), zap.Error(err))
+		d.log.Info("request for changes failed", zap.String("peer", host), zap.Error(err))
 		return false
 	}
 	d.peerReplies.Add(1)
 	received := clock.Now()
-	// The answer was on its way for no longer than the call took without the
-	// wait at the other host.
-	transit := max(0, received.Sub(asked)-time.Duration(reply.GetWaitedMs())*time.Millisecond)
+	// The reply was in transit for at most the duration of the call less the time that the
+	// other host waited.
+	transit := max(0, received.Sub(sentAt)-time.Duration(reply.GetWaitedMs())*time.Millisecond)
 	asOf := received.Add(-time.Duration(reply.GetAgeMs())*time.Millisecond - transit)
 	d.mu.Lock()
 	d.noteAdvertisedConfig(reply.GetConfigRevision(), host)
@@ -46,16 +46,16 @@
 	d.mu.Unlock()
 	if age := received.Sub(asOf); age < 0 || age > d.boundFraction(staleFraction) {
 		d.avoided.Add(host, failureAvoidTime)
-		d.log.Info("news too old", zap.String("peer", host), zap.Duration("age", age))
+		d.log.Info("peer's view is too old", zap.String("peer", host), zap.Duration("age", age))
 		return false
 	}
 	d.applyChanges(host, reply, asOf)
 	return true
 }
 
-// question is what this host knows. A configuration that it has heard of and is
-// still fetching is no news, and its age is that of the replicas: an answer would
-// else come at once, again and again.
+// changesRequest describes what this host knows. A configuration that it knows of but is
+// still fetching does not count as a change, and the age sent is that of the replicas:
+// otherwise replies would come at once, again and again.
 func (d *Discovery) changesRequest(now time.Time, wait time.Duration) *wire.NewsRequest {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -66,13 +66,13 @@
 	}
 }
 
-// take puts another host's news in force.
+// applyChanges applies another host's reply.
 func (d *Discovery) applyChanges(host string, reply *wire.NewsReply, asOf time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	next := *d.View()
 	next.Source = host
-	// The mark below may lie after changes that a fellow has missed.
+	// The checked revision set below may lie after changes that the peer has missed.
 	d.evacuationsIncomplete = !reply.GetEvacuations().GetComplete()
 	if reply.GetConfigRevision() <= next.revision && asOf.After(next.configAsOf) {
 		next.configAsOf = asOf
@@ -89,28 +89,28 @@
 		d.registry.Adopt(asOf, nil)
 	}
 	if digest.Sum() == reply.GetReplicasHash() && asOf.After(next.replicasAsOf) {
-		next.replicasAsOf = asOf // all buckets are there
+		next.replicasAsOf = asOf // all buckets have been received
 	}
 	d.publish(&next)
 }
 
-// patched returns the replicas with some buckets replaced.
+// replaceBuckets returns the known replicas with the given buckets replaced.
 func replaceBuckets(known map[string]catalog.Replica, buckets []*wire.NewsBucket) []catalog.Replica {
-	var told [bucket.Count]bool
+	var replaced [bucket.Count]bool
 	next := []catalog.Replica{}
 	for _, b := range buckets {
-		told[b.GetIndex()%bucket.Count] = true
+		replaced[b.GetIndex()%bucket.Count] = true
 		next = append(next, replicasOf(b.GetReplicas())...)
 	}
 	for id, r := range known {
-		if !told[bucket.Of(id)] {
+		if !replaced[bucket.Of(id)] {
 			next = append(next, r)
 		}
 	}
 	return next
 }
 
-// unknownAge stands for the age of no view at all.
+// unknownAge is the age that stands for no view, or for a view that must not be relied on.
 const unknownAge = time.Hour
 
 func replicasOf(in []*wire.NewsReplica) []catalog.Replica {
@@ -124,23 +124,23 @@
 	return out
 }
 
-// handleNews registers the method by which fellows ask for news.
+// registerChanges registers the method by which peers request changes.
 func (d *Discovery) registerChanges(mux *peer.Mux) {
 	peer.Handle(mux, methodChanges, func(ctx context.Context, _ peer.Sender, req *wire.NewsRequest) (*wire.NewsReply, error) {
 		return d.serveChanges(ctx, req)
 	})
 }
 
-// errNoView says that this host has not read anything yet.
+// errNoView is returned while this host has not read anything yet.
 var errNoView = errors.New("discovery: no view yet")
 
-// tell answers a host's question for news: at once when there is some, else as
-// soon as this host's view is younger than the other's, at the latest after the
-// wait.
+// serveChanges answers a peer's request for changes: at once if there are any, otherwise
+// as soon as this host's view is more recent than the peer's, and at the latest after the
+// requested wait.
 func (d *Discovery) serveChanges(ctx context.Context, req *wire.NewsRequest) (*wire.NewsReply, error) {
-	asked := clock.Now()
+	receivedAt := clock.Now()
 	d.lastPeerRequest.Store(clock.Nanos())
-	theirs := asked.Add(-time.Duration(req.GetAgeMs()) * time.Millisecond)
+	requesterAsOf := receivedAt.Add(-time.Duration(req.GetAgeMs()) * time.Millisecond)
 	timer := clock.NewTimer(time.Duration(req.GetWaitMs()) * time.Millisecond)
 	defer timer.Stop()
 	for waiting := true; waiting; {
@@ -151,7 +151,7 @@
 		if !v.Ready() && !d.configMissing.Load() {
 			return nil, errNoView
 		}
-		if v.Ready() && (d.cannotRefresh(v) || d.hasChangesFor(v, req, theirs)) {
+		if v.Ready() && (d.cannotRefresh(v) || d.hasChangesFor(v, req, requesterAsOf)) {
 			break
 		}
 		select {
@@ -165,67 +165,69 @@
 	if !d.View().Ready() {
 		return nil, errNoView
 	}
-	return d.changesReply(req, asked), nil
+	return d.changesReply(req, receivedAt), nil
 }
 
-// hasNews says whether a view has anything that the asker's, as of theirs, has not.
-func (d *Discovery) hasChangesFor(v *View, req *wire.NewsRequest, theirs time.Time) bool {
+// hasChangesFor reports whether a view contains anything that the requester's view, as of
+// requesterAsOf, does not.
+func (d *Discovery) hasChangesFor(v *View, req *wire.NewsRequest, requesterAsOf time.Time) bool {
 	return d.advertisableRevision(v) > req.GetConfigRevision() || v.Evacuations.Revision > req.GetEvacuationsRevision() ||
-		!v.digest.Equal(req.GetReplicaBuckets()) || v.AsOf.Sub(theirs) > minAgeGain
+		!v.digest.Equal(req.GetReplicaBuckets()) || v.AsOf.Sub(requesterAsOf) > minAgeGain
 }
 
-// cutOff says that this host has lost the store, and that its view is too old to
-// be of use to fellows. There will be nothing younger soon, and an asker that is
-// told so at once loses no time.
+// cannotRefresh reports whether this host has lost the store and its view is too old for
+// peers or depends on them. There will be no more recent view soon, and a requester that
+// learns this at once loses no time.
 func (d *Discovery) cannotRefresh(v *View) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.replicaReadFailed && clock.Since(v.AsOf) > d.boundFraction(staleFraction) || d.dependsOnPeers()
 }
 
-// leansOnFellows says that this host should read the store for others, cannot, and
-// has what it knows from fellows: if those asked it again, nobody would read. The
-// lock is held.
+// dependsOnPeers reports whether this host should read the store for others, cannot, and
+// has its view from peers. If those peers relied on it in turn, no host would read the
+// store. The caller holds d.mu.
 func (d *Discovery) dependsOnPeers() bool {
 	return d.replicaReadFailed && d.source == d.cfg.Self && d.View().Source != sourceStore
 }
 
-// named is the newest configuration that fellows may fetch here.
+// advertisableRevision returns the newest configuration that peers may fetch here.
 func (d *Discovery) advertisableRevision(v *View) uint64 {
 	return max(v.revision, d.relayedRevision.Load())
 }
 
-// youngerBy is how much younger a view must be to be worth an answer: less than
-// the interval of reads, more than a call takes.
+// minAgeGain is how much more recent a view must be to be worth a reply: less than the
+// interval of reads, but longer than a call takes.
 const minAgeGain = 100 * time.Millisecond
 
-// answer is what this host knows beyond the other.
-func (d *Discovery) changesReply(req *wire.NewsRequest, asked time.Time) *wire.NewsReply {
+// changesReply returns what this host knows and the requester does not.
+func (d *Discovery) changesReply(req *wire.NewsRequest, receivedAt time.Time) *wire.NewsReply {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	v := d.View()
 	now := clock.Now()
 	reply := &wire.NewsReply{
-		AgeMs: now.Sub(v.AsOf).Milliseconds() + 1, WaitedMs: uint32(now.Sub(asked).Milliseconds()),
+		AgeMs: now.Sub(v.AsOf).Milliseconds() + 1, WaitedMs: uint32(now.Sub(receivedAt).Milliseconds()),
 		ConfigRevision: d.advertisableRevision(v), CheckedRevision: d.checkedRevisions.oldest(), ReplicasHash: v.digest.Sum(),
 		Evacuations: d.evacuationsReply(v, req.GetEvacuationsRevision()),
 	}
 	if d.registry.Uncertain() || d.dependsOnPeers() {
-		// The asker may have seen replicas go while this host was cut off.
+		// The requester may have seen replicas removed while this host was disconnected.
 		reply.AgeMs = unknownAge.Milliseconds()
 	}
 	reply.Buckets = differingBuckets(v, req.GetReplicaBuckets())
 	return reply
 }
 
-// maxNewsBytes bounds the replicas of one answer, some 350: eight hosts that are
-// answered at once behind a link of 10 Mbit/s wait 0.2 s. The rest comes with
-// the next answer.
+// maxReplyBytes limits the replicas in one reply to some 350. Eight hosts that are
+// answered at once over a link of 10 Mbit/s then wait 0.2 s. The next reply contains the
+// rest.
 const maxReplyBytes = 32 << 10
 
-// differing returns buckets of a view whose replicas differ from the asker's.
-func differingBuckets(v *View, theirs []uint64) []*wire.NewsBucket {
-	indices := v.digest.Differing(theirs, 0)
+// differingBuckets returns buckets of a view whose replicas differ from the requester's,
+// up to maxReplyBytes.
+func differingBuckets(v *View, requesterDigest []uint64) []*wire.NewsBucket {
+	indices := v.digest.Differing(requesterDigest, 0)
 	if len(indices) == 0 {
 		return nil
 	}
--- a/discovery/config.go
+++ b/discovery/config.go
@@ -14,46 +14,46 @@
 	"github.com/wheatseam/wheatseam/platform"
 )
 
-// decodeConfig reads a configuration as the store holds it. Tests of many hosts
-// replace it, as each host would decode the same megabyte.
+// decodeConfig decodes a configuration as stored. Tests with many hosts replace it, since
+// each host would decode the same megabyte.
 var decodeConfig = platform.DecodeConfig
 
-// wantedConfig is a configuration that a fellow has named.
+// advertisedConfig is a configuration that a peer has advertised.
 type advertisedConfig struct {
 	revision uint64
 	from     string
 	since    time.Time
 }
 
-// maxMarks is the number of checks of the store that the next one looks back
-// over, at 0.3 of the bound each: a store that drops its history tells of no
-// changes for a second before.
+// maxCheckedRevisions is the number of past checks of the store, each taking 0.3 of the
+// bound, that the next one covers again: a store that drops its history reports no changes
+// for a second before.
 const maxCheckedRevisions = 4
 
-// idleWait bounds a wait of keepConfig, which is woken when there is work.
+// maxIdleWait limits how long syncConfig waits for work; it is woken when there is any.
 const maxIdleWait = time.Minute
 
-// marks are the store's revisions at the last checks for a newer
+// checkedRevisions holds the store's revisions at the last checks for a newer
 // configuration, oldest first.
 type checkedRevisions []uint64
 
-func (m checkedRevisions) add(revision uint64) checkedRevisions {
-	if len(m) >= maxCheckedRevisions {
-		m = m[1:]
+func (r checkedRevisions) add(revision uint64) checkedRevisions {
+	if len(r) >= maxCheckedRevisions {
+		r = r[1:]
 	}
-	return append(m[:len(m):len(m)], revision)
+	return append(r[:len(r):len(r)], revision)
 }
 
-// oldest is the revision from which the next check looks; 0 without any.
-func (m checkedRevisions) oldest() uint64 {
-	if len(m) == 0 {
+// oldest returns the revision from which the next check starts, or 0 when there is none.
+func (r checkedRevisions) oldest() uint64 {
+	if len(r) == 0 {
 		return 0
 	}
-	return m[0]
+	return r[0]
 }
 
-// keepConfig keeps the configuration up to date until ctx ends: it fetches what
-// fellows name, and asks the store while this host reads it.
+// syncConfig keeps the configuration up to date until ctx ends: it fetches the versions
+// that peers advertise, and asks the store while this host reads it.
 func (d *Discovery) syncConfig(ctx context.Context) {
 	wait := minRetryInterval
 	for ctx.Err() == nil {
@@ -62,8 +62,8 @@
 		case d.configOutdated():
 			done = d.fetchAdvertisedConfig(ctx) || d.readConfig(ctx)
 		case d.lastReplicaReadFailed():
-			// The list is tried again and again; one question to a store that is away is
-			// enough.
+			// syncReplicas already retries an unavailable store; one kind of request to it
+			// is enough.
 			d.awaitConfigWork(ctx, d.retryLimit())
 			done = true
 		case d.readsStore():
@@ -83,13 +83,12 @@
 	}
 }
 
-// awaitWork waits until there may be something to do for keepConfig, at most for
-// limit.
+// awaitConfigWork waits until syncConfig may have work to do, at most for limit.
 func (d *Discovery) awaitConfigWork(ctx context.Context, limit time.Duration) {
 	periodic.Await(ctx, d.configWork, limit)
 }
 
-// wake has keepConfig look again.
+// wakeConfigSync makes syncConfig check for work.
 func (d *Discovery) wakeConfigSync() {
 	select {
 	case d.configWork <- struct{}{}:
@@ -97,23 +96,23 @@
 	}
 }
 
-// readsStore says whether this host reads the store.
+// readsStore reports whether this host reads the store.
 func (d *Discovery) readsStore() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.source == d.cfg.Self
 }
 
-// storeLost says whether the last list of the replicas failed.
+// lastReplicaReadFailed reports whether the last read of the replicas failed.
 func (d *Discovery) lastReplicaReadFailed() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.replicaReadFailed
 }
 
-// untilNextList is the time until the replicas are listed again. A check of the
-// configuration that ends then makes the view younger once an interval and not
-// twice, and each time is an answer to every host that asks.
+// untilNextReplicaRead returns the time until the replicas are read again. A check of the
+// configuration that ends then refreshes the view once an interval instead of twice; each
+// refresh causes a reply to every host that waits for changes.
 func (d *Discovery) untilNextReplicaRead() time.Duration {
 	interval, since := d.interval(), clock.Since(d.View().replicasAsOf)
 	if since > interval {
@@ -122,15 +121,15 @@
 	return max(minRetryInterval, interval-since)
 }
 
-// behind says whether a fellow has named a newer configuration.
+// configOutdated reports whether a peer has advertised a newer configuration.
 func (d *Discovery) configOutdated() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.advertised.revision > max(d.View().revision, d.rejectedRevision)
 }
 
-// Behind returns for how long a newer configuration has been known of and is
-// not in force; 0 when none is.
+// Behind returns for how long a newer configuration has been known but not active, or 0
+// when there is none.
 func (d *Discovery) Behind() time.Duration {
 	if !d.configOutdated() {
 		return 0
@@ -140,8 +139,8 @@
 	return clock.Since(d.advertised.since)
 }
 
-// want notes a configuration that a fellow named; the lock is held. Whatever
-// the age of a fellow's news, a newer configuration is newer.
+// noteAdvertisedConfig records a configuration that a peer advertised, however old the
+// rest of the peer's view is. The caller holds d.mu.
 func (d *Discovery) noteAdvertisedConfig(revision uint64, from string) {
 	if revision <= max(d.advertised.revision, d.View().revision) {
 		return
@@ -150,43 +149,42 @@
 	d.wakeConfigSync()
 }
 
-// fetchWanted fetches steps until the configuration that was wanted is there,
-// and puts it in force. The versions in between are not: decoding one takes a
-// small host 50 ms.
+// fetchAdvertisedConfig fetches deltas until the advertised configuration is complete, and
+// activates it. The versions in between are skipped, since decoding one takes a small
+// host 50 ms.
 func (d *Discovery) fetchAdvertisedConfig(ctx context.Context) bool {
 	d.mu.Lock()
-	wanted := d.advertised
+	advertised := d.advertised
 	d.mu.Unlock()
 	v := d.View()
-	began, revision, raw, size, fetched := clock.Now(), v.revision, v.raw, 0, 0
+	started, revision, raw, size, deltas := clock.Now(), v.revision, v.raw, 0, 0
 	defer d.relayedRevision.Store(0)
-	for revision < wanted.revision {
-		s, err := d.fetchDelta(ctx, revision)
+	for revision < advertised.revision {
+		delta, err := d.fetchDelta(ctx, revision)
 		if err != nil {
 			return false
 		}
-		if raw, err = s.apply(raw); err != nil {
-			d.log.Error("step of the configuration refused", zap.Uint64("base", s.base), zap.Uint64("revision", s.revision), zap.Error(err))
+		if raw, err = delta.apply(raw); err != nil {
+			d.log.Error("could not apply configuration delta", zap.Uint64("base", delta.base), zap.Uint64("revision", delta.revision), zap.Error(err))
 			return false
 		}
-		revision, size, fetched = s.revision, size+len(s.data), fetched+1
+		revision, size, deltas = delta.revision, size+len(delta.data), deltas+1
 	}
-	d.log.Info("configuration fetched", zap.String("peer", wanted.from), zap.Uint64("revision", revision), zap.Int("steps", fetched),
-		zap.Int("bytes", size), zap.Int("size", len(raw)), zap.Duration("took", clock.Since(began)))
-	d.activateConfig(raw, revision, wanted.from)
+	d.log.Info("configuration fetched", zap.String("peer", advertised.from), zap.Uint64("revision", revision), zap.Int("steps", deltas),
+		zap.Int("bytes", size), zap.Int("size", len(raw)), zap.Duration("took", clock.Since(started)))
+	d.activateConfig(raw, revision, advertised.from)
 	return true
 }
 
-// checkSoon has the store asked for a newer configuration, as no fellow said
-// whether there is one: hosts that are cut off take 1.2 s each to say nothing,
-// and up to three are asked one after the other.
+// requestConfigCheck has the store checked for a newer configuration, since no peer has
+// said whether there is one: disconnected peers take 1.2 s each to reply without changes,
+// and up to three are asked one after another.
 func (d *Discovery) requestConfigCheck() {
 	d.configCheckRequested.Store(true)
 	d.wakeConfigSync()
 }
 
-// checkConfig asks the store for a newer configuration and waits up to wait for
-// one.
+// watchConfig asks the store for operator changes and waits up to wait for the first one.
 func (d *Discovery) watchConfig(ctx context.Context, wait time.Duration) bool {
 	d.mu.Lock()
 	after := d.checkedRevisions.oldest()
@@ -199,7 +197,7 @@
 	}
 	items, revision, err := d.cfg.Store.Changes(ctx, platform.OperatorPrefix, after, wait)
 	if errors.Is(err, platform.ErrHistoryGone) {
-		d.log.Info("history of the store gone", zap.Uint64("after", after))
+		d.log.Info("store no longer has the change history; reading the whole configuration", zap.Uint64("after", after))
 		return d.readConfig(ctx)
 	}
 	if err != nil {
@@ -211,7 +209,7 @@
 	return true
 }
 
-// takeChanges takes what the operator has changed.
+// applyOperatorChanges applies changed configurations and evacuations.
 func (d *Discovery) applyOperatorChanges(items []platform.Item) {
 	var newest uint64
 	var orders []platform.Item
@@ -233,24 +231,24 @@
 	if len(changes) > 0 {
 		d.applyEvacuations(d.View().Evacuations.With(changes))
 	}
-	// All up to here was told: a check that looked further back would be answered
-	// with the same at once.
+	// All changes up to this revision are known. A check that started earlier would return
+	// the same changes at once.
 	d.checkedRevisions = checkedRevisions{newest}
 }
 
-// getConfig reads the configuration from the store. When none is written yet, a
-// watch from the revision known before waits for the first one.
+// readConfig reads the configuration from the store. When none has been written yet, a
+// watch from the revision of the replicas waits for the first one.
 func (d *Discovery) readConfig(ctx context.Context) bool {
 	d.mu.Lock()
-	listed := d.replicaListRevision
+	listRevision := d.replicaListRevision
 	d.mu.Unlock()
 	item, revision, err := d.cfg.Store.Get(ctx, platform.ConfigKey)
 	missing := errors.Is(err, platform.ErrNotFound)
 	d.configMissing.Store(missing && d.View().Config == nil)
 	d.firstConfigReadOnce.Do(func() { close(d.firstConfigRead) })
 	if missing {
-		if listed > 0 {
-			d.noteConfigCheck(listed)
+		if listRevision > 0 {
+			d.noteConfigCheck(listRevision)
 			return true
 		}
 		d.awaitFormed(ctx)
@@ -262,15 +260,16 @@
 	}
 	d.applyStoredConfig(item)
 	d.mu.Lock()
-	d.evacuationsIncomplete = true // the next check looks from here on
+	d.evacuationsIncomplete = true // the next check starts at this revision
 	d.mu.Unlock()
 	d.noteConfigCheck(revision)
-	// A host that has just started finds a fellow to ask by then, and saves a call.
+	// A host that has just started knows a peer to ask after this wait, which saves a call
+	// to the store.
 	d.awaitConfigWork(ctx, d.boundFraction(readFraction))
 	return true
 }
 
-// read takes a configuration that was read from the store.
+// applyStoredConfig applies a configuration that was read from the store.
 func (d *Discovery) applyStoredConfig(item platform.Item) {
 	v := d.View()
 	d.mu.Lock()
@@ -280,34 +279,35 @@
 		return
 	}
 	if v.Config != nil {
-		s, err := newConfigDelta(v.revision, v.raw, item.Revision, item.Value)
+		delta, err := newConfigDelta(v.revision, v.raw, item.Revision, item.Value)
 		if err != nil {
-			d.log.Error("no step between configurations", zap.Error(err))
+			d.log.Error("could not create configuration delta", zap.Error(err))
 		} else {
-			d.storeDelta(s)
+			d.storeDelta(delta)
 		}
 	}
 	d.activateConfig(item.Value, item.Revision, sourceStore)
 }
 
-// storeFailed notes that the store did not tell of the configuration.
+// noteConfigReadError records that a read of the configuration or the evacuations from the
+// store failed.
 func (d *Discovery) noteConfigReadError(ctx context.Context, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.configReadFailed && ctx.Err() == nil {
 		d.configReadFailed = true
-		d.log.Warn("store lost for the configuration", zap.Error(err), zap.Duration("view_age", clock.Since(d.View().AsOf)))
+		d.log.Warn("could not read the configuration from the store", zap.Error(err), zap.Duration("view_age", clock.Since(d.View().AsOf)))
 	}
 }
 
-// checked notes that the store has no newer configuration than what was read,
-// up to a revision of its own.
+// noteConfigCheck records that the store has no newer configuration up to the given
+// revision of the store.
 func (d *Discovery) noteConfigCheck(revision uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.configReadFailed {
 		d.configReadFailed = false
-		d.log.Info("store regained for the configuration", zap.Uint64("revision", revision))
+		d.log.Info("store is readable again for the configuration", zap.Uint64("revision", revision))
 	}
 	d.checkedRevisions = d.checkedRevisions.add(revision)
 	next := *d.View()
@@ -315,9 +315,9 @@
 	d.publish(&next)
 }
 
-// putInForce puts a configuration in force if it is newer than the one that is:
-// versions never go back. A faulty one is not asked for again. It is called by
-// keepConfig alone.
+// activateConfig activates a configuration if its version is newer than the current
+// one: versions never decrease. An invalid configuration is not requested again. Only
+// syncConfig calls it.
 func (d *Discovery) activateConfig(raw []byte, revision uint64, source string) {
 	config, err := decodeConfig(raw)
 	d.mu.Lock()
@@ -325,7 +325,7 @@
 	next := *d.View()
 	switch {
 	case err != nil:
-		d.log.Error("configuration refused", zap.Uint64("revision", revision), zap.Error(err))
+		d.log.Error("invalid configuration rejected", zap.Uint64("revision", revision), zap.Error(err))
 	case next.Config != nil && config.Version <= next.Config.Version:
 		d.log.Warn("older configuration ignored", zap.Uint64("version", config.Version),
 			zap.Uint64("in_force", next.Config.Version), zap.Uint64("revision", revision))
--- a/discovery/config_test.go
+++ b/discovery/config_test.go
@@ -15,13 +15,13 @@
 	"github.com/wheatseam/wheatseam/platform"
 )
 
-// simulated runs a test of a fleet by a simulated clock, from a configuration
-// of two routes and ten replicas that are known everywhere.
-func runSimulation(t *testing.T, f func(g Gomega, f *simulatedFleet), wide, narrow int, before func(f *simulatedFleet)) {
+// runSimulation runs a test with a fleet on a simulated clock, once a configuration of two
+// routes and ten replicas are known on all hosts.
+func runSimulation(t *testing.T, f func(g Gomega, f *simulatedFleet), fast, slow int, before func(f *simulatedFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		fleet := newSimulatedFleet(wide, narrow)
+		fleet := newSimulatedFleet(fast, slow)
 		fleet.store.writeConfig(1, 2)
 		for id := range 10 {
 			fleet.store.writeReplica(id, "ready")
@@ -40,24 +40,24 @@
 var errRefused = errors.New("refused")
 
 func TestConfigDeltaIsCompletedFromAnotherHost(t *testing.T) {
-	const blocksThere = 2
-	var fromReader, fromOther atomic.Int32
+	const blocksAvailable = 2
+	var requestsToReader, requestsToOther atomic.Int32
 	runSimulation(t, func(g Gomega, f *simulatedFleet) {
 		before := f.machines["host-002"].down.bytes.Load()
 		f.store.writeConfig(2, 3*routesAdded)
 		g.Expect(f.awaitVersion(2, propagationBound)).To(BeNumerically("<", propagationBound))
-		g.Expect(fromReader.Load()).To(BeNumerically(">", blocksThere), "refused from then on")
-		g.Expect(fromOther.Load()).To(BeNumerically(">", 0))
-		step := 71 << 10
-		g.Expect(f.machines["host-002"].down.bytes.Load()-before).To(BeNumerically("<", step+step/4), "no block came twice")
+		g.Expect(requestsToReader.Load()).To(BeNumerically(">", blocksAvailable), "later requests are refused")
+		g.Expect(requestsToOther.Load()).To(BeNumerically(">", 0))
+		deltaBytes := 71 << 10
+		g.Expect(f.machines["host-002"].down.bytes.Load()-before).To(BeNumerically("<", deltaBytes+deltaBytes/4), "no block was transferred twice")
 	}, 0, 3, func(f *simulatedFleet) {
 		f.injectError = func(from, to, method string) error {
 			switch {
 			case from != "host-002" || method != "discovery.config":
 			case to == "host-000":
-				fromOther.Add(1)
-			case fromReader.Add(1) > blocksThere:
-				time.Sleep(100 * time.Millisecond) // the other host has the step by then
+				requestsToOther.Add(1)
+			case requestsToReader.Add(1) > blocksAvailable:
+				time.Sleep(100 * time.Millisecond) // the other host has the delta by then
 				return errRefused
 			}
 			return nil
@@ -79,17 +79,17 @@
 	})
 }
 
-// What was seen: of eighty hosts a third were cut off from the store and from
-// each other, and still answered those that asked them for news. A host beside
-// them asked one after the other, each took 1.2 s to say that it knew nothing
-// new, and for 3.7 s the host did not ask the store for a newer configuration,
-// though it read the replicas there.
+// Guards against a host relying on peers that cannot reach the store. Of 80 hosts a third
+// were disconnected from the store and from each other and still answered requests for
+// changes. A connected host asked three of them one after another, and each took 1.2 s to
+// reply that it had no changes. For 3.7 s the host did not ask the store for a newer
+// configuration, although it read the replicas there.
 func TestHostWithDisconnectedSourcesFollowsStore(t *testing.T) {
-	// The sources of host-074, one above the other.
+	// sources are the hosts that host-074 asks: its ancestors in the tree.
 	sources := map[string]bool{"host-009": true, "host-000": true, "host-001": true}
-	var cut atomic.Bool
+	var disconnected atomic.Bool
 	runSimulation(t, func(g Gomega, f *simulatedFleet) {
-		cut.Store(true)
+		disconnected.Store(true)
 		const step, changes = propagationBound / 6, 40
 		for at := range changes + int(propagationBound/step) {
 			if at < changes {
@@ -102,7 +102,7 @@
 		}
 	}, 0, 75, func(f *simulatedFleet) {
 		f.injectError = func(from, _, _ string) error {
-			if cut.Load() && sources[from] {
+			if disconnected.Load() && sources[from] {
 				return errRefused
 			}
 			return nil
@@ -112,17 +112,17 @@
 
 func TestFullConfigReadOnlyWithoutHistory(t *testing.T) {
 	runSimulation(t, func(g Gomega, f *simulatedFleet) {
-		var whole int
-		f.store.update(func(s *simulatedStore) { whole = s.fullConfigReads })
+		var fullReads int
+		f.store.update(func(s *simulatedStore) { fullReads = s.fullConfigReads })
 		for version := 2; version < 5; version++ {
 			f.store.writeConfig(version, version*100)
 			g.Expect(f.awaitVersion(version, propagationBound)).To(BeNumerically("<", propagationBound))
 		}
-		f.store.update(func(s *simulatedStore) { g.Expect(s.fullConfigReads).To(Equal(whole)) })
+		f.store.update(func(s *simulatedStore) { g.Expect(s.fullConfigReads).To(Equal(fullReads)) })
 		f.store.update(func(s *simulatedStore) { s.revision += 10; s.compactedRevision = s.revision })
 		f.store.writeConfig(5, 500)
 		g.Expect(f.awaitVersion(5, propagationBound)).To(BeNumerically("<", propagationBound))
-		f.store.update(func(s *simulatedStore) { g.Expect(s.fullConfigReads).To(Equal(whole + 1)) })
+		f.store.update(func(s *simulatedStore) { g.Expect(s.fullConfigReads).To(Equal(fullReads + 1)) })
 	}, 1, 5, nil)
 }
 
@@ -140,15 +140,15 @@
 
 func TestInvalidConfigIsReadOnceAndDelaysNothing(t *testing.T) {
 	runSimulation(t, func(g Gomega, f *simulatedFleet) {
-		var whole int
-		f.store.update(func(s *simulatedStore) { whole = s.fullConfigReads })
+		var fullReads int
+		f.store.update(func(s *simulatedStore) { fullReads = s.fullConfigReads })
 		f.store.put(platform.ConfigKey, `{"version":2,"routes":[{"name":"r","prefix":"no slash"}]}`)
 		time.Sleep(2 * propagationBound)
 		g.Expect(f.hostsBelowVersion(1)).To(BeEmpty())
 		g.Expect(f.hostsBelowVersion(2)).To(HaveLen(len(f.names)))
 		f.store.writeConfig(3, 20)
 		g.Expect(f.awaitVersion(3, propagationBound)).To(BeNumerically("<", propagationBound))
-		f.store.update(func(s *simulatedStore) { g.Expect(s.fullConfigReads).To(Equal(whole)) })
+		f.store.update(func(s *simulatedStore) { g.Expect(s.fullConfigReads).To(Equal(fullReads)) })
 	}, 1, 3, nil)
 }
 
@@ -172,7 +172,7 @@
 			f.store.writeReplica(id, "ready")
 		}
 		known := func(host string) int { return len(f.discoveries[host].View().Replicas) }
-		for began := time.Now(); known("host-009") < replicas && time.Since(began) < propagationBound; {
+		for started := time.Now(); known("host-009") < replicas && time.Since(started) < propagationBound; {
 			time.Sleep(10 * time.Millisecond)
 		}
 		for _, name := range f.names {
@@ -189,20 +189,20 @@
 	g := NewWithT(t)
 	routes := generateRoutes(3 * routesAdded)
 	text := func(n int) string { return fmt.Sprintf(`{"version":1,"routes":[%s]}`, strings.Join(routes[:n], ",")) }
-	for _, of := range []struct {
+	for _, test := range []struct {
 		name string
 		// from and to are numbers of routes.
 		from, to int
-		// most is the largest size of the step, in bytes.
+		// most is the largest allowed size of the delta in bytes.
 		most int
 	}{
-		{"the whole", 0, 3 * routesAdded, 90 << 10},
-		{"a third more", 2 * routesAdded, 3 * routesAdded, 30 << 10},
-		{"a third less", 3 * routesAdded, 2 * routesAdded, 2 << 10},
-		{"one more", 3*routesAdded - 1, 3 * routesAdded, 2 << 10},
+		{"whole configuration", 0, 3 * routesAdded, 90 << 10},
+		{"a third added", 2 * routesAdded, 3 * routesAdded, 30 << 10},
+		{"a third removed", 3 * routesAdded, 2 * routesAdded, 2 << 10},
+		{"one route added", 3*routesAdded - 1, 3 * routesAdded, 2 << 10},
 	} {
-		size, err := discovery.DeltaRoundTrip(text(of.from), text(of.to))
-		g.Expect(err).NotTo(HaveOccurred(), of.name)
-		g.Expect(size).To(BeNumerically("<", of.most), of.name)
+		size, err := discovery.DeltaRoundTrip(text(test.from), text(test.to))
+		g.Expect(err).NotTo(HaveOccurred(), test.name)
+		g.Expect(size).To(BeNumerically("<", test.most), test.name)
 	}
 }
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -15,45 +15,46 @@
 	"github.com/wheatseam/wheatseam/platform"
 )
 
-// Store is what is read.
+// Store reads the platform's store.
 type Store interface {
-	// Pages reads all items under a prefix and passes each page on as it comes.
+	// Pages reads all items under a prefix and passes each page on as it arrives.
 	Pages(ctx context.Context, prefix string, page func([]platform.Item)) (revision uint64, err error)
-	// Get reads one item; the error is platform.ErrNotFound without it.
+	// Get reads one item; the error is platform.ErrNotFound if there is none.
 	Get(ctx context.Context, key string) (item platform.Item, revision uint64, err error)
 	// Changes waits for items under a prefix that were written or removed after a
-	// revision; the error is platform.ErrHistoryGone when the store cannot tell.
+	// revision; the error is platform.ErrHistoryGone when the store no longer has the
+	// history since then.
 	Changes(ctx context.Context, prefix string, after uint64, wait time.Duration) (items []platform.Item, revision uint64, err error)
 }
 
-// Members names the hosts of the fleet.
+// Members provides the hosts of the fleet.
 type Members interface {
-	// Reachable returns the hosts that may be called, this one included.
+	// Reachable returns the hosts that may be called, including this one.
 	Reachable() []fleet.Host
-	// Formed is closed once Reachable can be counted on, within a second of the
-	// start of this host.
+	// Formed returns a channel that is closed once the result of Reachable is reliable,
+	// within a second of the start of this host.
 	Formed() <-chan struct{}
 }
 
-// Config is what a Discovery needs.
+// Config holds the settings and dependencies of a Discovery.
 type Config struct {
-	// Self is this host's name among its fellows.
+	// Self is the name by which peers know this host.
 	Self    string
 	Store   Store
 	Members Members
 	Caller  peer.Caller
-	// Mux takes the method that fellows may call.
+	// Mux is where the Discovery registers the methods that peers may call.
 	Mux    *peer.Mux
 	Logger *zap.Logger
-	// Bound returns the time within which what the store acknowledged must be
-	// in force here.
+	// Bound returns the time within which a change that the store acknowledged must be
+	// active here.
 	Bound func() time.Duration
-	// Changed is called with every view that differs from the one before, by
+	// Changed is called with every view whose content differs from the previous one, by
 	// one goroutine at a time.
 	Changed func(*View)
 }
 
-// Discovery keeps the view. All methods are safe for concurrent use.
+// Discovery maintains the view. All methods are safe for concurrent use.
 type Discovery struct {
 	cfg Config
 	log *zap.Logger
@@ -61,55 +62,58 @@
 	mu       sync.Mutex
 	view     atomic.Pointer[View]
 	registry catalog.Registry
-	// changed is closed and replaced with every view, also one that is only
-	// younger.
+	// viewChanged is closed and replaced with every new view, also when only its age
+	// differs.
 	viewChanged chan struct{}
-	// lost and configLost say that the last read of the replicas, or of the
-	// configuration, failed.
+	// replicaReadFailed and configReadFailed report that the last read of the replicas, or
+	// of the configuration, failed.
 	replicaReadFailed, configReadFailed bool
 	avoided                             fleet.Avoided
-	// source is whom news are asked of; this host itself while it reads the store.
+	// source is the host that is asked for changes, or this host while it reads the store.
 	source string
-	// askedAt is when a fellow last asked for news, by clock.Nanos.
+	// lastPeerRequest is when a peer last asked for changes, as returned by clock.Nanos.
 	lastPeerRequest atomic.Int64
 	storeReads      atomic.Uint64
 	peerReplies     atomic.Uint64
 
-	// wanted is the newest configuration that a fellow has named, refused the last
-	// revision that is faulty, and marks how far the store was checked.
+	// advertised is the newest configuration that a peer has advertised, rejectedRevision
+	// is the last revision that was invalid, and checkedRevisions records how far the
+	// store was checked.
 	advertised       advertisedConfig
 	rejectedRevision uint64
 	checkedRevisions checkedRevisions
-	// evacuationsPartial says that changes of the evacuations may have been missed:
-	// who reads the store lists them.
+	// evacuationsIncomplete reports that changes of the evacuations may have been missed.
+	// The host that reads the store then lists them.
 	evacuationsIncomplete bool
-	// faults says what is wrong with the entries that name no replica, by key.
+	// invalidEntries describes the fault of each entry that is not a valid replica, by
+	// key.
 	invalidEntries map[string]string
-	// listed is the store's revision when this host last listed the replicas.
+	// replicaListRevision is the store's revision when this host last listed the replicas.
 	replicaListRevision uint64
-	// checkDue says that the store is to be asked once for a newer configuration.
+	// configCheckRequested makes syncConfig check the store once for a newer
+	// configuration.
 	configCheckRequested atomic.Bool
-	// looked is closed when the store was first asked for the configuration, and
-	// unwritten says that there was none yet.
+	// firstConfigRead is closed after the first read of the configuration from the store,
+	// and configMissing reports that none had been written yet.
 	firstConfigRead     chan struct{}
 	firstConfigReadOnce sync.Once
 	configMissing       atomic.Bool
-	// work has keepConfig look for something to do.
+	// configWork wakes syncConfig.
 	configWork chan struct{}
 
-	// serving guards the steps that fellows fetch, whole ones and the one that is
-	// on its way here; it is taken before mu. passing is the revision that the
-	// latter leads to: fellows may fetch it before it is in force here.
+	// deltaMu guards the deltas that peers fetch, both the complete ones and the one that
+	// is being downloaded; it is locked before mu. relayedRevision is the revision that
+	// the download leads to: peers may fetch it before it is active here.
 	deltaMu         sync.Mutex
 	configDeltas    configDeltas
 	incoming        *download
 	relayedRevision atomic.Uint64
 }
 
-// neverAsked stands for the time since a fellow asked while none has.
+// noPeerRequestAge is the assumed age of the last peer request when there was none.
 const noPeerRequestAge = time.Hour
 
-// New returns a discovery that has not started and registers its method.
+// New returns a Discovery that has not started, and registers its methods.
 func New(cfg Config) *Discovery {
 	d := &Discovery{
 		cfg: cfg, log: cfg.Logger, viewChanged: make(chan struct{}), source: cfg.Self, configWork: make(chan struct{}, 1), firstConfigRead: make(chan struct{}),
@@ -122,12 +126,11 @@
 	return d
 }
 
-// View returns the newest view.
 func (d *Discovery) View() *View { return d.view.Load() }
 
-// Run keeps the view up to date until ctx ends. The replicas and the
-// configuration are kept apart: a drain is a hundred bytes and due everywhere in
-// as little time as a configuration of a megabyte.
+// Run keeps the view up to date until ctx ends. Replicas and configuration are kept by
+// separate goroutines: the notice that a replica drains has a hundred bytes and must reach
+// all hosts within the same time as a configuration of a megabyte.
 func (d *Discovery) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	group.Go(func() { d.syncReplicas(ctx) })
@@ -135,11 +138,11 @@
 	group.Wait()
 }
 
-func (d *Discovery) boundFraction(part float64) time.Duration {
-	return time.Duration(part * float64(d.cfg.Bound()))
+func (d *Discovery) boundFraction(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(d.cfg.Bound()))
 }
 
-// publish puts a view in force; the lock is held.
+// publish activates a view. The caller holds d.mu.
 func (d *Discovery) publish(next *View) {
 	old := d.View()
 	next.AsOf = next.replicasAsOf
@@ -148,10 +151,10 @@
 	}
 	next.Replicas = d.registry.Replicas()
 	next.digest = digestOf(next.Replicas)
-	first := old.Replicas == nil
+	isFirst := old.Replicas == nil
 	defer d.notifyWaiters()
 	sameEvacuations := next.Evacuations.Same(old.Evacuations)
-	if !first && next.Config == old.Config && next.digest == old.digest && sameEvacuations {
+	if !isFirst && next.Config == old.Config && next.digest == old.digest && sameEvacuations {
 		next.Replicas = old.Replicas
 		d.view.Store(next)
 		return
@@ -171,10 +174,10 @@
 	}
 	d.cfg.Changed(next)
 	d.view.Store(next)
-	d.log.Info("view in force", fields...)
+	d.log.Info("view updated", fields...)
 }
 
-// tellFellows has those that wait for news look again; the lock is held.
+// notifyWaiters wakes the peer requests that wait for changes. The caller holds d.mu.
 func (d *Discovery) notifyWaiters() {
 	close(d.viewChanged)
 	d.viewChanged = make(chan struct{})
@@ -187,25 +190,26 @@
 	AsOf             time.Time `json:"as_of"`
 	Source           string    `json:"source"`
 	StoreUnavailable bool      `json:"store_lost"`
-	// Wanted is the newest revision that a fellow has named, Behind for how many
-	// seconds it has not been in force; Checked is the store's revision up to
-	// which no newer configuration is known.
+	// AdvertisedRevision is the newest revision that a peer has advertised, and
+	// BehindSeconds is for how many seconds it has not been active. CheckedRevision is
+	// the store's revision up to which no newer configuration is known.
 	AdvertisedRevision uint64  `json:"revision_wanted"`
 	BehindSeconds      float64 `json:"behind_s"`
 	CheckedRevision    uint64  `json:"revision_checked"`
-	// Reads counts reads of the store, News answers of other hosts.
+	// StoreReads counts reads of the replicas from the store, PeerReplies replies of other
+	// hosts.
 	StoreReads  uint64 `json:"reads"`
 	PeerReplies uint64 `json:"news"`
-	// Evacuated are the failure domains whose replicas get no new work, as of a
-	// revision of the store.
+	// Evacuated lists the failure domains whose replicas get no new work, as of a revision
+	// of the store.
 	Evacuated           []string          `json:"evacuated"`
 	EvacuationsRevision uint64            `json:"evacuations_revision"`
 	Replicas            []catalog.Replica `json:"replicas"`
-	// Faults says what is wrong with entries that name no replica, by their keys.
+	// InvalidEntries describes the fault of each entry that is not a valid replica, by
+	// key.
 	InvalidEntries map[string]string `json:"faults,omitempty"`
 }
 
-// Dump returns the state.
 func (d *Discovery) Dump() Dump {
 	v, behind := d.View(), d.Behind()
 	d.mu.Lock()
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -34,23 +34,24 @@
 	RunSpecs(t, "discovery")
 }
 
-// hosts are daemons that call each other without a network.
+// localPeers connects daemons that call each other without a network.
 type localPeers struct {
 	mu           sync.Mutex
 	muxes        map[string]*peer.Mux
 	disconnected map[string]bool
 	unresponsive map[string]bool
-	// forming is closed when the fleet has formed; nil when it has long.
+	// forming is closed when the fleet has formed; nil stands for a fleet that already
+	// has.
 	forming chan struct{}
 }
 
-// caller is one host's way to the others.
+// localCaller makes the calls of one host to the others.
 type localCaller struct {
 	hosts *localPeers
 	self  string
 }
 
-var errDisconnected = errors.New("cut")
+var errDisconnected = errors.New("disconnected")
 
 func (c localCaller) Call(ctx context.Context, host, method string, req, resp proto.Message) error {
 	c.hosts.mu.Lock()
@@ -66,7 +67,7 @@
 	return peer.CallLocal(ctx, mux, c.self, method, req, resp)
 }
 
-// Reachable implements discovery.Members: host-1 ranks first.
+// Reachable implements discovery.Members. host-1 has run for longest and so ranks first.
 func (h *localPeers) Reachable() []fleet.Host {
 	var out []fleet.Host
 	for i := 1; i <= len(h.muxes); i++ {
@@ -83,13 +84,13 @@
 	return closedChannel
 }
 
-// formed is closed: the fleet is known.
+// closedChannel is the channel of a fleet that has formed.
 var closedChannel = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
 
-// bound is the time within which news must be in force in these tests.
+// bound is the time within which changes must be active in these tests.
 const bound = 800 * time.Millisecond
 
-// day is a fleet of discoveries before one store.
+// testFleet is a set of discoveries that share one store.
 type testFleet struct {
 	hosts       *localPeers
 	store       *site.Store
@@ -99,93 +100,93 @@
 	mu          sync.Mutex
 }
 
-// gate lets single hosts lose the store.
+// faultyStore is one host's access to the store, which can be made to fail.
 type faultyStore struct {
 	fleet *testFleet
 	host  string
 }
 
-var errStoreDown = errors.New("the store is away")
+var errStoreDown = errors.New("store is down")
 
-// away says whether the host has lost the store.
-func (g faultyStore) down() bool {
-	g.fleet.mu.Lock()
-	defer g.fleet.mu.Unlock()
-	return g.fleet.storeDown[g.host]
+// down reports whether the store fails for this host.
+func (s faultyStore) down() bool {
+	s.fleet.mu.Lock()
+	defer s.fleet.mu.Unlock()
+	return s.fleet.storeDown[s.host]
 }
 
-func (g faultyStore) Pages(ctx context.Context, prefix string, take func([]platform.Item)) (uint64, error) {
-	if g.down() {
+func (s faultyStore) Pages(ctx context.Context, prefix string, visit func([]platform.Item)) (uint64, error) {
+	if s.down() {
 		return 0, errStoreDown
 	}
-	return g.fleet.stores[g.host].Pages(ctx, prefix, take)
+	return s.fleet.stores[s.host].Pages(ctx, prefix, visit)
 }
 
-func (g faultyStore) Get(ctx context.Context, key string) (platform.Item, uint64, error) {
-	if g.down() {
+func (s faultyStore) Get(ctx context.Context, key string) (platform.Item, uint64, error) {
+	if s.down() {
 		return platform.Item{}, 0, errStoreDown
 	}
-	return g.fleet.stores[g.host].Get(ctx, key)
+	return s.fleet.stores[s.host].Get(ctx, key)
 }
 
-func (g faultyStore) Changes(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]platform.Item, uint64, error) {
-	if g.down() {
+func (s faultyStore) Changes(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]platform.Item, uint64, error) {
+	if s.down() {
 		return nil, 0, errStoreDown
 	}
-	return g.fleet.stores[g.host].Changes(ctx, prefix, after, wait)
+	return s.fleet.stores[s.host].Changes(ctx, prefix, after, wait)
 }
 
 func newTestFleet(n int, options ...func(*discovery.Config)) *testFleet {
-	d := &testFleet{
+	f := &testFleet{
 		hosts: &localPeers{muxes: map[string]*peer.Mux{}, disconnected: map[string]bool{}, unresponsive: map[string]bool{}}, store: site.NewStore(),
 		discoveries: map[string]*discovery.Discovery{}, stores: map[string]*platform.Store{}, storeDown: map[string]bool{},
 	}
-	server := httptest.NewServer(d.store)
+	server := httptest.NewServer(f.store)
 	DeferCleanup(server.Close)
-	d.writeConfig(1)
-	d.writeReplica("i-1", "ready")
+	f.writeConfig(1)
+	f.writeReplica("i-1", "ready")
 	for i := 1; i <= n; i++ {
 		name := fmt.Sprint("host-", i)
-		d.hosts.muxes[name] = peer.NewMux()
-		d.stores[name] = platform.NewStore(strings.TrimPrefix(server.URL, "http://"))
+		f.hosts.muxes[name] = peer.NewMux()
+		f.stores[name] = platform.NewStore(strings.TrimPrefix(server.URL, "http://"))
 		cfg := discovery.Config{
-			Self: name, Store: faultyStore{d, name}, Members: d.hosts, Caller: localCaller{d.hosts, name}, Mux: d.hosts.muxes[name],
+			Self: name, Store: faultyStore{f, name}, Members: f.hosts, Caller: localCaller{f.hosts, name}, Mux: f.hosts.muxes[name],
 			Logger: zap.NewNop(), Bound: func() time.Duration { return bound }, Changed: func(*discovery.View) {},
 		}
 		for _, change := range options {
 			change(&cfg)
 		}
-		d.discoveries[name] = discovery.New(cfg)
+		f.discoveries[name] = discovery.New(cfg)
 	}
-	return d
+	return f
 }
 
-func (d *testFleet) writeConfig(version int) {
-	d.store.Put(platform.ConfigKey, []byte(fmt.Sprintf(`{"version":%d,"routes":[],"services":[{"name":"s"}]}`, version)))
+func (f *testFleet) writeConfig(version int) {
+	f.store.Put(platform.ConfigKey, []byte(fmt.Sprintf(`{"version":%d,"routes":[],"services":[{"name":"s"}]}`, version)))
 }
 
-func (d *testFleet) writeReplica(id, phase string) {
-	d.store.Put(platform.ReplicaPrefix+id, map[string]any{"service": "s", "address": "127.0.0.1:1", "zone": "z", "concurrency": 8, "phase": phase})
+func (f *testFleet) writeReplica(id, phase string) {
+	f.store.Put(platform.ReplicaPrefix+id, map[string]any{"service": "s", "address": "127.0.0.1:1", "zone": "z", "concurrency": 8, "phase": phase})
 }
 
-func (d *testFleet) setStoreDown(host string, lost bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.storeDown[host] = lost
+func (f *testFleet) setStoreDown(host string, down bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.storeDown[host] = down
 }
 
-func (d *testFleet) run(names ...string) {
+func (f *testFleet) run(names ...string) {
 	for _, name := range names {
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
-		go func() { defer close(done); d.discoveries[name].Run(ctx) }()
+		go func() { defer close(done); f.discoveries[name].Run(ctx) }()
 		DeferCleanup(func() { cancel(); <-done })
 	}
 }
 
-func (d *testFleet) version(host string) func() uint64 {
+func (f *testFleet) version(host string) func() uint64 {
 	return func() uint64 {
-		if c := d.discoveries[host].View().Config; c != nil {
+		if c := f.discoveries[host].View().Config; c != nil {
 			return c.Version
 		}
 		return 0
@@ -193,48 +194,48 @@
 }
 
 var _ = Describe("discovery", func() {
-	It("lets one host read the store and the others learn from it within the bound", func() {
-		d := newTestFleet(4)
-		d.run("host-1", "host-2", "host-3", "host-4")
-		for name := range d.discoveries {
-			Eventually(d.version(name), "2s").Should(Equal(uint64(1)))
+	It("has one host read the store and the others learn from it within the bound", func() {
+		f := newTestFleet(4)
+		f.run("host-1", "host-2", "host-3", "host-4")
+		for name := range f.discoveries {
+			Eventually(f.version(name), "2s").Should(Equal(uint64(1)))
 		}
-		Eventually(func() string { return d.discoveries["host-4"].View().Source }, "2s").Should(Equal("host-2"))
-		before := d.store.Calls()
-		d.writeConfig(2)
-		d.writeReplica("i-1", "draining")
-		for name := range d.discoveries {
-			Eventually(d.version(name), bound).Should(Equal(uint64(2)))
-			Eventually(func() bool { return d.discoveries[name].View().Replicas["i-1"].Draining }, bound).Should(BeTrue())
+		Eventually(func() string { return f.discoveries["host-4"].View().Source }, "2s").Should(Equal("host-2"))
+		before := f.store.Calls()
+		f.writeConfig(2)
+		f.writeReplica("i-1", "draining")
+		for name := range f.discoveries {
+			Eventually(f.version(name), bound).Should(Equal(uint64(2)))
+			Eventually(func() bool { return f.discoveries[name].View().Replicas["i-1"].Draining }, bound).Should(BeTrue())
 		}
 		time.Sleep(bound)
-		Expect(d.store.Calls()-before).To(BeNumerically("<", 12), "one host's reads")
+		Expect(f.store.Calls()-before).To(BeNumerically("<", 12), "the reads of one host")
 	})
 
-	It("does not take replicas back from a host that was cut off while they went", func() {
-		d := newTestFleet(3)
-		d.writeReplica("i-2", "ready")
-		d.run("host-1", "host-2", "host-3")
+	It("does not restore removed replicas from a host that was disconnected when they were removed", func() {
+		f := newTestFleet(3)
+		f.writeReplica("i-2", "ready")
+		f.run("host-1", "host-2", "host-3")
 		replicas := func(host string) func() int {
-			return func() int { return len(d.discoveries[host].View().Replicas) }
+			return func() int { return len(f.discoveries[host].View().Replicas) }
 		}
 		for _, host := range []string{"host-1", "host-2", "host-3"} {
 			Eventually(replicas(host), "3s").Should(Equal(2))
 		}
 		cut := func(is bool) {
-			d.hosts.mu.Lock()
-			defer d.hosts.mu.Unlock()
-			d.hosts.disconnected["host-2"] = is
+			f.hosts.mu.Lock()
+			defer f.hosts.mu.Unlock()
+			f.hosts.disconnected["host-2"] = is
 		}
 		cut(true)
-		d.setStoreDown("host-2", true)
-		d.store.Delete(platform.ReplicaPrefix + "i-2")
+		f.setStoreDown("host-2", true)
+		f.store.Delete(platform.ReplicaPrefix + "i-2")
 		for _, host := range []string{"host-1", "host-3"} {
 			Eventually(replicas(host), "6s").Should(Equal(1))
 		}
-		time.Sleep(4 * time.Second) // host-2 takes the store for having been away
+		time.Sleep(4 * time.Second) // by then host-2 has noticed that it lost the store
 		cut(false)
-		d.setStoreDown("host-2", false)
+		f.setStoreDown("host-2", false)
 		for range 80 {
 			Expect(replicas("host-1")()).To(Equal(1))
 			Expect(replicas("host-3")()).To(Equal(1))
@@ -243,91 +244,92 @@
 		Expect(replicas("host-2")()).To(Equal(1))
 	})
 
-	It("reads for itself when the host that reads has lost the store, is cut off or stands still", func() {
-		for _, trouble := range []func(d *testFleet){
-			func(d *testFleet) { d.setStoreDown("host-2", true) },
-			func(d *testFleet) { d.hosts.mu.Lock(); d.hosts.disconnected["host-2"] = true; d.hosts.mu.Unlock() },
-			func(d *testFleet) { d.hosts.mu.Lock(); d.hosts.unresponsive["host-2"] = true; d.hosts.mu.Unlock() },
+	It("reads the store when the host that reads it has lost the store, is disconnected or does not respond", func() {
+		for _, fail := range []func(f *testFleet){
+			func(f *testFleet) { f.setStoreDown("host-2", true) },
+			func(f *testFleet) { f.hosts.mu.Lock(); f.hosts.disconnected["host-2"] = true; f.hosts.mu.Unlock() },
+			func(f *testFleet) { f.hosts.mu.Lock(); f.hosts.unresponsive["host-2"] = true; f.hosts.mu.Unlock() },
 		} {
-			d := newTestFleet(3)
-			d.run("host-1", "host-2", "host-3")
-			Eventually(func() string { return d.discoveries["host-3"].View().Source }, "2s").Should(Equal("host-2"))
-			trouble(d)
-			d.writeConfig(2)
-			// newsWait + newsGrace of 250 ms + a read: under 1.2 bounds of this size.
-			Eventually(d.version("host-3"), bound+bound/5, "5ms").Should(Equal(uint64(2)))
+			f := newTestFleet(3)
+			f.run("host-1", "host-2", "host-3")
+			Eventually(func() string { return f.discoveries["host-3"].View().Source }, "2s").Should(Equal("host-2"))
+			fail(f)
+			f.writeConfig(2)
+			// changesWaitFraction of the bound + replyGrace of 250 ms + a read is less
+			// than 1.2 bounds of this size.
+			Eventually(f.version("host-3"), bound+bound/5, "5ms").Should(Equal(uint64(2)))
 		}
 	})
 
-	It("learns from a fellow while the store turns this host away, also at its start", func() {
-		d := newTestFleet(2)
-		d.setStoreDown("host-2", true)
-		d.run("host-1", "host-2")
-		Eventually(d.version("host-2"), "2s").Should(Equal(uint64(1)))
+	It("learns from a peer while the store rejects this host, also at startup", func() {
+		f := newTestFleet(2)
+		f.setStoreDown("host-2", true)
+		f.run("host-1", "host-2")
+		Eventually(f.version("host-2"), "2s").Should(Equal(uint64(1)))
 	})
 
-	It("does not take the news of a host that has no view yet", func() {
-		d := newTestFleet(2)
-		d.run("host-2")
-		Eventually(func() bool { return d.discoveries["host-2"].View().Ready() }, "2s").Should(BeTrue())
-		d.setStoreDown("host-1", true)
-		Consistently(func() int { return len(d.discoveries["host-2"].View().Replicas) }, bound).Should(Equal(1))
-		Expect(d.discoveries["host-2"].View().AsOf).To(BeTemporally("~", time.Now(), bound))
+	It("ignores peers that have no view yet", func() {
+		f := newTestFleet(2)
+		f.run("host-2")
+		Eventually(func() bool { return f.discoveries["host-2"].View().Ready() }, "2s").Should(BeTrue())
+		f.setStoreDown("host-1", true)
+		Consistently(func() int { return len(f.discoveries["host-2"].View().Replicas) }, bound).Should(Equal(1))
+		Expect(f.discoveries["host-2"].View().AsOf).To(BeTemporally("~", time.Now(), bound))
 	})
 
-	It("never goes back to an older configuration, and keeps the old one when the new one is faulty", func() {
-		d := newTestFleet(1)
-		d.run("host-1")
-		d.writeConfig(5)
-		Eventually(d.version("host-1"), "2s").Should(Equal(uint64(5)))
-		d.writeConfig(4)
-		d.store.Put(platform.ConfigKey, []byte("garbage"))
-		Consistently(d.version("host-1"), bound/2).Should(Equal(uint64(5)))
-		d.writeConfig(6)
-		Eventually(d.version("host-1"), bound).Should(Equal(uint64(6)))
+	It("never activates an older or an invalid configuration", func() {
+		f := newTestFleet(1)
+		f.run("host-1")
+		f.writeConfig(5)
+		Eventually(f.version("host-1"), "2s").Should(Equal(uint64(5)))
+		f.writeConfig(4)
+		f.store.Put(platform.ConfigKey, []byte("garbage"))
+		Consistently(f.version("host-1"), bound/2).Should(Equal(uint64(5)))
+		f.writeConfig(6)
+		Eventually(f.version("host-1"), bound).Should(Equal(uint64(6)))
 	})
 
-	It("passes changes of many replicas to many hosts", func() {
-		d := newTestFleet(20)
+	It("propagates changes of many replicas to many hosts", func() {
+		f := newTestFleet(20)
 		for i := range 300 {
-			d.writeReplica(fmt.Sprintf("r-%03d", i), "ready")
+			f.writeReplica(fmt.Sprintf("r-%03d", i), "ready")
 		}
 		var names []string
-		for name := range d.discoveries {
+		for name := range f.discoveries {
 			names = append(names, name)
 		}
-		d.run(names...)
+		f.run(names...)
 		for _, name := range names {
-			Eventually(func() int { return len(d.discoveries[name].View().Replicas) }, "4s").Should(Equal(301))
+			Eventually(func() int { return len(f.discoveries[name].View().Replicas) }, "4s").Should(Equal(301))
 		}
 		for i := range 20 {
-			d.writeReplica(fmt.Sprintf("r-%03d", i), "draining")
-			d.store.Delete(fmt.Sprintf("servers/r-%03d", 100+i))
+			f.writeReplica(fmt.Sprintf("r-%03d", i), "draining")
+			f.store.Delete(fmt.Sprintf("servers/r-%03d", 100+i))
 		}
 		for _, name := range names {
-			// The pages of a read are no snapshot: a view may have the deletions
-			// of its last page without the changes of its first.
+			// The pages of a read are not a snapshot: a view may have the deletions of its
+			// last page without the changes of its first.
 			Eventually(func() bool {
-				replicas := d.discoveries[name].View().Replicas
+				replicas := f.discoveries[name].View().Replicas
 				return len(replicas) == 281 && replicas["r-005"].Draining
 			}, "2s").Should(BeTrue())
 		}
 	})
 
-	It("leaves replicas out whose entries cannot be read", func() {
-		d := newTestFleet(1)
-		d.store.Put(platform.ReplicaPrefix+"bad", []byte("garbage"))
-		d.run("host-1")
-		Eventually(func() int { return len(d.discoveries["host-1"].View().Replicas) }, "2s").Should(Equal(1))
-		Expect(d.discoveries["host-1"].Dump().Replicas).To(HaveLen(1))
+	It("skips replica entries that cannot be decoded", func() {
+		f := newTestFleet(1)
+		f.store.Put(platform.ReplicaPrefix+"bad", []byte("garbage"))
+		f.run("host-1")
+		Eventually(func() int { return len(f.discoveries["host-1"].View().Replicas) }, "2s").Should(Equal(1))
+		Expect(f.discoveries["host-1"].Dump().Replicas).To(HaveLen(1))
 	})
 
 	It("is not ready before the first configuration", func() {
-		d := newTestFleet(1)
-		d.store.Delete(platform.ConfigKey)
-		d.run("host-1")
-		Consistently(func() bool { return d.discoveries["host-1"].View().Ready() }, "100ms").Should(BeFalse())
-		d.writeConfig(1)
-		Eventually(func() bool { return d.discoveries["host-1"].View().Ready() }, "2s").Should(BeTrue())
+		f := newTestFleet(1)
+		f.store.Delete(platform.ConfigKey)
+		f.run("host-1")
+		Consistently(func() bool { return f.discoveries["host-1"].View().Ready() }, "100ms").Should(BeFalse())
+		f.writeConfig(1)
+		Eventually(func() bool { return f.discoveries["host-1"].View().Ready() }, "2s").Should(BeTrue())
 	})
 })
--- a/discovery/doc.go
+++ b/discovery/doc.go
@@ -1,22 +1,24 @@
-// Package discovery keeps a daemon's view of the platform's store up to date:
-// the operator's configuration and the registered replicas.
+// Package discovery keeps a daemon's view of the platform's store up to date: the
+// operator's configuration, the evacuations of failure domains and the registered
+// replicas.
 //
-// One daemon of the fleet reads the store; the others ask it for news along a
-// tree and are answered as soon as there is some. Every answer says how old it
-// is. A daemon whose view is older than its bounds allow, for whatever reason,
-// reads the store itself: nobody depends on another daemon for longer than a
-// fraction of the time within which news must be in force.
+// One daemon of the fleet reads the store. The others request changes from each other
+// along a tree and are answered as soon as there are any. Every reply states how old it
+// is. A daemon whose view is older than its limits allow, for whatever reason, reads the
+// store itself: no daemon depends on another for longer than a fraction of the time within
+// which changes must be active.
 //
-// What is small and urgent never waits for what is large. News name a newer
-// configuration and carry replicas only, those that changed. The configuration
-// is fetched beside them: as the compressed step from the revision held, in
-// blocks whose size bounds how long a link is taken, each with a timeout of its
-// own. What has arrived of a step is kept and completed from another host, so
-// that a slow link costs time and never the bytes that it has carried. What a
-// link carries bounds the time to force, and not how the routes add up.
+// Small and urgent data never waits for large data. A reply with changes announces the
+// revision of a newer configuration and carries only the replicas that changed. The
+// configuration is fetched separately, as a compressed delta from the local revision, in
+// blocks whose size limits how long a link is occupied and each with its own timeout. The
+// received part of a delta is kept and completed from another host, so that a slow link
+// delays a transfer but never repeats it. The time until a configuration is active
+// therefore depends on the capacity of the links, and not on the sum of delays and
+// timeouts along the tree.
 //
-// The reader lists the replicas at an interval and asks for a newer
-// configuration by a watch of the same length: the store sends one only when
-// there is one. The watch looks back over several intervals, as the store may
-// tell of nothing for a second before it drops its history.
+// The daemon that reads the store lists the replicas at an interval and watches for a
+// newer configuration for just as long: the store sends a configuration only when there is
+// a new one. The watch starts several intervals in the past, since the store may report no
+// changes for a second before it drops its history.
 package discovery
--- a/discovery/evacuations.go
+++ b/discovery/evacuations.go
@@ -10,20 +10,19 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// Evacuations come with the watch for a newer configuration, at no call of their
-// own, and go to fellows with the news. They are listed only by a host that reads
-// the store and may have missed a change. The store's revisions order them: of two
-// accounts the one of the later revision holds, whoever tells it.
+// Evacuations are read by the watch for a newer configuration, without a call of their
+// own, and are sent to peers with other changes. Only a host that reads the store and may
+// have missed a change lists them. The revisions of the store order them: of two sets, the
+// one with the later revision is valid, whichever host sends it.
 
-// missedEvacuations says whether changes of the evacuations may have been missed.
+// mayMissEvacuations reports whether changes of the evacuations may have been missed.
 func (d *Discovery) mayMissEvacuations() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.evacuationsIncomplete
 }
 
-// listEvacuations reads the evacuations from the store and says whether that
-// succeeded.
+// listEvacuations reads the evacuations from the store and reports whether that succeeded.
 func (d *Discovery) listEvacuations(ctx context.Context) bool {
 	var changes []catalog.EvacuationChange
 	revision, err := d.cfg.Store.Pages(ctx, platform.EvacuationPrefix, func(items []platform.Item) {
@@ -44,14 +43,14 @@
 	return true
 }
 
-// decodeEvacuations reads orders and withdrawals; a key that names no failure
-// domain is logged and left out.
+// decodeEvacuations decodes orders to evacuate and their withdrawals. A key that does not
+// name a failure domain is logged and skipped.
 func (d *Discovery) decodeEvacuations(items []platform.Item) []catalog.EvacuationChange {
 	var changes []catalog.EvacuationChange
 	for _, item := range items {
 		c, err := platform.DecodeEvacuation(item)
 		if err != nil {
-			d.log.Warn("evacuation refused", zap.String("key", item.Key), zap.Error(err))
+			d.log.Warn("invalid evacuation key ignored", zap.String("key", item.Key), zap.Error(err))
 			continue
 		}
 		changes = append(changes, c)
@@ -59,7 +58,8 @@
 	return changes
 }
 
-// evacuate puts evacuations in force unless those known are as new; the lock is held.
+// applyEvacuations activates evacuations unless the current ones are as new. The
+// caller holds d.mu.
 func (d *Discovery) applyEvacuations(e catalog.Evacuations) {
 	next := *d.View()
 	if e.Revision <= next.Evacuations.Revision {
@@ -69,20 +69,20 @@
 	d.publish(&next)
 }
 
-// hearEvacuations takes a fellow's evacuations, whatever the age of its other news;
-// the lock is held.
-func (d *Discovery) receiveEvacuations(told *wire.Evacuations) {
-	if told != nil {
-		d.applyEvacuations(catalog.NewEvacuations(told.GetRevision(), told.GetFailureDomains()))
+// receiveEvacuations applies a peer's evacuations, however old the rest of its view is.
+// The caller holds d.mu.
+func (d *Discovery) receiveEvacuations(received *wire.Evacuations) {
+	if received != nil {
+		d.applyEvacuations(catalog.NewEvacuations(received.GetRevision(), received.GetFailureDomains()))
 	}
 }
 
-// tellEvacuations is what a fellow that knows those of a revision is told; the lock
-// is held.
+// evacuationsReply returns the evacuations for a peer, without the failure domains if the
+// peer knows this revision. The caller holds d.mu.
 func (d *Discovery) evacuationsReply(v *View, known uint64) *wire.Evacuations {
-	told := &wire.Evacuations{Revision: v.Evacuations.Revision, Complete: !d.evacuationsIncomplete}
-	if told.Revision > known {
-		told.FailureDomains = v.Evacuations.Domains
+	reply := &wire.Evacuations{Revision: v.Evacuations.Revision, Complete: !d.evacuationsIncomplete}
+	if reply.Revision > known {
+		reply.FailureDomains = v.Evacuations.Domains
 	}
-	return told
+	return reply
 }
--- a/discovery/evacuations_test.go
+++ b/discovery/evacuations_test.go
@@ -17,31 +17,32 @@
 
 var evacuateLarge = flag.Bool("evacuate.large", false, "measure a fleet of 3,020 hosts as well")
 
-// evacuatedIn is the time within which an order must be in force at every host.
+// evacuationBound is the time within which an order must be active on all hosts.
 const evacuationBound = 5 * time.Second
 
 func (s *simulatedStore) evacuate(domain string) { s.put(platform.EvacuationPrefix+domain, "{}") }
 func (s *simulatedStore) withdraw(domain string) { s.remove(platform.EvacuationPrefix + domain) }
 
-// unlike lists the hosts at which other domains are evacuated than these.
+// hostsWithOtherEvacuations lists the hosts whose evacuated domains differ from the given
+// ones.
 func (f *simulatedFleet) hostsWithOtherEvacuations(domains ...string) []string {
 	return slices.DeleteFunc(slices.Clone(f.names), func(name string) bool {
 		return slices.Equal(f.discoveries[name].View().Evacuations.Domains, domains)
 	})
 }
 
-// awaitEvacuated waits until just these domains are evacuated at all hosts and
-// returns the time that took, at most limit.
+// awaitEvacuations waits until exactly these domains are evacuated on all hosts and
+// returns how long that took, at most limit.
 func (f *simulatedFleet) awaitEvacuations(limit time.Duration, domains ...string) time.Duration {
 	const step = 5 * time.Millisecond
-	began := time.Now()
-	for len(f.hostsWithOtherEvacuations(domains...)) > 0 && time.Since(began) < limit {
+	started := time.Now()
+	for len(f.hostsWithOtherEvacuations(domains...)) > 0 && time.Since(started) < limit {
 		time.Sleep(step)
 	}
-	return time.Since(began)
+	return time.Since(started)
 }
 
-// startEvacuated starts a fleet in which nothing is evacuated.
+// startFleet starts a fleet without evacuations and waits until it is idle.
 func startFleet(t *testing.T, f *simulatedFleet) {
 	f.store.writeConfig(1, 2)
 	for id := range 12 {
@@ -58,22 +59,22 @@
 	return s.calls
 }
 
-// TestSpreadOfEvacuations measures, by hosts, how long an order and its withdrawal
-// take until they are in force at all hosts, what they cost the store in calls beside
-// those of a time in which nothing changes, and the bytes that the busiest host sends.
+// TestEvacuationPropagation measures, for several fleet sizes, how long an order and its
+// withdrawal take until they are active on all hosts, how many calls to the store they
+// cost beyond those of an idle period, and the bytes that the busiest host sends.
 func TestEvacuationPropagation(t *testing.T) {
 	fleets := []fleetLinks{{1, 5}, {8, 52}, {8, 292}}
 	if *evacuateLarge {
 		fleets = append(fleets, fleetLinks{16, 3004})
 	}
-	for _, of := range fleets {
-		synctest.Test(t, func(t *testing.T) { measureEvacuation(t, of) })
+	for _, links := range fleets {
+		synctest.Test(t, func(t *testing.T) { measureEvacuation(t, links) })
 	}
 }
 
-func measureEvacuation(t *testing.T, of fleetLinks) {
+func measureEvacuation(t *testing.T, links fleetLinks) {
 	g := NewWithT(t)
-	f := newSimulatedFleet(of.fast, of.slow)
+	f := newSimulatedFleet(links.fast, links.slow)
 	startFleet(t, f)
 	calls := f.store.callCount()
 	time.Sleep(2 * evacuationBound)
@@ -81,17 +82,17 @@
 	received, sent := f.transferredBytes()
 	calls = f.store.callCount()
 	f.store.evacuate("surco")
-	ordered := f.awaitEvacuations(evacuationBound, "surco")
+	evacuated := f.awaitEvacuations(evacuationBound, "surco")
 	_, bytes := busiestSince(f, received, sent)
-	time.Sleep(evacuationBound - ordered)
+	time.Sleep(evacuationBound - evacuated)
 	f.store.withdraw("surco")
-	back := f.awaitEvacuations(evacuationBound)
-	time.Sleep(evacuationBound - back)
+	withdrawn := f.awaitEvacuations(evacuationBound)
+	time.Sleep(evacuationBound - withdrawn)
 	extra := f.store.callCount() - calls - idle
-	t.Logf("%d hosts: %.2f s to evacuate, %.2f s to take back, %d calls to the store more than the usual %d, %d kB sent by one host",
-		of.fast+of.slow, ordered.Seconds(), back.Seconds(), extra, idle, bytes/1000)
-	g.Expect(max(ordered, back)).To(BeNumerically("<", propagationBound))
-	// Two changes cut two waits for changes short.
+	t.Logf("%d hosts: %.2f s to evacuate, %.2f s to withdraw, %d calls to the store beyond the %d of an idle period, %d kB sent by the busiest host",
+		links.fast+links.slow, evacuated.Seconds(), withdrawn.Seconds(), extra, idle, bytes/1000)
+	g.Expect(max(evacuated, withdrawn)).To(BeNumerically("<", propagationBound))
+	// Each of the two changes ends one watch early.
 	g.Expect(extra).To(BeNumerically("<=", 4))
 }
 
@@ -141,10 +142,10 @@
 	})
 }
 
-// TestEvacuationsUnderTrouble plays random schedules: orders and withdrawals, beside
-// hosts that are cut off or that the store turns away, a store that forgets its
-// history, and new configurations. A host that has had a path to the store, or to a
-// fellow that has, for a while must be as the store says.
+// TestEvacuationsWithRandomFaults runs random schedules of orders and withdrawals, mixed
+// with hosts that are disconnected or that the store rejects, a store that drops its
+// history, and new configurations. A host that has been able to reach the store, or a peer
+// that can, for evacuationBound must have the same evacuations as the store.
 func TestEvacuationsWithRandomFaults(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -156,13 +157,13 @@
 func runEvacuationFaults(t *testing.T, seed uint64) {
 	g, rng := NewWithT(t), rand.New(rand.NewPCG(seed, 7))
 	f := newSimulatedFleet(2, 10)
-	// cut are hosts that reach neither the store nor fellows, away ones that the store
-	// turns away.
-	cut, away := map[string]bool{}, map[string]bool{}
+	// disconnected hosts reach neither the store nor their peers; the store rejects only
+	// the hosts in rejected.
+	disconnected, rejected := map[string]bool{}, map[string]bool{}
 	f.injectError = func(from, to, _ string) error {
 		var err error
 		f.store.update(func(*simulatedStore) {
-			if cut[from] || cut[to] || to == storeName && away[from] {
+			if disconnected[from] || disconnected[to] || to == storeName && rejected[from] {
 				err = errDisconnected
 			}
 		})
@@ -181,9 +182,9 @@
 			delete(inForce, domain)
 			f.store.withdraw(domain)
 		case 3:
-			f.store.update(func(*simulatedStore) { cut[host] = !cut[host] })
+			f.store.update(func(*simulatedStore) { disconnected[host] = !disconnected[host] })
 		case 4:
-			f.store.update(func(s *simulatedStore) { away[host] = !away[host]; s.compactedRevision = s.revision })
+			f.store.update(func(s *simulatedStore) { rejected[host] = !rejected[host]; s.compactedRevision = s.revision })
 		case 5:
 			version++
 			f.store.writeConfig(version, 2+version)
@@ -192,10 +193,10 @@
 		if rng.IntN(4) != 0 {
 			continue
 		}
-		// The last trouble may have come within the time that is allowed.
+		// The last fault may be more recent than evacuationBound.
 		time.Sleep(evacuationBound)
 		want := slices.Sorted(maps.Keys(inForce))
-		wrong := slices.DeleteFunc(f.hostsWithOtherEvacuations(want...), func(name string) bool { return cut[name] })
-		g.Expect(wrong).To(BeEmpty(), "want %v in force", want)
+		wrong := slices.DeleteFunc(f.hostsWithOtherEvacuations(want...), func(name string) bool { return disconnected[name] })
+		g.Expect(wrong).To(BeEmpty(), "want %v evacuated", want)
 	}
 }
--- a/discovery/export_test.go
+++ b/discovery/export_test.go
@@ -10,48 +10,49 @@
 	"github.com/wheatseam/wheatseam/platform"
 )
 
-// decoded is a configuration that is decoded once for all hosts of a test.
+// decodedConfig is a configuration that is decoded once for all hosts of a test.
 type decodedConfig struct {
 	once   sync.Once
 	config *catalog.Config
 	err    error
 }
 
-// ShareDecoding has configurations decoded once for all hosts of this process.
+// ShareDecoding makes all hosts of this process share decoded configurations.
 func ShareDecoding() {
-	var known sync.Map // hash to *decoded
+	var cache sync.Map // hash of the configuration to *decodedConfig
 	decodeConfig = func(raw []byte) (*catalog.Config, error) {
-		entry, _ := known.LoadOrStore(xxhash.Sum64(raw), &decodedConfig{})
+		entry, _ := cache.LoadOrStore(xxhash.Sum64(raw), &decodedConfig{})
 		d := entry.(*decodedConfig)
 		d.once.Do(func() { d.config, d.err = platform.DecodeConfig(raw) })
 		return d.config, d.err
 	}
 }
 
-// StepRoundTrip returns the size of the step between two configurations, and an
-// error unless it leads from one to the other and from nothing else.
+// DeltaRoundTrip returns the size in bytes of the delta between two configurations. It
+// returns an error if the delta does not produce the second one, if it also does so from
+// another base, or if a damaged delta can be applied.
 func DeltaRoundTrip(from, to string) (int, error) {
-	s, err := newConfigDelta(1, []byte(from), 2, []byte(to))
+	delta, err := newConfigDelta(1, []byte(from), 2, []byte(to))
 	if err != nil {
 		return 0, err
 	}
-	raw, err := s.apply([]byte(from))
+	raw, err := delta.apply([]byte(from))
 	if err != nil {
 		return 0, err
 	}
 	if string(raw) != to {
-		return 0, fmt.Errorf("the step leads elsewhere")
+		return 0, fmt.Errorf("the delta produces another configuration")
 	}
-	if other, err := s.apply([]byte("another base")); err == nil && string(other) == to && len(from) > len(to) {
-		return 0, fmt.Errorf("the step leads there from another base")
+	if other, err := delta.apply([]byte("another base")); err == nil && string(other) == to && len(from) > len(to) {
+		return 0, fmt.Errorf("the delta produces the configuration from another base")
 	}
-	s.data = append([]byte(nil), s.data...)
-	s.data[len(s.data)/2] ^= 1
-	if _, err := s.apply([]byte(from)); err == nil {
-		return 0, fmt.Errorf("a damaged step was applied")
+	delta.data = append([]byte(nil), delta.data...)
+	delta.data[len(delta.data)/2] ^= 1
+	if _, err := delta.apply([]byte(from)); err == nil {
+		return 0, fmt.Errorf("a damaged delta was applied")
 	}
-	return len(s.data), nil
+	return len(delta.data), nil
 }
 
-// Buckets is the digest of the view's replicas, as a fellow sends it.
+// Buckets returns the digest of the view's replicas in the form that peers send.
 func (v *View) Buckets() []uint64 { return v.digest[:] }
--- a/discovery/invalid_entries_test.go
+++ b/discovery/invalid_entries_test.go
@@ -13,44 +13,47 @@
 	"github.com/wheatseam/wheatseam/platform"
 )
 
-// The pattern: others write among the replicas, whole pages of entries that name
-// none.
-var _ = Describe("entries of other writers", func() {
-	const foreign = 180 // more than three pages
-	refused := func(logs *observer.ObservedLogs) int { return logs.FilterMessage("replica entry refused").Len() }
+// Guards against invalid entries under the replica prefix, such as whole pages of entries
+// written by others, hiding or delaying valid replicas.
+var _ = Describe("invalid entries of other writers", func() {
+	const invalid = 180 // more than three pages
+	reported := func(logs *observer.ObservedLogs) int {
+		return logs.FilterMessage("invalid replica entry ignored").Len()
+	}
 
-	// among writes them between the ids of the replicas, so that every page has some.
-	among := func(d *testFleet) {
-		for i := range foreign {
-			d.store.Put(fmt.Sprintf("%si-%03d", platform.ReplicaPrefix, i), []byte(`{"service":"s","phase":"sleeping"}`))
+	// writeEntries puts the invalid entries between the IDs of the replicas, so that every
+	// page has some.
+	writeEntries := func(f *testFleet) {
+		for i := range invalid {
+			f.store.Put(fmt.Sprintf("%si-%03d", platform.ReplicaPrefix, i), []byte(`{"service":"s","phase":"sleeping"}`))
 		}
-		d.writeReplica("i-2", "ready")
-		d.writeReplica("zz", "ready")
+		f.writeReplica("i-2", "ready")
+		f.writeReplica("zz", "ready")
 	}
 
 	It("hide no replica and delay none", func() {
-		d := newTestFleet(2)
-		among(d)
-		d.run("host-1", "host-2")
+		f := newTestFleet(2)
+		writeEntries(f)
+		f.run("host-1", "host-2")
 		for _, name := range []string{"host-1", "host-2"} {
-			Eventually(func() int { return len(d.discoveries[name].View().Replicas) }, "2s").Should(Equal(3))
+			Eventually(func() int { return len(f.discoveries[name].View().Replicas) }, "2s").Should(Equal(3))
 		}
-		d.writeReplica("zz", "draining")
+		f.writeReplica("zz", "draining")
 		for _, name := range []string{"host-1", "host-2"} {
-			Eventually(func() bool { return d.discoveries[name].View().Replicas["zz"].Draining }, bound).Should(BeTrue())
+			Eventually(func() bool { return f.discoveries[name].View().Replicas["zz"].Draining }, bound).Should(BeTrue())
 		}
 	})
 
 	It("are counted and logged once a change", func() {
 		core, logs := observer.New(zapcore.WarnLevel)
-		d := newTestFleet(1, func(c *discovery.Config) { c.Logger = zap.New(core) })
-		among(d)
-		d.run("host-1")
-		Eventually(d.discoveries["host-1"].Faults, "2s").Should(Equal(foreign))
-		reads := d.discoveries["host-1"].Dump().StoreReads
-		Eventually(func() uint64 { return d.discoveries["host-1"].Dump().StoreReads }, "2s").Should(BeNumerically(">", reads+1))
-		Expect(refused(logs)).To(Equal(foreign), "nothing changed in them")
-		d.store.Put(platform.ReplicaPrefix+"i-007", []byte(`{"service":5}`))
-		Eventually(func() int { return refused(logs) }, "2s").Should(Equal(foreign + 1))
+		f := newTestFleet(1, func(c *discovery.Config) { c.Logger = zap.New(core) })
+		writeEntries(f)
+		f.run("host-1")
+		Eventually(f.discoveries["host-1"].Faults, "2s").Should(Equal(invalid))
+		reads := f.discoveries["host-1"].Dump().StoreReads
+		Eventually(func() uint64 { return f.discoveries["host-1"].Dump().StoreReads }, "2s").Should(BeNumerically(">", reads+1))
+		Expect(reported(logs)).To(Equal(invalid), "unchanged entries are not reported again")
+		f.store.Put(platform.ReplicaPrefix+"i-007", []byte(`{"service":5}`))
+		Eventually(func() int { return reported(logs) }, "2s").Should(Equal(invalid + 1))
 	})
 })
--- a/discovery/large_config_test.go
+++ b/discovery/large_config_test.go
@@ -13,34 +13,31 @@
 	"github.com/wheatseam/wheatseam/platform"
 )
 
-// What was seen: on 80 hosts, most of them behind links of 10 Mbit/s, 1,400
-// routes were added to 2,800 while the replicas of a service were replaced. Six
-// seconds later a quarter of the hosts had the new routes. Requests were decided
-// by the version before last, and reached replicas that had said 3.8 s before
-// that they leave.
+// Guards against large configurations delaying other changes on slow links. On 80 hosts,
+// most of them with links of 10 Mbit/s, 1,400 routes were added to 2,800 while the
+// replicas of a service were replaced. Six seconds later a quarter of the hosts had the
+// new routes. Requests were routed by the version before last and reached replicas that
+// had announced 3.8 s before that they were leaving.
 //
-// How it came about: hosts asked a fellow for news and gave up after 1.45 s, then
-// read the store and gave up after 1 s, then asked the next fellow; nearly all
-// links were full meanwhile.
+// Each change passed on the whole configuration, 0.7 MB, in the message that also carried
+// the drains of replicas, from each host to eight others. Calls had fixed timeouts
+// regardless of size: hosts gave up on a peer after 1.45 s, then on the store after 1 s,
+// and then asked the next peer, while nearly all links were full. The part of a reply that
+// had arrived was discarded, so that every attempt began at the first byte.
 //
-// The cause: each change of the configuration was passed on whole, 0.7 MB, in
-// the message that also carries the drains of replicas, and by a host to eight
-// others. Calls had fixed times whatever they carried, and what had come of an
-// answer by then was dropped, so that every try began at the first byte.
-//
-// What proved it: the links of two hosts of three were full from the change on,
-// no processor was over 14 %, and the store turned nobody away. The same hosts
-// and links fail here by a simulated clock, without processor time and with a
-// store that refuses nothing.
+// The links were the limit: those of two hosts of three were full from the change on, no
+// processor was above 14 %, and the store rejected no request. The same hosts and links
+// fail here on a simulated clock, without processor time and with a store that accepts
+// every request.
 
-// dueIn is the time within which what the store acknowledged must be in force
-// on all hosts.
+// propagationBound is the time within which a change that the store acknowledged must be
+// active on all hosts.
 const propagationBound = 3 * time.Second
 
-// routesAdded is the number of routes of one change.
+// routesAdded is the number of routes that one change adds.
 const routesAdded = 1400
 
-// random returns a word of n letters and digits.
+// randomWord returns a word of n letters and digits.
 func randomWord(r *rand.Rand, n int) string {
 	const letters = "abcdefghijklmnopqrstuvwxyz0123456789"
 	word := make([]byte, n)
@@ -50,8 +47,8 @@
 	return string(word)
 }
 
-// routesOf returns n routes as the operator writes them; the first ones are the
-// same for every n.
+// generateRoutes returns n routes in the operator's format; the first ones are the same
+// for every n.
 func generateRoutes(n int) []string {
 	r := rand.New(rand.NewPCG(1, 2))
 	routes := make([]string, n)
@@ -73,7 +70,7 @@
 		fmt.Sprintf(`{"service":"s","address":"10.0.0.1:%d","zone":"z","version":"v1","concurrency":64,"phase":%q,"seq":1}`, 1000+id, phase))
 }
 
-// outdated lists the hosts on which a version is not in force.
+// hostsBelowVersion lists the hosts on which a version is not active.
 func (f *simulatedFleet) hostsBelowVersion(version int) []string {
 	var names []string
 	for _, name := range f.names {
@@ -84,7 +81,7 @@
 	return names
 }
 
-// sending lists the hosts that take a replica for ready.
+// hostsSendingTo lists the hosts that consider a replica ready.
 func (f *simulatedFleet) hostsSendingTo(replica int) []string {
 	var names []string
 	for _, name := range f.names {
@@ -95,30 +92,30 @@
 	return names
 }
 
-// awaitVersion waits until a version is in force on all hosts and returns the
-// time that took, at most limit.
+// awaitVersion waits until a version is active on all hosts and returns how long that
+// took, at most limit.
 func (f *simulatedFleet) awaitVersion(version int, limit time.Duration) time.Duration {
 	const step = 5 * time.Millisecond
-	began := time.Now()
-	for len(f.hostsBelowVersion(version)) > 0 && time.Since(began) < limit {
+	started := time.Now()
+	for len(f.hostsBelowVersion(version)) > 0 && time.Since(started) < limit {
 		time.Sleep(step)
 	}
-	return time.Since(began)
+	return time.Since(started)
 }
 
-// fleetOf is a fleet by its links.
+// fleetLinks is the number of hosts with fast and with slow links.
 type fleetLinks struct{ fast, slow int }
 
 func TestLargeConfigsAndDrainsPropagateOverSlowLinks(t *testing.T) {
-	for name, of := range map[string]fleetLinks{"few wide links": {8, 72}, "no wide link": {0, 40}} {
+	for name, links := range map[string]fleetLinks{"few fast links": {8, 72}, "no fast link": {0, 40}} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { runChangeSeries(t, newSimulatedFleet(of.fast, of.slow)) })
+			synctest.Test(t, func(t *testing.T) { runChangeSeries(t, newSimulatedFleet(links.fast, links.slow)) })
 		})
 	}
 }
 
-// changeInSeries plays half a minute: twice a second a replica says that it
-// leaves and another one starts; every 4 s the routes grow, or only the version.
+// runChangeSeries simulates half a minute: twice a second one replica starts to drain and
+// another becomes ready; every 4 s routes are added, or only the version changes.
 func runChangeSeries(t *testing.T, f *simulatedFleet) {
 	const replicas, steps, step = 120, 60, 500 * time.Millisecond
 	g := NewWithT(t)
@@ -129,26 +126,26 @@
 	stop := f.run()
 	defer stop()
 	g.Expect(f.awaitVersion(1, 20*time.Second)).To(BeNumerically("<", 20*time.Second))
-	versionAt := map[int]int{}
+	versions := map[int]int{}
 	var late []string
-	for at := range steps + int(propagationBound/step) {
-		if at < steps {
-			f.store.writeReplica(at, "draining")
-			f.store.writeReplica(replicas+at, "ready")
+	for tick := range steps + int(propagationBound/step) {
+		if tick < steps {
+			f.store.writeReplica(tick, "draining")
+			f.store.writeReplica(replicas+tick, "ready")
 		}
-		if at < steps && at%8 == 0 {
-			versionAt[at] = 2 + at/8
-			f.store.writeConfig(versionAt[at], 2+min(3, 1+at/16)*routesAdded)
+		if tick < steps && tick%8 == 0 {
+			versions[tick] = 2 + tick/8
+			f.store.writeConfig(versions[tick], 2+min(3, 1+tick/16)*routesAdded)
 		}
 		time.Sleep(step)
-		due := at + 1 - int(propagationBound/step)
+		due := tick + 1 - int(propagationBound/step)
 		if due < 0 {
 			continue
 		}
 		if hosts := f.hostsSendingTo(due); due < steps && len(hosts) > 0 {
-			late = append(late, fmt.Sprintf("replica %d has been leaving for %s: %d hosts send to it", due, propagationBound, len(hosts)))
+			late = append(late, fmt.Sprintf("replica %d has been leaving for %s: %d hosts still send to it", due, propagationBound, len(hosts)))
 		}
-		if version, written := versionAt[due]; written {
+		if version, written := versions[due]; written {
 			if hosts := f.hostsBelowVersion(version); len(hosts) > 0 {
 				late = append(late, fmt.Sprintf("version %d was written %s ago: %d hosts have an older one", version, propagationBound, len(hosts)))
 			}
@@ -158,7 +155,6 @@
 	g.Expect(f.maxMessageSize.Load()).To(BeNumerically("<=", maxPeerMessageBytes), "bytes of the largest message between hosts")
 }
 
-// largestMessage bounds the messages between hosts, in bytes: a link of 10 Mbit/s
-// carries one in 33 ms, and eight in less than the silence after which a session
-// is ended.
+// maxPeerMessageBytes limits the messages between hosts. A link of 10 Mbit/s carries one
+// in 33 ms, and eight in less than the silence timeout after which a session is closed.
 const maxPeerMessageBytes = 40 << 10
--- a/discovery/propagation_test.go
+++ b/discovery/propagation_test.go
@@ -12,31 +12,32 @@
 
 var spreadLarge = flag.Bool("spread.large", false, "measure fleets of up to 300 hosts as well")
 
-// spread is a change that is passed on in a fleet.
+// propagationCase is a configuration change in a fleet with the given numbers of hosts
+// with fast and with slow links.
 type propagationCase struct {
 	fast, slow int
-	// from and to are numbers of routes.
+	// fromRoutes and toRoutes are the numbers of routes before and after the change.
 	fromRoutes, toRoutes int
 }
 
-// TestSpreadOfConfigurations measures what a change of the configuration costs by
-// hosts and routes, in seconds until it is in force on all and in bytes over the
-// links of the busiest hosts, and what the fleet exchanges while nothing changes.
-// It prints a row a change; docs/CAPACITY.md has them.
+// TestConfigPropagation measures the cost of a configuration change for several fleet
+// sizes and numbers of routes: the seconds until it is active on all hosts, the bytes over
+// the links of the busiest hosts, and the traffic while nothing changes. It logs a table
+// row for each change; docs/CAPACITY.md contains them.
 func TestConfigPropagation(t *testing.T) {
-	spreads := []propagationCase{{8, 22, 2, 1402}, {8, 72, 2800, 4200}, {0, 80, 0, 5600}}
+	cases := []propagationCase{{8, 22, 2, 1402}, {8, 72, 2800, 4200}, {0, 80, 0, 5600}}
 	if *spreadLarge {
-		spreads = nil
+		cases = nil
 		for _, hosts := range []int{30, 80, 300} {
 			for _, routes := range [][2]int{{0, 1400}, {1400, 2800}, {2800, 4200}, {4200, 4201}, {0, 5600}} {
-				for _, wide := range []int{8, 0} {
-					spreads = append(spreads, propagationCase{wide, hosts - wide, routes[0], routes[1]})
+				for _, fast := range []int{8, 0} {
+					cases = append(cases, propagationCase{fast, hosts - fast, routes[0], routes[1]})
 				}
 			}
 		}
 	}
-	t.Log("| hosts (wide) | routes | s to force | kB received by one host | kB sent by one host | idle kB/s, busiest |")
-	for _, s := range spreads {
+	t.Log("| hosts (fast) | routes | s to force | kB received by one host | kB sent by one host | idle kB/s, busiest |")
+	for _, s := range cases {
 		synctest.Test(t, func(t *testing.T) { s.measure(t) })
 	}
 }
@@ -65,7 +66,7 @@
 	g.Expect(took).To(BeNumerically("<", propagationBound), fmt.Sprint(s))
 }
 
-// carried returns the bytes of each host so far.
+// transferredBytes returns the bytes that each host has received and sent so far.
 func (f *simulatedFleet) transferredBytes() (received, sent map[string]int64) {
 	received, sent = map[string]int64{}, map[string]int64{}
 	for name, m := range f.machines {
@@ -74,8 +75,8 @@
 	return received, sent
 }
 
-// busiestSince returns the bytes since then of the host that received, and of
-// the one that sent, most.
+// busiestSince returns the bytes received by the host that received most, and sent by the
+// one that sent most, since the given counts.
 func busiestSince(f *simulatedFleet, received, sent map[string]int64) (mostReceived, mostSent int64) {
 	nowReceived, nowSent := f.transferredBytes()
 	for name := range f.machines {
--- a/discovery/replicas.go
+++ b/discovery/replicas.go
@@ -13,19 +13,19 @@
 	"github.com/wheatseam/wheatseam/platform"
 )
 
-// sourceStore is the Source of a view that this host has read itself.
+// sourceStore is the Source of a view that this host has read from the store itself.
 const sourceStore = "store"
 
-// keepReplicas keeps the replicas up to date until ctx ends, and hears of newer
-// configurations while fellows are asked.
+// syncReplicas keeps the replicas up to date until ctx ends. While it asks peers, it also
+// learns of newer configurations.
 func (d *Discovery) syncReplicas(ctx context.Context) {
 	d.awaitFirstPeers(ctx)
 	wait := minRetryInterval
 	for ctx.Err() == nil {
 		source := d.chooseSource(clock.Now())
 		if source != d.cfg.Self {
-			// A fellow that refused at once, as it has just started, costs no read of
-			// the store: the next one is asked.
+			// A peer that has just started and refuses at once does not cause a read of
+			// the store: the next peer is asked.
 			if d.requestChanges(ctx, source, d.boundFraction(changesWaitFraction)) || clock.Since(d.View().AsOf) < d.boundFraction(readFraction) {
 				wait = minRetryInterval
 				continue
@@ -48,17 +48,17 @@
 		}
 		wait = minRetryInterval
 		if d.View().Config == nil {
-			d.awaitChange(ctx, maxRetryInterval) // nothing can be served before
+			d.awaitChange(ctx, maxRetryInterval) // requests cannot be served before
 		} else if source == d.cfg.Self {
 			periodic.Sleep(ctx, d.interval()-clock.Since(started))
 		}
 	}
 }
 
-// begin waits, where the store holds no configuration yet, until there are fellows
-// to ask: nothing can be served before, and of a whole fleet that starts for the
-// first time one host watches the store and the others hear from it. 295 hosts
-// that each did made some 1,900 calls.
+// awaitFirstPeers waits until the fleet has formed if the store contains no configuration
+// yet. Nothing can be served before, and when a whole fleet starts for the first time one
+// host then watches the store and informs the others. 295 hosts that each watched the
+// store made some 1,900 calls.
 func (d *Discovery) awaitFirstPeers(ctx context.Context) {
 	periodic.Await(ctx, d.firstConfigRead, minRetryInterval)
 	if d.configMissing.Load() {
@@ -66,7 +66,7 @@
 	}
 }
 
-// awaitFleet waits until the hosts of the fleet are known.
+// awaitFormed waits until the hosts of the fleet are known.
 func (d *Discovery) awaitFormed(ctx context.Context) {
 	select {
 	case <-d.cfg.Members.Formed():
@@ -82,8 +82,8 @@
 	periodic.Await(ctx, changed, limit)
 }
 
-// interval is the time between two reads of the replicas: short until there is
-// something to serve.
+// interval returns the time between two reads of the replicas, which is short until there
+// are replicas.
 func (d *Discovery) interval() time.Duration {
 	if !d.View().Ready() || len(d.View().Replicas) == 0 {
 		return minRetryInterval
@@ -94,13 +94,13 @@
 	return d.boundFraction(readFraction)
 }
 
-// lone says whether no fellow has asked this host for news since its last read but
-// one.
+// noRecentPeerRequests reports whether no peer has asked this host for changes since the
+// read before the last.
 func (d *Discovery) noRecentPeerRequests() bool {
 	return time.Duration(clock.Nanos()-d.lastPeerRequest.Load()) > 2*d.boundFraction(idleReadFraction)
 }
 
-// readReplicas reads the replicas from the store and says whether that succeeded.
+// readReplicas reads the replicas from the store and reports whether that succeeded.
 func (d *Discovery) readReplicas(ctx context.Context) bool {
 	started := clock.Now()
 	d.storeReads.Add(1)
@@ -121,14 +121,14 @@
 	if err != nil {
 		if !d.replicaReadFailed && ctx.Err() == nil {
 			d.replicaReadFailed = true
-			d.log.Warn("store lost", zap.Error(err), zap.Duration("view_age", started.Sub(d.View().AsOf)))
+			d.log.Warn("could not read the replicas from the store", zap.Error(err), zap.Duration("view_age", started.Sub(d.View().AsOf)))
 		}
 		return false
 	}
 	if d.replicaReadFailed {
 		d.replicaReadFailed = false
 		d.wakeConfigSync()
-		d.log.Info("store regained", zap.Uint64("revision", revision))
+		d.log.Info("store is readable again for the replicas", zap.Uint64("revision", revision))
 	}
 	d.recordInvalidEntries(faults)
 	next := *d.View()
@@ -139,20 +139,20 @@
 	return true
 }
 
-// noteFaults takes the entries that name no replica, by key, with what is wrong
-// with them: anybody may write beside the replicas. Each change is logged once;
-// the lock is held.
+// recordInvalidEntries replaces the faults of entries that are not valid replicas, by key:
+// other writers may use the same prefix. Each change is logged once. The caller holds
+// d.mu.
 func (d *Discovery) recordInvalidEntries(faults map[string]string) {
-	for key, why := range faults {
-		if d.invalidEntries[key] != why {
-			d.log.Warn("replica entry refused", zap.String("key", key), zap.String("why", why))
+	for key, fault := range faults {
+		if d.invalidEntries[key] != fault {
+			d.log.Warn("invalid replica entry ignored", zap.String("key", key), zap.String("why", fault))
 		}
 	}
 	d.invalidEntries = faults
 }
 
-// Faults is the number of entries among the replicas that name none, as of this
-// host's last read of the store.
+// Faults returns the number of entries under the replica prefix that are not valid
+// replicas, as of this host's last read of the store.
 func (d *Discovery) Faults() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/discovery/retry_test.go
+++ b/discovery/retry_test.go
@@ -7,13 +7,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// The pattern: the store is away for all, and every host of a fleet tries again.
-var _ = DescribeTable("the wait after failed reads grows with the fleet", func(hosts int, bound, want time.Duration) {
+// Guards against a large fleet overloading the store with retries when it is down for all
+// hosts.
+var _ = DescribeTable("the limit of the wait between failing reads", func(hosts int, bound, want time.Duration) {
 	Expect(retryLimit(hosts, bound)).To(Equal(want))
 },
-	Entry("alone", 1, 4*time.Second, maxRetryInterval),
+	Entry("one host", 1, 4*time.Second, maxRetryInterval),
 	Entry("a small fleet", 60, 4*time.Second, maxRetryInterval),
-	Entry("a larger one", 200, 4*time.Second, 1600*time.Millisecond),
-	Entry("never over half of the bound", 295, 4*time.Second, 2*time.Second),
-	Entry("nor under what a small fleet waits", 3000, 600*time.Millisecond, maxRetryInterval),
+	Entry("a larger fleet", 200, 4*time.Second, 1600*time.Millisecond),
+	Entry("at most half of the bound", 295, 4*time.Second, 2*time.Second),
+	Entry("at least the limit of a small fleet", 3000, 600*time.Millisecond, maxRetryInterval),
 )
--- a/discovery/simulation_test.go
+++ b/discovery/simulation_test.go
@@ -20,8 +20,8 @@
 	"github.com/wheatseam/wheatseam/platform"
 )
 
-// The links of a simulated fleet, in bytes a second each way: a large host's, a
-// small host's and the store's.
+// The rates of the links of a simulated fleet in bytes per second, in each direction: of a
+// large host, of a small host and of the store.
 const (
 	fastLinkRate  = 200e6 / 8
 	slowLinkRate  = 10e6 / 8
@@ -29,11 +29,11 @@
 )
 
 const (
-	// segment is what a link carries at a time, so that transfers share it.
+	// segmentBytes is the unit of transmission; transfers share a link by taking turns.
 	segmentBytes = 4 << 10
-	// inFlight is the number of segments that a sender is ahead of the receiver.
+	// windowSegments is the number of segments that a sender may be ahead of the receiver.
 	windowSegments = 8
-	// oneWay is the delay between any two machines.
+	// linkDelay is the delay between any two machines.
 	linkDelay = time.Millisecond
 )
 
@@ -45,7 +45,8 @@
 	bytes          atomic.Int64
 }
 
-// carry books a segment that is ready at a time and returns when it is through.
+// transmit reserves the link for n bytes that are ready at the given time, and returns
+// when their transmission ends.
 func (l *link) transmit(n int, ready time.Time) time.Time {
 	l.bytes.Add(int64(n))
 	l.mu.Lock()
@@ -57,15 +58,15 @@
 	return l.freeAt
 }
 
-// machine is one end of transfers.
+// machine is an endpoint of transfers.
 type machine struct{ up, down link }
 
 func newMachine(rate float64) *machine {
 	return &machine{up: link{bytesPerSecond: rate}, down: link{bytesPerSecond: rate}}
 }
 
-// send carries n bytes and returns when they are there, or when ctx ends; what
-// was under way by then is lost.
+// send transfers n bytes and returns when they have arrived, or when ctx ends; bytes in
+// transit are then lost.
 func (m *machine) send(ctx context.Context, to *machine, n int) error {
 	var arrivals []time.Time
 	for left := n; left > 0; left -= segmentBytes {
@@ -91,8 +92,8 @@
 	}
 }
 
-// linkedFleet is a fleet of discoveries whose messages take the time that the
-// links between them need. It runs by a simulated clock.
+// simulatedFleet is a fleet of discoveries whose messages visit the time that the links
+// between the hosts need. It runs on a simulated clock.
 type simulatedFleet struct {
 	names       []string
 	machines    map[string]*machine
@@ -100,22 +101,22 @@
 	discoveries map[string]*discovery.Discovery
 	store       *simulatedStore
 	ranks       []fleet.Host
-	// refuse, if set, fails calls between two hosts; it is set before run.
+	// injectError, if set, makes calls between two hosts fail; it must be set before run.
 	injectError func(from, to, method string) error
-	// largest is the size of the largest message between hosts, in bytes.
+	// maxMessageSize is the size of the largest message between hosts, in bytes.
 	maxMessageSize atomic.Int64
 }
 
-// newLinkedFleet returns a fleet of wide and narrow hosts, the wide ones first
-// in rank.
-func newSimulatedFleet(wide, narrow int) *simulatedFleet {
+// newSimulatedFleet returns a fleet of hosts with fast and with slow links; those with
+// fast links rank first.
+func newSimulatedFleet(fast, slow int) *simulatedFleet {
 	f := &simulatedFleet{
 		machines: map[string]*machine{}, muxes: map[string]*peer.Mux{}, discoveries: map[string]*discovery.Discovery{},
 		store: newSimulatedStore(),
 	}
-	for i := range wide + narrow {
+	for i := range fast + slow {
 		name, rate, capacity := fmt.Sprintf("host-%03d", i), slowLinkRate, 192
-		if i < wide {
+		if i < fast {
 			rate, capacity = fastLinkRate, 800
 		}
 		f.names = append(f.names, name)
@@ -136,7 +137,7 @@
 
 func (f *simulatedFleet) Formed() <-chan struct{} { return closedChannel }
 
-// run starts all hosts and returns what stops them.
+// run starts all hosts and returns a function that stops them.
 func (f *simulatedFleet) run() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -146,7 +147,7 @@
 	return func() { cancel(); running.Wait() }
 }
 
-// linkedCaller is one host's way to the others.
+// simulatedCaller makes the calls of one host to the others.
 type simulatedCaller struct {
 	fleet *simulatedFleet
 	self  string
@@ -173,7 +174,7 @@
 	return to.send(ctx, from, envelopeBytes+proto.Size(resp))
 }
 
-// sized notes the size of a message.
+// recordMessageSize updates the size of the largest message.
 func (f *simulatedFleet) recordMessageSize(n int) {
 	for {
 		largest := f.maxMessageSize.Load()
@@ -183,28 +184,28 @@
 	}
 }
 
-// envelopeBytes is about what a message costs beside its body.
+// envelopeBytes is the approximate overhead of a message.
 const envelopeBytes = 100
 
-// linkedStore is the platform's store behind its own link.
+// simulatedStore is the platform's store, connected by its own link.
 type simulatedStore struct {
 	*machine
 	mu       sync.Mutex
 	items    map[string]platform.Item
 	revision uint64
-	// forgotten is the revision up to which the history is gone; blind says that
-	// watches hear nothing.
+	// compactedRevision is the revision up to which the history is gone; watchesSilent
+	// makes watches report nothing.
 	compactedRevision uint64
 	watchesSilent     bool
-	// removed are the items that were, by key, with the revision of that.
+	// removed holds the removed items by key, with the revision of their removal.
 	removed map[string]platform.Item
-	// calls counts what the store was asked.
+	// calls counts the requests to the store.
 	calls int
-	// whole counts the reads of a configuration in full.
+	// fullConfigReads counts reads of a whole configuration.
 	fullConfigReads int
 }
 
-// with changes the store's state.
+// update changes the store's state under its lock.
 func (s *simulatedStore) update(change func(*simulatedStore)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -231,7 +232,7 @@
 	s.removed[key] = platform.Item{Key: key, Revision: s.revision, Removed: true}
 }
 
-// list returns the items under a prefix by key, and the store's revision.
+// list returns the items under a prefix sorted by key, and the store's revision.
 func (s *simulatedStore) list(prefix string) ([]platform.Item, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -245,7 +246,8 @@
 	return items, s.revision
 }
 
-// since returns the items under a prefix that were written or removed after a revision.
+// changesAfter returns the items under a prefix that were written or removed after a
+// revision.
 func (s *simulatedStore) changesAfter(prefix string, after uint64) ([]platform.Item, uint64, error) {
 	items, revision := s.list(prefix)
 	s.mu.Lock()
@@ -263,19 +265,19 @@
 	return items, revision, nil
 }
 
-// storeCaller is one host's way to the store.
+// storeClient makes the calls of one host to the store.
 type storeClient struct {
 	fleet *simulatedFleet
 	self  string
 }
 
-// failing counts a call and returns its error if the host is cut off from the store.
+// beginCall counts a call and returns an error if the host cannot reach the store.
 func (c storeClient) beginCall() error {
 	c.fleet.store.update(func(s *simulatedStore) { s.calls++ })
 	return c.connectionError()
 }
 
-// cut is the error of a host that is cut off from the store; nil for none.
+// connectionError returns an error if the host cannot reach the store.
 func (c storeClient) connectionError() error {
 	if c.fleet.injectError == nil {
 		return nil
@@ -283,14 +285,14 @@
 	return c.fleet.injectError(c.self, storeName, "")
 }
 
-// storeName stands for the store where calls are refused.
+// storeName is the name of the store as the target of calls.
 const storeName = "store"
 
 // pageItems is the number of items of a page.
 const pageItems = 50
 
 // Pages implements discovery.Store.
-func (c storeClient) Pages(ctx context.Context, prefix string, take func([]platform.Item)) (uint64, error) {
+func (c storeClient) Pages(ctx context.Context, prefix string, visit func([]platform.Item)) (uint64, error) {
 	if err := c.beginCall(); err != nil {
 		return 0, err
 	}
@@ -299,7 +301,7 @@
 		if err := c.sendItems(ctx, page); err != nil {
 			return 0, err
 		}
-		take(page)
+		visit(page)
 	}
 	return revision, nil
 }
@@ -319,11 +321,11 @@
 
 // Changes implements discovery.Store.
 func (c storeClient) Changes(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]platform.Item, uint64, error) {
-	const look = 10 * time.Millisecond
+	const pollInterval = 10 * time.Millisecond
 	if err := c.beginCall(); err != nil {
 		return nil, 0, err
 	}
-	for began := time.Now(); ; time.Sleep(look) {
+	for started := time.Now(); ; time.Sleep(pollInterval) {
 		if err := c.connectionError(); err != nil {
 			return nil, 0, err
 		}
@@ -331,7 +333,7 @@
 		if err != nil {
 			return nil, 0, err
 		}
-		if len(items) > 0 || time.Since(began) >= wait {
+		if len(items) > 0 || time.Since(started) >= wait {
 			return items, revision, c.sendItems(ctx, items)
 		}
 		if ctx.Err() != nil {
@@ -340,7 +342,7 @@
 	}
 }
 
-// answer carries items as the store writes them: in base64.
+// sendItems transfers items in the size that the store sends, with values in base64.
 func (c storeClient) sendItems(ctx context.Context, items []platform.Item) error {
 	size := envelopeBytes
 	for _, item := range items {
--- a/discovery/source.go
+++ b/discovery/source.go
@@ -12,89 +12,92 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// The times of discovery, as shares of the bound. A host is answered as soon as
-// its source has read or heard something younger, so that what is read passes
-// through all levels at once. In the worst case a source has just lost the store
-// or falls silent: the call to it ends after newsWait and newsGrace, and the
-// store is read in a third of a second; together that is within the bound.
+// Discovery's time limits, as fractions of the bound. A host is answered as soon as its
+// source has read or received something more recent, so that a change passes through all
+// levels of the tree at once. In the worst case a source has just lost the store or
+// stopped answering: the call to it ends after changesWaitFraction and replyGrace, and the
+// store is read within a third of a second; the sum is within the bound.
 const (
 	readFraction = 0.3
-	// loneShare is the share after which a host reads that nobody asks: what it reads
-	// passes through no further host. It is under staleAfter, for the first fellow that
-	// does ask. 100 hosts that are cut off from their fellows for 12 s make a third
-	// fewer calls with it; each list is eight.
+	// idleReadFraction is the interval between reads of a host that no peer asks, whose
+	// reads need not pass through another host. It is below staleFraction, so that the
+	// view is recent enough for the first peer that does ask. With it, 100 hosts that are
+	// disconnected from their peers for 12 s make a third fewer calls; each list takes
+	// eight.
 	idleReadFraction    = 0.45
 	changesWaitFraction = 0.4
 	staleFraction       = 0.5
 )
 
-// fanout is the number of hosts that ask the same host for news: a change of
-// 3,000 replicas would else leave one host 300 times.
+// fanout is the number of hosts that ask the same host for changes. Without the limit, one
+// host would send a change of 3,000 replicas 300 times.
 const fanout = 8
 
 const (
-	// firstRetry is the wait after a failed read. It doubles with each further one,
-	// up to maxRetry, or in a large fleet up to retryPerHost for each host and
-	// retryShare of the bound: in an outage of the store each host asks it again,
-	// and all together make some 250 calls a second, however many they are. 295
-	// hosts made 1,300. A first failure is tried again as soon as in a small fleet,
-	// and a host that fails again and again learns the store's return from the
-	// fellow that hears of it first.
+	// minRetryInterval is the wait after a failed read. It doubles with each further
+	// failure, up to maxRetryInterval, or in a large fleet up to retryIntervalPerHost for
+	// each host, limited to maxRetryFraction of the bound. While the store is down every
+	// host retries, and all together make some 250 calls a second at any fleet size;
+	// without the scaling 295 hosts made 1,300. The first failure is retried as soon as in
+	// a small fleet, and a host that keeps failing learns that the store is back from the
+	// first peer that notices.
 	minRetryInterval     = 100 * time.Millisecond
 	maxRetryInterval     = 500 * time.Millisecond
 	retryIntervalPerHost = 8 * time.Millisecond
 	maxRetryFraction     = 0.5
-	// newsGrace is how much later than newsWait an answer may come.
+	// replyGrace is how much later than changesWaitFraction of the bound a reply may
+	// arrive.
 	replyGrace = 250 * time.Millisecond
-	// avoidFor is how long a host whose news were too old, or that did not
-	// answer, is not asked, avoidStarting how long one that refused at once:
-	// it may have started a moment ago.
+	// failureAvoidTime is how long a host that did not answer or had a stale view is not
+	// asked; startupAvoidTime applies to a host that refused at once, since it may have
+	// just started.
 	failureAvoidTime = 2 * time.Second
 	startupAvoidTime = 300 * time.Millisecond
 )
 
-// chooseSource returns the host whose news are asked for, or this host, which
-// then reads the store: it does so while it has no view though there is something
-// to see, and when no host that it could ask is left. Hosts ask along a tree over
-// the ranked hosts.
+// chooseSource returns the host to ask for changes, or this host, which then reads the
+// store. It returns this host while it has no view although the store may hold one, and
+// when no other candidate is left. Hosts ask their ancestors in a tree over the ranked
+// hosts.
 func (d *Discovery) chooseSource(now time.Time) string {
 	var hosts []fleet.Host
 	if d.View().Ready() || d.configMissing.Load() {
 		hosts = rankedHosts(d.cfg.Members.Reachable())
 	}
-	at := slices.IndexFunc(hosts, func(h fleet.Host) bool { return h.Name == d.cfg.Self })
+	position := slices.IndexFunc(hosts, func(h fleet.Host) bool { return h.Name == d.cfg.Self })
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	source := d.cfg.Self
-	for at > 0 {
-		at = (at - 1) / fanout
-		if !d.avoided.Has(hosts[at].Name, now) {
-			source = hosts[at].Name
+	for position > 0 {
+		position = (position - 1) / fanout
+		if !d.avoided.Has(hosts[position].Name, now) {
+			source = hosts[position].Name
 			break
 		}
 	}
 	if source != d.source {
-		d.log.Info("source of news chosen", zap.String("source", source), zap.String("before", d.source))
+		d.log.Info("source of changes selected", zap.String("source", source), zap.String("before", d.source))
 		d.source = source
 		d.wakeConfigSync()
 	}
 	return source
 }
 
-// retryLimit bounds the wait after reads of the store that fail again and again,
-// in a fleet of so many hosts.
+// retryLimit returns the longest wait between failing reads of the store in a fleet of the
+// given size.
 func retryLimit(hosts int, bound time.Duration) time.Duration {
-	most := max(maxRetryInterval, time.Duration(maxRetryFraction*float64(bound)))
-	return min(max(maxRetryInterval, time.Duration(hosts)*retryIntervalPerHost), most)
+	upperLimit := max(maxRetryInterval, time.Duration(maxRetryFraction*float64(bound)))
+	return min(max(maxRetryInterval, time.Duration(hosts)*retryIntervalPerHost), upperLimit)
 }
 
-// retryLimit is that of this host's fleet.
+// retryLimit returns the longest wait between failing reads of the store for this host's
+// fleet.
 func (d *Discovery) retryLimit() time.Duration {
 	return retryLimit(len(d.cfg.Members.Reachable()), d.cfg.Bound())
 }
 
-// ranked sorts hosts by rank; the first two change places, as the first has the
-// stage work to plan.
+// rankedHosts sorts hosts by rank, with the first two exchanged, since the highest-ranked
+// host also plans stage work.
 func rankedHosts(hosts []fleet.Host) []fleet.Host {
 	slices.SortFunc(hosts, fleet.Host.Compare)
 	if len(hosts) > 2 {
@@ -103,8 +106,8 @@
 	return hosts
 }
 
-// askAny asks hosts for news until one has some. A host that has just started
-// and that the store turns away learns from its fellows what is in force.
+// requestChangesFromAny asks hosts for changes until one replies. A host that has just
+// started and that the store rejects learns from its peers what is active.
 func (d *Discovery) requestChangesFromAny(ctx context.Context) bool {
 	for _, h := range rankedHosts(d.cfg.Members.Reachable()) {
 		if h.Name != d.cfg.Self && !d.avoided.Has(h.Name, clock.Now()) && d.requestChanges(ctx, h.Name, d.boundFraction(changesWaitFraction)) {
@@ -114,8 +117,8 @@
 	return false
 }
 
-// askOther asks one host, any, for what it knows at this moment. The store may turn
-// away the host that reads it for others and serve those.
+// requestChangesFromRandomPeer asks one random peer for its current state without waiting.
+// The store may reject the host that reads it for others and still serve those.
 func (d *Discovery) requestChangesFromRandomPeer(ctx context.Context) bool {
 	now := clock.Now()
 	hosts := slices.DeleteFunc(d.cfg.Members.Reachable(), func(h fleet.Host) bool {
--- a/discovery/tree_test.go
+++ b/discovery/tree_test.go
@@ -19,7 +19,7 @@
 	delete(s.items, fmt.Sprintf("%sr-%04d", platform.ReplicaPrefix, id))
 }
 
-// sources lists where the view of each host is from, in the order of their ranks.
+// viewSources lists the source of each host's view in order of rank.
 func (f *simulatedFleet) viewSources() []string {
 	var out []string
 	for _, name := range f.names {
@@ -28,8 +28,9 @@
 	return out
 }
 
-// missing lists the hosts on which a condition on the view of replicas does not hold.
-func (f *simulatedFleet) hostsNotMatching(holds func(ready, draining int) bool) []string {
+// hostsNotMatching lists the hosts whose numbers of ready and draining replicas do not
+// match a condition.
+func (f *simulatedFleet) hostsNotMatching(matches func(ready, draining int) bool) []string {
 	var names []string
 	for _, name := range f.names {
 		ready, draining := 0, 0
@@ -40,17 +41,17 @@
 				ready++
 			}
 		}
-		if !holds(ready, draining) {
+		if !matches(ready, draining) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// TestChangesOfManyReplicasPassThroughSeveralLevels has twenty hosts learn of changes
-// along the tree: one of them reads the store, eight ask it and the others ask those. By
-// a simulated clock, since a host whose news are too old for want of processor time is
-// rightly not asked for a while.
+// TestReplicaChangesPropagateThroughTreeLevels has twenty hosts learn of changes along the
+// tree: one of them reads the store, eight ask it and the others ask those. It uses a
+// simulated clock, since a host whose view is too old for lack of processor time is
+// correctly not asked for a while.
 func TestReplicaChangesPropagateThroughTreeLevels(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const hosts, replicas, changed = 20, 300, 20
@@ -66,8 +67,8 @@
 		g.Eventually(func() []string { return f.hostsNotMatching(all) }, propagationBound, "5ms").Should(BeEmpty())
 
 		tree := []string{"host-001", "store"}
-		for at := 2; at < hosts; at++ {
-			tree = append(tree, []string{"host-001", "host-000", "host-002"}[(at-1)/8])
+		for rank := 2; rank < hosts; rank++ {
+			tree = append(tree, []string{"host-001", "host-000", "host-002"}[(rank-1)/8])
 		}
 		g.Eventually(f.viewSources, propagationBound, "5ms").Should(Equal(tree))
 
@@ -76,9 +77,9 @@
 			f.store.deleteReplica(100 + id)
 		}
 		after := func(ready, draining int) bool { return ready == replicas-2*changed && draining == changed }
-		began := time.Now()
+		started := time.Now()
 		g.Eventually(func() []string { return f.hostsNotMatching(after) }, propagationBound, "5ms").Should(BeEmpty())
-		t.Logf("in force on all hosts after %s", time.Since(began))
+		t.Logf("active on all hosts after %s", time.Since(started))
 		g.Expect(f.viewSources()).To(Equal(tree))
 	})
 }
--- a/discovery/view.go
+++ b/discovery/view.go
@@ -12,40 +12,40 @@
 	"github.com/wheatseam/wheatseam/core/catalog"
 )
 
-// View is what a daemon knows of the store: immutable, replaced as a whole.
+// View is what a daemon knows of the store. It is immutable and replaced as a whole.
 type View struct {
-	// Config is nil until the first configuration was read.
+	// Config is nil until the first configuration has been read.
 	Config *catalog.Config
-	// Replicas are by id; nil until they were read.
+	// Replicas are by ID; nil until they have been read.
 	Replicas map[string]catalog.Replica
 	// Evacuations are the operator's orders to give failure domains no new work.
 	Evacuations catalog.Evacuations
-	// AsOf is when the store was read for replicas and configuration, whichever
-	// was earlier.
+	// AsOf is when the store was read for the replicas or for the configuration, whichever
+	// is earlier.
 	AsOf time.Time
-	// Source is "store" or the host that passed the last news on.
+	// Source is "store" or the name of the host that sent the last changes.
 	Source string
 
-	// replicasAsOf is when the replicas were read, configAsOf up to when the store
-	// had no newer configuration.
+	// replicasAsOf is when the replicas were read; configAsOf is the latest time at which
+	// the store was known to have no newer configuration.
 	replicasAsOf, configAsOf time.Time
-	// raw is the configuration as the store holds it, and revision its own.
+	// raw is the configuration as stored, and revision its revision in the store.
 	raw      []byte
 	revision uint64
-	// digest is that of the replicas.
+	// digest is the digest of the replicas.
 	digest bucket.Digest
 }
 
-// Ready says whether requests can be decided on.
+// Ready reports whether requests can be routed with this view.
 func (v *View) Ready() bool { return v.Config != nil && v.Replicas != nil }
 
-// Closed says whether a replica takes no new work: it drains, or its failure domain is
-// evacuated.
+// Closed reports whether a replica takes no new work, because it is draining or its
+// failure domain is evacuated.
 func (v *View) Closed(r catalog.Replica) bool {
 	return r.Draining || v.Evacuations.Has(r.FailureDomain)
 }
 
-// digestOf is the same for equal replicas.
+// digestOf returns a digest that is equal for equal replicas.
 func digestOf(replicas map[string]catalog.Replica) bucket.Digest {
 	var digest bucket.Digest
 	d := xxhash.New()
@@ -58,7 +58,7 @@
 			state |= 2
 		}
 		d.Reset()
-		// Writing to a digest never fails.
+		// Writing to an xxhash.Digest never fails.
 		_, _ = d.WriteString(id + "\x00" + r.Service + "\x00" + r.Address + "\x00" + r.FailureDomain + "\x00")
 		_, _ = d.Write([]byte{state, byte(r.Concurrency), byte(r.Concurrency >> 8)})
 		digest.Add(id, d.Sum64())
@@ -66,7 +66,7 @@
 	return digest
 }
 
-// sorted returns the replicas by id.
+// sortedReplicas returns the replicas sorted by ID.
 func sortedReplicas(replicas map[string]catalog.Replica) []catalog.Replica {
 	return slices.SortedFunc(maps.Values(replicas), func(a, b catalog.Replica) int { return cmp.Compare(a.ID, b.ID) })
 }
--- a/fleet/roster_test.go
+++ b/fleet/roster_test.go
@@ -19,13 +19,13 @@
 	It("returns the highest-ranked hosts in order", func() {
 		r := rand.New(rand.NewPCG(1, 2))
 		for range 50 {
-			ros := newRoster(host("self", 1+r.IntN(3), uint64(r.IntN(4))))
+			hosts := newRoster(host("self", 1+r.IntN(3), uint64(r.IntN(4))))
 			for i := range r.IntN(20) {
-				ros.add(host(fmt.Sprint("h", i), 1+r.IntN(3), uint64(r.IntN(4))))
+				hosts.add(host(fmt.Sprint("h", i), 1+r.IntN(3), uint64(r.IntN(4))))
 			}
-			all := ros.all()
+			all := hosts.all()
 			slices.SortFunc(all, Host.Compare)
-			Expect(ros.topRanked(3)).To(Equal(all[:min(3, len(all))]))
+			Expect(hosts.topRanked(3)).To(Equal(all[:min(3, len(all))]))
 		}
 	})
 
@@ -51,13 +51,13 @@
 	})
 
 	It("lowers the rank of a restarted host and ignores older incarnations", func() {
-		ros := newRoster(host("self", 1, 20))
-		ros.add(host("old", 1, 10))
-		Expect(ros.topRanked(1)[0].Name).To(Equal("old"))
-		ros.updateIncarnation("old", 30)
-		Expect(ros.topRanked(1)[0].Name).To(Equal("self"))
-		ros.updateIncarnation("old", 10)
-		ros.updateIncarnation("unknown", 40)
-		Expect(ros.topRanked(3)).To(HaveExactElements(HaveField("Name", "self"), HaveField("Incarnation", uint64(30))))
+		hosts := newRoster(host("self", 1, 20))
+		hosts.add(host("old", 1, 10))
+		Expect(hosts.topRanked(1)[0].Name).To(Equal("old"))
+		hosts.updateIncarnation("old", 30)
+		Expect(hosts.topRanked(1)[0].Name).To(Equal("self"))
+		hosts.updateIncarnation("old", 10)
+		hosts.updateIncarnation("unknown", 40)
+		Expect(hosts.topRanked(3)).To(HaveExactElements(HaveField("Name", "self"), HaveField("Incarnation", uint64(30))))
 	})
 })
