--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -126,6 +126,7 @@
 	return d
 }
 
+// View returns the newest view.
 func (d *Discovery) View() *View { return d.view.Load() }
 
 // Run keeps the view up to date until ctx ends. Replicas and configuration are kept by
@@ -210,6 +211,7 @@
 	InvalidEntries map[string]string `json:"faults,omitempty"`
 }
 
+// Dump returns the current state for operators.
 func (d *Discovery) Dump() Dump {
 	v, behind := d.View(), d.Behind()
 	d.mu.Lock()
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -131,6 +131,7 @@
 // Caller returns the transport for calls to peer daemons.
 func (f *Fleet) Caller() peer.Caller { return f.transport }
 
+// SetSeeds replaces the seeds for the following roster requests.
 func (f *Fleet) SetSeeds(seeds []string) { f.seeds.Store(&seeds) }
 
 // Members returns all hosts sorted by name, including this one. The slice must not be
