--- a/gateway/after_test.go
+++ b/gateway/after_test.go
@@ -18,21 +18,21 @@
 // What arrives of a run after it was ended for another one is not passed on: the next
 // run goes on where the caller's answer stood then. An event without an id would come
 // twice.
-func TestNothingOfAnEndedRunIsPassedOn(t *testing.T) {
+func TestEventsOfCancelledRunAreNotRelayed(t *testing.T) {
 	RegisterTestingT(t)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	answer := httptest.NewRecorder()
 	x := &exchange{w: answer, ctx: context.Background(), route: &catalog.Route{Streaming: true, Resumable: true, Attempts: 2}}
-	run := &try{x: x, ctx: ctx, cancel: cancel, first: clock.Now()}
-	w := &watch{t: run, m: stall.New(clock.Now(), stall.Config{})}
-	run.watch = w
+	current := &attempt{x: x, ctx: ctx, cancel: cancel, firstAt: clock.Now()}
+	w := &stallWatch{attempt: current, machine: stall.New(clock.Now(), stall.Config{})}
+	current.watch = w
 	now := clock.Now()
-	Expect([]stall.Action{w.m.Tick(now), w.m.Tick(now)}).To(Equal([]stall.Action{stall.Ask, stall.Secure}))
-	Expect(w.m.Secured(now)).To(Equal(stall.Leave))
-	cancel(&leftError{account: stall.NoAnswer})
+	Expect([]stall.Action{w.machine.Tick(now), w.machine.Tick(now)}).To(Equal([]stall.Action{stall.Ask, stall.Secure}))
+	Expect(w.machine.Secured(now)).To(Equal(stall.Leave))
+	cancel(&stallError{account: stall.NoAnswer})
 	resp := &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader("data: late\n\n"))}
-	end, _ := run.passEvents(resp)
-	Expect(end).To(Equal(left))
+	end, _ := current.relayEvents(resp)
+	Expect(end).To(Equal(stalled))
 	Expect(answer.Body.String()).To(BeEmpty())
 	Expect(x.committed).To(BeFalse())
 }
--- a/gateway/asleep_test.go
+++ b/gateway/asleep_test.go
@@ -16,15 +16,15 @@
 		f := newFixture()
 		f.behave("plain", site.Behaviour{Hang: true})
 		g := f.start().ready()
-		long := func(r *http.Request) { r.Header.Set("Deadline-Ms", "60000") }
+		withMinuteDeadline := func(r *http.Request) { r.Header.Set("Deadline-Ms", "60000") }
 		began := time.Now()
 		ended := make(chan answer, 1)
 		go func() {
 			defer GinkgoRecover()
-			a, _ := g.send(http.MethodPost, sealPath, "", long)
+			a, _ := g.send(http.MethodPost, sealPath, "", withMinuteDeadline)
 			ended <- a
 		}()
-		Eventually(func() []string { return g.counters("wheatseam_in_flight") }, "2s").Should(ConsistOf(HaveSuffix(" 1")))
+		Eventually(func() []string { return g.metricLines("wheatseam_in_flight") }, "2s").Should(ConsistOf(HaveSuffix(" 1")))
 		clock.Simulate(time.Minute)
 		var a answer
 		Eventually(ended, "2s").Should(Receive(&a))
@@ -42,7 +42,7 @@
 		f := newFixture()
 		g := f.start().ready()
 		f.store.Fail(http.StatusServiceUnavailable)
-		age := func() []string { return g.counters("wheatseam_view_age_seconds") }
+		age := func() []string { return g.metricLines("wheatseam_view_age_seconds") }
 		clock.Simulate(time.Minute)
 		Eventually(age, "2s").Should(ConsistOf(MatchRegexp(` 6\d\.`)))
 		f.store.Fail(0)
--- a/gateway/attemptend.go
+++ b/gateway/attemptend.go
@@ -6,23 +6,23 @@
 const (
 	// answered: the caller has its answer.
 	answered attemptEnd = iota
-	// notSent: no connection came about.
+	// notSent: no connection could be established.
 	notSent
 	// notExecuted: the replica says that it did not run the request.
 	notExecuted
-	// inputsGone: as notExecuted, since results of stages no longer exist.
+	// inputsGone: as notExecuted, because stage results no longer exist.
 	inputsGone
 	// failed: the request may have run, and no usable answer came.
 	failed
-	// repeatNow: as failed, and the repeat is allowed already.
-	repeatNow
-	// left: this host ended the attempt in favour of one that is secured.
-	left
-	// abandoned: the caller left or the time is over.
+	// failedRetrying: as failed, and the retry is already allowed.
+	failedRetrying
+	// stalled: this host cancelled the attempt in favour of a reserved replacement.
+	stalled
+	// abandoned: the caller disconnected or the deadline passed.
 	abandoned
 )
 
-// String names the end in metrics and logs.
+// String is the value in metrics and logs.
 func (e attemptEnd) String() string {
 	switch e {
 	case answered:
@@ -33,7 +33,7 @@
 		return "not_executed"
 	case inputsGone:
 		return "inputs_gone"
-	case left:
+	case stalled:
 		return "left"
 	case abandoned:
 		return "abandoned"
@@ -41,5 +41,5 @@
 	return "failed"
 }
 
-// wantsAnother says whether another run is wanted after this end.
-func (e attemptEnd) wantsAnother() bool { return e != answered && e != abandoned }
+// needsRetry says whether another run is wanted after this end.
+func (e attemptEnd) needsRetry() bool { return e != answered && e != abandoned }
--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -16,127 +16,128 @@
 )
 
 const (
-	// coldUse is the part of what a cold replica bears that hosts share out. The rest
-	// is for requests of hosts that do not know yet that it is cold.
-	coldUse = 0.6
-	// boundEvery is the interval at which the parts are worked out anew while replicas
-	// are cold or name limits: hosts come and go.
-	boundEvery = 250 * time.Millisecond
-	// coldStale is the age of a view from which its word that a replica is cold holds
-	// no longer than the replica's warm-up takes.
-	coldStale = 3 * time.Second
+	// coldShareFraction is the part of a cold replica's limit that hosts divide among
+	// themselves. The rest is left for requests of hosts that do not know yet that it is
+	// cold.
+	coldShareFraction = 0.6
+	// limitRefreshInterval is the interval at which this host's shares are recomputed while
+	// replicas are cold or announce limits, since hosts join and leave.
+	limitRefreshInterval = 250 * time.Millisecond
+	// coldViewMaxAge is the age of a view beyond which a replica that it lists as cold
+	// counts as cold only for the duration of the replica's warm-up.
+	coldViewMaxAge = 3 * time.Second
 )
 
-// coldReplicas follows which replicas are cold. It is safe for concurrent use.
-type coldReplicas struct {
+// coldReplicaTracker tracks which replicas are cold. It is safe for concurrent use.
+type coldReplicaTracker struct {
 	mu sync.Mutex
-	// view is the newest one.
+	// view is the newest view.
 	view *discovery.View
-	// since is when a replica was first heard to be cold, by id.
-	since map[string]time.Time
-	// evacuated and returned are the failure domains that were evacuated when last
-	// looked, and when others were taken back: their replicas may be as cold as new ones.
-	evacuated map[string]bool
-	returned  map[string]time.Time
+	// coldSince is when a replica was first seen to be cold, by ID.
+	coldSince map[string]time.Time
+	// evacuated are the failure domains that were evacuated in the last view, and
+	// restoredAt is when others were restored: their replicas may be as cold as new ones.
+	evacuated  map[string]bool
+	restoredAt map[string]time.Time
 }
 
-func newColdReplicas() *coldReplicas {
-	return &coldReplicas{since: map[string]time.Time{}, evacuated: map[string]bool{}, returned: map[string]time.Time{}}
+func newColdReplicaTracker() *coldReplicaTracker {
+	return &coldReplicaTracker{coldSince: map[string]time.Time{}, evacuated: map[string]bool{}, restoredAt: map[string]time.Time{}}
 }
 
-// update takes a view and returns the replicas that are cold; the lock is held.
-func (c *coldReplicas) update(now time.Time, v *discovery.View) []catalog.Replica {
-	c.noteReturns(now, v)
+// update applies a view and returns the replicas that are cold; mu must be held.
+func (c *coldReplicaTracker) update(now time.Time, v *discovery.View) []catalog.Replica {
+	c.recordRestored(now, v)
 	var cold []catalog.Replica
 	for id, r := range v.Replicas {
 		s := v.Config.Services[r.Service]
 		if s == nil || s.ColdRate <= 0 || r.Draining {
 			continue
 		}
-		if c.isCold(now, r, s.Warmup, now.Sub(v.AsOf) > coldStale) {
+		if c.isCold(now, r, s.Warmup, now.Sub(v.AsOf) > coldViewMaxAge) {
 			cold = append(cold, r)
 		} else if !r.Cold {
-			delete(c.since, id)
+			delete(c.coldSince, id)
 		}
 	}
-	maps.DeleteFunc(c.since, func(id string, _ time.Time) bool { _, listed := v.Replicas[id]; return !listed })
+	maps.DeleteFunc(c.coldSince, func(id string, _ time.Time) bool { _, listed := v.Replicas[id]; return !listed })
 	return cold
 }
 
-// noteReturns notes which failure domains have been taken back; the lock is held.
-func (c *coldReplicas) noteReturns(now time.Time, v *discovery.View) {
+// recordRestored records which failure domains have been restored; mu must be held.
+func (c *coldReplicaTracker) recordRestored(now time.Time, v *discovery.View) {
 	for domain := range c.evacuated {
 		if !v.Evacuations.Has(domain) {
-			c.returned[domain] = now
+			c.restoredAt[domain] = now
 		}
 	}
 	clear(c.evacuated)
 	for _, domain := range v.Evacuations.Domains {
 		c.evacuated[domain] = true
-		delete(c.returned, domain)
+		delete(c.restoredAt, domain)
 	}
 }
 
-// isCold says whether a replica is to be taken for cold; the lock is held.
-func (c *coldReplicas) isCold(now time.Time, r catalog.Replica, warmup time.Duration, stale bool) bool {
-	if at, ok := c.returned[r.FailureDomain]; ok && now.Sub(at) < warmup {
+// isCold says whether a replica must be treated as cold; mu must be held.
+func (c *coldReplicaTracker) isCold(now time.Time, r catalog.Replica, warmup time.Duration, stale bool) bool {
+	if at, ok := c.restoredAt[r.FailureDomain]; ok && now.Sub(at) < warmup {
 		return true
 	}
 	if !r.Cold {
 		return false
 	}
-	first, known := c.since[r.ID]
+	first, known := c.coldSince[r.ID]
 	if !known {
-		c.since[r.ID], first = now, now
+		c.coldSince[r.ID], first = now, now
 	}
 	return !stale || now.Sub(first) < warmup
 }
 
-// limitCold has the router keep to this host's part of the requests that cold replicas
-// bear, by a new view or, with nil, by the last one: what an older view says of them
-// never replaces what a newer one does.
-func (g *Gateway) limitCold(v *discovery.View) {
-	g.cold.mu.Lock()
-	defer g.cold.mu.Unlock()
+// updateColdLimits gives the router this host's share of the requests that each cold
+// replica can take, from a new view or, with nil, from the last one: data of an older view
+// never replaces that of a newer one.
+func (g *Gateway) updateColdLimits(v *discovery.View) {
+	g.coldTracker.mu.Lock()
+	defer g.coldTracker.mu.Unlock()
 	if v != nil {
-		g.cold.view = v
+		g.coldTracker.view = v
 	}
-	v = g.cold.view
-	cold := g.cold.update(clock.Now(), v)
-	most := make(map[string]int, len(cold))
+	v = g.coldTracker.view
+	cold := g.coldTracker.update(clock.Now(), v)
+	limits := make(map[string]int, len(cold))
 	if len(cold) > 0 {
 		hosts, complete := g.fleet.Known()
 		shares, planner := intake.NewShares(g.settings.Load().Host, hosts), g.stages.Plans()
 		for _, r := range cold {
-			most[r.ID] = 0
+			limits[r.ID] = 0
 			if complete {
-				most[r.ID] = shares.OfRole(r.ID, g.coldLimit(v.Config.Services[r.Service]), roleAt(v, r.ID, planner))
+				limits[r.ID] = shares.OfRole(r.ID, g.coldLimit(v.Config.Services[r.Service]), callRole(v, r.ID, planner))
 			}
 		}
 	}
-	g.router.SetCold(most)
+	g.router.SetCold(limits)
 	before := int(g.coldCount.Swap(int64(len(cold))))
 	if (before == 0) != (len(cold) == 0) {
 		g.log.Info("cold replicas", zap.Int("replicas", len(cold)), zap.Int("before", before))
 	}
 }
 
-// coldLimit is the number of requests in any second that hosts share out at a cold
-// replica of a service.
+// coldLimit is the number of requests in any second, at a cold replica of a service, that
+// hosts divide among themselves.
 func (g *Gateway) coldLimit(s *catalog.Service) int {
 	c := g.settings.Load().Cold
-	return max(1, int(coldUse*(s.ColdRate*c.Overage+c.Slack)))
+	return max(1, int(coldShareFraction*(s.ColdRate*c.Overage+c.Slack)))
 }
 
-// keepBounds keeps to what replicas take while any is cold or names a limit, until ctx
-// ends.
-func (g *Gateway) keepBounds(ctx context.Context) {
-	for periodic.Sleep(ctx, boundEvery) {
+// refreshLimitsPeriodically recomputes the limits on calls to replicas, expires back-offs
+// and resends notices until ctx ends.
+func (g *Gateway) refreshLimitsPeriodically(ctx context.Context) {
+	for periodic.Sleep(ctx, limitRefreshInterval) {
 		if g.coldCount.Load() > 0 {
-			g.limitCold(nil)
+			g.updateColdLimits(nil)
 		}
-		g.keepLimits()
-		g.endRests()
-		g.repeatHeard(clock.Now())
+		g.refreshLimitShares()
+		g.expireBackoffs()
+		g.resendNotices(clock.Now())
 	}
 }
--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -13,7 +13,7 @@
 
 // coldSite is a site whose plain replicas bear two requests a second while they are
 // cold, with one gateway and its log.
-func coldSite(t *testing.T, change func(*fixture)) (*fixture, *running) {
+func newColdSite(t *testing.T, change func(*fixture)) (*fixture, *gatewayProcess) {
 	f := newFixtureOf(t)
 	f.coldRate = 2
 	f.configure()
@@ -23,10 +23,10 @@
 }
 
 // coldLimit is how many requests a second hosts share out at a replica of coldSite.
-const coldLimit = 2
+const coldLimitPerSecond = 2
 
 // served sends safe requests for a while and counts those that each replica ran.
-func served(f *fixture, g *running, during time.Duration) (ran map[string]int, refused int) {
+func sendSafeRequests(f *fixture, g *gatewayProcess, during time.Duration) (ran map[string]int, refused int) {
 	ran = map[string]int{}
 	for began := time.Now(); time.Since(began) < during; time.Sleep(10 * time.Millisecond) {
 		a, id := g.send(http.MethodPost, safePath, "", nil)
@@ -45,57 +45,57 @@
 }
 
 func TestColdReplicaGetsFewRequests(t *testing.T) {
-	f, g := coldSite(t, func(f *fixture) { f.registerCold("p1", time.Minute) })
-	ran, refused := served(f, g, 2*time.Second)
+	f, g := newColdSite(t, func(f *fixture) { f.registerCold("p1", time.Minute) })
+	ran, refused := sendSafeRequests(f, g, 2*time.Second)
 	f.Expect(refused).To(BeZero())
-	f.Expect(ran["p1"]).To(And(BeNumerically(">", 0), BeNumerically("<=", 2*coldLimit)))
-	f.Expect(ran["p2"]).To(BeNumerically(">", 4*coldLimit))
+	f.Expect(ran["p1"]).To(And(BeNumerically(">", 0), BeNumerically("<=", 2*coldLimitPerSecond)))
+	f.Expect(ran["p2"]).To(BeNumerically(">", 4*coldLimitPerSecond))
 	f.register(f.replicas["p1"], "ready")
-	f.Eventually(func() int { ran, _ := served(f, g, 500*time.Millisecond); return ran["p1"] }, "4s").Should(BeNumerically(">", 2*coldLimit))
+	f.Eventually(func() int { ran, _ := sendSafeRequests(f, g, 500*time.Millisecond); return ran["p1"] }, "4s").Should(BeNumerically(">", 2*coldLimitPerSecond))
 }
 
-func TestRequestsBeyondWhatColdReplicasBearAreRefusedAtOnce(t *testing.T) {
-	f, g := coldSite(t, func(f *fixture) { f.registerCold("p1", time.Minute); f.registerCold("p2", time.Minute) })
-	ran, refused := served(f, g, 2*time.Second)
+func TestRequestsOverColdReplicaLimitsAreRefusedAtOnce(t *testing.T) {
+	f, g := newColdSite(t, func(f *fixture) { f.registerCold("p1", time.Minute); f.registerCold("p2", time.Minute) })
+	ran, refused := sendSafeRequests(f, g, 2*time.Second)
 	f.Expect(refused).To(BeNumerically(">", 0))
 	for _, id := range []string{"p1", "p2"} {
-		f.Expect(ran[id]).To(And(BeNumerically(">", 0), BeNumerically("<=", 2*coldLimit)), id)
+		f.Expect(ran[id]).To(And(BeNumerically(">", 0), BeNumerically("<=", 2*coldLimitPerSecond)), id)
 	}
 }
 
 // The pattern: a failure domain is taken back, and its replicas have turned cold
 // meanwhile without a word in the store so far.
-func TestReplicasOfADomainTakenBackAreColdForAWarmUp(t *testing.T) {
-	f, g := coldSite(t, func(f *fixture) { f.moveTo("y", "p2"); f.store.Evacuate("x") })
-	g.awaitEvacuated(1)
-	ran, _ := served(f, g, 100*time.Millisecond)
+func TestReplicasOfRestoredDomainAreColdDuringWarmup(t *testing.T) {
+	f, g := newColdSite(t, func(f *fixture) { f.setDomain("y", "p2"); f.store.Evacuate("x") })
+	g.awaitEvacuatedDomains(1)
+	ran, _ := sendSafeRequests(f, g, 100*time.Millisecond)
 	f.Expect(ran["p1"]).To(BeZero())
 	f.store.TakeBack("x")
-	f.Eventually(func() int { ran, _ := served(f, g, 100*time.Millisecond); return ran["p1"] }, "3s").Should(BeNumerically(">", 0))
-	ran, _ = served(f, g, time.Second)
-	f.Expect(ran["p1"]).To(BeNumerically("<=", 2*coldLimit))
-	f.Eventually(func() int { ran, _ := served(f, g, 500*time.Millisecond); return ran["p1"] }, "6s").Should(BeNumerically(">", 2*coldLimit))
+	f.Eventually(func() int { ran, _ := sendSafeRequests(f, g, 100*time.Millisecond); return ran["p1"] }, "3s").Should(BeNumerically(">", 0))
+	ran, _ = sendSafeRequests(f, g, time.Second)
+	f.Expect(ran["p1"]).To(BeNumerically("<=", 2*coldLimitPerSecond))
+	f.Eventually(func() int { ran, _ := sendSafeRequests(f, g, 500*time.Millisecond); return ran["p1"] }, "6s").Should(BeNumerically(">", 2*coldLimitPerSecond))
 }
 
 // Guards against calls for pieces beyond what a cold stage replica bears: the planner has
 // most of what all hosts may send it, and the other replica makes the rest.
 func TestColdStageReplicaGetsFewCalls(t *testing.T) {
 	t.Parallel()
-	const perSecond, bears = 4, 7
+	const perSecond, maxCalls = 4, 7
 	f := newFixtureOf(t)
-	f.coldCalls = perSecond
+	f.coldCallRate = perSecond
 	f.configure()
 	f.registerCold("s1", time.Minute)
 	cold := func(s *gateway.Settings) { s.Cold = gateway.Cold{Overage: 1.5, Slack: 1} }
 	first := f.startWith(zap.NewNop(), cold).ready()
-	hosts := []*running{first, f.startWith(zap.NewNop(), cold, first.peers).ready(), f.startWith(zap.NewNop(), cold, first.peers).ready()}
+	hosts := []*gatewayProcess{first, f.startWith(zap.NewNop(), cold, first.peers).ready(), f.startWith(zap.NewNop(), cold, first.peers).ready()}
 	for _, g := range hosts {
-		f.Eventually(g.counters, "5s").WithArguments("wheatseam_hosts ").Should(ConsistOf("wheatseam_hosts 3"))
-		f.Eventually(g.counters, "5s").WithArguments("wheatseam_replicas_cold ").Should(ConsistOf("wheatseam_replicas_cold 1"))
+		f.Eventually(g.metricLines, "5s").WithArguments("wheatseam_hosts ").Should(ConsistOf("wheatseam_hosts 3"))
+		f.Eventually(g.metricLines, "5s").WithArguments("wheatseam_replicas_cold ").Should(ConsistOf("wheatseam_replicas_cold 1"))
 	}
 	began := time.Now()
-	pressAll(hosts, 60*time.Millisecond, 4*time.Second, goOnPath, staged)
+	sendLoad(hosts, 60*time.Millisecond, 4*time.Second, resumePath, withStagePieces)
 	arrived := f.replicas["s1"].Arrived()
-	f.Expect(most(arrived, began, time.Second)).To(BeNumerically("<=", bears))
+	f.Expect(maxInWindow(arrived, began, time.Second)).To(BeNumerically("<=", maxCalls))
 	f.Expect(len(arrived)).To(BeNumerically(">=", 2*perSecond), "the planner's part, for four seconds")
 }
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -22,18 +22,18 @@
 var _ = Describe("a request that crashes its replicas", func() {
 	const (
 		// contact is how long after its third crash a daemon may still not know.
-		contact = 3 * time.Second
+		spreadTime = 3 * time.Second
 		// crashesToKnow are the crashes that make a request known, and moreAllowed
 		// the sends that the users allow after that.
-		crashesToKnow = 3
-		moreAllowed   = 3
-		culprit       = "culprit"
-		harmless      = "harmless"
+		crashesToQuarantine = 3
+		maxSendsAfter       = 3
+		culprit             = "culprit"
+		harmless            = "harmless"
 	)
 
 	// crashing makes all replicas of a service end under the culprit; they return
 	// under their ids, each start with another birth.
-	crashing := func(f *fixture, service string) {
+	crashUnderCulprit := func(f *fixture, service string) {
 		for _, r := range f.replicas {
 			if r.Service != service {
 				continue
@@ -59,32 +59,32 @@
 			for _, id := range []string{"x1", "x2", "x3"} {
 				f.add(id, service, kind)
 			}
-			crashing(f, service)
+			crashUnderCulprit(f, service)
 			first := f.start()
-			gates := []*running{first, f.start(first.peers), f.start(first.peers)}
-			for _, g := range gates {
+			gateways := []*gatewayProcess{first, f.start(first.peers), f.start(first.peers)}
+			for _, g := range gateways {
 				g.ready()
-				Eventually(func() []string { return g.counters("wheatseam_hosts") }, "5s").Should(ConsistOf(HaveSuffix(" 3")))
+				Eventually(func() []string { return g.metricLines("wheatseam_hosts") }, "5s").Should(ConsistOf(HaveSuffix(" 3")))
 			}
 			By("coming back under new ids, at each daemon in turn")
 			sent := 0
-			for deadline := time.Now().Add(20 * time.Second); crashes(f) < crashesToKnow; sent++ {
+			for deadline := time.Now().Add(20 * time.Second); crashes(f) < crashesToQuarantine; sent++ {
 				Expect(time.Now()).To(BeTemporally("<", deadline))
-				gates[sent%len(gates)].send(http.MethodPost, path, culprit, change)
+				gateways[sent%len(gateways)].send(http.MethodPost, path, culprit, change)
 				time.Sleep(50 * time.Millisecond)
 			}
-			third := time.Now()
+			thirdCrashAt := time.Now()
 			By("coming back when every daemon must know")
-			time.Sleep(time.Until(third.Add(contact)))
+			time.Sleep(time.Until(thirdCrashAt.Add(spreadTime)))
 			before := len(f.ledger.RunsOf(culprit))
-			for i := range 4 * moreAllowed {
-				a, _ := gates[i%len(gates)].send(http.MethodPost, path, culprit, change)
+			for i := range 4 * maxSendsAfter {
+				a, _ := gateways[i%len(gateways)].send(http.MethodPost, path, culprit, change)
 				Expect(a.status).NotTo(Equal(http.StatusOK))
 				time.Sleep(100 * time.Millisecond)
 			}
-			Expect(len(f.ledger.RunsOf(culprit))-before).To(BeNumerically("<=", moreAllowed), "sent to replicas after %d crashes", crashes(f))
+			Expect(len(f.ledger.RunsOf(culprit))-before).To(BeNumerically("<=", maxSendsAfter), "sent to replicas after %d crashes", crashes(f))
 			By("serving what is harmless")
-			for _, g := range gates {
+			for _, g := range gateways {
 				Eventually(func() int {
 					a, _ := g.send(http.MethodPost, path, harmless, change)
 					return a.status
@@ -94,9 +94,9 @@
 		},
 		Entry("idempotent", safePath, "plain", site.Plain, nil),
 		Entry("at most once", sealPath, "plain", site.Plain, nil),
-		Entry("a stream", onePath, "llm", site.Engine, nil),
-		Entry("a stream that may go on elsewhere", goOnPath, "llm", site.Engine, nil),
-		Entry("a stream behind stages", goOnPath, "llm", site.Engine, func(r *http.Request) {
+		Entry("a stream", streamPath, "llm", site.Engine, nil),
+		Entry("a stream that may go on elsewhere", resumePath, "llm", site.Engine, nil),
+		Entry("a stream behind stages", resumePath, "llm", site.Engine, func(r *http.Request) {
 			r.Header.Set("Piece-Count", "1,2")
 			r.Header.Set("Piece-Key", "k")
 		}),
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,12 +1,11 @@
-// Package gateway is the daemon that serves on the users' platform: it takes
-// requests as callers send them there, has their stages made, relays them to a
-// replica of their route's service and hands the signed answer back unchanged.
+// Package gateway is the daemon that serves on the users' platform. It accepts requests in
+// the platform's protocol, runs the stages that a request needs, relays the request to a
+// replica of its route's service and returns the signed answer unchanged.
 //
-// What is spoken with callers, replicas and the store is in package platform;
-// what is decided is in core/catalog (routes), core/stage (stage work),
-// core/route (replicas) and core/retry (budgets). This package does the I/O
-// between them.
+// Package platform defines the protocols spoken with callers, replicas and the store. The
+// decisions are made in core/catalog (routes), core/stage (stage work), core/route
+// (replicas) and core/retry (budgets). This package does the I/O between them.
 //
-// A request that may not be executed twice is sent again only after a replica
-// said that it had not executed it, or when no connection came about.
+// A request that may not be executed twice is retried only after a replica said that it had
+// not executed it, or when no connection could be established.
 package gateway
--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -23,7 +23,7 @@
 		}()
 		time.Sleep(100 * time.Millisecond)
 		g.stop()
-		Eventually(g.status, "500ms").Should(Equal(http.StatusServiceUnavailable))
+		Eventually(g.readinessStatus, "500ms").Should(Equal(http.StatusServiceUnavailable))
 		late, _ := g.send(http.MethodPost, sealPath, "", nil)
 		Expect(late.status).To(Equal(http.StatusOK), "connections still come for a while")
 		Expect((<-inFlight).status).To(Equal(http.StatusOK))
@@ -34,20 +34,20 @@
 		f := newFixture()
 		f.behave("encode", site.Behaviour{Hang: true})
 		g := f.start().ready()
-		waits := make(chan answer, 1)
+		answers := make(chan answer, 1)
 		go func() {
 			defer GinkgoRecover()
-			a, _ := g.send(http.MethodPost, goOnPath, "", func(r *http.Request) {
+			a, _ := g.send(http.MethodPost, resumePath, "", func(r *http.Request) {
 				r.Header.Set("Deadline-Ms", "20000")
 				r.Header.Set("Piece-Count", "1")
 				r.Header.Set("Piece-Key", "k")
 			})
-			waits <- a
+			answers <- a
 		}()
 		time.Sleep(100 * time.Millisecond)
 		g.stop()
 		var a answer
-		Eventually(waits, "3s").Should(Receive(&a))
+		Eventually(answers, "3s").Should(Receive(&a))
 		Expect(a.err).NotTo(HaveOccurred())
 		Expect(a.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(a.header.Get("Retry-After")).NotTo(BeEmpty())
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -9,8 +9,8 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// evacuatedServices are the services of which replicas would take new work, and
-// none may, since all their failure domains are evacuated.
+// evacuatedServices are the services whose replicas that accept work are all in evacuated
+// failure domains.
 func evacuatedServices(v *discovery.View) map[string]bool {
 	open, evacuated := map[string]bool{}, map[string]bool{}
 	for _, r := range v.Replicas {
@@ -26,40 +26,40 @@
 	return evacuated
 }
 
-// evacuatedRetry is the least wait told to a caller whose request no replica may
-// take: the operator's order stands for seconds at least.
-const evacuatedRetry = 5 * time.Second
+// evacuatedRetryAfter is the shortest Retry-After sent to a caller whose request no replica
+// may take: an operator's evacuation lasts for seconds at least.
+const evacuatedRetryAfter = 5 * time.Second
 
-// served refuses a request at once for which all replicas of a service that it needs
-// are evacuated.
-func (x *exchange) served() *problem.Error {
+// checkEvacuation refuses a request at once if all replicas of a service that it needs are
+// evacuated.
+func (x *exchange) checkEvacuation() *problem.Error {
 	needed := []string{x.service}
 	for i, s := range x.route.Stages {
 		if i < len(x.req.Pieces) && x.req.Pieces[i] > 0 {
 			needed = append(needed, s.Service)
 		}
 	}
-	evacuated := *x.g.evacuated.Load()
+	evacuated := *x.g.evacuatedServices.Load()
 	for _, service := range needed {
 		if evacuated[service] {
 			e := problem.New(problem.NoUpstream, "service %q: all failure domains with replicas are evacuated", service)
-			return retryable(e, x.comeBack(evacuatedRetry))
+			return withRetryAfter(e, x.retryDelay(evacuatedRetryAfter))
 		}
 	}
-	return x.opensInTime()
+	return x.checkReplicasOpen()
 }
 
-// opensInTime refuses a request at once for which no replica of its service takes calls
-// for now, unless its stages take so long that one may by then.
-func (x *exchange) opensInTime() *problem.Error {
+// checkReplicasOpen refuses a request at once if no replica of its service takes calls for
+// now, unless its stages take so long that one may do so by then.
+func (x *exchange) checkReplicasOpen() *problem.Error {
 	wait, closed := x.g.router.Closed(clock.Now(), x.service)
 	if !closed {
 		return nil
 	}
-	if _, staged := x.job(x.arrived); staged {
-		if _, latest := x.stagesDue(x.arrived); !clock.Now().Add(wait).After(latest) {
+	if _, staged := x.stageJob(x.arrived); staged {
+		if _, latest := x.stageDeadlines(x.arrived); !clock.Now().Add(wait).After(latest) {
 			return nil
 		}
 	}
-	return retryable(problem.New(problem.NoUpstream, "service %q: all replicas take no further requests for now", x.service), wait)
+	return withRetryAfter(problem.New(problem.NoUpstream, "service %q: all replicas take no further requests for now", x.service), wait)
 }
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -14,7 +14,7 @@
 )
 
 // moveTo registers replicas in a failure domain.
-func (f *fixture) moveTo(domain string, ids ...string) {
+func (f *fixture) setDomain(domain string, ids ...string) {
 	for _, id := range ids {
 		f.replicas[id].FailureDomain = domain
 		f.register(f.replicas[id], "ready")
@@ -22,27 +22,27 @@
 }
 
 // twoDomains is a site with a replica of each service in each of two failure domains.
-func twoDomains(t *testing.T) (*fixture, *running) {
+func newTwoDomainSite(t *testing.T) (*fixture, *gatewayProcess) {
 	f := newFixtureOf(t)
-	f.moveTo("x", "p1", "e1", "s1")
-	f.moveTo("y", "p2", "e2", "s2")
+	f.setDomain("x", "p1", "e1", "s1")
+	f.setDomain("y", "p2", "e2", "s2")
 	return f, f.startLogged(zap.NewNop()).ready()
 }
 
 // awaitEvacuated waits until the orders for so many failure domains are in force.
-func (r *running) awaitEvacuated(domains int) {
+func (r *gatewayProcess) awaitEvacuatedDomains(domains int) {
 	const gauge = "wheatseam_domains_evacuated"
-	r.Eventually(r.counters, "4s").WithArguments(gauge).Should(ConsistOf(fmt.Sprint(gauge, " ", domains)))
+	r.Eventually(r.metricLines, "4s").WithArguments(gauge).Should(ConsistOf(fmt.Sprint(gauge, " ", domains)))
 }
 
 // staged asks for a stream behind stages.
-func staged(r *http.Request) {
+func withStagePieces(r *http.Request) {
 	r.Header.Set("Piece-Count", "2,1")
 	r.Header.Set("Piece-Key", "k")
 }
 
 // servers names who ran requests of a kind, each sent some times.
-func servers(f *fixture, g *running, path string, change func(*http.Request)) map[string]int {
+func runsByReplica(f *fixture, g *gatewayProcess, path string, change func(*http.Request)) map[string]int {
 	const times = 12
 	ran := map[string]int{}
 	for range times {
@@ -57,23 +57,23 @@
 }
 
 func TestEvacuatedDomainGetsNoRequestsStreamsOrPieces(t *testing.T) {
-	f, g := twoDomains(t)
+	f, g := newTwoDomainSite(t)
 	f.store.Evacuate("x")
-	g.awaitEvacuated(1)
-	f.Expect(servers(f, g, safePath, nil)).To(And(HaveLen(1), HaveKey("p2")))
+	g.awaitEvacuatedDomains(1)
+	f.Expect(runsByReplica(f, g, safePath, nil)).To(And(HaveLen(1), HaveKey("p2")))
 	made := f.replicas["s1"].Made()
-	f.Expect(servers(f, g, sealPath, nil)).To(And(HaveLen(1), HaveKey("p2")))
-	f.Expect(servers(f, g, goOnPath, staged)).To(And(HaveLen(1), HaveKey("e2")))
+	f.Expect(runsByReplica(f, g, sealPath, nil)).To(And(HaveLen(1), HaveKey("p2")))
+	f.Expect(runsByReplica(f, g, resumePath, withStagePieces)).To(And(HaveLen(1), HaveKey("e2")))
 	f.Expect(f.replicas["s1"].Made()).To(Equal(made), "pieces made in the evacuated domain")
 	f.Expect(f.replicas["s2"].Made()).To(BeNumerically(">", 0))
 
 	f.store.TakeBack("x")
-	f.Eventually(func() map[string]int { return servers(f, g, safePath, nil) }, "4s").Should(HaveKey("p1"))
-	f.Eventually(func() map[string]int { return servers(f, g, goOnPath, staged) }, "4s").Should(HaveKey("e1"))
+	f.Eventually(func() map[string]int { return runsByReplica(f, g, safePath, nil) }, "4s").Should(HaveKey("p1"))
+	f.Eventually(func() map[string]int { return runsByReplica(f, g, resumePath, withStagePieces) }, "4s").Should(HaveKey("e1"))
 }
 
-func TestRunUnderWayInAnEvacuatedDomainEndsByItself(t *testing.T) {
-	f, g := twoDomains(t)
+func TestRunInEvacuatedDomainCompletes(t *testing.T) {
+	f, g := newTwoDomainSite(t)
 	f.replicas["p2"].Behave(site.Behaviour{Shed: true})
 	f.replicas["p1"].Behave(site.Behaviour{Work: 1500 * time.Millisecond})
 	answers := make(chan answer, 1)
@@ -83,7 +83,7 @@
 	}()
 	time.Sleep(200 * time.Millisecond)
 	f.store.Evacuate("x")
-	g.awaitEvacuated(1)
+	g.awaitEvacuatedDomains(1)
 	f.Expect(answers).To(BeEmpty(), "the run is under way")
 	var a answer
 	f.Eventually(answers, "3s").Should(Receive(&a))
@@ -91,19 +91,19 @@
 }
 
 func TestRequestIsRefusedAtOnceWhenAllDomainsAreEvacuated(t *testing.T) {
-	f, g := twoDomains(t)
+	f, g := newTwoDomainSite(t)
 	f.store.Evacuate("x")
 	f.store.Evacuate("y")
 	f.store.Evacuate("nobody-knows")
-	for _, path := range []string{safePath, sealPath, goOnPath} {
+	for _, path := range []string{safePath, sealPath, resumePath} {
 		var a answer
 		var id string
 		f.Eventually(func() int {
-			a, id = g.send(http.MethodPost, path, "", staged)
+			a, id = g.send(http.MethodPost, path, "", withStagePieces)
 			return a.status
 		}, "4s").Should(Equal(http.StatusServiceUnavailable))
 		began := time.Now()
-		a, id = g.send(http.MethodPost, path, "", staged)
+		a, id = g.send(http.MethodPost, path, "", withStagePieces)
 		f.Expect(time.Since(began)).To(BeNumerically("<", 300*time.Millisecond))
 		f.Expect(a.status).To(Equal(http.StatusServiceUnavailable))
 		f.Expect(a.body).To(ContainSubstring("no_upstream"))
@@ -117,5 +117,5 @@
 		a, _ := g.send(http.MethodPost, safePath, "", nil)
 		return a.status
 	}, "4s").Should(Equal(http.StatusOK))
-	f.Expect(servers(f, g, safePath, nil)).To(And(HaveLen(1), HaveKey("p2")))
+	f.Expect(runsByReplica(f, g, safePath, nil)).To(And(HaveLen(1), HaveKey("p2")))
 }
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -23,8 +23,8 @@
 	"github.com/wheatseam/wheatseam/stages"
 )
 
-// exchange is one request of a caller on its way to its answer. One goroutine
-// uses it.
+// exchange is one request of a caller, from its arrival to its answer. It is used by one
+// goroutine.
 type exchange struct {
 	g       *Gateway
 	w       http.ResponseWriter
@@ -32,56 +32,56 @@
 	arrived time.Time
 	req     platform.Request
 	config  *catalog.Config
-	// viewAsOf is when what config holds was read.
+	// viewAsOf is when the contents of config were read from the store.
 	viewAsOf time.Time
 	route    *catalog.Route
 	tenant   *catalog.Tenant
 	service  string
 	body     []byte
-	// content names the request whatever id it comes under.
-	content poison.Fingerprint
-	// trial says that it is condemned and may be run once all the same.
-	trial bool
-	// ctx ends with the caller, its deadline or the route's timeout, whichever
-	// comes first; deadline is when the latter two do.
+	// fingerprint identifies the request by its content, under whatever ID it is sent.
+	fingerprint poison.Fingerprint
+	// trialRun says that the request is quarantined and may nevertheless run once.
+	trialRun bool
+	// ctx ends when the caller disconnects, or at its deadline or the route's timeout,
+	// whichever comes first; deadline is the earlier of the latter two.
 	ctx      context.Context
 	deadline time.Time
 
-	// prepared says that results of stages are held for this request.
-	prepared atomic.Bool
-	inputs   []string
-	// domain is where the inputs lie; "" when that does not matter.
-	domain string
+	// inputsHeld says that stage results are held for this request.
+	inputsHeld atomic.Bool
+	inputs     []string
+	// inputDomain is the failure domain that holds the inputs; "" when it does not matter.
+	inputDomain string
 
-	// tried names the replicas that attempts went to, runs counts those that
-	// may have executed the request, and spare the repeats that were free.
-	tried []string
-	runs  int
-	spare int
-	// next is what the next attempt is to be, if it has been secured.
-	next *replacement
-	// leftOne says that this host ended a run in favour of another one.
-	leftOne bool
-	// noRepeat says why no attempt followed the last one.
-	noRepeat denial
-	// committed says that the head of the answer has been sent, lastEvent the
-	// id of the last event that was.
-	committed bool
-	lastEvent string
-	events    int
-	// sentAt is when the last event was sent, pause the longest time between
-	// two of them.
-	sentAt time.Time
-	pause  time.Duration
+	// triedReplicas are the replicas that attempts were sent to, runs counts the attempts
+	// that may have executed the request, and freeRetries those that did not.
+	triedReplicas []string
+	runs          int
+	freeRetries   int
+	// replacement is the next attempt, if one has been reserved.
+	replacement *replacement
+	// cancelledRun says that this host cancelled a stalled run in favour of another one.
+	cancelledRun bool
+	// retryDenial says why no attempt followed the last one.
+	retryDenial denial
+	// committed says that the head of the answer has been sent; lastEvent is the ID of the
+	// last event that was sent.
+	committed  bool
+	lastEvent  string
+	eventsSent int
+	// lastSentAt is when the last event was sent, longestPause the longest time between two
+	// events.
+	lastSentAt   time.Time
+	longestPause time.Duration
 
-	preparedAt, firstAt time.Time
-	outcome             string
-	detail              string
-	retryAfter          time.Duration
-	status              int
+	preparedAt, firstEventAt time.Time
+	outcome                  string
+	detail                   string
+	retryAfter               time.Duration
+	status                   int
 }
 
-// serve takes a request of a caller.
+// serve handles one request of a caller.
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
@@ -89,35 +89,35 @@
 	if g.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	defer x.log()
-	defer x.returnTrial()
-	defer x.returnNext()
-	if err := x.accept(); err != nil {
-		x.refuse(err)
+	defer x.logRequest()
+	defer x.releaseUnusedTrial()
+	defer x.releaseUnusedReplacement()
+	if err := x.admit(); err != nil {
+		x.respondError(err)
 		return
 	}
 	ctx, cancel := clock.WithDeadline(r.Context(), x.deadline)
 	defer cancel()
 	x.ctx = ctx
 	defer x.releaseInputs()
-	if err := x.prepare(); err != nil {
-		x.refuse(err)
+	if err := x.prepareInputs(); err != nil {
+		x.respondError(err)
 		return
 	}
 	x.relay()
 }
 
-// notReadyRetry is the least wait told to a caller while no configuration is
-// known. The daemon has just started; when all have and the store is away, a
-// caller that is back at once has used its only repeat up.
-const notReadyRetry = 200 * time.Millisecond
+// notReadyRetryAfter is the shortest Retry-After sent while no configuration is known. The
+// daemon has only just started; if all daemons have, and the store is unavailable, a caller
+// that returns at once uses up its only retry.
+const notReadyRetryAfter = 200 * time.Millisecond
 
-// accept decides whether the request may be served at all, and reads its body.
-func (x *exchange) accept() *problem.Error {
-	v := x.g.found.View()
+// admit checks whether the request may be served at all, and reads its body.
+func (x *exchange) admit() *problem.Error {
+	v := x.g.discovery.View()
 	if !v.Ready() {
 		x.deadline = x.arrived.Add(x.req.Deadline)
-		return retryable(problem.New(problem.NotReady, "no configuration is known yet"), max(notReadyRetry, x.comeBack(notReadyRetry)))
+		return withRetryAfter(problem.New(problem.NotReady, "no configuration is known yet"), max(notReadyRetryAfter, x.retryDelay(notReadyRetryAfter)))
 	}
 	x.config, x.viewAsOf = v.Config, v.AsOf
 	path, _, _ := strings.Cut(x.r.RequestURI, "?")
@@ -139,33 +139,34 @@
 		x.deadline = x.arrived.Add(x.req.Deadline)
 	}
 	x.service = x.route.Target(rand.Float64())
-	if v, condemned := x.g.quarantine.Condemned(x.content); condemned {
-		x.trial = x.g.quarantine.Try(x.r.Context(), v)
+	if v, condemned := x.g.quarantine.Condemned(x.fingerprint); condemned {
+		x.trialRun = x.g.quarantine.Try(x.r.Context(), v)
 	}
-	if err := x.quarantined(); err != nil {
+	if err := x.checkQuarantine(); err != nil {
 		return err
 	}
-	return x.served()
+	return x.checkEvacuation()
 }
 
-// returnTrial gives a trial back that came to no run, so that another caller has it.
-func (x *exchange) returnTrial() {
-	if x.trial && x.runs == 0 {
-		x.g.quarantine.Untried(x.content)
+// releaseUnusedTrial returns a trial that led to no run, so that another caller can have
+// it.
+func (x *exchange) releaseUnusedTrial() {
+	if x.trialRun && x.runs == 0 {
+		x.g.quarantine.Untried(x.fingerprint)
 	}
 }
 
-// quarantined refuses a request that crashes replicas. It has not run under this
-// id, or giveUp says so; earlier than told it would only be refused again.
-func (x *exchange) quarantined() *problem.Error {
-	v, condemned := x.g.quarantine.Condemned(x.content)
-	if !condemned || x.trial {
+// checkQuarantine refuses a request that crashes replicas. It has not run under this ID, or
+// fail says so. A retry before the given Retry-After would only be refused again.
+func (x *exchange) checkQuarantine() *problem.Error {
+	v, condemned := x.g.quarantine.Condemned(x.fingerprint)
+	if !condemned || x.trialRun {
 		return nil
 	}
-	return retryable(problem.New(problem.Quarantined, "replicas ended under it"), v.RetryAfter(clock.Now()))
+	return withRetryAfter(problem.New(problem.Quarantined, "replicas ended under it"), v.RetryAfter(clock.Now()))
 }
 
-// authorize finds the customer that holds the request's key.
+// authorize finds the customer that owns the request's API key.
 func (x *exchange) authorize() *problem.Error {
 	if x.config.Tenants == nil {
 		return nil
@@ -177,8 +178,8 @@
 	return nil
 }
 
-// readBody reads the whole body, so that an attempt can be repeated and a
-// replica's early answer cuts nothing.
+// readBody reads the whole body, so that an attempt can be retried and an early answer of a
+// replica does not truncate it.
 func (x *exchange) readBody() *problem.Error {
 	limit := x.config.Limits.MaxBodyBytes
 	if limit <= 0 {
@@ -193,7 +194,7 @@
 	case err != nil:
 		return problem.New(problem.BadRequest, "body not read: %v", err)
 	}
-	x.body, x.content = body, hasher.Sum()
+	x.body, x.fingerprint = body, hasher.Sum()
 	return nil
 }
 
@@ -205,97 +206,97 @@
 	return x.tenant.Name
 }
 
-// defaultMaxBodyBytes bounds bodies where the configuration does not.
+// defaultMaxBodyBytes limits bodies where the configuration does not.
 const defaultMaxBodyBytes = 4 << 20
 
-// rank is the place of the request among others.
-func (x *exchange) rank() catalog.Rank { return catalog.RankOf(x.tenant, x.route) }
+// priority ranks the request among others.
+func (x *exchange) priority() catalog.Rank { return catalog.RankOf(x.tenant, x.route) }
 
-// prefix is the hash of the prompt's parts that other requests share, and
-// their tokens; 0 without any.
-func (x *exchange) prefix() (hash uint64, tokens int) {
-	leading := x.leadingHashes()
-	if len(leading) == 0 {
+// sharedPrefix is the hash of the part of the prompt that other requests share, and its
+// tokens; zero without any.
+func (x *exchange) sharedPrefix() (hash uint64, tokens int) {
+	hashes := x.prefixHashes()
+	if len(hashes) == 0 {
 		return 0, 0
 	}
-	for _, p := range x.req.Prompt[:len(leading)] {
+	for _, p := range x.req.Prompt[:len(hashes)] {
 		tokens += p.Tokens
 	}
-	return leading[len(leading)-1], tokens
+	return hashes[len(hashes)-1], tokens
 }
 
-// homeTokens is the shared prompt from which a request's stages are made where
-// the engine that holds it is: reading that many tokens again takes some 20 ms.
-const homeTokens = 1000
+// minHomeTokens is the length of a shared prefix from which a request's stages run near the
+// engine that holds the prefix: reading that many tokens again takes about 20 ms.
+const minHomeTokens = 1000
 
-// inputs are the results of the stages that an engine reads.
-type inputs struct {
+// stageInputs are the results of the stages, which an engine reads.
+type stageInputs struct {
 	handles []string
-	// domain is where they lie; "" when that does not matter.
+	// domain is the failure domain that holds them; "" when it does not matter.
 	domain string
 }
 
-// prepare has the stages of the request made, if it has any.
-func (x *exchange) prepare() *problem.Error { return x.prepareSince(x.arrived) }
+// prepareInputs runs the stages of the request, if it has any.
+func (x *exchange) prepareInputs() *problem.Error { return x.prepareInputsSince(x.arrived) }
 
-// prepareSince is prepare for a run that might have begun at a time: the request's
-// arrival, or the end of an earlier attempt.
-func (x *exchange) prepareSince(began time.Time) *problem.Error {
-	in, perr := x.makeInputs(x.ctx, began)
+// prepareInputsSince is prepareInputs for a run whose objective counts from began: the
+// request's arrival, or the end of an earlier attempt.
+func (x *exchange) prepareInputsSince(began time.Time) *problem.Error {
+	in, perr := x.runStages(x.ctx, began)
 	if in != nil {
-		x.takeInputs(in)
+		x.useInputs(in)
 	}
 	return perr
 }
 
-// takeInputs has the next attempt read the inputs.
-func (x *exchange) takeInputs(in *inputs) {
-	x.inputs, x.domain = in.handles, in.domain
+// useInputs makes the next attempt read the inputs.
+func (x *exchange) useInputs(in *stageInputs) {
+	x.inputs, x.inputDomain = in.handles, in.domain
 	x.preparedAt = clock.Now()
 }
 
-// makeInputs has the stages of the request made, if it has any, and holds their
-// results; nil without stages. They are due by a run that might have begun at a
-// time: what is left of the objective of an answer that has begun says nothing of
-// when the next run needs them. It changes nothing else of the exchange.
-func (x *exchange) makeInputs(ctx context.Context, began time.Time) (*inputs, *problem.Error) {
-	j, ok := x.job(began)
+// runStages runs the stages of the request, if it has any, and holds their results; nil
+// without stages. They are due for a run whose objective counts from began: once an answer
+// has started, what is left of its own objective does not say when the next run needs the
+// results. It changes nothing else of the exchange.
+func (x *exchange) runStages(ctx context.Context, began time.Time) (*stageInputs, *problem.Error) {
+	j, ok := x.stageJob(began)
 	if !ok {
 		return nil, nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(x.g.preparing, cancel)()
-	if !x.trial {
-		defer x.g.quarantine.Watch(x.content, cancel)()
+	defer context.AfterFunc(x.g.prepareCtx, cancel)()
+	if !x.trialRun {
+		defer x.g.quarantine.Watch(x.fingerprint, cancel)()
 	}
 	end := x.g.stages.Prepare(ctx, j)
 	if end == nil {
 		end = &stages.End{Refused: &stage.Refused{Job: j.ID, Reason: stage.ReasonExpired}}
 	}
 	if end.Refused != nil {
-		if perr := x.quarantined(); perr != nil {
+		if perr := x.checkQuarantine(); perr != nil {
 			return nil, perr
 		}
-		return nil, x.refusal(end.Refused)
+		return nil, x.stageRefusal(end.Refused)
 	}
-	in := &inputs{handles: end.Ready.Handles}
-	x.prepared.Store(true)
-	if _, tokens := x.prefix(); end.Ready.DomainBytes > int64(tokens)*tokenBytes {
+	in := &stageInputs{handles: end.Ready.Handles}
+	x.inputsHeld.Store(true)
+	if _, tokens := x.sharedPrefix(); end.Ready.DomainBytes > int64(tokens)*remoteBytesPerToken {
 		in.domain = end.Ready.Domain
 	}
 	return in, nil
 }
 
-// tokenBytes is how many bytes of inputs that cross failure domains cost what
-// reading one token of a shared prompt again costs, at the users' prices: the
-// engine is chosen where the inputs lie only if they weigh more.
-const tokenBytes = 2000
+// remoteBytesPerToken is how many bytes of inputs sent across failure domains cost as much,
+// at the users' prices, as reading one token of a shared prefix again: an engine near the
+// inputs is preferred only if the inputs cost more.
+const remoteBytesPerToken = 2000
 
-// job is the stage work of the request; false when there is none.
-func (x *exchange) job(began time.Time) (stage.Job, bool) {
-	j := stage.Job{ID: x.req.ID, Key: x.req.PieceKey, Rank: x.rank(), Deadline: x.deadline}
-	j.Due, j.Latest = x.stagesDue(began)
+// stageJob is the stage work of the request; false when there is none.
+func (x *exchange) stageJob(began time.Time) (stage.Job, bool) {
+	j := stage.Job{ID: x.req.ID, Key: x.req.PieceKey, Rank: x.priority(), Deadline: x.deadline}
+	j.Due, j.Latest = x.stageDeadlines(began)
 	pieces := 0
 	for i, s := range x.route.Stages {
 		st := stage.Stage{Service: s.Service, After: s.After, ResultBytes: s.ResultBytes}
@@ -305,30 +306,30 @@
 		pieces += st.Pieces
 		j.Stages = append(j.Stages, st)
 	}
-	if hash, tokens := x.prefix(); tokens >= homeTokens {
+	if hash, tokens := x.sharedPrefix(); tokens >= minHomeTokens {
 		j.Domain = x.g.router.HomeDomain(clock.Now(), x.service, hash)
 	}
 	return j, pieces > 0
 }
 
-// log writes the request's line.
-func (x *exchange) log() {
+// logRequest writes the request's log line and metrics.
+func (x *exchange) logRequest() {
 	fields := []zap.Field{
 		logging.Request(x.req.ID), zap.String("outcome", x.outcome), zap.Int("status", x.status),
-		zap.Duration("took", clock.Since(x.arrived)), zap.Int("runs", x.runs), zap.Strings("replicas", x.tried),
+		zap.Duration("took", clock.Since(x.arrived)), zap.Int("runs", x.runs), zap.Strings("replicas", x.triedReplicas),
 	}
 	if x.config != nil {
 		fields = append(fields, zap.Uint64("version", x.config.Version), zap.Duration("view_age", x.arrived.Sub(x.viewAsOf)))
 	}
 	if x.route != nil {
 		fields = append(fields, zap.String("route", x.route.Name), zap.String("service", x.service),
-			zap.Int("customer_priority", x.rank().Customer), zap.Int("route_priority", x.rank().Route))
+			zap.Int("customer_priority", x.priority().Customer), zap.Int("route_priority", x.priority().Route))
 	}
 	if x.tenant != nil {
 		fields = append(fields, zap.String("customer", x.tenant.Name))
 	}
-	if x.content != (poison.Fingerprint{}) {
-		fields = append(fields, zap.Stringer("content", x.content))
+	if x.fingerprint != (poison.Fingerprint{}) {
+		fields = append(fields, zap.Stringer("content", x.fingerprint))
 	}
 	if len(x.req.Forged) > 0 {
 		fields = append(fields, zap.Strings("forged_headers", x.req.Forged))
@@ -336,8 +337,8 @@
 	if n := x.req.PromptTokens; n > 0 {
 		fields = append(fields, zap.Int("prompt_tokens", n))
 	}
-	if x.noRepeat != "" {
-		fields = append(fields, zap.String("no_repeat", string(x.noRepeat)))
+	if x.retryDenial != "" {
+		fields = append(fields, zap.String("no_repeat", string(x.retryDenial)))
 	}
 	if x.detail != "" {
 		fields = append(fields, zap.String("why", x.detail), zap.Duration("retry_after", x.retryAfter))
@@ -345,8 +346,8 @@
 	if !x.preparedAt.IsZero() {
 		fields = append(fields, zap.Duration("prepared", x.preparedAt.Sub(x.arrived)))
 	}
-	if !x.firstAt.IsZero() {
-		fields = append(fields, zap.Duration("first", x.firstAt.Sub(x.arrived)), zap.Int("events", x.events), zap.Duration("pause", x.pause))
+	if !x.firstEventAt.IsZero() {
+		fields = append(fields, zap.Duration("first", x.firstEventAt.Sub(x.arrived)), zap.Int("events", x.eventsSent), zap.Duration("pause", x.longestPause))
 	}
 	x.g.log.Info("request", fields...)
 	x.g.countForged(x.req.Forged)
@@ -355,7 +356,7 @@
 	if !x.preparedAt.IsZero() {
 		x.g.metrics.GetOrCreateHistogram("wheatseam_stages_seconds").Update(x.preparedAt.Sub(x.arrived).Seconds())
 	}
-	if !x.firstAt.IsZero() {
-		x.g.metrics.GetOrCreateHistogram("wheatseam_first_event_seconds").Update(x.firstAt.Sub(x.arrived).Seconds())
+	if !x.firstEventAt.IsZero() {
+		x.g.metrics.GetOrCreateHistogram("wheatseam_first_event_seconds").Update(x.firstEventAt.Sub(x.arrived).Seconds())
 	}
 }
--- a/gateway/forward_fuzz_test.go
+++ b/gateway/forward_fuzz_test.go
@@ -28,23 +28,23 @@
 }
 
 // recorder is a replica that notes the bytes of each connection.
-type recorder struct {
+type recordingReplica struct {
 	mu   sync.Mutex
 	seen []received
 }
 
 // serve takes connections until the listener closes.
-func (r *recorder) serve(l net.Listener) {
+func (r *recordingReplica) serve(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
-		go r.one(conn)
+		go r.serveConn(conn)
 	}
 }
 
-func (r *recorder) one(conn net.Conn) {
+func (r *recordingReplica) serveConn(conn net.Conn) {
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(2 * time.Second))
 	var raw bytes.Buffer
@@ -63,7 +63,7 @@
 }
 
 // take returns what was seen and forgets it.
-func (r *recorder) take() []received {
+func (r *recordingReplica) drain() []received {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	seen := r.seen
@@ -72,14 +72,14 @@
 }
 
 // startRecorded starts a gateway before a recorder.
-func startRecorded(t testing.TB) (callers string, r *recorder) {
+func startWithRecordingReplica(t testing.TB) (callers string, replica *recordingReplica) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r = &recorder{}
-	go r.serve(l)
+	replica = &recordingReplica{}
+	go replica.serve(l)
 	store := site.NewStore()
 	server := httptest.NewServer(store)
 	store.Put("servers/rec", map[string]any{"service": "plain", "address": l.Addr().String(), "zone": "x", "concurrency": 64, "phase": "ready"})
@@ -105,7 +105,7 @@
 		if resp, err := http.Get("http://" + s.Listen.Readiness + "/-/readyz"); err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				return s.Listen.Callers, r
+				return s.Listen.Callers, replica
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -128,22 +128,22 @@
 // by its name might miss it.
 func forgeries(name string) []string {
 	const end = "Content-Length: 0\r\n\r\n"
-	id := func(form string) string { return head + "Attempt-Id: " + name + "-" + form + "\r\n" }
+	headWithID := func(form string) string { return head + "Attempt-Id: " + name + "-" + form + "\r\n" }
 	return []string{
-		id("plain") + name + ": x\r\n" + end,
-		id("lower") + strings.ToLower(name) + ": x\r\n" + end,
-		id("upper") + strings.ToUpper(name) + ": x\r\n" + end,
-		id("empty") + name + ":\r\n" + end,
-		id("twice") + name + ": x\r\n" + name + ": y\r\n" + end,
-		id("listed") + "Connection: " + name + "\r\n" + name + ": x\r\n" + end,
-		id("trailer") + "Trailer: " + name + "\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n" + name + ": x\r\n\r\n",
+		headWithID("plain") + name + ": x\r\n" + end,
+		headWithID("lower") + strings.ToLower(name) + ": x\r\n" + end,
+		headWithID("upper") + strings.ToUpper(name) + ": x\r\n" + end,
+		headWithID("empty") + name + ":\r\n" + end,
+		headWithID("twice") + name + ": x\r\n" + name + ": y\r\n" + end,
+		headWithID("listed") + "Connection: " + name + "\r\n" + name + ": x\r\n" + end,
+		headWithID("trailer") + "Trailer: " + name + "\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n" + name + ": x\r\n\r\n",
 	}
 }
 
 // TestForgedHeaders sends every header that is not a caller's to set, in every
 // form: the caller is served as if it had not sent it.
 func TestForgedHeaders(t *testing.T) {
-	callers, replica := startRecorded(t)
+	callers, replica := startWithRecordingReplica(t)
 	conn, err := net.Dial("tcp", callers)
 	if err != nil {
 		t.Fatal(err)
@@ -154,7 +154,7 @@
 	sent := map[string][]received{}
 	for _, name := range forgedHeaders {
 		for _, raw := range forgeries(name) {
-			strictly([]byte(raw), sent)
+			parseStrictly([]byte(raw), sent)
 			if _, err := io.WriteString(conn, raw); err != nil {
 				t.Fatal(err)
 			}
@@ -165,17 +165,17 @@
 			if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.StatusCode != http.StatusOK {
 				t.Fatalf("status %d, %v, to %q", resp.StatusCode, err, raw)
 			}
-			got := replica.take()
+			got := replica.drain()
 			if len(got) != 1 {
 				t.Fatalf("%d requests reached the replica for %q", len(got), raw)
 			}
-			check(t, got[0], sent)
+			checkForwarded(t, got[0], sent)
 		}
 	}
 }
 
 // hidden is a request that a caller hides in the body of another one.
-const hidden = "POST /seal/hidden HTTP/1.1\r\nHost: api.example\r\nX-Api-Key: key-1\r\nAttempt-Id: hidden\r\nContent-Length: 0\r\n\r\n"
+const smuggledRequest = "POST /seal/hidden HTTP/1.1\r\nHost: api.example\r\nX-Api-Key: key-1\r\nAttempt-Id: hidden\r\nContent-Length: 0\r\n\r\n"
 
 // FuzzForward sends raw bytes of a caller and holds what reaches a replica to
 // them: one well-formed request for each one sent, with the path, the id and
@@ -203,18 +203,18 @@
 		head + "Attempt-Id: b6\r\nContent-Length: 0\r\n\r\n" + head + "Attempt-Id: b7\r\nContent-Length: 0\r\n\r\n",
 		// A request hidden in the body of another one, by lengths that two readers may
 		// take differently.
-		head + "Attempt-Id: c1\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\nContent-Length: 4\r\n\r\n0\r\n\r\n" + hidden,
-		head + "Attempt-Id: c2\r\nTransfer-Encoding : chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden,
-		head + "Attempt-Id: c3\r\nTransfer-Encoding: xchunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden,
-		head + "Attempt-Id: c4\r\nContent-Length: 0, 0\r\n\r\n" + hidden,
-		head + "Attempt-Id: c5\r\nTransfer-Encoding: chunked\r\n\r\n0x0\r\n\r\n" + hidden,
-		head + "Attempt-Id: c6\r\nTransfer-Encoding: chunked\r\n\r\n0;x=\n\r\n\r\n" + hidden,
-		head + "Attempt-Id: c7\r\nTransfer-Encoding: chunked\r\n\r\n0000000000000000010\r\n" + hidden,
-		strings.Replace(head, "POST", "GET", 1) + "Attempt-Id: c8\r\nContent-Length: 4\r\n\r\nbody" + hidden,
+		head + "Attempt-Id: c1\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\nContent-Length: 4\r\n\r\n0\r\n\r\n" + smuggledRequest,
+		head + "Attempt-Id: c2\r\nTransfer-Encoding : chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + smuggledRequest,
+		head + "Attempt-Id: c3\r\nTransfer-Encoding: xchunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + smuggledRequest,
+		head + "Attempt-Id: c4\r\nContent-Length: 0, 0\r\n\r\n" + smuggledRequest,
+		head + "Attempt-Id: c5\r\nTransfer-Encoding: chunked\r\n\r\n0x0\r\n\r\n" + smuggledRequest,
+		head + "Attempt-Id: c6\r\nTransfer-Encoding: chunked\r\n\r\n0;x=\n\r\n\r\n" + smuggledRequest,
+		head + "Attempt-Id: c7\r\nTransfer-Encoding: chunked\r\n\r\n0000000000000000010\r\n" + smuggledRequest,
+		strings.Replace(head, "POST", "GET", 1) + "Attempt-Id: c8\r\nContent-Length: 4\r\n\r\nbody" + smuggledRequest,
 	} {
 		f.Add([]byte(seed))
 	}
-	callers, replica := startRecorded(f)
+	callers, replica := startWithRecordingReplica(f)
 	// A request may reach the replica after its caller has gone, and so be seen
 	// by a later input: what earlier ones sent counts too.
 	sent := map[string][]received{}
@@ -222,16 +222,16 @@
 		if len(raw) > 8<<10 {
 			return
 		}
-		strictly(raw, sent)
-		exchange(t, callers, raw)
-		for _, got := range replica.take() {
-			check(t, got, sent)
+		parseStrictly(raw, sent)
+		sendRaw(t, callers, raw)
+		for _, got := range replica.drain() {
+			checkForwarded(t, got, sent)
 		}
 	})
 }
 
 // exchange sends the bytes and reads until the daemon is silent or closes.
-func exchange(t *testing.T, callers string, raw []byte) {
+func sendRaw(t *testing.T, callers string, raw []byte) {
 	conn, err := net.Dial("tcp", callers)
 	if err != nil {
 		t.Fatal(err)
@@ -246,7 +246,7 @@
 }
 
 // strictly adds what a strict reader finds in the bytes, by request id.
-func strictly(raw []byte, sent map[string][]received) {
+func parseStrictly(raw []byte, sent map[string][]received) {
 	r := bufio.NewReader(bytes.NewReader(raw))
 	for {
 		req, err := http.ReadRequest(r)
@@ -263,7 +263,7 @@
 }
 
 // check holds a request at a replica to what was sent under its id.
-func check(t *testing.T, got received, sent map[string][]received) {
+func checkForwarded(t *testing.T, got received, sent map[string][]received) {
 	req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(got.head + "\r\n\r\n")))
 	if err != nil {
 		t.Fatalf("the replica got no request: %v\n%q", err, got.head)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -35,59 +35,60 @@
 // Gateway is one gateway daemon.
 type Gateway struct {
 	settings atomic.Pointer[Settings]
-	// made is closed when all parts of the gateway are there: fellows may call before.
-	made     chan struct{}
-	log      *zap.Logger
-	metrics  *metrics.Set
-	rounds   uint64 // numbers the views; used by the discovery's goroutine only
-	draining atomic.Bool
-	// preparing ends when requests whose stages are being made are refused,
-	// since this daemon leaves.
-	preparing     context.Context
-	stopPreparing context.CancelFunc
+	// initialized is closed when New has set all fields: peers may call before that.
+	initialized chan struct{}
+	log         *zap.Logger
+	metrics     *metrics.Set
+	viewVersion uint64 // number of the last view; used by the discovery goroutine only
+	draining    atomic.Bool
+	// prepareCtx ends when this daemon, which is shutting down, refuses the requests whose
+	// stages are still running.
+	prepareCtx    context.Context
+	cancelPrepare context.CancelFunc
 	inFlight      atomic.Int64
 
-	store   *platform.Store
-	router  *route.Router
-	client  *replica.Client
-	fleet   *fleet.Fleet
-	found   *discovery.Discovery
-	stages  *stages.Service
-	budgets sync.Map // service name to *retry.Shared
-	inputs  inputsHold
-	streams *streamTimes
-	// evacuated are the services that are refused; see evacuatedServices.
-	evacuated atomic.Pointer[map[string]bool]
-	// cold follows the cold replicas, coldCount is their number.
-	cold      *coldReplicas
-	coldCount atomic.Int64
-	// accounts has each engine asked once for all who want its account.
-	accounts singleflight.Group
+	store          *platform.Store
+	router         *route.Router
+	client         *replica.Client
+	fleet          *fleet.Fleet
+	discovery      *discovery.Discovery
+	stages         *stages.Service
+	retryBudgets   sync.Map // service name to *retry.Shared
+	inputRetention inputRetention
+	streamTimes    *streamTimeEstimator
+	// evacuatedServices are the services that are refused; see the function of that name.
+	evacuatedServices atomic.Pointer[map[string]bool]
+	// coldTracker follows the cold replicas, coldCount is their number.
+	coldTracker *coldReplicaTracker
+	coldCount   atomic.Int64
+	// runQueries merges concurrent queries to one engine for its list of runs.
+	runQueries singleflight.Group
 
-	refusals *refusals
-	prompts  prompts
+	refusals *refusalMonitor
+	prompts  promptIndex
 	notices  notices
-	// gates bound the calls at replicas, whoever makes them.
+	// gates limit the calls to each replica, across all components of this daemon that make
+	// them.
 	gates *intake.Gates
 	// quarantine keeps requests that crash replicas away from them.
 	quarantine *quarantine.Service
 }
 
-// New returns a gateway that listens for its fellows but has not started.
+// New returns a gateway that listens for its peers but has not started.
 func New(s *Settings, log *zap.Logger) (*Gateway, error) {
-	g := &Gateway{made: make(chan struct{}), log: log, metrics: metrics.NewSet(), streams: newStreamTimes(), refusals: newRefusals(), cold: newColdReplicas(), gates: intake.NewGates()}
-	g.client = replica.NewClient(g.hear)
-	g.preparing, g.stopPreparing = context.WithCancel(context.Background())
+	g := &Gateway{initialized: make(chan struct{}), log: log, metrics: metrics.NewSet(), streamTimes: newStreamTimeEstimator(), refusals: newRefusalMonitor(), coldTracker: newColdReplicaTracker(), gates: intake.NewGates()}
+	g.client = replica.NewClient(g.observeAnswer)
+	g.prepareCtx, g.cancelPrepare = context.WithCancel(context.Background())
 	g.settings.Store(s)
-	g.evacuated.Store(&map[string]bool{})
+	g.evacuatedServices.Store(&map[string]bool{})
 	g.router = route.New(route.Config{
 		FailureDomain: s.FailureDomain, Seed: rand.Uint64(), PrefixRoom: prefixRoom, PrefixBonus: prefixBonus, BacklogWeight: backlogWeight,
-		Ejected: g.ejected, Gates: g.gates,
+		Ejected: g.logEjection, Gates: g.gates,
 	})
 	mux := peer.NewMux()
-	g.handlePrompts(mux)
-	g.handleNotices(mux)
-	fellows, err := fleet.New(fleet.Config{
+	g.registerPromptHandler(mux)
+	g.registerNoticeHandler(mux)
+	members, err := fleet.New(fleet.Config{
 		Self:  fleet.Host{Host: member.Host{Name: s.Host, FailureDomain: s.FailureDomain}, Capacity: int(s.Limits.ProcessorShare * 1000)},
 		Seeds: s.Seeds, Listen: s.Listen.Peers, Mux: mux, Logger: log,
 		Extensions: []member.Extension{quarantine.Extension()}, Heard: func(h member.SlotHeard) { g.quarantine.Heard(h) },
@@ -95,40 +96,40 @@
 	if err != nil {
 		return nil, err
 	}
-	g.fleet = fellows
+	g.fleet = members
 	g.quarantine = quarantine.New(quarantine.Config{
-		Self: s.Host, Members: fellows, Replicas: g.client, Caller: fellows.Caller(), Mux: mux, Logger: log, Ended: g.countEnd,
+		Self: s.Host, Members: members, Replicas: g.client, Caller: members.Caller(), Mux: mux, Logger: log, Ended: g.countReplicaCrash,
 	})
 	g.stages = stages.New(stages.Config{
-		Self: s.Host, Incarnation: fellows.Incarnation(), Replicas: g.client, Members: fellows, Caller: fellows.Caller(), Mux: mux, Logger: log,
+		Self: s.Host, Incarnation: members.Incarnation(), Replicas: g.client, Members: members, Caller: members.Caller(), Mux: mux, Logger: log,
 		Plan: stage.Config{Gates: g.gates},
 	})
 	g.store = platform.NewStore(s.Store.Address)
-	g.found = discovery.New(discovery.Config{
-		Self: s.Host, Store: g.store, Members: fellows, Caller: fellows.Caller(), Mux: mux,
-		Logger: log, Bound: func() time.Duration { return g.settings.Load().Bounds.shortest() }, Changed: g.viewChanged,
+	g.discovery = discovery.New(discovery.Config{
+		Self: s.Host, Store: g.store, Members: members, Caller: members.Caller(), Mux: mux,
+		Logger: log, Bound: func() time.Duration { return g.settings.Load().Bounds.shortest() }, Changed: g.applyView,
 	})
-	g.addGauges()
-	close(g.made)
+	g.registerGauges()
+	close(g.initialized)
 	return g, nil
 }
 
-// How engines are chosen for prompts that share parts with others. Reading a
-// shared part again is paid for and keeps other prompts waiting, and a batch
-// that is a third full is hardly slower than an empty one.
+// How engines are chosen for prompts that share a prefix with others. Reading a shared
+// prefix again costs money and delays other prompts, and a batch that is a third full is
+// hardly slower than an empty one.
 const (
 	prefixRoom  = 0.35
 	prefixBonus = 2.0
-	// backlogWeight has a prompt leave the engine that holds its shared parts when
-	// it would wait half a second there (prefixBonus / backlogWeight): copying the
-	// parts takes some 30 ms. With what fellows tell and with copies, mean worth
-	// of 48 days of load and trouble rose from 0.712 to 0.725, and the shared
-	// tokens that are read again fell by more than half; by own prompts alone,
-	// 0.708 for 0.711 on 24 days.
+	// With backlogWeight a prompt leaves the engine that holds its prefix when it would
+	// wait there for more than half a second (prefixBonus / backlogWeight); copying the
+	// prefix takes about 30 ms. Together with prompt announcements from peers and with
+	// copies, this raised the mean value over 48 days of load and faults from 0.712 to
+	// 0.725 and cut the shared tokens that are read again by more than half. With this
+	// host's own prompts alone the gain over 24 days was from 0.708 to 0.711.
 	backlogWeight = 4.0
 )
 
-// Run serves until ctx ends and then drains within the grace of the settings.
+// Run serves until ctx ends and then drains within the grace period of the settings.
 func (g *Gateway) Run(ctx context.Context) error {
 	s := g.settings.Load()
 	callers, err := net.Listen("tcp", s.Listen.Callers)
@@ -142,26 +143,26 @@
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
 	server := g.callerServer()
-	probes := &http.Server{Handler: g.readinessHandler(), ReadHeaderTimeout: readHeaderTimeout}
+	readinessServer := &http.Server{Handler: g.readinessHandler(), ReadHeaderTimeout: readHeaderTimeout}
 	var group errgroup.Group
 	group.Go(func() error { return ignoreClosed(server.Serve(callers)) })
-	group.Go(func() error { return ignoreClosed(probes.Serve(readiness)) })
-	group.Go(func() error { g.found.Run(running); return nil })
+	group.Go(func() error { return ignoreClosed(readinessServer.Serve(readiness)) })
+	group.Go(func() error { g.discovery.Run(running); return nil })
 	group.Go(func() error { g.stages.Run(running); return nil })
 	group.Go(func() error { clock.Watch(running); return nil })
-	group.Go(func() error { g.keepBounds(running); return nil })
+	group.Go(func() error { g.refreshLimitsPeriodically(running); return nil })
 	group.Go(func() error { g.quarantine.Run(running); return nil })
 	group.Go(func() error { return g.fleet.Run(running) })
 	g.serveMetrics(running, &group)
 	if !clock.CountsSleep() {
-		g.log.Warn("this host does not tell for how long it slept; sleeps are not counted")
+		g.log.Warn("the time that this host spent suspended cannot be read; suspends are not accounted for")
 	}
 	g.log.Info("started", zap.String("callers", s.Listen.Callers), zap.String("store", s.Store.Address),
 		zap.String("failure_domain", s.FailureDomain), zap.Strings("seeds", s.Seeds))
 	<-ctx.Done()
 	g.drain(server)
 	stop()
-	_ = probes.Close() // ends the process; nothing is lost
+	_ = readinessServer.Close() // the process ends; only readiness probes are lost
 	err = group.Wait()
 	g.log.Info("stopped", zap.Error(err))
 	return err
@@ -174,30 +175,30 @@
 	return err
 }
 
-// viewChanged passes a view on to what decides by it.
-func (g *Gateway) viewChanged(v *discovery.View) {
+// applyView passes a new view on to the components that decide by it.
+func (g *Gateway) applyView(v *discovery.View) {
 	if !v.Ready() {
 		return
 	}
-	g.rounds++
-	g.forgetRefusals(v)
-	g.replicasListed(v.Replicas)
+	g.viewVersion++
+	g.dropRefusalCounters(v)
+	g.pruneNotices(v.Replicas)
 	evacuated := evacuatedServices(v)
-	g.evacuated.Store(&evacuated)
-	g.limitCold(v)
-	g.router.Apply(pools(v, g.rounds, g.settings.Load().Regions))
+	g.evacuatedServices.Store(&evacuated)
+	g.updateColdLimits(v)
+	g.router.Apply(routerPools(v, g.viewVersion, g.settings.Load().Regions))
 	g.stages.Configure(v.Config.Services, stageReplicas(v))
 }
 
-// The caller's side of net/http.
+// Limits of net/http on the callers' side.
 const (
-	// readHeaderTimeout bounds the headers of a request. The operator's limit
-	// is 3 s; a caller that is slower than this one is not served.
+	// readHeaderTimeout limits the time for reading the headers of a request. The
+	// operator's limit is 3 s; a caller that is slower than this timeout is not served.
 	readHeaderTimeout = 10 * time.Second
-	// idleTimeout bounds idle connections. It is over any limit of the
-	// configuration, of which callers use four fifths at most.
+	// idleTimeout limits how long idle connections stay open. It is above any limit of the
+	// configuration, of which callers use at most four fifths.
 	idleTimeout = 5 * time.Minute
-	// maxHeaderBytes is over the limit of the configuration, 16 KiB.
+	// maxHeaderBytes is above the limit of the configuration, 16 KiB.
 	maxHeaderBytes = 64 << 10
 )
 
@@ -212,63 +213,63 @@
 func (g *Gateway) readinessHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
-		if g.draining.Load() || !g.found.View().Ready() {
+		if g.draining.Load() || !g.discovery.View().Ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
 	return mux
 }
 
-// The way out, as shares of the grace.
+// The phases of a shutdown, as fractions of the grace period.
 const (
-	// acceptShare is how long connections are accepted: the platform needs two
-	// missed probes, one a second, to send no more.
-	acceptShare = 0.36
-	// refuseShare is when requests whose stages are still being made are refused:
-	// no replica has them, and their callers can go elsewhere.
-	refuseShare = 0.8
-	// finishShare is when requests still running are cut.
-	finishShare = 0.87
+	// acceptFraction is how long connections are still accepted: the platform stops sending
+	// requests after two missed probes, one a second.
+	acceptFraction = 0.36
+	// refuseFraction is when requests whose stages are still running are refused: no
+	// replica has received them, and their callers can go elsewhere.
+	refuseFraction = 0.8
+	// cutoffFraction is when requests that are still running are aborted.
+	cutoffFraction = 0.87
 )
 
-// drain serves on until the platform sends no more connections, then waits for
-// the requests in flight.
+// drain keeps serving until the platform sends no more connections, then waits for the
+// requests in flight.
 func (g *Gateway) drain(server *http.Server) {
 	began := clock.Now()
 	grace := g.settings.Load().Drain.Grace
 	g.draining.Store(true)
 	g.fleet.Leave()
 	g.log.Info("draining", zap.Int64("in_flight", g.inFlight.Load()), zap.Duration("grace", grace))
-	refuse := clock.AfterFunc(time.Duration(refuseShare*float64(grace)), g.stopPreparing)
+	refuse := clock.AfterFunc(time.Duration(refuseFraction*float64(grace)), g.cancelPrepare)
 	defer refuse.Stop()
-	periodic.Sleep(context.Background(), time.Duration(acceptShare*float64(grace)))
-	bound, cancel := clock.WithDeadline(context.Background(), began.Add(time.Duration(finishShare*float64(grace))))
+	periodic.Sleep(context.Background(), time.Duration(acceptFraction*float64(grace)))
+	shutdownCtx, cancel := clock.WithDeadline(context.Background(), began.Add(time.Duration(cutoffFraction*float64(grace))))
 	defer cancel()
-	if err := server.Shutdown(bound); err != nil {
-		g.log.Warn("requests cut", zap.Int64("in_flight", g.inFlight.Load()), zap.Error(err))
+	if err := server.Shutdown(shutdownCtx); err != nil {
+		g.log.Warn("drain timed out; aborting requests in flight", zap.Int64("in_flight", g.inFlight.Load()), zap.Error(err))
 		_ = server.Close()
 		return
 	}
 	g.log.Info("drained")
 }
 
-// budget returns this daemon's part of the budget of repeats to a service.
-func (g *Gateway) budget(service string) *retry.Shared {
-	hosts := max(g.fleet.Size(), assumedHosts)
-	if b, ok := g.budgets.Load(service); ok {
+// retryBudget returns this daemon's share of the fleet's retry budget for a service.
+func (g *Gateway) retryBudget(service string) *retry.Shared {
+	hosts := max(g.fleet.Size(), minBudgetHosts)
+	if b, ok := g.retryBudgets.Load(service); ok {
 		shared := b.(*retry.Shared)
 		shared.SetHosts(hosts)
 		return shared
 	}
 	s := g.settings.Load().Budget
-	b, _ := g.budgets.LoadOrStore(service, retry.NewShared(budgetShare*s.Ratio, budgetShare*s.Slack, s.Window, hosts))
+	b, _ := g.retryBudgets.LoadOrStore(service, retry.NewShared(budgetFraction*s.Ratio, budgetFraction*s.Slack, s.Window, hosts))
 	return b.(*retry.Shared)
 }
 
 const (
-	// budgetShare is the part of the fleet's budget of repeats that is used:
-	// daemons that restart begin with a full part.
-	budgetShare = 0.7
-	// assumedHosts divides the slack while fewer daemons are known.
-	assumedHosts = 6
+	// budgetFraction is the part of the fleet's retry budget that is used: daemons that
+	// restart begin with a full share.
+	budgetFraction = 0.7
+	// minBudgetHosts divides the slack while fewer daemons are known.
+	minBudgetHosts = 6
 )
--- a/gateway/inputs.go
+++ b/gateway/inputs.go
@@ -11,90 +11,89 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// The time from sending a request to an engine until its inputs are given up.
-// An engine fetches them on arrival, long before the first event: prompts that
-// wait their turn hold no room at the replicas that made the inputs. An engine
-// that finds one gone refuses without running the request; the stages are then
-// made again and the time grows.
+// The time from sending a request to an engine until its inputs are released. An engine
+// fetches them on arrival, long before the first event, so that prompts waiting for their
+// turn hold no memory at the replicas that produced the inputs. An engine that finds an
+// input gone refuses without running the request; the stages are then run again and the
+// retention time grows.
 const (
-	inputsReadLeast = 80 * time.Millisecond
-	inputsReadMost  = 2 * time.Second
-	inputsReadGrow  = 1.5
-	// inputsReadShrink is the factor by which each request whose inputs were
-	// read brings the time back down.
-	inputsReadShrink = 0.995
+	minInputRetention = 80 * time.Millisecond
+	maxInputRetention = 2 * time.Second
+	retentionGrowth   = 1.5
+	// retentionDecay is the factor by which each request whose inputs were read reduces the
+	// retention time.
+	retentionDecay = 0.995
 )
 
-// inputsHold is the time for which inputs are held, as measured. It is safe
-// for concurrent use.
-type inputsHold struct {
-	mu   sync.Mutex
-	hold time.Duration
+// inputRetention is the adaptive retention time of inputs. It is safe for concurrent use.
+type inputRetention struct {
+	mu       sync.Mutex
+	duration time.Duration
 }
 
-func (h *inputsHold) get() time.Duration {
+func (h *inputRetention) get() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return max(h.hold, inputsReadLeast)
+	return max(h.duration, minInputRetention)
 }
 
-// gone notes that inputs were given up too early.
-func (h *inputsHold) gone() time.Duration {
+// extend records that inputs were released too early, and returns the new retention time.
+func (h *inputRetention) extend() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hold = min(inputsReadMost, time.Duration(inputsReadGrow*float64(max(h.hold, inputsReadLeast))))
-	return h.hold
+	h.duration = min(maxInputRetention, time.Duration(retentionGrowth*float64(max(h.duration, minInputRetention))))
+	return h.duration
 }
 
-// read notes that inputs were there.
-func (h *inputsHold) read() {
+// shorten records that inputs were read in time.
+func (h *inputRetention) shorten() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hold = time.Duration(inputsReadShrink * float64(h.hold))
+	h.duration = time.Duration(retentionDecay * float64(h.duration))
 }
 
-// holdInputs has the stages made again if their results were given up after an
-// earlier attempt. An answer that has not begun is still to come by its objective.
-func (x *exchange) holdInputs() *problem.Error {
-	if len(x.inputs) == 0 || x.prepared.Load() {
+// ensureInputs runs the stages again if their results were released after an earlier
+// attempt. An answer that has not started is still due by its objective.
+func (x *exchange) ensureInputs() *problem.Error {
+	if len(x.inputs) == 0 || x.inputsHeld.Load() {
 		return nil
 	}
 	x.inputs = nil
 	if !x.committed {
-		return x.prepare()
+		return x.prepareInputs()
 	}
-	return x.prepareSince(clock.Now())
+	return x.prepareInputsSince(clock.Now())
 }
 
-// releaseInputs gives the results of the stages up, if they are still held. It
-// may be called by any goroutine.
+// releaseInputs releases the stage results, if they are still held. It may be called by any
+// goroutine.
 func (x *exchange) releaseInputs() {
-	if x.prepared.CompareAndSwap(true, false) {
+	if x.inputsHeld.CompareAndSwap(true, false) {
 		x.g.stages.Release(x.req.ID)
 	}
 }
 
-// releaseWhenRead gives the inputs up once the engine must have read them,
-// unless stop is called first.
-func (x *exchange) releaseWhenRead() (stop func() bool) {
-	if !x.prepared.Load() {
+// releaseInputsLater releases the inputs after the time by which the engine must have read
+// them, unless stop is called first.
+func (x *exchange) releaseInputsLater() (stop func() bool) {
+	if !x.inputsHeld.Load() {
 		return func() bool { return false }
 	}
-	return clock.AfterFunc(x.g.inputs.get(), x.releaseInputs).Stop
+	return clock.AfterFunc(x.g.inputRetention.get(), x.releaseInputs).Stop
 }
 
-// keepInputs has the inputs of an attempt stay, also beyond the time when the
-// engine must have read them. It says whether they are still held.
-func (t *try) keepInputs() bool {
-	t.stopRelease()
-	return t.x.prepared.Load()
+// cancelInputRelease keeps the inputs of an attempt beyond the time by which the engine
+// must have read them. It says whether they are still held.
+func (t *attempt) cancelInputRelease() bool {
+	t.stopInputRelease()
+	return t.x.inputsHeld.Load()
 }
 
-// inputsGone notes that an engine found inputs gone. If they were still held,
-// their holder is to blame, not the time.
-func (x *exchange) inputsGone() {
-	if x.prepared.Load() {
+// extendInputRetention records that an engine found inputs gone. If this host still held
+// them, the replica that stored them lost them, and the retention time is not at fault.
+func (x *exchange) extendInputRetention() {
+	if x.inputsHeld.Load() {
 		return
 	}
-	x.g.log.Info("inputs given up too early", logging.Request(x.req.ID), zap.Duration("hold", x.g.inputs.gone()))
+	x.g.log.Info("inputs released before the engine read them", logging.Request(x.req.ID), zap.Duration("hold", x.g.inputRetention.extend()))
 }
--- a/gateway/late_test.go
+++ b/gateway/late_test.go
@@ -20,16 +20,16 @@
 // Proved by the planner's lines: overload, with 0.3 s predicted and nine seconds left.
 //
 // Streams behind stages that break off later than their objective go on elsewhere.
-func TestStreamsWithStagesGoOnAfterTheirObjective(t *testing.T) {
+func TestStreamsWithStagesResumeAfterTheirObjective(t *testing.T) {
 	for _, after := range []int{3, 4} {
 		t.Run(fmt.Sprintf("after %d events", after), func(t *testing.T) {
 			t.Parallel()
 			f := newFixtureOf(t)
 			const objective = time.Second // of longPath
 			f.replicas["e1"].Behave(site.Behaviour{CutAfterEvents: after, EventEvery: 400 * time.Millisecond})
-			a, id, took := f.sendTo(f.start().ready(), patientWithStage)
+			a, id, took := f.sendUntilFirstEngine(f.start().ready(), withLongDeadlineAndStage)
 			f.Expect(a.err).NotTo(HaveOccurred())
-			f.Expect(a.body).To(Equal(whole(id, 1, 5)))
+			f.Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
 			f.Expect(took).To(BeNumerically(">", objective), "the case is another")
 			f.Expect(f.ledger.Runs(id)).To(HaveLen(2))
 			f.Expect(f.ledger.Faults()).To(BeEmpty())
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -15,7 +15,7 @@
 )
 
 // dial opens a caller's connection and sends raw bytes on it.
-func (r *running) dial(raw string) *net.TCPConn {
+func (r *gatewayProcess) dialRaw(raw string) *net.TCPConn {
 	GinkgoHelper()
 	conn, err := net.Dial("tcp", r.callers)
 	Expect(err).NotTo(HaveOccurred())
@@ -34,7 +34,7 @@
 	It("with half of its body sent reaches no replica", func() {
 		f := newFixture()
 		g := f.start().ready()
-		conn := g.dial(requestHead(sealPath, "half") + "Content-Length: 10\r\n\r\nhalf")
+		conn := g.dialRaw(requestHead(sealPath, "half") + "Content-Length: 10\r\n\r\nhalf")
 		time.Sleep(50 * time.Millisecond)
 		Expect(conn.Close()).To(Succeed())
 		Consistently(func() []site.Run { return f.ledger.Runs("half") }, "300ms").Should(BeEmpty())
@@ -44,7 +44,7 @@
 		f := newFixture()
 		g := f.start().ready()
 		f.behave("encode", site.Behaviour{Work: 200 * time.Millisecond})
-		conn := g.dial(requestHead(goOnPath, "early") + "Piece-Count: 1,1\r\nPiece-Key: k\r\nContent-Length: 0\r\n\r\n")
+		conn := g.dialRaw(requestHead(resumePath, "early") + "Piece-Count: 1,1\r\nPiece-Key: k\r\nContent-Length: 0\r\n\r\n")
 		time.Sleep(100 * time.Millisecond)
 		Expect(conn.Close()).To(Succeed())
 		Consistently(func() []site.Run { return f.ledger.Runs("early") }, "700ms").Should(BeEmpty())
@@ -54,7 +54,7 @@
 		f := newFixture()
 		g := f.start().ready()
 		f.behave("plain", site.Behaviour{Hang: true})
-		conn := g.dial(requestHead(safePath, "gone") + "Content-Length: 0\r\n\r\n")
+		conn := g.dialRaw(requestHead(safePath, "gone") + "Content-Length: 0\r\n\r\n")
 		time.Sleep(50 * time.Millisecond)
 		Expect(conn.CloseWrite()).To(Succeed(), "it still reads")
 		heard, _ := io.ReadAll(conn) // how the connection ends does not matter
@@ -64,7 +64,7 @@
 	It("reads every answer that it sent for in a row", func() {
 		f := newFixture()
 		g := f.start().ready()
-		conn := g.dial(strings.Repeat(requestHead(safePath, "row")+"Content-Length: 0\r\n\r\n", 3))
+		conn := g.dialRaw(strings.Repeat(requestHead(safePath, "row")+"Content-Length: 0\r\n\r\n", 3))
 		answers := bufio.NewReader(conn)
 		for range 3 {
 			resp, err := http.ReadResponse(answers, nil)
--- a/gateway/margin.go
+++ b/gateway/margin.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// startFirst stands in for the time to a stream's first event until it is
-	// measured.
-	startFirst = 150 * time.Millisecond
-	// marginDeviations is the multiple of the usual deviation that is set aside
-	// on top of the expected time to the first event: with more, jobs are
-	// refused that would have been on time (measured at 0.5, 1.5 and 2.5).
-	marginDeviations = 0.5
-	// maxMarginShare bounds what is set aside, as a share of the objective.
-	maxMarginShare = 0.6
+	// defaultFirstEventTime is the time to a stream's first event that is assumed until it
+	// has been measured.
+	defaultFirstEventTime = 150 * time.Millisecond
+	// marginDeviationFactor is the multiple of the mean deviation that is added to the
+	// expected time to the first event. Of 0.5, 1.5 and 2.5, the larger factors refuse jobs
+	// that would have been on time.
+	marginDeviationFactor = 0.5
+	// maxMarginFraction limits the margin, as a fraction of the objective.
+	maxMarginFraction = 0.6
 )
 
-// streamTimes estimates the times of streams: that from sending a request to an
-// engine to its first event, which grows with the tokens to be read, and that
-// from there to the last event. It is safe for concurrent use.
-type streamTimes struct {
+// streamTimeEstimator estimates the times of streams: from sending a request to an engine
+// to its first event, which grows with the tokens to be read, and from there to the last
+// event. It is safe for concurrent use.
+type streamTimeEstimator struct {
 	mu sync.Mutex
-	// firsts and rests are kept for each service, as its engines serve all
-	// routes alike, deviations of the time to the first event for each route.
-	firsts, rests map[string]*estimate.Line
-	deviations    map[string]*estimate.Deviation
+	// firstEvent and laterEvents are kept by service, as its engines serve all routes
+	// alike; deviations of the time to the first event are kept by route.
+	firstEvent, laterEvents map[string]*estimate.Line
+	deviations              map[string]*estimate.Deviation
 }
 
-func newStreamTimes() *streamTimes {
-	return &streamTimes{firsts: map[string]*estimate.Line{}, rests: map[string]*estimate.Line{}, deviations: map[string]*estimate.Deviation{}}
+func newStreamTimeEstimator() *streamTimeEstimator {
+	return &streamTimeEstimator{firstEvent: map[string]*estimate.Line{}, laterEvents: map[string]*estimate.Line{}, deviations: map[string]*estimate.Deviation{}}
 }
 
-// line returns the line of a service; the lock is held.
-func line(lines map[string]*estimate.Line, service string) *estimate.Line {
+// lineOf returns the regression line of a service; mu must be held.
+func lineOf(lines map[string]*estimate.Line, service string) *estimate.Line {
 	l := lines[service]
 	if l == nil {
 		l = &estimate.Line{}
@@ -44,16 +44,16 @@
 	return l
 }
 
-// observeWhole takes the time from sending a request to its last event and
-// returns the time that was to be expected; 0 when it is not known.
-func (f *streamTimes) observeWhole(service string, tokens, events int, first, took time.Duration) time.Duration {
+// observeTotal records the time from sending a request to its last event and returns the
+// time that was expected; 0 when that is not known.
+func (f *streamTimeEstimator) observeTotal(service string, tokens, events int, first, took time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	toFirst, known := line(f.firsts, service).At(float64(tokens))
+	toFirst, known := lineOf(f.firstEvent, service).At(float64(tokens))
 	if events <= 1 {
 		return toFirst
 	}
-	rest := line(f.rests, service)
+	rest := lineOf(f.laterEvents, service)
 	toLast, knownRest := rest.At(float64(events - 1))
 	rest.Observe(float64(events-1), took-first)
 	if !known || !knownRest {
@@ -62,11 +62,12 @@
 	return toFirst + toLast
 }
 
-// observe takes the time of one request that had tokens of its own to be read.
-func (f *streamTimes) observe(service, route string, tokens int, took time.Duration) {
+// observeFirstEvent records the time to the first event of one request that had this many
+// unshared tokens to be read.
+func (f *streamTimeEstimator) observeFirstEvent(service, route string, tokens int, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l := line(f.firsts, service)
+	l := lineOf(f.firstEvent, service)
 	if expected, ok := l.At(float64(tokens)); ok {
 		d := f.deviations[route]
 		if d == nil {
@@ -78,12 +79,13 @@
 	l.Observe(float64(tokens), took)
 }
 
-// expect returns the expected time and the usual deviation from it.
-func (f *streamTimes) expect(service, route string, tokens int) (expected, deviation time.Duration) {
+// expectFirstEvent returns the expected time to the first event and the mean deviation from
+// it.
+func (f *streamTimeEstimator) expectFirstEvent(service, route string, tokens int) (expected, deviation time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	expected = startFirst
-	if e, ok := line(f.firsts, service).At(float64(tokens)); ok {
+	expected = defaultFirstEventTime
+	if e, ok := lineOf(f.firstEvent, service).At(float64(tokens)); ok {
 		expected = e
 	}
 	if d := f.deviations[route]; d != nil {
@@ -92,12 +94,12 @@
 	return expected, deviation
 }
 
-// reading returns the time that an engine needs to read tokens, without the fixed
-// part of its answer, and the usual time to the first event.
-func (f *streamTimes) reading(service string, tokens int) (read, first time.Duration) {
+// readTime returns the time that an engine needs to read tokens, without the constant part
+// of its answer time, and the expected time to the first event.
+func (f *streamTimeEstimator) readTime(service string, tokens int) (read, first time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l := line(f.firsts, service)
+	l := lineOf(f.firstEvent, service)
 	first, known := l.At(float64(tokens))
 	base, _ := l.At(0)
 	if !known {
@@ -106,21 +108,21 @@
 	return first - base, first
 }
 
-// ownTokens is the part of the prompt that no other request shares.
-func (x *exchange) ownTokens() int {
+// unsharedTokens is the number of tokens of the prompt that no other request shares.
+func (x *exchange) unsharedTokens() int {
 	if n := len(x.req.Prompt); n > 0 {
 		return x.req.Prompt[n-1].Tokens
 	}
 	return 0
 }
 
-// stagesDue returns when the results of the stages must be there for an answer
-// that is most likely on time, and when at the latest for one that may be, if the
-// run might have begun at a time.
-func (x *exchange) stagesDue(began time.Time) (due, latest time.Time) {
-	expected, deviation := x.g.streams.expect(x.service, x.route.Name, x.ownTokens())
-	margin := expected + time.Duration(marginDeviations*float64(deviation))
-	margin = min(margin, time.Duration(maxMarginShare*float64(x.route.Objective)))
+// stageDeadlines returns when the stage results must be ready for an answer that is most
+// likely on time, and the latest time for an answer that may be on time. The objective
+// counts from began.
+func (x *exchange) stageDeadlines(began time.Time) (due, latest time.Time) {
+	expected, deviation := x.g.streamTimes.expectFirstEvent(x.service, x.route.Name, x.unsharedTokens())
+	margin := expected + time.Duration(marginDeviationFactor*float64(deviation))
+	margin = min(margin, time.Duration(maxMarginFraction*float64(x.route.Objective)))
 	objective := began.Add(x.route.Objective)
 	return objective.Add(-margin), objective.Add(-min(margin, expected))
 }
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -15,72 +15,74 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// notices is what replicas have said of themselves; its lock guards all of it.
+// notices is what replicas announce about themselves in their answers; mu guards all
+// fields.
 type notices struct {
-	mu      sync.Mutex
-	account intake.Account
-	leavers intake.Leavers
-	rests   intake.Rests
-	// unread are the replicas whose wish for rest could not be read, as was logged.
-	unread map[string]bool
-	// replicas are those of the newest view.
+	mu              sync.Mutex
+	namedLimits     intake.Account
+	leavingReplicas intake.Leavers
+	backoffs        intake.Rests
+	// invalidBackoff are the replicas whose invalid Retry-After value has been logged.
+	invalidBackoff map[string]bool
+	// replicas are the replicas of the newest view.
 	replicas map[string]catalog.Replica
-	// bounding says that a limit was in force when last looked.
-	bounding bool
-	// repeated is when neighbours were last told what was heard meanwhile.
-	repeated time.Time
+	// limitsActive says that a limit was in force at the last update.
+	limitsActive bool
+	// lastResent is when neighbours were last sent what was learned meanwhile.
+	lastResent time.Time
 }
 
-// hear takes an answer of a replica.
-func (g *Gateway) hear(a intake.Answer) {
+// observeAnswer processes the notices in an answer of a replica.
+func (g *Gateway) observeAnswer(a intake.Answer) {
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
-	if l, changed := g.notices.account.Hear(clock.Now(), a); changed {
-		g.limitsChanged(g.settings.Load().Host, []intake.Limited{l})
+	if l, changed := g.notices.namedLimits.Hear(clock.Now(), a); changed {
+		g.applyLimits(g.settings.Load().Host, []intake.Limited{l})
 	}
-	if l, first := g.notices.leavers.Hear(clock.Now(), a); first {
-		g.leaves(g.settings.Load().Host, []intake.Leaver{l})
+	if l, first := g.notices.leavingReplicas.Hear(clock.Now(), a); first {
+		g.applyLeaving(g.settings.Load().Host, []intake.Leaver{l})
 	}
-	g.hearRest(a)
+	g.observeBackoff(a)
 }
 
-// hearRest takes a replica's wish for rest; the notices' lock is held.
-func (g *Gateway) hearRest(a intake.Answer) {
+// observeBackoff processes a replica's request for back-off; the notices' lock must be
+// held.
+func (g *Gateway) observeBackoff(a intake.Answer) {
 	if a.Notice.Rest <= 0 && a.Notice.UnreadRest == "" {
 		return
 	}
 	n, now := &g.notices, clock.Now()
-	service := g.found.View().Replicas[a.Replica].Service
-	if unread := a.Notice.UnreadRest; unread != "" && !n.unread[a.Replica] {
-		if n.unread == nil {
-			n.unread = map[string]bool{}
+	service := g.discovery.View().Replicas[a.Replica].Service
+	if invalid := a.Notice.UnreadRest; invalid != "" && !n.invalidBackoff[a.Replica] {
+		if n.invalidBackoff == nil {
+			n.invalidBackoff = map[string]bool{}
 		}
-		n.unread[a.Replica] = true
-		g.log.Warn("wish for rest not understood", zap.String("service", service), zap.String("replica", a.Replica), zap.String("value", unread))
+		n.invalidBackoff[a.Replica] = true
+		g.log.Warn("replica sent an invalid back-off time", zap.String("service", service), zap.String("replica", a.Replica), zap.String("value", invalid))
 	}
-	rest, began, changed := n.rests.Hear(now, a, g.settings.Load().Rest.Most)
+	backoff, began, changed := n.backoffs.Hear(now, a, g.settings.Load().Backoff.Max)
 	if changed {
-		g.boundResting()
+		g.closeBackedOff()
 	}
 	if began {
-		g.log.Info("replica asks for rest", zap.String("service", service), zap.String("replica", a.Replica),
-			zap.Duration("asked", a.Notice.Rest), zap.Duration("for", rest.Until.Sub(now)))
+		g.log.Info("replica asked for back-off", zap.String("service", service), zap.String("replica", a.Replica),
+			zap.Duration("asked", a.Notice.Rest), zap.Duration("for", backoff.Until.Sub(now)))
 		g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_rests_asked_total{service=%q}", service)).Inc()
 	}
 }
 
-// boundResting closes the replicas that rest, also those that are listed at the address of
-// one meanwhile; the notices' lock is held.
-func (g *Gateway) boundResting() {
-	rests := g.notices.rests.All()
+// closeBackedOff closes the replicas that asked for back-off, and those that are listed
+// meanwhile at the address of one; the notices' lock must be held.
+func (g *Gateway) closeBackedOff() {
+	backoffs := g.notices.backoffs.All()
 	parts, addresses := map[string]intake.Part{}, map[string]intake.Part{}
-	for _, r := range rests {
+	for _, r := range backoffs {
 		p := intake.Part{Until: r.Until}
 		parts[r.Replica], addresses[r.Address] = p, p
 	}
-	if len(rests) > 0 {
+	if len(backoffs) > 0 {
 		for id, r := range g.notices.replicas {
-			if p, resting := addresses[r.Address]; resting {
+			if p, backedOff := addresses[r.Address]; backedOff {
 				parts[id] = p
 			}
 		}
@@ -88,84 +90,85 @@
 	g.gates.SetParts(intake.Resting, parts)
 }
 
-// endRests opens the replicas whose rest is over.
-func (g *Gateway) endRests() {
+// expireBackoffs reopens the replicas whose back-off is over.
+func (g *Gateway) expireBackoffs() {
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
-	if g.notices.rests.End(clock.Now()) {
-		g.boundResting()
+	if g.notices.backoffs.End(clock.Now()) {
+		g.closeBackedOff()
 	}
 }
 
-// leaves puts in force that replicas leave, as a host has heard; the notices' lock is
-// held.
-func (g *Gateway) leaves(by string, leavers []intake.Leaver) {
-	if len(leavers) == 0 {
+// applyLeaving closes replicas that are leaving, as this or another host has learned, and
+// tells the neighbours; the notices' lock must be held.
+func (g *Gateway) applyLeaving(host string, leaving []intake.Leaver) {
+	if len(leaving) == 0 {
 		return
 	}
-	g.boundLeavers()
-	g.tellNeighbours(by, &wire.NoticesHeard{Leaving: leaversToWire(clock.Now(), leavers)})
-	for _, l := range leavers {
-		service := g.found.View().Replicas[l.Replica].Service
-		g.log.Info("replica says that it leaves", zap.String("service", service), zap.String("replica", l.Replica),
-			zap.String("peer", by), zap.Duration("since", clock.Since(l.At)))
+	g.closeLeaving()
+	g.sendToNeighbours(host, &wire.NoticesHeard{Leaving: leavingToWire(clock.Now(), leaving)})
+	for _, l := range leaving {
+		service := g.discovery.View().Replicas[l.Replica].Service
+		g.log.Info("replica announced that it is leaving", zap.String("service", service), zap.String("replica", l.Replica),
+			zap.String("peer", host), zap.Duration("since", clock.Since(l.At)))
 		g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_replicas_said_leaving_total{service=%q}", service)).Inc()
 	}
 }
 
-// limitsChanged puts limits in force that this host or a fellow has heard, and tells the
-// neighbours; the notices' lock is held.
-func (g *Gateway) limitsChanged(by string, changed []intake.Limited) {
+// applyLimits enforces limits that this or another host has learned, and tells the
+// neighbours; the notices' lock must be held.
+func (g *Gateway) applyLimits(host string, changed []intake.Limited) {
 	if len(changed) == 0 {
 		return
 	}
 	for _, l := range changed {
-		g.limitChanged(by, l)
+		g.logLimit(host, l)
 	}
-	g.boundLimited()
-	g.tellNeighbours(by, &wire.NoticesHeard{Limits: limitsToWire(clock.Now(), changed)})
+	g.updateLimitShares()
+	g.sendToNeighbours(host, &wire.NoticesHeard{Limits: limitsToWire(clock.Now(), changed)})
 }
 
-// boundLeavers closes the replicas that leave; the notices' lock is held.
-func (g *Gateway) boundLeavers() {
+// closeLeaving closes the replicas that are leaving; the notices' lock must be held.
+func (g *Gateway) closeLeaving() {
 	parts := map[string]intake.Part{}
-	for _, l := range g.notices.leavers.All() {
+	for _, l := range g.notices.leavingReplicas.All() {
 		parts[l.Replica] = intake.Part{}
 	}
 	g.gates.SetParts(intake.Leaving, parts)
 }
 
-// keepLimits has this host keep to its parts of the limits that are in force, as hosts
-// come and go.
-func (g *Gateway) keepLimits() {
+// refreshLimitShares recomputes this host's shares of the limits in force, since hosts join
+// and leave.
+func (g *Gateway) refreshLimitShares() {
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
-	if g.notices.bounding {
-		g.boundLimited()
+	if g.notices.limitsActive {
+		g.updateLimitShares()
 	}
 }
 
-// boundLimited works this host's parts of the limits out; the notices' lock is held.
-func (g *Gateway) boundLimited() {
-	limits := g.notices.account.Limits()
+// updateLimitShares computes this host's shares of the limits; the notices' lock must be
+// held.
+func (g *Gateway) updateLimitShares() {
+	limits := g.notices.namedLimits.Limits()
 	parts := make(map[string]intake.Part, len(limits))
 	if len(limits) > 0 {
-		shares, planner, view := g.livingShares(), g.stages.Plans(), g.found.View()
+		shares, planner, view := g.liveShares(), g.stages.Plans(), g.discovery.View()
 		for _, l := range limits {
 			if shares == nil {
 				parts[l.Replica] = intake.NoPart()
 				continue
 			}
-			parts[l.Replica] = shares.OfLimit(l, roleAt(view, l.Replica, planner))
+			parts[l.Replica] = shares.OfLimit(l, callRole(view, l.Replica, planner))
 		}
 	}
-	g.notices.bounding = len(limits) > 0
+	g.notices.limitsActive = len(limits) > 0
 	g.gates.SetParts(intake.Named, parts)
 }
 
-// livingShares are this host's parts among the hosts that live; nil while it does not
-// know its fleet.
-func (g *Gateway) livingShares() *intake.Shares {
+// liveShares computes this host's shares among the hosts that are alive; nil while the set
+// of hosts is not complete.
+func (g *Gateway) liveShares() *intake.Shares {
 	if _, complete := g.fleet.Known(); !complete {
 		return nil
 	}
@@ -176,8 +179,8 @@
 	return intake.NewShares(g.settings.Load().Host, names)
 }
 
-// roleAt says what calls this host makes at a replica.
-func roleAt(v *discovery.View, replica string, planner bool) intake.Role {
+// callRole says which kind of calls this host makes to a replica.
+func callRole(v *discovery.View, replica string, planner bool) intake.Role {
 	if v.Config == nil {
 		return intake.Requester
 	}
@@ -191,31 +194,31 @@
 	return intake.StageRequester
 }
 
-// limitChanged logs and counts what a replica has changed, as a host has heard.
-func (g *Gateway) limitChanged(by string, l intake.Limited) {
-	service := g.found.View().Replicas[l.Replica].Service
-	fields := []zap.Field{zap.String("service", service), zap.String("replica", l.Replica), zap.String("peer", by), zap.Duration("since", l.At.Sub(l.Since))}
+// logLimit logs and counts a changed limit of a replica, as learned by a host.
+func (g *Gateway) logLimit(host string, l intake.Limited) {
+	service := g.discovery.View().Replicas[l.Replica].Service
+	fields := []zap.Field{zap.String("service", service), zap.String("replica", l.Replica), zap.String("peer", host), zap.Duration("since", l.At.Sub(l.Since))}
 	if !l.Limit.Named {
-		g.log.Info("replica's limit lifted", fields...)
+		g.log.Info("replica lifted its rate limit", fields...)
 		return
 	}
-	g.log.Info("replica names a limit", append(fields, zap.Float64("per_second", l.Limit.PerSecond))...)
+	g.log.Info("replica announced a rate limit", append(fields, zap.Float64("per_second", l.Limit.PerSecond))...)
 	g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_limits_named_total{service=%q}", service)).Inc()
 }
 
-// replicasListed takes the replicas of a view: what is known of others is dropped.
-func (g *Gateway) replicasListed(replicas map[string]catalog.Replica) {
+// pruneNotices drops the notices of replicas that a view does not list.
+func (g *Gateway) pruneNotices(replicas map[string]catalog.Replica) {
 	listed := func(replica string) bool { _, ok := replicas[replica]; return ok }
 	g.gates.Keep(listed)
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
 	g.notices.replicas = replicas
-	g.notices.account.Forget(clock.Now(), listed)
-	maps.DeleteFunc(g.notices.unread, func(replica string, _ bool) bool { return !listed(replica) })
-	if g.notices.leavers.Forget(clock.Now(), listed) {
-		g.boundLeavers()
+	g.notices.namedLimits.Forget(clock.Now(), listed)
+	maps.DeleteFunc(g.notices.invalidBackoff, func(replica string, _ bool) bool { return !listed(replica) })
+	if g.notices.leavingReplicas.Forget(clock.Now(), listed) {
+		g.closeLeaving()
 	}
-	if len(g.notices.rests.All()) > 0 {
-		g.boundResting()
+	if len(g.notices.backoffs.All()) > 0 {
+		g.closeBackedOff()
 	}
 }
--- a/gateway/noticestate.go
+++ b/gateway/noticestate.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// LimitState is a replica's limit as the state dump shows it.
+// LimitState is a replica's rate limit as the state dump shows it.
 type LimitState struct {
 	Replica   string  `json:"replica"`
 	PerSecond float64 `json:"per_second"`
-	// Seconds since it was first and last named.
+	// Seconds since the limit was first and last announced.
 	SinceS float64 `json:"since_s"`
 	NamedS float64 `json:"named_s"`
 }
 
-// limits lists the limits in force, for operators.
-func (n *notices) limits(now time.Time) []LimitState {
+// limitStates lists the limits in force, for operators.
+func (n *notices) limitStates(now time.Time) []LimitState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := []LimitState{}
-	for _, l := range n.account.Limits() {
+	for _, l := range n.namedLimits.Limits() {
 		out = append(out, LimitState{
 			Replica: l.Replica, PerSecond: l.Limit.PerSecond,
 			SinceS: now.Sub(l.Since).Seconds(), NamedS: now.Sub(l.At).Seconds(),
@@ -25,40 +25,40 @@
 	return out
 }
 
-// LeaverState is a replica that has said that it leaves, as the state dump shows it.
-type LeaverState struct {
+// LeavingState is a replica that announced that it is leaving, as the state dump shows it.
+type LeavingState struct {
 	Replica string `json:"replica"`
-	// Seconds since it was first heard to.
+	// Seconds since it was first heard to be leaving.
 	SinceS float64 `json:"since_s"`
 }
 
-// leaving lists the replicas that have said that they leave, for operators.
-func (n *notices) leaving(now time.Time) []LeaverState {
+// leavingStates lists the replicas that announced that they are leaving, for operators.
+func (n *notices) leavingStates(now time.Time) []LeavingState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out := []LeaverState{}
-	for _, l := range n.leavers.All() {
-		out = append(out, LeaverState{Replica: l.Replica, SinceS: now.Sub(l.At).Seconds()})
+	out := []LeavingState{}
+	for _, l := range n.leavingReplicas.All() {
+		out = append(out, LeavingState{Replica: l.Replica, SinceS: now.Sub(l.At).Seconds()})
 	}
 	return out
 }
 
-// RestState is a replica that wants nothing from this host, as the state dump shows it.
-type RestState struct {
+// BackoffState is a replica that asked this host for back-off, as the state dump shows it.
+type BackoffState struct {
 	Replica string `json:"replica"`
-	// Seconds since it first said so, and until that is over.
+	// Seconds since it first asked, and until the back-off is over.
 	SinceS float64 `json:"since_s"`
 	LeftS  float64 `json:"left_s"`
 }
 
-// resting lists the replicas that want nothing from this host, for operators.
-func (n *notices) resting(now time.Time) []RestState {
+// backoffStates lists the replicas that asked this host for back-off, for operators.
+func (n *notices) backoffStates(now time.Time) []BackoffState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out := []RestState{}
-	for _, r := range n.rests.All() {
+	out := []BackoffState{}
+	for _, r := range n.backoffs.All() {
 		if now.Before(r.Until) {
-			out = append(out, RestState{Replica: r.Replica, SinceS: now.Sub(r.Since).Seconds(), LeftS: r.Until.Sub(now).Seconds()})
+			out = append(out, BackoffState{Replica: r.Replica, SinceS: now.Sub(r.Since).Seconds(), LeftS: r.Until.Sub(now).Seconds()})
 		}
 	}
 	return out
--- /dev/null
+++ b/gateway/noticesync.go
@@ -0,0 +1,159 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/wheatseam/wheatseam/core/intake"
+	"github.com/wheatseam/wheatseam/internal/clock"
+	"github.com/wheatseam/wheatseam/peer"
+	"github.com/wheatseam/wheatseam/wire"
+)
+
+const (
+	methodNotices = "gateway.notices"
+	// noticeSendTimeout limits sending notices to one peer.
+	noticeSendTimeout = 500 * time.Millisecond
+	// noticeResendInterval is the interval at which neighbours are sent what was learned
+	// since the last time: limits that still hold, and notices whose call failed.
+	noticeResendInterval = 3 * time.Second
+	// leavingResendPeriod is for how long neighbours are told repeatedly that a replica is
+	// leaving.
+	leavingResendPeriod = 10 * time.Second
+	// maxNoticesPerCall limits the replicas in one call, at about 50 bytes each.
+	maxNoticesPerCall = 1000
+	// maxNoticeAge limits the ages that are accepted from a peer.
+	maxNoticeAge = time.Hour
+)
+
+// errNotInitialized says that a call came while this daemon was still being constructed.
+var errNotInitialized = errors.New("gateway: not started yet")
+
+// registerNoticeHandler handles the notices of replicas that peers send.
+func (g *Gateway) registerNoticeHandler(mux *peer.Mux) {
+	peer.Handle(mux, methodNotices, func(_ context.Context, from peer.Sender, m *wire.NoticesHeard) (*wire.NoticesNoted, error) {
+		select {
+		case <-g.initialized:
+		default:
+			return nil, errNotInitialized
+		}
+		g.mergeLeaving(from.Host, m.GetLeaving())
+		return &wire.NoticesNoted{Newer: g.mergeLimits(from.Host, m.GetLimits())}, nil
+	})
+}
+
+// resendNotices sends neighbours what was learned since they were last told, if that is
+// due.
+func (g *Gateway) resendNotices(now time.Time) {
+	n := &g.notices
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if now.Sub(n.lastResent) < noticeResendInterval {
+		return
+	}
+	g.sendToNeighbours("", &wire.NoticesHeard{
+		Limits: limitsToWire(now, n.namedLimits.News(n.lastResent)), Leaving: leavingToWire(now, n.leavingReplicas.Since(n.lastResent.Add(-leavingResendPeriod))),
+	})
+	n.lastResent = now
+}
+
+// sendToNeighbours sends notices to all neighbours except one; they forward what is new to
+// them. It does not wait for the calls.
+func (g *Gateway) sendToNeighbours(except string, m *wire.NoticesHeard) {
+	for len(m.Limits)+len(m.Leaving) > 0 {
+		part := &wire.NoticesHeard{}
+		part.Limits, m.Limits = splitBatch(m.Limits)
+		part.Leaving, m.Leaving = splitBatch(m.Leaving)
+		for _, host := range g.fleet.Neighbours() {
+			if host != except {
+				go g.sendNotices(host, part)
+			}
+		}
+	}
+}
+
+// splitBatch returns the notices that fit into one call, and the rest.
+func splitBatch[T any](all []T) (part, rest []T) {
+	n := min(len(all), maxNoticesPerCall)
+	return all[:n], all[n:]
+}
+
+func (g *Gateway) sendNotices(host string, m *wire.NoticesHeard) {
+	ctx, cancel := clock.WithTimeout(context.Background(), noticeSendTimeout)
+	defer cancel()
+	noted := &wire.NoticesNoted{}
+	if err := g.fleet.Caller().Call(ctx, host, methodNotices, m, noted); err != nil {
+		g.log.Info("sending replica notices to a peer failed", zap.String("peer", host), zap.Int("replicas", len(m.GetLimits())+len(m.GetLeaving())), zap.Error(err))
+		return
+	}
+	g.mergeLimits(host, noted.GetNewer())
+}
+
+// mergeLimits merges the limits that a peer knows, and returns those that this host knows
+// to be newer, to be sent to the peer.
+func (g *Gateway) mergeLimits(host string, received []*wire.ReplicaLimit) []*wire.ReplicaLimit {
+	now := clock.Now()
+	limits := limitsFromWire(now, received)
+	g.notices.mu.Lock()
+	defer g.notices.mu.Unlock()
+	changed, newer := g.notices.namedLimits.Learn(now, limits)
+	g.applyLimits(host, changed)
+	return limitsToWire(now, newer)
+}
+
+// mergeLeaving merges the leaving replicas that a peer knows.
+func (g *Gateway) mergeLeaving(host string, received []*wire.ReplicaLeaving) {
+	now := clock.Now()
+	var leaving []intake.Leaver
+	for _, l := range received {
+		if l.GetReplica() != "" {
+			leaving = append(leaving, intake.Leaver{Replica: l.GetReplica(), At: timeFromAge(now, l.GetAgeMs())})
+		}
+	}
+	g.notices.mu.Lock()
+	defer g.notices.mu.Unlock()
+	g.applyLeaving(host, g.notices.leavingReplicas.Learn(now, leaving))
+}
+
+func leavingToWire(now time.Time, leaving []intake.Leaver) []*wire.ReplicaLeaving {
+	out := make([]*wire.ReplicaLeaving, 0, len(leaving))
+	for _, l := range leaving {
+		out = append(out, &wire.ReplicaLeaving{Replica: l.Replica, AgeMs: now.Sub(l.At).Milliseconds()})
+	}
+	return out
+}
+
+// limitsToWire encodes times as ages, because the clocks of hosts are not synchronized.
+func limitsToWire(now time.Time, limits []intake.Limited) []*wire.ReplicaLimit {
+	out := make([]*wire.ReplicaLimit, 0, len(limits))
+	for _, l := range limits {
+		out = append(out, &wire.ReplicaLimit{
+			Replica: l.Replica, Named: l.Limit.Named, PerSecond: l.Limit.PerSecond, Round: l.Round,
+			AgeMs: now.Sub(l.At).Milliseconds(), SinceMs: now.Sub(l.Since).Milliseconds(),
+		})
+	}
+	return out
+}
+
+// limitsFromWire drops entries that no replica can have announced.
+func limitsFromWire(now time.Time, received []*wire.ReplicaLimit) []intake.Limited {
+	out := make([]intake.Limited, 0, len(received))
+	for _, l := range received {
+		limit := intake.Limit{Named: l.GetNamed()}
+		if limit.Named {
+			limit.PerSecond = l.GetPerSecond()
+		}
+		if l.GetReplica() != "" && limit.Valid() {
+			out = append(out, intake.Limited{Replica: l.GetReplica(), Limit: limit, Round: l.GetRound(), Since: timeFromAge(now, l.GetSinceMs()), At: timeFromAge(now, l.GetAgeMs())})
+		}
+	}
+	return out
+}
+
+// timeFromAge converts an age received from a peer to a time.
+func timeFromAge(now time.Time, ageMS int64) time.Time {
+	return now.Add(-time.Duration(min(max(0, ageMS), maxNoticeAge.Milliseconds())) * time.Millisecond)
+}
--- a/gateway/prompts.go
+++ b/gateway/prompts.go
@@ -16,26 +16,25 @@
 
 const (
 	methodPrompt = "gateway.prompt"
-	// tellReadPerHost times the hosts of the fleet is the reading time from which
-	// fellows are told of a prompt: what they spare with it grows with the time,
-	// and what telling costs with their number. Where an engine reads 38 tokens in
-	// a millisecond, these are prompts of 920 tokens with six hosts, and of 9,300
-	// with sixty.
-	tellReadPerHost = 4 * time.Millisecond
-	// tellTimeout bounds telling one fellow; later it is of no use.
-	tellTimeout = 200 * time.Millisecond
+	// announceReadTimePerHost times the number of hosts is the reading time from which
+	// peers are told of a prompt: the time that they save grows with the reading time, and
+	// the cost of telling them with their number. With an engine that reads 38 tokens per
+	// millisecond, these are prompts of 920 tokens with six hosts, and of 9,300 with sixty.
+	announceReadTimePerHost = 4 * time.Millisecond
+	// announceTimeout limits the call to one peer; a later announcement is of no use.
+	announceTimeout = 200 * time.Millisecond
 )
 
-// prompts is what is known of the prompts at engines. It is safe for concurrent
-// use.
-type prompts struct {
+// promptIndex records which engines hold the prefixes of which prompts. It is safe for
+// concurrent use.
+type promptIndex struct {
 	mu      sync.Mutex
 	holders prefix.Holders
 }
 
-// leadingHashes returns the hash of the first part of a prompt, of the first two
-// and so on, without the part that no other prompt shares.
-func (x *exchange) leadingHashes() []uint64 {
+// prefixHashes returns the hash of the first part of the prompt, of the first two and so
+// on, without the last part, which no other prompt shares.
+func (x *exchange) prefixHashes() []uint64 {
 	parts := x.req.Prompt
 	if len(parts) < 2 {
 		return nil
@@ -49,13 +48,13 @@
 	return hashes
 }
 
-// source returns the address of an engine from which the chosen one can copy
-// leading parts of the prompt; "" when it has them, or nobody does.
-func (g *Gateway) source(c request.Choice, leading []uint64) string {
+// prefixSource returns the address of an engine from which the chosen one can copy a prefix
+// of the prompt; "" when it has the prefix, or no engine does.
+func (g *Gateway) prefixSource(c request.Choice, hashes []uint64) string {
 	now := clock.Now()
 	g.prompts.mu.Lock()
 	defer g.prompts.mu.Unlock()
-	from, ok := g.prompts.holders.Source(now, leading, c.Upstream, func(e prefix.Engine) bool {
+	from, ok := g.prompts.holders.Source(now, hashes, c.Upstream, func(e prefix.Engine) bool {
 		return g.router.Usable(now, c.Pool, e.Name, e.Address)
 	})
 	if !ok {
@@ -64,39 +63,40 @@
 	return from.Address
 }
 
-// promptSent notes that an engine is being sent the request's prompt, and tells
-// the fellows if that is worth it to them.
-func (x *exchange) promptSent(c request.Choice, leading []uint64) {
+// recordPromptSent records that an engine is being sent the request's prompt, and announces
+// it to the peers if that is worth the calls.
+func (x *exchange) recordPromptSent(c request.Choice, hashes []uint64) {
 	g := x.g
 	engine := prefix.Engine{Name: c.Upstream, Address: c.Address}
 	now := clock.Now()
 	g.prompts.mu.Lock()
-	known := g.prompts.holders.Holds(now, leading, c.Upstream)
-	g.prompts.holders.Learn(now, leading, engine)
+	known := g.prompts.holders.Holds(now, hashes, c.Upstream)
+	g.prompts.holders.Learn(now, hashes, engine)
 	g.prompts.mu.Unlock()
-	read, _ := g.streams.reading(x.service, x.ownTokens())
-	saves := read
-	if _, shared := x.prefix(); !known {
-		again, _ := g.streams.reading(x.service, shared)
-		saves += again
+	read, _ := g.streamTimes.readTime(x.service, x.unsharedTokens())
+	savedTime := read
+	if _, shared := x.sharedPrefix(); !known {
+		sharedRead, _ := g.streamTimes.readTime(x.service, shared)
+		savedTime += sharedRead
 	}
-	fellows := g.fleet.Reachable()
-	if saves < tellReadPerHost*time.Duration(len(fellows)) {
+	peers := g.fleet.Reachable()
+	if savedTime < announceReadTimePerHost*time.Duration(len(peers)) {
 		return
 	}
-	told := &wire.PromptSent{
-		Service: c.Pool, Replica: c.Upstream, Address: c.Address, ReadMs: uint32(read.Milliseconds()), Leading: leading,
+	message := &wire.PromptSent{
+		Service: c.Pool, Replica: c.Upstream, Address: c.Address, ReadMs: uint32(read.Milliseconds()), Leading: hashes,
 	}
-	for _, h := range fellows {
+	for _, h := range peers {
 		if h.Name != g.settings.Load().Host {
-			go g.tell(h.Name, told)
+			go g.announcePrompt(h.Name, message)
 		}
 	}
 }
 
-// tell tells one fellow of a prompt. What is lost costs a fellow a worse choice.
-func (g *Gateway) tell(host string, p *wire.PromptSent) {
-	ctx, cancel := clock.WithTimeout(context.Background(), tellTimeout)
+// announcePrompt announces a prompt to one peer. A peer that misses it may choose an engine
+// less well.
+func (g *Gateway) announcePrompt(host string, p *wire.PromptSent) {
+	ctx, cancel := clock.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
 	result := "told"
 	if err := g.fleet.Caller().Call(ctx, host, methodPrompt, p, &wire.PromptNoted{}); err != nil {
@@ -105,8 +105,8 @@
 	g.metrics.GetOrCreateCounter(`wheatseam_prompts_told_total{result="` + result + `"}`).Inc()
 }
 
-// handlePrompts takes what fellows tell.
-func (g *Gateway) handlePrompts(mux *peer.Mux) {
+// registerPromptHandler handles the announcements of peers.
+func (g *Gateway) registerPromptHandler(mux *peer.Mux) {
 	peer.Handle(mux, methodPrompt, func(_ context.Context, _ peer.Sender, p *wire.PromptSent) (*wire.PromptNoted, error) {
 		now := clock.Now()
 		g.prompts.mu.Lock()
--- a/gateway/prompts_test.go
+++ b/gateway/prompts_test.go
@@ -21,33 +21,33 @@
 
 var _ = Describe("prompts that share parts", func() {
 	// stream sends one, and returns what ran.
-	stream := func(f *fixture, g *running, shared string, own int) site.Run {
+	sendStream := func(f *fixture, g *gatewayProcess, shared string, own int) site.Run {
 		GinkgoHelper()
-		a, id := g.send(http.MethodPost, onePath, "", prompt(shared, own))
+		a, id := g.send(http.MethodPost, streamPath, "", prompt(shared, own))
 		Expect(a.status).To(Equal(http.StatusOK))
 		runs := f.ledger.Runs(id)
 		Expect(runs).To(HaveLen(1))
 		return runs[0]
 	}
 	// learn has a gateway measure how engines read.
-	learn := func(f *fixture, g *running) {
+	measureReadTimes := func(f *fixture, g *gatewayProcess) {
 		for i := range 12 {
-			stream(f, g, fmt.Sprint("learn", i), 20+10*i)
+			sendStream(f, g, fmt.Sprint("learn", i), 20+10*i)
 		}
 	}
 
 	It("stay at one engine, and are copied from there to another", func() {
 		f := newFixture()
 		g := f.start().ready()
-		home := stream(f, g, "a", 10)
+		home := sendStream(f, g, "a", 10)
 		Expect(home.CopyFrom).To(BeEmpty())
 		for range 5 {
-			run := stream(f, g, "a", 10)
+			run := sendStream(f, g, "a", 10)
 			Expect(run.Replica).To(Equal(home.Replica))
 			Expect(run.CopyFrom).To(BeEmpty(), "it has the parts")
 		}
 		f.replicas[home.Replica].Behave(site.Behaviour{Shed: true})
-		run := stream(f, g, "a", 10)
+		run := sendStream(f, g, "a", 10)
 		Expect(run.Replica).NotTo(Equal(home.Replica))
 		Expect(run.CopyFrom).To(Equal(f.replicas[home.Replica].Address()))
 	})
@@ -57,18 +57,18 @@
 		f.behave("llm", site.Behaviour{ReadToken: 200 * time.Microsecond})
 		first := f.start().ready()
 		second := f.start(first.peers).ready()
-		Eventually(func() []string { return second.counters("wheatseam_hosts ") }, "5s").Should(ConsistOf("wheatseam_hosts 2"))
-		learn(f, first)
-		learn(f, second)
-		home := stream(f, first, "b", 10)
+		Eventually(func() []string { return second.metricLines("wheatseam_hosts ") }, "5s").Should(ConsistOf("wheatseam_hosts 2"))
+		measureReadTimes(f, first)
+		measureReadTimes(f, second)
+		home := sendStream(f, first, "b", 10)
 		long := make(chan site.Run)
 		go func() {
 			defer GinkgoRecover()
-			long <- stream(f, first, "b", 5000)
+			long <- sendStream(f, first, "b", 5000)
 		}()
-		Eventually(func() []string { return first.counters(`wheatseam_prompts_told_total{result="told"}`) }, "2s").ShouldNot(BeEmpty())
+		Eventually(func() []string { return first.metricLines(`wheatseam_prompts_told_total{result="told"}`) }, "2s").ShouldNot(BeEmpty())
 		time.Sleep(50 * time.Millisecond)
-		run := stream(f, second, "b", 10)
+		run := sendStream(f, second, "b", 10)
 		Expect(run.Replica).NotTo(Equal(home.Replica), "that engine reads for a second")
 		Expect(run.CopyFrom).To(Equal(f.replicas[home.Replica].Address()))
 		Expect((<-long).Replica).To(Equal(home.Replica))
@@ -77,7 +77,7 @@
 	It("are never copied from where a caller says", func() {
 		f := newFixture()
 		g := f.start().ready()
-		a, id := g.send(http.MethodPost, onePath, "", func(r *http.Request) {
+		a, id := g.send(http.MethodPost, streamPath, "", func(r *http.Request) {
 			prompt("c", 10)(r)
 			r.Header.Set("Kv-Fetch", "127.0.0.1:1")
 		})
--- a/gateway/reborn_test.go
+++ b/gateway/reborn_test.go
@@ -21,7 +21,7 @@
 			a, _ := g.send(http.MethodPost, sealPath, "", nil)
 			return a.status
 		}
-		refusals := func() []string { return g.counters("wheatseam_refusals_total") }
+		refusals := func() []string { return g.metricLines("wheatseam_refusals_total") }
 		Eventually(status, "2s").Should(Equal(http.StatusOK), "the replica answers to its id")
 		p1.Behave(site.Behaviour{ShedFree: true})
 		Expect(status()).To(Equal(http.StatusServiceUnavailable))
@@ -46,6 +46,6 @@
 			a, _ := g.send(http.MethodPost, sealPath, "", nil)
 			Expect(a.status).To(Equal(http.StatusOK))
 		}
-		Expect(g.counters("wheatseam_replica_entries_refused")).To(ConsistOf(HaveSuffix(" 3")))
+		Expect(g.metricLines("wheatseam_replica_entries_refused")).To(ConsistOf(HaveSuffix(" 3")))
 	})
 })
--- a/gateway/refusals.go
+++ b/gateway/refusals.go
@@ -13,22 +13,22 @@
 	"github.com/wheatseam/wheatseam/platform"
 )
 
-// refusals counts what replicas refuse, and tells when their load does not
-// explain it. It is safe for concurrent use.
-type refusals struct {
+// refusalMonitor counts the refusals of replicas, and raises an alarm when their load does
+// not explain them. It is safe for concurrent use.
+type refusalMonitor struct {
 	mu    sync.Mutex
 	watch *refusal.Watch
-	// counters holds the names of the counters of each replica, so that they go
+	// counters holds the names of each replica's counters, so that they can be unregistered
 	// with it.
 	counters map[string]map[string]bool
 }
 
-func newRefusals() *refusals {
-	return &refusals{watch: refusal.New(), counters: map[string]map[string]bool{}}
+func newRefusalMonitor() *refusalMonitor {
+	return &refusalMonitor{watch: refusal.New(), counters: map[string]map[string]bool{}}
 }
 
-// reasonOf says why a replica refused, by its answer.
-func reasonOf(status int, head platform.Answer) refusal.Reason {
+// refusalReason derives from a replica's answer why it refused.
+func refusalReason(status int, head platform.Answer) refusal.Reason {
 	switch {
 	case status == http.StatusConflict:
 		return refusal.InputsGone
@@ -42,9 +42,9 @@
 	return refusal.Unexplained
 }
 
-// noteRefusals takes the end of an attempt: it counts a refusal, and writes one
-// line in a while when a service refuses more than its load explains.
-func (g *Gateway) noteRefusals(service, replica string, reason refusal.Reason) {
+// recordRefusal records the end of an attempt: it counts a refusal, and logs at a limited
+// rate when a service refuses more than its load explains.
+func (g *Gateway) recordRefusal(service, replica string, reason refusal.Reason) {
 	g.refusals.mu.Lock()
 	alarm, raised := g.refusals.watch.Observe(clock.Now(), refusal.Attempt{Service: service, Replica: replica, Reason: reason})
 	if reason != "" {
@@ -57,17 +57,17 @@
 	}
 	g.refusals.mu.Unlock()
 	if raised {
-		g.log.Warn(unexplainedRefusals, zap.String("service", alarm.Service), zap.Int("attempts", alarm.Attempts),
+		g.log.Warn(unexplainedRefusalsMessage, zap.String("service", alarm.Service), zap.Int("attempts", alarm.Attempts),
 			zap.Int("refused", alarm.Unexplained), zap.Strings("replicas", alarm.Replicas), zap.Duration("over", refusal.Window))
 	}
 }
 
-// unexplainedRefusals is the message of the line about a service whose replicas
-// refuse while they have free places.
-const unexplainedRefusals = "service refuses more than its load explains"
+// unexplainedRefusalsMessage is the log message about a service whose replicas refuse while
+// they have free capacity.
+const unexplainedRefusalsMessage = "service refuses more than its load explains"
 
-// forgetRefusals drops the counters of replicas that are no longer listed.
-func (g *Gateway) forgetRefusals(v *discovery.View) {
+// dropRefusalCounters unregisters the counters of replicas that are no longer listed.
+func (g *Gateway) dropRefusalCounters(v *discovery.View) {
 	g.refusals.mu.Lock()
 	defer g.refusals.mu.Unlock()
 	for id, names := range g.refusals.counters {
--- a/gateway/refusals_test.go
+++ b/gateway/refusals_test.go
@@ -15,7 +15,7 @@
 )
 
 // counters returns the lines of a gateway's metrics that begin with a name.
-func (r *running) counters(name string) []string {
+func (r *gatewayProcess) metricLines(name string) []string {
 	r.test.Helper()
 	resp, err := http.Get("http://" + r.metrics + "/metrics")
 	r.Expect(err).NotTo(HaveOccurred())
@@ -44,7 +44,7 @@
 		lines := logs.FilterMessage("service refuses more than its load explains").All()
 		Expect(lines).To(HaveLen(1))
 		Expect(lines[0].ContextMap()).To(HaveKeyWithValue("service", "plain"))
-		Expect(g.counters("wheatseam_refusals_total")).To(ConsistOf(
+		Expect(g.metricLines("wheatseam_refusals_total")).To(ConsistOf(
 			ContainSubstring(`replica="p1",reason="unexplained"`), ContainSubstring(`replica="p2",reason="unexplained"`)))
 	})
 
@@ -53,10 +53,10 @@
 		g := f.start().ready()
 		f.behave("plain", site.Behaviour{Shed: true})
 		g.send(http.MethodPost, sealPath, "", nil)
-		Expect(g.counters("wheatseam_refusals_total")).NotTo(BeEmpty())
+		Expect(g.metricLines("wheatseam_refusals_total")).NotTo(BeEmpty())
 		f.store.Delete("servers/p1")
 		f.store.Delete("servers/p2")
-		Eventually(func() []string { return g.counters("wheatseam_refusals_total") }, "5s").Should(BeEmpty())
+		Eventually(func() []string { return g.metricLines("wheatseam_refusals_total") }, "5s").Should(BeEmpty())
 	})
 
 	It("are no fault of the service when a caller forged a header, which is counted", func() {
@@ -64,6 +64,6 @@
 		g := f.start().ready()
 		a, _ := g.send(http.MethodPost, sealPath, "", func(r *http.Request) { r.Header.Set("Kv-Hold", "x") })
 		Expect(a.status).To(Equal(http.StatusOK))
-		Expect(g.counters("wheatseam_forged_headers_total")).To(ConsistOf(`wheatseam_forged_headers_total{header="Kv-Hold"} 1`))
+		Expect(g.metricLines("wheatseam_forged_headers_total")).To(ConsistOf(`wheatseam_forged_headers_total{header="Kv-Hold"} 1`))
 	})
 })
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -15,10 +15,10 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// refusal turns a planner's refusal into an answer: nothing has run.
-func (x *exchange) refusal(r *stage.Refused) *problem.Error {
+// stageRefusal turns a planner's refusal into an answer: nothing has run.
+func (x *exchange) stageRefusal(r *stage.Refused) *problem.Error {
 	if x.r.Context().Err() != nil {
-		return problem.New(problem.CallerGone, "the caller left while its stages were made")
+		return problem.New(problem.CallerGone, "the caller disconnected while its stages ran")
 	}
 	x.g.log.Info("stages refused", logging.Request(r.Job), zap.String("reason", string(r.Reason)),
 		zap.Duration("predicted", r.Predicted), zap.Duration("retry_after", r.RetryAfter))
@@ -26,38 +26,38 @@
 	if r.Reason == stage.ReasonNoReplica {
 		e = problem.New(problem.NoUpstream, "stages: no replica")
 	}
-	return retryable(e, x.comeBack(r.RetryAfter))
+	return withRetryAfter(e, x.retryDelay(r.RetryAfter))
 }
 
-// The wait that a refused caller is told, as shares of the time that it has
-// left: callers wait a third of it at most. Bursts last seconds, so that a
-// caller who is back at once meets the same queue.
+// The Retry-After of a refused caller, as fractions of the time left to its deadline:
+// callers wait for at most a third of it. Bursts last seconds, so that a caller that
+// returns at once meets the same queue.
 const (
-	comeBackLeast = 0.2
-	comeBackMost  = 0.32
+	minRetryDelayFraction = 0.2
+	maxRetryDelayFraction = 0.32
 )
 
-// comeBack is when a refused caller should try again: after the wait at least,
-// spread so that those refused together do not return together.
-func (x *exchange) comeBack(least time.Duration) time.Duration {
+// retryDelay is when a refused caller should try again: after minDelay at the earliest,
+// randomized so that callers refused together do not return together.
+func (x *exchange) retryDelay(minDelay time.Duration) time.Duration {
 	left := float64(clock.Until(x.deadline))
-	after := time.Duration(left * (comeBackLeast + (comeBackMost-comeBackLeast)*rand.Float64()))
-	return max(after, min(least, time.Duration(left*comeBackMost)))
+	delay := time.Duration(left * (minRetryDelayFraction + (maxRetryDelayFraction-minRetryDelayFraction)*rand.Float64()))
+	return max(delay, min(minDelay, time.Duration(left*maxRetryDelayFraction)))
 }
 
-func retryable(e *problem.Error, after time.Duration) *problem.Error {
+func withRetryAfter(e *problem.Error, after time.Duration) *problem.Error {
 	e.RetryAfter = after
 	return e
 }
 
-// refuse answers with an error of this system's own. Where the status promises
-// that nothing has run, nothing may run later either: no attempt is under way.
-func (x *exchange) refuse(e *problem.Error) {
+// respondError answers with an error of this system's own. Where the status implies that
+// nothing has run, nothing may run later either: no attempt is in progress.
+func (x *exchange) respondError(e *problem.Error) {
 	x.outcome, x.detail = string(e.Kind), e.Detail
 	x.retryAfter = e.RetryAfter
 	if e.Kind == problem.CallerGone {
-		// A caller that only closed its sending side still reads: net/http would
-		// send it an empty 200.
+		// A caller that closed only its sending side still reads: net/http would send it an
+		// empty 200.
 		panic(http.ErrAbortHandler)
 	}
 	x.status = problem.Lookup(e.Kind).Status
@@ -65,5 +65,5 @@
 	platform.SetRefusal(h, x.req.ID, e.RetryAfter)
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	x.w.WriteHeader(x.status)
-	_, _ = io.WriteString(x.w, string(e.Kind)+"\n") // a caller that is gone needs no answer
+	_, _ = io.WriteString(x.w, string(e.Kind)+"\n") // a caller that has disconnected needs no answer
 }
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -24,94 +24,94 @@
 )
 
 const (
-	// maxFreeRepeats bounds the attempts of one request that did not run.
-	maxFreeRepeats = 3
-	// maxAnswerBytes bounds answers that are held until they are complete.
+	// maxFreeRetries limits the retries of one request after attempts that did not run.
+	maxFreeRetries = 3
+	// maxAnswerBytes limits answers that are buffered until they are complete.
 	maxAnswerBytes = 8 << 20
-	// leastLeft is told to a replica whose request's time ends as it is sent: without
-	// a time it would work on.
-	leastLeft = time.Millisecond
-	// refusedRetry is told to callers whose request every replica tried refused.
-	refusedRetry = 500 * time.Millisecond
+	// minTimeLeft is the time sent to a replica when the request's deadline passes as it is
+	// sent: without a limit the replica would keep working.
+	minTimeLeft = time.Millisecond
+	// refusedRetryAfter is sent to callers whose request was refused by every replica
+	// tried.
+	refusedRetryAfter = 500 * time.Millisecond
 )
 
-// relay sends the request to replicas until one answers or no further attempt
-// is allowed.
+// relay sends the request to replicas until one answers or no further attempt is allowed.
 func (x *exchange) relay() {
-	x.g.budget(x.service).Deposit(clock.Now())
+	x.g.retryBudget(x.service).Deposit(clock.Now())
 	for {
 		if clock.Until(x.deadline) <= 0 {
-			// The end of the context comes late to a host that stood still.
-			x.giveUp(problem.New(problem.DeadlineExceeded, "no time is left for an attempt"))
+			// On a host that was suspended, ctx ends later than the deadline.
+			x.fail(problem.New(problem.DeadlineExceeded, "no time is left for an attempt"))
 			return
 		}
-		choice, hold, perr := x.nextReplica()
+		choice, reservation, perr := x.nextReplica()
 		if perr != nil {
-			x.giveUp(perr)
+			x.fail(perr)
 			return
 		}
-		x.tried = append(x.tried, choice.Upstream)
-		end, perr := x.attempt(choice, hold)
+		x.triedReplicas = append(x.triedReplicas, choice.Upstream)
+		end, perr := x.attempt(choice, reservation)
 		if end == answered {
 			return
 		}
-		if x.noRepeat = x.repeatDenied(end); x.noRepeat != "" {
-			x.g.countDenied(x.service, x.noRepeat)
-			x.giveUp(perr)
+		if x.retryDenial = x.retryDenied(end); x.retryDenial != "" {
+			x.g.countRetryDenied(x.service, x.retryDenial)
+			x.fail(perr)
 			return
 		}
-		if end == inputsGone && x.next == nil {
+		if end == inputsGone && x.replacement == nil {
 			x.releaseInputs()
 		}
 	}
 }
 
-// nextReplica returns the replica of the next attempt and the place that is held
-// there; "" for none. What was secured when the last attempt was ended needs no
-// further condition.
-func (x *exchange) nextReplica() (c request.Choice, hold string, perr *problem.Error) {
-	if x.next != nil {
-		c, hold = x.takeNext()
-		return c, hold, nil
-	}
-	if perr = x.quarantined(); perr != nil {
+// nextReplica returns the replica of the next attempt and the reservation held there; ""
+// for none. A replacement that was reserved when the last attempt was cancelled needs no
+// further check.
+func (x *exchange) nextReplica() (c request.Choice, reservation string, perr *problem.Error) {
+	if x.replacement != nil {
+		c, reservation = x.takeReplacement()
+		return c, reservation, nil
+	}
+	if perr = x.checkQuarantine(); perr != nil {
 		return c, "", perr
 	}
-	if perr = x.holdInputs(); perr != nil {
+	if perr = x.ensureInputs(); perr != nil {
 		return c, "", perr
 	}
-	c, perr = x.g.router.Pick(clock.Now(), x.query(), nil)
+	c, perr = x.g.router.Pick(clock.Now(), x.routerQuery(), nil)
 	return c, "", perr
 }
 
-// engineSent notes that an engine is being sent the prompt, and returns from
-// whom it can copy what it lacks; "" for other services.
-func (x *exchange) engineSent(c request.Choice) (copyFrom string) {
+// sendingToEngine records that an engine is being sent the prompt, and returns the engine
+// from which it can copy the prefix that it lacks; "" for other services.
+func (x *exchange) sendingToEngine(c request.Choice) (copyFrom string) {
 	if s := x.config.Services[x.service]; s == nil || !s.Engine {
 		return ""
 	}
-	leading := x.leadingHashes()
-	copyFrom = x.g.source(c, leading)
-	x.promptSent(c, leading)
+	hashes := x.prefixHashes()
+	copyFrom = x.g.prefixSource(c, hashes)
+	x.recordPromptSent(c, hashes)
 	return copyFrom
 }
 
-// query asks the router for a replica.
-func (x *exchange) query() request.Query {
+// routerQuery is the query for a replica that is put to the router.
+func (x *exchange) routerQuery() request.Query {
 	q := request.Query{
 		Request: x.req.ID, Pool: x.service, Stage: x.route.Name, Kind: bundle.StageCall,
-		Attempt: len(x.tried) + 1, Tried: x.tried, Domain: x.domain, Budget: clock.Until(x.deadline),
+		Attempt: len(x.triedReplicas) + 1, Tried: x.triedReplicas, Domain: x.inputDomain, Budget: clock.Until(x.deadline),
 	}
 	if s := x.config.Services[x.service]; s != nil && s.Engine {
 		q.Kind = bundle.StageGenerate
-		q.Prefix, _ = x.prefix()
-		q.Read, q.FirstByte = x.g.streams.reading(x.service, x.ownTokens())
+		q.Prefix, _ = x.sharedPrefix()
+		q.Read, q.FirstByte = x.g.streamTimes.readTime(x.service, x.unsharedTokens())
 	}
 	return q
 }
 
-// giveUp ends a request without a replica's answer.
-func (x *exchange) giveUp(e *problem.Error) {
+// fail ends a request without a replica's answer.
+func (x *exchange) fail(e *problem.Error) {
 	if x.committed {
 		// The answer must not look complete.
 		x.outcome, x.detail = "broken_off", e.Detail
@@ -119,119 +119,121 @@
 	}
 	if x.r.Context().Err() != nil {
 		e = problem.New(problem.CallerGone, "the caller left")
-	} else if x.runs > 0 && promises(e.Kind) {
+	} else if x.runs > 0 && impliesNotExecuted(e.Kind) {
 		e = problem.New(problem.UpstreamFailed, "no replica answered")
 	}
-	x.refuse(e)
+	x.respondError(e)
 }
 
-// promises says whether the status of an error promises that nothing has run.
-func promises(k problem.Kind) bool { return promisesStatus(problem.Lookup(k).Status) }
+// impliesNotExecuted says whether the status of an error implies that nothing has run.
+func impliesNotExecuted(k problem.Kind) bool {
+	return statusImpliesNotExecuted(problem.Lookup(k).Status)
+}
 
-// attempt sends the request to one replica. The error says what to answer if
-// it is the last attempt.
-func (x *exchange) attempt(choice request.Choice, hold string) (attemptEnd, *problem.Error) {
+// attempt sends the request to one replica. The error is the answer if no further attempt
+// follows.
+func (x *exchange) attempt(choice request.Choice, reservation string) (attemptEnd, *problem.Error) {
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	defer cancel(nil)
-	t := &try{x: x, executions: x.runs + 1, ctx: ctx, choice: choice, hold: hold, copyFrom: x.engineSent(choice), began: clock.Now(), asleep: clock.Asleep(), cancel: cancel}
+	t := &attempt{x: x, runNumber: x.runs + 1, ctx: ctx, choice: choice, reservation: reservation, copyFrom: x.sendingToEngine(choice), began: clock.Now(), suspended: clock.Asleep(), cancel: cancel}
 	end, err := t.run()
-	t.report(end)
-	t.log(end, err)
+	t.reportOutcome(end)
+	t.logAttempt(end, err)
 	return end, err
 }
 
-// try is one attempt under way.
-type try struct {
+// attempt is one attempt in progress.
+type attempt struct {
 	x *exchange
-	// executions is the number of executions with this one.
-	executions int
-	// ctx ends with the exchange's, or by cancel.
+	// runNumber is the number of runs of the request, this one included.
+	runNumber int
+	// ctx ends with the exchange's ctx, or by cancel.
 	ctx    context.Context
 	choice request.Choice
-	// copyFrom is the engine from which the chosen one copies leading parts of
-	// the prompt; "" for none.
+	// copyFrom is the engine from which the chosen one copies a prefix of the prompt; ""
+	// for none.
 	copyFrom string
-	// hold is the place held for the request; "" for none.
-	hold  string
-	began time.Time
-	// asleep is for how long this host had slept when the attempt began.
-	asleep time.Duration
-	first  time.Time
-	// events counts those that the replica has sent.
-	events int
-	// refused says why the replica refused; "" if it did not.
-	refused refusal.Reason
-	// notice is what the replica says of itself in its answer.
+	// reservation is the ID of the capacity reserved for the request; "" for none.
+	reservation string
+	began       time.Time
+	// suspended is for how long this host had been suspended when the attempt began.
+	suspended time.Duration
+	firstAt   time.Time
+	// eventsReceived counts the events that the replica has sent.
+	eventsReceived int
+	// refusalReason says why the replica refused; "" if it did not.
+	refusalReason refusal.Reason
+	// notice is what the replica announces about itself in its answer.
 	notice intake.Notice
-	// cancel ends the attempt by this host's own decision, for a reason.
+	// cancel cancels the attempt by this host's own decision, with a cause.
 	cancel context.CancelCauseFunc
-	// endedHere is that reason, once the attempt has ended by it; nil else.
-	endedHere *leftError
-	// stopRelease keeps the inputs from being given up by time.
-	stopRelease func() bool
-	// watch is the watch over its silences; nil where no stream is expected.
-	watch *watch
+	// stallError is that cause, once the attempt has ended by it; nil otherwise.
+	stallError *stallError
+	// stopInputRelease cancels the timed release of the inputs.
+	stopInputRelease func() bool
+	// watch detects stalls of the attempt; nil where no stream is expected.
+	watch *stallWatch
 }
 
-// run makes the call, passes the answer on, and watches for silences of streams.
-func (t *try) run() (attemptEnd, *problem.Error) {
-	t.stopRelease = t.x.releaseWhenRead()
-	defer t.stopRelease()
+// run makes the call, relays the answer, and watches streams for stalls.
+func (t *attempt) run() (attemptEnd, *problem.Error) {
+	t.stopInputRelease = t.x.releaseInputsLater()
+	defer t.stopInputRelease()
 	if !t.x.route.Streaming {
 		return t.call()
 	}
-	t.watch = t.startWatch()
+	t.watch = t.startStallWatch()
 	end, perr := t.call()
-	t.x.next = t.watch.stop(end.wantsAnother())
-	t.x.leftOne = t.x.leftOne || t.endedHere != nil
+	t.x.replacement = t.watch.stop(end.needsRetry())
+	t.x.cancelledRun = t.x.cancelledRun || t.stallError != nil
 	return end, perr
 }
 
-// call makes the call and passes the answer on.
-func (t *try) call() (attemptEnd, *problem.Error) {
+// call makes the call and relays the answer.
+func (t *attempt) call() (attemptEnd, *problem.Error) {
 	x := t.x
-	resp, err := x.g.client.Do(t.ctx, t.outgoing())
+	resp, err := x.g.client.Do(t.ctx, t.newCall())
 	if err != nil {
 		if httpbody.NotSent(err) {
-			return notSent, retryable(problem.New(problem.NoUpstream, "no connection to a replica"), refusedRetry)
+			return notSent, withRetryAfter(problem.New(problem.NoUpstream, "no connection to a replica"), refusedRetryAfter)
 		}
 		x.runs++
-		return t.broken(err)
+		return t.callFailed(err)
 	}
 	defer resp.Body.Close()
 	head := resp.Head
-	t.observe(head.Load)
+	t.observeLoad(head.Load)
 	t.notice = head.Notice
 	if head.NotExecuted {
-		t.refused = reasonOf(resp.StatusCode, head)
+		t.refusalReason = refusalReason(resp.StatusCode, head)
 	}
 	switch {
 	case head.NotExecuted && resp.StatusCode == http.StatusConflict:
-		x.inputsGone()
-		return inputsGone, retryable(problem.New(problem.Overloaded, "inputs gone"), refusedRetry)
+		x.extendInputRetention()
+		return inputsGone, withRetryAfter(problem.New(problem.Overloaded, "inputs gone"), refusedRetryAfter)
 	case head.NotExecuted:
-		return notExecuted, retryable(problem.New(problem.Overloaded, "replicas refuse"), refusedRetry)
+		return notExecuted, withRetryAfter(problem.New(problem.Overloaded, "replicas refuse"), refusedRetryAfter)
 	}
 	x.runs++
 	if head.RequestID != "" && head.RequestID != x.req.ID {
 		return failed, problem.New(problem.UpstreamFailed, "the answer is another request's")
 	}
 	if t.watch != nil && resp.StatusCode == http.StatusOK && head.Signed {
-		return t.passEvents(resp.Response)
+		return t.relayEvents(resp.Response)
 	}
-	return t.whole(resp.Response, head)
+	return t.relayWhole(resp.Response, head)
 }
 
-// outgoing is the request as it goes to the replica.
-func (t *try) outgoing() replica.Call {
+// newCall is the request as it is sent to the replica.
+func (t *attempt) newCall() replica.Call {
 	x := t.x
 	a := platform.Attempt{
-		Replica: t.choice.Upstream, Left: max(clock.Until(x.deadline), leastLeft), Priority: -1,
-		Inputs: x.inputs, LastEvent: x.lastEvent, CopyFrom: t.copyFrom, Hold: t.hold,
+		Replica: t.choice.Upstream, Left: max(clock.Until(x.deadline), minTimeLeft), Priority: -1,
+		Inputs: x.inputs, LastEvent: x.lastEvent, CopyFrom: t.copyFrom, Hold: t.reservation,
 	}
 	a.Tenant = x.customer()
 	if x.route.Streaming {
-		a.Priority = x.rank().Level()
+		a.Priority = x.priority().Level()
 	}
 	return replica.Call{
 		Replica: t.choice.Upstream, Request: x.req.ID, Work: true,
@@ -240,76 +242,76 @@
 	}
 }
 
-// broken says what a call that failed on the way means.
-func (t *try) broken(err error) (attemptEnd, *problem.Error) {
+// callFailed classifies a call that failed in transit.
+func (t *attempt) callFailed(err error) (attemptEnd, *problem.Error) {
 	if t.x.ctx.Err() != nil {
 		return abandoned, problem.New(problem.DeadlineExceeded, "no answer in time")
 	}
-	if errors.As(context.Cause(t.ctx), &t.endedHere) {
-		return left, problem.New(problem.UpstreamFailed, "this host ended the attempt: %v", t.endedHere)
+	if errors.As(context.Cause(t.ctx), &t.stallError) {
+		return stalled, problem.New(problem.UpstreamFailed, "this host cancelled the attempt: %v", t.stallError)
 	}
 	if httpbody.BrokenOff(err) {
-		t.brokeOff()
+		t.reportBrokenConnection()
 	}
 	return failed, problem.New(problem.UpstreamFailed, "the replica broke off: %v", err)
 }
 
-// brokeOff has it looked into whether the replica ended under the request. One that
-// drains, or is listed no more, ends when its time has come, and while this host slept
-// it may have ended for anything.
-func (t *try) brokeOff() {
+// reportBrokenConnection starts an investigation into whether the replica crashed under the
+// request. A replica that drains, or is no longer listed, is expected to end; while this
+// host was suspended it may have ended for any reason.
+func (t *attempt) reportBrokenConnection() {
 	x := t.x
-	r, listed := x.g.found.View().Replicas[t.choice.Upstream]
-	if !listed || r.Draining || clock.Asleep() > t.asleep {
+	r, listed := x.g.discovery.View().Replicas[t.choice.Upstream]
+	if !listed || r.Draining || clock.Asleep() > t.suspended {
 		return
 	}
 	x.g.quarantine.BrokeOff(quarantine.Attempt{
-		Service: x.service, Replica: t.choice.Upstream, Address: t.choice.Address, Request: x.content, Began: t.began,
+		Service: x.service, Replica: t.choice.Upstream, Address: t.choice.Address, Request: x.fingerprint, Began: t.began,
 	})
 }
 
-// whole passes an answer on once it is complete.
-func (t *try) whole(resp *http.Response, head platform.Answer) (attemptEnd, *problem.Error) {
+// relayWhole relays an answer once it is complete.
+func (t *attempt) relayWhole(resp *http.Response, head platform.Answer) (attemptEnd, *problem.Error) {
 	x := t.x
 	body, err := httpbody.Read(resp.Body, maxAnswerBytes)
 	switch {
 	case errors.Is(err, httpbody.ErrTooLarge):
 		return failed, problem.New(problem.UpstreamFailed, "the answer is over %d bytes", maxAnswerBytes)
 	case err != nil:
-		return t.broken(err)
+		return t.callFailed(err)
 	case resp.StatusCode < http.StatusMultipleChoices && !head.Signed:
 		return failed, problem.New(problem.UpstreamFailed, "the answer has no signature")
-	case promisesStatus(resp.StatusCode):
-		// The replica does not say that it has not run, so that its status
-		// would promise too much.
-		return failed, problem.New(problem.UpstreamFailed, "status %d without a word on execution", resp.StatusCode)
-	case resp.StatusCode >= http.StatusInternalServerError && t.repeatedNow():
-		return repeatNow, problem.New(problem.UpstreamFailed, "status %d", resp.StatusCode)
+	case statusImpliesNotExecuted(resp.StatusCode):
+		// The replica does not say that it has not run the request, so that its status
+		// would wrongly imply it.
+		return failed, problem.New(problem.UpstreamFailed, "status %d does not say whether the request was executed", resp.StatusCode)
+	case resp.StatusCode >= http.StatusInternalServerError && t.retryFollows():
+		return failedRetrying, problem.New(problem.UpstreamFailed, "status %d", resp.StatusCode)
 	}
 	if x.committed {
 		return abandoned, problem.New(problem.UpstreamFailed, "a stream cannot go on with status %d", resp.StatusCode)
 	}
-	t.first = clock.Now()
+	t.firstAt = clock.Now()
 	h := x.w.Header()
 	platform.CopyAnswer(h, resp.Header)
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	x.w.WriteHeader(resp.StatusCode)
-	_, _ = x.w.Write(body) // a caller that is gone needs no answer
+	_, _ = x.w.Write(body) // a caller that has disconnected needs no answer
 	x.status, x.outcome = resp.StatusCode, "answered"
 	return answered, nil
 }
 
-// repeatedNow says whether another run follows an answer that tells of a failure: the
-// one that was secured, or one for a repeat of the budget.
-func (t *try) repeatedNow() bool {
+// retryFollows says whether another run follows an answer that reports a failure: the one
+// that was reserved, or one that the retry budget allows.
+func (t *attempt) retryFollows() bool {
 	if t.watch != nil && t.watch.stop(true) != nil {
 		return true
 	}
-	return t.x.repeatDenied(failed) == ""
+	return t.x.retryDenied(failed) == ""
 }
 
-// promisesStatus says whether a status promises that nothing has run.
-func promisesStatus(status int) bool {
+// statusImpliesNotExecuted says whether a status implies that nothing has run.
+func statusImpliesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -317,27 +319,28 @@
 	return false
 }
 
-// log writes the attempt's line: what decided on the replica, and how it ended.
-func (t *try) log(end attemptEnd, err *problem.Error) {
+// logAttempt writes the attempt's log line: what the replica was chosen by, and how it
+// ended.
+func (t *attempt) logAttempt(end attemptEnd, err *problem.Error) {
 	x := t.x
 	fields := []zap.Field{
-		logging.Request(x.req.ID), zap.Int("attempt", len(x.tried)), zap.String("service", x.service),
-		zap.String("replica", t.choice.Upstream), zap.String("failure_domain", t.choice.FailureDomain), zap.Stringer("content", x.content),
-		zap.String("inputs_in", x.domain), zap.Duration("view_age", t.began.Sub(x.viewAsOf)),
+		logging.Request(x.req.ID), zap.Int("attempt", len(x.triedReplicas)), zap.String("service", x.service),
+		zap.String("replica", t.choice.Upstream), zap.String("failure_domain", t.choice.FailureDomain), zap.Stringer("content", x.fingerprint),
+		zap.String("inputs_in", x.inputDomain), zap.Duration("view_age", t.began.Sub(x.viewAsOf)),
 		zap.Uint64("version", x.config.Version), zap.Duration("left", x.deadline.Sub(t.began)),
 		zap.Stringer("end", end), zap.Duration("took", clock.Since(t.began)),
 	}
-	if hash, tokens := x.prefix(); tokens > 0 {
+	if hash, tokens := x.sharedPrefix(); tokens > 0 {
 		if t.copyFrom != "" {
 			fields = append(fields, zap.String("copy_from", t.copyFrom))
 		}
 		fields = append(fields, zap.String("prefix", strconv.FormatUint(hash, 16)), zap.Int("shared_tokens", tokens))
 	}
-	if !t.first.IsZero() {
-		fields = append(fields, zap.Duration("first", t.first.Sub(t.began)))
+	if !t.firstAt.IsZero() {
+		fields = append(fields, zap.Duration("first", t.firstAt.Sub(t.began)))
 	}
-	if t.refused != "" {
-		fields = append(fields, zap.String("refused_for", string(t.refused)))
+	if t.refusalReason != "" {
+		fields = append(fields, zap.String("refused_for", string(t.refusalReason)))
 	}
 	if t.notice.Limit.Named {
 		fields = append(fields, zap.Float64("limit", t.notice.Limit.PerSecond))
@@ -354,49 +357,49 @@
 	x.g.log.Info("attempt", fields...)
 }
 
-// observe passes a replica's account of its load to the router.
-func (t *try) observe(l *platform.Load) {
+// observeLoad passes a replica's load report to the router.
+func (t *attempt) observeLoad(l *platform.Load) {
 	if l != nil {
 		t.x.g.router.Observe(load.Report{Upstream: t.choice.Upstream, AsOf: clock.Now(), Running: l.Running, Queued: l.Waiting})
 	}
 }
 
-// work is the time that a stream was expected to take, in milliseconds: streams
-// of a route differ by a hundred times. It is 0 when that is not known.
-func (t *try) work(o request.Outcome) int {
-	if t.events == 0 {
+// expectedMillis is the time that a stream was expected to take, in milliseconds: streams
+// of one route differ by a factor of a hundred. It is 0 when that is not known.
+func (t *attempt) expectedMillis(o request.Outcome) int {
+	if t.eventsReceived == 0 {
 		return 0
 	}
-	expected := t.x.g.streams.observeWhole(t.x.service, t.x.ownTokens(), t.events, o.FirstByte, o.Latency)
+	expected := t.x.g.streamTimes.observeTotal(t.x.service, t.x.unsharedTokens(), t.eventsReceived, o.FirstByte, o.Latency)
 	return int(expected.Milliseconds())
 }
 
-// report tells the router how the attempt ended.
-func (t *try) report(end attemptEnd) {
+// reportOutcome tells the router how the attempt ended.
+func (t *attempt) reportOutcome(end attemptEnd) {
 	now := clock.Now()
 	o := request.Outcome{Choice: t.choice, Stage: t.x.route.Name, Latency: now.Sub(t.began)}
-	if !t.first.IsZero() {
-		o.FirstByte = t.first.Sub(t.began)
+	if !t.firstAt.IsZero() {
+		o.FirstByte = t.firstAt.Sub(t.began)
 	}
 	t.x.g.countAttempt(t.x.service, end, o.Latency)
-	if t.endedHere != nil {
-		t.x.g.countEndedHere(t.x.service, t.endedHere.account)
+	if t.stallError != nil {
+		t.x.g.countCancelledStall(t.x.service, t.stallError.account)
 	}
-	t.x.g.noteRefusals(t.x.service, t.choice.Upstream, t.refused)
-	if end == answered || end == repeatNow {
-		t.x.g.quarantine.Served(t.x.content)
+	t.x.g.recordRefusal(t.x.service, t.choice.Upstream, t.refusalReason)
+	if end == answered || end == failedRetrying {
+		t.x.g.quarantine.Served(t.x.fingerprint)
 	}
 	switch end {
 	case answered:
 		o.Result = request.CallOK
-		o.Work = t.work(o)
+		o.Work = t.expectedMillis(o)
 	case notExecuted, inputsGone:
 		o.Result = request.CallRefused
-	case notSent, failed, repeatNow:
+	case notSent, failed, failedRetrying:
 		o.Result = request.CallFailed
-	case left:
+	case stalled:
 		o.Result = request.CallCancelled
-		if t.endedHere != nil && t.endedHere.blamed() {
+		if t.stallError != nil && t.stallError.replicaAtFault() {
 			o.Result = request.CallFailed
 		}
 	case abandoned:
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -74,7 +74,7 @@
 		f := newFixture()
 		f.store.Delete("op/config")
 		g := f.start()
-		Eventually(g.status, "2s").Should(Equal(http.StatusServiceUnavailable))
+		Eventually(g.readinessStatus, "2s").Should(Equal(http.StatusServiceUnavailable))
 		a, _ := g.send(http.MethodPost, sealPath, "", nil)
 		Expect(a.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(a.header.Get("Retry-After")).NotTo(BeEmpty())
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -6,15 +6,15 @@
 	"go.uber.org/zap"
 )
 
-// Settings returns the settings in force; they must not be changed.
+// Settings returns the settings in force; they must not be modified.
 func (g *Gateway) Settings() *Settings { return g.settings.Load() }
 
-// Reload takes changed settings. What a running process cannot change keeps its
-// old value, and a line says so.
+// Reload applies changed settings. Settings that a running process cannot change keep their
+// old value, which the log line reports as needs_restart.
 func (g *Gateway) Reload(next *Settings) {
 	old := g.settings.Load()
 	merged := *next
-	// Names and listeners are those of the running process.
+	// Names and listeners are fixed at the start of the process.
 	merged.Host, merged.Name, merged.FailureDomain = old.Host, old.Name, old.FailureDomain
 	merged.Listen, merged.Store.Address = old.Listen, old.Store.Address
 	merged.Limits = old.Limits
--- a/gateway/repeat_test.go
+++ b/gateway/repeat_test.go
@@ -26,10 +26,10 @@
 // begins. The request then needs the attempt's error for its answer.
 func TestDeadlineBetweenAttempts(t *testing.T) {
 	RegisterTestingT(t)
-	fellows, err := fleet.New(fleet.Config{Self: fleet.Host{Host: member.Host{Name: "d0"}}, Mux: peer.NewMux(), Logger: zap.NewNop()})
+	members, err := fleet.New(fleet.Config{Self: fleet.Host{Host: member.Host{Name: "d0"}}, Mux: peer.NewMux(), Logger: zap.NewNop()})
 	Expect(err).NotTo(HaveOccurred())
-	g := &Gateway{fleet: fellows}
-	g.budgets.Store("reports", retry.NewShared(1, 10, time.Second, 1))
+	g := &Gateway{fleet: members}
+	g.retryBudgets.Store("reports", retry.NewShared(1, 10, time.Second, 1))
 	ctx, cancel := context.WithCancel(context.Background())
 	answer := httptest.NewRecorder()
 	x := &exchange{
@@ -37,11 +37,11 @@
 		route: &catalog.Route{Repeat: catalog.Idempotent, Attempts: 2},
 	}
 	resp := &http.Response{StatusCode: http.StatusInternalServerError, Body: io.NopCloser(strings.NewReader("broken"))}
-	end, perr := (&try{x: x, ctx: ctx}).whole(resp, platform.Answer{})
-	Expect(end).To(Equal(repeatNow))
+	end, perr := (&attempt{x: x, ctx: ctx}).relayWhole(resp, platform.Answer{})
+	Expect(end).To(Equal(failedRetrying))
 	cancel()
-	Expect(x.repeatDenied(end)).To(Equal(deniedOver))
-	x.giveUp(perr)
+	Expect(x.retryDenied(end)).To(Equal(deniedDeadline))
+	x.fail(perr)
 	Expect(answer.Code).To(Equal(http.StatusBadGateway))
 }
 
@@ -49,18 +49,18 @@
 // anything tells it so. No replica is sent what nobody waits for, nor more time than is left.
 func TestNothingIsSentAfterTheDeadline(t *testing.T) {
 	RegisterTestingT(t)
-	fellows, err := fleet.New(fleet.Config{Self: fleet.Host{Host: member.Host{Name: "d0"}}, Mux: peer.NewMux(), Logger: zap.NewNop()})
+	members, err := fleet.New(fleet.Config{Self: fleet.Host{Host: member.Host{Name: "d0"}}, Mux: peer.NewMux(), Logger: zap.NewNop()})
 	Expect(err).NotTo(HaveOccurred())
-	g := &Gateway{fleet: fellows, router: route.New(route.Config{})}
-	g.budgets.Store("reports", retry.NewShared(1, 10, time.Second, 1))
+	g := &Gateway{fleet: members, router: route.New(route.Config{})}
+	g.retryBudgets.Store("reports", retry.NewShared(1, 10, time.Second, 1))
 	answer := httptest.NewRecorder()
 	x := &exchange{
 		g: g, w: answer, r: httptest.NewRequest(http.MethodGet, "/", nil), ctx: context.Background(), service: "reports",
 		route: &catalog.Route{Repeat: catalog.Idempotent, Attempts: 2}, deadline: clock.Now().Add(-time.Second),
 	}
 	x.relay()
-	Expect(x.tried).To(BeEmpty())
+	Expect(x.triedReplicas).To(BeEmpty())
 	Expect(answer.Code).To(Equal(http.StatusGatewayTimeout))
-	call := (&try{x: x}).outgoing()
+	call := (&attempt{x: x}).newCall()
 	Expect(call.Header.Get("Deadline-Ms")).To(Equal("1"))
 }
--- a/gateway/replacement.go
+++ b/gateway/replacement.go
@@ -14,124 +14,126 @@
 	"github.com/wheatseam/wheatseam/replica"
 )
 
-// replacement is everything that a further run of a request needs: a repeat of the
-// budget, a replica with a place held for the request, and the inputs.
+// replacement is everything that another run of a request needs: a retry from the budget, a
+// replica with capacity reserved for the request, and the inputs.
 type replacement struct {
 	choice request.Choice
-	// hold is the place held there; "" where the replica holds none.
-	hold string
+	// reservation is the ID of the capacity reserved there; "" where the replica supports
+	// no reservations.
+	reservation string
 	// inputs are those of the run; nil for a request without stages.
-	inputs *inputs
+	inputs *stageInputs
 }
 
 const (
-	// holdTimeout bounds holding a place at one replica; then another one is asked.
-	holdTimeout = 250 * time.Millisecond
-	// holdLife is for how long a place is held, and renewHold when it is held anew
-	// after that long, as the inputs took.
-	holdLife  = time.Second
-	renewHold = 700 * time.Millisecond
-	// maxHoldTries bounds the replicas that are asked for a place.
-	maxHoldTries = 3
+	// reservationTimeout limits one reservation call; after it another replica is asked.
+	reservationTimeout = 250 * time.Millisecond
+	// reservationTTL is for how long capacity is reserved. A reservation is renewed if
+	// running the stages took longer than reservationRenewAfter.
+	reservationTTL        = time.Second
+	reservationRenewAfter = 700 * time.Millisecond
+	// maxReservationAttempts limits the replicas that are asked to reserve capacity.
+	maxReservationAttempts = 3
 )
 
-// secure secures a further run of the request while an attempt is under way. It is
-// called beside the exchange's own goroutine and changes nothing of the exchange
-// but prepared. What is returned is owed to giveBack, unless it is used. Only for a run
-// that is doubted a replica that holds no places is taken at the router's word.
-func (x *exchange) secure(ctx context.Context, t *try, at progress, doubted bool) (*replacement, denial) {
-	if d := x.furtherRunDenied(t, at); d != "" {
+// reserveReplacement reserves another run of the request while an attempt is in progress.
+// It is called concurrently with the exchange's own goroutine and changes nothing of the
+// exchange but inputsHeld. The result must be used or passed to releaseReplacement. A
+// replica that supports no reservations is accepted, on the router's choice alone, only if
+// the current run is suspected to have failed.
+func (x *exchange) reserveReplacement(ctx context.Context, current *attempt, at progress, suspected bool) (*replacement, denial) {
+	if d := x.replacementDenied(current, at); d != "" {
 		return nil, d
 	}
-	budget := x.g.budget(x.service)
+	budget := x.g.retryBudget(x.service)
 	if !budget.Withdraw(clock.Now()) {
 		return nil, deniedBudget
 	}
-	r, d := x.secureRun(ctx, t, doubted)
+	r, d := x.reserveReplicaAndInputs(ctx, current, suspected)
 	if r == nil {
 		budget.Return(clock.Now())
 	}
 	return r, d
 }
 
-// furtherRunDenied says what speaks against a further run that begins now; "" for
-// nothing.
-func (x *exchange) furtherRunDenied(t *try, at progress) denial {
-	expected, _ := x.g.streams.expect(x.service, x.route.Name, x.ownTokens())
+// replacementDenied says why no further run may begin now; "" if one may.
+func (x *exchange) replacementDenied(current *attempt, at progress) denial {
+	expected, _ := x.g.streamTimes.expectFirstEvent(x.service, x.route.Name, x.unsharedTokens())
 	switch {
-	case !x.resumableAfter(at):
+	case !x.resumableFrom(at):
 		return deniedCommitted
 	case clock.Until(x.deadline) <= expected:
 		return deniedTime
-	case x.quarantined() != nil:
-		return deniedVerdict
+	case x.checkQuarantine() != nil:
+		return deniedQuarantine
 	}
-	return x.anotherRunDenied(t.executions)
+	return x.routeRetryDenied(current.runNumber)
 }
 
-// secureRun secures a replica and the inputs. The place comes first: inputs that are
-// made for nothing cost other requests their calls.
-func (x *exchange) secureRun(ctx context.Context, t *try, doubted bool) (*replacement, denial) {
+// reserveReplicaAndInputs reserves a replica and produces the inputs. The replica comes
+// first: inputs that are produced in vain take stage capacity from other requests.
+func (x *exchange) reserveReplicaAndInputs(ctx context.Context, current *attempt, suspected bool) (*replacement, denial) {
 	r := &replacement{}
-	if !x.holdPlace(ctx, r, doubted) {
-		return nil, deniedOr(ctx, deniedReplica)
+	if !x.reserveReplica(ctx, r, suspected) {
+		return nil, denialOrCancelled(ctx, deniedReplica)
 	}
-	if len(x.inputs) == 0 || t.keepInputs() {
-		return x.stillTaken(r)
+	if len(x.inputs) == 0 || current.cancelInputRelease() {
+		return x.confirmReplacement(r)
 	}
-	held := clock.Now()
-	in, perr := x.makeInputs(ctx, held)
+	reservedAt := clock.Now()
+	in, perr := x.runStages(ctx, reservedAt)
 	if perr != nil {
-		x.givePlaceBack(r)
-		return nil, deniedOr(ctx, deniedInputs)
+		x.releaseReplica(r)
+		return nil, denialOrCancelled(ctx, deniedInputs)
 	}
 	r.inputs = in
-	if clock.Since(held) > renewHold && !x.renewPlace(ctx, r) {
-		x.givePlaceBack(r)
+	if clock.Since(reservedAt) > reservationRenewAfter && !x.renewReservation(ctx, r) {
+		x.releaseReplica(r)
 		x.releaseInputs()
-		return nil, deniedOr(ctx, deniedReplica)
+		return nil, denialOrCancelled(ctx, deniedReplica)
 	}
-	return x.stillTaken(r)
+	return x.confirmReplacement(r)
 }
 
-// stillTaken gives a replacement up whose replica has said meanwhile that it takes nothing.
-func (x *exchange) stillTaken(r *replacement) (*replacement, denial) {
+// confirmReplacement releases a replacement whose replica has announced meanwhile that it
+// takes no calls.
+func (x *exchange) confirmReplacement(r *replacement) (*replacement, denial) {
 	if !x.g.gates.Of(r.choice.Upstream).TurnsAway(clock.Now()) {
 		return r, ""
 	}
-	x.givePlaceBack(r)
+	x.releaseReplica(r)
 	if r.inputs != nil {
 		x.releaseInputs()
 	}
 	return nil, deniedReplica
 }
 
-// renewPlace has another place held where the first one may lapse.
-func (x *exchange) renewPlace(ctx context.Context, r *replacement) bool {
-	if r.hold == "" {
+// renewReservation reserves capacity anew where the first reservation may expire.
+func (x *exchange) renewReservation(ctx context.Context, r *replacement) bool {
+	if r.reservation == "" {
 		return true
 	}
-	hold, err := x.hold(ctx, r.choice)
+	id, err := x.reserve(ctx, r.choice)
 	if err != nil {
 		return false
 	}
-	go x.dropHold(r.choice, r.hold)
-	r.hold = hold
+	go x.cancelReservation(r.choice, r.reservation)
+	r.reservation = id
 	return true
 }
 
-// deniedOr is a denial, or that the replacement is not wanted any more.
-func deniedOr(ctx context.Context, d denial) denial {
+// denialOrCancelled is d, or deniedCancelled if the replacement is no longer wanted.
+func denialOrCancelled(ctx context.Context, d denial) denial {
 	if ctx.Err() != nil {
-		return deniedMeanwhile
+		return deniedCancelled
 	}
 	return d
 }
 
-// holdPlace picks a replica that was not tried and has a place held there.
-func (x *exchange) holdPlace(ctx context.Context, r *replacement, doubted bool) bool {
-	q := x.query()
-	for n := 0; n < maxHoldTries && ctx.Err() == nil; n++ {
+// reserveReplica picks a replica that was not tried yet and reserves capacity there.
+func (x *exchange) reserveReplica(ctx context.Context, r *replacement, suspected bool) bool {
+	q := x.routerQuery()
+	for n := 0; n < maxReservationAttempts && ctx.Err() == nil; n++ {
 		choice, perr := x.g.router.Pick(clock.Now(), q, nil)
 		if perr != nil {
 			return false
@@ -140,21 +142,21 @@
 			x.g.router.Unpick(clock.Now(), choice)
 			return false
 		}
-		hold, err := x.hold(ctx, choice)
-		if err == nil || doubted && errors.Is(err, replica.ErrUnknownCall) {
-			r.choice, r.hold = choice, hold
+		id, err := x.reserve(ctx, choice)
+		if err == nil || suspected && errors.Is(err, replica.ErrUnknownCall) {
+			r.choice, r.reservation = choice, id
 			return true
 		}
-		x.g.log.Info("no place held", logging.Request(x.req.ID), zap.String("replica", choice.Upstream), zap.Error(err))
-		x.unpick(choice, err)
+		x.g.log.Info("no capacity reserved", logging.Request(x.req.ID), zap.String("replica", choice.Upstream), zap.Error(err))
+		x.releasePick(choice, err)
 		q.Tried = append(slices.Clip(q.Tried), choice.Upstream)
 	}
 	return false
 }
 
-// unpick takes the pick of a replica back that held no place. One that refuses is left
-// alone for a moment.
-func (x *exchange) unpick(c request.Choice, err error) {
+// releasePick releases the pick of a replica that reserved no capacity. One that refused is
+// avoided for a moment.
+func (x *exchange) releasePick(c request.Choice, err error) {
 	if errors.Is(err, replica.ErrNoRoom) {
 		x.g.router.Done(clock.Now(), request.Outcome{Choice: c, Stage: x.route.Name, Result: request.CallRefused})
 		return
@@ -162,74 +164,74 @@
 	x.g.router.Unpick(clock.Now(), c)
 }
 
-// hold has a place held at a replica. One that comes when it is not wanted any more is
-// given back.
-func (x *exchange) hold(ctx context.Context, c request.Choice) (string, error) {
-	type held struct {
-		name string
-		err  error
+// reserve reserves capacity at a replica. A reservation that arrives when it is no longer
+// wanted is cancelled.
+func (x *exchange) reserve(ctx context.Context, c request.Choice) (string, error) {
+	type result struct {
+		id  string
+		err error
 	}
-	answered := make(chan held, 1)
+	reserved := make(chan result, 1)
 	go func() {
-		call, cancel := clock.WithTimeout(context.Background(), holdTimeout)
+		callCtx, cancel := clock.WithTimeout(context.Background(), reservationTimeout)
 		defer cancel()
-		name, err := x.g.client.Hold(call, c.Upstream, c.Address, x.req.PromptTokens+x.req.OutputTokens, holdLife)
-		answered <- held{name, err}
+		id, err := x.g.client.Hold(callCtx, c.Upstream, c.Address, x.req.PromptTokens+x.req.OutputTokens, reservationTTL)
+		reserved <- result{id, err}
 	}()
 	select {
-	case h := <-answered:
-		return h.name, h.err
+	case res := <-reserved:
+		return res.id, res.err
 	case <-ctx.Done():
 		go func() {
-			if h := <-answered; h.err == nil {
-				x.dropHold(c, h.name)
+			if res := <-reserved; res.err == nil {
+				x.cancelReservation(c, res.id)
 			}
 		}()
 		return "", ctx.Err()
 	}
 }
 
-// giveBack gives a replacement back that is not used.
-func (x *exchange) giveBack(r *replacement) {
-	x.g.budget(x.service).Return(clock.Now())
-	x.givePlaceBack(r)
-	// Inputs that it shares with the run under way stay that one's.
+// releaseReplacement releases a replacement that is not used.
+func (x *exchange) releaseReplacement(r *replacement) {
+	x.g.retryBudget(x.service).Return(clock.Now())
+	x.releaseReplica(r)
+	// Inputs that it shares with the current run stay with that run.
 	if r.inputs != nil {
 		x.releaseInputs()
 	}
 }
 
-// givePlaceBack gives the pick and the held place back.
-func (x *exchange) givePlaceBack(r *replacement) {
+// releaseReplica releases the pick and the reservation.
+func (x *exchange) releaseReplica(r *replacement) {
 	x.g.router.Unpick(clock.Now(), r.choice)
-	if r.hold != "" {
-		go x.dropHold(r.choice, r.hold)
+	if r.reservation != "" {
+		go x.cancelReservation(r.choice, r.reservation)
 	}
 }
 
-// dropHold gives a held place back before it lapses.
-func (x *exchange) dropHold(c request.Choice, hold string) {
-	ctx, cancel := clock.WithTimeout(context.Background(), holdTimeout)
+// cancelReservation cancels a reservation before it expires.
+func (x *exchange) cancelReservation(c request.Choice, id string) {
+	ctx, cancel := clock.WithTimeout(context.Background(), reservationTimeout)
 	defer cancel()
-	if err := x.g.client.DropHold(ctx, c.Upstream, c.Address, hold); err != nil {
-		x.g.log.Info("held place not given back", logging.Request(x.req.ID), zap.String("replica", c.Upstream), zap.Error(err))
+	if err := x.g.client.DropHold(ctx, c.Upstream, c.Address, id); err != nil {
+		x.g.log.Info("reservation not cancelled", logging.Request(x.req.ID), zap.String("replica", c.Upstream), zap.Error(err))
 	}
 }
 
-// takeNext has the next attempt be the one that was secured.
-func (x *exchange) takeNext() (request.Choice, string) {
-	r := x.next
-	x.next = nil
+// takeReplacement makes the reserved replacement the next attempt.
+func (x *exchange) takeReplacement() (request.Choice, string) {
+	r := x.replacement
+	x.replacement = nil
 	if r.inputs != nil {
-		x.takeInputs(r.inputs)
+		x.useInputs(r.inputs)
 	}
-	return r.choice, r.hold
+	return r.choice, r.reservation
 }
 
-// returnNext gives a replacement back that the exchange did not come to use.
-func (x *exchange) returnNext() {
-	if x.next != nil {
-		x.giveBack(x.next)
-		x.next = nil
+// releaseUnusedReplacement releases a replacement that the exchange did not use.
+func (x *exchange) releaseUnusedReplacement() {
+	if x.replacement != nil {
+		x.releaseReplacement(x.replacement)
+		x.replacement = nil
 	}
 }
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -17,14 +17,13 @@
 
 // Settings are the settings of one gateway daemon.
 type Settings struct {
-	// Host is the daemon's identity among its fellows: the ip:port at which
-	// they reach it.
+	// Host is the daemon's identity among its peers: the ip:port at which they reach it.
 	Host string `yaml:"host"`
 	// Name is the machine's name, for logs.
 	Name          string `yaml:"name"`
 	FailureDomain string `yaml:"failure_domain"`
 	Listen        Listen `yaml:"listen"`
-	// Seeds are the identities of some fellows to begin with.
+	// Seeds are the identities of some peers to contact first.
 	Seeds   []string `yaml:"seeds"`
 	Regions []Region `yaml:"regions"`
 	Store   Store    `yaml:"store"`
@@ -32,7 +31,7 @@
 	Drain   Drain    `yaml:"drain"`
 	Budget  Budget   `yaml:"budget"`
 	Cold    Cold     `yaml:"cold"`
-	Rest    Rest     `yaml:"rest"`
+	Backoff Backoff  `yaml:"rest"`
 	Limits  Limits   `yaml:"limits"`
 	Log     Log      `yaml:"log"`
 }
@@ -45,22 +44,21 @@
 	Metrics   string `yaml:"metrics"`
 }
 
-// Region says which region a failure domain lies in.
+// Region assigns a failure domain to a region.
 type Region struct {
 	FailureDomain string `yaml:"failure_domain"`
 	Region        string `yaml:"region"`
 }
 
-// Store says where the platform's metadata store is.
+// Store locates the platform's metadata store.
 type Store struct {
 	// Address is ip:port.
 	Address string `yaml:"address"`
 }
 
-// Bounds say how soon what the store acknowledged must be in force here.
+// Bounds limit the time until what the store acknowledged must be in force here.
 type Bounds struct {
-	// Drain is for draining replicas, Configuration for configurations. Default
-	// 2s each.
+	// Drain is for draining replicas, Configuration for configurations. Both default to 2s.
 	Drain         time.Duration `yaml:"drain"`
 	Configuration time.Duration `yaml:"configuration"`
 }
@@ -68,54 +66,54 @@
 // shortest returns the shorter bound.
 func (b Bounds) shortest() time.Duration { return min(b.Drain, b.Configuration) }
 
-// Drain governs the way out.
+// Drain configures the shutdown of the daemon.
 type Drain struct {
-	// Grace is the time from the signal to the end of the process.
+	// Grace is the time from the signal to the end of the process. Default 8s.
 	Grace time.Duration `yaml:"grace"`
 }
 
-// Budget bounds repeated requests over the whole fleet.
+// Budget limits retries over the whole fleet.
 type Budget struct {
-	// Ratio and Slack allow Ratio times the requests plus Slack repeats in
-	// each Window.
+	// In each Window, Ratio times the number of requests plus Slack retries are allowed.
 	Ratio  float64       `yaml:"ratio"`
 	Slack  float64       `yaml:"slack"`
 	Window time.Duration `yaml:"window"`
 }
 
-// Cold bounds the requests at a cold replica over the whole fleet.
+// Cold limits the requests to a cold replica over the whole fleet.
 type Cold struct {
-	// Overage times the rate that the configuration names, plus Slack, is the number
-	// of requests in any second from which the replica may end. Defaults 1 and 0.
+	// The replica may crash from Overage times the configured rate plus Slack requests in
+	// any second. Defaults 1 and 0.
 	Overage float64 `yaml:"overage"`
 	Slack   float64 `yaml:"slack"`
 }
 
-// Rest bounds what replicas may ask of this host as they turn it away.
-type Rest struct {
-	// Most is the longest time for which a replica is sent nothing by one answer.
-	// Default 60s.
-	Most time.Duration `yaml:"most"`
+// Backoff limits the back-off that replicas may request from this host as they refuse a
+// call.
+type Backoff struct {
+	// Max is the longest time for which one answer keeps this host from calling the
+	// replica. Default 60s.
+	Max time.Duration `yaml:"most"`
 }
 
-// Limits are the machine's.
+// Limits are the resource limits of the machine.
 type Limits struct {
-	// Processors is the number of threads that may run at a time. Default 1.
+	// Processors is the number of threads that may run at the same time. Default 1.
 	Processors int `yaml:"processors"`
-	// ProcessorShare is the part of a processor that the process may use.
-	// Default 1.
+	// ProcessorShare is the part of a processor that the process may use. Default 1.
 	ProcessorShare float64 `yaml:"processor_share"`
-	// MemoryMB is the memory in 2^20 bytes above which the process is ended.
+	// MemoryMB is the memory in units of 2^20 bytes above which the process is killed.
+	// Default 256.
 	MemoryMB int `yaml:"memory_mb"`
 }
 
-// Log governs the log.
+// Log configures the log.
 type Log struct {
 	// Level is "debug", "info", "warn" or "error". Default "info".
 	Level string `yaml:"level"`
 }
 
-// The defaults of values that settings leave out.
+// The defaults of settings that the file omits.
 const (
 	defaultBound        = 2 * time.Second
 	defaultGrace        = 8 * time.Second
@@ -123,25 +121,25 @@
 	defaultBudgetSlack  = 20
 	defaultBudgetWindow = 10 * time.Second
 	defaultColdOverage  = 1
-	defaultRestMost     = time.Minute
+	defaultMaxBackoff   = time.Minute
 	defaultMemoryMB     = 256
 	defaultLogLevel     = "info"
 )
 
-// LoadSettings reads and checks the file.
+// LoadSettings reads and validates the settings file. The error lists every fault.
 func LoadSettings(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	s := &Settings{
-		Bounds: Bounds{Drain: defaultBound, Configuration: defaultBound},
-		Drain:  Drain{Grace: defaultGrace},
-		Budget: Budget{Ratio: defaultBudgetRatio, Slack: defaultBudgetSlack, Window: defaultBudgetWindow},
-		Cold:   Cold{Overage: defaultColdOverage},
-		Rest:   Rest{Most: defaultRestMost},
-		Limits: Limits{Processors: 1, ProcessorShare: 1, MemoryMB: defaultMemoryMB},
-		Log:    Log{Level: defaultLogLevel},
+		Bounds:  Bounds{Drain: defaultBound, Configuration: defaultBound},
+		Drain:   Drain{Grace: defaultGrace},
+		Budget:  Budget{Ratio: defaultBudgetRatio, Slack: defaultBudgetSlack, Window: defaultBudgetWindow},
+		Cold:    Cold{Overage: defaultColdOverage},
+		Backoff: Backoff{Max: defaultMaxBackoff},
+		Limits:  Limits{Processors: 1, ProcessorShare: 1, MemoryMB: defaultMemoryMB},
+		Log:     Log{Level: defaultLogLevel},
 	}
 	report := strictyaml.Decode(raw, s)
 	if !report.Unreadable() {
@@ -194,7 +192,7 @@
 	if s.Cold.Overage <= 0 || s.Cold.Slack < 0 {
 		r.Add("cold", "want an overage over 0 and a slack of 0 or more")
 	}
-	if s.Rest.Most <= 0 {
+	if s.Backoff.Max <= 0 {
 		r.Add("rest.most", "want a time over 0")
 	}
 	if s.Limits.Processors < 1 {
--- a/gateway/settings_test.go
+++ b/gateway/settings_test.go
@@ -16,8 +16,8 @@
 )
 
 // rendered is the template as the platform fills it in, with one value changed.
-func rendered(from, to string) string {
-	return replaced(render(map[string]string{"bounds.warmup_overage": "1.5", "bounds.warmup_slack": "5"}), from, to)
+func renderChanged(from, to string) string {
+	return replaceOnce(render(map[string]string{"bounds.warmup_overage": "1.5", "bounds.warmup_slack": "5"}), from, to)
 }
 
 // render fills the template in; more are values that not every deployment has.
@@ -35,8 +35,8 @@
 		"limits.cpus": "1", "limits.cpu_quota": "0.4", "limits.memory_mb": "284",
 	}
 	maps.Copy(values, more)
-	text = absent.ReplaceAllStringFunc(text, func(section string) string {
-		parts := absent.FindStringSubmatch(section)
+	text = absentSection.ReplaceAllStringFunc(text, func(section string) string {
+		parts := absentSection.FindStringSubmatch(section)
 		if _, there := values[parts[1]]; there {
 			return ""
 		}
@@ -53,9 +53,9 @@
 }
 
 // absent is a section of the template that is rendered where there is no value.
-var absent = regexp.MustCompile(`\{\{\^([^}]+)\}\}(.*?)\{\{/[^}]+\}\}`)
+var absentSection = regexp.MustCompile(`\{\{\^([^}]+)\}\}(.*?)\{\{/[^}]+\}\}`)
 
-func replaced(text, from, to string) string {
+func replaceOnce(text, from, to string) string {
 	if from != "" {
 		Expect(text).To(ContainSubstring(from))
 	}
@@ -70,7 +70,7 @@
 
 var _ = Describe("settings", func() {
 	It("are what the deploy template renders", func() {
-		s, err := load(rendered("", ""))
+		s, err := load(renderChanged("", ""))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Seeds).To(HaveLen(2))
 		Expect(s.Limits.ProcessorShare).To(Equal(0.4))
@@ -85,7 +85,7 @@
 	})
 
 	DescribeTable("are refused with the place of the fault", func(from, to, want string) {
-		_, err := load(rendered(from, to))
+		_, err := load(renderChanged(from, to))
 		Expect(err).To(MatchError(ContainSubstring(want)))
 	},
 		Entry("unknown key", "drain:", "dran:", "dran"),
@@ -107,7 +107,7 @@
 	})
 
 	It("can be taken anew; what a running process cannot change stays", func() {
-		s, err := load(rendered("", ""))
+		s, err := load(renderChanged("", ""))
 		Expect(err).NotTo(HaveOccurred())
 		s.Listen.Peers, s.Host = address(7406), address(7407)
 		g, err := gateway.New(s, zap.NewNop())
