--- a/gateway/silence_test.go
+++ b/gateway/silence_test.go
@@ -31,36 +31,38 @@
 
 const (
 	// pauseOfEngine is longer than a daemon may take for the end of an engine by itself.
-	pauseOfEngine = 1200 * time.Millisecond
+	enginePause = 1200 * time.Millisecond
 	// longPause is longer than any engine is waited for that could be replaced.
 	longPause = 2500 * time.Millisecond
 	// oldReport is the age of old reports.
-	oldReport = 400 * time.Millisecond
+	staleReportAge = 400 * time.Millisecond
 	// longDeadline is what callers on longPath give a request.
 	longDeadline = 5 * time.Second
 	// goesOnWithin is when a stream goes on elsewhere at the latest after its engine is
 	// gone. Callers leave after callersWait without an event.
-	goesOnWithin = 3 * time.Second
-	callersWait  = 4 * time.Second
+	resumeTimeout  = 3 * time.Second
+	callerPatience = 4 * time.Second
 	// closeSeen is the time until a replica has seen its connection close.
-	closeSeen = 200 * time.Millisecond
+	closeDetectionTime = 200 * time.Millisecond
 )
 
 // patient gives a request longDeadline.
-func patient(r *http.Request) { r.Header.Set("Deadline-Ms", fmt.Sprint(longDeadline.Milliseconds())) }
+func withLongDeadline(r *http.Request) {
+	r.Header.Set("Deadline-Ms", fmt.Sprint(longDeadline.Milliseconds()))
+}
 
 // patientWithStage gives a request longDeadline and asks for pieces.
-func patientWithStage(r *http.Request) {
-	patient(r)
+func withLongDeadlineAndStage(r *http.Request) {
+	withLongDeadline(r)
 	r.Header.Set("Piece-Count", "2")
 	r.Header.Set("Piece-Key", "pk")
 }
 
 // noRepeats leaves no budget of repeats.
-func noRepeats(s *gateway.Settings) { s.Budget.Ratio, s.Budget.Slack = 0, 0 }
+func noRetryBudget(s *gateway.Settings) { s.Budget.Ratio, s.Budget.Slack = 0, 0 }
 
 // without takes replicas away.
-func (f *fixture) without(ids ...string) {
+func (f *fixture) removeReplicas(ids ...string) {
 	for _, id := range ids {
 		f.store.Delete("servers/" + id)
 		f.replicas[id].Close()
@@ -69,7 +71,7 @@
 }
 
 // sendWatched sends a patient request on longPath; first is called at its first event.
-func (r *running) sendWatched(change func(*http.Request), first func()) (answer, string) {
+func (r *gatewayProcess) sendLong(change func(*http.Request), first func()) (answer, string) {
 	r.test.Helper()
 	id := fmt.Sprintf("%08x", nextID.Add(1))
 	req, err := http.NewRequest(http.MethodPost, "http://"+r.callers+longPath, strings.NewReader("prompt"))
@@ -95,66 +97,66 @@
 }
 
 // pausing is a case of engines that pause and go on.
-type pausing struct {
+type pauseCase struct {
 	name string
 	// afterEvents is where they pause.
 	afterEvents int
 	// before changes the site, settings the daemon's.
-	before   func(*fixture)
+	setup    func(*fixture)
 	settings func(*gateway.Settings)
 	change   func(*http.Request)
 	// first is called at the first event of a stream.
-	first func(*fixture, pausing)
+	atFirstEvent func(*fixture, pauseCase)
 	// streams is the number of streams at once, 0 for one.
 	streams int
 	// pause is how long they pause, 0 for pauseOfEngine, and lag how old their reports are.
 	pause, lag time.Duration
 	// noOrders engines know neither reports nor holds.
-	noOrders bool
+	noControlCalls bool
 }
 
-func (c pausing) run(t *testing.T) {
+func (c pauseCase) run(t *testing.T) {
 	f := newFixtureOf(t)
 	if c.pause == 0 {
-		c.pause = pauseOfEngine
+		c.pause = enginePause
 	}
-	f.behave("llm", site.Behaviour{PauseAfterEvents: c.afterEvents, Pause: c.pause, NoOrders: c.noOrders})
+	f.behave("llm", site.Behaviour{PauseAfterEvents: c.afterEvents, Pause: c.pause, NoOrders: c.noControlCalls})
 	f.replicas["e1"].ReportLag, f.replicas["e2"].ReportLag = c.lag, c.lag
-	if c.before != nil {
-		c.before(f)
+	if c.setup != nil {
+		c.setup(f)
 	}
 	g := f.startWith(zap.NewNop(), c.settings).ready()
 	change := c.change
 	if change == nil {
-		change = patient
+		change = withLongDeadline
 	}
 	var once sync.Once
 	first := func() {
-		if c.first != nil {
-			once.Do(func() { c.first(f, c) })
+		if c.atFirstEvent != nil {
+			once.Do(func() { c.atFirstEvent(f, c) })
 		}
 	}
 	var streams sync.WaitGroup
 	for range max(1, c.streams) {
 		streams.Go(func() {
-			a, id := g.sendWatched(change, first)
-			if a.status != http.StatusOK || a.err != nil || a.body != whole(id, 1, 5) {
+			a, id := g.sendLong(change, first)
+			if a.status != http.StatusOK || a.err != nil || a.body != streamEvents(id, 1, 5) {
 				t.Errorf("status %d, error %v, body %q", a.status, a.err, a.body)
 			}
-			if wrong := c.wrong(f.ledger.Runs(id)); wrong != "" {
+			if wrong := c.checkRuns(f.ledger.Runs(id)); wrong != "" {
 				t.Error(wrong)
 			}
 		})
 	}
 	streams.Wait()
 	f.Expect(f.ledger.Faults()).To(BeEmpty())
-	f.keepsNoHold()
+	f.expectNoReservations()
 }
 
 // wrong returns what is wrong with the runs of a stream; "" for nothing.
-func (c pausing) wrong(runs []site.Run) string {
-	if (c.noOrders || c.pause > pauseOfEngine) && c.replaceable() && len(runs) == 2 {
-		return notInTurn(runs)
+func (c pauseCase) checkRuns(runs []site.Run) string {
+	if (c.noControlCalls || c.pause > enginePause) && c.replaceable() && len(runs) == 2 {
+		return checkSequential(runs)
 	}
 	for n, run := range runs {
 		if n > 0 || run.End != site.Complete {
@@ -165,20 +167,22 @@
 }
 
 // replaceable says whether a stream could go on elsewhere.
-func (c pausing) replaceable() bool { return c.settings == nil && c.before == nil && c.first == nil }
+func (c pauseCase) replaceable() bool {
+	return c.settings == nil && c.setup == nil && c.atFirstEvent == nil
+}
 
 // notInTurn returns what is wrong with two runs of which the second is to begin when the
 // first is ended; "" for nothing.
-func notInTurn(runs []site.Run) string {
+func checkSequential(runs []site.Run) string {
 	first, second := runs[0], runs[1]
-	if first.End == site.UnderWay || second.At.Before(first.Ended.Add(-closeSeen)) {
+	if first.End == site.UnderWay || second.At.Before(first.Ended.Add(-closeDetectionTime)) {
 		return fmt.Sprintf("the second run began at %s, the first ended at %s: %s", second.At, first.Ended, first.End)
 	}
 	return ""
 }
 
 // keepsNoHold checks that every hold was used or given back.
-func (f *fixture) keepsNoHold() {
+func (f *fixture) expectNoReservations() {
 	f.test.Helper()
 	f.Eventually(func() int {
 		holds := f.ledger.Holds()
@@ -187,55 +191,55 @@
 }
 
 // pauses are the cases in which a daemon cannot go on elsewhere, or need not.
-var pauses = []pausing{
+var pauseCases = []pauseCase{
 	{name: "with all there is to go on elsewhere", afterEvents: 2},
 	{name: "before the first event", afterEvents: 0},
 	{name: "after the first event", afterEvents: 1},
-	{name: "with reports that are old, before the first event", afterEvents: 0, lag: oldReport},
-	{name: "with reports that are old", afterEvents: 2, lag: oldReport},
+	{name: "with reports that are old, before the first event", afterEvents: 0, lag: staleReportAge},
+	{name: "with reports that are old", afterEvents: 2, lag: staleReportAge},
 	{name: "four at once", afterEvents: 2, streams: 4},
-	{name: "without budget of repeats", afterEvents: 2, settings: noRepeats},
-	{name: "without budget of repeats, before the first event", afterEvents: 0, settings: noRepeats},
-	{name: "without budget of repeats, four at once", afterEvents: 2, settings: noRepeats, streams: 4},
-	{name: "with one engine", afterEvents: 2, before: oneEngine},
-	{name: "with one engine, before the first event", afterEvents: 0, before: oneEngine},
-	{name: "with the other engine draining", afterEvents: 2, before: otherDrains},
-	{name: "with both engines draining since the first event", afterEvents: 1, first: bothDrain},
-	{name: "with both engines saying that they leave since the first event", afterEvents: 1, first: bothSayLeaving},
-	{name: refusing, afterEvents: 1, first: bothRefuse},
-	{name: "with stages", afterEvents: 2, change: patientWithStage},
-	{name: "with stages that are gone since the first event", afterEvents: 1, change: patientWithStage, first: noStages},
+	{name: "without budget of repeats", afterEvents: 2, settings: noRetryBudget},
+	{name: "without budget of repeats, before the first event", afterEvents: 0, settings: noRetryBudget},
+	{name: "without budget of repeats, four at once", afterEvents: 2, settings: noRetryBudget, streams: 4},
+	{name: "with one engine", afterEvents: 2, setup: removeSecondEngine},
+	{name: "with one engine, before the first event", afterEvents: 0, setup: removeSecondEngine},
+	{name: "with the other engine draining", afterEvents: 2, setup: drainOtherEngine},
+	{name: "with both engines draining since the first event", afterEvents: 1, atFirstEvent: drainBothEngines},
+	{name: "with both engines saying that they leave since the first event", afterEvents: 1, atFirstEvent: announceBothLeaving},
+	{name: refusingCaseName, afterEvents: 1, atFirstEvent: refuseAtBothEngines},
+	{name: "with stages", afterEvents: 2, change: withLongDeadlineAndStage},
+	{name: "with stages that are gone since the first event", afterEvents: 1, change: withLongDeadlineAndStage, atFirstEvent: removeStageReplicas},
 }
 
 // refusing is the name of a case.
-const refusing = "with both engines refusing since the first event"
+const refusingCaseName = "with both engines refusing since the first event"
 
-func oneEngine(f *fixture)   { f.without("e2") }
-func otherDrains(f *fixture) { f.register(f.replicas["e2"], "draining") }
+func removeSecondEngine(f *fixture) { f.removeReplicas("e2") }
+func drainOtherEngine(f *fixture)   { f.register(f.replicas["e2"], "draining") }
 
-func noStages(f *fixture, _ pausing) { f.without("s1", "s2") }
+func removeStageReplicas(f *fixture, _ pauseCase) { f.removeReplicas("s1", "s2") }
 
-func bothDrain(f *fixture, _ pausing) {
+func drainBothEngines(f *fixture, _ pauseCase) {
 	f.register(f.replicas["e1"], "draining")
 	f.register(f.replicas["e2"], "draining")
 }
 
 // bothSayLeaving has the engines say so in what they answer from now on: the daemon hears it
 // with the place that it has held.
-func bothSayLeaving(f *fixture, _ pausing) {
+func announceBothLeaving(f *fixture, _ pauseCase) {
 	f.replicas["e1"].SayLeaving()
 	f.replicas["e2"].SayLeaving()
 }
 
 // bothRefuse has the engines refuse what comes from now on.
-func bothRefuse(f *fixture, c pausing) {
-	f.behave("llm", site.Behaviour{Shed: true, NoOrders: c.noOrders})
+func refuseAtBothEngines(f *fixture, c pauseCase) {
+	f.behave("llm", site.Behaviour{Shed: true, NoOrders: c.noControlCalls})
 }
 
 // Streams that pause and go on arrive whole: by the one run that began them.
-func TestStreamsThatPauseArriveWhole(t *testing.T) {
+func TestPausedStreamsComplete(t *testing.T) {
 	t.Parallel()
-	for _, c := range pauses {
+	for _, c := range pauseCases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			c.run(t)
@@ -245,10 +249,10 @@
 
 // So they do where the engine does not tell what it is at; it may be replaced where
 // that is possible.
-func TestStreamsOfEnginesThatTellNothingArriveWhole(t *testing.T) {
+func TestPausedStreamsCompleteWithoutRunReports(t *testing.T) {
 	t.Parallel()
-	for _, c := range pauses {
-		c.noOrders = true
+	for _, c := range pauseCases {
+		c.noControlCalls = true
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			c.run(t)
@@ -258,15 +262,15 @@
 
 // So they do where they pause for longer than any engine is waited for that could be
 // replaced, whether engines tell what they are at or not.
-func TestStreamsThatPauseForLongArriveWhole(t *testing.T) {
+func TestLongPausedStreamsComplete(t *testing.T) {
 	t.Parallel()
-	for i := range 2 * len(pauses) {
-		c := pauses[i/2]
-		c.pause, c.noOrders = longPause, i%2 == 1
-		if c.noOrders && c.name == refusing {
+	for i := range 2 * len(pauseCases) {
+		c := pauseCases[i/2]
+		c.pause, c.noControlCalls = longPause, i%2 == 1
+		if c.noControlCalls && c.name == refusingCaseName {
 			continue // the test below
 		}
-		t.Run(fmt.Sprintf("%s, no orders %t", c.name, c.noOrders), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s, no orders %t", c.name, c.noControlCalls), func(t *testing.T) {
 			t.Parallel()
 			c.run(t)
 		})
@@ -275,33 +279,33 @@
 
 // So they do where the engine that would replace theirs refuses, and told nothing of it
 // before.
-func TestStreamsThatPauseForLongAreNotLeftForEnginesThatRefuse(t *testing.T) {
+func TestLongPausedStreamsAreNotMovedToRefusingEngines(t *testing.T) {
 	t.Parallel()
-	pausing{afterEvents: 1, first: bothRefuse, pause: longPause, noOrders: true}.run(t)
+	pauseCase{afterEvents: 1, atFirstEvent: refuseAtBothEngines, pause: longPause, noControlCalls: true}.run(t)
 }
 
 // goesOnMeanwhile has streams go on by themselves at about the time at which another
 // engine is secured for them; check is called with each.
-func goesOnMeanwhile(t *testing.T, check func(f *fixture, a answer, id string)) {
-	const step, holdWork = 50 * time.Millisecond, 150 * time.Millisecond
+func continueDuringReservation(t *testing.T, check func(f *fixture, a answer, id string)) {
+	const step, reservationTime = 50 * time.Millisecond, 150 * time.Millisecond
 	for pause := 800 * time.Millisecond; pause <= time.Second; pause += step {
 		t.Run(pause.String(), func(t *testing.T) {
 			t.Parallel()
 			f := newFixtureOf(t)
-			f.behave("llm", site.Behaviour{PauseAfterEvents: 1, Pause: pause, HangReports: true, HoldWork: holdWork})
-			a, id := f.start().ready().sendWatched(patientWithStage, func() {})
+			f.behave("llm", site.Behaviour{PauseAfterEvents: 1, Pause: pause, HangReports: true, HoldWork: reservationTime})
+			a, id := f.start().ready().sendLong(withLongDeadlineAndStage, func() {})
 			check(f, a, id)
 		})
 	}
 }
 
-func TestStreamsThatGoOnMeanwhileArriveWhole(t *testing.T) {
+func TestStreamsThatContinueDuringReservationComplete(t *testing.T) {
 	t.Parallel()
-	goesOnMeanwhile(t, func(f *fixture, a answer, id string) {
+	continueDuringReservation(t, func(f *fixture, a answer, id string) {
 		f.Expect(a.err).NotTo(HaveOccurred())
-		f.Expect(a.body).To(Equal(whole(id, 1, 5)))
+		f.Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
 		if runs := f.ledger.Runs(id); len(runs) > 1 {
-			f.Expect(notInTurn(runs)).To(BeEmpty())
+			f.Expect(checkSequential(runs)).To(BeEmpty())
 		}
 		f.Expect(f.ledger.Faults()).To(BeEmpty())
 		f.Eventually(func() int { _, _, held := f.ledger.Results(); return held }, "1s").Should(BeZero())
@@ -309,25 +313,25 @@
 }
 
 // A place that was being held for a stream that went on by itself is given back.
-func TestPlacesHeldForStreamsThatGoOnMeanwhileAreGivenBack(t *testing.T) {
+func TestReservationsForContinuedStreamsAreReleased(t *testing.T) {
 	t.Parallel()
-	goesOnMeanwhile(t, func(f *fixture, _ answer, _ string) { f.keepsNoHold() })
+	continueDuringReservation(t, func(f *fixture, _ answer, _ string) { f.expectNoReservations() })
 }
 
 // A verdict on the request that comes while its stream pauses does not end the stream,
 // whether the engine tells what it is at or not.
-func TestStreamsOfRequestsCondemnedMeanwhileArriveWhole(t *testing.T) {
+func TestStreamsOfRequestsQuarantinedMeanwhileComplete(t *testing.T) {
 	t.Parallel()
 	for _, noOrders := range []bool{false, true} {
 		t.Run(fmt.Sprintf("no orders %t", noOrders), func(t *testing.T) {
 			t.Parallel()
 			f := newFixtureOf(t)
-			f.without("e2")
+			f.removeReplicas("e2")
 			f.behave("llm", site.Behaviour{PauseAfterEvents: 1, Pause: 3 * time.Second, NoOrders: noOrders})
 			g := f.start().ready()
-			a, id := g.sendWatched(patient, func() { f.condemn(g, "prompt") })
+			a, id := g.sendLong(withLongDeadline, func() { f.quarantine(g, "prompt") })
 			f.Expect(a.err).NotTo(HaveOccurred())
-			f.Expect(a.body).To(Equal(whole(id, 1, 5)))
+			f.Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
 			f.Expect(f.ledger.Runs(id)).To(HaveLen(1))
 		})
 	}
@@ -335,7 +339,7 @@
 
 // condemn has three new engines crash under a body, until the daemon refuses it; no
 // other engine is sent requests.
-func (f *fixture) condemn(g *running, body string) {
+func (f *fixture) quarantine(g *gatewayProcess, body string) {
 	crashed := make(chan string, 100)
 	for _, id := range []string{"x1", "x2", "x3"} {
 		x := f.add(id, "llm", site.Engine)
@@ -345,7 +349,7 @@
 		f.register(x, "ready")
 	}
 	f.register(f.replicas["e1"], "draining")
-	hasty := func(r *http.Request) { r.Header.Set("Deadline-Ms", "300") }
+	withShortDeadline := func(r *http.Request) { r.Header.Set("Deadline-Ms", "300") }
 	stop := make(chan struct{})
 	defer close(stop)
 	for range 12 {
@@ -355,7 +359,7 @@
 				case <-stop:
 					return
 				default:
-					g.send(http.MethodPost, longPath, body, hasty)
+					g.send(http.MethodPost, longPath, body, withShortDeadline)
 					time.Sleep(10 * time.Millisecond)
 				}
 			}
@@ -365,38 +369,38 @@
 		f.Eventually(crashed, "2s").Should(Receive())
 	}
 	f.Eventually(func() string {
-		a, _ := g.send(http.MethodPost, longPath, body, hasty)
+		a, _ := g.send(http.MethodPost, longPath, body, withShortDeadline)
 		return a.body
 	}, "2s").Should(Equal("quarantined\n"))
 }
 
 // departures are the ways in which an engine is gone without a word.
-var departures = []struct {
+var silentFailures = []struct {
 	name    string
 	silence site.Silence
 	within  time.Duration
 }{
-	{"the process hangs", site.Frozen, goesOnWithin},
-	{"the process hangs and its port takes no connections", site.Vanished, goesOnWithin},
-	{"the connection is silent while the run goes on", site.Muted, goesOnWithin},
-	{"the run stands still while the process answers", site.StandsStill, callersWait},
+	{"the process hangs", site.Frozen, resumeTimeout},
+	{"the process hangs and its port takes no connections", site.Vanished, resumeTimeout},
+	{"the connection is silent while the run goes on", site.Muted, resumeTimeout},
+	{"the run stands still while the process answers", site.StandsStill, callerPatience},
 }
 
 // gone has the first engine fall silent for good after so many events. Its events
 // take a while, so that a muted run is under way when it is found.
-func (f *fixture) gone(silence site.Silence, afterEvents int) {
-	const eventEvery = 20 * time.Millisecond
-	f.replicas["e1"].Behave(site.Behaviour{PauseAfterEvents: afterEvents, Silence: silence, EventEvery: eventEvery})
+func (f *fixture) silence(silence site.Silence, afterEvents int) {
+	const eventInterval = 20 * time.Millisecond
+	f.replicas["e1"].Behave(site.Behaviour{PauseAfterEvents: afterEvents, Silence: silence, EventEvery: eventInterval})
 }
 
 // sendTo sends requests until one has begun at the first engine, and returns that one
 // and how long it took.
-func (f *fixture) sendTo(g *running, change func(*http.Request)) (a answer, id string, took time.Duration) {
+func (f *fixture) sendUntilFirstEngine(g *gatewayProcess, change func(*http.Request)) (a answer, id string, took time.Duration) {
 	f.test.Helper()
-	const most = 40 // engines are drawn
-	for range most {
+	const maxTries = 40 // engines are drawn
+	for range maxTries {
 		began := time.Now()
-		a, id = g.sendWatched(change, func() {})
+		a, id = g.sendLong(change, func() {})
 		if runs := f.ledger.Runs(id); len(runs) > 0 && runs[0].Replica == "e1" {
 			return a, id, time.Since(began)
 		}
@@ -407,23 +411,23 @@
 
 // An engine that is gone is left, and the stream goes on at another one: whole, and not
 // before the first run was ended.
-func TestStreamsOfEnginesThatAreGoneGoOnElsewhere(t *testing.T) {
+func TestStreamsOfFailedEnginesResumeElsewhere(t *testing.T) {
 	t.Parallel()
-	for _, d := range departures {
+	for _, d := range silentFailures {
 		for _, afterEvents := range []int{0, 2} {
-			for kind, change := range map[string]func(*http.Request){"": patient, ", with stages": patientWithStage} {
+			for kind, change := range map[string]func(*http.Request){"": withLongDeadline, ", with stages": withLongDeadlineAndStage} {
 				t.Run(fmt.Sprintf("%s after %d events%s", d.name, afterEvents, kind), func(t *testing.T) {
 					t.Parallel()
 					f := newFixtureOf(t)
-					f.gone(d.silence, afterEvents)
-					a, id, took := f.sendTo(f.start().ready(), change)
+					f.silence(d.silence, afterEvents)
+					a, id, took := f.sendUntilFirstEngine(f.start().ready(), change)
 					f.Expect(a.err).NotTo(HaveOccurred())
-					f.Expect(a.body).To(Equal(whole(id, 1, 5)))
+					f.Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
 					runs := f.ledger.Runs(id)
 					f.Expect(runs).To(HaveLen(2))
-					f.Expect(notInTurn(runs)).To(BeEmpty())
+					f.Expect(checkSequential(runs)).To(BeEmpty())
 					f.Expect(f.ledger.Faults()).To(BeEmpty())
-					f.keepsNoHold()
+					f.expectNoReservations()
 					t.Logf("whole %s after its beginning", took.Round(time.Millisecond))
 					f.Expect(took).To(BeNumerically("<", d.within))
 				})
@@ -434,23 +438,23 @@
 
 // An engine that may be gone is waited for while nothing can replace it: the answer ends
 // at the deadline.
-func TestStreamsThatNothingReplacesAreWaitedFor(t *testing.T) {
+func TestStreamsWithoutReplacementWaitForTheirDeadline(t *testing.T) {
 	t.Parallel()
-	const deadline = callersWait
-	waits := func(r *http.Request) { r.Header.Set("Deadline-Ms", fmt.Sprint(deadline.Milliseconds())) }
-	for _, d := range departures {
+	const deadline = callerPatience
+	withDeadline := func(r *http.Request) { r.Header.Set("Deadline-Ms", fmt.Sprint(deadline.Milliseconds())) }
+	for _, d := range silentFailures {
 		for _, afterEvents := range []int{0, 2} {
 			t.Run(fmt.Sprintf("%s after %d events", d.name, afterEvents), func(t *testing.T) {
 				t.Parallel()
 				f := newFixtureOf(t)
-				f.without("e2")
-				f.gone(d.silence, afterEvents)
-				a, id, took := f.sendTo(f.start().ready(), waits)
+				f.removeReplicas("e2")
+				f.silence(d.silence, afterEvents)
+				a, id, took := f.sendUntilFirstEngine(f.start().ready(), withDeadline)
 				if afterEvents == 0 {
 					f.Expect(a.status).To(Equal(http.StatusGatewayTimeout))
 				} else {
 					f.Expect(a.err).To(HaveOccurred(), "looks complete")
-					f.Expect(a.body).To(Equal(whole(id, 1, afterEvents)))
+					f.Expect(a.body).To(Equal(streamEvents(id, 1, afterEvents)))
 				}
 				f.Expect(took).To(BeNumerically("~", deadline, deadline/10), "the deadline")
 				f.Expect(f.ledger.Runs(id)).To(HaveLen(1))
@@ -458,7 +462,7 @@
 				if run := f.ledger.Runs(id)[0]; run.End == site.Cancelled {
 					f.Expect(run.Ended.Sub(run.At)).To(BeNumerically("~", deadline, deadline/10), "given up before the deadline")
 				}
-				f.keepsNoHold()
+				f.expectNoReservations()
 			})
 		}
 	}
--- a/gateway/site_test.go
+++ b/gateway/site_test.go
@@ -21,11 +21,11 @@
 
 // The services and routes of the tests.
 const (
-	host     = site.Hostname
-	sealPath = site.SealPath
-	safePath = site.SafePath
-	onePath  = site.StreamPath
-	goOnPath = site.ResumePath
+	host       = site.Hostname
+	sealPath   = site.SealPath
+	safePath   = site.SafePath
+	streamPath = site.StreamPath
+	resumePath = site.ResumePath
 	// longPath streams are as those of goOnPath, with longer to go and one stage.
 	longPath = "/long/"
 )
@@ -57,7 +57,7 @@
 	keys     []string
 	// coldRate is what cold replicas of plain bear in a second, and coldCalls those of
 	// encode; 0 for any number.
-	coldRate, coldCalls int
+	coldRate, coldCallRate int
 }
 
 // newFixture returns the site of a spec.
@@ -129,8 +129,8 @@
 	plain := c["services"].([]any)[0].(map[string]any)
 	plain["warmup_s"], plain["warmup_per_s"] = 2, f.coldRate
 	for _, s := range c["services"].([]any) {
-		if encode := s.(map[string]any); encode["name"] == "encode" && f.coldCalls > 0 {
-			encode["warmup_s"], encode["warmup_per_s"] = 20, f.coldCalls
+		if encode := s.(map[string]any); encode["name"] == "encode" && f.coldCallRate > 0 {
+			encode["warmup_s"], encode["warmup_per_s"] = 20, f.coldCallRate
 		}
 	}
 	c["limits"] = map[string]any{"max_body_bytes": 1000}
@@ -138,7 +138,7 @@
 }
 
 // running is one gateway.
-type running struct {
+type gatewayProcess struct {
 	*WithT
 	test                               tester
 	callers, readiness, metrics, peers string
@@ -148,25 +148,27 @@
 }
 
 // start starts a gateway.
-func (f *fixture) start(seeds ...string) *running { return f.startLogged(zap.NewNop(), seeds...) }
+func (f *fixture) start(seeds ...string) *gatewayProcess {
+	return f.startLogged(zap.NewNop(), seeds...)
+}
 
 // startLogged starts a gateway that logs to log.
-func (f *fixture) startLogged(log *zap.Logger, seeds ...string) *running {
+func (f *fixture) startLogged(log *zap.Logger, seeds ...string) *gatewayProcess {
 	return f.startWith(log, nil, seeds...)
 }
 
 // startWith starts a gateway that logs to log; change may alter its settings.
-func (f *fixture) startWith(log *zap.Logger, change func(*gateway.Settings), seeds ...string) *running {
+func (f *fixture) startWith(log *zap.Logger, change func(*gateway.Settings), seeds ...string) *gatewayProcess {
 	self := address(7403)
 	s := &gateway.Settings{
 		Host: self, Name: "gw", FailureDomain: "x", Seeds: append(seeds, self),
-		Listen: gateway.Listen{Callers: address(7404), Readiness: address(7405), Peers: self, Metrics: address(7406)},
-		Store:  gateway.Store{Address: f.address},
-		Bounds: gateway.Bounds{Drain: time.Second, Configuration: time.Second},
-		Drain:  gateway.Drain{Grace: 2 * time.Second},
-		Budget: gateway.Budget{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
-		Rest:   gateway.Rest{Most: time.Minute},
-		Limits: gateway.Limits{Processors: 1, ProcessorShare: 1, MemoryMB: 256},
+		Listen:  gateway.Listen{Callers: address(7404), Readiness: address(7405), Peers: self, Metrics: address(7406)},
+		Store:   gateway.Store{Address: f.address},
+		Bounds:  gateway.Bounds{Drain: time.Second, Configuration: time.Second},
+		Drain:   gateway.Drain{Grace: 2 * time.Second},
+		Budget:  gateway.Budget{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
+		Backoff: gateway.Backoff{Max: time.Minute},
+		Limits:  gateway.Limits{Processors: 1, ProcessorShare: 1, MemoryMB: 256},
 	}
 	if change != nil {
 		change(s)
@@ -174,7 +176,7 @@
 	g, err := gateway.New(s, log)
 	f.Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{
+	r := &gatewayProcess{
 		WithT: f.WithT, test: f.test, callers: s.Listen.Callers, readiness: s.Listen.Readiness, metrics: s.Listen.Metrics, peers: self,
 		stop: cancel, done: make(chan error, 1),
 	}
@@ -187,13 +189,13 @@
 }
 
 // ready waits until a gateway takes requests.
-func (r *running) ready() *running {
+func (r *gatewayProcess) ready() *gatewayProcess {
 	r.test.Helper()
-	r.Eventually(r.status, "5s").Should(Equal(http.StatusOK))
+	r.Eventually(r.readinessStatus, "5s").Should(Equal(http.StatusOK))
 	return r
 }
 
-func (r *running) status() int {
+func (r *gatewayProcess) readinessStatus() int {
 	resp, err := http.Get("http://" + r.readiness + "/-/readyz")
 	if err != nil {
 		return 0
@@ -214,7 +216,7 @@
 var nextID atomic.Uint64
 
 // send sends a request and reads the whole answer; change may alter it.
-func (r *running) send(method, path, body string, change func(*http.Request)) (answer, string) {
+func (r *gatewayProcess) send(method, path, body string, change func(*http.Request)) (answer, string) {
 	r.test.Helper()
 	id := fmt.Sprintf("%08x", nextID.Add(1))
 	req, err := http.NewRequest(method, "http://"+r.callers+path, bytes.NewReader([]byte(body)))
--- /dev/null
+++ b/gateway/stallwatch.go
@@ -0,0 +1,300 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"strconv"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/wheatseam/wheatseam/core/request"
+	"github.com/wheatseam/wheatseam/core/stall"
+	"github.com/wheatseam/wheatseam/internal/clock"
+	"github.com/wheatseam/wheatseam/logging"
+	"github.com/wheatseam/wheatseam/platform"
+	"github.com/wheatseam/wheatseam/replica"
+)
+
+const (
+	// A replica that is suspected to have failed is abandoned when a stream has had no
+	// event for suspectedFactor times its objective, at least minSuspectedSilence: the rest
+	// of the objective remains for the first event of another replica.
+	suspectedFactor     = 0.6
+	minSuspectedSilence = 800 * time.Millisecond
+	// Any replica is abandoned after maxSilenceFactor times the objective without an event,
+	// at least minMaxSilence. Callers disconnect after four times the objective.
+	maxSilenceFactor = 2.0
+	minMaxSilence    = 2 * time.Second
+	// runQueryTimeout limits querying a replica for its runs. The query is sent that long
+	// before the replica would be abandoned.
+	runQueryTimeout = 200 * time.Millisecond
+	// replacementRetryInterval is the pause after which reserving a replacement is tried
+	// again: another request of this daemon may have added to the retry budget meanwhile.
+	replacementRetryInterval = 200 * time.Millisecond
+	// suspendTolerance is the delay of a tick from which this host is taken to have been
+	// suspended.
+	suspendTolerance = 200 * time.Millisecond
+)
+
+// progress is how far a stream has come.
+type progress struct {
+	// committed says that the caller has the head of the answer; lastEvent is the ID of the
+	// last event that it has.
+	committed bool
+	lastEvent string
+	// events is the number of events that the replica must have produced.
+	events int
+	// started says that the replica has started its answer.
+	started bool
+}
+
+// stallWatch detects the stalls of one attempt. core/stall decides; stallWatch queries the
+// replica, reserves a replacement, and cancels the attempt. It is safe for concurrent use.
+type stallWatch struct {
+	attempt *attempt
+	mu      sync.Mutex
+	machine *stall.Machine
+	// timer calls tick, at nextTick at the latest; nil for streams that cannot resume at
+	// another replica. suspended is for how long this host had been suspended at the last
+	// tick.
+	timer     *clock.Timer
+	nextTick  time.Time
+	suspended time.Duration
+	// relaying says that an event is being relayed: a caller that does not read is no
+	// silence of the replica.
+	relaying bool
+	progress progress
+	stopped  bool
+	// cancelReservation cancels the reservation in progress, and reserving waits until it
+	// has finished.
+	cancelReservation context.CancelFunc
+	reserving         sync.WaitGroup
+	// replacement is the reserved replacement.
+	replacement *replacement
+}
+
+// stallError is the cause with which this host cancels a stalled attempt.
+type stallError struct {
+	account stall.Account
+	silence time.Duration
+}
+
+// Error implements error.
+func (e *stallError) Error() string {
+	return fmt.Sprintf("stalled for %s, status reported by the replica: %s", e.silence.Round(time.Millisecond), e.account)
+}
+
+// replicaAtFault says whether the replica's own report, or the lack of one, puts the
+// replica at fault.
+func (e *stallError) replicaAtFault() bool { return e.account.Doubted() }
+
+// startStallWatch starts watching an attempt before its request is sent.
+func (t *attempt) startStallWatch() *stallWatch {
+	x := t.x
+	objective := float64(x.route.Objective)
+	suspected := max(minSuspectedSilence, time.Duration(suspectedFactor*objective))
+	w := &stallWatch{attempt: t, progress: progress{committed: x.committed, lastEvent: x.lastEvent, events: t.totalEvents()}, machine: stall.New(clock.Now(), stall.Config{
+		Ask: suspected - runQueryTimeout, AskEvery: 2 * runQueryTimeout, Doubted: suspected,
+		Any: max(minMaxSilence, time.Duration(maxSilenceFactor*objective)), SecureEvery: replacementRetryInterval,
+	})}
+	if x.routeRetryDenied(t.runNumber) == "" {
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		w.suspended = clock.Asleep()
+		w.nextTick = clock.Now().Add(suspected - runQueryTimeout)
+		w.timer = clock.AfterFunc(suspected-runQueryTimeout, w.tick)
+	}
+	return w
+}
+
+// answerStarted records that the answer has started.
+func (w *stallWatch) answerStarted() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	now := clock.Now()
+	w.progress.started = true
+	w.perform(now, w.machine.Event(now))
+}
+
+// eventArrived records that an event has arrived and is about to be relayed. It says
+// whether the run is still current: what arrives after its cancellation is produced again
+// by the next run.
+func (w *stallWatch) eventArrived() (current bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.relaying = true
+	now := clock.Now()
+	w.perform(now, w.machine.Event(now))
+	return !w.machine.Left()
+}
+
+// eventRelayed records that the event has been relayed.
+func (w *stallWatch) eventRelayed(at progress) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.relaying, w.progress = false, at
+	w.machine.Event(clock.Now()) // nothing is reserved while an event is relayed
+}
+
+// stop ends the watch as the run has ended, and returns the reserved replacement; nil if
+// there is none, or no retry is wanted. If one is wanted, a reservation in progress is
+// waited for, since a new one would take longer. stop may be called again.
+func (w *stallWatch) stop(retry bool) *replacement {
+	w.mu.Lock()
+	w.stopped = true
+	if w.timer != nil {
+		w.timer.Stop()
+	}
+	if !retry && w.cancelReservation != nil {
+		w.cancelReservation()
+	}
+	w.mu.Unlock()
+	w.reserving.Wait()
+	if !retry && w.replacement != nil {
+		w.attempt.x.releaseReplacement(w.replacement)
+		w.replacement = nil
+	}
+	return w.replacement
+}
+
+// tick performs the actions that are due.
+func (w *stallWatch) tick() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.stopped || w.machine.Left() {
+		return
+	}
+	now := clock.Now()
+	w.detectSuspend(now)
+	for !w.relaying {
+		a := w.machine.Tick(now)
+		if a == stall.None {
+			break
+		}
+		w.perform(now, a)
+	}
+	w.nextTick = w.machine.Next(now)
+	w.timer.Reset(w.nextTick.Sub(now))
+}
+
+// detectSuspend tells the machine if this host was suspended since the last tick was due;
+// mu must be held.
+func (w *stallWatch) detectSuspend(now time.Time) {
+	suspended := clock.Asleep()
+	if suspended == w.suspended && now.Sub(w.nextTick) <= suspendTolerance {
+		return
+	}
+	w.suspended, w.nextTick = suspended, now
+	w.perform(now, w.machine.Awake(now))
+}
+
+// perform performs one action; mu must be held.
+func (w *stallWatch) perform(now time.Time, a stall.Action) {
+	switch a {
+	case stall.Ask:
+		go w.queryRunStatus(now)
+	case stall.Secure:
+		ctx, cancel := context.WithCancel(w.attempt.ctx)
+		w.cancelReservation = cancel
+		at, suspected := w.progress, w.machine.Account().Doubted()
+		w.reserving.Go(func() { w.reserveReplacement(ctx, at, suspected) })
+	case stall.GiveBack:
+		w.cancelReservation()
+	}
+}
+
+// queryRunStatus asks the replica for the status of the run.
+func (w *stallWatch) queryRunStatus(now time.Time) {
+	runs, err := w.attempt.x.g.queryRuns(w.attempt.choice)
+	w.mu.Lock()
+	made, account := classifyRun(runs, err, w.attempt.x.req.ID, w.progress)
+	w.machine.Told(now, account)
+	silence := w.machine.Silence(clock.Now())
+	w.mu.Unlock()
+	w.attempt.x.g.countRunStatus(w.attempt.x.service, account)
+	w.attempt.x.g.log.Info("replica queried for the status of a run", logging.Request(w.attempt.x.req.ID), zap.String("replica", w.attempt.choice.Upstream),
+		zap.Stringer("account", account), zap.Int("made", made), zap.Int("waiting", runs.Waiting), zap.Int("runs", len(runs.Made)),
+		zap.Duration("silence", silence), zap.Duration("took", clock.Since(now)), zap.Error(err))
+	w.tick()
+}
+
+// classifyRun says what a replica's answer means for a run that has come this far here.
+func classifyRun(runs platform.Runs, err error, id string, at progress) (made int, a stall.Account) {
+	made, listed := runs.Made[id]
+	switch {
+	case errors.Is(err, replica.ErrUnknownCall) || errors.Is(err, platform.ErrMalformed):
+		return made, stall.Untold
+	case err != nil:
+		return made, stall.NoAnswer
+	case listed && made > at.events:
+		return made, stall.Ahead
+	case listed:
+		return made, stall.AtWork
+	case !runs.Told || runs.Waiting > 0 || !at.started:
+		// A run that has not started, or was preempted by others, may be waiting for its
+		// turn.
+		return made, stall.Untold
+	}
+	return made, stall.NotListed
+}
+
+// queryRuns asks an engine for its list of runs; concurrent callers share one query.
+func (g *Gateway) queryRuns(c request.Choice) (platform.Runs, error) {
+	runs, err, _ := g.runQueries.Do(c.Upstream+" "+c.Address, func() (any, error) {
+		ctx, cancel := clock.WithTimeout(context.Background(), runQueryTimeout)
+		defer cancel()
+		return g.client.Runs(ctx, c.Upstream, c.Address)
+	})
+	return runs.(platform.Runs), err
+}
+
+// reserveReplacement reserves another run and cancels this one for it, if it has not ended.
+func (w *stallWatch) reserveReplacement(ctx context.Context, at progress, suspected bool) {
+	x := w.attempt.x
+	r, denied := x.reserveReplacement(ctx, w.attempt, at, suspected)
+	now := clock.Now()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if !w.stopped {
+		w.detectSuspend(now)
+	}
+	notCancelled := ctx.Err() == nil
+	w.cancelReservation()
+	if r == nil {
+		w.machine.Denied(now)
+		x.g.countReplacement(x.service, string(denied))
+		x.g.log.Info("no replacement for a stalled run", logging.Request(x.req.ID), zap.String("reason", string(denied)),
+			zap.Stringer("account", w.machine.Account()), zap.Duration("silence", w.machine.Silence(now)))
+		return
+	}
+	if cancels := w.machine.Secured(now) == stall.Leave; !notCancelled || !cancels && !w.stopped {
+		x.releaseReplacement(r)
+		x.g.countReplacement(x.service, "given_back")
+		return
+	}
+	w.replacement = r
+	x.g.countReplacement(x.service, "used")
+	// A run that has ended by itself keeps its outcome.
+	if w.stopped {
+		return
+	}
+	w.attempt.cancel(&stallError{account: w.machine.Account(), silence: w.machine.Silence(now)})
+}
+
+// totalEvents is the number of events of the stream that have arrived, including those that
+// the caller had received before this run.
+func (t *attempt) totalEvents() int {
+	return max(t.eventsReceived, eventNumber(t.x.lastEvent), eventNumber(t.x.req.LastEvent))
+}
+
+// eventNumber is the number in an event's ID; 0 for an ID that is no number.
+func eventNumber(id string) int {
+	n, err := strconv.Atoi(id)
+	if err != nil {
+		return 0
+	}
+	return n
+}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -15,105 +15,106 @@
 )
 
 const (
-	// maxEventBytes bounds one event of a stream.
+	// maxEventBytes limits one event of a stream.
 	maxEventBytes = 1 << 20
-	// streamBuffer is the read buffer of a stream: several events.
+	// streamBuffer is the size of a stream's read buffer in bytes, enough for several
+	// events.
 	streamBuffer = 4 << 10
 )
 
-// errEventTooLarge says that an event is over maxEventBytes.
+// errEventTooLarge says that an event exceeds maxEventBytes.
 var errEventTooLarge = errors.New("event too large")
 
-// passEvents passes the events of a stream on as they come.
-func (t *try) passEvents(resp *http.Response) (attemptEnd, *problem.Error) {
+// relayEvents relays the events of a stream as they arrive.
+func (t *attempt) relayEvents(resp *http.Response) (attemptEnd, *problem.Error) {
 	x, w := t.x, t.watch
-	w.begun()
+	w.answerStarted()
 	events := newEventReader(resp.Body)
 	for {
 		event, err := events.next()
 		if err == io.EOF {
-			return t.endStream(resp, events)
+			return t.finishStream(resp, events)
 		}
 		if err != nil {
-			return t.broken(err)
+			return t.callFailed(err)
 		}
-		if !w.arrived() {
-			return t.broken(context.Cause(t.ctx))
+		if !w.eventArrived() {
+			return t.callFailed(context.Cause(t.ctx))
 		}
-		t.events++
-		if t.first.IsZero() {
-			t.firstEvent()
+		t.eventsReceived++
+		if t.firstAt.IsZero() {
+			t.recordFirstEvent()
 		}
-		if !x.seen(event.id) {
-			if err := x.send(resp, event); err != nil {
-				return abandoned, problem.New(problem.CallerGone, "the caller does not read: %v", err)
+		if !x.alreadySent(event.id) {
+			if err := x.sendEvent(resp, event); err != nil {
+				return abandoned, problem.New(problem.CallerGone, "writing to the caller failed: %v", err)
 			}
 		}
-		w.passed(progress{committed: x.committed, lastEvent: x.lastEvent, events: t.arrivedEvents(), begun: true})
+		w.eventRelayed(progress{committed: x.committed, lastEvent: x.lastEvent, events: t.totalEvents(), started: true})
 	}
 }
 
-// firstEvent notes the time to the first event and gives the inputs up: the
-// replica has read them.
-func (t *try) firstEvent() {
+// recordFirstEvent records the time to the first event and releases the inputs: the replica
+// has read them.
+func (t *attempt) recordFirstEvent() {
 	x := t.x
-	t.first = clock.Now()
-	if x.firstAt.IsZero() {
-		x.firstAt = t.first
+	t.firstAt = clock.Now()
+	if x.firstEventAt.IsZero() {
+		x.firstEventAt = t.firstAt
 	}
 	x.g.router.FirstByte(t.choice)
-	x.g.streams.observe(x.service, x.route.Name, x.ownTokens(), t.first.Sub(t.began))
+	x.g.streamTimes.observeFirstEvent(x.service, x.route.Name, x.unsharedTokens(), t.firstAt.Sub(t.began))
 	if len(x.inputs) > 0 {
-		x.g.inputs.read()
+		x.g.inputRetention.shorten()
 	}
 	x.releaseInputs()
 }
 
-// endStream ends the answer after the replica's last event.
-func (t *try) endStream(resp *http.Response, events *eventReader) (attemptEnd, *problem.Error) {
+// finishStream ends the answer after the replica's last event.
+func (t *attempt) finishStream(resp *http.Response, events *eventReader) (attemptEnd, *problem.Error) {
 	x := t.x
 	if events.partial() {
-		return t.broken(io.ErrUnexpectedEOF)
+		return t.callFailed(io.ErrUnexpectedEOF)
 	}
 	if !x.committed {
-		x.commit(resp)
+		x.sendHead(resp)
 	}
 	x.status, x.outcome = resp.StatusCode, "answered"
 	return answered, nil
 }
 
-// commit sends the head of the answer.
-func (x *exchange) commit(resp *http.Response) {
+// sendHead sends the head of the answer.
+func (x *exchange) sendHead(resp *http.Response) {
 	x.committed = true
 	platform.CopyAnswer(x.w.Header(), resp.Header)
 	x.w.Header().Del("Content-Length")
 	x.w.WriteHeader(resp.StatusCode)
-	// Bounds the writing to a caller that does not read.
+	// Limits the time for writing to a caller that does not read.
 	_ = http.NewResponseController(x.w).SetWriteDeadline(clock.Steady(x.deadline))
 }
 
-// send passes one event on.
-func (x *exchange) send(resp *http.Response, e event) error {
+// sendEvent sends one event to the caller.
+func (x *exchange) sendEvent(resp *http.Response, e event) error {
 	if !x.committed {
-		x.commit(resp)
+		x.sendHead(resp)
 	}
 	if _, err := x.w.Write(e.raw); err != nil {
 		return err
 	}
 	now := clock.Now()
-	if x.events > 0 {
-		x.pause = max(x.pause, now.Sub(x.sentAt))
+	if x.eventsSent > 0 {
+		x.longestPause = max(x.longestPause, now.Sub(x.lastSentAt))
 	}
-	x.sentAt = now
-	x.events++
+	x.lastSentAt = now
+	x.eventsSent++
 	if e.id != "" {
 		x.lastEvent = e.id
 	}
 	return http.NewResponseController(x.w).Flush()
 }
 
-// seen says whether an event of a resumed stream was passed on before.
-func (x *exchange) seen(id string) bool {
+// alreadySent says whether an event of a resumed stream was sent before.
+func (x *exchange) alreadySent(id string) bool {
 	if id == "" || x.lastEvent == "" {
 		return false
 	}
@@ -122,8 +123,8 @@
 	return err == nil && lastErr == nil && n <= last
 }
 
-// event is one event of a stream, with its blank line. raw is valid until the
-// next event is read.
+// event is one event of a stream, including its blank line. raw is valid until the next
+// event is read.
 type event struct {
 	raw []byte
 	id  string
@@ -141,14 +142,14 @@
 
 var idField = []byte("id:")
 
-// next returns the next whole event. At the end of the stream it returns
-// io.EOF; see partial.
+// next returns the next complete event. At the end of the stream it returns io.EOF; see
+// partial.
 func (e *eventReader) next() (event, error) {
 	e.buf = e.buf[:0]
 	var id string
 	for {
 		start := len(e.buf)
-		if err := e.line(); err != nil {
+		if err := e.readLine(); err != nil {
 			return event{}, err
 		}
 		line := bytes.TrimRight(e.buf[start:], "\r\n")
@@ -161,8 +162,8 @@
 	}
 }
 
-// line appends the next line to the buffer.
-func (e *eventReader) line() error {
+// readLine appends the next line to the buffer.
+func (e *eventReader) readLine() error {
 	for {
 		part, err := e.r.ReadSlice('\n')
 		e.buf = append(e.buf, part...)
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -11,7 +11,7 @@
 )
 
 // whole is the complete stream that answers a request.
-func whole(id string, from, to int) string {
+func streamEvents(id string, from, to int) string {
 	var b strings.Builder
 	for n := from; n <= to; n++ {
 		b.WriteString(site.Event(id, n))
@@ -27,24 +27,24 @@
 var _ = Describe("streams", func() {
 	It("are passed on whole", func() {
 		f := newFixture()
-		a, id := f.start().ready().send(http.MethodPost, onePath, "prompt", nil)
+		a, id := f.start().ready().send(http.MethodPost, streamPath, "prompt", nil)
 		Expect(a.err).NotTo(HaveOccurred())
-		Expect(a.body).To(Equal(whole(id, 1, 5)))
+		Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
 		Expect(a.header.Get("Content-Type")).To(Equal("text/event-stream"))
 	})
 
 	It("begin after the event that the caller names", func() {
 		f := newFixture()
-		a, id := f.start().ready().send(http.MethodPost, goOnPath, "prompt", func(r *http.Request) { r.Header.Set("Last-Event-Id", "2") })
-		Expect(a.body).To(Equal(whole(id, 3, 5)))
+		a, id := f.start().ready().send(http.MethodPost, resumePath, "prompt", func(r *http.Request) { r.Header.Set("Last-Event-Id", "2") })
+		Expect(a.body).To(Equal(streamEvents(id, 3, 5)))
 	})
 
 	It("do not look complete when they broke off and may not go on elsewhere", func() {
 		f := newFixture()
 		f.behave("llm", site.Behaviour{CutAfterEvents: 2})
-		a, id := f.start().ready().send(http.MethodPost, onePath, "prompt", nil)
+		a, id := f.start().ready().send(http.MethodPost, streamPath, "prompt", nil)
 		Expect(a.err).To(HaveOccurred())
-		Expect(a.body).To(Equal(whole(id, 1, 2)), "no part of an event")
+		Expect(a.body).To(Equal(streamEvents(id, 1, 2)), "no part of an event")
 		Expect(f.ledger.Runs(id)).To(HaveLen(1))
 	})
 
@@ -53,12 +53,12 @@
 		f.replicas["e1"].Behave(site.Behaviour{CutAfterEvents: 2})
 		g := f.start().ready()
 		// Engines are drawn: with six requests one of 64 runs never sees e1.
-		const least, most = 6, 40
+		const minRequests, maxRequests = 6, 40
 		resumed := 0
-		for n := 0; n < least || resumed == 0 && n < most; n++ {
-			a, id := g.send(http.MethodPost, goOnPath, "prompt", nil)
+		for n := 0; n < minRequests || resumed == 0 && n < maxRequests; n++ {
+			a, id := g.send(http.MethodPost, resumePath, "prompt", nil)
 			Expect(a.err).NotTo(HaveOccurred())
-			Expect(a.body).To(Equal(whole(id, 1, 5)))
+			Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
 			if runs := f.ledger.Runs(id); len(runs) == 2 {
 				resumed++
 				Expect(runs[1].After).To(Equal("2"))
@@ -70,7 +70,7 @@
 	It("get the failure of an engine before the first event as an answer", func() {
 		f := newFixture()
 		f.behave("llm", site.Behaviour{CutBefore: true})
-		a, _ := f.start().ready().send(http.MethodPost, onePath, "prompt", nil)
+		a, _ := f.start().ready().send(http.MethodPost, streamPath, "prompt", nil)
 		Expect(a.status).To(Equal(http.StatusBadGateway))
 	})
 })
@@ -80,9 +80,9 @@
 		f := newFixture()
 		g := f.start().ready()
 		for range 5 {
-			a, id := g.send(http.MethodPost, goOnPath, "prompt", withStages)
+			a, id := g.send(http.MethodPost, resumePath, "prompt", withStages)
 			Expect(a.status).To(Equal(http.StatusOK))
-			Expect(a.body).To(Equal(whole(id, 1, 5)))
+			Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
 		}
 		Expect(f.ledger.Faults()).To(BeEmpty())
 		made, _, _ := f.ledger.Results()
@@ -94,7 +94,7 @@
 		f := newFixture()
 		f.store.Delete("servers/s1")
 		f.store.Delete("servers/s2")
-		a, id := f.start().ready().send(http.MethodPost, goOnPath, "prompt", withStages)
+		a, id := f.start().ready().send(http.MethodPost, resumePath, "prompt", withStages)
 		Expect(a.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(a.header.Get("Retry-After")).NotTo(BeEmpty())
 		Expect(f.ledger.Runs(id)).To(BeEmpty())
@@ -105,7 +105,7 @@
 		f.replicas["s1"].Behave(site.Behaviour{CutBefore: true})
 		g := f.start().ready()
 		for range 3 {
-			a, _ := g.send(http.MethodPost, goOnPath, "prompt", withStages)
+			a, _ := g.send(http.MethodPost, resumePath, "prompt", withStages)
 			Expect(a.status).To(Equal(http.StatusOK))
 		}
 		Expect(f.ledger.Faults()).To(BeEmpty())
@@ -116,9 +116,9 @@
 		f.replicas["e1"].Behave(site.Behaviour{CutAfterEvents: 2})
 		g := f.start().ready()
 		for range 6 {
-			a, id := g.send(http.MethodPost, goOnPath, "prompt", withStages)
+			a, id := g.send(http.MethodPost, resumePath, "prompt", withStages)
 			Expect(a.err).NotTo(HaveOccurred())
-			Expect(a.body).To(Equal(whole(id, 1, 5)))
+			Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
 		}
 		Expect(f.ledger.Faults()).To(BeEmpty())
 		Eventually(func() int { _, _, held := f.ledger.Results(); return held }, "1s").Should(BeZero())
--- a/gateway/unanswered_test.go
+++ b/gateway/unanswered_test.go
@@ -19,24 +19,24 @@
 // watched from the head of its answer on only.
 //
 // enoughRepeats allows a repeat for each request.
-func enoughRepeats(s *gateway.Settings) { s.Budget.Ratio, s.Budget.Slack = 1, 500 }
+func ampleRetryBudget(s *gateway.Settings) { s.Budget.Ratio, s.Budget.Slack = 1, 500 }
 
 // An engine that never answers is left like one that falls silent, and for no longer than
 // callers wait.
-func TestStreamsThatNeverBeginGoOnElsewhere(t *testing.T) {
-	for kind, change := range map[string]func(*http.Request){"": patient, " with stages": patientWithStage} {
+func TestUnansweredStreamsMoveElsewhere(t *testing.T) {
+	for kind, change := range map[string]func(*http.Request){"": withLongDeadline, " with stages": withLongDeadlineAndStage} {
 		t.Run("an engine that hangs"+kind, func(t *testing.T) {
 			t.Parallel()
 			f := newFixtureOf(t)
 			f.replicas["e1"].Behave(site.Behaviour{Hang: true})
-			g := f.startWith(zap.NewNop(), enoughRepeats).ready()
+			g := f.startWith(zap.NewNop(), ampleRetryBudget).ready()
 			const streams = 12 // engines are drawn
 			began := time.Now()
 			answers := make(chan string, streams)
 			for range streams {
 				go func() {
-					a, id := g.sendWatched(change, func() {})
-					if a.err != nil || a.body != whole(id, 1, 5) {
+					a, id := g.sendLong(change, func() {})
+					if a.err != nil || a.body != streamEvents(id, 1, 5) {
 						answers <- fmt.Sprintf("status %d, error %v, body %q", a.status, a.err, a.body)
 						return
 					}
@@ -48,7 +48,7 @@
 			}
 			took := time.Since(began)
 			t.Logf("all whole after %s", took.Round(time.Millisecond))
-			f.Expect(took).To(BeNumerically("<", goesOnWithin))
+			f.Expect(took).To(BeNumerically("<", resumeTimeout))
 			f.Expect(f.ledger.Faults()).To(BeEmpty())
 		})
 	}
@@ -56,56 +56,56 @@
 
 // An engine that takes its time for the head of an answer, and says that it is at work, is
 // left alone.
-func TestStreamsThatBeginLateArriveWhole(t *testing.T) {
+func TestStreamsThatStartLateComplete(t *testing.T) {
 	f := newFixtureOf(t)
-	f.behave("llm", site.Behaviour{Work: pauseOfEngine})
-	a, id := f.start().ready().sendWatched(patient, func() {})
+	f.behave("llm", site.Behaviour{Work: enginePause})
+	a, id := f.start().ready().sendLong(withLongDeadline, func() {})
 	f.Expect(a.err).NotTo(HaveOccurred())
-	f.Expect(a.body).To(Equal(whole(id, 1, 5)))
+	f.Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
 	f.Expect(f.ledger.Runs(id)).To(HaveLen(1))
 }
 
 // oneRepeat leaves a gateway a single repeat of the budget.
-func oneRepeat(s *gateway.Settings) { s.Budget.Ratio, s.Budget.Slack = 0, 18 }
+func singleRetry(s *gateway.Settings) { s.Budget.Ratio, s.Budget.Slack = 0, 18 }
 
 // A run is left for another engine, which holds no places and refuses it after all: the
 // stream goes on at a third one, though the budget allows no repeat more.
-func TestStreamsThatWereLeftSurviveARefusal(t *testing.T) {
-	const plays = 8 // the second engine is drawn
-	refused := make(chan bool, plays)
+func TestMovedStreamsSurviveARefusal(t *testing.T) {
+	const trials = 8 // the second engine is drawn
+	refused := make(chan bool, trials)
 	t.Run("plays", func(t *testing.T) {
-		for n := range plays {
+		for n := range trials {
 			t.Run(fmt.Sprint(n), func(t *testing.T) {
 				t.Parallel()
 				f := newFixtureOf(t)
-				f.without("e2")
+				f.removeReplicas("e2")
 				f.replicas["e1"].Behave(site.Behaviour{PauseAfterEvents: 2, Silence: site.Frozen})
-				g := f.startWith(zap.NewNop(), oneRepeat).ready()
-				a, id := g.sendWatched(patient, func() {
+				g := f.startWith(zap.NewNop(), singleRetry).ready()
+				a, id := g.sendLong(withLongDeadline, func() {
 					f.add("e3", "llm", site.Engine).Behave(site.Behaviour{Shed: true, NoOrders: true})
 					f.add("e4", "llm", site.Engine)
 				})
 				f.Expect(a.err).NotTo(HaveOccurred())
-				f.Expect(a.body).To(Equal(whole(id, 1, 5)))
-				refused <- len(g.counters(`wheatseam_attempts_total{service="llm",end="not_executed"}`)) > 0
+				f.Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
+				refused <- len(g.metricLines(`wheatseam_attempts_total{service="llm",end="not_executed"}`)) > 0
 			})
 		}
 	})
 	close(refused)
-	any := false
+	anyRefused := false
 	for r := range refused {
-		any = any || r
+		anyRefused = anyRefused || r
 	}
-	NewWithT(t).Expect(any).To(BeTrue(), "the case is another")
+	NewWithT(t).Expect(anyRefused).To(BeTrue(), "the case is another")
 }
 
 // The inputs of a further run are made once there is a place for it: not again and again
 // while no other engine has one.
-func TestInputsAreNotMadeWhileNoEngineHasAPlace(t *testing.T) {
+func TestStagesAreNotRerunWhileNoEngineHasCapacity(t *testing.T) {
 	f := newFixtureOf(t)
-	f.without("e2")
+	f.removeReplicas("e2")
 	f.replicas["e1"].Behave(site.Behaviour{PauseAfterEvents: 2, Silence: site.StandsStill})
-	a, id := f.start().ready().sendWatched(patientWithStage, func() {
+	a, id := f.start().ready().sendLong(withLongDeadlineAndStage, func() {
 		f.add("e3", "llm", site.Engine).Behave(site.Behaviour{NoHolds: true})
 	})
 	f.Expect(a.err).To(HaveOccurred(), "the stream is waited for until its deadline")
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -9,10 +9,10 @@
 	"github.com/wheatseam/wheatseam/discovery"
 )
 
-// pools is the view as the router takes it: one pool a service, of the replicas
-// that take new work. rounds numbers the views.
-func pools(v *discovery.View, rounds uint64, regions []Region) *bundle.Bundle {
-	b := &bundle.Bundle{Version: rounds, Policy: bundle.PolicyAdaptive}
+// routerPools converts a view for the router: one pool per service, with the replicas that
+// take new work. version numbers the views.
+func routerPools(v *discovery.View, version uint64, regions []Region) *bundle.Bundle {
+	b := &bundle.Bundle{Version: version, Policy: bundle.PolicyAdaptive}
 	for _, r := range regions {
 		b.FailureDomains = append(b.FailureDomains, bundle.FailureDomain{Name: r.FailureDomain, Region: r.Region})
 	}
@@ -41,9 +41,9 @@
 	return b
 }
 
-// stageReplicas are the replicas of services that run stages. Those of evacuated
-// failure domains are as those that drain: what they hold is read, and nothing more
-// is made there.
+// stageReplicas are the replicas of services that run stages. Replicas in evacuated failure
+// domains count as draining: the results that they hold are read, and no new ones are
+// produced there.
 func stageReplicas(v *discovery.View) []catalog.Replica {
 	var out []catalog.Replica
 	for _, r := range v.Replicas {
--- a/gateway/wake_test.go
+++ b/gateway/wake_test.go
@@ -18,14 +18,14 @@
 // whose events waited to be read.
 //
 // A host that wakes takes no stream for silent.
-func TestStreamsGoOnWhenTheirHostWakes(t *testing.T) {
+func TestStreamsContinueAfterHostSuspend(t *testing.T) {
 	f := newFixtureOf(t)
 	f.behave("llm", site.Behaviour{PauseAfterEvents: 2, Pause: 600 * time.Millisecond})
 	g := f.start().ready()
 	const sleep = 5 * time.Second // within the route's timeout
-	slow := func(r *http.Request) { r.Header.Set("Deadline-Ms", "60000") }
+	withMinuteDeadline := func(r *http.Request) { r.Header.Set("Deadline-Ms", "60000") }
 	slept := make(chan struct{})
-	a, id := g.sendWatched(slow, func() {
+	a, id := g.sendLong(withMinuteDeadline, func() {
 		go func() {
 			defer close(slept)
 			time.Sleep(100 * time.Millisecond) // into the pause
@@ -34,6 +34,6 @@
 	})
 	<-slept
 	f.Expect(a.err).NotTo(HaveOccurred())
-	f.Expect(a.body).To(Equal(whole(id, 1, 5)))
+	f.Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
 	f.Expect(f.ledger.Runs(id)).To(HaveLen(1))
 }
