--- a/gateway/after_test.go
+++ b/gateway/cancelledrun_test.go
@@ -15,9 +15,9 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// What arrives of a run after it was ended for another one is not passed on: the next
-// run goes on where the caller's answer stood then. An event without an id would come
-// twice.
+// Events that arrive after a run was cancelled in favour of another one must not be
+// relayed: the next run resumes at the last event that the caller had then, so that an
+// event without an ID would be sent twice.
 func TestEventsOfCancelledRunAreNotRelayed(t *testing.T) {
 	RegisterTestingT(t)
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -29,7 +29,7 @@
 	now := clock.Now()
 	Expect([]stall.Action{w.machine.Tick(now), w.machine.Tick(now)}).To(Equal([]stall.Action{stall.Ask, stall.Secure}))
 	Expect(w.machine.Secured(now)).To(Equal(stall.Leave))
-	cancel(&stallError{account: stall.NoAnswer})
+	cancel(&stallError{status: stall.NoAnswer})
 	resp := &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader("data: late\n\n"))}
 	end, _ := current.relayEvents(resp)
 	Expect(end).To(Equal(stalled))
--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -116,9 +116,9 @@
 		}
 	}
 	g.router.SetCold(limits)
-	before := int(g.coldCount.Swap(int64(len(cold))))
-	if (before == 0) != (len(cold) == 0) {
-		g.log.Info("cold replicas", zap.Int("replicas", len(cold)), zap.Int("before", before))
+	previous := int(g.coldCount.Swap(int64(len(cold))))
+	if (previous == 0) != (len(cold) == 0) {
+		g.log.Info("cold replicas", zap.Int("replicas", len(cold)), zap.Int("before", previous))
 	}
 }
 
--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -11,8 +11,8 @@
 	"go.uber.org/zap"
 )
 
-// coldSite is a site whose plain replicas bear two requests a second while they are
-// cold, with one gateway and its log.
+// newColdSite is a site whose replicas of the service "plain" take two requests per second
+// while they are cold, with one gateway.
 func newColdSite(t *testing.T, change func(*fixture)) (*fixture, *gatewayProcess) {
 	f := newFixtureOf(t)
 	f.coldRate = 2
@@ -22,10 +22,11 @@
 	return f, g.ready()
 }
 
-// coldLimit is how many requests a second hosts share out at a replica of coldSite.
+// coldLimitPerSecond is how many requests per second hosts divide among themselves at a
+// cold replica of newColdSite.
 const coldLimitPerSecond = 2
 
-// served sends safe requests for a while and counts those that each replica ran.
+// sendSafeRequests sends safe requests for a while and counts those that each replica ran.
 func sendSafeRequests(f *fixture, g *gatewayProcess, during time.Duration) (ran map[string]int, refused int) {
 	ran = map[string]int{}
 	for began := time.Now(); time.Since(began) < during; time.Sleep(10 * time.Millisecond) {
@@ -63,8 +64,8 @@
 	}
 }
 
-// The pattern: a failure domain is taken back, and its replicas have turned cold
-// meanwhile without a word in the store so far.
+// A failure domain is restored while its replicas have become cold, which the store does
+// not report yet.
 func TestReplicasOfRestoredDomainAreColdDuringWarmup(t *testing.T) {
 	f, g := newColdSite(t, func(f *fixture) { f.setDomain("y", "p2"); f.store.Evacuate("x") })
 	g.awaitEvacuatedDomains(1)
@@ -77,8 +78,8 @@
 	f.Eventually(func() int { ran, _ := sendSafeRequests(f, g, 500*time.Millisecond); return ran["p1"] }, "6s").Should(BeNumerically(">", 2*coldLimitPerSecond))
 }
 
-// Guards against calls for pieces beyond what a cold stage replica bears: the planner has
-// most of what all hosts may send it, and the other replica makes the rest.
+// Guards against more calls for pieces than a cold stage replica can take: the planner has
+// most of what all hosts may send it, and the other replica produces the rest.
 func TestColdStageReplicaGetsFewCalls(t *testing.T) {
 	t.Parallel()
 	const perSecond, maxCalls = 4, 7
@@ -97,5 +98,5 @@
 	sendLoad(hosts, 60*time.Millisecond, 4*time.Second, resumePath, withStagePieces)
 	arrived := f.replicas["s1"].Arrived()
 	f.Expect(maxInWindow(arrived, began, time.Second)).To(BeNumerically("<=", maxCalls))
-	f.Expect(len(arrived)).To(BeNumerically(">=", 2*perSecond), "the planner's part, for four seconds")
+	f.Expect(len(arrived)).To(BeNumerically(">=", 2*perSecond), "the planner's share, for four seconds")
 }
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -10,29 +10,27 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// Seen: callers sent requests under which the engine that ran them ended, some
-// 50 ms after it had begun, and came back with them under new ids at any host.
-// Fourteen to sixteen engines ended under each.
-//
-// How it came about: a daemon bounded the attempts of one request id and knew a
-// request by nothing else, and what one daemon had seen no other one knew.
-//
-// Proved by the lines "replica ended under requests": the same content stands in
-// each, under another id, from other hosts.
+// Guards against a request that crashes one replica after another. Callers sent requests
+// under which engines crashed about 50 ms after they had started, and retried them under
+// new IDs at any host; 14 to 16 engines crashed under each. The attempts were limited by
+// request ID only, and what one daemon had seen was unknown to the others. In the log, the
+// lines "replica ended under requests" show the same content under different IDs and from
+// different hosts.
 var _ = Describe("a request that crashes its replicas", func() {
 	const (
-		// contact is how long after its third crash a daemon may still not know.
+		// spreadTime is how long after the third crash a daemon may still not know the
+		// request.
 		spreadTime = 3 * time.Second
-		// crashesToKnow are the crashes that make a request known, and moreAllowed
-		// the sends that the users allow after that.
+		// crashesToQuarantine are the crashes after which a request is quarantined, and
+		// maxSendsAfter the sends that the users allow after that.
 		crashesToQuarantine = 3
 		maxSendsAfter       = 3
 		culprit             = "culprit"
 		harmless            = "harmless"
 	)
 
-	// crashing makes all replicas of a service end under the culprit; they return
-	// under their ids, each start with another birth.
+	// crashUnderCulprit makes all replicas of a service crash under the culprit. They
+	// restart under the same ID with a new start time.
 	crashUnderCulprit := func(f *fixture, service string) {
 		for _, r := range f.replicas {
 			if r.Service != service {
@@ -53,7 +51,7 @@
 		return n
 	}
 
-	DescribeTable("reaches no replica for long after it has crashed three, whichever daemons saw them",
+	DescribeTable("is soon kept from all replicas after it has crashed three, whichever daemons saw the crashes",
 		func(path, service string, kind site.Kind, change func(*http.Request)) {
 			f := newFixture()
 			for _, id := range []string{"x1", "x2", "x3"} {
@@ -66,7 +64,7 @@
 				g.ready()
 				Eventually(func() []string { return g.metricLines("wheatseam_hosts") }, "5s").Should(ConsistOf(HaveSuffix(" 3")))
 			}
-			By("coming back under new ids, at each daemon in turn")
+			By("retrying under new IDs, at each daemon in turn")
 			sent := 0
 			for deadline := time.Now().Add(20 * time.Second); crashes(f) < crashesToQuarantine; sent++ {
 				Expect(time.Now()).To(BeTemporally("<", deadline))
@@ -74,7 +72,7 @@
 				time.Sleep(50 * time.Millisecond)
 			}
 			thirdCrashAt := time.Now()
-			By("coming back when every daemon must know")
+			By("retrying when every daemon must know")
 			time.Sleep(time.Until(thirdCrashAt.Add(spreadTime)))
 			before := len(f.ledger.RunsOf(culprit))
 			for i := range 4 * maxSendsAfter {
@@ -83,7 +81,7 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 			Expect(len(f.ledger.RunsOf(culprit))-before).To(BeNumerically("<=", maxSendsAfter), "sent to replicas after %d crashes", crashes(f))
-			By("serving what is harmless")
+			By("serving a harmless request")
 			for _, g := range gateways {
 				Eventually(func() int {
 					a, _ := g.send(http.MethodPost, path, harmless, change)
@@ -95,8 +93,8 @@
 		Entry("idempotent", safePath, "plain", site.Plain, nil),
 		Entry("at most once", sealPath, "plain", site.Plain, nil),
 		Entry("a stream", streamPath, "llm", site.Engine, nil),
-		Entry("a stream that may go on elsewhere", resumePath, "llm", site.Engine, nil),
-		Entry("a stream behind stages", resumePath, "llm", site.Engine, func(r *http.Request) {
+		Entry("a stream that may resume elsewhere", resumePath, "llm", site.Engine, nil),
+		Entry("a stream with stages", resumePath, "llm", site.Engine, func(r *http.Request) {
 			r.Header.Set("Piece-Count", "1,2")
 			r.Header.Set("Piece-Key", "k")
 		}),
--- a/gateway/leaving_test.go
+++ b/gateway/disconnect_test.go
@@ -14,7 +14,7 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// dial opens a caller's connection and sends raw bytes on it.
+// dialRaw opens a caller's connection and sends raw bytes on it.
 func (r *gatewayProcess) dialRaw(raw string) *net.TCPConn {
 	GinkgoHelper()
 	conn, err := net.Dial("tcp", r.callers)
@@ -25,12 +25,12 @@
 	return conn.(*net.TCPConn)
 }
 
-// requestHead begins a request to a path with an id.
+// requestHead is the start of a request to a path with an ID.
 func requestHead(path, id string) string {
 	return "POST " + path + " HTTP/1.1\r\nHost: " + host + "\r\nX-Api-Key: key-1\r\nDeadline-Ms: 2000\r\nAttempt-Id: " + id + "\r\n"
 }
 
-var _ = Describe("a caller that leaves", func() {
+var _ = Describe("a caller that disconnects", func() {
 	It("with half of its body sent reaches no replica", func() {
 		f := newFixture()
 		g := f.start().ready()
@@ -40,7 +40,7 @@
 		Consistently(func() []site.Run { return f.ledger.Runs("half") }, "300ms").Should(BeEmpty())
 	})
 
-	It("while its stages are made reaches no engine", func() {
+	It("while its stages run reaches no engine", func() {
 		f := newFixture()
 		g := f.start().ready()
 		f.behave("encode", site.Behaviour{Work: 200 * time.Millisecond})
@@ -50,18 +50,18 @@
 		Consistently(func() []site.Run { return f.ledger.Runs("early") }, "700ms").Should(BeEmpty())
 	})
 
-	It("while a replica works has it stop, and hears nothing that looks like an answer", func() {
+	It("while a replica works has its request cancelled, and receives nothing that looks like an answer", func() {
 		f := newFixture()
 		g := f.start().ready()
 		f.behave("plain", site.Behaviour{Hang: true})
 		conn := g.dialRaw(requestHead(safePath, "gone") + "Content-Length: 0\r\n\r\n")
 		time.Sleep(50 * time.Millisecond)
-		Expect(conn.CloseWrite()).To(Succeed(), "it still reads")
+		Expect(conn.CloseWrite()).To(Succeed(), "the caller still reads")
 		heard, _ := io.ReadAll(conn) // how the connection ends does not matter
 		Expect(string(heard)).To(BeEmpty())
 	})
 
-	It("reads every answer that it sent for in a row", func() {
+	It("gets every answer to its pipelined requests", func() {
 		f := newFixture()
 		g := f.start().ready()
 		conn := g.dialRaw(strings.Repeat(requestHead(safePath, "row")+"Content-Length: 0\r\n\r\n", 3))
--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("draining", func() {
-	It("finishes what is in flight, serves on kept connections and closes them", func() {
+	It("finishes requests in flight, serves kept-alive connections and closes them", func() {
 		f := newFixture()
 		f.behave("plain", site.Behaviour{Work: 300 * time.Millisecond})
 		g := f.start().ready()
@@ -25,12 +25,12 @@
 		g.stop()
 		Eventually(g.readinessStatus, "500ms").Should(Equal(http.StatusServiceUnavailable))
 		late, _ := g.send(http.MethodPost, sealPath, "", nil)
-		Expect(late.status).To(Equal(http.StatusOK), "connections still come for a while")
+		Expect(late.status).To(Equal(http.StatusOK), "connections still arrive for a while")
 		Expect((<-inFlight).status).To(Equal(http.StatusOK))
 		Eventually(g.done, "3s").Should(Receive(BeNil()))
 	})
 
-	It("refuses a request whose stages are still being made when the time is over", func() {
+	It("refuses a request whose stages are still running when their time is over", func() {
 		f := newFixture()
 		f.behave("encode", site.Behaviour{Hang: true})
 		g := f.start().ready()
@@ -54,7 +54,7 @@
 		Eventually(g.done, "3s").Should(Receive())
 	})
 
-	It("ends within the grace, whatever runs", func() {
+	It("ends within the grace period, whatever is running", func() {
 		f := newFixture()
 		f.behave("plain", site.Behaviour{Hang: true})
 		g := f.start().ready()
@@ -71,7 +71,7 @@
 })
 
 var _ = Describe("replicas that drain", func() {
-	It("get no new requests within the bound", func() {
+	It("get no new requests after the bound", func() {
 		f := newFixture()
 		g := f.start().ready()
 		f.register(f.replicas["p1"], "draining")
@@ -83,8 +83,8 @@
 	})
 })
 
-var _ = Describe("an address that another replica has taken", func() {
-	It("does not get the requests of the one before", func() {
+var _ = Describe("an address that another replica has taken over", func() {
+	It("does not get the requests of the previous replica", func() {
 		f := newFixture()
 		g := f.start().ready()
 		f.store.Put("servers/old", map[string]any{
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -61,5 +61,5 @@
 			return nil
 		}
 	}
-	return withRetryAfter(problem.New(problem.NoUpstream, "service %q: all replicas take no further requests for now", x.service), wait)
+	return withRetryAfter(problem.New(problem.NoUpstream, "service %q: no replica takes further requests for now", x.service), wait)
 }
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -13,7 +13,7 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// moveTo registers replicas in a failure domain.
+// setDomain registers replicas in a failure domain.
 func (f *fixture) setDomain(domain string, ids ...string) {
 	for _, id := range ids {
 		f.replicas[id].FailureDomain = domain
@@ -21,7 +21,8 @@
 	}
 }
 
-// twoDomains is a site with a replica of each service in each of two failure domains.
+// newTwoDomainSite is a site with one replica of each service in each of two failure
+// domains.
 func newTwoDomainSite(t *testing.T) (*fixture, *gatewayProcess) {
 	f := newFixtureOf(t)
 	f.setDomain("x", "p1", "e1", "s1")
@@ -29,19 +30,19 @@
 	return f, f.startLogged(zap.NewNop()).ready()
 }
 
-// awaitEvacuated waits until the orders for so many failure domains are in force.
+// awaitEvacuatedDomains waits until that many failure domains are evacuated.
 func (r *gatewayProcess) awaitEvacuatedDomains(domains int) {
 	const gauge = "wheatseam_domains_evacuated"
 	r.Eventually(r.metricLines, "4s").WithArguments(gauge).Should(ConsistOf(fmt.Sprint(gauge, " ", domains)))
 }
 
-// staged asks for a stream behind stages.
+// withStagePieces requests a stream with stages.
 func withStagePieces(r *http.Request) {
 	r.Header.Set("Piece-Count", "2,1")
 	r.Header.Set("Piece-Key", "k")
 }
 
-// servers names who ran requests of a kind, each sent some times.
+// runsByReplica counts, by replica, the runs of several requests of one kind.
 func runsByReplica(f *fixture, g *gatewayProcess, path string, change func(*http.Request)) map[string]int {
 	const times = 12
 	ran := map[string]int{}
@@ -64,7 +65,7 @@
 	made := f.replicas["s1"].Made()
 	f.Expect(runsByReplica(f, g, sealPath, nil)).To(And(HaveLen(1), HaveKey("p2")))
 	f.Expect(runsByReplica(f, g, resumePath, withStagePieces)).To(And(HaveLen(1), HaveKey("e2")))
-	f.Expect(f.replicas["s1"].Made()).To(Equal(made), "pieces made in the evacuated domain")
+	f.Expect(f.replicas["s1"].Made()).To(Equal(made), "pieces produced in the evacuated domain")
 	f.Expect(f.replicas["s2"].Made()).To(BeNumerically(">", 0))
 
 	f.store.TakeBack("x")
@@ -84,7 +85,7 @@
 	time.Sleep(200 * time.Millisecond)
 	f.store.Evacuate("x")
 	g.awaitEvacuatedDomains(1)
-	f.Expect(answers).To(BeEmpty(), "the run is under way")
+	f.Expect(answers).To(BeEmpty(), "the run is still in progress")
 	var a answer
 	f.Eventually(answers, "3s").Should(Receive(&a))
 	f.Expect(a.status).To(Equal(http.StatusOK))
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -54,7 +54,8 @@
 	inputDomain string
 
 	// triedReplicas are the replicas that attempts were sent to, runs counts the attempts
-	// that may have executed the request, and freeRetries those that did not.
+	// that may have executed the request, and freeRetries the retries after attempts that
+	// did not.
 	triedReplicas []string
 	runs          int
 	freeRetries   int
@@ -74,11 +75,11 @@
 	lastSentAt   time.Time
 	longestPause time.Duration
 
-	preparedAt, firstEventAt time.Time
-	outcome                  string
-	detail                   string
-	retryAfter               time.Duration
-	status                   int
+	inputsReadyAt, firstEventAt time.Time
+	outcome                     string
+	detail                      string
+	retryAfter                  time.Duration
+	status                      int
 }
 
 // serve handles one request of a caller.
@@ -163,7 +164,7 @@
 	if !condemned || x.trialRun {
 		return nil
 	}
-	return withRetryAfter(problem.New(problem.Quarantined, "replicas ended under it"), v.RetryAfter(clock.Now()))
+	return withRetryAfter(problem.New(problem.Quarantined, "replicas crashed under this request"), v.RetryAfter(clock.Now()))
 }
 
 // authorize finds the customer that owns the request's API key.
@@ -192,7 +193,7 @@
 	case errors.As(err, &tooLarge):
 		return problem.New(problem.TooLarge, "body over %d bytes", limit)
 	case err != nil:
-		return problem.New(problem.BadRequest, "body not read: %v", err)
+		return problem.New(problem.BadRequest, "reading the body failed: %v", err)
 	}
 	x.body, x.fingerprint = body, hasher.Sum()
 	return nil
@@ -252,7 +253,7 @@
 // useInputs makes the next attempt read the inputs.
 func (x *exchange) useInputs(in *stageInputs) {
 	x.inputs, x.inputDomain = in.handles, in.domain
-	x.preparedAt = clock.Now()
+	x.inputsReadyAt = clock.Now()
 }
 
 // runStages runs the stages of the request, if it has any, and holds their results; nil
@@ -343,8 +344,8 @@
 	if x.detail != "" {
 		fields = append(fields, zap.String("why", x.detail), zap.Duration("retry_after", x.retryAfter))
 	}
-	if !x.preparedAt.IsZero() {
-		fields = append(fields, zap.Duration("prepared", x.preparedAt.Sub(x.arrived)))
+	if !x.inputsReadyAt.IsZero() {
+		fields = append(fields, zap.Duration("prepared", x.inputsReadyAt.Sub(x.arrived)))
 	}
 	if !x.firstEventAt.IsZero() {
 		fields = append(fields, zap.Duration("first", x.firstEventAt.Sub(x.arrived)), zap.Int("events", x.eventsSent), zap.Duration("pause", x.longestPause))
@@ -353,8 +354,8 @@
 	x.g.countForged(x.req.Forged)
 	x.g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_requests_total{outcome=%q}", x.outcome)).Inc()
 	x.g.metrics.GetOrCreateHistogram("wheatseam_request_seconds").Update(clock.Since(x.arrived).Seconds())
-	if !x.preparedAt.IsZero() {
-		x.g.metrics.GetOrCreateHistogram("wheatseam_stages_seconds").Update(x.preparedAt.Sub(x.arrived).Seconds())
+	if !x.inputsReadyAt.IsZero() {
+		x.g.metrics.GetOrCreateHistogram("wheatseam_stages_seconds").Update(x.inputsReadyAt.Sub(x.arrived).Seconds())
 	}
 	if !x.firstEventAt.IsZero() {
 		x.g.metrics.GetOrCreateHistogram("wheatseam_first_event_seconds").Update(x.firstEventAt.Sub(x.arrived).Seconds())
--- a/gateway/site_test.go
+++ b/gateway/fixture_test.go
@@ -19,14 +19,14 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// The services and routes of the tests.
+// The paths of the routes under test.
 const (
 	host       = site.Hostname
 	sealPath   = site.SealPath
 	safePath   = site.SafePath
 	streamPath = site.StreamPath
 	resumePath = site.ResumePath
-	// longPath streams are as those of goOnPath, with longer to go and one stage.
+	// longPath streams are like those of resumePath, with a longer timeout and one stage.
 	longPath = "/long/"
 )
 
@@ -38,25 +38,25 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", 2+(os.Getpid()>>8+n/perOctet)&0x7f, os.Getpid()&0xff, 1+n%perOctet, port)
 }
 
-// tester is a test: one of Go's, or the spec that runs.
+// tester is a test of package testing, or the current Ginkgo spec.
 type tester interface {
 	Helper()
 	Fatalf(format string, args ...any)
 	Cleanup(func())
 }
 
-// fixture is a site with one gateway, or several.
+// fixture is a site with one gateway or several.
 type fixture struct {
 	*WithT
 	test     tester
 	store    *site.Store
 	ledger   *site.Ledger
-	address  string // of the store
+	address  string // address of the store
 	replicas map[string]*site.Replica
 	version  int
 	keys     []string
-	// coldRate is what cold replicas of plain bear in a second, and coldCalls those of
-	// encode; 0 for any number.
+	// coldRate is how many requests per second cold replicas of "plain" can take, and
+	// coldCallRate how many calls those of "encode" can; 0 for no limit.
 	coldRate, coldCallRate int
 }
 
@@ -98,14 +98,14 @@
 	f.store.Put("servers/"+r.ID, site.Entry(r, phase))
 }
 
-// registerCold registers a replica that stays cold for a while.
+// registerCold registers a replica that stays cold for the given time.
 func (f *fixture) registerCold(id string, left time.Duration) {
 	entry := site.Entry(f.replicas[id], "ready")
 	entry["warmup_left_ms"] = left.Milliseconds()
 	f.store.Put("servers/"+id, entry)
 }
 
-// behave makes all replicas of a service behave so.
+// behave sets the behaviour of all replicas of a service.
 func (f *fixture) behave(service string, b site.Behaviour) {
 	for _, r := range f.replicas {
 		if r.Service == service {
@@ -114,7 +114,7 @@
 	}
 }
 
-// configure puts the next version of the configuration in the store.
+// configure stores the next version of the configuration.
 func (f *fixture) configure() {
 	f.version++
 	c := site.Configuration(f.version, f.keys)
@@ -137,7 +137,7 @@
 	f.store.Put("op/config", c)
 }
 
-// running is one gateway.
+// gatewayProcess is a running gateway.
 type gatewayProcess struct {
 	*WithT
 	test                               tester
@@ -147,7 +147,7 @@
 	done chan error
 }
 
-// start starts a gateway.
+// start starts a gateway that does not log.
 func (f *fixture) start(seeds ...string) *gatewayProcess {
 	return f.startLogged(zap.NewNop(), seeds...)
 }
@@ -157,7 +157,7 @@
 	return f.startWith(log, nil, seeds...)
 }
 
-// startWith starts a gateway that logs to log; change may alter its settings.
+// startWith starts a gateway that logs to log; change may modify its settings.
 func (f *fixture) startWith(log *zap.Logger, change func(*gateway.Settings), seeds ...string) *gatewayProcess {
 	self := address(7403)
 	s := &gateway.Settings{
@@ -188,7 +188,7 @@
 	return r
 }
 
-// ready waits until a gateway takes requests.
+// ready waits until the gateway is ready to serve.
 func (r *gatewayProcess) ready() *gatewayProcess {
 	r.test.Helper()
 	r.Eventually(r.readinessStatus, "5s").Should(Equal(http.StatusOK))
@@ -204,7 +204,7 @@
 	return resp.StatusCode
 }
 
-// answer is what a caller got.
+// answer is the answer that a caller received.
 type answer struct {
 	status int
 	header http.Header
@@ -215,7 +215,7 @@
 
 var nextID atomic.Uint64
 
-// send sends a request and reads the whole answer; change may alter it.
+// send sends a request and reads the whole answer; change may modify the request.
 func (r *gatewayProcess) send(method, path, body string, change func(*http.Request)) (answer, string) {
 	r.test.Helper()
 	id := fmt.Sprintf("%08x", nextID.Add(1))
--- a/gateway/forward_fuzz_test.go
+++ b/gateway/forward_fuzz_test.go
@@ -21,19 +21,19 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// received is a request as the replica's side of the wire saw it.
+// received is a request as the replica received it.
 type received struct {
 	head string
 	body []byte
 }
 
-// recorder is a replica that notes the bytes of each connection.
+// recordingReplica is a replica that records the bytes of each connection.
 type recordingReplica struct {
 	mu   sync.Mutex
 	seen []received
 }
 
-// serve takes connections until the listener closes.
+// serve accepts connections until the listener closes.
 func (r *recordingReplica) serve(l net.Listener) {
 	for {
 		conn, err := l.Accept()
@@ -62,7 +62,7 @@
 		req.Header.Get("Attempt-Id"), len(answer), answer)
 }
 
-// take returns what was seen and forgets it.
+// drain returns the recorded requests and clears them.
 func (r *recordingReplica) drain() []received {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,7 +71,7 @@
 	return seen
 }
 
-// startRecorded starts a gateway before a recorder.
+// startWithRecordingReplica starts a gateway with a recording replica.
 func startWithRecordingReplica(t testing.TB) (callers string, replica *recordingReplica) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -110,22 +110,22 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the gateway does not become ready")
+	t.Fatal("the gateway did not become ready")
 	return "", nil
 }
 
-// forgedHeaders are those that a caller may not set, by the users' page of the
-// protocol. The gateway sets the first four itself.
+// forgedHeaders are the headers that a caller may not set, by the protocol's specification.
+// The gateway sets the first four itself.
 var forgedHeaders = []string{
 	"Tenant", "Expected-Replica", "Request-Priority", "Input-Count", "Expected-Version", "Pin-Ms", "Kv-Hold", "Kv-Backup",
 	"Kv-From", "Kv-Fetch", "Kv-Later", "Response-Signature", "Not-Executed", "Replica-Load", "Replica-Id", "Weights-Versions", "Retry-After",
 }
 
-// head begins a request that the gateway serves.
+// head is the start of a request that the gateway serves.
 const head = "POST /seal/a HTTP/1.1\r\nHost: api.example\r\nX-Api-Key: key-1\r\nDeadline-Ms: 900\r\n"
 
-// forgeries are requests that carry a header in all the ways in which a check
-// by its name might miss it.
+// forgeries are requests with a header in all the forms in which a check by its name might
+// miss it.
 func forgeries(name string) []string {
 	const end = "Content-Length: 0\r\n\r\n"
 	headWithID := func(form string) string { return head + "Attempt-Id: " + name + "-" + form + "\r\n" }
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestForgedHeaders sends every header that is not a caller's to set, in every
-// form: the caller is served as if it had not sent it.
+// TestForgedHeaders sends every header that a caller may not set, in every form: the caller
+// must be served as if it had not sent it.
 func TestForgedHeaders(t *testing.T) {
 	callers, replica := startWithRecordingReplica(t)
 	conn, err := net.Dial("tcp", callers)
@@ -174,13 +174,12 @@
 	}
 }
 
-// hidden is a request that a caller hides in the body of another one.
+// smuggledRequest is a request that a caller hides in the body of another one.
 const smuggledRequest = "POST /seal/hidden HTTP/1.1\r\nHost: api.example\r\nX-Api-Key: key-1\r\nAttempt-Id: hidden\r\nContent-Length: 0\r\n\r\n"
 
-// FuzzForward sends raw bytes of a caller and holds what reaches a replica to
-// them: one well-formed request for each one sent, with the path, the id and
-// the body that a strict reader finds there, and nothing that was hidden inside
-// another request.
+// FuzzForward sends raw bytes of a caller and compares them with what reaches the replica:
+// one well-formed request for each one sent, with the path, the ID and the body that a
+// strict parser finds there, and nothing that was hidden inside another request.
 func FuzzForward(f *testing.F) {
 	for _, name := range forgedHeaders {
 		f.Add([]byte(strings.Join(forgeries(name), "")))
@@ -201,8 +200,8 @@
 		"POST /seal/a%0d%0aX: HTTP/1.1\r\nHost: api.example\r\nX-Api-Key: key-1\r\nAttempt-Id: b4\r\nContent-Length: 0\r\n\r\n",
 		"POST http://api.example/seal/a HTTP/1.1\r\nHost: other\r\nX-Api-Key: key-1\r\nAttempt-Id: b5\r\nContent-Length: 0\r\n\r\n",
 		head + "Attempt-Id: b6\r\nContent-Length: 0\r\n\r\n" + head + "Attempt-Id: b7\r\nContent-Length: 0\r\n\r\n",
-		// A request hidden in the body of another one, by lengths that two readers may
-		// take differently.
+		// A request hidden in the body of another one, using lengths that two parsers may
+		// interpret differently.
 		head + "Attempt-Id: c1\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\nContent-Length: 4\r\n\r\n0\r\n\r\n" + smuggledRequest,
 		head + "Attempt-Id: c2\r\nTransfer-Encoding : chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + smuggledRequest,
 		head + "Attempt-Id: c3\r\nTransfer-Encoding: xchunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + smuggledRequest,
@@ -215,8 +214,8 @@
 		f.Add([]byte(seed))
 	}
 	callers, replica := startWithRecordingReplica(f)
-	// A request may reach the replica after its caller has gone, and so be seen
-	// by a later input: what earlier ones sent counts too.
+	// A request may reach the replica after its caller has disconnected, and so be seen
+	// during a later input: requests sent by earlier inputs are accepted too.
 	sent := map[string][]received{}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if len(raw) > 8<<10 {
@@ -230,7 +229,7 @@
 	})
 }
 
-// exchange sends the bytes and reads until the daemon is silent or closes.
+// sendRaw sends the bytes and reads until the daemon sends nothing more or closes.
 func sendRaw(t *testing.T, callers string, raw []byte) {
 	conn, err := net.Dial("tcp", callers)
 	if err != nil {
@@ -245,7 +244,7 @@
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// strictly adds what a strict reader finds in the bytes, by request id.
+// parseStrictly adds the requests that a strict parser finds in the bytes, by request ID.
 func parseStrictly(raw []byte, sent map[string][]received) {
 	r := bufio.NewReader(bytes.NewReader(raw))
 	for {
@@ -262,18 +261,18 @@
 	}
 }
 
-// check holds a request at a replica to what was sent under its id.
+// checkForwarded compares a request at the replica with what was sent under its ID.
 func checkForwarded(t *testing.T, got received, sent map[string][]received) {
 	req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(got.head + "\r\n\r\n")))
 	if err != nil {
-		t.Fatalf("the replica got no request: %v\n%q", err, got.head)
+		t.Fatalf("the replica received no valid request: %v\n%q", err, got.head)
 	}
 	same := func(s received) bool { return s.head == req.Method+" "+req.RequestURI && bytes.Equal(s.body, got.body) }
 	if !slices.ContainsFunc(sent[req.Header.Get("Attempt-Id")], same) {
-		t.Fatalf("the replica got a request that nobody sent:\n%q\nbody %q", got.head, got.body)
+		t.Fatalf("the replica received a request that no caller sent:\n%q\nbody %q", got.head, got.body)
 	}
 	if req.Header.Get("X-Api-Key") != "" || req.Header.Get("Tenant") != "firma" || req.Header.Get("Expected-Replica") != "rec" {
-		t.Fatalf("headers of this system's own were taken from the caller:\n%q", got.head)
+		t.Fatalf("headers that the gateway sets were taken from the caller:\n%q", got.head)
 	}
 	for _, name := range forgedHeaders[2:] {
 		if _, ok := req.Header[name]; ok {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -122,10 +122,10 @@
 	prefixBonus = 2.0
 	// With backlogWeight a prompt leaves the engine that holds its prefix when it would
 	// wait there for more than half a second (prefixBonus / backlogWeight); copying the
-	// prefix takes about 30 ms. Together with prompt announcements from peers and with
-	// copies, this raised the mean value over 48 days of load and faults from 0.712 to
-	// 0.725 and cut the shared tokens that are read again by more than half. With this
-	// host's own prompts alone the gain over 24 days was from 0.708 to 0.711.
+	// prefix takes about 30 ms. With prompt announcements from peers and with copies, the
+	// weight raises the mean score over 48 days of load and faults from 0.712 to 0.725 and
+	// cuts the shared tokens that are read again by more than half. With this host's own
+	// prompts alone, the score over 24 days is 0.708 instead of 0.711.
 	backlogWeight = 4.0
 )
 
@@ -140,20 +140,20 @@
 	if err != nil {
 		return errors.Join(fmt.Errorf("listen for readiness: %w", err), callers.Close())
 	}
-	running, stop := context.WithCancel(context.Background())
+	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	server := g.callerServer()
 	readinessServer := &http.Server{Handler: g.readinessHandler(), ReadHeaderTimeout: readHeaderTimeout}
 	var group errgroup.Group
 	group.Go(func() error { return ignoreClosed(server.Serve(callers)) })
 	group.Go(func() error { return ignoreClosed(readinessServer.Serve(readiness)) })
-	group.Go(func() error { g.discovery.Run(running); return nil })
-	group.Go(func() error { g.stages.Run(running); return nil })
-	group.Go(func() error { clock.Watch(running); return nil })
-	group.Go(func() error { g.refreshLimitsPeriodically(running); return nil })
-	group.Go(func() error { g.quarantine.Run(running); return nil })
-	group.Go(func() error { return g.fleet.Run(running) })
-	g.serveMetrics(running, &group)
+	group.Go(func() error { g.discovery.Run(runCtx); return nil })
+	group.Go(func() error { g.stages.Run(runCtx); return nil })
+	group.Go(func() error { clock.Watch(runCtx); return nil })
+	group.Go(func() error { g.refreshLimitsPeriodically(runCtx); return nil })
+	group.Go(func() error { g.quarantine.Run(runCtx); return nil })
+	group.Go(func() error { return g.fleet.Run(runCtx) })
+	g.serveMetrics(runCtx, &group)
 	if !clock.CountsSleep() {
 		g.log.Warn("the time that this host spent suspended cannot be read; suspends are not accounted for")
 	}
@@ -240,8 +240,8 @@
 	g.draining.Store(true)
 	g.fleet.Leave()
 	g.log.Info("draining", zap.Int64("in_flight", g.inFlight.Load()), zap.Duration("grace", grace))
-	refuse := clock.AfterFunc(time.Duration(refuseFraction*float64(grace)), g.cancelPrepare)
-	defer refuse.Stop()
+	refuseTimer := clock.AfterFunc(time.Duration(refuseFraction*float64(grace)), g.cancelPrepare)
+	defer refuseTimer.Stop()
 	periodic.Sleep(context.Background(), time.Duration(acceptFraction*float64(grace)))
 	shutdownCtx, cancel := clock.WithDeadline(context.Background(), began.Add(time.Duration(cutoffFraction*float64(grace))))
 	defer cancel()
--- a/gateway/margin_test.go
+++ b/gateway/margin_test.go
@@ -10,7 +10,7 @@
 var _ = Describe("the margin for a stream's first event", func() {
 	const ms = time.Millisecond
 
-	It("starts from a guess and then grows with the tokens to be read", func() {
+	It("starts from a default and then grows with the tokens to be read", func() {
 		f := newStreamTimeEstimator()
 		expected, deviation := f.expectFirstEvent("engines", "r", 1000)
 		Expect(expected).To(Equal(defaultFirstEventTime))
@@ -26,7 +26,7 @@
 		Expect(deviation).To(BeNumerically("<", 10*ms))
 	})
 
-	It("is part of what a whole stream is expected to take, whatever its length", func() {
+	It("is part of the expected time of a whole stream, whatever its length", func() {
 		f := newStreamTimeEstimator()
 		Expect(f.observeTotal("engines", 1000, 5, 70*ms, 270*ms)).To(BeZero(), "nothing is known yet")
 		for i := range 100 {
@@ -39,7 +39,7 @@
 		Expect(f.observeTotal("engines", 5000, 11, 150*ms, 550*ms)).To(BeNumerically("~", 550*ms, 10*ms))
 	})
 
-	It("shares the line of a service, and keeps deviations by route", func() {
+	It("shares the regression line of a service, and keeps deviations by route", func() {
 		f := newStreamTimeEstimator()
 		for i := range 400 {
 			took := 100 * ms
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -39,7 +39,7 @@
 	if l, changed := g.notices.namedLimits.Hear(clock.Now(), a); changed {
 		g.applyLimits(g.settings.Load().Host, []intake.Limited{l})
 	}
-	if l, first := g.notices.leavingReplicas.Hear(clock.Now(), a); first {
+	if l, isNew := g.notices.leavingReplicas.Hear(clock.Now(), a); isNew {
 		g.applyLeaving(g.settings.Load().Host, []intake.Leaver{l})
 	}
 	g.observeBackoff(a)
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -18,7 +18,7 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// logged counts the lines of a message.
+// loggedCount counts the log lines with a message.
 func loggedCount(logs *observer.ObservedLogs, message string) int {
 	return logs.FilterMessage(message).Len()
 }
@@ -45,7 +45,8 @@
 	f.Expect(g.metricLines(gauge)).To(ConsistOf(gauge + " 0"))
 }
 
-// most is the largest number of times within a span, from a moment on.
+// maxInWindow is the largest number of times, from a given one on, that fall into any
+// window of this length.
 func maxInWindow(times []time.Time, from time.Time, span time.Duration) int {
 	times = slices.DeleteFunc(slices.Clone(times), func(t time.Time) bool { return t.Before(from) })
 	largest, first := 0, 0
@@ -58,15 +59,16 @@
 	return largest
 }
 
-// pressed is what became of the requests that pressAll sent.
+// loadResult is the result of the requests that sendLoad sent.
 type loadResult struct {
-	// unserved counts what those that were not served ended with.
+	// unserved counts the requests that were not served, by status, body and error.
 	unserved map[string]int
-	// late is by how much a sender woke late at most: this process had no processor.
+	// maxSendDelay is the longest delay of a sender, which shows that this process got no
+	// processor time.
 	maxSendDelay time.Duration
 }
 
-// pressAll sends requests at all hosts, each so often, for a while.
+// sendLoad sends requests to all hosts at a fixed interval, for a while.
 func sendLoad(hosts []*gatewayProcess, every, during time.Duration, path string, change func(*http.Request)) loadResult {
 	var senders sync.WaitGroup
 	var mu sync.Mutex
@@ -91,19 +93,20 @@
 	return p
 }
 
-// starved is the lateness from which a machine does not serve in time what it has room for:
-// requests then end at their deadlines, or are refused since their stages would.
+// maxSendDelayAllowed is the send delay from which the machine is too busy to serve in time
+// even what the replicas have capacity for: requests then miss their deadlines, or are
+// refused since their stages would.
 const maxSendDelayAllowed = 50 * time.Millisecond
 
-// allServed checks that all were, unless the machine was starved meanwhile.
+// expectAllServed checks that all requests were served, unless the machine was too busy.
 func (f *fixture) expectAllServed(p loadResult) {
 	f.test.Helper()
 	if p.maxSendDelay < maxSendDelayAllowed {
-		f.Expect(p.unserved).To(BeEmpty(), "the other replica has room for all")
+		f.Expect(p.unserved).To(BeEmpty(), "the other replica has capacity for all")
 	}
 }
 
-// threeHosts starts three hosts that know each other.
+// startThreeHosts starts three hosts that know each other.
 func (f *fixture) startThreeHosts() []*gatewayProcess {
 	first := f.start().ready()
 	hosts := []*gatewayProcess{first, f.start(first.peers).ready(), f.start(first.peers).ready()}
@@ -113,16 +116,16 @@
 	return hosts
 }
 
-// Guards against a replica that names a limit and goes on getting its usual part of the
-// requests, streams or calls for pieces: the sum over all hosts counts.
+// Guards against a replica that announces a rate limit and still gets its usual share of
+// requests, streams or calls for pieces. The sum over all hosts counts.
 func TestReplicaLimitHoldsAcrossHosts(t *testing.T) {
 	t.Parallel()
 	const (
 		perSecond = 1
 		window    = 4 * time.Second
-		// allowed is one and a half times what the limit allows in the window, and five.
+		// allowed is 1.5 times what the limit allows in the window, plus five.
 		allowed = 11
-		// learning is how long hosts have until the limit binds.
+		// settleTime is how long hosts have until the limit must hold.
 		settleTime = 3 * time.Second
 	)
 	for _, load := range []struct {
@@ -147,8 +150,8 @@
 	}
 }
 
-// Guards against callers that wait for what no replica takes: they are refused at once,
-// unrun, with the time until a replica may be asked again.
+// Guards against callers waiting for replicas that take no calls: they must be refused at
+// once, without a run, with the time until a replica may be called again.
 func TestRequestIsRefusedAtOnceWhenAllReplicasAreAtTheirLimits(t *testing.T) {
 	t.Parallel()
 	f := newFixtureOf(t)
@@ -174,12 +177,12 @@
 		f.Expect(time.Since(began)).To(BeNumerically("<", 300*time.Millisecond))
 		time.Sleep(time.Duration(wait * float64(time.Second)))
 		a, _ := g.send(http.MethodPost, path, "", withStagePieces)
-		f.Expect(a.status).To(Equal(http.StatusOK), "after the wait that was told")
+		f.Expect(a.status).To(Equal(http.StatusOK), "after the Retry-After time")
 	}
 }
 
-// Guards against a limit that outlives its replica's need: one that ends is taken back by
-// the first answer without it, and requests come back.
+// Guards against a limit that outlives its reason: the first answer without it lifts it,
+// and the replica gets requests again.
 func TestReplicaGetsRequestsAgainWhenLimitIsLifted(t *testing.T) {
 	t.Parallel()
 	f := newFixtureOf(t)
@@ -196,9 +199,9 @@
 	}, "6s").Should(BeNumerically(">", 3))
 }
 
-// Guards against hosts that learn of a limit, or of its end, only by requests of their own:
-// in a large fleet each would send one that the replica can't take, and hosts without a part
-// would not come back for long.
+// Guards against hosts that learn of a limit, or of its end, from requests of their own
+// only: in a large fleet each host would send one request that the replica cannot take, and
+// hosts without a share would not call it again for long.
 func TestReplicaLimitSpreadsToOtherHosts(t *testing.T) {
 	t.Parallel()
 	const gauge = "wheatseam_replicas_limited"
@@ -240,11 +243,12 @@
 	f.Expect(g.metricLines(gauge)).To(ConsistOf(gauge + "1"))
 }
 
-// Guards against requests, streams and calls for pieces that reach a replica which has told
-// in an answer that it leaves, while the store still says that it is ready.
+// Guards against requests, streams and calls for pieces that reach a replica which
+// announced in an answer that it is leaving, while the store still lists it as ready.
 func TestLeavingReplicaGetsNoMoreCalls(t *testing.T) {
 	t.Parallel()
-	// bound is how long a host may still send what it was asked for before it was told.
+	// bound is how long a host may still send requests that arrived before it learned of
+	// it.
 	const bound = 2 * time.Second
 	for _, load := range []struct {
 		name, replica, path string
@@ -270,8 +274,8 @@
 	}
 }
 
-// Guards against a service that is emptied for good by what its replicas say: it is the
-// starts that leave, and what is registered anew is used.
+// Guards against a service that is emptied for good by what its replicas announce: only the
+// announced instance of a replica is leaving, and newly registered ones are used.
 func TestRequestIsRefusedAtOnceWhenAllReplicasAreLeaving(t *testing.T) {
 	t.Parallel()
 	f := newFixtureOf(t)
@@ -293,8 +297,8 @@
 	}, "4s").Should(Equal(http.StatusOK))
 }
 
-// Guards against hosts that learn that a replica leaves by requests of their own only, each
-// of which it serves while it is about to go.
+// Guards against hosts that learn only from requests of their own that a replica is
+// leaving: the replica would have to serve each of them while it is about to end.
 func TestLeavingNoticeSpreadsToOtherHosts(t *testing.T) {
 	t.Parallel()
 	const gauge = "wheatseam_replicas_said_leaving "
@@ -337,14 +341,14 @@
 	}, "4s").Should(Equal(1))
 }
 
-// Guards against requests, streams and calls for pieces that reach a replica which has turned
-// this host away and asked for rest.
+// Guards against requests, streams and calls for pieces that reach a replica which has
+// refused a call of this host and asked for back-off.
 func TestReplicaGetsNoCallsDuringBackoff(t *testing.T) {
 	t.Parallel()
 	const (
 		backoff = 3 * time.Second
-		// passing is how long what was on its way may still arrive, and allowed how many
-		// requests may after it.
+		// inFlightTime is how long calls that were already sent may still arrive, and
+		// allowed is how many requests may arrive after it.
 		inFlightTime = 500 * time.Millisecond
 		allowed      = 2
 	)
@@ -365,7 +369,7 @@
 			p := sendLoad([]*gatewayProcess{g}, 100*time.Millisecond, 3*backoff, load.path, load.change)
 			f.expectAllServed(p)
 			arrived := refusing.Arrived()
-			f.Expect(len(arrived)).To(BeNumerically(">", 1), "it is asked again after its rest")
+			f.Expect(len(arrived)).To(BeNumerically(">", 1), "it is called again after its back-off")
 			for _, asked := range arrived {
 				during := slices.DeleteFunc(slices.Clone(arrived), func(at time.Time) bool {
 					return at.Before(asked.Add(inFlightTime)) || !at.Before(asked.Add(backoff))
@@ -399,8 +403,8 @@
 	}, "4s").Should(Equal(http.StatusOK))
 }
 
-// Guards against a rest that is forgotten as the list tells of the start that asked for it: it
-// had come up at its address while the store was away.
+// Guards against a back-off that is lost when the list of replicas names the instance that
+// asked for it, which had started at its address while the store was unavailable.
 func TestBackoffHoldsForReplicaListedLater(t *testing.T) {
 	t.Parallel()
 	f := newFixtureOf(t)
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -85,13 +85,13 @@
 
 // countCancelledStall counts a stalled attempt that this host cancelled, by the last known
 // status of the run.
-func (g *Gateway) countCancelledStall(service string, a stall.Account) {
-	g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_attempts_ended_here_total{service=%q,account=%q}", service, a)).Inc()
+func (g *Gateway) countCancelledStall(service string, status stall.Account) {
+	g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_attempts_ended_here_total{service=%q,account=%q}", service, status)).Inc()
 }
 
 // countRunStatus counts an engine's answer to a query for the status of a run.
-func (g *Gateway) countRunStatus(service string, a stall.Account) {
-	g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_run_accounts_total{service=%q,account=%q}", service, a)).Inc()
+func (g *Gateway) countRunStatus(service string, status stall.Account) {
+	g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_run_accounts_total{service=%q,account=%q}", service, status)).Inc()
 }
 
 // countReplacement counts the result of reserving a replacement: used, given back, or why
--- a/gateway/prompts_test.go
+++ b/gateway/prompts_test.go
@@ -11,7 +11,7 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// prompt declares a prompt of two shared parts and one of its own.
+// prompt declares a prompt of two shared parts and an unshared one.
 func prompt(shared string, own int) func(*http.Request) {
 	return func(r *http.Request) {
 		r.Header.Set("Prefix-Hash", fmt.Sprintf("%s1:300,%s2:200,%x:%d", shared, shared, nextID.Add(1), own))
@@ -19,8 +19,8 @@
 	}
 }
 
-var _ = Describe("prompts that share parts", func() {
-	// stream sends one, and returns what ran.
+var _ = Describe("prompts that share a prefix", func() {
+	// sendStream sends one prompt, and returns its run.
 	sendStream := func(f *fixture, g *gatewayProcess, shared string, own int) site.Run {
 		GinkgoHelper()
 		a, id := g.send(http.MethodPost, streamPath, "", prompt(shared, own))
@@ -29,14 +29,14 @@
 		Expect(runs).To(HaveLen(1))
 		return runs[0]
 	}
-	// learn has a gateway measure how engines read.
+	// measureReadTimes makes a gateway learn how fast engines read.
 	measureReadTimes := func(f *fixture, g *gatewayProcess) {
 		for i := range 12 {
 			sendStream(f, g, fmt.Sprint("learn", i), 20+10*i)
 		}
 	}
 
-	It("stay at one engine, and are copied from there to another", func() {
+	It("stay at one engine, from which another engine copies the prefix", func() {
 		f := newFixture()
 		g := f.start().ready()
 		home := sendStream(f, g, "a", 10)
@@ -44,7 +44,7 @@
 		for range 5 {
 			run := sendStream(f, g, "a", 10)
 			Expect(run.Replica).To(Equal(home.Replica))
-			Expect(run.CopyFrom).To(BeEmpty(), "it has the parts")
+			Expect(run.CopyFrom).To(BeEmpty(), "it holds the prefix")
 		}
 		f.replicas[home.Replica].Behave(site.Behaviour{Shed: true})
 		run := sendStream(f, g, "a", 10)
@@ -52,7 +52,7 @@
 		Expect(run.CopyFrom).To(Equal(f.replicas[home.Replica].Address()))
 	})
 
-	It("go elsewhere while a fellow has a long one read, and fellows know whom to copy from", func() {
+	It("go elsewhere while the engine reads a long prompt of a peer, and peers know the engine to copy from", func() {
 		f := newFixture()
 		f.behave("llm", site.Behaviour{ReadToken: 200 * time.Microsecond})
 		first := f.start().ready()
@@ -69,12 +69,12 @@
 		Eventually(func() []string { return first.metricLines(`wheatseam_prompts_told_total{result="told"}`) }, "2s").ShouldNot(BeEmpty())
 		time.Sleep(50 * time.Millisecond)
 		run := sendStream(f, second, "b", 10)
-		Expect(run.Replica).NotTo(Equal(home.Replica), "that engine reads for a second")
+		Expect(run.Replica).NotTo(Equal(home.Replica), "that engine is reading for a second")
 		Expect(run.CopyFrom).To(Equal(f.replicas[home.Replica].Address()))
 		Expect((<-long).Replica).To(Equal(home.Replica))
 	})
 
-	It("are never copied from where a caller says", func() {
+	It("are never copied from an address that a caller names", func() {
 		f := newFixture()
 		g := f.start().ready()
 		a, id := g.send(http.MethodPost, streamPath, "", func(r *http.Request) {
--- a/gateway/refusals_test.go
+++ b/gateway/refusals_test.go
@@ -14,7 +14,7 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// counters returns the lines of a gateway's metrics that begin with a name.
+// metricLines returns the lines of a gateway's metrics that begin with a name.
 func (r *gatewayProcess) metricLines(name string) []string {
 	r.test.Helper()
 	resp, err := http.Get("http://" + r.metrics + "/metrics")
@@ -32,7 +32,7 @@
 }
 
 var _ = Describe("refusals of replicas", func() {
-	It("are counted by service, replica and reason; without a reason they are worth one line", func() {
+	It("are counted by service, replica and reason; unexplained ones are logged once", func() {
 		f := newFixture()
 		core, logs := observer.New(zapcore.WarnLevel)
 		g := f.startLogged(zap.New(core)).ready()
@@ -48,7 +48,7 @@
 			ContainSubstring(`replica="p1",reason="unexplained"`), ContainSubstring(`replica="p2",reason="unexplained"`)))
 	})
 
-	It("are no longer counted for replicas that have gone", func() {
+	It("are no longer exported for replicas that are no longer listed", func() {
 		f := newFixture()
 		g := f.start().ready()
 		f.behave("plain", site.Behaviour{Shed: true})
@@ -59,7 +59,7 @@
 		Eventually(func() []string { return g.metricLines("wheatseam_refusals_total") }, "5s").Should(BeEmpty())
 	})
 
-	It("are no fault of the service when a caller forged a header, which is counted", func() {
+	It("are not caused by a caller's forged header, which is counted", func() {
 		f := newFixture()
 		g := f.start().ready()
 		a, _ := g.send(http.MethodPost, sealPath, "", func(r *http.Request) { r.Header.Set("Kv-Hold", "x") })
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -84,8 +84,9 @@
 	return c, "", perr
 }
 
-// sendingToEngine records that an engine is being sent the prompt, and returns the engine
-// from which it can copy the prefix that it lacks; "" for other services.
+// sendingToEngine records that an engine is being sent the prompt, and returns the address
+// of the engine from which it can copy the prefix that it lacks; "" for other services, or
+// if no engine holds the prefix.
 func (x *exchange) sendingToEngine(c request.Choice) (copyFrom string) {
 	if s := x.config.Services[x.service]; s == nil || !s.Engine {
 		return ""
@@ -118,7 +119,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if x.r.Context().Err() != nil {
-		e = problem.New(problem.CallerGone, "the caller left")
+		e = problem.New(problem.CallerGone, "the caller disconnected")
 	} else if x.runs > 0 && impliesNotExecuted(e.Kind) {
 		e = problem.New(problem.UpstreamFailed, "no replica answered")
 	}
@@ -150,8 +151,8 @@
 	// ctx ends with the exchange's ctx, or by cancel.
 	ctx    context.Context
 	choice request.Choice
-	// copyFrom is the engine from which the chosen one copies a prefix of the prompt; ""
-	// for none.
+	// copyFrom is the address of the engine from which the chosen one copies a prefix of
+	// the prompt; "" for none.
 	copyFrom string
 	// reservation is the ID of the capacity reserved for the request; "" for none.
 	reservation string
@@ -210,13 +211,13 @@
 	switch {
 	case head.NotExecuted && resp.StatusCode == http.StatusConflict:
 		x.extendInputRetention()
-		return inputsGone, withRetryAfter(problem.New(problem.Overloaded, "inputs gone"), refusedRetryAfter)
+		return inputsGone, withRetryAfter(problem.New(problem.Overloaded, "the inputs are no longer held"), refusedRetryAfter)
 	case head.NotExecuted:
-		return notExecuted, withRetryAfter(problem.New(problem.Overloaded, "replicas refuse"), refusedRetryAfter)
+		return notExecuted, withRetryAfter(problem.New(problem.Overloaded, "replicas refused the request"), refusedRetryAfter)
 	}
 	x.runs++
 	if head.RequestID != "" && head.RequestID != x.req.ID {
-		return failed, problem.New(problem.UpstreamFailed, "the answer is another request's")
+		return failed, problem.New(problem.UpstreamFailed, "the answer belongs to another request")
 	}
 	if t.watch != nil && resp.StatusCode == http.StatusOK && head.Signed {
 		return t.relayEvents(resp.Response)
@@ -245,7 +246,7 @@
 // callFailed classifies a call that failed in transit.
 func (t *attempt) callFailed(err error) (attemptEnd, *problem.Error) {
 	if t.x.ctx.Err() != nil {
-		return abandoned, problem.New(problem.DeadlineExceeded, "no answer in time")
+		return abandoned, problem.New(problem.DeadlineExceeded, "no answer before the deadline")
 	}
 	if errors.As(context.Cause(t.ctx), &t.stallError) {
 		return stalled, problem.New(problem.UpstreamFailed, "this host cancelled the attempt: %v", t.stallError)
@@ -289,7 +290,7 @@
 		return failedRetrying, problem.New(problem.UpstreamFailed, "status %d", resp.StatusCode)
 	}
 	if x.committed {
-		return abandoned, problem.New(problem.UpstreamFailed, "a stream cannot go on with status %d", resp.StatusCode)
+		return abandoned, problem.New(problem.UpstreamFailed, "a stream cannot resume with status %d", resp.StatusCode)
 	}
 	t.firstAt = clock.Now()
 	h := x.w.Header()
@@ -383,7 +384,7 @@
 	}
 	t.x.g.countAttempt(t.x.service, end, o.Latency)
 	if t.stallError != nil {
-		t.x.g.countCancelledStall(t.x.service, t.stallError.account)
+		t.x.g.countCancelledStall(t.x.service, t.stallError.status)
 	}
 	t.x.g.recordRefusal(t.x.service, t.choice.Upstream, t.refusalReason)
 	if end == answered || end == failedRetrying {
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -30,7 +30,7 @@
 		Expect(run.Target).To(Equal(sealPath + "a%2Fb/../c?x=1&y=%20"))
 		Expect(run.Body).To(Equal("the body"))
 		Expect(run.Tenant).To(Equal("firma"))
-		Expect(run.Key).To(BeFalse(), "the key is not passed on")
+		Expect(run.Key).To(BeFalse(), "the key is not forwarded")
 		Expect(a.body).To(Equal(site.Body(run.Replica, id)))
 		Expect(a.header.Get("Response-Signature")).To(Equal("signed." + run.Replica + "." + id))
 		Expect(f.ledger.Faults()).To(BeEmpty())
@@ -61,7 +61,7 @@
 		Expect(f.ledger.Runs(id)[0].Tenant).To(BeEmpty())
 	})
 
-	It("come in chunks too", func() {
+	It("may have a chunked body", func() {
 		f := newFixture()
 		a, id := f.start().ready().send(http.MethodPost, sealPath, "", func(r *http.Request) {
 			r.Body, r.ContentLength = readCloser{strings.NewReader("in chunks")}, -1
@@ -70,7 +70,7 @@
 		Expect(f.ledger.Runs(id)[0].Body).To(Equal("in chunks"))
 	})
 
-	It("get 503 and a time to come back before the first configuration, the later the more time they have", func() {
+	It("get 503 and a Retry-After before the first configuration, which grows with the time they have", func() {
 		f := newFixture()
 		f.store.Delete("op/config")
 		g := f.start()
@@ -86,12 +86,12 @@
 			Expect(err).NotTo(HaveOccurred())
 			return seconds
 		}
-		Expect(after("15000")).To(And(BeNumerically(">=", 2.9), BeNumerically("<=", 5)), "callers wait a third of their time at most")
+		Expect(after("15000")).To(And(BeNumerically(">=", 2.9), BeNumerically("<=", 5)), "callers wait for at most a third of their time")
 		Expect(after("300")).To(BeNumerically("~", 0.2, 0.01))
 		Expect(after("none")).To(BeNumerically("~", 0.2, 0.01))
 	})
 
-	It("follow a new configuration: keys taken away are refused", func() {
+	It("follow a new configuration: removed keys are refused", func() {
 		f := newFixture()
 		g := f.start().ready()
 		f.keys = []string{"key-2"}
@@ -118,11 +118,11 @@
 	},
 		Entry("cut before the answer", site.Behaviour{CutBefore: true}, http.StatusBadGateway),
 		Entry("cut inside the answer", site.Behaviour{Truncate: true}, http.StatusBadGateway),
-		Entry("503 without a word", site.Behaviour{ShedSilently: true}, http.StatusBadGateway),
+		Entry("503 without Not-Executed", site.Behaviour{ShedSilently: true}, http.StatusBadGateway),
 		Entry("no signature", site.Behaviour{Unsigned: true}, http.StatusBadGateway),
 	)
 
-	It("get a replica's own failure as it is", func() {
+	It("get a replica's own failure unchanged", func() {
 		f := newFixture()
 		f.behave("plain", site.Behaviour{Status: 500})
 		a, id := f.start().ready().send(http.MethodPost, sealPath, "", nil)
@@ -131,7 +131,7 @@
 		Expect(f.ledger.Runs(id)).To(HaveLen(1))
 	})
 
-	It("are sent elsewhere when a replica says that it did not run them, or cannot be reached", func() {
+	It("are retried elsewhere when a replica says that it did not run them, or cannot be reached", func() {
 		f := newFixture()
 		f.replicas["p1"].Behave(site.Behaviour{Shed: true})
 		g := f.start().ready()
@@ -147,7 +147,7 @@
 		}
 	})
 
-	It("are refused with 503 when nobody ran them", func() {
+	It("are refused with 503 when no replica ran them", func() {
 		f := newFixture()
 		f.behave("plain", site.Behaviour{Shed: true})
 		a, id := f.start().ready().send(http.MethodPost, sealPath, "", nil)
@@ -180,7 +180,7 @@
 		}
 	},
 		Entry("after a cut", site.Behaviour{CutBefore: true}), Entry("after a short answer", site.Behaviour{Truncate: true}),
-		Entry("after a failure", site.Behaviour{Status: 500}), Entry("after 503 without a word", site.Behaviour{ShedSilently: true}),
+		Entry("after a failure", site.Behaviour{Status: 500}), Entry("after 503 without Not-Executed", site.Behaviour{ShedSilently: true}),
 	)
 
 	It("run at no more replicas than their route allows", func() {
@@ -194,7 +194,7 @@
 })
 
 var _ = Describe("answers", func() {
-	It("without a length, and with a second answer behind them, are passed on once and whole", func() {
+	It("without a length, and with a second answer after them, are relayed once and completely", func() {
 		for _, b := range []site.Behaviour{{Unframed: true}, {Extra: true}} {
 			f := newFixture()
 			f.behave("plain", b)
@@ -208,7 +208,7 @@
 	})
 })
 
-var _ = Describe("callers that leave", func() {
+var _ = Describe("callers that disconnect", func() {
 	It("have their request cancelled at the replica", func() {
 		f := newFixture()
 		f.behave("plain", site.Behaviour{Work: 3 * time.Second})
--- a/gateway/together_test.go
+++ b/gateway/reservation_test.go
@@ -12,19 +12,17 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// Seen: a caller got the failure of a silent engine, with the host's repeat unused and
-// another engine idle.
-//
-// How it came about: the failure came while another run was being secured. That holds the
-// repeat, so that the failed run was denied one; the repeat was given back afterwards.
-//
-// A failure while another run is being secured is repeated, also with one repeat.
+// Guards against a caller getting the failure of a silent engine although the host has a
+// retry left and another engine is idle. The failure arrived while a replacement was being
+// reserved, which holds the retry: the failed run was denied one, and the retry was
+// returned to the budget afterwards. A failure during a reservation must be retried, even
+// with a single retry.
 func TestStreamsThatFailDuringReservationAreRetried(t *testing.T) {
 	f := newFixtureOf(t)
 	const (
-		failsAfter = 2200 * time.Millisecond // the run is left from 2 s on
-		stageTime  = 500 * time.Millisecond  // securing another run takes as long
-		slack      = 18                      // of which the host's part is one repeat
+		failsAfter = 2200 * time.Millisecond // the run may be abandoned from 2 s on
+		stageTime  = 500 * time.Millisecond  // reserving a replacement takes as long
+		slack      = 18                      // of which the host's share is one retry
 	)
 	f.replicas["e1"].Behave(site.Behaviour{Work: failsAfter, Status: http.StatusInternalServerError})
 	f.behave("encode", site.Behaviour{Work: stageTime})
--- a/gateway/reborn_test.go
+++ b/gateway/restart_test.go
@@ -9,8 +9,8 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-var _ = Describe("a replica that starts again under its id", func() {
-	It("is asked under its id, and what was counted of the start before goes with that", func() {
+var _ = Describe("a replica that restarts under the same ID", func() {
+	It("is called under its instance ID, and the counters of the previous instance are dropped", func() {
 		f := newFixture()
 		f.store.Delete("servers/p2")
 		p1 := f.replicas["p1"]
@@ -22,12 +22,12 @@
 			return a.status
 		}
 		refusals := func() []string { return g.metricLines("wheatseam_refusals_total") }
-		Eventually(status, "2s").Should(Equal(http.StatusOK), "the replica answers to its id")
+		Eventually(status, "2s").Should(Equal(http.StatusOK), "the replica accepts its instance ID")
 		p1.Behave(site.Behaviour{ShedFree: true})
 		Expect(status()).To(Equal(http.StatusServiceUnavailable))
 		Expect(refusals()).To(ConsistOf(ContainSubstring(`replica="p1@1796256000000"`)))
 
-		By("starting again")
+		By("restarting")
 		p1.Behave(site.Behaviour{})
 		p1.Born += 7000
 		f.register(p1, "ready")
@@ -36,7 +36,7 @@
 		Expect(f.ledger.Faults()).To(BeEmpty())
 	})
 
-	It("is known by its own word among entries of other writers", func() {
+	It("is found among invalid entries of other writers", func() {
 		f := newFixture()
 		f.store.Put("servers/a", map[string]any{"service": "plain", "address": f.replicas["p1"].Address()})
 		f.store.Put("servers/q", []byte("\x00\xff"))
--- a/gateway/late_test.go
+++ b/gateway/resume_test.go
@@ -10,16 +10,13 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// Seen: of 61 streams that were cut, the twelve without stages went on elsewhere; the 49
-// with stages were refused by the stages' planner a few milliseconds later, and broken off.
-//
-// How it came about: the results that the next run reads were asked for by what was left
-// of the objective of the first event. That is over when a stream has been under way for
-// long, and a job that is due already is refused whatever room there is.
-//
-// Proved by the planner's lines: overload, with 0.3 s predicted and nine seconds left.
-//
-// Streams behind stages that break off later than their objective go on elsewhere.
+// Guards against streams with stages that cannot resume at another engine once their
+// objective for the first event has passed. Of 61 streams whose connections were cut, the
+// twelve without stages resumed; the 49 with stages were refused by the stage planner a few
+// milliseconds later, and broken off. The stage results for the next run were due by what
+// was left of the objective of the first event. That has passed when a stream has been
+// running for long, and the planner refuses a job that is already due, whatever its
+// capacity: its log lines show "overload" with 0.3 s predicted and nine seconds left.
 func TestStreamsWithStagesResumeAfterTheirObjective(t *testing.T) {
 	for _, after := range []int{3, 4} {
 		t.Run(fmt.Sprintf("after %d events", after), func(t *testing.T) {
@@ -30,7 +27,7 @@
 			a, id, took := f.sendUntilFirstEngine(f.start().ready(), withLongDeadlineAndStage)
 			f.Expect(a.err).NotTo(HaveOccurred())
 			f.Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
-			f.Expect(took).To(BeNumerically(">", objective), "the case is another")
+			f.Expect(took).To(BeNumerically(">", objective), "the stream did not break off after its objective")
 			f.Expect(f.ledger.Runs(id)).To(HaveLen(2))
 			f.Expect(f.ledger.Faults()).To(BeEmpty())
 		})
--- a/gateway/repeat_test.go
+++ b/gateway/retry_test.go
@@ -22,8 +22,8 @@
 	"github.com/wheatseam/wheatseam/platform"
 )
 
-// A repeat is allowed when an attempt ends; the deadline may pass before it
-// begins. The request then needs the attempt's error for its answer.
+// A retry is allowed when an attempt ends, but the deadline may pass before the retry
+// begins. The request must then be answered with the attempt's error.
 func TestDeadlineBetweenAttempts(t *testing.T) {
 	RegisterTestingT(t)
 	members, err := fleet.New(fleet.Config{Self: fleet.Host{Host: member.Host{Name: "d0"}}, Mux: peer.NewMux(), Logger: zap.NewNop()})
@@ -45,8 +45,9 @@
 	Expect(answer.Code).To(Equal(http.StatusBadGateway))
 }
 
-// A host that stood still between two steps of a request finds its deadline passed before
-// anything tells it so. No replica is sent what nobody waits for, nor more time than is left.
+// On a host that was suspended between two steps of a request, the deadline may have passed
+// before any timer fires. No replica must be sent a request that no caller waits for, or
+// more time than is left.
 func TestNothingIsSentAfterTheDeadline(t *testing.T) {
 	RegisterTestingT(t)
 	members, err := fleet.New(fleet.Config{Self: fleet.Host{Host: member.Host{Name: "d0"}}, Mux: peer.NewMux(), Logger: zap.NewNop()})
--- a/gateway/settings_test.go
+++ b/gateway/settings_test.go
@@ -15,12 +15,12 @@
 	"github.com/wheatseam/wheatseam/internal/doccheck"
 )
 
-// rendered is the template as the platform fills it in, with one value changed.
+// renderChanged is the template as the platform renders it, with one value changed.
 func renderChanged(from, to string) string {
 	return replaceOnce(render(map[string]string{"bounds.warmup_overage": "1.5", "bounds.warmup_slack": "5"}), from, to)
 }
 
-// render fills the template in; more are values that not every deployment has.
+// render renders the template; more are values that only some deployments have.
 func render(more map[string]string) string {
 	raw, err := os.ReadFile("../deploy/settings.yaml.tmpl")
 	Expect(err).NotTo(HaveOccurred())
@@ -48,11 +48,12 @@
 	for name, value := range values {
 		text = strings.ReplaceAll(text, "{{"+name+"}}", value)
 	}
-	Expect(text).NotTo(ContainSubstring("{{"), "a placeholder that the test does not know")
+	Expect(text).NotTo(ContainSubstring("{{"), "a placeholder that the test does not fill in")
 	return text
 }
 
-// absent is a section of the template that is rendered where there is no value.
+// absentSection matches a section of the template that is rendered where a value is
+// missing.
 var absentSection = regexp.MustCompile(`\{\{\^([^}]+)\}\}(.*?)\{\{/[^}]+\}\}`)
 
 func replaceOnce(text, from, to string) string {
@@ -78,13 +79,13 @@
 		Expect(s.Cold).To(Equal(gateway.Cold{Overage: 1.5, Slack: 5}))
 	})
 
-	It("take what cold replicas bear from the configuration where the deployment says no more", func() {
+	It("use the configured limit of cold replicas where the deployment sets no overage or slack", func() {
 		s, err := load(render(nil))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Cold).To(Equal(gateway.Cold{Overage: 1}))
 	})
 
-	DescribeTable("are refused with the place of the fault", func(from, to, want string) {
+	DescribeTable("are refused with the path of the fault", func(from, to, want string) {
 		_, err := load(renderChanged(from, to))
 		Expect(err).To(MatchError(ContainSubstring(want)))
 	},
@@ -100,13 +101,13 @@
 		Entry("negative budget", "ratio: 0.2", "ratio: -1", "budget"),
 	)
 
-	It("are listed in docs/CONFIGURATION.md, all and no other", func() {
+	It("are all listed in docs/CONFIGURATION.md, and no others", func() {
 		listed, err := doccheck.ListedKeys("../docs/CONFIGURATION.md", "## Gateway settings")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(listed).To(ConsistOf(doccheck.Keys(gateway.Settings{})))
 	})
 
-	It("can be taken anew; what a running process cannot change stays", func() {
+	It("can be reloaded; what a running process cannot change stays", func() {
 		s, err := load(renderChanged("", ""))
 		Expect(err).NotTo(HaveOccurred())
 		s.Listen.Peers, s.Host = address(7406), address(7407)
--- a/gateway/stallwatch.go
+++ b/gateway/stallwatch.go
@@ -78,18 +78,18 @@
 
 // stallError is the cause with which this host cancels a stalled attempt.
 type stallError struct {
-	account stall.Account
+	status  stall.Account
 	silence time.Duration
 }
 
 // Error implements error.
 func (e *stallError) Error() string {
-	return fmt.Sprintf("stalled for %s, status reported by the replica: %s", e.silence.Round(time.Millisecond), e.account)
+	return fmt.Sprintf("stalled for %s, status reported by the replica: %s", e.silence.Round(time.Millisecond), e.status)
 }
 
 // replicaAtFault says whether the replica's own report, or the lack of one, puts the
 // replica at fault.
-func (e *stallError) replicaAtFault() bool { return e.account.Doubted() }
+func (e *stallError) replicaAtFault() bool { return e.status.Doubted() }
 
 // startStallWatch starts watching an attempt before its request is sent.
 func (t *attempt) startStallWatch() *stallWatch {
@@ -142,18 +142,18 @@
 // stop ends the watch as the run has ended, and returns the reserved replacement; nil if
 // there is none, or no retry is wanted. If one is wanted, a reservation in progress is
 // waited for, since a new one would take longer. stop may be called again.
-func (w *stallWatch) stop(retry bool) *replacement {
+func (w *stallWatch) stop(wantRetry bool) *replacement {
 	w.mu.Lock()
 	w.stopped = true
 	if w.timer != nil {
 		w.timer.Stop()
 	}
-	if !retry && w.cancelReservation != nil {
+	if !wantRetry && w.cancelReservation != nil {
 		w.cancelReservation()
 	}
 	w.mu.Unlock()
 	w.reserving.Wait()
-	if !retry && w.replacement != nil {
+	if !wantRetry && w.replacement != nil {
 		w.attempt.x.releaseReplacement(w.replacement)
 		w.replacement = nil
 	}
@@ -210,19 +210,19 @@
 func (w *stallWatch) queryRunStatus(now time.Time) {
 	runs, err := w.attempt.x.g.queryRuns(w.attempt.choice)
 	w.mu.Lock()
-	made, account := classifyRun(runs, err, w.attempt.x.req.ID, w.progress)
-	w.machine.Told(now, account)
+	made, status := classifyRun(runs, err, w.attempt.x.req.ID, w.progress)
+	w.machine.Told(now, status)
 	silence := w.machine.Silence(clock.Now())
 	w.mu.Unlock()
-	w.attempt.x.g.countRunStatus(w.attempt.x.service, account)
+	w.attempt.x.g.countRunStatus(w.attempt.x.service, status)
 	w.attempt.x.g.log.Info("replica queried for the status of a run", logging.Request(w.attempt.x.req.ID), zap.String("replica", w.attempt.choice.Upstream),
-		zap.Stringer("account", account), zap.Int("made", made), zap.Int("waiting", runs.Waiting), zap.Int("runs", len(runs.Made)),
+		zap.Stringer("account", status), zap.Int("made", made), zap.Int("waiting", runs.Waiting), zap.Int("runs", len(runs.Made)),
 		zap.Duration("silence", silence), zap.Duration("took", clock.Since(now)), zap.Error(err))
 	w.tick()
 }
 
 // classifyRun says what a replica's answer means for a run that has come this far here.
-func classifyRun(runs platform.Runs, err error, id string, at progress) (made int, a stall.Account) {
+func classifyRun(runs platform.Runs, err error, id string, at progress) (made int, status stall.Account) {
 	made, listed := runs.Made[id]
 	switch {
 	case errors.Is(err, replica.ErrUnknownCall) || errors.Is(err, platform.ErrMalformed):
@@ -234,8 +234,8 @@
 	case listed:
 		return made, stall.AtWork
 	case !runs.Told || runs.Waiting > 0 || !at.started:
-		// A run that has not started, or was preempted by others, may be waiting for its
-		// turn.
+		// A run that has not started, or was postponed in favour of others, may be waiting
+		// for its turn.
 		return made, stall.Untold
 	}
 	return made, stall.NotListed
@@ -261,7 +261,7 @@
 	if !w.stopped {
 		w.detectSuspend(now)
 	}
-	notCancelled := ctx.Err() == nil
+	stillWanted := ctx.Err() == nil
 	w.cancelReservation()
 	if r == nil {
 		w.machine.Denied(now)
@@ -270,7 +270,7 @@
 			zap.Stringer("account", w.machine.Account()), zap.Duration("silence", w.machine.Silence(now)))
 		return
 	}
-	if cancels := w.machine.Secured(now) == stall.Leave; !notCancelled || !cancels && !w.stopped {
+	if cancels := w.machine.Secured(now) == stall.Leave; !stillWanted || !cancels && !w.stopped {
 		x.releaseReplacement(r)
 		x.g.countReplacement(x.service, "given_back")
 		return
@@ -281,7 +281,7 @@
 	if w.stopped {
 		return
 	}
-	w.attempt.cancel(&stallError{account: w.machine.Account(), silence: w.machine.Silence(now)})
+	w.attempt.cancel(&stallError{status: w.machine.Account(), silence: w.machine.Silence(now)})
 }
 
 // totalEvents is the number of events of the stream that have arrived, including those that
--- a/gateway/silence_test.go
+++ b/gateway/stallwatch_test.go
@@ -17,51 +17,50 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// Seen: callers had their streams broken off, some 840 ms after the last event, though
-// no engine was slow or failing; 59 on one day of 295 hosts.
-//
-// How it came about: an engine that reads a long prompt keeps its other streams silent
-// for seconds. The daemon took a silence of 0.6 of the route's objective for the end of
-// the engine, closed the connection, and only then asked whether the stream may go on
-// elsewhere: budget of repeats, another replica, inputs, verdict. Each no ended an
-// answer that was on its way.
-//
-// Proved by the attempts' lines: "the replica broke off: context canceled" names the
-// daemon's own context, and the replicas were at work.
+// Guards against streams being broken off about 840 ms after their last event although no
+// engine was slow or failing; this happened 59 times on one day with 295 hosts. An engine
+// that reads a long prompt keeps its other streams silent for seconds. The daemon took a
+// silence of 0.6 of the route's objective for a failure of the engine, closed the
+// connection, and only then checked whether the stream may resume elsewhere: retry budget,
+// another replica, inputs, quarantine. Each denial ended an answer that would have
+// completed. In the log of the attempts, "the replica broke off: context canceled" shows
+// that the daemon's own context had ended while the replicas were working.
 
 const (
-	// pauseOfEngine is longer than a daemon may take for the end of an engine by itself.
+	// enginePause is longer than the silence from which an engine alone is suspected to
+	// have failed.
 	enginePause = 1200 * time.Millisecond
 	// longPause is longer than any engine is waited for that could be replaced.
 	longPause = 2500 * time.Millisecond
-	// oldReport is the age of old reports.
+	// staleReportAge is the age of stale run reports.
 	staleReportAge = 400 * time.Millisecond
-	// longDeadline is what callers on longPath give a request.
+	// longDeadline is the deadline that callers on longPath give a request.
 	longDeadline = 5 * time.Second
-	// goesOnWithin is when a stream goes on elsewhere at the latest after its engine is
-	// gone. Callers leave after callersWait without an event.
+	// resumeTimeout is the time within which a stream must resume elsewhere after its
+	// engine has failed. Callers disconnect after callerPatience without an event.
 	resumeTimeout  = 3 * time.Second
 	callerPatience = 4 * time.Second
-	// closeSeen is the time until a replica has seen its connection close.
+	// closeDetectionTime is the time until a replica detects that its connection has been
+	// closed.
 	closeDetectionTime = 200 * time.Millisecond
 )
 
-// patient gives a request longDeadline.
+// withLongDeadline gives a request longDeadline.
 func withLongDeadline(r *http.Request) {
 	r.Header.Set("Deadline-Ms", fmt.Sprint(longDeadline.Milliseconds()))
 }
 
-// patientWithStage gives a request longDeadline and asks for pieces.
+// withLongDeadlineAndStage gives a request longDeadline and pieces of one stage.
 func withLongDeadlineAndStage(r *http.Request) {
 	withLongDeadline(r)
 	r.Header.Set("Piece-Count", "2")
 	r.Header.Set("Piece-Key", "pk")
 }
 
-// noRepeats leaves no budget of repeats.
+// noRetryBudget leaves a gateway without retry budget.
 func noRetryBudget(s *gateway.Settings) { s.Budget.Ratio, s.Budget.Slack = 0, 0 }
 
-// without takes replicas away.
+// removeReplicas stops replicas and unregisters them.
 func (f *fixture) removeReplicas(ids ...string) {
 	for _, id := range ids {
 		f.store.Delete("servers/" + id)
@@ -70,7 +69,7 @@
 	}
 }
 
-// sendWatched sends a patient request on longPath; first is called at its first event.
+// sendLong sends a request on longPath; first is called at its first event.
 func (r *gatewayProcess) sendLong(change func(*http.Request), first func()) (answer, string) {
 	r.test.Helper()
 	id := fmt.Sprintf("%08x", nextID.Add(1))
@@ -96,22 +95,24 @@
 	return answer{resp.StatusCode, resp.Header, body.String(), err}, id
 }
 
-// pausing is a case of engines that pause and go on.
+// pauseCase is a case of engines that pause and continue.
 type pauseCase struct {
 	name string
-	// afterEvents is where they pause.
+	// afterEvents is the number of events after which they pause.
 	afterEvents int
-	// before changes the site, settings the daemon's.
+	// setup changes the site, settings the daemon's settings.
 	setup    func(*fixture)
 	settings func(*gateway.Settings)
 	change   func(*http.Request)
-	// first is called at the first event of a stream.
+	// atFirstEvent is called once, at the first event of any stream.
 	atFirstEvent func(*fixture, pauseCase)
-	// streams is the number of streams at once, 0 for one.
+	// streams is the number of concurrent streams, 0 for one.
 	streams int
-	// pause is how long they pause, 0 for pauseOfEngine, and lag how old their reports are.
+	// pause is how long they pause, 0 for enginePause, and lag is the age of their run
+	// reports.
 	pause, lag time.Duration
-	// noOrders engines know neither reports nor holds.
+	// noControlCalls makes engines answer 404 to queries for run reports and to
+	// reservations.
 	noControlCalls bool
 }
 
@@ -153,7 +154,7 @@
 	f.expectNoReservations()
 }
 
-// wrong returns what is wrong with the runs of a stream; "" for nothing.
+// checkRuns returns what is wrong with the runs of a stream; "" for nothing.
 func (c pauseCase) checkRuns(runs []site.Run) string {
 	if (c.noControlCalls || c.pause > enginePause) && c.replaceable() && len(runs) == 2 {
 		return checkSequential(runs)
@@ -166,13 +167,13 @@
 	return ""
 }
 
-// replaceable says whether a stream could go on elsewhere.
+// replaceable says whether a stream could resume elsewhere.
 func (c pauseCase) replaceable() bool {
 	return c.settings == nil && c.setup == nil && c.atFirstEvent == nil
 }
 
-// notInTurn returns what is wrong with two runs of which the second is to begin when the
-// first is ended; "" for nothing.
+// checkSequential returns what is wrong with two runs of which the second must begin after
+// the first was cancelled; "" for nothing.
 func checkSequential(runs []site.Run) string {
 	first, second := runs[0], runs[1]
 	if first.End == site.UnderWay || second.At.Before(first.Ended.Add(-closeDetectionTime)) {
@@ -181,37 +182,37 @@
 	return ""
 }
 
-// keepsNoHold checks that every hold was used or given back.
+// expectNoReservations checks that every reservation was used or cancelled.
 func (f *fixture) expectNoReservations() {
 	f.test.Helper()
 	f.Eventually(func() int {
 		holds := f.ledger.Holds()
 		return holds.Taken - holds.Used - holds.Dropped
-	}, "1s").Should(BeZero(), "holds that were neither used nor given back")
+	}, "1s").Should(BeZero(), "reservations that were neither used nor cancelled")
 }
 
-// pauses are the cases in which a daemon cannot go on elsewhere, or need not.
+// pauseCases are the cases in which a daemon cannot resume a stream elsewhere, or need not.
 var pauseCases = []pauseCase{
-	{name: "with all there is to go on elsewhere", afterEvents: 2},
+	{name: "with everything needed to resume elsewhere", afterEvents: 2},
 	{name: "before the first event", afterEvents: 0},
 	{name: "after the first event", afterEvents: 1},
-	{name: "with reports that are old, before the first event", afterEvents: 0, lag: staleReportAge},
-	{name: "with reports that are old", afterEvents: 2, lag: staleReportAge},
-	{name: "four at once", afterEvents: 2, streams: 4},
-	{name: "without budget of repeats", afterEvents: 2, settings: noRetryBudget},
-	{name: "without budget of repeats, before the first event", afterEvents: 0, settings: noRetryBudget},
-	{name: "without budget of repeats, four at once", afterEvents: 2, settings: noRetryBudget, streams: 4},
+	{name: "with stale reports, before the first event", afterEvents: 0, lag: staleReportAge},
+	{name: "with stale reports", afterEvents: 2, lag: staleReportAge},
+	{name: "four concurrent streams", afterEvents: 2, streams: 4},
+	{name: "without retry budget", afterEvents: 2, settings: noRetryBudget},
+	{name: "without retry budget, before the first event", afterEvents: 0, settings: noRetryBudget},
+	{name: "without retry budget, four concurrent streams", afterEvents: 2, settings: noRetryBudget, streams: 4},
 	{name: "with one engine", afterEvents: 2, setup: removeSecondEngine},
 	{name: "with one engine, before the first event", afterEvents: 0, setup: removeSecondEngine},
 	{name: "with the other engine draining", afterEvents: 2, setup: drainOtherEngine},
 	{name: "with both engines draining since the first event", afterEvents: 1, atFirstEvent: drainBothEngines},
-	{name: "with both engines saying that they leave since the first event", afterEvents: 1, atFirstEvent: announceBothLeaving},
+	{name: "with both engines announcing since the first event that they are leaving", afterEvents: 1, atFirstEvent: announceBothLeaving},
 	{name: refusingCaseName, afterEvents: 1, atFirstEvent: refuseAtBothEngines},
 	{name: "with stages", afterEvents: 2, change: withLongDeadlineAndStage},
-	{name: "with stages that are gone since the first event", afterEvents: 1, change: withLongDeadlineAndStage, atFirstEvent: removeStageReplicas},
+	{name: "with stage replicas stopped at the first event", afterEvents: 1, change: withLongDeadlineAndStage, atFirstEvent: removeStageReplicas},
 }
 
-// refusing is the name of a case.
+// refusingCaseName is the name of the case that TestLongPausedStreamsComplete skips.
 const refusingCaseName = "with both engines refusing since the first event"
 
 func removeSecondEngine(f *fixture) { f.removeReplicas("e2") }
@@ -224,19 +225,19 @@
 	f.register(f.replicas["e2"], "draining")
 }
 
-// bothSayLeaving has the engines say so in what they answer from now on: the daemon hears it
-// with the place that it has held.
+// announceBothLeaving makes the engines announce in their answers from now on that they are
+// leaving: the daemon learns it from the answer to its reservation.
 func announceBothLeaving(f *fixture, _ pauseCase) {
 	f.replicas["e1"].SayLeaving()
 	f.replicas["e2"].SayLeaving()
 }
 
-// bothRefuse has the engines refuse what comes from now on.
+// refuseAtBothEngines makes the engines refuse all requests from now on.
 func refuseAtBothEngines(f *fixture, c pauseCase) {
 	f.behave("llm", site.Behaviour{Shed: true, NoOrders: c.noControlCalls})
 }
 
-// Streams that pause and go on arrive whole: by the one run that began them.
+// Streams that pause and continue must be completed by the run that began them.
 func TestPausedStreamsComplete(t *testing.T) {
 	t.Parallel()
 	for _, c := range pauseCases {
@@ -247,7 +248,7 @@
 	}
 }
 
-// So they do where the engine does not tell what it is at; it may be replaced where
+// The same must hold where engines do not report their runs; streams may be replaced where
 // that is possible.
 func TestPausedStreamsCompleteWithoutRunReports(t *testing.T) {
 	t.Parallel()
@@ -260,32 +261,32 @@
 	}
 }
 
-// So they do where they pause for longer than any engine is waited for that could be
-// replaced, whether engines tell what they are at or not.
+// The same must hold for pauses longer than any engine is waited for that could be
+// replaced, whether engines report their runs or not.
 func TestLongPausedStreamsComplete(t *testing.T) {
 	t.Parallel()
 	for i := range 2 * len(pauseCases) {
 		c := pauseCases[i/2]
 		c.pause, c.noControlCalls = longPause, i%2 == 1
 		if c.noControlCalls && c.name == refusingCaseName {
-			continue // the test below
+			continue // covered by the next test
 		}
-		t.Run(fmt.Sprintf("%s, no orders %t", c.name, c.noControlCalls), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s, no control calls %t", c.name, c.noControlCalls), func(t *testing.T) {
 			t.Parallel()
 			c.run(t)
 		})
 	}
 }
 
-// So they do where the engine that would replace theirs refuses, and told nothing of it
+// The same must hold where the replacement engine refuses without having announced it
 // before.
 func TestLongPausedStreamsAreNotMovedToRefusingEngines(t *testing.T) {
 	t.Parallel()
 	pauseCase{afterEvents: 1, atFirstEvent: refuseAtBothEngines, pause: longPause, noControlCalls: true}.run(t)
 }
 
-// goesOnMeanwhile has streams go on by themselves at about the time at which another
-// engine is secured for them; check is called with each.
+// continueDuringReservation makes streams continue at about the time at which a replacement
+// is being reserved for them; check is called with each.
 func continueDuringReservation(t *testing.T, check func(f *fixture, a answer, id string)) {
 	const step, reservationTime = 50 * time.Millisecond, 150 * time.Millisecond
 	for pause := 800 * time.Millisecond; pause <= time.Second; pause += step {
@@ -312,22 +313,22 @@
 	})
 }
 
-// A place that was being held for a stream that went on by itself is given back.
+// Capacity that was being reserved for a stream that continued must be released.
 func TestReservationsForContinuedStreamsAreReleased(t *testing.T) {
 	t.Parallel()
 	continueDuringReservation(t, func(f *fixture, _ answer, _ string) { f.expectNoReservations() })
 }
 
-// A verdict on the request that comes while its stream pauses does not end the stream,
-// whether the engine tells what it is at or not.
+// A request that is quarantined while its stream pauses must not end the stream, whether
+// the engine reports its runs or not.
 func TestStreamsOfRequestsQuarantinedMeanwhileComplete(t *testing.T) {
 	t.Parallel()
-	for _, noOrders := range []bool{false, true} {
-		t.Run(fmt.Sprintf("no orders %t", noOrders), func(t *testing.T) {
+	for _, noControlCalls := range []bool{false, true} {
+		t.Run(fmt.Sprintf("no control calls %t", noControlCalls), func(t *testing.T) {
 			t.Parallel()
 			f := newFixtureOf(t)
 			f.removeReplicas("e2")
-			f.behave("llm", site.Behaviour{PauseAfterEvents: 1, Pause: 3 * time.Second, NoOrders: noOrders})
+			f.behave("llm", site.Behaviour{PauseAfterEvents: 1, Pause: 3 * time.Second, NoOrders: noControlCalls})
 			g := f.start().ready()
 			a, id := g.sendLong(withLongDeadline, func() { f.quarantine(g, "prompt") })
 			f.Expect(a.err).NotTo(HaveOccurred())
@@ -337,7 +338,7 @@
 	}
 }
 
-// condemn has three new engines crash under a body, until the daemon refuses it; no
+// quarantine makes three new engines crash under a body, until the daemon refuses it; no
 // other engine is sent requests.
 func (f *fixture) quarantine(g *gatewayProcess, body string) {
 	crashed := make(chan string, 100)
@@ -374,7 +375,7 @@
 	}, "2s").Should(Equal("quarantined\n"))
 }
 
-// departures are the ways in which an engine is gone without a word.
+// silentFailures are the ways in which an engine fails without closing its connection.
 var silentFailures = []struct {
 	name    string
 	silence site.Silence
@@ -382,22 +383,22 @@
 }{
 	{"the process hangs", site.Frozen, resumeTimeout},
 	{"the process hangs and its port takes no connections", site.Vanished, resumeTimeout},
-	{"the connection is silent while the run goes on", site.Muted, resumeTimeout},
-	{"the run stands still while the process answers", site.StandsStill, callerPatience},
+	{"the connection is silent while the run continues", site.Muted, resumeTimeout},
+	{"the run stalls while the process answers", site.StandsStill, callerPatience},
 }
 
-// gone has the first engine fall silent for good after so many events. Its events
-// take a while, so that a muted run is under way when it is found.
+// silence makes the first engine silent for good after a number of events. Events are
+// spaced out so that a muted run is still in progress when it is detected.
 func (f *fixture) silence(silence site.Silence, afterEvents int) {
 	const eventInterval = 20 * time.Millisecond
 	f.replicas["e1"].Behave(site.Behaviour{PauseAfterEvents: afterEvents, Silence: silence, EventEvery: eventInterval})
 }
 
-// sendTo sends requests until one has begun at the first engine, and returns that one
-// and how long it took.
+// sendUntilFirstEngine sends requests until one has begun at the first engine, and returns
+// that one and how long it took.
 func (f *fixture) sendUntilFirstEngine(g *gatewayProcess, change func(*http.Request)) (a answer, id string, took time.Duration) {
 	f.test.Helper()
-	const maxTries = 40 // engines are drawn
+	const maxTries = 40 // the engine is chosen at random
 	for range maxTries {
 		began := time.Now()
 		a, id = g.sendLong(change, func() {})
@@ -405,12 +406,12 @@
 			return a, id, time.Since(began)
 		}
 	}
-	f.test.Fatalf("no request came to e1")
+	f.test.Fatalf("no request reached e1")
 	return a, id, took
 }
 
-// An engine that is gone is left, and the stream goes on at another one: whole, and not
-// before the first run was ended.
+// A stream whose engine has failed must be completed by another engine, but not before the
+// first run was cancelled.
 func TestStreamsOfFailedEnginesResumeElsewhere(t *testing.T) {
 	t.Parallel()
 	for _, d := range silentFailures {
@@ -428,7 +429,7 @@
 					f.Expect(checkSequential(runs)).To(BeEmpty())
 					f.Expect(f.ledger.Faults()).To(BeEmpty())
 					f.expectNoReservations()
-					t.Logf("whole %s after its beginning", took.Round(time.Millisecond))
+					t.Logf("complete %s after its start", took.Round(time.Millisecond))
 					f.Expect(took).To(BeNumerically("<", d.within))
 				})
 			}
@@ -436,8 +437,8 @@
 	}
 }
 
-// An engine that may be gone is waited for while nothing can replace it: the answer ends
-// at the deadline.
+// A stream whose engine may have failed must be waited for while no replacement is
+// available: the answer ends at the deadline.
 func TestStreamsWithoutReplacementWaitForTheirDeadline(t *testing.T) {
 	t.Parallel()
 	const deadline = callerPatience
@@ -453,14 +454,14 @@
 				if afterEvents == 0 {
 					f.Expect(a.status).To(Equal(http.StatusGatewayTimeout))
 				} else {
-					f.Expect(a.err).To(HaveOccurred(), "looks complete")
+					f.Expect(a.err).To(HaveOccurred(), "the answer must not look complete")
 					f.Expect(a.body).To(Equal(streamEvents(id, 1, afterEvents)))
 				}
 				f.Expect(took).To(BeNumerically("~", deadline, deadline/10), "the deadline")
 				f.Expect(f.ledger.Runs(id)).To(HaveLen(1))
 				f.Eventually(func() site.End { return f.ledger.Runs(id)[0].End }, "1s").ShouldNot(Equal(site.UnderWay))
 				if run := f.ledger.Runs(id)[0]; run.End == site.Cancelled {
-					f.Expect(run.Ended.Sub(run.At)).To(BeNumerically("~", deadline, deadline/10), "given up before the deadline")
+					f.Expect(run.Ended.Sub(run.At)).To(BeNumerically("~", deadline, deadline/10), "cancelled before the deadline")
 				}
 				f.expectNoReservations()
 			})
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -10,7 +10,8 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// whole is the complete stream that answers a request.
+// streamEvents is the text of the events from one number to another of the stream that
+// answers a request.
 func streamEvents(id string, from, to int) string {
 	var b strings.Builder
 	for n := from; n <= to; n++ {
@@ -25,7 +26,7 @@
 }
 
 var _ = Describe("streams", func() {
-	It("are passed on whole", func() {
+	It("are relayed completely", func() {
 		f := newFixture()
 		a, id := f.start().ready().send(http.MethodPost, streamPath, "prompt", nil)
 		Expect(a.err).NotTo(HaveOccurred())
@@ -33,26 +34,26 @@
 		Expect(a.header.Get("Content-Type")).To(Equal("text/event-stream"))
 	})
 
-	It("begin after the event that the caller names", func() {
+	It("resume after the event that the caller names", func() {
 		f := newFixture()
 		a, id := f.start().ready().send(http.MethodPost, resumePath, "prompt", func(r *http.Request) { r.Header.Set("Last-Event-Id", "2") })
 		Expect(a.body).To(Equal(streamEvents(id, 3, 5)))
 	})
 
-	It("do not look complete when they broke off and may not go on elsewhere", func() {
+	It("do not look complete when they broke off and may not resume elsewhere", func() {
 		f := newFixture()
 		f.behave("llm", site.Behaviour{CutAfterEvents: 2})
 		a, id := f.start().ready().send(http.MethodPost, streamPath, "prompt", nil)
 		Expect(a.err).To(HaveOccurred())
-		Expect(a.body).To(Equal(streamEvents(id, 1, 2)), "no part of an event")
+		Expect(a.body).To(Equal(streamEvents(id, 1, 2)), "no partial event")
 		Expect(f.ledger.Runs(id)).To(HaveLen(1))
 	})
 
-	It("go on at another replica without gap or repetition where they may be resumed", func() {
+	It("resume at another replica without gaps or duplicates where the route allows it", func() {
 		f := newFixture()
 		f.replicas["e1"].Behave(site.Behaviour{CutAfterEvents: 2})
 		g := f.start().ready()
-		// Engines are drawn: with six requests one of 64 runs never sees e1.
+		// Engines are chosen at random: of 64 test runs with six requests, one never reaches e1.
 		const minRequests, maxRequests = 6, 40
 		resumed := 0
 		for n := 0; n < minRequests || resumed == 0 && n < maxRequests; n++ {
@@ -67,7 +68,7 @@
 		Expect(resumed).To(BeNumerically(">", 0))
 	})
 
-	It("get the failure of an engine before the first event as an answer", func() {
+	It("are answered with an error when the engine fails before the first event", func() {
 		f := newFixture()
 		f.behave("llm", site.Behaviour{CutBefore: true})
 		a, _ := f.start().ready().send(http.MethodPost, streamPath, "prompt", nil)
@@ -76,7 +77,7 @@
 })
 
 var _ = Describe("requests with stages", func() {
-	It("have them made first, hand the results to the engine and give them up", func() {
+	It("run the stages first, pass the results to the engine and release them", func() {
 		f := newFixture()
 		g := f.start().ready()
 		for range 5 {
@@ -90,7 +91,7 @@
 		Eventually(func() int { _, _, held := f.ledger.Results(); return held }, "1s").Should(BeZero())
 	})
 
-	It("are refused at once, truly not run, when no replica makes them", func() {
+	It("are refused at once, without a run, when no replica can run the stages", func() {
 		f := newFixture()
 		f.store.Delete("servers/s1")
 		f.store.Delete("servers/s2")
@@ -100,7 +101,7 @@
 		Expect(f.ledger.Runs(id)).To(BeEmpty())
 	})
 
-	It("survive a replica that breaks off while it makes them", func() {
+	It("survive a stage replica that breaks off during its work", func() {
 		f := newFixture()
 		f.replicas["s1"].Behave(site.Behaviour{CutBefore: true})
 		g := f.start().ready()
@@ -111,7 +112,7 @@
 		Expect(f.ledger.Faults()).To(BeEmpty())
 	})
 
-	It("go on at another engine with the stages made again", func() {
+	It("resume at another engine with the stages run again", func() {
 		f := newFixture()
 		f.replicas["e1"].Behave(site.Behaviour{CutAfterEvents: 2})
 		g := f.start().ready()
--- a/gateway/asleep_test.go
+++ b/gateway/suspend_test.go
@@ -11,8 +11,8 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-var _ = Describe("a gateway whose host slept", func() {
-	It("ends requests whose deadline passed, and serves again", func() {
+var _ = Describe("a gateway whose host was suspended", func() {
+	It("ends requests whose deadline passed, and then serves again", func() {
 		f := newFixture()
 		f.behave("plain", site.Behaviour{Hang: true})
 		g := f.start().ready()
@@ -29,7 +29,7 @@
 		var a answer
 		Eventually(ended, "2s").Should(Receive(&a))
 		Expect(a.status).To(Equal(http.StatusGatewayTimeout))
-		Expect(time.Since(began)).To(BeNumerically("<", 2900*time.Millisecond), "the route's timeout, on a clock that stood still")
+		Expect(time.Since(began)).To(BeNumerically("<", 2900*time.Millisecond), "the route's timeout, on a clock that stops during a suspend")
 
 		f.behave("plain", site.Behaviour{})
 		Eventually(func() int {
@@ -38,7 +38,7 @@
 		}, "5s").Should(Equal(http.StatusOK))
 	})
 
-	It("takes its view for as old as it is, and renews it", func() {
+	It("counts the suspend in the age of its view, and refreshes the view", func() {
 		f := newFixture()
 		g := f.start().ready()
 		f.store.Fail(http.StatusServiceUnavailable)
--- a/gateway/unanswered_test.go
+++ b/gateway/unanswered_test.go
@@ -13,16 +13,13 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// Seen: callers waited until their deadline for streams that had not begun.
-//
-// How it came about: an engine that took the connection and then answered nothing was
-// watched from the head of its answer on only.
-//
-// enoughRepeats allows a repeat for each request.
+// ampleRetryBudget allows a retry for each request.
 func ampleRetryBudget(s *gateway.Settings) { s.Budget.Ratio, s.Budget.Slack = 1, 500 }
 
-// An engine that never answers is left like one that falls silent, and for no longer than
-// callers wait.
+// Guards against callers waiting until their deadline for streams that have not begun: an
+// engine that accepted the connection and then answered nothing was watched only from the
+// head of its answer on. Such an engine must be abandoned like one that falls silent,
+// before callers disconnect.
 func TestUnansweredStreamsMoveElsewhere(t *testing.T) {
 	for kind, change := range map[string]func(*http.Request){"": withLongDeadline, " with stages": withLongDeadlineAndStage} {
 		t.Run("an engine that hangs"+kind, func(t *testing.T) {
@@ -30,7 +27,7 @@
 			f := newFixtureOf(t)
 			f.replicas["e1"].Behave(site.Behaviour{Hang: true})
 			g := f.startWith(zap.NewNop(), ampleRetryBudget).ready()
-			const streams = 12 // engines are drawn
+			const streams = 12 // engines are chosen at random
 			began := time.Now()
 			answers := make(chan string, streams)
 			for range streams {
@@ -47,15 +44,15 @@
 				f.Expect(<-answers).To(BeEmpty())
 			}
 			took := time.Since(began)
-			t.Logf("all whole after %s", took.Round(time.Millisecond))
+			t.Logf("all complete after %s", took.Round(time.Millisecond))
 			f.Expect(took).To(BeNumerically("<", resumeTimeout))
 			f.Expect(f.ledger.Faults()).To(BeEmpty())
 		})
 	}
 }
 
-// An engine that takes its time for the head of an answer, and says that it is at work, is
-// left alone.
+// An engine that takes long until the head of its answer, and reports that it is working,
+// must not be abandoned.
 func TestStreamsThatStartLateComplete(t *testing.T) {
 	f := newFixtureOf(t)
 	f.behave("llm", site.Behaviour{Work: enginePause})
@@ -65,14 +62,15 @@
 	f.Expect(f.ledger.Runs(id)).To(HaveLen(1))
 }
 
-// oneRepeat leaves a gateway a single repeat of the budget.
+// singleRetry leaves a gateway a single retry in its budget.
 func singleRetry(s *gateway.Settings) { s.Budget.Ratio, s.Budget.Slack = 0, 18 }
 
-// A run is left for another engine, which holds no places and refuses it after all: the
-// stream goes on at a third one, though the budget allows no repeat more.
+// A run is cancelled in favour of another engine, which supports no reservations and
+// refuses it after all. The stream must continue at a third one, although the budget allows
+// no further retry.
 func TestMovedStreamsSurviveARefusal(t *testing.T) {
-	const trials = 8 // the second engine is drawn
-	refused := make(chan bool, trials)
+	const trials = 8 // the second engine is chosen at random
+	refusals := make(chan bool, trials)
 	t.Run("plays", func(t *testing.T) {
 		for n := range trials {
 			t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -87,20 +85,20 @@
 				})
 				f.Expect(a.err).NotTo(HaveOccurred())
 				f.Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
-				refused <- len(g.metricLines(`wheatseam_attempts_total{service="llm",end="not_executed"}`)) > 0
+				refusals <- len(g.metricLines(`wheatseam_attempts_total{service="llm",end="not_executed"}`)) > 0
 			})
 		}
 	})
-	close(refused)
+	close(refusals)
 	anyRefused := false
-	for r := range refused {
+	for r := range refusals {
 		anyRefused = anyRefused || r
 	}
-	NewWithT(t).Expect(anyRefused).To(BeTrue(), "the case is another")
+	NewWithT(t).Expect(anyRefused).To(BeTrue(), "no trial reached the refusing engine")
 }
 
-// The inputs of a further run are made once there is a place for it: not again and again
-// while no other engine has one.
+// The inputs of a further run must be produced once capacity is reserved for it, not again
+// and again while no other engine has any.
 func TestStagesAreNotRerunWhileNoEngineHasCapacity(t *testing.T) {
 	f := newFixtureOf(t)
 	f.removeReplicas("e2")
@@ -111,5 +109,5 @@
 	f.Expect(a.err).To(HaveOccurred(), "the stream is waited for until its deadline")
 	f.Expect(f.ledger.Runs(id)).To(HaveLen(1))
 	made, _, _ := f.ledger.Results()
-	f.Expect(made).To(Equal(2), "the pieces of the first run")
+	f.Expect(made).To(Equal(2), "only the pieces of the first run")
 }
