--- a/gateway/reservation_test.go
+++ b/gateway/reservation_test.go
@@ -20,7 +20,7 @@
 func TestStreamsThatFailDuringReservationAreRetried(t *testing.T) {
 	f := newFixtureOf(t)
 	const (
-		failsAfter = 2200 * time.Millisecond // the run may be abandoned from 2 s on
+		failsAfter = 2200 * time.Millisecond // the run may be replaced from 2 s on
 		stageTime  = 500 * time.Millisecond  // reserving a replacement takes as long
 		slack      = 18                      // of which the host's share is one retry
 	)
--- a/gateway/stallwatch.go
+++ b/gateway/stallwatch.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	// A replica that is suspected to have failed is abandoned when a stream has had no
-	// event for suspectedFactor times its objective, at least minSuspectedSilence: the rest
-	// of the objective remains for the first event of another replica.
+	// A run at a replica that is suspected to have failed is replaced when its stream has
+	// had no event for suspectedFactor times its objective, at least minSuspectedSilence:
+	// the rest of the objective remains for the first event of another replica.
 	suspectedFactor     = 0.6
 	minSuspectedSilence = 800 * time.Millisecond
-	// Any replica is abandoned after maxSilenceFactor times the objective without an event,
-	// at least minMaxSilence. Callers disconnect after four times the objective.
+	// A run at any replica is replaced after maxSilenceFactor times the objective without
+	// an event, at least minMaxSilence. Callers disconnect after four times the objective.
 	maxSilenceFactor = 2.0
 	minMaxSilence    = 2 * time.Second
 	// runQueryTimeout limits querying a replica for its runs. The query is sent that long
-	// before the replica would be abandoned.
+	// before the run would be replaced.
 	runQueryTimeout = 200 * time.Millisecond
 	// replacementRetryInterval is the pause after which reserving a replacement is tried
 	// again: another request of this daemon may have added to the retry budget meanwhile.
@@ -82,7 +82,6 @@
 	silence time.Duration
 }
 
-// Error implements error.
 func (e *stallError) Error() string {
 	return fmt.Sprintf("stalled for %s, status reported by the replica: %s", e.silence.Round(time.Millisecond), e.status)
 }
@@ -95,17 +94,17 @@
 func (t *attempt) startStallWatch() *stallWatch {
 	x := t.x
 	objective := float64(x.route.Objective)
-	suspected := max(minSuspectedSilence, time.Duration(suspectedFactor*objective))
+	suspectAfter := max(minSuspectedSilence, time.Duration(suspectedFactor*objective))
 	w := &stallWatch{attempt: t, progress: progress{committed: x.committed, lastEvent: x.lastEvent, events: t.totalEvents()}, machine: stall.New(clock.Now(), stall.Config{
-		Ask: suspected - runQueryTimeout, AskEvery: 2 * runQueryTimeout, Doubted: suspected,
+		Ask: suspectAfter - runQueryTimeout, AskEvery: 2 * runQueryTimeout, Doubted: suspectAfter,
 		Any: max(minMaxSilence, time.Duration(maxSilenceFactor*objective)), SecureEvery: replacementRetryInterval,
 	})}
 	if x.routeRetryDenied(t.runNumber) == "" {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.suspended = clock.Asleep()
-		w.nextTick = clock.Now().Add(suspected - runQueryTimeout)
-		w.timer = clock.AfterFunc(suspected-runQueryTimeout, w.tick)
+		w.nextTick = clock.Now().Add(suspectAfter - runQueryTimeout)
+		w.timer = clock.AfterFunc(suspectAfter-runQueryTimeout, w.tick)
 	}
 	return w
 }
--- a/gateway/unanswered_test.go
+++ b/gateway/unanswered_test.go
@@ -18,7 +18,7 @@
 
 // Guards against callers waiting until their deadline for streams that have not begun: an
 // engine that accepted the connection and then answered nothing was watched only from the
-// head of its answer on. Such an engine must be abandoned like one that falls silent,
+// head of its answer on. The run must be replaced like one whose engine falls silent,
 // before callers disconnect.
 func TestUnansweredStreamsMoveElsewhere(t *testing.T) {
 	for kind, change := range map[string]func(*http.Request){"": withLongDeadline, " with stages": withLongDeadlineAndStage} {
@@ -52,7 +52,7 @@
 }
 
 // An engine that takes long until the head of its answer, and reports that it is working,
-// must not be abandoned.
+// must not be replaced.
 func TestStreamsThatStartLateComplete(t *testing.T) {
 	f := newFixtureOf(t)
 	f.behave("llm", site.Behaviour{Work: enginePause})
@@ -71,7 +71,7 @@
 func TestMovedStreamsSurviveARefusal(t *testing.T) {
 	const trials = 8 // the second engine is chosen at random
 	refusals := make(chan bool, trials)
-	t.Run("plays", func(t *testing.T) {
+	t.Run("trials", func(t *testing.T) {
 		for n := range trials {
 			t.Run(fmt.Sprint(n), func(t *testing.T) {
 				t.Parallel()
