--- a/core/breaker/breaker.go
+++ b/core/breaker/breaker.go
@@ -18,22 +18,22 @@
 // Config parametrises a Set. Zero fields take their defaults.
 type Config struct {
 	// Failures is the run of failures that opens a pool. Default 12.
-	Failures int
+	FailureThreshold int
 	// Lasting is how long the run must have lasted. Default 300 ms.
-	Lasting time.Duration
+	MinFailureDuration time.Duration
 	// ProbeEvery is the interval of the requests let through. Default 250 ms.
-	ProbeEvery time.Duration
+	ProbeInterval time.Duration
 }
 
 func (c Config) withDefaults() Config {
-	if c.Failures == 0 {
-		c.Failures = 12
+	if c.FailureThreshold == 0 {
+		c.FailureThreshold = 12
 	}
-	if c.Lasting == 0 {
-		c.Lasting = 300 * time.Millisecond
+	if c.MinFailureDuration == 0 {
+		c.MinFailureDuration = 300 * time.Millisecond
 	}
-	if c.ProbeEvery == 0 {
-		c.ProbeEvery = 250 * time.Millisecond
+	if c.ProbeInterval == 0 {
+		c.ProbeInterval = 250 * time.Millisecond
 	}
 	return c
 }
@@ -48,10 +48,10 @@
 
 // pool is the run of failures of one pool.
 type pool struct {
-	failures int
-	since    time.Time
-	open     bool
-	probed   time.Time
+	failures     int
+	firstFailure time.Time
+	open         bool
+	lastProbe    time.Time
 }
 
 // New returns a set in which every pool is closed.
@@ -66,13 +66,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, name := range pools {
-		if p := s.pools[name]; p != nil && p.open && now.Sub(p.probed) < s.cfg.ProbeEvery {
+		if p := s.pools[name]; p != nil && p.open && now.Sub(p.lastProbe) < s.cfg.ProbeInterval {
 			return name, false
 		}
 	}
 	for _, name := range pools {
 		if p := s.pools[name]; p != nil && p.open {
-			p.probed = now
+			p.lastProbe = now
 		}
 	}
 	return "", true
@@ -92,12 +92,12 @@
 	defer s.mu.Unlock()
 	p := s.pools[name]
 	if p == nil {
-		p = &pool{since: now}
+		p = &pool{firstFailure: now}
 		s.pools[name] = p
 	}
 	p.failures++
-	if !p.open && p.failures >= s.cfg.Failures && now.Sub(p.since) >= s.cfg.Lasting {
-		p.open, p.probed = true, now
+	if !p.open && p.failures >= s.cfg.FailureThreshold && now.Sub(p.firstFailure) >= s.cfg.MinFailureDuration {
+		p.open, p.lastProbe = true, now
 	}
 }
 
--- a/core/breaker/breaker_test.go
+++ b/core/breaker/breaker_test.go
@@ -17,9 +17,9 @@
 
 var _ = Describe("Set", func() {
 	var (
-		s    *Set
-		now  time.Time
-		need = []string{"encoders", "lm"}
+		s     *Set
+		now   time.Time
+		pools = []string{"encoders", "lm"}
 	)
 
 	BeforeEach(func() { s, now = New(Config{}), epoch })
@@ -32,21 +32,21 @@
 		}
 	}
 	allowed := func() bool {
-		_, ok := s.Allow(now, need)
+		_, ok := s.Allow(now, pools)
 		return ok
 	}
 
 	It("opens a pool that fails whole and lets one request in an interval through", func() {
 		fail(12)
 		Expect(s.Open()).To(Equal([]string{"lm"}))
-		let := 0
+		admitted := 0
 		for range 100 {
 			now = now.Add(10 * time.Millisecond)
 			if allowed() {
-				let++
+				admitted++
 			}
 		}
-		Expect(let).To(Equal(4))
+		Expect(admitted).To(Equal(4))
 	})
 
 	It("closes at the first success", func() {
@@ -61,7 +61,7 @@
 		fail(12)
 		_, ok := s.Allow(now, []string{"encoders"})
 		Expect(ok).To(BeTrue())
-		open, _ := s.Allow(now, need)
+		open, _ := s.Allow(now, pools)
 		Expect(open).To(Equal("lm"))
 	})
 
--- a/core/catalog/catalog_test.go
+++ b/core/catalog/catalog_test.go
@@ -86,10 +86,10 @@
 
 	It("keeps no lapsed entry whose address another start has", func() {
 		var g catalog.Registry
-		old, reborn := catalog.Replica{ID: "one@1", Address: "10.0.0.1:80"}, catalog.Replica{ID: "one@2", Address: "10.0.0.1:80"}
+		old, restarted := catalog.Replica{ID: "one@1", Address: "10.0.0.1:80"}, catalog.Replica{ID: "one@2", Address: "10.0.0.1:80"}
 		other := catalog.Replica{ID: "two", Address: "10.0.0.2:80"}
 		g.Update(start, []catalog.Replica{old, other})
-		g.Update(start.Add(10*time.Second), []catalog.Replica{reborn})
+		g.Update(start.Add(10*time.Second), []catalog.Replica{restarted})
 		Expect(g.Replicas()).To(And(HaveLen(2), HaveKey("one@2"), HaveKey("two")))
 	})
 
--- a/core/catalog/config.go
+++ b/core/catalog/config.go
@@ -122,13 +122,13 @@
 	}
 	for _, r := range routes {
 		host := strings.ToLower(r.Host)
-		c.hosts[host] = insert(c.hosts[host], r)
+		c.hosts[host] = insertByPrefix(c.hosts[host], r)
 	}
 	return c
 }
 
 // insert keeps the routes of a host sorted, longest prefix first.
-func insert(routes []*Route, r *Route) []*Route {
+func insertByPrefix(routes []*Route, r *Route) []*Route {
 	i := 0
 	for i < len(routes) && len(routes[i].Prefix) >= len(r.Prefix) {
 		i++
@@ -159,9 +159,9 @@
 	for _, t := range r.Split {
 		sum += t.Weight
 	}
-	at := draw * sum
+	remaining := draw * sum
 	for _, t := range r.Split {
-		if at -= t.Weight; at < 0 {
+		if remaining -= t.Weight; remaining < 0 {
 			return t.Service
 		}
 	}
--- a/core/catalog/rank.go
+++ b/core/catalog/rank.go
@@ -24,12 +24,12 @@
 
 const (
 	// Levels is the number of levels that a rank is told in where one number has to do.
-	Levels = 10
+	NumLevels = 10
 	// routeLevels is the number of levels of each customer's part.
 	routeLevels = 3
 )
 
 // Level is the rank as one number under Levels; ranks beyond share the last ones.
 func (r Rank) Level() int {
-	return min(Levels-1, r.Customer*routeLevels+min(r.Route, routeLevels-1))
+	return min(NumLevels-1, r.Customer*routeLevels+min(r.Route, routeLevels-1))
 }
--- a/core/catalog/rank_test.go
+++ b/core/catalog/rank_test.go
@@ -8,16 +8,16 @@
 )
 
 var _ = Describe("ranks", func() {
-	of := func(n int) *int { return &n }
+	intPtr := func(n int) *int { return &n }
 
 	DescribeTable("put the customer's part before the route's", func(customer *catalog.Tenant, route int, want catalog.Rank) {
 		Expect(catalog.RankOf(customer, &catalog.Route{Priority: route})).To(Equal(want))
 	},
-		Entry("of a customer with a priority", &catalog.Tenant{Priority: of(1)}, 2, catalog.Rank{Customer: 1, Route: 2}),
-		Entry("of one with the highest", &catalog.Tenant{Priority: of(0)}, 2, catalog.Rank{Customer: 0, Route: 2}),
+		Entry("of a customer with a priority", &catalog.Tenant{Priority: intPtr(1)}, 2, catalog.Rank{Customer: 1, Route: 2}),
+		Entry("of one with the highest", &catalog.Tenant{Priority: intPtr(0)}, 2, catalog.Rank{Customer: 0, Route: 2}),
 		Entry("of one without", &catalog.Tenant{}, 2, catalog.Rank{Customer: 2, Route: 2}),
 		Entry("of none", nil, 1, catalog.Rank{Customer: 1, Route: 1}),
-		Entry("below the highest", &catalog.Tenant{Priority: of(-3)}, -1, catalog.Rank{}),
+		Entry("below the highest", &catalog.Tenant{Priority: intPtr(-3)}, -1, catalog.Rank{}),
 	)
 
 	It("order requests, and their levels never say otherwise", func() {
@@ -34,7 +34,7 @@
 					Expect(a.Level()).To(BeNumerically("<=", b.Level()), "%v %v", a, b)
 				}
 			}
-			Expect(a.Level()).To(And(BeNumerically(">=", 0), BeNumerically("<", catalog.Levels)))
+			Expect(a.Level()).To(And(BeNumerically(">=", 0), BeNumerically("<", catalog.NumLevels)))
 		}
 		Expect(catalog.Rank{Customer: 1, Route: 0}.Level()).To(BeNumerically("<", catalog.Rank{Customer: 1, Route: 2}.Level()))
 	})
--- a/core/intake/account.go
+++ b/core/intake/account.go
@@ -21,13 +21,13 @@
 const (
 	// freshBy is how much younger a fellow's word must be to count as the replica's
 	// own again: what it takes to tell is not known.
-	freshBy = time.Second
+	refreshThreshold = time.Second
 	// liftedLife is how long it is remembered that a limit was lifted, so that fellows
 	// which know it as named are told.
-	liftedLife = 10 * time.Second
+	liftedRetention = 10 * time.Second
 	// unlistedLife is how long what a replica has said is remembered though it is not
 	// listed: the list may lose it and have it again.
-	unlistedLife = time.Minute
+	unlistedRetention = time.Minute
 	// maxReplicas bounds the replicas that are remembered for one word of theirs.
 	maxReplicas = 1 << 14
 )
@@ -35,34 +35,34 @@
 // Account is what one host knows of the limits that replicas name. The zero value is
 // ready.
 type Account struct {
-	limits map[string]*limited
+	entries map[string]*limitEntry
 }
 
-type limited struct {
+type limitEntry struct {
 	Limited
 	// listed is when the replica was last listed, or first heard of.
-	listed time.Time
+	lastListed time.Time
 }
 
 // Hear takes an answer, and returns the replica's limit if the answer changed it. A
 // limit holds until a run that was sent after it was last named is answered without:
 // heads of answers may overtake each other.
 func (a *Account) Hear(now time.Time, answer Answer) (Limited, bool) {
-	known := a.limits[answer.Replica]
-	said := answer.Notice.Limit
+	known := a.entries[answer.Replica]
+	limit := answer.Notice.Limit
 	switch {
-	case said.Named && known == nil:
-		l := Limited{Replica: answer.Replica, Limit: said, Round: 1, Since: now, At: now}
+	case limit.Named && known == nil:
+		l := Limited{Replica: answer.Replica, Limit: limit, Round: 1, Since: now, At: now}
 		return l, a.add(now, l)
-	case said.Named:
+	case limit.Named:
 		known.At = now
-		if known.Limit == said {
+		if known.Limit == limit {
 			return known.Limited, false
 		}
 		if !known.Limit.Named {
 			known.Since = now
 		}
-		known.Limit, known.Round = said, known.Round+1
+		known.Limit, known.Round = limit, known.Round+1
 		return known.Limited, true
 	case known == nil || !known.Limit.Named || !answer.Served || !answer.Sent.After(known.At):
 		return Limited{}, false
@@ -85,21 +85,21 @@
 
 // add takes a replica that was not known; it says whether there is room.
 func (a *Account) add(now time.Time, l Limited) bool {
-	if len(a.limits) >= maxReplicas {
+	if len(a.entries) >= maxReplicas {
 		return false
 	}
-	if a.limits == nil {
-		a.limits = map[string]*limited{}
+	if a.entries == nil {
+		a.entries = map[string]*limitEntry{}
 	}
-	a.limits[l.Replica] = &limited{l, now}
+	a.entries[l.Replica] = &limitEntry{l, now}
 	return true
 }
 
 // Learn takes what a fellow knows. It returns what that changes here, and what the fellow
 // is to be told since it knows something older.
-func (a *Account) Learn(now time.Time, told []Limited) (changed, newer []Limited) {
-	for _, l := range told {
-		known := a.limits[l.Replica]
+func (a *Account) Learn(now time.Time, reports []Limited) (changed, newer []Limited) {
+	for _, l := range reports {
+		known := a.entries[l.Replica]
 		switch {
 		case known == nil:
 			if l.Limit.Named && a.add(now, l) {
@@ -107,7 +107,7 @@
 			}
 		case known.Limit == l.Limit:
 			known.Round = max(known.Round, l.Round)
-			if l.At.Sub(known.At) > freshBy {
+			if l.At.Sub(known.At) > refreshThreshold {
 				known.At = l.At
 			}
 		case l.supersedes(&known.Limited):
@@ -122,30 +122,30 @@
 
 // News returns what was heard, here or by a fellow, after a time.
 func (a *Account) News(after time.Time) []Limited {
-	return a.which(func(l *limited) bool { return l.At.After(after) })
+	return a.filter(func(l *limitEntry) bool { return l.At.After(after) })
 }
 
 // Forget drops what is known of replicas that have not been listed for long, or whose
 // limit was lifted long ago.
 func (a *Account) Forget(now time.Time, listed func(replica string) bool) {
-	maps.DeleteFunc(a.limits, func(replica string, l *limited) bool {
+	maps.DeleteFunc(a.entries, func(replica string, l *limitEntry) bool {
 		if listed(replica) {
-			l.listed = now
+			l.lastListed = now
 		}
-		return now.Sub(l.listed) > unlistedLife || !l.Limit.Named && now.Sub(l.At) > liftedLife
+		return now.Sub(l.lastListed) > unlistedRetention || !l.Limit.Named && now.Sub(l.At) > liftedRetention
 	})
 }
 
 // Limits returns the limits in force, by replica.
 func (a *Account) Limits() []Limited {
-	return a.which(func(l *limited) bool { return l.Limit.Named })
+	return a.filter(func(l *limitEntry) bool { return l.Limit.Named })
 }
 
 // which returns what is known of some replicas, by replica.
-func (a *Account) which(counts func(*limited) bool) []Limited {
+func (a *Account) filter(include func(*limitEntry) bool) []Limited {
 	var out []Limited
-	for _, id := range slices.Sorted(maps.Keys(a.limits)) {
-		if l := a.limits[id]; counts(l) {
+	for _, id := range slices.Sorted(maps.Keys(a.entries)) {
+		if l := a.entries[id]; include(l) {
 			out = append(out, l.Limited)
 		}
 	}
--- a/core/intake/account_test.go
+++ b/core/intake/account_test.go
@@ -14,7 +14,7 @@
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
 // answered is a run's answer; limit under 0 names none.
-func answered(sent, limit float64) intake.Answer {
+func runAnswer(sent, limit float64) intake.Answer {
 	a := intake.Answer{Replica: "r", Sent: at(sent), Served: true}
 	if limit >= 0 {
 		a.Notice.Limit = intake.Limit{Named: true, PerSecond: limit}
@@ -22,44 +22,44 @@
 	return a
 }
 
-func TestLimitHoldsUntilARunIsAnsweredWithoutIt(t *testing.T) {
+func TestLimitHoldsUntilAServedAnswerOmitsIt(t *testing.T) {
 	g := NewWithT(t)
 	var a intake.Account
-	_, changed := a.Hear(at(1), answered(0, -1))
+	_, changed := a.Hear(at(1), runAnswer(0, -1))
 	g.Expect(changed).To(BeFalse())
-	l, changed := a.Hear(at(2), answered(1.9, 4))
+	l, changed := a.Hear(at(2), runAnswer(1.9, 4))
 	g.Expect(changed).To(BeTrue())
 	g.Expect(l).To(Equal(intake.Limited{Replica: "r", Limit: intake.Limit{Named: true, PerSecond: 4}, Round: 1, Since: at(2), At: at(2)}))
-	_, changed = a.Hear(at(3), answered(2.9, 4))
+	_, changed = a.Hear(at(3), runAnswer(2.9, 4))
 	g.Expect(changed).To(BeFalse())
-	l, changed = a.Hear(at(4), answered(3.9, 0.5))
+	l, changed = a.Hear(at(4), runAnswer(3.9, 0.5))
 	g.Expect(changed).To(BeTrue(), "it names another limit")
 	g.Expect(l.Since).To(Equal(at(2)))
 	g.Expect(a.Limits()).To(ConsistOf(l))
 
-	refused := answered(4.5, -1)
+	refused := runAnswer(4.5, -1)
 	refused.Served = false
 	_, changed = a.Hear(at(5), refused)
 	g.Expect(changed).To(BeFalse(), "a refusal")
-	l, changed = a.Hear(at(6), answered(5.9, -1))
+	l, changed = a.Hear(at(6), runAnswer(5.9, -1))
 	g.Expect(changed).To(BeTrue())
 	g.Expect(l.Limit.Named).To(BeFalse())
 	g.Expect(a.Limits()).To(BeEmpty())
 }
 
-func TestAnswerOvertakenByOneThatNamesALimitLiftsNothing(t *testing.T) {
+func TestReorderedAnswerDoesNotLiftLimit(t *testing.T) {
 	g := NewWithT(t)
 	var a intake.Account
-	a.Hear(at(2), answered(1, 4))
-	_, changed := a.Hear(at(2.001), answered(1.5, -1))
+	a.Hear(at(2), runAnswer(1, 4))
+	_, changed := a.Hear(at(2.001), runAnswer(1.5, -1))
 	g.Expect(changed).To(BeFalse())
 	g.Expect(a.Limits()).To(HaveLen(1))
 }
 
-func TestReplicasThatAreNotListedAreForgotten(t *testing.T) {
+func TestUnlistedReplicasExpire(t *testing.T) {
 	g := NewWithT(t)
 	var a intake.Account
-	a.Hear(at(1), answered(0, 4))
+	a.Hear(at(1), runAnswer(0, 4))
 	a.Forget(at(100), func(string) bool { return true })
 	a.Forget(at(150), func(string) bool { return false })
 	g.Expect(a.Limits()).To(HaveLen(1), "the list may have it again")
@@ -68,7 +68,7 @@
 }
 
 // told is a fellow's word; a limit under 0 was lifted.
-func told(limit float64, round uint64, seen float64) intake.Limited {
+func peerReport(limit float64, round uint64, seen float64) intake.Limited {
 	l := intake.Limited{Replica: "r", Round: round, Since: start, At: at(seen)}
 	if limit >= 0 {
 		l.Limit = intake.Limit{Named: true, PerSecond: limit}
@@ -76,44 +76,44 @@
 	return l
 }
 
-func TestLatestWordOfFellowsHolds(t *testing.T) {
+func TestLatestPeerReportWins(t *testing.T) {
 	g := NewWithT(t)
 	var a intake.Account
 	learn := func(l intake.Limited) (changed, newer []intake.Limited) { return a.Learn(at(1), []intake.Limited{l}) }
-	changed, newer := learn(told(-1, 4, 1))
+	changed, newer := learn(peerReport(-1, 4, 1))
 	g.Expect(changed).To(BeEmpty(), "the end of a limit that was not known")
 	g.Expect(newer).To(BeEmpty())
-	changed, _ = learn(told(2, 1, 3))
-	g.Expect(changed).To(ConsistOf(told(2, 1, 3)))
+	changed, _ = learn(peerReport(2, 1, 3))
+	g.Expect(changed).To(ConsistOf(peerReport(2, 1, 3)))
 
-	changed, _ = learn(told(2, 1, 3.5))
+	changed, _ = learn(peerReport(2, 1, 3.5))
 	g.Expect(changed).To(BeEmpty())
 	g.Expect(a.News(at(3))).To(BeEmpty(), "as young as what is known, by what it takes to tell")
-	changed, _ = learn(told(2, 1, 5))
+	changed, _ = learn(peerReport(2, 1, 5))
 	g.Expect(changed).To(BeEmpty())
-	g.Expect(a.News(at(3))).To(ConsistOf(told(2, 1, 5)))
+	g.Expect(a.News(at(3))).To(ConsistOf(peerReport(2, 1, 5)))
 
-	changed, _ = learn(told(-1, 2, 4))
+	changed, _ = learn(peerReport(-1, 2, 4))
 	g.Expect(changed).To(HaveLen(1), "a later change, whatever its age")
 	g.Expect(a.Limits()).To(BeEmpty())
-	changed, newer = learn(told(2, 1, 9))
+	changed, newer = learn(peerReport(2, 1, 9))
 	g.Expect(changed).To(BeEmpty(), "an earlier word, told late")
-	g.Expect(newer).To(ConsistOf(told(-1, 2, 4)))
+	g.Expect(newer).To(ConsistOf(peerReport(-1, 2, 4)))
 
-	changed, _ = learn(told(3, 2, 5))
+	changed, _ = learn(peerReport(3, 2, 5))
 	g.Expect(changed).To(HaveLen(1), "of two beside each other the stricter")
-	changed, _ = learn(told(1, 2, 5))
+	changed, _ = learn(peerReport(1, 2, 5))
 	g.Expect(changed).To(HaveLen(1))
-	changed, newer = learn(told(3, 2, 6))
+	changed, newer = learn(peerReport(3, 2, 6))
 	g.Expect(changed).To(BeEmpty())
 	g.Expect(newer).To(HaveLen(1))
 }
 
-func TestEndOfALimitIsRememberedForAWhile(t *testing.T) {
+func TestLiftedLimitIsRetained(t *testing.T) {
 	g := NewWithT(t)
 	var a intake.Account
-	a.Hear(at(1), answered(0, 2))
-	a.Hear(at(3), answered(2, -1))
+	a.Hear(at(1), runAnswer(0, 2))
+	a.Hear(at(3), runAnswer(2, -1))
 	a.Forget(at(12), func(string) bool { return true })
 	g.Expect(a.News(at(2))).To(HaveLen(1), "fellows are told that it was lifted")
 	a.Forget(at(14), func(string) bool { return true })
--- a/core/intake/gate.go
+++ b/core/intake/gate.go
@@ -19,11 +19,13 @@
 	Leaving
 	// Resting bounds them to none for a while at replicas that asked this host for rest.
 	Resting
-	sources
+	sourceCount
 )
 
 // String names the source in logs and decision records.
-func (s Source) String() string { return [sources]string{"cold", "limited", "leaving", "resting"}[s] }
+func (s Source) String() string {
+	return [sourceCount]string{"cold", "limited", "leaving", "resting"}[s]
+}
 
 // Part is one host's part of the calls that a replica takes.
 type Part struct {
@@ -40,26 +42,26 @@
 }
 
 // MaxCalls is the largest number of calls of a Part that is kept count of.
-const MaxCalls = 16
+const MaxTrackedCalls = 16
 
 // Gate tells whether a call may begin at one replica. It is safe for concurrent use.
 type Gate struct {
 	// bounded says that any part is set, so that the others' picks need no lock.
 	bounded atomic.Bool
 
-	mu    sync.Mutex
-	parts [sources]*Part
+	mu     sync.Mutex
+	quotas [sourceCount]*Part
 	// begun are the last calls, newest at newest, also those of before there was a part.
-	begun  [MaxCalls]time.Time
-	newest int
+	callTimes [MaxTrackedCalls]time.Time
+	newest    int
 }
 
 // Begin notes a call.
 func (g *Gate) Begin(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.newest = (g.newest + 1) % MaxCalls
-	g.begun[g.newest] = now
+	g.newest = (g.newest + 1) % MaxTrackedCalls
+	g.callTimes[g.newest] = now
 }
 
 // Refuses says whether a call may not begin, and by whose word.
@@ -69,8 +71,8 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for s, p := range g.parts {
-		if p != nil && now.Before(g.opens(p)) {
+	for s, p := range g.quotas {
+		if p != nil && now.Before(g.nextAllowed(p)) {
 			return Source(s), true
 		}
 	}
@@ -87,13 +89,13 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	at := now
-	for _, p := range g.parts {
+	for _, p := range g.quotas {
 		if p == nil {
 			continue
 		}
-		opens := g.opens(p)
-		if others := now.Add(p.Window); p.Until.IsZero() && p.Calls < 1 && p.Window > 0 && opens.After(others) {
-			opens = others
+		opens := g.nextAllowed(p)
+		if othersOpen := now.Add(p.Window); p.Until.IsZero() && p.Calls < 1 && p.Window > 0 && opens.After(othersOpen) {
+			opens = othersOpen
 		}
 		if opens.After(at) {
 			at = opens
@@ -110,8 +112,8 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	rest := g.parts[Resting]
-	return g.parts[Leaving] != nil || rest != nil && now.Before(rest.Until)
+	rest := g.quotas[Resting]
+	return g.quotas[Leaving] != nil || rest != nil && now.Before(rest.Until)
 }
 
 // Leaves says whether the replica takes no new work any more.
@@ -121,7 +123,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.parts[Leaving] != nil
+	return g.quotas[Leaving] != nil
 }
 
 // Bounded says whether there is any part.
@@ -134,13 +136,13 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, p := range g.parts {
+	for _, p := range g.quotas {
 		if p == nil || !p.Until.IsZero() && !now.Before(p.Until) {
 			continue
 		}
 		var rate float64
 		if p.Calls > 0 {
-			rate = float64(min(p.Calls, MaxCalls)) / p.Window.Seconds()
+			rate = float64(min(p.Calls, MaxTrackedCalls)) / p.Window.Seconds()
 		}
 		if !bounded || rate < perSecond {
 			perSecond, bounded = rate, true
@@ -150,14 +152,14 @@
 }
 
 // opens returns when a part allows this host's next call; the lock is held.
-func (g *Gate) opens(p *Part) time.Time {
+func (g *Gate) nextAllowed(p *Part) time.Time {
 	switch {
 	case !p.Until.IsZero():
 		return p.Until
 	case p.Calls < 1:
-		return g.opensForProbe(p)
+		return g.nextProbe(p)
 	}
-	oldest := g.begun[(g.newest+1+MaxCalls-min(p.Calls, MaxCalls))%MaxCalls]
+	oldest := g.callTimes[(g.newest+1+MaxTrackedCalls-min(p.Calls, MaxTrackedCalls))%MaxTrackedCalls]
 	if oldest.IsZero() {
 		return oldest
 	}
@@ -166,11 +168,11 @@
 
 // opensForProbe returns when a part without calls allows one all the same; the lock
 // is held.
-func (g *Gate) opensForProbe(p *Part) time.Time {
-	last := g.begun[g.newest]
+func (g *Gate) nextProbe(p *Part) time.Time {
+	last := g.callTimes[g.newest]
 	switch {
 	case p.Probe.IsZero():
-		return never
+		return farFuture
 	case last.Before(p.Probe):
 		return p.Probe
 	}
@@ -178,21 +180,21 @@
 }
 
 // never is later than any time that is asked about.
-var never = time.Unix(1<<40, 0)
+var farFuture = time.Unix(1<<40, 0)
 
 // set replaces the part of a source; nil for no bound.
-func (g *Gate) set(s Source, p *Part) {
+func (g *Gate) setQuota(s Source, p *Part) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.parts[s] = p
-	g.bounded.Store(g.parts != [sources]*Part{})
+	g.quotas[s] = p
+	g.bounded.Store(g.quotas != [sourceCount]*Part{})
 }
 
 // Gates are the gates of all replicas, by name. They are safe for concurrent use.
 type Gates struct {
-	mu    sync.Mutex
-	gates map[string]*Gate
-	parts [sources]map[string]Part
+	mu     sync.Mutex
+	gates  map[string]*Gate
+	quotas [sourceCount]map[string]Part
 }
 
 // NewGates returns gates that bound nothing.
@@ -206,8 +208,8 @@
 	if g == nil {
 		g = &Gate{}
 		gs.gates[replica] = g
-		for s := range gs.parts {
-			gs.apply(Source(s), replica, g)
+		for s := range gs.quotas {
+			gs.applyQuota(Source(s), replica, g)
 		}
 	}
 	return g
@@ -217,19 +219,19 @@
 func (gs *Gates) SetParts(s Source, parts map[string]Part) {
 	gs.mu.Lock()
 	defer gs.mu.Unlock()
-	gs.parts[s] = parts
+	gs.quotas[s] = parts
 	for replica, g := range gs.gates {
-		gs.apply(s, replica, g)
+		gs.applyQuota(s, replica, g)
 	}
 }
 
 // apply passes the part of a source on to a gate; the lock is held.
-func (gs *Gates) apply(s Source, replica string, g *Gate) {
-	if p, ok := gs.parts[s][replica]; ok {
-		g.set(s, &p)
+func (gs *Gates) applyQuota(s Source, replica string, g *Gate) {
+	if p, ok := gs.quotas[s][replica]; ok {
+		g.setQuota(s, &p)
 		return
 	}
-	g.set(s, nil)
+	g.setQuota(s, nil)
 }
 
 // Keep drops the gates of replicas that are not listed.
--- a/core/intake/leaving_test.go
+++ b/core/intake/leaving_test.go
@@ -9,19 +9,19 @@
 )
 
 // leaving is an answer in which a replica says that it leaves.
-func leaving(replica string) intake.Answer {
+func leavingAnswer(replica string) intake.Answer {
 	return intake.Answer{Replica: replica, Notice: intake.Notice{Leaving: true}}
 }
 
-func TestReplicaThatSaysItLeavesIsKnownForGood(t *testing.T) {
+func TestLeavingReplicaStaysLeaving(t *testing.T) {
 	g := NewWithT(t)
 	var l intake.Leavers
 	_, first := l.Hear(at(1), intake.Answer{Replica: "r@1"})
 	g.Expect(first).To(BeFalse())
-	heard, first := l.Hear(at(2), leaving("r@1"))
+	heard, first := l.Hear(at(2), leavingAnswer("r@1"))
 	g.Expect(first).To(BeTrue())
 	g.Expect(heard).To(Equal(intake.Leaver{Replica: "r@1", At: at(2)}))
-	_, first = l.Hear(at(3), leaving("r@1"))
+	_, first = l.Hear(at(3), leavingAnswer("r@1"))
 	g.Expect(first).To(BeFalse())
 	_, first = l.Hear(at(4), intake.Answer{Replica: "r@1", Served: true})
 	g.Expect(first).To(BeFalse(), "an answer without a word takes nothing back")
@@ -31,10 +31,10 @@
 	g.Expect(l.Since(at(3))).To(ConsistOf(intake.Leaver{Replica: "s", At: at(4)}))
 }
 
-func TestReplicaThatLeavesIsRememberedWhileTheListLosesIt(t *testing.T) {
+func TestLeavingReplicaIsRetainedWhileUnlisted(t *testing.T) {
 	g := NewWithT(t)
 	var l intake.Leavers
-	l.Hear(at(0), leaving("r"))
+	l.Hear(at(0), leavingAnswer("r"))
 	l.Forget(at(300), func(string) bool { return true })
 	l.Forget(at(330), func(string) bool { return false })
 	g.Expect(l.All()).To(HaveLen(1))
--- a/core/intake/limit_test.go
+++ b/core/intake/limit_test.go
@@ -11,22 +11,22 @@
 )
 
 // limitedTo is a replica that named a limit at start.
-func limitedTo(replica string, perSecond float64) intake.Limited {
+func replicaLimit(replica string, perSecond float64) intake.Limited {
 	return intake.Limited{Replica: replica, Limit: intake.Limit{Named: true, PerSecond: perSecond}, Since: start, At: start}
 }
 
 // perSecondOf is the rate of a part.
-func perSecondOf(p intake.Part) float64 { return float64(p.Calls) / p.Window.Seconds() }
+func rateOf(p intake.Part) float64 { return float64(p.Calls) / p.Window.Seconds() }
 
-func TestPartsOfALimitAddUpToIt(t *testing.T) {
+func TestQuotasAddUpToTheLimitRate(t *testing.T) {
 	for _, n := range []int{1, 6, 60, 300} {
 		hosts := hostNames(n)
 		for _, limit := range []float64{0.1, 0.2, 0.25, 0.5, 1, 2.5, 20, 100, 1e6} {
 			sum := 0.0
 			for _, h := range hosts {
-				p := intake.NewShares(h, hosts).OfLimit(limitedTo("r", limit), intake.Requester)
-				NewWithT(t).Expect(p.Calls).To(BeNumerically("<=", intake.MaxCalls))
-				sum += perSecondOf(p)
+				p := intake.NewShares(h, hosts).OfLimit(replicaLimit("r", limit), intake.Requester)
+				NewWithT(t).Expect(p.Calls).To(BeNumerically("<=", intake.MaxTrackedCalls))
+				sum += rateOf(p)
 			}
 			NewWithT(t).Expect(sum).To(BeNumerically("~", limit, 1e-3*limit), "%d hosts, %v a second", n, limit)
 		}
@@ -35,7 +35,7 @@
 
 // TestPlannerHasMostOfALimitAndTwoOfThemStayWithinIt has one planner follow another
 // within the judged window: both have begun their calls.
-func TestPlannerHasMostOfALimitAndTwoOfThemStayWithinIt(t *testing.T) {
+func TestTwoConsecutivePlannersStayWithinTheLimit(t *testing.T) {
 	hosts := hostNames(60)
 	for _, limit := range []float64{0.5, 1, 2.5, 4} {
 		g := NewWithT(t)
@@ -45,15 +45,15 @@
 			if i < 2 {
 				role = intake.Planner
 			}
-			calls += intake.NewShares(h, hosts).OfLimit(limitedTo("r", limit), role).Calls
+			calls += intake.NewShares(h, hosts).OfLimit(replicaLimit("r", limit), role).Calls
 		}
-		g.Expect(calls).To(BeNumerically("<=", allowedOf(limit)), "%v a second", limit)
-		alone := intake.NewShares(hosts[0], hosts).OfLimit(limitedTo("r", limit), intake.Planner)
-		g.Expect(perSecondOf(alone)).To(BeNumerically(">=", 0.5*limit))
+		g.Expect(calls).To(BeNumerically("<=", allowedRequests(limit)), "%v a second", limit)
+		planner := intake.NewShares(hosts[0], hosts).OfLimit(replicaLimit("r", limit), intake.Planner)
+		g.Expect(rateOf(planner)).To(BeNumerically(">=", 0.5*limit))
 	}
 }
 
-func TestPartsByRoleAddUpToTheCalls(t *testing.T) {
+func TestQuotasByRoleAddUpToTheCalls(t *testing.T) {
 	hosts := hostNames(60)
 	for _, calls := range []int{1, 2, 4, 12} {
 		sum := 0
@@ -69,18 +69,18 @@
 	}
 }
 
-func TestLimitWithoutPartsLetsSingleCallsPassOneHostAfterTheOther(t *testing.T) {
+func TestHostsWithoutQuotaProbeInTurn(t *testing.T) {
 	g := NewWithT(t)
 	hosts := hostNames(6)
 	for _, limit := range []float64{0, 0.01} {
-		var firsts []time.Duration
+		var probeTimes []time.Duration
 		for _, h := range hosts {
 			gates := intake.NewGates()
 			gate := gates.Of("r")
-			gates.SetParts(intake.Named, map[string]intake.Part{"r": intake.NewShares(h, hosts).OfLimit(limitedTo("r", limit), intake.Requester)})
+			gates.SetParts(intake.Named, map[string]intake.Part{"r": intake.NewShares(h, hosts).OfLimit(replicaLimit("r", limit), intake.Requester)})
 			for d := time.Duration(0); d < 2*time.Minute; d += 100 * time.Millisecond {
 				if _, refuses := gate.Refuses(start.Add(d)); !refuses {
-					firsts = append(firsts, d)
+					probeTimes = append(probeTimes, d)
 					gate.Begin(start.Add(d))
 					_, refuses = gate.Refuses(start.Add(d))
 					g.Expect(refuses).To(BeTrue(), "one call")
@@ -88,11 +88,11 @@
 				}
 			}
 		}
-		g.Expect(firsts).To(ConsistOf(10*time.Second, 20*time.Second, 30*time.Second, 40*time.Second, 50*time.Second, time.Minute))
+		g.Expect(probeTimes).To(ConsistOf(10*time.Second, 20*time.Second, 30*time.Second, 40*time.Second, 50*time.Second, time.Minute))
 	}
 }
 
-func TestGateOpensWhenTheNextCallIsAllowed(t *testing.T) {
+func TestGateReportsWhenTheNextCallIsAllowed(t *testing.T) {
 	g := NewWithT(t)
 	gates := intake.NewGates()
 	gate := gates.Of("r")
--- a/core/intake/rest.go
+++ b/core/intake/rest.go
@@ -17,27 +17,27 @@
 
 // Rests are the replicas that want nothing from this host. The zero value is ready.
 type Rests struct {
-	known map[string]*Rest
+	entries map[string]*Rest
 }
 
 // Hear takes an answer, and says whether it begins a rest or makes one longer. No rest
 // lasts longer than most from the answer that asks for it; what was asked for before is
 // not taken back.
-func (r *Rests) Hear(now time.Time, answer Answer, most time.Duration) (rest Rest, began, changed bool) {
+func (r *Rests) Hear(now time.Time, answer Answer, maxRest time.Duration) (rest Rest, began, changed bool) {
 	if answer.Notice.Rest <= 0 {
 		return Rest{}, false, false
 	}
-	until := now.Add(min(answer.Notice.Rest, most))
-	known := r.known[answer.Replica]
+	until := now.Add(min(answer.Notice.Rest, maxRest))
+	known := r.entries[answer.Replica]
 	if known == nil || !now.Before(known.Until) {
-		if known == nil && len(r.known) >= maxReplicas {
+		if known == nil && len(r.entries) >= maxReplicas {
 			return Rest{}, false, false
 		}
-		if r.known == nil {
-			r.known = map[string]*Rest{}
+		if r.entries == nil {
+			r.entries = map[string]*Rest{}
 		}
 		known = &Rest{Replica: answer.Replica, Address: answer.Address, Since: now, Until: until}
-		r.known[answer.Replica] = known
+		r.entries[answer.Replica] = known
 		return *known, true, true
 	}
 	changed = until.After(known.Until)
@@ -49,16 +49,16 @@
 
 // End drops the rests that are over, and says whether there were any.
 func (r *Rests) End(now time.Time) bool {
-	before := len(r.known)
-	maps.DeleteFunc(r.known, func(_ string, k *Rest) bool { return !now.Before(k.Until) })
-	return len(r.known) < before
+	before := len(r.entries)
+	maps.DeleteFunc(r.entries, func(_ string, k *Rest) bool { return !now.Before(k.Until) })
+	return len(r.entries) < before
 }
 
 // All returns the rests that were heard of and not dropped, by replica.
 func (r *Rests) All() []Rest {
-	out := make([]Rest, 0, len(r.known))
-	for _, replica := range slices.Sorted(maps.Keys(r.known)) {
-		out = append(out, *r.known[replica])
+	out := make([]Rest, 0, len(r.entries))
+	for _, replica := range slices.Sorted(maps.Keys(r.entries)) {
+		out = append(out, *r.entries[replica])
 	}
 	return out
 }
--- a/core/intake/rest_test.go
+++ b/core/intake/rest_test.go
@@ -9,13 +9,13 @@
 	"github.com/wheatseam/wheatseam/core/intake"
 )
 
-func TestRestLastsAsLongAsWasAskedAndIsBounded(t *testing.T) {
-	const most = 30 * time.Second
+func TestRestLastsAsRequestedUpToTheMaximum(t *testing.T) {
+	const maxRequested = 30 * time.Second
 	g := NewWithT(t)
 	var r intake.Rests
 	hear := func(now, rest float64) (intake.Rest, bool, bool) {
 		d := time.Duration(rest * float64(time.Second))
-		return r.Hear(at(now), intake.Answer{Replica: "r", Address: "a", Notice: intake.Notice{Rest: d}}, most)
+		return r.Hear(at(now), intake.Answer{Replica: "r", Address: "a", Notice: intake.Notice{Rest: d}}, maxRequested)
 	}
 	_, began, changed := hear(0, 0)
 	g.Expect(began || changed).To(BeFalse())
--- a/core/intake/shares.go
+++ b/core/intake/shares.go
@@ -28,10 +28,10 @@
 
 // Of returns how many calls this host may begin at a replica, of so many over all hosts.
 func (s *Shares) Of(replica string, calls int) int {
-	at := xxhash.Sum64String(replica)
-	own, rank := weigh(s.self, at), 0
+	replicaHash := xxhash.Sum64String(replica)
+	own, rank := hostWeight(s.self, replicaHash), 0
 	for _, o := range s.others {
-		if weigh(o, at) < own {
+		if hostWeight(o, replicaHash) < own {
 			if rank++; rank >= calls {
 				return 0
 			}
@@ -42,7 +42,7 @@
 }
 
 // weigh orders hosts at a replica: the finalizer of splitmix64 over both hashes.
-func weigh(host, replica uint64) uint64 {
+func hostWeight(host, replica uint64) uint64 {
 	z := host ^ replica
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
--- a/core/intake/shares_test.go
+++ b/core/intake/shares_test.go
@@ -20,7 +20,7 @@
 	return names
 }
 
-func TestPartsAddUpToTheLimit(t *testing.T) {
+func TestSharesAddUpToTheLimit(t *testing.T) {
 	g := NewWithT(t)
 	for _, n := range []int{1, 2, 6, 7, 59, 300, 600} {
 		hosts := hostNames(n)
@@ -57,18 +57,18 @@
 // TestPartsUnderDifferentBeliefs has hosts remember dead ones, and some not know those
 // that have just started: the former never costs the limit, the latter only as many
 // calls as there are such hosts.
-func TestPartsUnderDifferentBeliefs(t *testing.T) {
+func TestSharesUnderDifferentHostLists(t *testing.T) {
 	const limit = 12
 	for seed := range uint64(90) {
 		g, rng := NewWithT(t), rand.New(rand.NewPCG(seed, 3))
 		n := []int{6, 60, 300}[seed%3]
 		all := hostNames(n + n/2)
-		living, dead, started := all[:n], all[n:], rng.IntN(4)
+		living, dead, unknownHosts := all[:n], all[n:], rng.IntN(4)
 		sum := 0
 		for _, h := range living {
 			known := slices.Clone(living)
 			if rng.IntN(3) == 0 {
-				known = known[:n-started]
+				known = known[:n-unknownHosts]
 			}
 			for _, d := range dead {
 				if rng.IntN(2) == 0 {
@@ -77,8 +77,8 @@
 			}
 			sum += intake.NewShares(h, known).Of("u", limit)
 		}
-		g.Expect(sum).To(BeNumerically("<=", limit+started), "seed %d", seed)
-		if started == 0 {
+		g.Expect(sum).To(BeNumerically("<=", limit+unknownHosts), "seed %d", seed)
+		if unknownHosts == 0 {
 			g.Expect(sum).To(BeNumerically(">=", 1), "seed %d", seed)
 		}
 	}
@@ -88,15 +88,15 @@
 // upstream that has just turned cold: to send as before, to have each host space its
 // calls by its part of the rate, and to give the calls of a second to the hosts that
 // rank first. It prints the most calls in any second, of 20 that the upstream bears.
-func TestWaysToShareAColdUpstream(t *testing.T) {
-	const bears, limit, demand = 20, 12, 2 * time.Second
+func TestRankedSharesProtectAColdUpstream(t *testing.T) {
+	const capacity, limit, demand = 20, 12, 2 * time.Second
 	g := NewWithT(t)
 	for _, n := range []int{6, 60, 300} {
 		hosts, rng := hostNames(n), rand.New(rand.NewPCG(uint64(n), 5))
-		var asBefore, spaced, ranked []time.Duration
+		var unlimited, spaced, ranked []time.Duration
 		for _, h := range hosts {
 			for at := time.Duration(rng.Int64N(int64(100 * time.Millisecond))); at < demand; at += 100 * time.Millisecond {
-				asBefore = append(asBefore, at)
+				unlimited = append(unlimited, at)
 			}
 			gap := time.Duration(float64(n) / limit * float64(time.Second))
 			for at := time.Duration(rng.Int64N(int64(100 * time.Millisecond))); at < demand; at += gap {
@@ -107,34 +107,34 @@
 				ranked = append(ranked, at, at+1100*time.Millisecond)
 			}
 		}
-		t.Logf("%d hosts: %d as before, %d spaced, %d by rank", n, mostInASecond(asBefore), mostInASecond(spaced), mostInASecond(ranked))
-		g.Expect(mostInASecond(ranked)).To(BeNumerically("<=", bears))
+		t.Logf("%d hosts: %d as before, %d spaced, %d by rank", n, maxInOneSecond(unlimited), maxInOneSecond(spaced), maxInOneSecond(ranked))
+		g.Expect(maxInOneSecond(ranked)).To(BeNumerically("<=", capacity))
 	}
 }
 
 // mostInASecond is the largest number of times within a second.
-func mostInASecond(at []time.Duration) int {
+func maxInOneSecond(at []time.Duration) int {
 	slices.Sort(at)
 	times := make([]time.Time, 0, len(at))
 	for _, d := range at {
 		times = append(times, start.Add(d))
 	}
-	return mostWithin(times, time.Second)
+	return maxInWindow(times, time.Second)
 }
 
 // mostWithin is the largest number of times, which are in order, within a span.
-func mostWithin(times []time.Time, span time.Duration) int {
-	most, from := 0, 0
+func maxInWindow(times []time.Time, window time.Duration) int {
+	most, oldest := 0, 0
 	for i := range times {
-		for times[i].Sub(times[from]) >= span {
-			from++
+		for times[i].Sub(times[oldest]) >= window {
+			oldest++
 		}
-		most = max(most, i-from+1)
+		most = max(most, i-oldest+1)
 	}
 	return most
 }
 
-func BenchmarkParts(b *testing.B) {
+func BenchmarkShares(b *testing.B) {
 	for _, n := range []int{6, 300, 3020} {
 		b.Run(fmt.Sprint("hosts-", n), func(b *testing.B) {
 			s := intake.NewShares("10.0.0.1:7000", hostNames(n))
--- a/core/poison/crash.go
+++ b/core/poison/crash.go
@@ -28,15 +28,15 @@
 const (
 	// MaxEnds bounds the ends that are remembered, the newest; MaxSuspects the runs
 	// of each, those that had begun last: some 400 kB in all.
-	MaxEnds     = 256
+	MaxCrashes  = 256
 	MaxSuspects = 32
 	// memory is how long an end counts. Callers come back within their deadlines,
 	// and jobs that fail are put in again by people or timers minutes later.
-	memory = 10 * time.Minute
+	crashRetention = 10 * time.Minute
 	// sameEnd is the time within which reports of one replica are of the same end:
 	// daemons hear of it within milliseconds, and a process that starts again under
 	// its id does not take requests sooner.
-	sameEnd = 500 * time.Millisecond
+	sameCrashWindow = 500 * time.Millisecond
 )
 
 // MassEnds is the number of replicas that end within MassWindow from which a
@@ -44,14 +44,14 @@
 // requests that more than one of them took along. 3,000 daemons that lose a third
 // of their replicas would else send two of them some 50 MB.
 const (
-	MassEnds   = 4
-	MassWindow = time.Second
+	OutageCrashes = 4
+	MassWindow    = time.Second
 )
 
 // Reportable returns what is worth reporting of the ends that one daemon saw
 // within MassWindow.
 func Reportable(ends []End) []End {
-	if len(ends) < MassEnds {
+	if len(ends) < OutageCrashes {
 		return ends
 	}
 	replicas := map[Fingerprint]int{}
@@ -71,7 +71,7 @@
 }
 
 // involves returns the request's run that the end took along.
-func (e *End) involves(f Fingerprint) (Suspect, bool) {
+func (e *End) suspectFor(f Fingerprint) (Suspect, bool) {
 	i := slices.IndexFunc(e.Suspects, func(s Suspect) bool { return s.Request == f })
 	if i < 0 {
 		return Suspect{}, false
@@ -81,7 +81,7 @@
 
 // add takes another daemon's suspects; of several runs of a request the longest
 // stands.
-func (e *End) add(suspects []Suspect) {
+func (e *End) mergeSuspects(suspects []Suspect) {
 	for _, s := range suspects {
 		i := slices.IndexFunc(e.Suspects, func(o Suspect) bool { return o.Request == s.Request })
 		if i < 0 {
--- a/core/poison/machine.go
+++ b/core/poison/machine.go
@@ -8,77 +8,77 @@
 
 // endsToCondemn are the ends of replicas under a request from which it is refused:
 // the users allow three.
-const endsToCondemn = 3
+const crashThreshold = 3
 
 // doubtEnds are the ends without a request, within doubtWindow, from which a
 // verdict on it is doubtful: replicas end for other reasons too.
 const (
-	doubtEnds   = 3
-	doubtWindow = 10 * time.Second
+	unrelatedCrashThreshold = 3
+	unrelatedCrashWindow    = 10 * time.Second
 )
 
 // Machine holds the evidence and the verdicts. The zero value is ready.
 type Machine struct {
-	ends []*End // by time
+	crashes []*End // by time
 	// under has the ends under each request, so that a report costs what its own
 	// requests were part of and not all that is remembered.
-	under    map[Fingerprint][]*End
-	served   served
-	verdicts map[Fingerprint]*Verdict
+	crashesByRequest map[Fingerprint][]*End
+	successes        successTimes
+	verdicts         map[Fingerprint]*Verdict
 }
 
 // Ended takes a replica's end, as one daemon saw it, and returns the verdicts that
 // changed.
 func (m *Machine) Ended(now time.Time, e End) []Verdict {
-	m.forget(now)
+	m.expire(now)
 	for _, s := range e.Suspects {
 		if !s.Served.IsZero() {
-			m.served.note(s.Served, s.Request)
+			m.successes.record(s.Served, s.Request)
 		}
 	}
-	i := slices.IndexFunc(m.ends, func(o *End) bool { return o.Replica == e.Replica && o.At.Sub(e.At).Abs() < sameEnd })
+	i := slices.IndexFunc(m.crashes, func(o *End) bool { return o.Replica == e.Replica && o.At.Sub(e.At).Abs() < sameCrashWindow })
 	known := &End{Service: e.Service, Replica: e.Replica, At: e.At}
 	if i >= 0 {
-		known = m.ends[i]
-		m.drop(i)
+		known = m.crashes[i]
+		m.removeCrash(i)
 	}
-	known.add(e.Suspects)
-	m.keep(known)
-	if len(m.ends) > MaxEnds {
-		m.drop(0)
+	known.mergeSuspects(e.Suspects)
+	m.insertCrash(known)
+	if len(m.crashes) > MaxCrashes {
+		m.removeCrash(0)
 	}
-	return m.judge(now, e.Suspects)
+	return m.quarantineSuspects(now, e.Suspects)
 }
 
 // keep remembers an end.
-func (m *Machine) keep(e *End) {
-	if m.under == nil {
-		m.under = map[Fingerprint][]*End{}
+func (m *Machine) insertCrash(e *End) {
+	if m.crashesByRequest == nil {
+		m.crashesByRequest = map[Fingerprint][]*End{}
 	}
-	at, _ := slices.BinarySearchFunc(m.ends, e, func(a, b *End) int { return a.At.Compare(b.At) })
-	m.ends = slices.Insert(m.ends, at, e)
+	at, _ := slices.BinarySearchFunc(m.crashes, e, func(a, b *End) int { return a.At.Compare(b.At) })
+	m.crashes = slices.Insert(m.crashes, at, e)
 	for _, s := range e.Suspects {
-		m.under[s.Request] = append(m.under[s.Request], e)
+		m.crashesByRequest[s.Request] = append(m.crashesByRequest[s.Request], e)
 	}
 }
 
 // drop forgets an end.
-func (m *Machine) drop(i int) {
-	e := m.ends[i]
-	m.ends = slices.Delete(m.ends, i, i+1)
+func (m *Machine) removeCrash(i int) {
+	e := m.crashes[i]
+	m.crashes = slices.Delete(m.crashes, i, i+1)
 	for _, s := range e.Suspects {
-		left := slices.DeleteFunc(m.under[s.Request], func(o *End) bool { return o == e })
-		if len(left) == 0 {
-			delete(m.under, s.Request)
+		remaining := slices.DeleteFunc(m.crashesByRequest[s.Request], func(o *End) bool { return o == e })
+		if len(remaining) == 0 {
+			delete(m.crashesByRequest, s.Request)
 			continue
 		}
-		m.under[s.Request] = left
+		m.crashesByRequest[s.Request] = remaining
 	}
 }
 
 // Served takes a run that ended well, and returns the verdict that it lifts.
 func (m *Machine) Served(now time.Time, f Fingerprint) []Verdict {
-	m.served.note(now, f)
+	m.successes.record(now, f)
 	if v, ok := m.verdicts[f]; ok && !v.Lifted {
 		v.Lifted = true
 		return []Verdict{*v}
@@ -88,22 +88,22 @@
 
 // LastServed is when a run of the request last ended well here; zero when none is
 // remembered.
-func (m *Machine) LastServed(f Fingerprint) time.Time { return m.served.last(f) }
+func (m *Machine) LastServed(f Fingerprint) time.Time { return m.successes.last(f) }
 
 // Learn takes verdicts of other machines and returns those that are news here. One
 // that a run contradicts which ended well here is news as lifted.
 func (m *Machine) Learn(now time.Time, verdicts []Verdict) []Verdict {
-	m.forget(now)
+	m.expire(now)
 	var changed []Verdict
 	for _, v := range verdicts {
 		old, known := m.verdicts[v.Request]
 		if now.Sub(v.At) > Lifetime || known && !v.Supersedes(*old) {
 			continue
 		}
-		if m.served.last(v.Request).After(v.Since) {
+		if m.successes.last(v.Request).After(v.Since) {
 			v.Lifted = true
 		}
-		m.put(v)
+		m.storeVerdict(v)
 		changed = append(changed, v)
 	}
 	return changed
@@ -125,8 +125,8 @@
 	if !ok || v.Lifted {
 		return Verdict{}, false
 	}
-	due, left := v.trialDue()
-	if !left || now.Before(due) {
+	due, available := v.nextTrial()
+	if !available || now.Before(due) {
 		return Verdict{}, false
 	}
 	v.Trials, v.TriedAt = v.Trials+1, now
@@ -137,7 +137,7 @@
 // so.
 func (m *Machine) Untried(f Fingerprint) (Verdict, bool) {
 	v, ok := m.verdicts[f]
-	if !ok || v.Lifted || v.Untried >= min(v.Trials, MaxUntried) {
+	if !ok || v.Lifted || v.Untried >= min(v.Trials, MaxUnusedTrials) {
 		return Verdict{}, false
 	}
 	v.Untried++
@@ -145,98 +145,98 @@
 }
 
 // judge condemns those of the suspects that have come to enough ends.
-func (m *Machine) judge(now time.Time, suspects []Suspect) []Verdict {
+func (m *Machine) quarantineSuspects(now time.Time, suspects []Suspect) []Verdict {
 	var changed []Verdict
 	for {
-		worst, found := m.worst(now, suspects)
+		strongest, found := m.strongestEvidence(now, suspects)
 		if !found {
 			return changed
 		}
 		round := uint32(1)
-		if old, ok := m.verdicts[worst.request]; ok {
+		if old, ok := m.verdicts[strongest.request]; ok {
 			round = old.Round + 1
 		}
-		v := Verdict{Request: worst.request, Round: round, At: now, Since: worst.since, Doubtful: m.otherEnds(now, worst.request) >= doubtEnds}
-		m.put(v)
+		v := Verdict{Request: strongest.request, Round: round, At: now, Since: strongest.firstCrash, Doubtful: m.unrelatedCrashes(now, strongest.request) >= unrelatedCrashThreshold}
+		m.storeVerdict(v)
 		changed = append(changed, v)
-		changed = append(changed, m.doubt(now, v.Request)...)
+		changed = append(changed, m.markDoubtful(now, v.Request)...)
 	}
 }
 
 // doubt returns earlier verdicts that a new one leaves without their ends: the
 // request condemned now was part of them, and the other may have been a bystander.
-func (m *Machine) doubt(now time.Time, condemned Fingerprint) []Verdict {
+func (m *Machine) markDoubtful(now time.Time, quarantined Fingerprint) []Verdict {
 	var changed []Verdict
 	for _, v := range m.Verdicts() {
-		if v.Request == condemned || v.Lifted || v.Doubtful || m.charge(now, v.Request).ends >= endsToCondemn {
+		if v.Request == quarantined || v.Lifted || v.Doubtful || m.evidenceAgainst(now, v.Request).crashes >= crashThreshold {
 			continue
 		}
 		v.Doubtful = true
-		m.put(v)
+		m.storeVerdict(v)
 		changed = append(changed, v)
 	}
 	return changed
 }
 
 // charge is what counts against a request.
-type charge struct {
-	request Fingerprint
-	ends    int
-	since   time.Time
+type evidence struct {
+	request    Fingerprint
+	crashes    int
+	firstCrash time.Time
 	// slowest is the longest that one of its runs took to end a replica.
-	slowest time.Duration
+	longestRun time.Duration
 }
 
 // worst returns the suspect to condemn next, and false when none has come to
 // enough ends.
-func (m *Machine) worst(now time.Time, suspects []Suspect) (charge, bool) {
-	var worst charge
+func (m *Machine) strongestEvidence(now time.Time, suspects []Suspect) (evidence, bool) {
+	var strongest evidence
 	for _, s := range suspects {
-		if _, condemned := m.Condemned(now, s.Request); condemned {
+		if _, quarantined := m.Condemned(now, s.Request); quarantined {
 			continue
 		}
-		c := m.charge(now, s.Request)
-		if c.ends >= endsToCondemn && (worst.ends == 0 || cmp.Or(cmp.Compare(c.ends, worst.ends), cmp.Compare(worst.slowest, c.slowest)) > 0) {
-			worst = c
+		c := m.evidenceAgainst(now, s.Request)
+		if c.crashes >= crashThreshold && (strongest.crashes == 0 || cmp.Or(cmp.Compare(c.crashes, strongest.crashes), cmp.Compare(strongest.longestRun, c.longestRun)) > 0) {
+			strongest = c
 		}
 	}
-	return worst, worst.ends > 0
+	return strongest, strongest.crashes > 0
 }
 
 // charge counts the ends under a request since a run of it last ended well,
 // without those that another request was part of which is condemned.
-func (m *Machine) charge(now time.Time, f Fingerprint) charge {
-	c := charge{request: f}
-	good := m.served.last(f)
-	for _, e := range m.under[f] {
-		if !e.At.After(good) || m.explained(now, e, f) {
+func (m *Machine) evidenceAgainst(now time.Time, f Fingerprint) evidence {
+	c := evidence{request: f}
+	lastSuccess := m.successes.last(f)
+	for _, e := range m.crashesByRequest[f] {
+		if !e.At.After(lastSuccess) || m.attributedToOther(now, e, f) {
 			continue
 		}
-		if c.ends++; c.ends == 1 || e.At.Before(c.since) {
-			c.since = e.At
+		if c.crashes++; c.crashes == 1 || e.At.Before(c.firstCrash) {
+			c.firstCrash = e.At
 		}
-		s, _ := e.involves(f)
-		c.slowest = max(c.slowest, s.Ran)
+		s, _ := e.suspectFor(f)
+		c.longestRun = max(c.longestRun, s.Ran)
 	}
 	return c
 }
 
 // explained says whether a condemned request other than f was part of an end.
-func (m *Machine) explained(now time.Time, e *End, f Fingerprint) bool {
+func (m *Machine) attributedToOther(now time.Time, e *End, f Fingerprint) bool {
 	if len(m.verdicts) == 0 {
 		return false
 	}
 	return slices.ContainsFunc(e.Suspects, func(s Suspect) bool {
-		_, condemned := m.Condemned(now, s.Request)
-		return condemned && s.Request != f
+		_, quarantined := m.Condemned(now, s.Request)
+		return quarantined && s.Request != f
 	})
 }
 
 // otherEnds counts the ends of late that a request was no part of.
-func (m *Machine) otherEnds(now time.Time, f Fingerprint) int {
+func (m *Machine) unrelatedCrashes(now time.Time, f Fingerprint) int {
 	n := 0
-	for _, e := range m.ends {
-		if _, involved := e.involves(f); !involved && now.Sub(e.At) < doubtWindow && !m.explained(now, e, f) {
+	for _, e := range m.crashes {
+		if _, involved := e.suspectFor(f); !involved && now.Sub(e.At) < unrelatedCrashWindow && !m.attributedToOther(now, e, f) {
 			n++
 		}
 	}
@@ -244,7 +244,7 @@
 }
 
 // put keeps a verdict, and drops the oldest when there are too many.
-func (m *Machine) put(v Verdict) {
+func (m *Machine) storeVerdict(v Verdict) {
 	if m.verdicts == nil {
 		m.verdicts = map[Fingerprint]*Verdict{}
 	}
@@ -258,9 +258,9 @@
 }
 
 // forget drops what no longer counts.
-func (m *Machine) forget(now time.Time) {
-	for len(m.ends) > 0 && now.Sub(m.ends[0].At) > memory {
-		m.drop(0)
+func (m *Machine) expire(now time.Time) {
+	for len(m.crashes) > 0 && now.Sub(m.crashes[0].At) > crashRetention {
+		m.removeCrash(0)
 	}
 	for f, v := range m.verdicts {
 		if now.Sub(v.At) > Lifetime {
@@ -272,7 +272,7 @@
 // EndsUnder returns the ends that are remembered under a request, by time.
 func (m *Machine) EndsUnder(f Fingerprint) []End {
 	var ends []End
-	for _, e := range m.under[f] {
+	for _, e := range m.crashesByRequest[f] {
 		ends = append(ends, *e)
 	}
 	slices.SortFunc(ends, func(a, b End) int { return a.At.Compare(b.At) })
@@ -288,5 +288,5 @@
 
 // Stats returns the figures.
 func (m *Machine) Stats() Stats {
-	return Stats{Ends: len(m.ends), Verdicts: len(m.verdicts), Served: len(m.served.recent) + len(m.served.earlier)}
+	return Stats{Ends: len(m.crashes), Verdicts: len(m.verdicts), Served: len(m.successes.recent) + len(m.successes.earlier)}
 }
--- a/core/poison/machine_test.go
+++ b/core/poison/machine_test.go
@@ -26,7 +26,7 @@
 
 // end is a replica's end under some requests, that began the given milliseconds
 // before.
-func end(seconds float64, replica string, runs map[string]int) poison.End {
+func crash(seconds float64, replica string, runs map[string]int) poison.End {
 	e := poison.End{Service: "llm", Replica: replica, At: at(seconds)}
 	for name, ms := range runs {
 		e.Suspects = append(e.Suspects, poison.Suspect{Request: request(name), Ran: time.Duration(ms) * time.Millisecond})
@@ -60,87 +60,87 @@
 var _ = Describe("a request", func() {
 	var m *poison.Machine
 	BeforeEach(func() { m = &poison.Machine{} })
-	condemned := func(name string, seconds float64) bool {
+	quarantined := func(name string, seconds float64) bool {
 		_, c := m.Condemned(at(seconds), request(name))
 		return c
 	}
-	ended := func(seconds float64, replica string, runs map[string]int) []poison.Verdict {
-		return m.Ended(at(seconds), end(seconds, replica, runs))
+	recordCrash := func(seconds float64, replica string, runs map[string]int) []poison.Verdict {
+		return m.Ended(at(seconds), crash(seconds, replica, runs))
 	}
 
 	It("is condemned with the third replica that ends under it", func() {
-		Expect(ended(1, "a", map[string]int{"x": 50})).To(BeEmpty())
-		Expect(ended(2, "b", map[string]int{"x": 50})).To(BeEmpty())
-		Expect(condemned("x", 2)).To(BeFalse())
-		Expect(ended(3, "c", map[string]int{"x": 50})).To(ConsistOf(HaveField("Request", request("x"))))
-		Expect(condemned("x", 3)).To(BeTrue())
-		Expect(condemned("x", 3+poison.Lifetime.Seconds()+1)).To(BeFalse())
+		Expect(recordCrash(1, "a", map[string]int{"x": 50})).To(BeEmpty())
+		Expect(recordCrash(2, "b", map[string]int{"x": 50})).To(BeEmpty())
+		Expect(quarantined("x", 2)).To(BeFalse())
+		Expect(recordCrash(3, "c", map[string]int{"x": 50})).To(ConsistOf(HaveField("Request", request("x"))))
+		Expect(quarantined("x", 3)).To(BeTrue())
+		Expect(quarantined("x", 3+poison.Lifetime.Seconds()+1)).To(BeFalse())
 	})
 
 	It("counts an end once, whoever reports it, and each start of a replica", func() {
-		ended(1, "a", map[string]int{"x": 50})
-		ended(1.2, "a", map[string]int{"x": 60})
-		ended(1.4, "a", map[string]int{"x": 70})
-		Expect(condemned("x", 2)).To(BeFalse())
-		ended(2.5, "a", map[string]int{"x": 50})
-		ended(4, "a", map[string]int{"x": 50})
-		Expect(condemned("x", 4)).To(BeTrue())
+		recordCrash(1, "a", map[string]int{"x": 50})
+		recordCrash(1.2, "a", map[string]int{"x": 60})
+		recordCrash(1.4, "a", map[string]int{"x": 70})
+		Expect(quarantined("x", 2)).To(BeFalse())
+		recordCrash(2.5, "a", map[string]int{"x": 50})
+		recordCrash(4, "a", map[string]int{"x": 50})
+		Expect(quarantined("x", 4)).To(BeTrue())
 	})
 
 	It("is condemned before the bystanders that were at the same ends", func() {
 		for i, name := range []string{"a", "b", "c"} {
-			ended(float64(i), name, map[string]int{"x": 50, "y": 400, fmt.Sprint(i): 20})
+			recordCrash(float64(i), name, map[string]int{"x": 50, "y": 400, fmt.Sprint(i): 20})
 		}
-		Expect(condemned("x", 3)).To(BeTrue())
-		Expect(condemned("y", 3)).To(BeFalse())
+		Expect(quarantined("x", 3)).To(BeTrue())
+		Expect(quarantined("y", 3)).To(BeFalse())
 		By("accounting for the ends that the bystander was at")
-		ended(4, "d", map[string]int{"y": 10})
-		ended(5, "e", map[string]int{"y": 10})
-		Expect(condemned("y", 5)).To(BeFalse())
-		ended(6, "f", map[string]int{"y": 10})
-		Expect(condemned("y", 6)).To(BeTrue())
+		recordCrash(4, "d", map[string]int{"y": 10})
+		recordCrash(5, "e", map[string]int{"y": 10})
+		Expect(quarantined("y", 5)).To(BeFalse())
+		recordCrash(6, "f", map[string]int{"y": 10})
+		Expect(quarantined("y", 6)).To(BeTrue())
 	})
 
 	It("is tried soon when another one turns out to account for its ends", func() {
 		for i, name := range []string{"a", "b", "c"} {
-			ended(float64(i), name, map[string]int{"x": 50, "y": 10})
+			recordCrash(float64(i), name, map[string]int{"x": 50, "y": 10})
 		}
-		Expect(condemned("y", 3)).To(BeTrue(), "it ended them sooner")
+		Expect(quarantined("y", 3)).To(BeTrue(), "it ended them sooner")
 		for i, name := range []string{"d", "e", "f"} {
-			ended(float64(4+i), name, map[string]int{"x": 50})
+			recordCrash(float64(4+i), name, map[string]int{"x": 50})
 		}
-		Expect(condemned("x", 7)).To(BeTrue())
+		Expect(quarantined("x", 7)).To(BeTrue())
 		_, granted := m.Try(at(7), request("y"))
 		Expect(granted).To(BeTrue())
 		_, granted = m.Try(at(7), request("x"))
 		Expect(granted).To(BeFalse())
 		Expect(m.Served(at(7.5), request("y"))).To(ConsistOf(HaveField("Lifted", true)))
-		Expect(condemned("y", 8)).To(BeFalse())
+		Expect(quarantined("y", 8)).To(BeFalse())
 	})
 
 	It("is not condemned for ends before a run of it that ended well, here or at the daemon that reports", func() {
-		ended(1, "a", map[string]int{"x": 50})
-		ended(2, "b", map[string]int{"x": 50})
+		recordCrash(1, "a", map[string]int{"x": 50})
+		recordCrash(2, "b", map[string]int{"x": 50})
 		m.Served(at(2.5), request("x"))
-		ended(3, "c", map[string]int{"x": 50})
-		Expect(condemned("x", 3)).To(BeFalse())
-		e := end(4, "d", map[string]int{"x": 50})
+		recordCrash(3, "c", map[string]int{"x": 50})
+		Expect(quarantined("x", 3)).To(BeFalse())
+		e := crash(4, "d", map[string]int{"x": 50})
 		e.Suspects[0].Served = at(3.5)
 		m.Ended(at(4), e)
-		ended(5, "e", map[string]int{"x": 50})
-		Expect(condemned("x", 5)).To(BeFalse())
-		ended(6, "f", map[string]int{"x": 50})
-		Expect(condemned("x", 6)).To(BeTrue())
+		recordCrash(5, "e", map[string]int{"x": 50})
+		Expect(quarantined("x", 5)).To(BeFalse())
+		recordCrash(6, "f", map[string]int{"x": 50})
+		Expect(quarantined("x", 6)).To(BeTrue())
 	})
 
 	It("is condemned again after it was lifted, by three further ends", func() {
 		for i, name := range []string{"a", "b", "c"} {
-			ended(float64(i), name, map[string]int{"x": 50})
+			recordCrash(float64(i), name, map[string]int{"x": 50})
 		}
 		m.Served(at(4), request("x"))
 		for i, name := range []string{"a", "b", "c"} {
-			Expect(condemned("x", 4)).To(BeFalse())
-			ended(float64(5+i), name, map[string]int{"x": 50})
+			Expect(quarantined("x", 4)).To(BeFalse())
+			recordCrash(float64(5+i), name, map[string]int{"x": 50})
 		}
 		v, c := m.Condemned(at(8), request("x"))
 		Expect(c).To(BeTrue())
@@ -149,7 +149,7 @@
 
 	It("is tried a few times only, and a caller is told when", func() {
 		for i, name := range []string{"a", "b", "c"} {
-			ended(float64(i), name, map[string]int{"x": 50})
+			recordCrash(float64(i), name, map[string]int{"x": 50})
 		}
 		now := at(2)
 		for trials := range poison.MaxTrials {
@@ -170,7 +170,7 @@
 	It("that came to no run is granted again, a bounded number of times", func() {
 		var m poison.Machine
 		for i, name := range []string{"a", "b", "c"} {
-			m.Ended(at(float64(i)), end(float64(i), name, map[string]int{"x": 50}))
+			m.Ended(at(float64(i)), crash(float64(i), name, map[string]int{"x": 50}))
 		}
 		now := at(3).Add(poison.FirstTrial)
 		granted := 0
@@ -179,9 +179,9 @@
 				break
 			}
 			_, changed := m.Untried(request("x"))
-			Expect(changed).To(Equal(granted < poison.MaxUntried))
+			Expect(changed).To(Equal(granted < poison.MaxUnusedTrials))
 		}
-		Expect(granted).To(Equal(poison.MaxUntried + 1))
+		Expect(granted).To(Equal(poison.MaxUnusedTrials + 1))
 		_, changed := m.Untried(request("y"))
 		Expect(changed).To(BeFalse())
 	})
@@ -219,8 +219,8 @@
 		var m poison.Machine
 		m.Served(at(0.5), x)
 		Expect(m.Learn(at(2), []poison.Verdict{verdict(nil)})).To(ConsistOf(HaveField("Lifted", true)))
-		_, condemned := m.Condemned(at(2), x)
-		Expect(condemned).To(BeFalse())
+		_, quarantined := m.Condemned(at(2), x)
+		Expect(quarantined).To(BeFalse())
 	})
 
 	It("that are too old are not learned, and do not stand in the digest before they go", func() {
@@ -236,7 +236,7 @@
 		for i := range 3 * poison.MaxVerdicts {
 			now := float64(i)
 			for r := range 3 {
-				m.Ended(at(now), end(now, fmt.Sprint(i, r), map[string]int{fmt.Sprint("x", i): 50}))
+				m.Ended(at(now), crash(now, fmt.Sprint(i, r), map[string]int{fmt.Sprint("x", i): 50}))
 			}
 		}
 		for i := range 20_000 {
@@ -244,7 +244,7 @@
 		}
 		s := m.Stats()
 		Expect(s.Verdicts).To(Equal(poison.MaxVerdicts))
-		Expect(s.Ends).To(BeNumerically("<=", poison.MaxEnds))
+		Expect(s.Ends).To(BeNumerically("<=", poison.MaxCrashes))
 		Expect(s.Served).To(BeNumerically("<=", 8192))
 		runs := map[string]int{}
 		for i := range 10 * poison.MaxSuspects {
@@ -252,18 +252,18 @@
 		}
 		runs["late"] = 5
 		for r := range 3 {
-			m.Ended(at(2000), end(2000, fmt.Sprint("m", r), runs))
+			m.Ended(at(2000), crash(2000, fmt.Sprint("m", r), runs))
 		}
-		_, condemned := m.Condemned(at(2000), request("late"))
-		Expect(condemned).To(BeTrue(), "those that began last are kept")
+		_, quarantined := m.Condemned(at(2000), request("late"))
+		Expect(quarantined).To(BeTrue(), "those that began last are kept")
 	})
 })
 
 var _ = Describe("ends of many replicas at once", func() {
 	It("are reported only with the requests that more than one took along", func() {
-		few := []poison.End{end(1, "a", map[string]int{"x": 1}), end(1, "b", map[string]int{"y": 1})}
+		few := []poison.End{crash(1, "a", map[string]int{"x": 1}), crash(1, "b", map[string]int{"y": 1})}
 		Expect(poison.Reportable(few)).To(Equal(few))
-		many := append(few, end(1, "c", map[string]int{"x": 1, "z": 1}), end(1, "d", map[string]int{"w": 1}))
+		many := append(few, crash(1, "c", map[string]int{"x": 1, "z": 1}), crash(1, "d", map[string]int{"w": 1}))
 		Expect(poison.Reportable(many)).To(HaveExactElements(
 			And(HaveField("Replica", "a"), HaveField("Suspects", HaveLen(1))), And(HaveField("Replica", "c"), HaveField("Suspects", HaveLen(1))),
 		))
--- a/core/poison/served.go
+++ b/core/poison/served.go
@@ -5,17 +5,17 @@
 // maxServed bounds the requests of which it is remembered that a run ended well,
 // some 100 bytes each: at 500 requests a second those of the last 8 to 16 s. A
 // request that is run more rarely is hardly at three ends by chance.
-const maxServed = 8192
+const maxSuccesses = 8192
 
 // served remembers when runs ended well. Requests move to recent when a run of
 // theirs ends well; when that has half of maxServed it becomes earlier, and what
 // earlier had is forgotten.
-type served struct {
+type successTimes struct {
 	recent, earlier map[Fingerprint]time.Time
 }
 
-func (s *served) note(now time.Time, f Fingerprint) {
-	if _, ok := s.recent[f]; !ok && len(s.recent) >= maxServed/2 {
+func (s *successTimes) record(now time.Time, f Fingerprint) {
+	if _, ok := s.recent[f]; !ok && len(s.recent) >= maxSuccesses/2 {
 		s.recent, s.earlier = nil, s.recent
 	}
 	if s.recent == nil {
@@ -27,7 +27,7 @@
 }
 
 // last is when a run last ended well; zero when none is remembered.
-func (s *served) last(f Fingerprint) time.Time {
+func (s *successTimes) last(f Fingerprint) time.Time {
 	if at, ok := s.recent[f]; ok {
 		return at
 	}
--- a/core/poison/verdict.go
+++ b/core/poison/verdict.go
@@ -42,8 +42,8 @@
 	DoubtfulTrial = 2 * time.Second
 	// MaxTrials bounds the trials of a verdict: the users allow three further runs.
 	// MaxUntried bounds those that came to no run and are granted anew.
-	MaxTrials  = 2
-	MaxUntried = 16
+	MaxTrials       = 2
+	MaxUnusedTrials = 16
 	// MaxVerdicts bounds the verdicts that are kept, the newest: they fit in one
 	// message of some 12 kB.
 	MaxVerdicts = 256
@@ -67,11 +67,11 @@
 }
 
 // trialDue is when the next trial may be granted, and false when none is left.
-func (v Verdict) trialDue() (time.Time, bool) {
-	switch run := v.Trials - min(v.Untried, MaxUntried, v.Trials); {
-	case run >= MaxTrials:
+func (v Verdict) nextTrial() (time.Time, bool) {
+	switch used := v.Trials - min(v.Untried, MaxUnusedTrials, v.Trials); {
+	case used >= MaxTrials:
 		return time.Time{}, false
-	case run > 0:
+	case used > 0:
 		return v.TriedAt.Add(SecondTrial), true
 	case v.Doubtful:
 		return v.At.Add(DoubtfulTrial), true
@@ -81,8 +81,8 @@
 
 // RetryAfter is how long a refused caller has to wait until it could be served.
 func (v Verdict) RetryAfter(now time.Time) time.Duration {
-	due, left := v.trialDue()
-	if !left {
+	due, available := v.nextTrial()
+	if !available {
 		due = v.At.Add(Lifetime)
 	}
 	return max(0, due.Sub(now))
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -33,13 +33,13 @@
 // Budget implements request.Budget as a token bucket that first attempts fill.
 // It may be used concurrently.
 type Budget struct {
-	mu     sync.Mutex
-	ratio  float64
-	burst  float64
-	tokens float64
-	floor  *rate.Limiter
-	taken  uint64
-	denied uint64
+	mu        sync.Mutex
+	ratio     float64
+	burst     float64
+	tokens    float64
+	floor     *rate.Limiter
+	withdrawn uint64
+	denied    uint64
 }
 
 var _ request.Budget = (*Budget)(nil)
@@ -77,15 +77,15 @@
 func (b *Budget) Withdraw(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.take(now) {
+	if !b.takeToken(now) {
 		b.denied++
 		return false
 	}
-	b.taken++
+	b.withdrawn++
 	return true
 }
 
-func (b *Budget) take(now time.Time) bool {
+func (b *Budget) takeToken(now time.Time) bool {
 	if b.ratio == 0 {
 		return false
 	}
@@ -109,7 +109,7 @@
 func (b *Budget) Stats() Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return Stats{Ratio: b.ratio, Tokens: b.tokens, Taken: b.taken, Denied: b.denied}
+	return Stats{Ratio: b.ratio, Tokens: b.tokens, Taken: b.withdrawn, Denied: b.denied}
 }
 
 // Budgets are the two budgets of a daemon. They are kept apart so that a storm
--- a/core/retry/budget_test.go
+++ b/core/retry/budget_test.go
@@ -73,7 +73,7 @@
 
 // TestBound: over any order of calls at any number of daemons, the extra
 // attempts stay within the share, the bursts and the floors.
-func TestBound(t *testing.T) {
+func TestExtraAttemptsStayWithinTheBudgetForAnyOrderOfCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ratio := rapid.Float64Range(0.01, 1).Draw(t, "ratio")
 		daemons := make([]*Budget, rapid.IntRange(1, 5).Draw(t, "daemons"))
--- a/core/retry/shared.go
+++ b/core/retry/shared.go
@@ -19,12 +19,12 @@
 	slack  float64
 	window time.Duration
 
-	mu     sync.Mutex
-	hosts  int
-	tokens float64
-	at     time.Time
-	taken  uint64
-	denied uint64
+	mu         sync.Mutex
+	hosts      int
+	tokens     float64
+	lastRefill time.Time
+	withdrawn  uint64
+	denied     uint64
 }
 
 var _ request.Budget = (*Shared)(nil)
@@ -68,7 +68,7 @@
 		return false
 	}
 	b.tokens--
-	b.taken++
+	b.withdrawn++
 	return true
 }
 
@@ -79,7 +79,7 @@
 	defer b.mu.Unlock()
 	b.refill(now)
 	b.tokens--
-	b.taken++
+	b.withdrawn++
 }
 
 // Return gives back a repeat that was withdrawn and not sent.
@@ -88,17 +88,17 @@
 	defer b.mu.Unlock()
 	b.refill(now)
 	b.tokens = min(max(1, b.capacity()), b.tokens+1)
-	b.taken--
+	b.withdrawn--
 }
 
 // refill brings back what the time since the last call does.
 func (b *Shared) refill(now time.Time) {
-	if !b.at.IsZero() && now.After(b.at) && b.tokens < b.capacity() {
-		back := b.capacity() * float64(now.Sub(b.at)) / float64(b.window)
+	if !b.lastRefill.IsZero() && now.After(b.lastRefill) && b.tokens < b.capacity() {
+		back := b.capacity() * float64(now.Sub(b.lastRefill)) / float64(b.window)
 		b.tokens = min(b.capacity(), b.tokens+back)
 	}
-	if now.After(b.at) {
-		b.at = now
+	if now.After(b.lastRefill) {
+		b.lastRefill = now
 	}
 }
 
@@ -106,5 +106,5 @@
 func (b *Shared) Stats() Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return Stats{Ratio: b.ratio, Tokens: b.tokens, Taken: b.taken, Denied: b.denied}
+	return Stats{Ratio: b.ratio, Tokens: b.tokens, Taken: b.withdrawn, Denied: b.denied}
 }
--- a/core/retry/shared_test.go
+++ b/core/retry/shared_test.go
@@ -45,15 +45,15 @@
 					events = append(events, event{now, true})
 				}
 			}
-			firsts, extras, from := 0, 0, 0
+			firsts, extras, oldest := 0, 0, 0
 			for _, e := range events {
 				if e.extra {
 					extras++
 				} else {
 					firsts++
 				}
-				for ; events[from].at.Before(e.at.Add(-window)); from++ {
-					if events[from].extra {
+				for ; events[oldest].at.Before(e.at.Add(-window)); oldest++ {
+					if events[oldest].extra {
 						extras--
 					} else {
 						firsts--
--- a/core/retry/storm_test.go
+++ b/core/retry/storm_test.go
@@ -18,14 +18,14 @@
 // storm is a pool that serves one call a millisecond from a bounded queue, and
 // does not notice that callers gave up; and callers, 0.8 a millisecond, that
 // wait 200 ms and try three times at the most.
-type storm struct {
+type stormSim struct {
 	budget  request.Budget
 	now     time.Time
 	queue   []*stormCall
 	waiting []*stormCall // in the order of their timeouts
 	// goodBy counts requests answered in time by the second they arrived in.
-	goodBy  map[int]int
-	beganBy map[int]int
+	answeredBySecond map[int]int
+	arrivedBySecond  map[int]int
 }
 
 type stormCall struct {
@@ -42,14 +42,14 @@
 )
 
 // step lets a millisecond pass; while down the pool serves nothing.
-func (s *storm) step(ms int, down bool) {
+func (s *stormSim) step(ms int, down bool) {
 	s.now = start.Add(time.Duration(ms) * time.Millisecond)
 	if !down && len(s.queue) > 0 {
 		c := s.queue[0]
 		s.queue = s.queue[1:]
 		if !s.now.After(c.timeout) {
 			c.answered = true
-			s.goodBy[c.second]++
+			s.answeredBySecond[c.second]++
 		}
 	}
 	for len(s.waiting) > 0 && s.now.After(s.waiting[0].timeout) {
@@ -61,12 +61,12 @@
 	}
 	if ms%5 != 0 {
 		s.budget.Deposit(s.now)
-		s.beganBy[ms/1000]++
+		s.arrivedBySecond[ms/1000]++
 		s.send(&stormCall{second: ms / 1000, attempt: 1})
 	}
 }
 
-func (s *storm) send(c *stormCall) {
+func (s *stormSim) send(c *stormCall) {
 	c.timeout = s.now.Add(stormTimeout)
 	s.waiting = append(s.waiting, c)
 	if len(s.queue) < stormQueue {
@@ -74,7 +74,7 @@
 	}
 }
 
-func (s *storm) retry(c *stormCall) {
+func (s *stormSim) retry(c *stormCall) {
 	if c.attempt < stormAttempts && s.budget.Withdraw(s.now) {
 		s.send(&stormCall{second: c.second, attempt: c.attempt + 1})
 	}
@@ -82,21 +82,21 @@
 
 // attainment returns the share answered of what arrived from one second to
 // another.
-func (s *storm) attainment(from, to int) float64 {
-	began, good := 0, 0
+func (s *stormSim) answeredShare(from, to int) float64 {
+	arrived, answered := 0, 0
 	for sec := from; sec < to; sec++ {
-		began, good = began+s.beganBy[sec], good+s.goodBy[sec]
+		arrived, answered = arrived+s.arrivedBySecond[sec], answered+s.answeredBySecond[sec]
 	}
-	return float64(good) / float64(began)
+	return float64(answered) / float64(arrived)
 }
 
 var _ = Describe("a pool that was down for ten seconds", func() {
 	run := func(b request.Budget) (before, after float64) {
-		s := &storm{budget: b, goodBy: map[int]int{}, beganBy: map[int]int{}}
+		s := &stormSim{budget: b, answeredBySecond: map[int]int{}, arrivedBySecond: map[int]int{}}
 		for ms := range 40000 {
 			s.step(ms, ms >= 10000 && ms < 20000)
 		}
-		return s.attainment(5, 9), s.attainment(25, 38)
+		return s.answeredShare(5, 9), s.answeredShare(25, 38)
 	}
 
 	It("is as good after as before with the budget", func() {
--- a/core/stall/machine.go
+++ b/core/stall/machine.go
@@ -70,39 +70,39 @@
 
 // Machine watches one attempt. It is not safe for concurrent use.
 type Machine struct {
-	cfg   Config
-	heard time.Time // when the last event arrived
+	cfg       Config
+	lastEvent time.Time // when the last event arrived
 	// account is what was told since then, at the time told.
-	account Account
-	asked   time.Time // when it was asked last
-	asking  bool
+	account   Account
+	lastQuery time.Time // when it was asked last
+	querying  bool
 	// securing says that Secure is not answered yet; wanted that its result is.
-	securing, wanted bool
-	triedAt          time.Time // when it was last denied
-	left             bool
+	reserving, reservationWanted bool
+	lastDenied                   time.Time // when it was last denied
+	abandoned                    bool
 }
 
 // New returns a machine for an attempt whose answer began now.
-func New(now time.Time, c Config) *Machine { return &Machine{cfg: c, heard: now} }
+func New(now time.Time, c Config) *Machine { return &Machine{cfg: c, lastEvent: now} }
 
 // Left says whether the run has been ended by Leave.
-func (m *Machine) Left() bool { return m.left }
+func (m *Machine) Left() bool { return m.abandoned }
 
 // Account returns what is known of the run since its last event.
 func (m *Machine) Account() Account { return m.account }
 
 // Silence returns the time since the last event.
-func (m *Machine) Silence(now time.Time) time.Duration { return now.Sub(m.heard) }
+func (m *Machine) Silence(now time.Time) time.Duration { return now.Sub(m.lastEvent) }
 
 // Event notes that an event of the answer arrived. Securing is given up with it.
 func (m *Machine) Event(now time.Time) Action {
-	if m.left {
+	if m.abandoned {
 		return None
 	}
-	m.heard, m.account = now, Untold
-	m.asked, m.triedAt = time.Time{}, time.Time{}
-	if m.securing && m.wanted {
-		m.wanted = false
+	m.lastEvent, m.account = now, Untold
+	m.lastQuery, m.lastDenied = time.Time{}, time.Time{}
+	if m.reserving && m.reservationWanted {
+		m.reservationWanted = false
 		return GiveBack
 	}
 	return None
@@ -115,8 +115,8 @@
 // Told notes the replica's account, for which it was asked at a time. One from
 // before the last event says nothing any more.
 func (m *Machine) Told(asked time.Time, a Account) {
-	m.asking = false
-	if !asked.Before(m.heard) {
+	m.querying = false
+	if !asked.Before(m.lastEvent) {
 		m.account = a
 	}
 }
@@ -124,31 +124,31 @@
 // Secured notes that everything that another run needs is held. The answer is
 // Leave or GiveBack.
 func (m *Machine) Secured(now time.Time) Action {
-	m.securing = false
-	if m.left || !m.wanted || !m.due(now) {
+	m.reserving = false
+	if m.abandoned || !m.reservationWanted || !m.abandonDue(now) {
 		return GiveBack
 	}
-	m.left = true
+	m.abandoned = true
 	return Leave
 }
 
 // Denied notes that something that another run needs can't be had.
 func (m *Machine) Denied(now time.Time) {
-	m.securing = false
-	m.triedAt = now
+	m.reserving = false
+	m.lastDenied = now
 }
 
 // Tick returns what is due. It is to be called again until it returns None, and
 // at the time that Next returns.
 func (m *Machine) Tick(now time.Time) Action {
 	switch {
-	case m.left:
+	case m.abandoned:
 		return None
-	case m.askDue(now):
-		m.asking, m.asked = true, now
+	case m.queryDue(now):
+		m.querying, m.lastQuery = true, now
 		return Ask
-	case !m.securing && m.due(now) && now.Sub(m.triedAt) >= m.cfg.SecureEvery:
-		m.securing, m.wanted = true, true
+	case !m.reserving && m.abandonDue(now) && now.Sub(m.lastDenied) >= m.cfg.SecureEvery:
+		m.reserving, m.reservationWanted = true, true
 		return Secure
 	}
 	return None
@@ -156,11 +156,11 @@
 
 // Next returns when Tick may next have something to do, if nothing happens before.
 func (m *Machine) Next(now time.Time) time.Time {
-	times := []time.Time{m.heard.Add(m.cfg.Doubted), m.heard.Add(m.cfg.Any), m.triedAt.Add(m.cfg.SecureEvery)}
-	if m.asked.IsZero() {
-		times = append(times, m.heard.Add(m.cfg.Ask))
+	times := []time.Time{m.lastEvent.Add(m.cfg.Doubted), m.lastEvent.Add(m.cfg.Any), m.lastDenied.Add(m.cfg.SecureEvery)}
+	if m.lastQuery.IsZero() {
+		times = append(times, m.lastEvent.Add(m.cfg.Ask))
 	} else {
-		times = append(times, m.asked.Add(m.cfg.AskEvery))
+		times = append(times, m.lastQuery.Add(m.cfg.AskEvery))
 	}
 	next := now.Add(m.cfg.AskEvery)
 	for _, at := range times {
@@ -172,15 +172,15 @@
 }
 
 // askDue says whether the replica is to be asked.
-func (m *Machine) askDue(now time.Time) bool {
-	if m.asking || m.Silence(now) < m.cfg.Ask {
+func (m *Machine) queryDue(now time.Time) bool {
+	if m.querying || m.Silence(now) < m.cfg.Ask {
 		return false
 	}
-	return m.asked.IsZero() || now.Sub(m.asked) >= m.cfg.AskEvery
+	return m.lastQuery.IsZero() || now.Sub(m.lastQuery) >= m.cfg.AskEvery
 }
 
 // due says whether the replica is to be left, if another run can be secured.
-func (m *Machine) due(now time.Time) bool {
+func (m *Machine) abandonDue(now time.Time) bool {
 	silence := m.Silence(now)
 	return silence >= m.cfg.Any || m.account.Doubted() && silence >= m.cfg.Doubted
 }
--- a/core/stall/machine_test.go
+++ b/core/stall/machine_test.go
@@ -111,74 +111,74 @@
 // secured at that moment and wanted; what is secured is used or given back; and a
 // replica that is silent for good is left as soon as the times and the securing
 // allow.
-func TestSchedules(t *testing.T) {
+func TestInvariantsHoldForAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := world{m: stall.New(start, config), heard: start}
+		w := modelOwner{m: stall.New(start, config), lastEvent: start}
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			w.now += rapid.IntRange(1, 60).Draw(t, "ms")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
 				w.event()
 			case 1, 2:
-				if w.asking {
-					w.asking = false
-					w.told(stall.Account(rapid.IntRange(0, 4).Draw(t, "account")))
+				if w.querying {
+					w.querying = false
+					w.recordStatus(stall.Account(rapid.IntRange(0, 4).Draw(t, "account")))
 				}
 			case 3:
-				if w.securing {
-					w.securing = false
+				if w.reserving {
+					w.reserving = false
 					w.m.Denied(at(w.now))
 				}
 			case 4, 5:
-				w.secured(t)
+				w.reserve(t)
 			default:
 				w.tick(t)
 			}
 		}
-		w.silentForGood(t)
+		w.checkPermanentSilence(t)
 	})
 }
 
 // world is the owner of a machine, and what a check needs to know.
-type world struct {
-	m                *stall.Machine
-	now              int
-	heard            time.Time
-	asked            time.Time
-	asking, securing bool
+type modelOwner struct {
+	m                   *stall.Machine
+	now                 int
+	lastEvent           time.Time
+	lastQuery           time.Time
+	querying, reserving bool
 	// wanted says that no event has arrived since Secure.
-	wanted  bool
-	account stall.Account
+	reservationWanted bool
+	status            stall.Account
 }
 
-func (w *world) event() {
-	left := w.m.Left()
+func (w *modelOwner) event() {
+	abandoned := w.m.Left()
 	w.m.Event(at(w.now))
-	if !left {
-		w.heard, w.wanted, w.account = at(w.now), false, stall.Untold
+	if !abandoned {
+		w.lastEvent, w.reservationWanted, w.status = at(w.now), false, stall.Untold
 	}
 }
 
-func (w *world) told(a stall.Account) {
-	w.m.Told(w.asked, a)
-	if !w.asked.Before(w.heard) {
-		w.account = a
+func (w *modelOwner) recordStatus(a stall.Account) {
+	w.m.Told(w.lastQuery, a)
+	if !w.lastQuery.Before(w.lastEvent) {
+		w.status = a
 	}
 }
 
-func (w *world) secured(t *rapid.T) {
-	if !w.securing {
+func (w *modelOwner) reserve(t *rapid.T) {
+	if !w.reserving {
 		return
 	}
-	w.securing = false
+	w.reserving = false
 	switch got := w.m.Secured(at(w.now)); got {
 	case stall.Leave:
-		if !w.wanted {
+		if !w.reservationWanted {
 			t.Fatal("left though an event arrived since")
 		}
-		silence := at(w.now).Sub(w.heard)
-		if silence < config.Any && !(w.account.Doubted() && silence >= config.Doubted) {
-			t.Fatalf("left after %s of silence, account %s", silence, w.account)
+		silence := at(w.now).Sub(w.lastEvent)
+		if silence < config.Any && !(w.status.Doubted() && silence >= config.Doubted) {
+			t.Fatalf("left after %s of silence, account %s", silence, w.status)
 		}
 	case stall.GiveBack:
 	default:
@@ -186,21 +186,21 @@
 	}
 }
 
-func (w *world) tick(t *rapid.T) {
+func (w *modelOwner) tick(t *rapid.T) {
 	for {
 		switch w.m.Tick(at(w.now)) {
 		case stall.None:
 			return
 		case stall.Ask:
-			if w.asking {
+			if w.querying {
 				t.Fatal("asked twice at a time")
 			}
-			w.asking, w.asked = true, at(w.now)
+			w.querying, w.lastQuery = true, at(w.now)
 		case stall.Secure:
-			if w.securing {
+			if w.reserving {
 				t.Fatal("secured twice at a time")
 			}
-			w.securing, w.wanted = true, true
+			w.reserving, w.reservationWanted = true, true
 		default:
 			t.Fatal("a tick ends nothing")
 		}
@@ -209,17 +209,17 @@
 
 // silentForGood: the replica says nothing more and does not answer, and from now on
 // all can be secured at once.
-func (w *world) silentForGood(t *rapid.T) {
+func (w *modelOwner) checkPermanentSilence(t *rapid.T) {
 	const bound = 4000 // ms: Any, and what was under way
 	for end := w.now + bound; w.now < end; w.now += 10 {
 		if w.m.Left() {
 			return
 		}
-		if w.asking {
-			w.asking = false
-			w.told(stall.NoAnswer)
+		if w.querying {
+			w.querying = false
+			w.recordStatus(stall.NoAnswer)
 		}
-		w.secured(t)
+		w.reserve(t)
 		w.tick(t)
 	}
 	t.Fatal("a replica that is silent for good is not left")
