--- a/core/breaker/breaker.go
+++ b/core/breaker/breaker.go
@@ -1,13 +1,13 @@
-// Package breaker tells pools that fail as a whole, so that requests which need
-// one are refused on arrival instead of after their first stages have run in
-// vain.
+// Package breaker is a circuit breaker for pools of upstreams. Requests that need a pool
+// which fails as a whole are refused on arrival, instead of after their first stages have
+// run in vain.
 //
-// A pool opens after a run of failures without one success, from whichever
-// upstreams; then one request in ProbeEvery is let through, and the first
-// success closes it. Single upstreams that fail are the router's matter: their
-// pool keeps succeeding.
+// A pool opens after a run of consecutive failures, from whichever upstreams. While it is
+// open, one request per ProbeInterval is let through, and the first success closes the
+// pool. A single failing upstream is handled by the router: its pool still has successes
+// and stays closed.
 //
-// Set reads no clock: callers pass the time in. It is safe for concurrent use.
+// Set does not read a clock: callers pass the time. It is safe for concurrent use.
 package breaker
 
 import (
@@ -15,13 +15,14 @@
 	"time"
 )
 
-// Config parametrises a Set. Zero fields take their defaults.
+// Config configures a Set. Zero fields take their defaults.
 type Config struct {
-	// Failures is the run of failures that opens a pool. Default 12.
+	// FailureThreshold is the number of consecutive failures that opens a pool. Default 12.
 	FailureThreshold int
-	// Lasting is how long the run must have lasted. Default 300 ms.
+	// MinFailureDuration is the minimum time between the first failure of a run and the one
+	// that opens the pool. Default 300 ms.
 	MinFailureDuration time.Duration
-	// ProbeEvery is the interval of the requests let through. Default 250 ms.
+	// ProbeInterval is the interval at which an open pool admits a request. Default 250 ms.
 	ProbeInterval time.Duration
 }
 
@@ -38,7 +39,7 @@
 	return c
 }
 
-// Set holds the breakers of a daemon's pools.
+// Set holds one circuit breaker per pool of a daemon.
 type Set struct {
 	cfg Config
 
@@ -46,7 +47,7 @@
 	pools map[string]*pool
 }
 
-// pool is the run of failures of one pool.
+// pool is the current run of consecutive failures of one pool.
 type pool struct {
 	failures     int
 	firstFailure time.Time
@@ -54,14 +55,14 @@
 	lastProbe    time.Time
 }
 
-// New returns a set in which every pool is closed.
+// New returns a Set in which every pool is closed.
 func New(cfg Config) *Set {
 	return &Set{cfg: cfg.withDefaults(), pools: make(map[string]*pool)}
 }
 
-// Allow says whether a request that needs the pools may start, and names the
-// first open pool if not. A request that is let through an open pool counts as
-// its probe.
+// Allow reports whether a request that needs the given pools may start. If not, open is the
+// first of them that is open. A request that is admitted to an open pool counts as its
+// probe.
 func (s *Set) Allow(now time.Time, pools []string) (open string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,15 +79,15 @@
 	return "", true
 }
 
-// Succeeded notes a call that a pool answered, be it with a refusal of the call
-// itself.
+// Succeeded records that a pool answered a call, even if it rejected that call. It closes
+// the pool.
 func (s *Set) Succeeded(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.pools, name)
 }
 
-// Failed notes a call that no upstream of the pool answered.
+// Failed records a call that no upstream of the pool answered.
 func (s *Set) Failed(now time.Time, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +102,7 @@
 	}
 }
 
-// Open returns the names of the open pools, for the operators' dump.
+// Open returns the names of the open pools, for the operators' state dump.
 func (s *Set) Open() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/core/breaker/breaker_test.go
+++ b/core/breaker/breaker_test.go
@@ -24,7 +24,7 @@
 
 	BeforeEach(func() { s, now = New(Config{}), epoch })
 
-	// fail reports n failures of lm, spread over a second.
+	// fail records n failures of the pool lm, spread over one second.
 	fail := func(n int) {
 		for range n {
 			now = now.Add(time.Second / time.Duration(n))
@@ -36,7 +36,7 @@
 		return ok
 	}
 
-	It("opens a pool that fails whole and lets one request in an interval through", func() {
+	It("opens a pool after consecutive failures and admits one request per probe interval", func() {
 		fail(12)
 		Expect(s.Open()).To(Equal([]string{"lm"}))
 		admitted := 0
@@ -49,7 +49,7 @@
 		Expect(admitted).To(Equal(4))
 	})
 
-	It("closes at the first success", func() {
+	It("closes on the first success", func() {
 		fail(12)
 		Expect(allowed()).To(BeFalse())
 		s.Succeeded("lm")
@@ -57,7 +57,7 @@
 		Expect(s.Open()).To(BeEmpty())
 	})
 
-	It("leaves requests alone that do not need the pool", func() {
+	It("admits requests that do not need the open pool", func() {
 		fail(12)
 		_, ok := s.Allow(now, []string{"encoders"})
 		Expect(ok).To(BeTrue())
@@ -69,8 +69,8 @@
 		report()
 		Expect(allowed()).To(BeTrue())
 	},
-		Entry("after few failures", func() { fail(11) }),
-		Entry("after a burst of failures in an instant", func() {
+		Entry("below the failure threshold", func() { fail(11) }),
+		Entry("after a burst of simultaneous failures", func() {
 			for range 100 {
 				s.Failed(now, "lm")
 			}
--- a/core/catalog/catalog_test.go
+++ b/core/catalog/catalog_test.go
@@ -48,7 +48,7 @@
 		Entry("first", 0.0, "x"), Entry("still first", 0.89, "x"), Entry("second", 0.91, "y"), Entry("last", 0.9999, "y"),
 	)
 
-	DescribeTable("say what may be repeated", func(r catalog.Route, want bool) {
+	DescribeTable("report whether requests may be repeated", func(r catalog.Route, want bool) {
 		Expect(r.MayRepeat()).To(Equal(want))
 	},
 		Entry("idempotent", catalog.Route{Repeat: catalog.Idempotent}, true),
@@ -62,14 +62,14 @@
 	start := time.Unix(1000, 0)
 	one, two := catalog.Replica{ID: "one", Address: "10.0.0.1:80"}, catalog.Replica{ID: "two", Address: "10.0.0.2:80"}
 
-	It("forgets what the store no longer lists", func() {
+	It("removes replicas that the store no longer lists", func() {
 		var g catalog.Registry
 		g.Update(start, []catalog.Replica{one, two})
 		g.Update(start.Add(time.Second), []catalog.Replica{two})
 		Expect(g.Replicas()).To(HaveLen(1))
 	})
 
-	It("keeps entries that lapsed while the store was away until two seconds after its return", func() {
+	It("keeps entries that lapsed during a store outage for two seconds after its return", func() {
 		var g catalog.Registry
 		g.Update(start, []catalog.Replica{one, two})
 		back := start.Add(10 * time.Second)
@@ -84,7 +84,7 @@
 		Expect(g.Uncertain()).To(BeFalse())
 	})
 
-	It("keeps no lapsed entry whose address another start has", func() {
+	It("removes a lapsed entry whose address a restarted replica uses", func() {
 		var g catalog.Registry
 		old, restarted := catalog.Replica{ID: "one@1", Address: "10.0.0.1:80"}, catalog.Replica{ID: "one@2", Address: "10.0.0.1:80"}
 		other := catalog.Replica{ID: "two", Address: "10.0.0.2:80"}
@@ -93,15 +93,15 @@
 		Expect(g.Replicas()).To(And(HaveLen(2), HaveKey("one@2"), HaveKey("two")))
 	})
 
-	It("takes over what another host keeps", func() {
+	It("replaces its replicas by those of another host", func() {
 		var g catalog.Registry
 		g.Update(start, []catalog.Replica{one})
 		g.Adopt(start.Add(9*time.Second), []catalog.Replica{two})
 		Expect(g.Replicas()).To(HaveKey("two"))
-		Expect(g.Uncertain()).To(BeFalse(), "the other host would have said so")
+		Expect(g.Uncertain()).To(BeFalse(), "the other host does not send uncertain lists")
 		g.Adopt(start.Add(10*time.Second), nil)
 		Expect(g.Replicas()).To(HaveLen(1))
-		By("not taking its own next read for the return of the store")
+		By("not treating its own next read as the return of the store")
 		g.Update(start.Add(11*time.Second), []catalog.Replica{one})
 		Expect(g.Replicas()).To(And(HaveLen(1), HaveKey("one")))
 	})
--- a/core/catalog/config.go
+++ b/core/catalog/config.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Repeat says how often a request of a route may be executed.
+// Repeat is the execution guarantee of a route's requests.
 type Repeat uint8
 
-// The kinds of repetition.
+// The execution guarantees.
 const (
-	// AtMostOnce requests are executed at most once for each request id.
+	// AtMostOnce requests are executed at most once per request ID.
 	AtMostOnce Repeat = iota
 	// Idempotent requests may be executed again after any failure.
 	Idempotent
@@ -21,44 +21,46 @@
 type Config struct {
 	Version  uint64
 	Services map[string]*Service
-	// Tenants maps an API key to the customer that holds it. It is nil when the
-	// configuration has no customers, and requests then need no key.
+	// Tenants maps an API key to the customer that holds it. It is nil if the configuration
+	// has no customers; requests then need no key.
 	Tenants map[string]*Tenant
 	Limits  Limits
-	// hosts maps a host name in lower case to its routes, longest prefix first.
+	// hosts maps a lower-case host name to its routes, longest prefix first.
 	hosts map[string][]*Route
 }
 
-// Tenant is a customer as the operator configures it.
+// Tenant is a customer in the operator's configuration.
 type Tenant struct {
 	Name string
-	// Priority goes before the route's; nil says nothing. 0 is the highest.
+	// Priority takes precedence over the route's priority; nil if the customer has none. 0
+	// is the highest.
 	Priority *int
 }
 
-// Limits bound what a caller may send.
+// Limits bound the size of callers' requests.
 type Limits struct {
-	// MaxBodyBytes bounds a request's body; 0 leaves it to the gateway.
+	// MaxBodyBytes is the maximum size of a request body; 0 leaves the limit to the
+	// gateway.
 	MaxBodyBytes int64
 }
 
-// Route says what becomes of the requests under a prefix of a host's paths.
+// Route configures the requests under a path prefix of a host.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
-	// Streaming answers are event streams.
+	// Streaming says that responses are event streams.
 	Streaming bool
 	Repeat    Repeat
-	// Resumable streams may go on at another replica after the last event.
+	// Resumable streams may be continued at another replica after the last event.
 	Resumable bool
-	// Objective is the time to the answer, or a stream's first event, that the
-	// operator aims for.
+	// Objective is the operator's target for the time to the response, or to the first
+	// event of a stream.
 	Objective time.Duration
 	Timeout   time.Duration
-	// Priority ranks routes; 0 is the highest.
+	// Priority of the route; 0 is the highest.
 	Priority int
-	// Attempts bounds the replicas that one request may be sent to.
+	// Attempts is the maximum number of replicas that one request may be sent to.
 	Attempts int
 	// Public routes need no API key.
 	Public bool
@@ -66,51 +68,52 @@
 	Stages []Stage
 }
 
-// Target is one service of a route's split.
+// Target is one service of a route's traffic split.
 type Target struct {
 	Service string
 	Weight  float64
 }
 
-// Stage is preparatory work that a route's requests need.
+// Stage is a preparatory step that a route's requests need.
 type Stage struct {
 	Service string
-	// After lists the stages, by index, whose results this one reads.
+	// After lists the stages, by index, whose results this stage reads.
 	After []int
-	// ResultBytes is the usual size of one piece's result.
+	// ResultBytes is the typical size of the result of one piece.
 	ResultBytes int64
 }
 
 // Service is a pool of replicas.
 type Service struct {
 	Name string
-	// MaxConnections bounds the connections of all callers to one replica.
+	// MaxConnections is the maximum number of connections of all callers to one replica.
 	MaxConnections int
-	// Warmup is for how long a replica is cold, and ColdRate the requests a second that
-	// it bears meanwhile; 0 for any number.
+	// Warmup is the time for which a replica is cold, and ColdRate the number of requests
+	// per second that it can serve meanwhile; 0 means no limit.
 	Warmup   time.Duration
 	ColdRate float64
 	// Engine says that the service runs generations in batches.
 	Engine bool
-	// Pieces is set for services that run stages.
+	// Pieces is set for services that run stages; nil for others.
 	Pieces *Pieces
 }
 
-// Pieces holds the figures of one replica of a service that runs stages.
+// Pieces describes the capacity and timing of one replica of a service that runs stages.
 type Pieces struct {
-	// Concurrency is the number of calls in progress at the same time.
+	// Concurrency is the maximum number of concurrent calls.
 	Concurrency int
-	// Batch is the largest number of pieces of a call.
+	// Batch is the maximum number of pieces per call.
 	Batch int
-	// CallTime is what a call takes, and PieceTime what each piece adds.
+	// CallTime is the fixed duration of a call, and PieceTime the additional duration per
+	// piece.
 	CallTime, PieceTime time.Duration
-	// RoomBytes bounds the results that a replica holds.
+	// RoomBytes is the maximum total size of the results that a replica holds.
 	RoomBytes int64
-	// ResultLife is how long a result that is not given up is kept.
+	// ResultLife is how long a result is kept that is not released before.
 	ResultLife time.Duration
 }
 
-// NewConfig returns a configuration with its routes indexed.
+// NewConfig returns a configuration whose routes are indexed by host and prefix.
 func NewConfig(version uint64, routes []*Route, services []*Service, tenants map[string]*Tenant, limits Limits) *Config {
 	c := &Config{
 		Version: version, Tenants: tenants, Limits: limits,
@@ -127,7 +130,8 @@
 	return c
 }
 
-// insert keeps the routes of a host sorted, longest prefix first.
+// insertByPrefix inserts r into the routes of a host, which are sorted by descending prefix
+// length.
 func insertByPrefix(routes []*Route, r *Route) []*Route {
 	i := 0
 	for i < len(routes) && len(routes[i].Prefix) >= len(r.Prefix) {
@@ -139,8 +143,8 @@
 	return routes
 }
 
-// Match returns the route with the longest prefix of path on host, or nil. The
-// host may carry a port.
+// Match returns the route of host with the longest prefix of path, or nil. The host may
+// include a port.
 func (c *Config) Match(host, path string) *Route {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -153,7 +157,7 @@
 	return nil
 }
 
-// Target picks the service of a request; draw is uniform in [0, 1).
+// Target selects the service of a request by weight; draw is uniform in [0, 1).
 func (r *Route) Target(draw float64) string {
 	var sum float64
 	for _, t := range r.Split {
@@ -171,8 +175,8 @@
 	return r.Split[len(r.Split)-1].Service
 }
 
-// MayRepeat says whether a request may be executed again after an attempt
-// whose outcome is unknown.
+// MayRepeat reports whether a request may be executed again after an attempt with an
+// unknown outcome.
 func (r *Route) MayRepeat() bool {
 	if r.Streaming {
 		return r.Resumable
--- a/core/catalog/doc.go
+++ b/core/catalog/doc.go
@@ -1,5 +1,4 @@
-// Package catalog is what a gateway knows of a deployment: the operator's
-// routes, services and tenants, and the replicas that are registered. It is
-// decision core: values are immutable once built, and nothing here does I/O or
-// reads a clock.
+// Package catalog holds a gateway's model of a deployment: the configured routes, services
+// and tenants, and the registered replicas. It does no I/O and reads no clock. Values other
+// than Registry are immutable once built.
 package catalog
--- a/core/catalog/evacuation.go
+++ b/core/catalog/evacuation.go
@@ -5,42 +5,44 @@
 	"slices"
 )
 
-// Evacuations are the failure domains whose replicas the operator wants to get no
-// new work until the order is taken back. What runs there ends by itself, and what
-// is held there may be read. The zero value has none and is older than any other.
+// Evacuations are the failure domains that the operator has ordered to be evacuated: their
+// replicas get no new work until the order is withdrawn. Requests that already run there
+// complete, and results that are held there may still be read. The zero value contains no
+// orders and is older than any other value.
 type Evacuations struct {
-	// Revision is the store's revision of which the domains were read.
+	// Revision is the store revision from which the domains were read.
 	Revision uint64
-	// Domains are sorted.
+	// Domains are sorted and unique.
 	Domains []string
 }
 
-// EvacuationChange is an order for a failure domain, or its withdrawal.
+// EvacuationChange is an order to evacuate a failure domain, or the withdrawal of one.
 type EvacuationChange struct {
 	Domain    string
 	Withdrawn bool
-	// Revision is the store's revision that the change made.
+	// Revision is the store revision that the change created.
 	Revision uint64
 }
 
-// NewEvacuations returns the orders for some failure domains as of a revision.
+// NewEvacuations returns the orders for the given failure domains as of a store revision.
 func NewEvacuations(revision uint64, domains []string) Evacuations {
 	domains = slices.Clone(domains)
 	slices.Sort(domains)
 	return Evacuations{Revision: revision, Domains: slices.Compact(domains)}
 }
 
-// Has says whether a failure domain is evacuated.
+// Has reports whether a failure domain is evacuated.
 func (e Evacuations) Has(domain string) bool {
 	_, found := slices.BinarySearch(e.Domains, domain)
 	return found
 }
 
-// Same says whether the same failure domains are evacuated, whatever the revisions.
+// Same reports whether the same failure domains are evacuated, regardless of the revisions.
 func (e Evacuations) Same(o Evacuations) bool { return slices.Equal(e.Domains, o.Domains) }
 
-// With returns the orders after some changes, which may come in any order and more
-// than once. What is older than the orders is part of them already.
+// With returns the orders after applying changes, which may be unordered and contain
+// duplicates. Changes up to the current revision are ignored, since the orders already
+// include them.
 func (e Evacuations) With(changes []EvacuationChange) Evacuations {
 	changes = slices.DeleteFunc(slices.Clone(changes), func(c EvacuationChange) bool { return c.Revision <= e.Revision })
 	slices.SortFunc(changes, func(a, b EvacuationChange) int { return cmp.Compare(a.Revision, b.Revision) })
--- a/core/catalog/evacuation_test.go
+++ b/core/catalog/evacuation_test.go
@@ -18,21 +18,21 @@
 		return catalog.EvacuationChange{Domain: domain, Withdrawn: true, Revision: revision}
 	}
 
-	DescribeTable("are what the changes make of them", func(changes []catalog.EvacuationChange, want catalog.Evacuations) {
+	DescribeTable("apply changes", func(changes []catalog.EvacuationChange, want catalog.Evacuations) {
 		got := catalog.NewEvacuations(10, []string{"b"}).With(changes)
 		Expect(got.Revision).To(Equal(want.Revision))
 		Expect(got.Same(want)).To(BeTrue(), "%v", got.Domains)
 	},
 		Entry("none", nil, catalog.NewEvacuations(10, []string{"b"})),
 		Entry("a second domain", []catalog.EvacuationChange{ordered(12, "a")}, catalog.NewEvacuations(12, []string{"a", "b"})),
-		Entry("the same one once more", []catalog.EvacuationChange{ordered(12, "b")}, catalog.NewEvacuations(12, []string{"b"})),
-		Entry("taken back", []catalog.EvacuationChange{withdrawn(12, "b")}, catalog.NewEvacuations(12, nil)),
-		Entry("one that was never ordered", []catalog.EvacuationChange{withdrawn(12, "x")}, catalog.NewEvacuations(12, []string{"b"})),
+		Entry("a domain that is already evacuated", []catalog.EvacuationChange{ordered(12, "b")}, catalog.NewEvacuations(12, []string{"b"})),
+		Entry("a withdrawal", []catalog.EvacuationChange{withdrawn(12, "b")}, catalog.NewEvacuations(12, nil)),
+		Entry("a withdrawal without an order", []catalog.EvacuationChange{withdrawn(12, "x")}, catalog.NewEvacuations(12, []string{"b"})),
 		Entry("out of order", []catalog.EvacuationChange{ordered(14, "b"), withdrawn(12, "b")}, catalog.NewEvacuations(14, []string{"b"})),
-		Entry("older than what is known", []catalog.EvacuationChange{withdrawn(9, "b"), ordered(10, "x")}, catalog.NewEvacuations(10, []string{"b"})),
+		Entry("older than the current revision", []catalog.EvacuationChange{withdrawn(9, "b"), ordered(10, "x")}, catalog.NewEvacuations(10, []string{"b"})),
 	)
 
-	It("tell of each domain", func() {
+	It("report whether a domain is evacuated", func() {
 		e := catalog.NewEvacuations(1, []string{"c", "a", "c"})
 		Expect(e.Domains).To(Equal([]string{"a", "c"}))
 		Expect(e.Has("a")).To(BeTrue())
@@ -40,7 +40,7 @@
 		Expect(catalog.Evacuations{}.Has("a")).To(BeFalse())
 	})
 
-	It("come out the same however often and in whatever parts the changes come", func() {
+	It("converge for any batches, order and repetition of the changes", func() {
 		for seed := range uint64(200) {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			var changes []catalog.EvacuationChange
--- a/core/catalog/rank.go
+++ b/core/catalog/rank.go
@@ -2,13 +2,13 @@
 
 import "cmp"
 
-// Rank orders requests that want the same thing; 0 is the highest in both parts. What
-// the operator says of a customer goes first: the route's part tells the requests of
-// customers that rank alike apart.
+// Rank orders requests that compete for the same resource; 0 is the highest in both fields.
+// The customer's priority is compared first; the route's priority orders requests of
+// customers with the same priority.
 type Rank struct{ Customer, Route int }
 
-// RankOf is the rank of a customer's request; the customer may be nil. Where the
-// operator says nothing of the customer, the route's priority counts for both.
+// RankOf returns the rank of a customer's request; customer may be nil. If the customer has
+// no priority, the route's priority is used for both fields.
 func RankOf(customer *Tenant, route *Route) Rank {
 	r := Rank{Customer: max(0, route.Priority), Route: max(0, route.Priority)}
 	if customer != nil && customer.Priority != nil {
@@ -17,19 +17,21 @@
 	return r
 }
 
-// Compare orders ranks, the more urgent one first.
+// Compare orders ranks by descending urgency.
 func (r Rank) Compare(o Rank) int {
 	return cmp.Or(cmp.Compare(r.Customer, o.Customer), cmp.Compare(r.Route, o.Route))
 }
 
 const (
-	// Levels is the number of levels that a rank is told in where one number has to do.
+	// NumLevels is the number of levels to which a rank is reduced where it has to be
+	// expressed as one number.
 	NumLevels = 10
-	// routeLevels is the number of levels of each customer's part.
+	// routeLevels is the number of levels per customer priority.
 	routeLevels = 3
 )
 
-// Level is the rank as one number under Levels; ranks beyond share the last ones.
+// Level returns the rank as one number below NumLevels; ranks beyond the range share the
+// last level.
 func (r Rank) Level() int {
 	return min(NumLevels-1, r.Customer*routeLevels+min(r.Route, routeLevels-1))
 }
--- a/core/catalog/rank_test.go
+++ b/core/catalog/rank_test.go
@@ -10,17 +10,17 @@
 var _ = Describe("ranks", func() {
 	intPtr := func(n int) *int { return &n }
 
-	DescribeTable("put the customer's part before the route's", func(customer *catalog.Tenant, route int, want catalog.Rank) {
+	DescribeTable("use the customer's priority, else the route's", func(customer *catalog.Tenant, route int, want catalog.Rank) {
 		Expect(catalog.RankOf(customer, &catalog.Route{Priority: route})).To(Equal(want))
 	},
 		Entry("of a customer with a priority", &catalog.Tenant{Priority: intPtr(1)}, 2, catalog.Rank{Customer: 1, Route: 2}),
-		Entry("of one with the highest", &catalog.Tenant{Priority: intPtr(0)}, 2, catalog.Rank{Customer: 0, Route: 2}),
-		Entry("of one without", &catalog.Tenant{}, 2, catalog.Rank{Customer: 2, Route: 2}),
-		Entry("of none", nil, 1, catalog.Rank{Customer: 1, Route: 1}),
-		Entry("below the highest", &catalog.Tenant{Priority: intPtr(-3)}, -1, catalog.Rank{}),
+		Entry("of a customer with the highest priority", &catalog.Tenant{Priority: intPtr(0)}, 2, catalog.Rank{Customer: 0, Route: 2}),
+		Entry("of a customer without a priority", &catalog.Tenant{}, 2, catalog.Rank{Customer: 2, Route: 2}),
+		Entry("without a customer", nil, 1, catalog.Rank{Customer: 1, Route: 1}),
+		Entry("of priorities below zero", &catalog.Tenant{Priority: intPtr(-3)}, -1, catalog.Rank{}),
 	)
 
-	It("order requests, and their levels never say otherwise", func() {
+	It("order requests consistently with their levels", func() {
 		var all []catalog.Rank
 		for customer := range 5 {
 			for route := range 5 {
--- a/core/catalog/replica.go
+++ b/core/catalog/replica.go
@@ -4,53 +4,52 @@
 
 // Replica is one registered process of a service.
 type Replica struct {
-	// ID names one start of the process: started again, it has another, and holds
-	// and knows nothing of before.
+	// ID identifies one start of the process. After a restart the process has a new ID and
+	// no state of the previous one.
 	ID      string
 	Service string
 	// Address is ip:port.
 	Address string
-	// FailureDomain is where it stands.
+	// FailureDomain is the failure domain that the replica runs in.
 	FailureDomain string
-	// Concurrency is the number of requests that it runs at a time.
+	// Concurrency is the number of requests that the replica runs concurrently.
 	Concurrency int
 	// Draining replicas get no new work.
 	Draining bool
-	// Cold replicas have started a moment ago, or as good as that, and bear only few
-	// requests a second; see Service.ColdRate.
+	// Cold replicas have just started, or are treated as if they had, and can serve only
+	// few requests per second; see Service.ColdRate.
 	Cold bool
 }
 
-// lapseGrace is how long after the store's return a replica that the store no
-// longer lists is kept: the users' letter gives live replicas about two seconds
-// to register again.
+// lapsedRetention is how long unlisted replicas are kept after the store is reachable
+// again. Live replicas are required to register again within about two seconds.
 const lapsedRetention = 2 * time.Second
 
-// storeSilence is the time without an answer from the store after which its
-// next answer counts as a return. It is over the interval between reads, and
-// under the three heartbeats after which an entry lapses.
+// storeOutageThreshold is the time without a response from the store after which its next
+// response counts as its return from an outage. It is longer than the interval between
+// reads, and shorter than the three heartbeats after which an entry lapses.
 const storeOutageThreshold = 2500 * time.Millisecond
 
-// Registry keeps the replicas as the store lists them. It is not safe for
-// concurrent use.
+// Registry holds the replicas as listed by the store. It is not safe for concurrent use.
 type Registry struct {
 	replicas   map[string]Replica
 	lastUpdate time.Time
-	// returned is when the store last answered after a silence.
+	// storeReturned is the time of the first response of the store after its last outage.
 	storeReturned time.Time
-	// uncertain says that replicas are kept which the store does not list.
+	// retainsLapsed says that replicas are kept which the store does not list.
 	retainsLapsed bool
 }
 
-// Replicas returns all replicas that may be in service.
+// Replicas returns all replicas that may be in service, by ID.
 func (g *Registry) Replicas() map[string]Replica { return g.replicas }
 
-// Uncertain says that some of the replicas are not listed and may be gone: this
-// host, or the store, was away a moment ago.
+// Uncertain reports whether some of the replicas are not listed by the store and may be
+// gone, because this host lost contact with the store or the store was unavailable a moment
+// ago.
 func (g *Registry) Uncertain() bool { return g.retainsLapsed }
 
-// Adopt takes the replicas that another host keeps, as of that time; nil says
-// that they are those already known.
+// Adopt replaces the replicas by those of another host as of the given time. If replicas is
+// nil, the other host has the same replicas.
 func (g *Registry) Adopt(asOf time.Time, replicas []Replica) {
 	if asOf.After(g.lastUpdate) {
 		g.lastUpdate = asOf
@@ -65,8 +64,8 @@
 	}
 }
 
-// Update takes the store's full list. Replicas that lapsed while the store was
-// away stay until lapseGrace after its return.
+// Update replaces the replicas by the store's full list. Replicas whose entries lapsed
+// while the store was unavailable are kept until lapsedRetention after its return.
 func (g *Registry) Update(now time.Time, listed []Replica) {
 	if !g.lastUpdate.IsZero() && now.Sub(g.lastUpdate) > storeOutageThreshold {
 		g.storeReturned = now
@@ -82,7 +81,8 @@
 			listedAddresses[r.Address] = true
 		}
 		for id, r := range g.replicas {
-			// Where another start, or another replica, has the address, this one is gone.
+			// If another replica, or a new start of this one, has the address, this one is
+			// gone.
 			if _, ok := next[id]; !ok && !listedAddresses[r.Address] {
 				next[id], g.retainsLapsed = r, true
 			}
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -1,13 +1,13 @@
-// Package retry bounds the extra attempts, retries and hedges, that a daemon
-// sends: decision core without I/O, clock or goroutine.
+// Package retry bounds the extra attempts (retries and hedges) that a daemon sends. It is
+// deterministic: it does no I/O, reads no clock and starts no goroutine.
 //
-// A Budget is a share of the first attempts, not a count by request: when all
-// calls fail, each request may still want its three attempts, but the daemon
-// sends no more than the share on top of its first attempts. Each daemon keeps
-// its own budget and tells nobody. Since every daemon's extra attempts are at
-// most the share of its own first attempts, the fleet's are at most the same
-// share of the fleet's, however the balancer spreads the requests and however
-// the network is cut; only the floors add up, floor times the daemons.
+// A Budget allows extra attempts as a ratio of the first attempts, instead of a fixed count
+// per request: when all calls fail, each request may still want three attempts, but the
+// daemon sends only the given ratio on top of its first attempts. Each daemon keeps its own
+// budget without coordination. Since the extra attempts of every daemon stay within the
+// ratio of its own first attempts, those of the whole fleet stay within the same ratio,
+// however the load balancer spreads the requests and however the network is partitioned.
+// Only the floors add up, to the floor times the number of daemons.
 package retry
 
 import (
@@ -21,17 +21,18 @@
 )
 
 const (
-	// DefaultFloor is the number of extra attempts a second that a daemon may
-	// send whatever its traffic: a share of a few requests would be none.
+	// DefaultFloor is the number of extra attempts per second that a daemon may send
+	// regardless of its traffic. Without it, a daemon with few requests could send none.
 	DefaultFloor = 0.2
-	// floorBurst is the number of extra attempts that the floor saves up.
+	// floorBurst is the maximum number of extra attempts that the floor accumulates.
 	floorBurst = 1
-	// DefaultBurst is the number of extra attempts that a quiet time saves up.
+	// DefaultBurst is the maximum number of extra attempts that a budget accumulates while
+	// they are not used.
 	DefaultBurst = 20
 )
 
-// Budget implements request.Budget as a token bucket that first attempts fill.
-// It may be used concurrently.
+// Budget implements request.Budget as a token bucket that first attempts fill. It is safe
+// for concurrent use.
 type Budget struct {
 	mu        sync.Mutex
 	ratio     float64
@@ -44,9 +45,9 @@
 
 var _ request.Budget = (*Budget)(nil)
 
-// New returns a budget of ratio (0 to 1) extra attempts for each first attempt,
-// of which burst at most are saved up, and floor extra attempts a second on
-// top. A ratio of 0 allows none at all, the floor's neither.
+// New returns a budget of ratio (0 to 1) extra attempts per first attempt, of which at most
+// burst accumulate, plus floor extra attempts per second. A ratio of 0 allows no extra
+// attempts, not even those of the floor.
 func New(ratio, floor, burst float64) *Budget {
 	b := &Budget{burst: max(1, burst), floor: rate.NewLimiter(rate.Limit(floor), floorBurst)}
 	if floor <= 0 {
@@ -56,7 +57,7 @@
 	return b
 }
 
-// SetRatio changes the ratio, for a new bundle; what is saved up stays.
+// SetRatio changes the ratio when a new bundle is applied. Accumulated tokens are kept.
 func (b *Budget) SetRatio(ratio float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -96,30 +97,31 @@
 	return b.floor.AllowN(now, 1)
 }
 
-// Stats is a budget as the state dump shows it.
+// Stats is the state of a budget as shown in the state dump.
 type Stats struct {
 	Ratio  float64 `json:"ratio"`
 	Tokens float64 `json:"tokens"`
-	// Taken and Denied count extra attempts since the start.
+	// Taken and Denied count allowed and denied extra attempts since the start of the
+	// daemon.
 	Taken  uint64 `json:"taken"`
 	Denied uint64 `json:"denied"`
 }
 
-// Stats returns the budget's figures.
+// Stats returns the current state of the budget.
 func (b *Budget) Stats() Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return Stats{Ratio: b.ratio, Tokens: b.tokens, Taken: b.withdrawn, Denied: b.denied}
 }
 
-// Budgets are the two budgets of a daemon. They are kept apart so that a storm
-// of retries does not take the hedges' share, and hedges not that of retries.
+// Budgets are the retry and hedge budgets of a daemon. They are separate so that a surge of
+// retries cannot use up the budget of hedges, nor hedges that of retries.
 type Budgets struct {
 	Retry *Budget
 	Hedge *Budget
 }
 
-// NewBudgets returns both budgets with the given ratios and the defaults.
+// NewBudgets returns both budgets with the given ratios and the default floor and burst.
 func NewBudgets(retryRatio, hedgeRatio float64) Budgets {
 	return Budgets{
 		Retry: New(retryRatio, DefaultFloor, DefaultBurst),
--- a/core/retry/budget_test.go
+++ b/core/retry/budget_test.go
@@ -17,7 +17,7 @@
 var start = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 
 var _ = Describe("Budget", func() {
-	It("allows a share of the first attempts when all calls fail", func() {
+	It("allows the ratio of the first attempts when all calls fail", func() {
 		b := New(0.1, 0, DefaultBurst)
 		taken := 0
 		for i := range 10000 {
@@ -32,7 +32,7 @@
 		Expect(taken).To(BeNumerically("~", 1000, 1))
 	})
 
-	It("allows no more after ten quiet good seconds than the burst", func() {
+	It("accumulates no more than the burst over many first attempts", func() {
 		b := New(0.1, 0, 20)
 		for range 10000 {
 			b.Deposit(start)
@@ -44,7 +44,7 @@
 		Expect(taken).To(Equal(20))
 	})
 
-	It("allows a little to a daemon with few requests, by the time that passed", func() {
+	It("allows the floor, by elapsed time, to a daemon with few requests", func() {
 		b := New(0.1, 0.5, 20)
 		Expect(b.Withdraw(start)).To(BeTrue())
 		Expect(b.Withdraw(start)).To(BeFalse())
@@ -53,13 +53,13 @@
 		Expect(b.Stats()).To(Equal(Stats{Ratio: 0.1, Taken: 2, Denied: 2}))
 	})
 
-	It("allows nothing at ratio 0", func() {
+	It("allows no extra attempt at ratio 0", func() {
 		b := New(0, 1, 20)
 		b.Deposit(start)
 		Expect(b.Withdraw(start)).To(BeFalse())
 	})
 
-	It("keeps retries and hedges apart", func() {
+	It("keeps the budgets of retries and hedges separate", func() {
 		b := NewBudgets(0.2, 0.05)
 		for range 1000 {
 			b.Retry.Deposit(start)
@@ -71,8 +71,8 @@
 	})
 })
 
-// TestBound: over any order of calls at any number of daemons, the extra
-// attempts stay within the share, the bursts and the floors.
+// For any order of calls at any number of daemons, the extra attempts stay within the ratio
+// of the first attempts plus the floors.
 func TestExtraAttemptsStayWithinTheBudgetForAnyOrderOfCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ratio := rapid.Float64Range(0.01, 1).Draw(t, "ratio")
@@ -93,7 +93,7 @@
 		}
 		floors := float64(len(daemons)) * (floorBurst + 0.2*now.Sub(start).Seconds())
 		if float64(extra) > ratio*float64(first)+floors+1e-6 {
-			t.Fatalf("%d extra attempts for %d first ones at %.2f", extra, first, ratio)
+			t.Fatalf("%d extra attempts for %d first attempts at ratio %.2f", extra, first, ratio)
 		}
 	})
 }
--- a/core/retry/shared.go
+++ b/core/retry/shared.go
@@ -7,13 +7,13 @@
 	"github.com/wheatseam/wheatseam/core/request"
 )
 
-// Shared is one daemon's part of a budget that holds over the whole fleet: in
-// each window the fleet sends at most ratio times its first attempts, plus
-// slack, on top of them. Nobody is asked: the slack is divided by the number of
-// daemons. It may be used concurrently.
+// Shared is one daemon's part of a budget that covers the whole fleet: in each window the
+// fleet sends at most ratio extra attempts per first attempt, plus slack. The daemons need
+// no coordination, since the slack is divided by their number. It is safe for concurrent
+// use.
 //
-// Half of the part is saved up at most, and half comes back in each window, so
-// that no window of any position sees more than the whole.
+// A daemon accumulates at most half of its part of the slack and refills half of it per
+// window, so that no window, wherever it begins, allows more than the whole part.
 type Shared struct {
 	ratio  float64
 	slack  float64
@@ -29,18 +29,19 @@
 
 var _ request.Budget = (*Shared)(nil)
 
-// NewShared returns a full part of a budget of ratio, and slack in each window,
-// among so many daemons.
+// NewShared returns a full part of a budget of ratio extra attempts per first attempt, plus
+// slack extra attempts per window, which is divided among the given number of hosts.
 func NewShared(ratio, slack float64, window time.Duration, hosts int) *Shared {
 	b := &Shared{ratio: ratio, slack: slack, window: window, hosts: max(1, hosts)}
 	b.tokens = b.capacity()
 	return b
 }
 
-// capacity is what is saved up at most, and comes back in each window.
+// capacity is the maximum number of tokens from the slack that accumulate, and the number
+// that is refilled per window.
 func (b *Shared) capacity() float64 { return b.slack / float64(b.hosts) / 2 }
 
-// SetHosts changes the number of daemons.
+// SetHosts changes the number of daemons that share the budget.
 func (b *Shared) SetHosts(hosts int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -53,8 +54,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
-	// A part under one would never allow anything: what first attempts bring
-	// may be saved up to one.
+	// A capacity below one token would never allow an extra attempt, so deposits may
+	// accumulate up to one token.
 	b.tokens = min(max(1, b.capacity()), b.tokens+b.ratio)
 }
 
@@ -72,8 +73,8 @@
 	return true
 }
 
-// Owe takes a repeat also where none is left. It is paid back before another one is
-// allowed.
+// Owe withdraws an extra attempt even if no token is left. The balance becomes negative and
+// must be refilled before another extra attempt is allowed.
 func (b *Shared) Owe(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -82,7 +83,7 @@
 	b.withdrawn++
 }
 
-// Return gives back a repeat that was withdrawn and not sent.
+// Return refunds an extra attempt that was withdrawn and not sent.
 func (b *Shared) Return(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -91,7 +92,7 @@
 	b.withdrawn--
 }
 
-// refill brings back what the time since the last call does.
+// refill adds the tokens of the slack that are due for the time since the last call.
 func (b *Shared) refill(now time.Time) {
 	if !b.lastRefill.IsZero() && now.After(b.lastRefill) && b.tokens < b.capacity() {
 		back := b.capacity() * float64(now.Sub(b.lastRefill)) / float64(b.window)
@@ -102,7 +103,7 @@
 	}
 }
 
-// Stats returns the budget's figures.
+// Stats returns the current state of the budget.
 func (b *Shared) Stats() Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/core/retry/shared_test.go
+++ b/core/retry/shared_test.go
@@ -10,18 +10,18 @@
 	"github.com/wheatseam/wheatseam/core/retry"
 )
 
-var _ = Describe("a part of the fleet's budget", func() {
+var _ = Describe("a daemon's part of a fleet-wide budget", func() {
 	const window = 10 * time.Second
 	start := time.Unix(1000, 0)
 
-	It("allows repeats from the start", func() {
+	It("allows extra attempts from the start", func() {
 		b := retry.NewShared(0.2, 54, window, 7)
 		b.Deposit(start)
 		Expect(b.Withdraw(start)).To(BeTrue())
 		Expect(b.Stats().Taken).To(Equal(uint64(1)))
 	})
 
-	It("keeps the fleet within ratio and slack in every window, however the requests are spread", func() {
+	It("keeps the fleet within ratio and slack in every window for any distribution of the requests", func() {
 		for seed := range uint64(20) {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			hosts := 1 + rng.IntN(12)
@@ -64,7 +64,7 @@
 		}
 	})
 
-	It("allows what first attempts bring also where the slack is less than one a daemon", func() {
+	It("allows what first attempts deposit even if the slack is less than one token per daemon", func() {
 		b := retry.NewShared(0.2, 10, window, 400)
 		for range 5 {
 			b.Deposit(start)
@@ -73,7 +73,7 @@
 		Expect(b.Withdraw(start)).To(BeFalse())
 	})
 
-	It("divides by the daemons that are known", func() {
+	It("divides the slack by the number of known daemons", func() {
 		b := retry.NewShared(0, 40, window, 1)
 		b.SetHosts(10)
 		n := 0
@@ -81,10 +81,10 @@
 			n++
 		}
 		Expect(n).To(Equal(2))
-		Expect(b.Withdraw(start.Add(window))).To(BeTrue(), "half of the part comes back in a window")
+		Expect(b.Withdraw(start.Add(window))).To(BeTrue(), "half of the part is refilled per window")
 	})
 
-	It("has a repeat back that was not sent, and no more than a full part", func() {
+	It("takes refunds of attempts that were not sent, up to its capacity", func() {
 		b := retry.NewShared(0, 4, window, 1)
 		Expect(b.Withdraw(start)).To(BeTrue())
 		Expect(b.Withdraw(start)).To(BeTrue())
@@ -98,7 +98,7 @@
 		Expect(b.Stats().Tokens).To(BeNumerically("<=", 2))
 	})
 
-	It("has what is owed paid back first", func() {
+	It("denies extra attempts until a negative balance is refilled", func() {
 		b := retry.NewShared(0.5, 2, window, 1)
 		Expect(b.Withdraw(start)).To(BeTrue())
 		b.Owe(start)
--- a/core/retry/storm_test.go
+++ b/core/retry/storm_test.go
@@ -9,27 +9,29 @@
 	"github.com/wheatseam/wheatseam/core/request"
 )
 
-// unlimited is the naive budget: a count by request is all that bounds retries.
+// unlimited is a budget that denies nothing: retries are bounded by the attempts per
+// request only.
 type unlimited struct{}
 
 func (unlimited) Deposit(time.Time)       {}
 func (unlimited) Withdraw(time.Time) bool { return true }
 
-// storm is a pool that serves one call a millisecond from a bounded queue, and
-// does not notice that callers gave up; and callers, 0.8 a millisecond, that
-// wait 200 ms and try three times at the most.
+// stormSim simulates a retry storm. Its pool serves one call per millisecond from a bounded
+// queue and does not notice that callers gave up. Its callers send 0.8 requests per
+// millisecond, time out after 200 ms and make at most three attempts.
 type stormSim struct {
 	budget  request.Budget
 	now     time.Time
 	queue   []*stormCall
-	waiting []*stormCall // in the order of their timeouts
-	// goodBy counts requests answered in time by the second they arrived in.
+	waiting []*stormCall // ordered by timeout
+	// answeredBySecond counts the requests answered in time, and arrivedBySecond all
+	// requests, by the second of their arrival.
 	answeredBySecond map[int]int
 	arrivedBySecond  map[int]int
 }
 
 type stormCall struct {
-	second   int // in which the request arrived
+	second   int // of the request's arrival
 	attempt  int
 	timeout  time.Time
 	answered bool
@@ -41,7 +43,7 @@
 	stormAttempts = 3
 )
 
-// step lets a millisecond pass; while down the pool serves nothing.
+// step simulates one millisecond; while down is set, the pool serves nothing.
 func (s *stormSim) step(ms int, down bool) {
 	s.now = start.Add(time.Duration(ms) * time.Millisecond)
 	if !down && len(s.queue) > 0 {
@@ -80,8 +82,8 @@
 	}
 }
 
-// attainment returns the share answered of what arrived from one second to
-// another.
+// answeredShare returns the share of answered requests among those that arrived between two
+// seconds.
 func (s *stormSim) answeredShare(from, to int) float64 {
 	arrived, answered := 0, 0
 	for sec := from; sec < to; sec++ {
@@ -90,7 +92,7 @@
 	return float64(answered) / float64(arrived)
 }
 
-var _ = Describe("a pool that was down for ten seconds", func() {
+var _ = Describe("a pool after an outage of ten seconds", func() {
 	run := func(b request.Budget) (before, after float64) {
 		s := &stormSim{budget: b, answeredBySecond: map[int]int{}, arrivedBySecond: map[int]int{}}
 		for ms := range 40000 {
@@ -99,13 +101,13 @@
 		return s.answeredShare(5, 9), s.answeredShare(25, 38)
 	}
 
-	It("is as good after as before with the budget", func() {
+	It("recovers completely with the budget", func() {
 		before, after := run(New(0.1, DefaultFloor, DefaultBurst))
 		Expect(before).To(Equal(1.0))
 		Expect(after).To(Equal(1.0))
 	})
 
-	It("does not come back when each request may simply try three times", func() {
+	It("does not recover when each request may make three attempts", func() {
 		before, after := run(unlimited{})
 		Expect(before).To(Equal(1.0))
 		Expect(after).To(BeNumerically("<", 0.2))
--- a/core/stall/doc.go
+++ b/core/stall/doc.go
@@ -1,21 +1,20 @@
-// Package stall decides what becomes of an answer under way whose replica has
-// fallen silent: when the replica is asked for its own account of the run, when
-// another replica is secured, and when the run is ended in its favour. It is a
-// deterministic core without I/O, clock or goroutine.
+// Package stall handles responses in progress whose replica has stopped sending. It decides
+// when the replica is asked for the status of the run, when resources for a run at another
+// replica are reserved, and when the current run is abandoned in favour of that one. It is
+// deterministic: it does no I/O, reads no clock and starts no goroutine.
 //
-// Silence alone proves nothing. An engine that reads a long prompt sends nothing
-// to all its other streams meanwhile, and goes on. Two rules follow, which hold
-// over every order of events:
+// Silence alone is no evidence of a failure. An engine that reads a long prompt sends
+// nothing to all its other streams meanwhile, and continues them afterwards. Two rules
+// follow, which hold for any order of events:
 //
-//   - A run is ended only after everything that the next one needs has been
-//     secured: a repeat of the budget, another replica that has room, the inputs,
-//     the time. What can't be secured is tried again later, and the answer is
-//     waited for.
-//   - A replica that says that it works on the run and has made nothing more than
-//     what arrived is not doubted. It is left only after a far longer silence,
-//     before the caller gives the answer up.
+//   - A run is abandoned only after everything that the next one needs has been reserved: a
+//     repeat of the budget, another replica with free capacity, the inputs and enough time.
+//     If the reservation fails, it is retried later, and the response is still awaited.
+//   - A replica is not suspected if it reports that it works on the run and has produced
+//     nothing beyond what arrived. It is abandoned only after a much longer silence, before
+//     the caller gives up on the response.
 //
-// A Machine is for one attempt. It is passed events with their times and returns
-// the actions that its owner carries out; every Secure is answered by Secured or
-// Denied, every Ask by Told, also when the machine has lost interest.
+// A Machine handles one attempt. It is passed events with their times and returns the
+// actions that its owner performs. The owner answers every Secure by Secured or Denied, and
+// every Ask by Told, even if the machine no longer needs the result.
 package stall
--- a/core/stall/machine.go
+++ b/core/stall/machine.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// Config holds the times of silence of an attempt.
+// Config holds the timeouts of an attempt.
 type Config struct {
-	// Ask is the silence after which the replica is asked for its account, and
-	// asked again after each further AskEvery.
+	// Ask is the silence after which the replica is first asked for the status of the run,
+	// and AskEvery the interval between further questions.
 	Ask, AskEvery time.Duration
-	// Doubted is the silence after which a doubted replica is left.
+	// Doubted is the silence after which the run at a suspected replica is abandoned.
 	Doubted time.Duration
-	// Any is the silence after which any replica is left, whatever it says.
+	// Any is the silence after which the run is abandoned regardless of the reported
+	// status.
 	Any time.Duration
-	// SecureEvery is the time after which it is tried again to secure what could
-	// not be had.
+	// SecureEvery is the interval at which a failed reservation is retried.
 	SecureEvery time.Duration
 }
 
-// Account is what is known of a run from its replica.
+// Account is the status of a run according to its replica.
 type Account uint8
 
-// The accounts.
+// The statuses of a run.
 const (
-	// Untold: the replica was not asked yet, or answers without telling of runs.
+	// Untold: the replica has not been asked yet, or its response has no information about
+	// runs.
 	Untold Account = iota
-	// AtWork: it works on the run, and has made nothing that has not arrived.
+	// AtWork: the replica works on the run and has produced nothing that has not arrived.
 	AtWork
-	// NoAnswer: it does not answer.
+	// NoAnswer: the replica does not respond.
 	NoAnswer
-	// Ahead: it has made more than what arrived. The connection has lost it.
+	// Ahead: the replica has produced more than what arrived. The connection has lost it.
 	Ahead
-	// NotListed: it answers, and does not know the run.
+	// NotListed: the replica responds and does not know the run.
 	NotListed
 )
 
-// String names the account in logs and metrics.
+// String returns the name of the status in logs and metrics.
 func (a Account) String() string {
 	switch a {
 	case AtWork:
@@ -48,53 +49,55 @@
 	return "untold"
 }
 
-// Doubted says whether the account speaks against the run.
+// Doubted reports whether the status makes the replica suspect.
 func (a Account) Doubted() bool { return a == NoAnswer || a == Ahead || a == NotListed }
 
-// Action is what the owner of a Machine is to do.
+// Action is what the owner of a Machine has to do.
 type Action uint8
 
 // The actions.
 const (
-	// None is nothing.
+	// None means that nothing is to be done.
 	None Action = iota
-	// Ask asks the replica for its account.
+	// Ask asks the replica for the status of the run.
 	Ask
-	// Secure secures what a run at another replica needs.
+	// Secure reserves what a run at another replica needs.
 	Secure
-	// GiveBack gives back what was secured, or stops securing it.
+	// GiveBack releases the reservation, or cancels it if it is in progress.
 	GiveBack
-	// Leave ends the run, in favour of what was secured.
+	// Leave abandons the run; the next one uses the reservation.
 	Leave
 )
 
-// Machine watches one attempt. It is not safe for concurrent use.
+// Machine is the state machine of one attempt. It is not safe for concurrent use.
 type Machine struct {
 	cfg       Config
-	lastEvent time.Time // when the last event arrived
-	// account is what was told since then, at the time told.
+	lastEvent time.Time // arrival of the last event
+	// account is the status reported since lastEvent, as of the time of the report.
 	account   Account
-	lastQuery time.Time // when it was asked last
+	lastQuery time.Time // when the replica was last asked; zero if not since lastEvent
 	querying  bool
-	// securing says that Secure is not answered yet; wanted that its result is.
+	// reserving says that Secure has not been answered yet, and reservationWanted that its
+	// result is still needed.
 	reserving, reservationWanted bool
-	lastDenied                   time.Time // when it was last denied
+	lastDenied                   time.Time // when a reservation last failed; zero if not since lastEvent
 	abandoned                    bool
 }
 
-// New returns a machine for an attempt whose answer began now.
+// New returns a Machine for an attempt whose response began at the given time.
 func New(now time.Time, c Config) *Machine { return &Machine{cfg: c, lastEvent: now} }
 
-// Left says whether the run has been ended by Leave.
+// Left reports whether the run has been abandoned.
 func (m *Machine) Left() bool { return m.abandoned }
 
-// Account returns what is known of the run since its last event.
+// Account returns the status of the run reported since the last event.
 func (m *Machine) Account() Account { return m.account }
 
 // Silence returns the time since the last event.
 func (m *Machine) Silence(now time.Time) time.Duration { return now.Sub(m.lastEvent) }
 
-// Event notes that an event of the answer arrived. Securing is given up with it.
+// Event records that an event of the response arrived. It cancels a reservation in
+// progress.
 func (m *Machine) Event(now time.Time) Action {
 	if m.abandoned {
 		return None
@@ -108,12 +111,12 @@
 	return None
 }
 
-// Awake notes that this host stood still until now, asleep or without processor time.
-// What the replica sent meanwhile is yet to be read: its silence begins now.
+// Awake records that this host was suspended or got no processor time until now. Events
+// that the replica sent meanwhile may still be unread, so the silence is measured from now.
 func (m *Machine) Awake(now time.Time) Action { return m.Event(now) }
 
-// Told notes the replica's account, for which it was asked at a time. One from
-// before the last event says nothing any more.
+// Told records the status for which the replica was asked at the given time. A status that
+// was asked for before the last event is outdated and ignored.
 func (m *Machine) Told(asked time.Time, a Account) {
 	m.querying = false
 	if !asked.Before(m.lastEvent) {
@@ -121,8 +124,8 @@
 	}
 }
 
-// Secured notes that everything that another run needs is held. The answer is
-// Leave or GiveBack.
+// Secured records that everything that another run needs is reserved. It returns Leave or
+// GiveBack.
 func (m *Machine) Secured(now time.Time) Action {
 	m.reserving = false
 	if m.abandoned || !m.reservationWanted || !m.abandonDue(now) {
@@ -132,13 +135,14 @@
 	return Leave
 }
 
-// Denied notes that something that another run needs can't be had.
+// Denied records that the reservation failed, since something that another run needs is not
+// available.
 func (m *Machine) Denied(now time.Time) {
 	m.reserving = false
 	m.lastDenied = now
 }
 
-// Tick returns what is due. It is to be called again until it returns None, and
+// Tick returns the action that is due. It has to be called again until it returns None, and
 // at the time that Next returns.
 func (m *Machine) Tick(now time.Time) Action {
 	switch {
@@ -154,7 +158,7 @@
 	return None
 }
 
-// Next returns when Tick may next have something to do, if nothing happens before.
+// Next returns when Tick may next return an action if no other method is called before.
 func (m *Machine) Next(now time.Time) time.Time {
 	times := []time.Time{m.lastEvent.Add(m.cfg.Doubted), m.lastEvent.Add(m.cfg.Any), m.lastDenied.Add(m.cfg.SecureEvery)}
 	if m.lastQuery.IsZero() {
@@ -171,7 +175,7 @@
 	return next
 }
 
-// askDue says whether the replica is to be asked.
+// queryDue reports whether the replica is to be asked now.
 func (m *Machine) queryDue(now time.Time) bool {
 	if m.querying || m.Silence(now) < m.cfg.Ask {
 		return false
@@ -179,7 +183,7 @@
 	return m.lastQuery.IsZero() || now.Sub(m.lastQuery) >= m.cfg.AskEvery
 }
 
-// due says whether the replica is to be left, if another run can be secured.
+// abandonDue reports whether the run is to be abandoned once another one has been reserved.
 func (m *Machine) abandonDue(now time.Time) bool {
 	silence := m.Silence(now)
 	return silence >= m.cfg.Any || m.account.Doubted() && silence >= m.cfg.Doubted
--- a/core/stall/machine_test.go
+++ b/core/stall/machine_test.go
@@ -30,14 +30,14 @@
 	var m *stall.Machine
 	BeforeEach(func() { m = stall.New(start, config) })
 
-	It("has its replica asked before it is doubted", func() {
+	It("asks its replica before it suspects it", func() {
 		Expect(m.Tick(at(599))).To(Equal(stall.None))
 		Expect(m.Next(at(599))).To(Equal(at(600)))
 		Expect(m.Tick(at(600))).To(Equal(stall.Ask))
-		Expect(m.Tick(at(1000))).To(Equal(stall.None), "one question at a time")
+		Expect(m.Tick(at(1000))).To(Equal(stall.None), "one query at a time")
 	})
 
-	DescribeTable("is left at a doubted replica once another run is secured", func(a stall.Account) {
+	DescribeTable("is abandoned at a suspected replica once another run is reserved", func(a stall.Account) {
 		Expect(m.Tick(at(600))).To(Equal(stall.Ask))
 		m.Told(at(600), a)
 		Expect(m.Tick(at(799))).To(Equal(stall.None))
@@ -46,14 +46,14 @@
 		Expect(m.Left()).To(BeFalse())
 		Expect(m.Secured(at(900))).To(Equal(stall.Leave))
 		Expect(m.Left()).To(BeTrue())
-		Expect(m.Event(at(901))).To(Equal(stall.None), "it is too late")
+		Expect(m.Event(at(901))).To(Equal(stall.None), "events after the run was abandoned are ignored")
 	},
-		Entry("that does not answer", stall.NoAnswer),
+		Entry("that does not respond", stall.NoAnswer),
 		Entry("whose events do not arrive", stall.Ahead),
 		Entry("that does not know it", stall.NotListed),
 	)
 
-	DescribeTable("is borne with at a replica that is not doubted", func(a stall.Account) {
+	DescribeTable("is kept until the maximum silence at a replica that is not suspected", func(a stall.Account) {
 		Expect(m.Tick(at(600))).To(Equal(stall.Ask))
 		m.Told(at(600), a)
 		for now := 610; now < 2000; now += 10 {
@@ -62,27 +62,27 @@
 			case stall.Ask:
 				m.Told(at(now), a)
 			default:
-				Fail("it is to be borne with")
+				Fail("the run is abandoned before the maximum silence")
 			}
 		}
-		Expect([]stall.Action{m.Tick(at(2000)), m.Tick(at(2000))}).To(ContainElement(stall.Secure), "but not for ever")
+		Expect([]stall.Action{m.Tick(at(2000)), m.Tick(at(2000))}).To(ContainElement(stall.Secure), "the maximum silence has passed")
 	},
-		Entry("since it is at work", stall.AtWork),
-		Entry("since it does not tell", stall.Untold),
+		Entry("that works on the run", stall.AtWork),
+		Entry("that reports no status", stall.Untold),
 	)
 
-	It("goes on where it is while nothing can be secured", func() {
+	It("continues while the reservation fails", func() {
 		m.Tick(at(600))
 		m.Told(at(600), stall.NoAnswer)
 		Expect(m.Tick(at(800))).To(Equal(stall.Secure))
 		m.Denied(at(810))
-		Expect(m.Tick(at(900))).To(Equal(stall.Ask), "meanwhile it is asked again")
+		Expect(m.Tick(at(900))).To(Equal(stall.Ask), "the replica is asked again meanwhile")
 		Expect(m.Tick(at(1009))).To(Equal(stall.None))
 		Expect(m.Next(at(1009))).To(Equal(at(1010)))
 		Expect(m.Tick(at(1010))).To(Equal(stall.Secure))
 	})
 
-	It("goes on where it is when an event arrives meanwhile", func() {
+	It("continues when an event arrives during the reservation", func() {
 		m.Tick(at(600))
 		m.Told(at(600), stall.NoAnswer)
 		Expect(m.Tick(at(800))).To(Equal(stall.Secure))
@@ -92,14 +92,14 @@
 		Expect(m.Account()).To(Equal(stall.Untold))
 	})
 
-	It("is not silent while its own host stands still", func() {
+	It("does not count the time for which its own host was suspended", func() {
 		Expect(m.Awake(at(9000))).To(Equal(stall.None))
 		Expect(m.Tick(at(9001))).To(Equal(stall.None))
 		Expect(m.Next(at(9001))).To(Equal(at(9301)))
 		Expect(m.Tick(at(9600))).To(Equal(stall.Ask))
 	})
 
-	It("takes no account of before the last event", func() {
+	It("ignores a status that was asked for before the last event", func() {
 		m.Tick(at(600))
 		m.Event(at(610))
 		m.Told(at(600), stall.NoAnswer)
@@ -107,10 +107,9 @@
 	})
 })
 
-// TestSchedules: over any order of events, no run is ended but for one that is
-// secured at that moment and wanted; what is secured is used or given back; and a
-// replica that is silent for good is left as soon as the times and the securing
-// allow.
+// For any order of events, a run is abandoned only for one whose reservation completes at
+// that moment and is still wanted; every reservation is used or released; and a permanently
+// silent replica is abandoned as soon as the timeouts and the reservation allow.
 func TestInvariantsHoldForAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := modelOwner{m: stall.New(start, config), lastEvent: start}
@@ -139,14 +138,14 @@
 	})
 }
 
-// world is the owner of a machine, and what a check needs to know.
+// modelOwner is the owner of a machine, with the state that the checks need.
 type modelOwner struct {
 	m                   *stall.Machine
 	now                 int
 	lastEvent           time.Time
 	lastQuery           time.Time
 	querying, reserving bool
-	// wanted says that no event has arrived since Secure.
+	// reservationWanted says that no event has arrived since Secure.
 	reservationWanted bool
 	status            stall.Account
 }
@@ -174,15 +173,15 @@
 	switch got := w.m.Secured(at(w.now)); got {
 	case stall.Leave:
 		if !w.reservationWanted {
-			t.Fatal("left though an event arrived since")
+			t.Fatal("abandoned although an event arrived since Secure")
 		}
 		silence := at(w.now).Sub(w.lastEvent)
 		if silence < config.Any && !(w.status.Doubted() && silence >= config.Doubted) {
-			t.Fatalf("left after %s of silence, account %s", silence, w.status)
+			t.Fatalf("abandoned after %s of silence with status %s", silence, w.status)
 		}
 	case stall.GiveBack:
 	default:
-		t.Fatalf("what is secured is neither used nor given back: %d", got)
+		t.Fatalf("reservation neither used nor released: action %d", got)
 	}
 }
 
@@ -193,24 +192,24 @@
 			return
 		case stall.Ask:
 			if w.querying {
-				t.Fatal("asked twice at a time")
+				t.Fatal("asked while a query is in progress")
 			}
 			w.querying, w.lastQuery = true, at(w.now)
 		case stall.Secure:
 			if w.reserving {
-				t.Fatal("secured twice at a time")
+				t.Fatal("Secure while a reservation is in progress")
 			}
 			w.reserving, w.reservationWanted = true, true
 		default:
-			t.Fatal("a tick ends nothing")
+			t.Fatal("unexpected action from Tick")
 		}
 	}
 }
 
-// silentForGood: the replica says nothing more and does not answer, and from now on
-// all can be secured at once.
+// checkPermanentSilence checks that the run is abandoned in time if from now on the replica
+// sends nothing and does not respond, and every reservation succeeds at once.
 func (w *modelOwner) checkPermanentSilence(t *rapid.T) {
-	const bound = 4000 // ms: Any, and what was under way
+	const bound = 4000 // ms: Any, plus the query and reservation in progress
 	for end := w.now + bound; w.now < end; w.now += 10 {
 		if w.m.Left() {
 			return
@@ -222,5 +221,5 @@
 		w.reserve(t)
 		w.tick(t)
 	}
-	t.Fatal("a replica that is silent for good is not left")
+	t.Fatal("the run at a permanently silent replica is not abandoned")
 }
