--- a/core/catalog/catalog_test.go
+++ b/core/catalog/catalog_test.go
@@ -98,7 +98,7 @@
 		g.Update(start, []catalog.Replica{one})
 		g.Adopt(start.Add(9*time.Second), []catalog.Replica{two})
 		Expect(g.Replicas()).To(HaveKey("two"))
-		Expect(g.Uncertain()).To(BeFalse(), "the other host does not send uncertain lists")
+		Expect(g.Uncertain()).To(BeFalse(), "the other host would have reported uncertainty")
 		g.Adopt(start.Add(10*time.Second), nil)
 		Expect(g.Replicas()).To(HaveLen(1))
 		By("not treating its own next read as the return of the store")
--- a/core/catalog/config.go
+++ b/core/catalog/config.go
@@ -109,7 +109,7 @@
 	CallTime, PieceTime time.Duration
 	// RoomBytes is the maximum total size of the results that a replica holds.
 	RoomBytes int64
-	// ResultLife is how long a result is kept that is not released before.
+	// ResultLife is how long a result is kept unless it is released earlier.
 	ResultLife time.Duration
 }
 
--- a/core/poison/crash.go
+++ b/core/poison/crash.go
@@ -6,50 +6,51 @@
 	"time"
 )
 
-// Suspect is a run that a replica's end took along.
+// Suspect is a run that was lost when its replica crashed.
 type Suspect struct {
 	Request Fingerprint
-	// Ran is how long ago the run began when the replica ended.
+	// Ran is the time from the beginning of the run to the crash.
 	Ran time.Duration
-	// Served is when a run of the request last ended well, as far as the reporting
-	// daemon knows; zero for never.
+	// Served is when a run of the request last succeeded as far as the reporting daemon
+	// knows; zero if never.
 	Served time.Time
 }
 
-// End is the end of a replica's process with the runs that it took along, as one
-// daemon saw it or as several did together.
+// End is a crash of a replica's process with the runs that were lost, as observed by one
+// daemon or merged from the reports of several.
 type End struct {
 	Service, Replica string
 	At               time.Time
 	Suspects         []Suspect
 }
 
-// The bounds of what is remembered.
+// Bounds of the retained evidence.
 const (
-	// MaxEnds bounds the ends that are remembered, the newest; MaxSuspects the runs
-	// of each, those that had begun last: some 400 kB in all.
+	// MaxCrashes is the maximum number of retained crashes, of which the newest are kept,
+	// and MaxSuspects the maximum number of runs of each, of which those that began last
+	// are kept. Together they use about 400 kB.
 	MaxCrashes  = 256
 	MaxSuspects = 32
-	// memory is how long an end counts. Callers come back within their deadlines,
-	// and jobs that fail are put in again by people or timers minutes later.
+	// crashRetention is how long a crash counts. Callers retry within their deadlines, and
+	// people or timers resubmit failed jobs minutes later.
 	crashRetention = 10 * time.Minute
-	// sameEnd is the time within which reports of one replica are of the same end:
-	// daemons hear of it within milliseconds, and a process that starts again under
-	// its id does not take requests sooner.
+	// sameCrashWindow is the time within which reports of one replica refer to the same
+	// crash. Daemons notice a crash within milliseconds of each other, and a process that
+	// restarts under the same ID does not accept requests sooner.
 	sameCrashWindow = 500 * time.Millisecond
 )
 
-// MassEnds is the number of replicas that end within MassWindow from which a
-// daemon takes them for an outage, of a machine or a network: it then reports only
-// requests that more than one of them took along. 3,000 daemons that lose a third
-// of their replicas would else send two of them some 50 MB.
+// OutageCrashes is the number of replicas that crash within MassWindow from which a daemon
+// treats the crashes as an outage of a machine or a network. It then reports only requests
+// that were running on more than one of these replicas. Otherwise, 3,000 daemons that lose
+// a third of their replicas would send about 50 MB to two of the daemons.
 const (
 	OutageCrashes = 4
 	MassWindow    = time.Second
 )
 
-// Reportable returns what is worth reporting of the ends that one daemon saw
-// within MassWindow.
+// Reportable returns the crashes to report out of those that one daemon observed within
+// MassWindow.
 func Reportable(ends []End) []End {
 	if len(ends) < OutageCrashes {
 		return ends
@@ -70,7 +71,7 @@
 	return out
 }
 
-// involves returns the request's run that the end took along.
+// suspectFor returns the run of the request that was lost in the crash.
 func (e *End) suspectFor(f Fingerprint) (Suspect, bool) {
 	i := slices.IndexFunc(e.Suspects, func(s Suspect) bool { return s.Request == f })
 	if i < 0 {
@@ -79,8 +80,8 @@
 	return e.Suspects[i], true
 }
 
-// add takes another daemon's suspects; of several runs of a request the longest
-// stands.
+// mergeSuspects adds the suspects reported by another daemon. Of several runs of the same
+// request, the longest is kept.
 func (e *End) mergeSuspects(suspects []Suspect) {
 	for _, s := range suspects {
 		i := slices.IndexFunc(e.Suspects, func(o Suspect) bool { return o.Request == s.Request })
--- a/core/poison/doc.go
+++ b/core/poison/doc.go
@@ -1,28 +1,29 @@
-// Package poison finds requests that crash the replicas that run them, and
-// decides how long they are refused.
+// Package poison detects requests that crash the replicas that run them, and decides how
+// long they are quarantined, that is refused.
 //
-// # The evidence
+// # Evidence
 //
-// A replica's end takes all runs on it along, so that the culprit has bystanders,
-// and replicas end for reasons of their own. A request is condemned when three
-// replicas have ended under it, one after the other, and no run of it has ended
-// well since the first. An end that a request condemned already was part of counts
-// against nobody else. Where several requests come to three with the same end, the
-// one with the most ends is condemned, then the one that ended its replicas the
-// soonest after it had begun; the others wait for an end without it.
+// When a replica crashes, all runs on it are lost, so the request that caused the crash is
+// reported together with bystanders; replicas also crash for unrelated reasons. A request
+// is quarantined when three replicas have crashed one after the other while running it, and
+// no run of it has succeeded since the first of these crashes. A crash in which an already
+// quarantined request was involved does not count against any other request. If several
+// requests reach three crashes with the same crash, the one with the most crashes is
+// quarantined, or of several with as many, the one that crashed its replicas the soonest
+// after its runs began; the others need a further crash without it.
 //
-// # The end of a verdict
+// # Lifting a quarantine
 //
-// Any run that ends well, anywhere, lifts a verdict. No run would ever, of a
-// request that is refused everywhere; so a few trials are granted, one run each,
-// the first after FirstTrial, or DoubtfulTrial where other replicas ended at the
-// time without the request. A verdict lasts for Lifetime.
+// Any successful run, anywhere in the fleet, lifts a verdict. A request that is refused
+// everywhere would never run again, so a few trials are granted, one run each: the first
+// after FirstTrial, or after DoubtfulTrial if other replicas crashed at that time without
+// the request. A verdict expires after Lifetime.
 //
 // # Contract
 //
-// A Machine is told of ends, of runs that end well and of other machines'
-// verdicts, each with the time, and returns the verdicts that changed. It is
-// deterministic, does no I/O, keeps no clock and is not safe for concurrent use.
-// Verdicts of several machines merge in any order to the same (Verdict.Supersedes).
-// Memory is bounded by MaxEnds, MaxSuspects, MaxVerdicts and maxServed.
+// A Machine is told of crashes, successful runs and the verdicts of other machines, each
+// with its time, and returns the verdicts that changed. It is deterministic, does no I/O,
+// reads no clock and is not safe for concurrent use. The verdicts of several machines
+// converge in whatever order they are merged (Verdict.Supersedes). Memory is bounded by
+// MaxCrashes, MaxSuspects, MaxVerdicts and maxSuccesses.
 package poison
--- a/core/poison/machine.go
+++ b/core/poison/machine.go
@@ -6,28 +6,30 @@
 	"time"
 )
 
-// endsToCondemn are the ends of replicas under a request from which it is refused:
-// the users allow three.
+// crashThreshold is the number of replicas that crash while running a request after which
+// it is quarantined. The requirement allows three.
 const crashThreshold = 3
 
-// doubtEnds are the ends without a request, within doubtWindow, from which a
-// verdict on it is doubtful: replicas end for other reasons too.
+// unrelatedCrashThreshold is the number of crashes without a request, within
+// unrelatedCrashWindow, from which a verdict on it is doubtful, since replicas then also
+// crash for other reasons.
 const (
 	unrelatedCrashThreshold = 3
 	unrelatedCrashWindow    = 10 * time.Second
 )
 
-// Machine holds the evidence and the verdicts. The zero value is ready.
+// Machine holds the evidence and the verdicts. The zero value is ready to use.
 type Machine struct {
-	crashes []*End // by time
-	// under has the ends under each request, so that a report costs what its own
-	// requests were part of and not all that is remembered.
+	crashes []*End // ordered by time
+	// crashesByRequest holds the crashes in which each request was involved, so that the
+	// cost of a report depends on the crashes of its own requests and not on all retained
+	// ones.
 	crashesByRequest map[Fingerprint][]*End
 	successes        successTimes
 	verdicts         map[Fingerprint]*Verdict
 }
 
-// Ended takes a replica's end, as one daemon saw it, and returns the verdicts that
+// Ended records a replica's crash as observed by one daemon, and returns the verdicts that
 // changed.
 func (m *Machine) Ended(now time.Time, e End) []Verdict {
 	m.expire(now)
@@ -50,7 +52,7 @@
 	return m.quarantineSuspects(now, e.Suspects)
 }
 
-// keep remembers an end.
+// insertCrash adds a crash to the retained ones.
 func (m *Machine) insertCrash(e *End) {
 	if m.crashesByRequest == nil {
 		m.crashesByRequest = map[Fingerprint][]*End{}
@@ -62,7 +64,7 @@
 	}
 }
 
-// drop forgets an end.
+// removeCrash removes the crash with index i.
 func (m *Machine) removeCrash(i int) {
 	e := m.crashes[i]
 	m.crashes = slices.Delete(m.crashes, i, i+1)
@@ -76,7 +78,7 @@
 	}
 }
 
-// Served takes a run that ended well, and returns the verdict that it lifts.
+// Served records a successful run, and returns the verdict that it lifts.
 func (m *Machine) Served(now time.Time, f Fingerprint) []Verdict {
 	m.successes.record(now, f)
 	if v, ok := m.verdicts[f]; ok && !v.Lifted {
@@ -86,12 +88,12 @@
 	return nil
 }
 
-// LastServed is when a run of the request last ended well here; zero when none is
-// remembered.
+// LastServed returns when a run of the request last succeeded here; zero if none is
+// retained.
 func (m *Machine) LastServed(f Fingerprint) time.Time { return m.successes.last(f) }
 
-// Learn takes verdicts of other machines and returns those that are news here. One
-// that a run contradicts which ended well here is news as lifted.
+// Learn merges verdicts of other machines and returns those that change the local ones. A
+// verdict that is contradicted by a later successful run here is returned as lifted.
 func (m *Machine) Learn(now time.Time, verdicts []Verdict) []Verdict {
 	m.expire(now)
 	var changed []Verdict
@@ -109,7 +111,7 @@
 	return changed
 }
 
-// Condemned returns the verdict by which a request is refused.
+// Condemned returns the verdict by which a request is currently refused.
 func (m *Machine) Condemned(now time.Time, f Fingerprint) (Verdict, bool) {
 	v, ok := m.verdicts[f]
 	if !ok || v.Lifted || now.Sub(v.At) > Lifetime {
@@ -118,8 +120,8 @@
 	return *v, true
 }
 
-// Try grants a trial of a condemned request if one is due, and returns the verdict
-// that says so.
+// Try grants a trial of a quarantined request if one is due, and returns the updated
+// verdict.
 func (m *Machine) Try(now time.Time, f Fingerprint) (Verdict, bool) {
 	v, ok := m.verdicts[f]
 	if !ok || v.Lifted {
@@ -133,8 +135,7 @@
 	return *v, true
 }
 
-// Untried takes a trial back that came to no run, and returns the verdict that says
-// so.
+// Untried takes back a granted trial that led to no run, and returns the updated verdict.
 func (m *Machine) Untried(f Fingerprint) (Verdict, bool) {
 	v, ok := m.verdicts[f]
 	if !ok || v.Lifted || v.Untried >= min(v.Trials, MaxUnusedTrials) {
@@ -144,7 +145,7 @@
 	return *v, true
 }
 
-// judge condemns those of the suspects that have come to enough ends.
+// quarantineSuspects quarantines the suspects that have reached the crash threshold.
 func (m *Machine) quarantineSuspects(now time.Time, suspects []Suspect) []Verdict {
 	var changed []Verdict
 	for {
@@ -163,8 +164,9 @@
 	}
 }
 
-// doubt returns earlier verdicts that a new one leaves without their ends: the
-// request condemned now was part of them, and the other may have been a bystander.
+// markDoubtful marks earlier verdicts as doubtful that are no longer supported by enough
+// crashes, since the newly quarantined request was involved in these: the other request may
+// have been a bystander. It returns the changed verdicts.
 func (m *Machine) markDoubtful(now time.Time, quarantined Fingerprint) []Verdict {
 	var changed []Verdict
 	for _, v := range m.Verdicts() {
@@ -178,17 +180,17 @@
 	return changed
 }
 
-// charge is what counts against a request.
+// evidence is the evidence against a request.
 type evidence struct {
 	request    Fingerprint
 	crashes    int
 	firstCrash time.Time
-	// slowest is the longest that one of its runs took to end a replica.
+	// longestRun is the longest time from the beginning of one of its runs to the crash.
 	longestRun time.Duration
 }
 
-// worst returns the suspect to condemn next, and false when none has come to
-// enough ends.
+// strongestEvidence returns the evidence against the suspect to quarantine next, and false
+// if no suspect has reached the crash threshold.
 func (m *Machine) strongestEvidence(now time.Time, suspects []Suspect) (evidence, bool) {
 	var strongest evidence
 	for _, s := range suspects {
@@ -203,8 +205,8 @@
 	return strongest, strongest.crashes > 0
 }
 
-// charge counts the ends under a request since a run of it last ended well,
-// without those that another request was part of which is condemned.
+// evidenceAgainst counts the crashes of replicas that were running a request since a run of
+// it last succeeded, except those in which another quarantined request was involved.
 func (m *Machine) evidenceAgainst(now time.Time, f Fingerprint) evidence {
 	c := evidence{request: f}
 	lastSuccess := m.successes.last(f)
@@ -221,7 +223,8 @@
 	return c
 }
 
-// explained says whether a condemned request other than f was part of an end.
+// attributedToOther reports whether a quarantined request other than f was involved in a
+// crash.
 func (m *Machine) attributedToOther(now time.Time, e *End, f Fingerprint) bool {
 	if len(m.verdicts) == 0 {
 		return false
@@ -232,7 +235,8 @@
 	})
 }
 
-// otherEnds counts the ends of late that a request was no part of.
+// unrelatedCrashes counts the recent crashes in which a request was not involved, except
+// those attributed to another quarantined request.
 func (m *Machine) unrelatedCrashes(now time.Time, f Fingerprint) int {
 	n := 0
 	for _, e := range m.crashes {
@@ -243,7 +247,7 @@
 	return n
 }
 
-// put keeps a verdict, and drops the oldest when there are too many.
+// storeVerdict stores a verdict, and removes the oldest one if there are too many.
 func (m *Machine) storeVerdict(v Verdict) {
 	if m.verdicts == nil {
 		m.verdicts = map[Fingerprint]*Verdict{}
@@ -257,7 +261,7 @@
 	delete(m.verdicts, oldest.Request)
 }
 
-// forget drops what no longer counts.
+// expire removes crashes and verdicts that are too old to count.
 func (m *Machine) expire(now time.Time) {
 	for len(m.crashes) > 0 && now.Sub(m.crashes[0].At) > crashRetention {
 		m.removeCrash(0)
@@ -269,7 +273,8 @@
 	}
 }
 
-// EndsUnder returns the ends that are remembered under a request, by time.
+// EndsUnder returns the retained crashes of replicas that were running a request, ordered
+// by time.
 func (m *Machine) EndsUnder(f Fingerprint) []End {
 	var ends []End
 	for _, e := range m.crashesByRequest[f] {
@@ -279,14 +284,14 @@
 	return ends
 }
 
-// Stats are figures of a Machine for operators.
+// Stats are the sizes of a Machine's state, for operators.
 type Stats struct {
 	Ends     int `json:"ends"`
 	Verdicts int `json:"verdicts"`
 	Served   int `json:"served"`
 }
 
-// Stats returns the figures.
+// Stats returns the current sizes.
 func (m *Machine) Stats() Stats {
 	return Stats{Ends: len(m.crashes), Verdicts: len(m.verdicts), Served: len(m.successes.recent) + len(m.successes.earlier)}
 }
--- a/core/poison/machine_test.go
+++ b/core/poison/machine_test.go
@@ -24,8 +24,8 @@
 	return poison.NewHasher("customer", "POST", "host", name).Sum()
 }
 
-// end is a replica's end under some requests, that began the given milliseconds
-// before.
+// crash is a replica's crash while it ran the given requests, whose runs began the given
+// numbers of milliseconds before.
 func crash(seconds float64, replica string, runs map[string]int) poison.End {
 	e := poison.End{Service: "llm", Replica: replica, At: at(seconds)}
 	for name, ms := range runs {
@@ -44,7 +44,7 @@
 		return h.Sum()
 	}
 
-	It("is the same however the body comes, and another for any other request", func() {
+	It("does not depend on how the body is chunked, and differs for any other request", func() {
 		one := sum("c", "POST", "h", "/p", "body")
 		Expect(sum("c", "POST", "h", "/p", "bo", "dy")).To(Equal(one))
 		for _, other := range []poison.Fingerprint{
@@ -68,7 +68,7 @@
 		return m.Ended(at(seconds), crash(seconds, replica, runs))
 	}
 
-	It("is condemned with the third replica that ends under it", func() {
+	It("is quarantined when the third replica crashes while running it", func() {
 		Expect(recordCrash(1, "a", map[string]int{"x": 50})).To(BeEmpty())
 		Expect(recordCrash(2, "b", map[string]int{"x": 50})).To(BeEmpty())
 		Expect(quarantined("x", 2)).To(BeFalse())
@@ -77,7 +77,7 @@
 		Expect(quarantined("x", 3+poison.Lifetime.Seconds()+1)).To(BeFalse())
 	})
 
-	It("counts an end once, whoever reports it, and each start of a replica", func() {
+	It("counts a crash once however many reports there are, and repeated crashes of a replica separately", func() {
 		recordCrash(1, "a", map[string]int{"x": 50})
 		recordCrash(1.2, "a", map[string]int{"x": 60})
 		recordCrash(1.4, "a", map[string]int{"x": 70})
@@ -87,13 +87,13 @@
 		Expect(quarantined("x", 4)).To(BeTrue())
 	})
 
-	It("is condemned before the bystanders that were at the same ends", func() {
+	It("is quarantined before bystanders of the same crashes", func() {
 		for i, name := range []string{"a", "b", "c"} {
 			recordCrash(float64(i), name, map[string]int{"x": 50, "y": 400, fmt.Sprint(i): 20})
 		}
 		Expect(quarantined("x", 3)).To(BeTrue())
 		Expect(quarantined("y", 3)).To(BeFalse())
-		By("accounting for the ends that the bystander was at")
+		By("attributing the crashes to it that the bystander was involved in")
 		recordCrash(4, "d", map[string]int{"y": 10})
 		recordCrash(5, "e", map[string]int{"y": 10})
 		Expect(quarantined("y", 5)).To(BeFalse())
@@ -101,11 +101,11 @@
 		Expect(quarantined("y", 6)).To(BeTrue())
 	})
 
-	It("is tried soon when another one turns out to account for its ends", func() {
+	It("gets an early trial when its crashes are later attributed to another request", func() {
 		for i, name := range []string{"a", "b", "c"} {
 			recordCrash(float64(i), name, map[string]int{"x": 50, "y": 10})
 		}
-		Expect(quarantined("y", 3)).To(BeTrue(), "it ended them sooner")
+		Expect(quarantined("y", 3)).To(BeTrue(), "its runs were shorter")
 		for i, name := range []string{"d", "e", "f"} {
 			recordCrash(float64(4+i), name, map[string]int{"x": 50})
 		}
@@ -118,7 +118,7 @@
 		Expect(quarantined("y", 8)).To(BeFalse())
 	})
 
-	It("is not condemned for ends before a run of it that ended well, here or at the daemon that reports", func() {
+	It("is not quarantined for crashes before a successful run, here or at the reporting daemon", func() {
 		recordCrash(1, "a", map[string]int{"x": 50})
 		recordCrash(2, "b", map[string]int{"x": 50})
 		m.Served(at(2.5), request("x"))
@@ -133,7 +133,7 @@
 		Expect(quarantined("x", 6)).To(BeTrue())
 	})
 
-	It("is condemned again after it was lifted, by three further ends", func() {
+	It("is quarantined again by three further crashes after its verdict was lifted", func() {
 		for i, name := range []string{"a", "b", "c"} {
 			recordCrash(float64(i), name, map[string]int{"x": 50})
 		}
@@ -147,7 +147,7 @@
 		Expect(v.Round).To(Equal(uint32(2)))
 	})
 
-	It("is tried a few times only, and a caller is told when", func() {
+	It("gets a bounded number of trials, at the times that callers are told", func() {
 		for i, name := range []string{"a", "b", "c"} {
 			recordCrash(float64(i), name, map[string]int{"x": 50})
 		}
@@ -167,7 +167,7 @@
 })
 
 var _ = Describe("a trial", func() {
-	It("that came to no run is granted again, a bounded number of times", func() {
+	It("that led to no run is granted again, a bounded number of times", func() {
 		var m poison.Machine
 		for i, name := range []string{"a", "b", "c"} {
 			m.Ended(at(float64(i)), crash(float64(i), name, map[string]int{"x": 50}))
@@ -197,7 +197,7 @@
 		return v
 	}
 
-	It("merge to the same in any order", func() {
+	It("converge in any merge order", func() {
 		all := []poison.Verdict{
 			verdict(nil), verdict(func(v *poison.Verdict) { v.Lifted = true }), verdict(func(v *poison.Verdict) { v.Trials = 1 }),
 			verdict(func(v *poison.Verdict) { v.Trials, v.Untried = 1, 1 }), verdict(func(v *poison.Verdict) { v.Doubtful = true }), verdict(func(v *poison.Verdict) { v.Round = 2 }),
@@ -210,12 +210,12 @@
 				m.Learn(at(2), all[(i+shift)%len(all):][:1])
 			}
 			digests = append(digests, m.Digest(at(2)))
-			Expect(m.Learn(at(2), all)).To(BeEmpty(), "nothing is news twice")
+			Expect(m.Learn(at(2), all)).To(BeEmpty(), "a verdict is merged once")
 		}
 		Expect(digests).To(HaveEach(digests[0]))
 	})
 
-	It("are lifted by a machine that has seen a run end well meanwhile", func() {
+	It("are lifted by a machine that has recorded a later successful run", func() {
 		var m poison.Machine
 		m.Served(at(0.5), x)
 		Expect(m.Learn(at(2), []poison.Verdict{verdict(nil)})).To(ConsistOf(HaveField("Lifted", true)))
@@ -223,7 +223,7 @@
 		Expect(quarantined).To(BeFalse())
 	})
 
-	It("that are too old are not learned, and do not stand in the digest before they go", func() {
+	It("are not merged after their lifetime, and leave the digest before they expire", func() {
 		var m poison.Machine
 		Expect(m.Learn(at(2).Add(poison.Lifetime), []poison.Verdict{verdict(nil)})).To(BeEmpty())
 		m.Learn(at(2), []poison.Verdict{verdict(nil)})
@@ -231,7 +231,7 @@
 		Expect(m.Digest(at(0).Add(poison.Lifetime))).To(BeZero())
 	})
 
-	It("and the evidence are bounded", func() {
+	It("and evidence are bounded in number", func() {
 		var m poison.Machine
 		for i := range 3 * poison.MaxVerdicts {
 			now := float64(i)
@@ -255,12 +255,12 @@
 			m.Ended(at(2000), crash(2000, fmt.Sprint("m", r), runs))
 		}
 		_, quarantined := m.Condemned(at(2000), request("late"))
-		Expect(quarantined).To(BeTrue(), "those that began last are kept")
+		Expect(quarantined).To(BeTrue(), "the runs that began last are kept")
 	})
 })
 
-var _ = Describe("ends of many replicas at once", func() {
-	It("are reported only with the requests that more than one took along", func() {
+var _ = Describe("simultaneous crashes of many replicas", func() {
+	It("are reported only with the requests that ran on more than one of them", func() {
 		few := []poison.End{crash(1, "a", map[string]int{"x": 1}), crash(1, "b", map[string]int{"y": 1})}
 		Expect(poison.Reportable(few)).To(Equal(few))
 		many := append(few, crash(1, "c", map[string]int{"x": 1, "z": 1}), crash(1, "d", map[string]int{"w": 1}))
--- a/core/poison/random_test.go
+++ b/core/poison/random_test.go
@@ -13,23 +13,23 @@
 	"github.com/wheatseam/wheatseam/core/poison"
 )
 
-// The schedule of a simulated fleet, in which messages take a while and replicas
-// end under culprits, by themselves and many at once.
+// Parameters of a simulated fleet, in which messages are delayed and replicas crash because
+// of the requests they run, on their own, and many at once.
 const (
 	simDaemons  = 7
 	simReplicas = 12
 	simLength   = 60 * time.Second
-	// toldAfter bounds what a report to the deciding daemon takes, spreadAfter what
-	// its verdict takes to reach the others.
+	// maxReportDelay is the maximum delay of a report to the deciding daemon, and
+	// maxSpreadDelay the maximum delay of its verdict to the other daemons.
 	maxReportDelay = 100 * time.Millisecond
 	maxSpreadDelay = 300 * time.Millisecond
-	// contact is how long a daemon may not know of a culprit, and moreAllowed the
-	// runs that the users allow after that.
+	// detectionTime is how long a daemon may be unaware of a culprit after its third crash,
+	// and allowedLateRuns the number of runs that the requirement allows after that.
 	detectionTime   = 3 * time.Second
 	allowedLateRuns = 3
 )
 
-// step is something that happens at a time.
+// simEvent is an action at a simulated time.
 type simEvent struct {
 	at    time.Time
 	order int
@@ -51,27 +51,29 @@
 	return last
 }
 
-// run is a request at a replica.
+// run is a run of a request at a replica.
 type run struct {
 	request *simRequest
 	daemon  int
 	began   time.Time
 }
 
-// simRequest is a request that callers send until it is served, or for long.
+// simRequest is a request that callers send until it is served or their attempts are used
+// up.
 type simRequest struct {
 	name string
 	id   poison.Fingerprint
-	// culprit requests end the replica that runs them; others take work.
+	// culprit requests crash the replica that runs them; others finish after the duration
+	// work.
 	culprit bool
 	work    time.Duration
-	// left is the number of times that its callers come back.
+	// callsLeft is the number of times that its callers still send it.
 	callsLeft int
-	// endings holds when replicas ended under it; late the runs that began later
-	// than contact after the third.
+	// crashes holds when replicas crashed while running it, and lateRuns the number of runs
+	// that began more than detectionTime after the third crash.
 	crashes  []time.Time
 	lateRuns int
-	// refusedFrom is when a harmless one was first refused.
+	// refusedFrom is when a harmless request was first refused since it was last served.
 	refusedFrom time.Time
 	refused     bool
 }
@@ -82,13 +84,14 @@
 	now      time.Time
 	queue    eventQueue
 	order    int
-	machines [simDaemons]poison.Machine // the first one decides
-	// running holds the runs at each replica; up when it is back, zero while it is up.
+	machines [simDaemons]poison.Machine // machines[0] decides
+	// running holds the runs at each replica, and restartAt when it is up again after its
+	// last crash; zero if it never crashed.
 	running   [simReplicas][]*run
 	restartAt [simReplicas]time.Time
 
 	requests []*simRequest
-	// longest is the longest time for which a harmless request was refused.
+	// longestRefusal is the longest time for which a harmless request was refused.
 	longestRefusal time.Duration
 }
 
@@ -97,12 +100,13 @@
 	heap.Push(&s.queue, simEvent{s.now.Add(d), s.order, do})
 }
 
-// between draws a duration.
+// between draws a random duration.
 func (s *sim) between(least, most time.Duration) time.Duration {
 	return least + time.Duration(s.rng.Int64N(int64(most-least)))
 }
 
-// ask sends a request to a daemon, which sends it to a replica unless it is refused.
+// sendRequest sends a request to a random daemon, which forwards it to a replica unless it
+// is refused.
 func (s *sim) sendRequest(q *simRequest) {
 	d := s.rng.IntN(simDaemons)
 	if _, condemned := s.machines[d].Condemned(s.now, q.id); condemned && !s.grantTrial(q) {
@@ -136,7 +140,7 @@
 	})
 }
 
-// tried asks the deciding daemon for a trial.
+// grantTrial asks the deciding daemon for a trial.
 func (s *sim) grantTrial(q *simRequest) bool {
 	v, granted := s.machines[0].Try(s.now, q.id)
 	if granted {
@@ -155,21 +159,21 @@
 	s.scheduleRetry(q)
 }
 
-// comeBack has the callers of a request that failed send it again.
+// scheduleRetry has the callers of a failed request send it again.
 func (s *sim) scheduleRetry(q *simRequest) {
 	if q.callsLeft--; q.callsLeft > 0 {
 		s.after(s.between(100*time.Millisecond, 1500*time.Millisecond), func() { s.sendRequest(q) })
 	}
 }
 
-// again has popular requests sent again after they were served.
+// scheduleRepeat has popular requests sent again after they were served.
 func (s *sim) scheduleRepeat(q *simRequest) {
 	if q.name[0] == 'p' {
 		s.after(s.between(10*time.Millisecond, 500*time.Millisecond), func() { s.sendRequest(q) })
 	}
 }
 
-// finish does something at the end of a run, unless its replica ended before.
+// finishRun calls do at the end of a run, unless its replica crashed before.
 func (s *sim) finishRun(replica int, r *run, do func()) {
 	for _, o := range s.running[replica] {
 		if o == r {
@@ -189,7 +193,7 @@
 	s.running[replica] = left
 }
 
-// end ends a replica with all its runs; each daemon reports its own.
+// crashReplica crashes a replica; each daemon reports the loss of its own runs.
 func (s *sim) crashReplica(replica int) {
 	if s.now.Before(s.restartAt[replica]) {
 		return
@@ -220,7 +224,8 @@
 	}
 }
 
-// spread tells all daemons of verdicts; those that know better tell the others.
+// spread sends verdicts to all other daemons, which in turn spread those that changed
+// theirs.
 func (s *sim) spread(from int, verdicts []poison.Verdict) {
 	if len(verdicts) == 0 {
 		return
@@ -232,7 +237,7 @@
 	}
 }
 
-// play draws a schedule and plays it.
+// run draws a random schedule and runs it.
 func (s *sim) run(culprits int, crashInterval, outageInterval time.Duration) {
 	add := func(name string, n int, make func(*simRequest)) {
 		for i := range n {
@@ -261,16 +266,16 @@
 	}
 }
 
-// recurring does something again and again, about once an interval; 0 never.
+// recurring calls do repeatedly, about once per interval; never if interval is 0.
 func recurring(s *sim, interval time.Duration, do func()) {
 	if interval > 0 {
 		s.after(s.between(interval/2, interval*3/2), func() { do(); recurring(s, interval, do) })
 	}
 }
 
-// The two errors over random schedules: culprits that run on, and harmless
-// requests that are refused.
-var _ = DescribeTable("over random schedules, culprits stop and harmless requests are refused for moments at most",
+// Checks both kinds of error over random schedules: culprits that are not stopped, and
+// harmless requests that are refused.
+var _ = DescribeTable("over random schedules, culprits are stopped and harmless requests are refused only briefly",
 	func(culprits int, crashInterval, outageInterval time.Duration) {
 		var found, notStopped, harmless, refused, maxLateRuns int
 		var longestRefusal time.Duration
@@ -294,18 +299,18 @@
 			}
 			longestRefusal = max(longestRefusal, s.longestRefusal)
 		}
-		fmt.Fprintf(GinkgoWriter, "%d culprits that ended three replicas, %d sent on beyond what is allowed (at most %d sends); %d of %d harmless requests refused, at most for %s until served\n",
+		fmt.Fprintf(GinkgoWriter, "%d culprits that crashed three replicas, %d not stopped within the allowed runs (at most %d late runs); %d of %d harmless requests refused, at most for %s until served\n",
 			found, notStopped, maxLateRuns, refused, harmless, longestRefusal)
 		Expect(notStopped).To(BeZero())
-		// Moments: callers of harmless requests are served within their deadlines.
+		// Callers of harmless requests are served within their deadlines.
 		Expect(longestRefusal).To(BeNumerically("<", 15*time.Second))
-		// The users' bound on proper requests that are denied: one in 500.
+		// The requirement for legitimate requests that are refused: at most one in 500.
 		Expect(refused).To(BeNumerically("<=", harmless/500))
 	},
 	Entry("one culprit", 1, time.Duration(0), time.Duration(0)),
 	Entry("five culprits", 5, time.Duration(0), time.Duration(0)),
-	Entry("one culprit, replicas that end by themselves", 1, 2*time.Second, time.Duration(0)),
-	Entry("no culprit, a replica ends every half second", 0, 500*time.Millisecond, time.Duration(0)),
-	Entry("no culprit, half of the replicas end every four seconds", 0, time.Duration(0), 4*time.Second),
-	Entry("three culprits and both", 3, 2*time.Second, 8*time.Second),
+	Entry("one culprit, and unrelated crashes", 1, 2*time.Second, time.Duration(0)),
+	Entry("no culprit, one crash every half second", 0, 500*time.Millisecond, time.Duration(0)),
+	Entry("no culprit, half of the replicas crash every four seconds", 0, time.Duration(0), 4*time.Second),
+	Entry("three culprits, unrelated crashes and simultaneous crashes", 3, 2*time.Second, 8*time.Second),
 )
--- a/core/poison/served.go
+++ b/core/poison/served.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// maxServed bounds the requests of which it is remembered that a run ended well,
-// some 100 bytes each: at 500 requests a second those of the last 8 to 16 s. A
-// request that is run more rarely is hardly at three ends by chance.
+// maxSuccesses is the maximum number of requests whose last successful run is retained, at
+// about 100 bytes each. At 500 requests per second these are the requests of the last 8 to
+// 16 s. A request that runs more rarely is unlikely to be involved in three crashes by
+// chance.
 const maxSuccesses = 8192
 
-// served remembers when runs ended well. Requests move to recent when a run of
-// theirs ends well; when that has half of maxServed it becomes earlier, and what
-// earlier had is forgotten.
+// successTimes holds when runs of requests last succeeded, in two generations. A request
+// enters recent when a run of it succeeds. When recent has half of maxSuccesses entries, it
+// replaces earlier, whose entries are discarded.
 type successTimes struct {
 	recent, earlier map[Fingerprint]time.Time
 }
@@ -26,7 +27,7 @@
 	}
 }
 
-// last is when a run last ended well; zero when none is remembered.
+// last returns when a run of the request last succeeded; zero if none is retained.
 func (s *successTimes) last(f Fingerprint) time.Time {
 	if at, ok := s.recent[f]; ok {
 		return at
--- a/core/poison/verdict.go
+++ b/core/poison/verdict.go
@@ -8,48 +8,49 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Verdict is what is decided on a request.
+// Verdict is the decision on a request.
 type Verdict struct {
 	Request Fingerprint
-	// Round counts how often the request was condemned.
+	// Round counts how often the request has been quarantined.
 	Round uint32
-	// Lifted says that a run ended well after that.
+	// Lifted says that a run has succeeded since the request was quarantined.
 	Lifted bool
-	// Trials is the number of trials that were granted, and TriedAt when the last
-	// one was.
+	// Trials is the number of granted trials, and TriedAt when the last one was granted.
 	Trials  uint32
 	TriedAt time.Time
-	// Untried is the number of trials that came to no run.
+	// Untried is the number of granted trials that led to no run.
 	Untried uint32
-	// At is when the request was condemned, and Since when the first of the ends
-	// was that count against it.
+	// At is when the request was quarantined, and Since when the first crash occurred that
+	// counts against it.
 	At, Since time.Time
-	// Doubtful says that replicas ended at the time without the request too, or
-	// that another request accounts for the ends.
+	// Doubtful says that replicas also crashed without the request at that time, or that
+	// the crashes are attributed to another request.
 	Doubtful bool
 }
 
-// The times of verdicts.
+// Times and bounds of verdicts.
 const (
 	// Lifetime is how long a verdict lasts.
 	Lifetime = time.Hour
-	// FirstTrial and SecondTrial are when trials are due, after the verdict and
-	// after the first trial. A trial of a true culprit ends a replica once more and
-	// takes the runs on it along; a wrong verdict lasts until a trial.
+	// FirstTrial and SecondTrial are the times of the trials, after the verdict and after
+	// the first trial respectively. A trial of a request that does crash replicas costs
+	// another crash and the other runs on that replica; a wrong verdict lasts until a trial
+	// succeeds.
 	FirstTrial  = 30 * time.Second
 	SecondTrial = 5 * time.Minute
-	// DoubtfulTrial is in place of FirstTrial for doubtful verdicts.
+	// DoubtfulTrial replaces FirstTrial for doubtful verdicts.
 	DoubtfulTrial = 2 * time.Second
-	// MaxTrials bounds the trials of a verdict: the users allow three further runs.
-	// MaxUntried bounds those that came to no run and are granted anew.
+	// MaxTrials is the maximum number of trials of a verdict that led to a run: the
+	// requirement allows three further runs. MaxUnusedTrials is the maximum number of
+	// trials that led to no run and are granted again.
 	MaxTrials       = 2
 	MaxUnusedTrials = 16
-	// MaxVerdicts bounds the verdicts that are kept, the newest: they fit in one
-	// message of some 12 kB.
+	// MaxVerdicts is the maximum number of retained verdicts, of which the newest are kept.
+	// They fit into one message of about 12 kB.
 	MaxVerdicts = 256
 )
 
-// Supersedes says whether a verdict on the same request is to replace another.
+// Supersedes reports whether a verdict replaces another one on the same request.
 func (v Verdict) Supersedes(old Verdict) bool {
 	if v.Round != old.Round {
 		return v.Round > old.Round
@@ -66,7 +67,7 @@
 	return v.Doubtful && !old.Doubtful
 }
 
-// trialDue is when the next trial may be granted, and false when none is left.
+// nextTrial returns when the next trial may be granted, and false if no trial is left.
 func (v Verdict) nextTrial() (time.Time, bool) {
 	switch used := v.Trials - min(v.Untried, MaxUnusedTrials, v.Trials); {
 	case used >= MaxTrials:
@@ -79,7 +80,7 @@
 	return v.At.Add(FirstTrial), true
 }
 
-// RetryAfter is how long a refused caller has to wait until it could be served.
+// RetryAfter returns how long a refused caller has to wait until its request may be served.
 func (v Verdict) RetryAfter(now time.Time) time.Duration {
 	due, available := v.nextTrial()
 	if !available {
@@ -88,8 +89,8 @@
 	return max(0, due.Sub(now))
 }
 
-// Verdicts returns all verdicts that are kept, also lifted ones, by request. The
-// slice is the caller's.
+// Verdicts returns all retained verdicts, including lifted ones, ordered by request. The
+// caller owns the slice.
 func (m *Machine) Verdicts() []Verdict {
 	out := make([]Verdict, 0, len(m.verdicts))
 	for _, v := range m.verdicts {
@@ -99,11 +100,13 @@
 	return out
 }
 
-// expiryMargin is how long before its end a verdict leaves the digest: machines
-// forget it within a moment of each other, and need not tell each other of it.
+// expiryMargin is how long before its expiry a verdict is excluded from the digest.
+// Machines drop a verdict at slightly different times and need not exchange it because of
+// that.
 const expiryMargin = 10 * time.Second
 
-// Digest is the same for machines with the same verdicts; 0 without any.
+// Digest returns a hash that is equal for machines with the same verdicts; 0 if there are
+// none.
 func (m *Machine) Digest(now time.Time) uint64 {
 	var digest uint64
 	for _, v := range m.verdicts {
--- a/core/stall/doc.go
+++ b/core/stall/doc.go
@@ -8,11 +8,12 @@
 // follow, which hold for any order of events:
 //
 //   - A run is abandoned only after everything that the next one needs has been reserved: a
-//     repeat of the budget, another replica with free capacity, the inputs and enough time.
-//     If the reservation fails, it is retried later, and the response is still awaited.
+//     token of the retry budget, another replica with free capacity, the inputs and enough
+//     time. If the reservation fails, it is retried later, and the response is still
+//     awaited.
 //   - A replica is not suspected if it reports that it works on the run and has produced
-//     nothing beyond what arrived. It is abandoned only after a much longer silence, before
-//     the caller gives up on the response.
+//     nothing beyond what arrived. Its run is abandoned only after a much longer silence,
+//     before the caller gives up on the response.
 //
 // A Machine handles one attempt. It is passed events with their times and returns the
 // actions that its owner performs. The owner answers every Secure by Secured or Denied, and
