--- a/core/intake/account.go
+++ b/core/intake/account.go
@@ -6,47 +6,49 @@
 	"time"
 )
 
-// Limited is a replica's limit as one host knows it.
+// Limited is a replica's limit as known to one host.
 type Limited struct {
 	Replica string
 	Limit   Limit
-	// Round counts the changes that led here, so that what is told late is known for
-	// old: hosts agree on no time.
+	// Round counts the changes of the limit. It identifies outdated reports, since the
+	// clocks of the hosts are not synchronized.
 	Round uint64
-	// Since is when the limit was first heard, and At when it was last named, or
-	// found to be lifted.
+	// Since is when the limit was first observed, and At when a response last named it or
+	// showed that it was lifted.
 	Since, At time.Time
 }
 
 const (
-	// freshBy is how much younger a fellow's word must be to count as the replica's
-	// own again: what it takes to tell is not known.
+	// refreshThreshold is how much newer a peer's report has to be to count as a new
+	// response of the replica, since the time that the report took to arrive is unknown.
 	refreshThreshold = time.Second
-	// liftedLife is how long it is remembered that a limit was lifted, so that fellows
-	// which know it as named are told.
+	// liftedRetention is how long a lifted limit is retained, so that peers which still
+	// have it in force are notified.
 	liftedRetention = 10 * time.Second
-	// unlistedLife is how long what a replica has said is remembered though it is not
-	// listed: the list may lose it and have it again.
+	// unlistedRetention is how long the information about an unlisted replica is retained,
+	// since the list may lose a replica temporarily.
 	unlistedRetention = time.Minute
-	// maxReplicas bounds the replicas that are remembered for one word of theirs.
+	// maxReplicas is the maximum number of replicas that are retained per kind of
+	// information.
 	maxReplicas = 1 << 14
 )
 
-// Account is what one host knows of the limits that replicas name. The zero value is
-// ready.
+// Account holds one host's knowledge of the limits that replicas name. The zero value is
+// ready to use.
 type Account struct {
 	entries map[string]*limitEntry
 }
 
 type limitEntry struct {
 	Limited
-	// listed is when the replica was last listed, or first heard of.
+	// lastListed is when the replica was last listed, or when its limit was first observed.
 	lastListed time.Time
 }
 
-// Hear takes an answer, and returns the replica's limit if the answer changed it. A
-// limit holds until a run that was sent after it was last named is answered without:
-// heads of answers may overtake each other.
+// Hear processes a response, and returns the replica's limit if the response changed it. A
+// limit is in force until a served response omits it whose request was sent after the limit
+// was last named; responses to earlier requests are ignored, since responses may be
+// reordered.
 func (a *Account) Hear(now time.Time, answer Answer) (Limited, bool) {
 	known := a.entries[answer.Replica]
 	limit := answer.Notice.Limit
@@ -71,8 +73,9 @@
 	return known.Limited, true
 }
 
-// supersedes says whether a word replaces another one. Of two that hosts heard beside
-// each other the stricter holds: the next answer of a run tells.
+// supersedes reports whether a report replaces another one. If two hosts observed different
+// limits in the same round, the stricter one is used; the next response to a served run
+// corrects it.
 func (l *Limited) supersedes(o *Limited) bool {
 	switch {
 	case l.Round != o.Round:
@@ -83,7 +86,7 @@
 	return l.Limit.PerSecond < o.Limit.PerSecond
 }
 
-// add takes a replica that was not known; it says whether there is room.
+// add inserts the limit of a new replica; it returns false if the table is full.
 func (a *Account) add(now time.Time, l Limited) bool {
 	if len(a.entries) >= maxReplicas {
 		return false
@@ -95,8 +98,8 @@
 	return true
 }
 
-// Learn takes what a fellow knows. It returns what that changes here, and what the fellow
-// is to be told since it knows something older.
+// Learn merges the reports of a peer. It returns the limits that changed here, and those
+// that are newer here than in the peer's reports, to be sent to the peer.
 func (a *Account) Learn(now time.Time, reports []Limited) (changed, newer []Limited) {
 	for _, l := range reports {
 		known := a.entries[l.Replica]
@@ -120,13 +123,13 @@
 	return changed, newer
 }
 
-// News returns what was heard, here or by a fellow, after a time.
+// News returns the limits observed after a time, here or by a peer.
 func (a *Account) News(after time.Time) []Limited {
 	return a.filter(func(l *limitEntry) bool { return l.At.After(after) })
 }
 
-// Forget drops what is known of replicas that have not been listed for long, or whose
-// limit was lifted long ago.
+// Forget removes replicas that have been unlisted for longer than unlistedRetention, and
+// limits that were lifted more than liftedRetention ago.
 func (a *Account) Forget(now time.Time, listed func(replica string) bool) {
 	maps.DeleteFunc(a.entries, func(replica string, l *limitEntry) bool {
 		if listed(replica) {
@@ -136,12 +139,12 @@
 	})
 }
 
-// Limits returns the limits in force, by replica.
+// Limits returns the limits in force, ordered by replica.
 func (a *Account) Limits() []Limited {
 	return a.filter(func(l *limitEntry) bool { return l.Limit.Named })
 }
 
-// which returns what is known of some replicas, by replica.
+// filter returns the entries that include selects, ordered by replica.
 func (a *Account) filter(include func(*limitEntry) bool) []Limited {
 	var out []Limited
 	for _, id := range slices.Sorted(maps.Keys(a.entries)) {
--- a/core/intake/account_test.go
+++ b/core/intake/account_test.go
@@ -13,7 +13,7 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// answered is a run's answer; limit under 0 names none.
+// runAnswer is the response to a served run; it names no limit if limit is negative.
 func runAnswer(sent, limit float64) intake.Answer {
 	a := intake.Answer{Replica: "r", Sent: at(sent), Served: true}
 	if limit >= 0 {
@@ -33,7 +33,7 @@
 	_, changed = a.Hear(at(3), runAnswer(2.9, 4))
 	g.Expect(changed).To(BeFalse())
 	l, changed = a.Hear(at(4), runAnswer(3.9, 0.5))
-	g.Expect(changed).To(BeTrue(), "it names another limit")
+	g.Expect(changed).To(BeTrue(), "it names a different limit")
 	g.Expect(l.Since).To(Equal(at(2)))
 	g.Expect(a.Limits()).To(ConsistOf(l))
 
@@ -62,12 +62,12 @@
 	a.Hear(at(1), runAnswer(0, 4))
 	a.Forget(at(100), func(string) bool { return true })
 	a.Forget(at(150), func(string) bool { return false })
-	g.Expect(a.Limits()).To(HaveLen(1), "the list may have it again")
+	g.Expect(a.Limits()).To(HaveLen(1), "retained in case the list contains it again")
 	a.Forget(at(161), func(string) bool { return false })
 	g.Expect(a.Limits()).To(BeEmpty())
 }
 
-// told is a fellow's word; a limit under 0 was lifted.
+// peerReport is a peer's report; a negative limit means that it was lifted.
 func peerReport(limit float64, round uint64, seen float64) intake.Limited {
 	l := intake.Limited{Replica: "r", Round: round, Since: start, At: at(seen)}
 	if limit >= 0 {
@@ -81,27 +81,27 @@
 	var a intake.Account
 	learn := func(l intake.Limited) (changed, newer []intake.Limited) { return a.Learn(at(1), []intake.Limited{l}) }
 	changed, newer := learn(peerReport(-1, 4, 1))
-	g.Expect(changed).To(BeEmpty(), "the end of a limit that was not known")
+	g.Expect(changed).To(BeEmpty(), "the end of an unknown limit")
 	g.Expect(newer).To(BeEmpty())
 	changed, _ = learn(peerReport(2, 1, 3))
 	g.Expect(changed).To(ConsistOf(peerReport(2, 1, 3)))
 
 	changed, _ = learn(peerReport(2, 1, 3.5))
 	g.Expect(changed).To(BeEmpty())
-	g.Expect(a.News(at(3))).To(BeEmpty(), "as young as what is known, by what it takes to tell")
+	g.Expect(a.News(at(3))).To(BeEmpty(), "too little newer to count as a new response")
 	changed, _ = learn(peerReport(2, 1, 5))
 	g.Expect(changed).To(BeEmpty())
 	g.Expect(a.News(at(3))).To(ConsistOf(peerReport(2, 1, 5)))
 
 	changed, _ = learn(peerReport(-1, 2, 4))
-	g.Expect(changed).To(HaveLen(1), "a later change, whatever its age")
+	g.Expect(changed).To(HaveLen(1), "a later round, regardless of its time")
 	g.Expect(a.Limits()).To(BeEmpty())
 	changed, newer = learn(peerReport(2, 1, 9))
-	g.Expect(changed).To(BeEmpty(), "an earlier word, told late")
+	g.Expect(changed).To(BeEmpty(), "an earlier round that arrives late")
 	g.Expect(newer).To(ConsistOf(peerReport(-1, 2, 4)))
 
 	changed, _ = learn(peerReport(3, 2, 5))
-	g.Expect(changed).To(HaveLen(1), "of two beside each other the stricter")
+	g.Expect(changed).To(HaveLen(1), "the stricter limit of the same round")
 	changed, _ = learn(peerReport(1, 2, 5))
 	g.Expect(changed).To(HaveLen(1))
 	changed, newer = learn(peerReport(3, 2, 6))
@@ -115,7 +115,7 @@
 	a.Hear(at(1), runAnswer(0, 2))
 	a.Hear(at(3), runAnswer(2, -1))
 	a.Forget(at(12), func(string) bool { return true })
-	g.Expect(a.News(at(2))).To(HaveLen(1), "fellows are told that it was lifted")
+	g.Expect(a.News(at(2))).To(HaveLen(1), "peers are notified that it was lifted")
 	a.Forget(at(14), func(string) bool { return true })
 	g.Expect(a.News(at(2))).To(BeEmpty())
 }
--- a/core/intake/doc.go
+++ b/core/intake/doc.go
@@ -1,32 +1,33 @@
-// Package intake bounds the calls at replicas that take only so many from all hosts
-// together, though no host asks another before a call: those that have just started,
-// and those that name a limit in their answers. It keeps account of these limits.
+// Package intake limits the calls to replicas that accept only a certain rate from all
+// hosts together: those that have just started, and those that name a limit in their
+// responses. No host asks another one before a call. The package also keeps track of these
+// limits, of replicas that are leaving and of replicas that asked for a rest.
 //
-// Each host ranks the hosts that it knows by a hash of host and replica, as all
-// others do, and takes its part of a bound by its own rank. Where a bound has fewer
-// calls than there are hosts, those that rank first have one each, and the others
-// leave the replica alone. Every replica ranks them anew, so that the calls of many
-// are spread over the hosts.
+// Each host ranks all hosts that it knows by a hash of host and replica, in the same order
+// as every other host, and derives its quota of a limit from its own rank. If a limit
+// allows fewer calls than there are hosts, the hosts that rank first get one call each, and
+// the others do not call the replica. The ranking differs from replica to replica, so that
+// the calls to many replicas are spread over the hosts.
 //
 // # Contract
 //
 // Nothing here reads a clock or does I/O; the caller passes the time.
 //
-// Shares is immutable. Parts of hosts that know the same hosts add up to the bound. A
-// host that knows more than the others takes the same part or a smaller one, so that
-// hosts which remember the dead stay within the bound; one that knows fewer may take
-// more than is its own. Who has not learned of its fleet yet must take nothing.
+// Shares is immutable. The quotas of hosts that know the same hosts add up to the limit. A
+// host that knows more hosts than the others gets the same quota or a smaller one, so hosts
+// that still list dead ones stay within the limit. A host that knows fewer may get more
+// than its quota. A host that has not learned of its fleet yet must use no quota (NoPart).
 //
-// A limit that its replica was not heard to repeat for long does not end by itself: it
-// lets single calls pass, one host after the other, and ends with the first answer of a
-// run that does not name it. So a replica that names a limit of none, or all replicas of
-// a service that do, are asked again, and a limit that nobody has a part of is found to
-// be lifted.
+// A limit does not expire if its replica has not repeated it for a long time. Instead the
+// hosts without a quota may begin single probe calls in turn, and the first response to a
+// served run that does not name the limit lifts it. Thus a replica with a limit of zero is
+// probed again, even if all replicas of a service name such a limit, and the end of a limit
+// is detected even if no host has a quota of it.
 //
-// A Gate counts every call that is begun at its replica, whoever begins it. It refuses
-// by all parts that are set, and a call counts for each of them.
+// A Gate counts every call that begins at its replica, whichever component makes it. It
+// enforces all quotas that are set, and each call counts against all of them.
 //
-// An Account is not safe for concurrent use. It is told of answers only that come from
-// the replica that was asked: one that has taken over an address, or an answer to
-// another request, says nothing of it.
+// An Account is not safe for concurrent use. It must be passed only responses of the
+// replica that the call was meant for: a response of a replica that has taken over the
+// address, or to another request, says nothing about that replica.
 package intake
--- a/core/intake/gate.go
+++ b/core/intake/gate.go
@@ -6,57 +6,62 @@
 	"time"
 )
 
-// Source says by whose word the calls at a replica are bounded.
+// Source is the reason why the calls to a replica are limited.
 type Source uint8
 
-// The sources of bounds. All hold beside each other.
+// The sources of quotas. All of them apply at the same time.
 const (
-	// Cold bounds the calls at replicas that have just started.
+	// Cold limits the calls to replicas that have just started.
 	Cold Source = iota
-	// Named bounds those at replicas that name a limit in their answers.
+	// Named limits the calls to replicas that name a limit in their responses.
 	Named
-	// Leaving bounds them to none at replicas that say in an answer that they leave.
+	// Leaving blocks the calls to replicas that announced in a response that they are
+	// leaving.
 	Leaving
-	// Resting bounds them to none for a while at replicas that asked this host for rest.
+	// Resting temporarily blocks the calls to replicas that asked this host for a rest.
 	Resting
 	sourceCount
 )
 
-// String names the source in logs and decision records.
+// String returns the name of the source in logs and decision records.
 func (s Source) String() string {
 	return [sourceCount]string{"cold", "limited", "leaving", "resting"}[s]
 }
 
-// Part is one host's part of the calls that a replica takes.
+// Part is one host's quota of the calls to a replica.
 type Part struct {
-	// Calls may begin in any Window; MaxCalls at most count. Without any, other hosts
-	// have the calls, and Window is how long it may be until one begins; 0 if none will.
+	// Calls is the maximum number of calls that may begin in any interval of length Window;
+	// values above MaxTrackedCalls are treated as MaxTrackedCalls. If Calls is 0, other
+	// hosts have the quota, and Window is the time within which one of them may begin a
+	// call; 0 if none may.
 	Calls  int
 	Window time.Duration
-	// Probe is from when one call may begin though there is no other, and ProbeEvery
-	// how long after it the next; zero for none.
+	// Probe is the time from which one call may begin although Calls is 0, and ProbeEvery
+	// the time from that call to the next one. A zero Probe allows none.
 	Probe      time.Time
 	ProbeEvery time.Duration
-	// Until is when any number of calls may begin again; zero for a part that lasts.
+	// Until is the time until which no call may begin, and from which the quota no longer
+	// applies; zero for a quota without an end.
 	Until time.Time
 }
 
-// MaxCalls is the largest number of calls of a Part that is kept count of.
+// MaxTrackedCalls is the maximum number of calls of a Part that a Gate tracks.
 const MaxTrackedCalls = 16
 
-// Gate tells whether a call may begin at one replica. It is safe for concurrent use.
+// Gate is the limiter of the calls to one replica. It is safe for concurrent use.
 type Gate struct {
-	// bounded says that any part is set, so that the others' picks need no lock.
+	// bounded says that any quota is set. It spares calls to unlimited replicas the lock.
 	bounded atomic.Bool
 
 	mu     sync.Mutex
 	quotas [sourceCount]*Part
-	// begun are the last calls, newest at newest, also those of before there was a part.
+	// callTimes is a ring buffer of the last calls, with the latest at index newest. It is
+	// also kept up while no quota is set.
 	callTimes [MaxTrackedCalls]time.Time
 	newest    int
 }
 
-// Begin notes a call.
+// Begin records a call.
 func (g *Gate) Begin(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -64,7 +69,8 @@
 	g.callTimes[g.newest] = now
 }
 
-// Refuses says whether a call may not begin, and by whose word.
+// Refuses reports whether a call may not begin now, and the source of the quota that blocks
+// it.
 func (g *Gate) Refuses(now time.Time) (Source, bool) {
 	if !g.bounded.Load() {
 		return 0, false
@@ -79,9 +85,9 @@
 	return 0, false
 }
 
-// Opens returns when a call may begin by all parts, here or, where this host has no
-// part, at other hosts; a time that never comes at a replica that leaves. It is the
-// given time, or before, if one may now.
+// Opens returns when a call is allowed by all quotas, at this host or, where this host has
+// no quota, at another one. It is a time in the far future for a replica that is leaving,
+// and not after now if a call is allowed now.
 func (g *Gate) Opens(now time.Time) time.Time {
 	if !g.bounded.Load() {
 		return now
@@ -104,8 +110,9 @@
 	return at
 }
 
-// TurnsAway says whether the replica takes nothing of this host by its own word: it leaves
-// or rests. A call that was chosen before it said so is not to be sent.
+// TurnsAway reports whether the replica itself announced that it accepts nothing from this
+// host, because it is leaving or resting. A call that was assigned to the replica before is
+// then not to be sent.
 func (g *Gate) TurnsAway(now time.Time) bool {
 	if !g.bounded.Load() {
 		return false
@@ -116,7 +123,7 @@
 	return g.quotas[Leaving] != nil || rest != nil && now.Before(rest.Until)
 }
 
-// Leaves says whether the replica takes no new work any more.
+// Leaves reports whether the replica is leaving and accepts no new work.
 func (g *Gate) Leaves() bool {
 	if !g.bounded.Load() {
 		return false
@@ -126,10 +133,11 @@
 	return g.quotas[Leaving] != nil
 }
 
-// Bounded says whether there is any part.
+// Bounded reports whether any quota is set.
 func (g *Gate) Bounded() bool { return g.bounded.Load() }
 
-// Rate is how many calls a second this host may begin; false where nothing bounds them.
+// Rate returns how many calls per second this host may begin; bounded is false if no quota
+// applies.
 func (g *Gate) Rate(now time.Time) (perSecond float64, bounded bool) {
 	if !g.bounded.Load() {
 		return 0, false
@@ -151,7 +159,7 @@
 	return perSecond, bounded
 }
 
-// opens returns when a part allows this host's next call; the lock is held.
+// nextAllowed returns when a quota allows this host's next call. The caller holds the lock.
 func (g *Gate) nextAllowed(p *Part) time.Time {
 	switch {
 	case !p.Until.IsZero():
@@ -166,8 +174,8 @@
 	return oldest.Add(p.Window)
 }
 
-// opensForProbe returns when a part without calls allows one all the same; the lock
-// is held.
+// nextProbe returns when a quota of no calls allows the next probe call. The caller holds
+// the lock.
 func (g *Gate) nextProbe(p *Part) time.Time {
 	last := g.callTimes[g.newest]
 	switch {
@@ -179,10 +187,10 @@
 	return last.Add(p.ProbeEvery)
 }
 
-// never is later than any time that is asked about.
+// farFuture is later than any time that is passed in.
 var farFuture = time.Unix(1<<40, 0)
 
-// set replaces the part of a source; nil for no bound.
+// setQuota replaces the quota of a source; nil removes it.
 func (g *Gate) setQuota(s Source, p *Part) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -190,17 +198,18 @@
 	g.bounded.Store(g.quotas != [sourceCount]*Part{})
 }
 
-// Gates are the gates of all replicas, by name. They are safe for concurrent use.
+// Gates holds the gates of all replicas by ID. It is safe for concurrent use.
 type Gates struct {
 	mu     sync.Mutex
 	gates  map[string]*Gate
 	quotas [sourceCount]map[string]Part
 }
 
-// NewGates returns gates that bound nothing.
+// NewGates returns Gates without quotas.
 func NewGates() *Gates { return &Gates{gates: map[string]*Gate{}} }
 
-// Of returns the gate of a replica; the same as long as it is kept.
+// Of returns the gate of a replica, creating it if needed. It returns the same gate until
+// Keep removes it.
 func (gs *Gates) Of(replica string) *Gate {
 	gs.mu.Lock()
 	defer gs.mu.Unlock()
@@ -215,7 +224,8 @@
 	return g
 }
 
-// SetParts replaces the parts of a source, by replica.
+// SetParts replaces all quotas of a source, by replica. They also apply to gates that are
+// created later.
 func (gs *Gates) SetParts(s Source, parts map[string]Part) {
 	gs.mu.Lock()
 	defer gs.mu.Unlock()
@@ -225,7 +235,7 @@
 	}
 }
 
-// apply passes the part of a source on to a gate; the lock is held.
+// applyQuota sets a gate's quota of a source. The caller holds the lock.
 func (gs *Gates) applyQuota(s Source, replica string, g *Gate) {
 	if p, ok := gs.quotas[s][replica]; ok {
 		g.setQuota(s, &p)
@@ -234,7 +244,7 @@
 	g.setQuota(s, nil)
 }
 
-// Keep drops the gates of replicas that are not listed.
+// Keep removes the gates of replicas that are not listed.
 func (gs *Gates) Keep(listed func(replica string) bool) {
 	gs.mu.Lock()
 	defer gs.mu.Unlock()
--- a/core/intake/leaving.go
+++ b/core/intake/leaving.go
@@ -6,27 +6,29 @@
 	"time"
 )
 
-// Leaver is a replica that has said that it leaves, as one host knows it.
+// Leaver is a replica that announced that it is leaving, as known to one host.
 type Leaver struct {
 	Replica string
-	// At is when it was first heard to.
+	// At is when the announcement was first observed.
 	At time.Time
 }
 
-// Leavers are the replicas that have said that they leave. It is the start of a replica
-// that does, for good: another start has another name. The zero value is ready.
+// Leavers holds the replicas that announced that they are leaving. An announcement is
+// final, since it concerns one start of a replica: after a restart the replica has another
+// ID. The zero value is ready to use.
 type Leavers struct {
 	entries map[string]*leavingEntry
 }
 
 type leavingEntry struct {
 	announcedAt time.Time
-	// listed is when the replica was last listed, or first heard to leave.
+	// lastListed is when the replica was last listed, or when its announcement was first
+	// observed.
 	lastListed time.Time
 }
 
-// Hear takes an answer, and says whether it is the first in which its replica says that it
-// leaves.
+// Hear processes a response, and reports whether it is the first one that announces that
+// its replica is leaving.
 func (l *Leavers) Hear(now time.Time, answer Answer) (Leaver, bool) {
 	if !answer.Notice.Leaving {
 		return Leaver{}, false
@@ -35,12 +37,14 @@
 	return heard, l.add(now, heard)
 }
 
-// Learn takes what a fellow knows, and returns what is new here.
+// Learn merges the reports of a peer, and returns those that are new here. It modifies the
+// slice.
 func (l *Leavers) Learn(now time.Time, reports []Leaver) []Leaver {
 	return slices.DeleteFunc(reports, func(report Leaver) bool { return !l.add(now, report) })
 }
 
-// add says whether a replica was not known to leave.
+// add inserts a replica; it returns false if the replica is known already or the table is
+// full.
 func (l *Leavers) add(now time.Time, report Leaver) bool {
 	if l.entries[report.Replica] != nil || len(l.entries) >= maxReplicas {
 		return false
@@ -52,8 +56,8 @@
 	return true
 }
 
-// Forget drops what is known of replicas that have not been listed for long, and says
-// whether it did.
+// Forget removes replicas that have been unlisted for longer than unlistedRetention, and
+// reports whether there were any.
 func (l *Leavers) Forget(now time.Time, listed func(replica string) bool) bool {
 	before := len(l.entries)
 	maps.DeleteFunc(l.entries, func(replica string, k *leavingEntry) bool {
@@ -65,10 +69,11 @@
 	return len(l.entries) < before
 }
 
-// All returns the replicas that have said that they leave, by name.
+// All returns all leaving replicas, ordered by ID.
 func (l *Leavers) All() []Leaver { return l.Since(time.Time{}) }
 
-// Since returns the replicas that were first heard to leave after a time, by name.
+// Since returns the replicas whose announcement was first observed after a time, ordered by
+// ID.
 func (l *Leavers) Since(after time.Time) []Leaver {
 	var out []Leaver
 	for _, replica := range slices.Sorted(maps.Keys(l.entries)) {
--- a/core/intake/leaving_test.go
+++ b/core/intake/leaving_test.go
@@ -8,7 +8,7 @@
 	"github.com/wheatseam/wheatseam/core/intake"
 )
 
-// leaving is an answer in which a replica says that it leaves.
+// leavingAnswer is a response in which a replica announces that it is leaving.
 func leavingAnswer(replica string) intake.Answer {
 	return intake.Answer{Replica: replica, Notice: intake.Notice{Leaving: true}}
 }
@@ -24,8 +24,8 @@
 	_, first = l.Hear(at(3), leavingAnswer("r@1"))
 	g.Expect(first).To(BeFalse())
 	_, first = l.Hear(at(4), intake.Answer{Replica: "r@1", Served: true})
-	g.Expect(first).To(BeFalse(), "an answer without a word takes nothing back")
-	g.Expect(l.All()).To(ConsistOf(heard), "another start is not meant")
+	g.Expect(first).To(BeFalse(), "a response without the notice does not revoke it")
+	g.Expect(l.All()).To(ConsistOf(heard), "it concerns this start of the replica only")
 
 	g.Expect(l.Learn(at(5), []intake.Leaver{{Replica: "r@1", At: at(1)}, {Replica: "s", At: at(4)}})).To(ConsistOf(intake.Leaver{Replica: "s", At: at(4)}))
 	g.Expect(l.Since(at(3))).To(ConsistOf(intake.Leaver{Replica: "s", At: at(4)}))
--- a/core/intake/limit.go
+++ b/core/intake/limit.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	// limitWindow is the time over which the calls at a replica that names a limit are
-	// shared out: the longer, the more hosts have a part of a small limit, and the more
-	// calls may come at once.
+	// quotaWindow is the interval for which the calls to a replica that names a limit are
+	// divided among the hosts. With a longer window more hosts get a quota of a small
+	// limit, but more calls may begin at once.
 	quotaWindow = 4 * time.Second
-	// probeAfter is the time without a word of a replica's limit after which the host
-	// that ranks first may begin a call at it all the same, and each further host after
-	// as much again: nobody would hear otherwise that a limit is lifted of which no
-	// host, or none with work for the replica, has a part.
+	// probeInterval is the time since a limit was last observed after which the host that
+	// ranks first may begin a probe call without a quota; each further host may do so after
+	// as much again. Otherwise no host would learn that a limit was lifted if none with a
+	// quota of it, or none that has work for the replica, calls the replica.
 	probeInterval = 10 * time.Second
-	// plannerShare is the part of a limit that the planner of stages has, which makes
-	// the calls for pieces for all hosts; the rest is for requests, by rank. What is
-	// left of it is room for two planners that follow each other in a window.
+	// plannerShare is the fraction of a limit that is reserved for the planner of stages,
+	// which makes the calls for pieces on behalf of all hosts; the rest is divided among
+	// the hosts for requests. It leaves enough of the limit for two planners that succeed
+	// each other within a window.
 	plannerShare = 0.75
 )
 
-// Role says what calls a host makes at a replica.
+// Role is the kind of calls that a host makes to a replica.
 type Role uint8
 
 // The roles.
 const (
-	// Requester hosts pass requests on, as all others do.
+	// Requester hosts forward requests to the replica, like all other hosts.
 	Requester Role = iota
-	// StageRequester hosts pass requests on to a replica that runs stages: another host
-	// asks it for pieces.
+	// StageRequester hosts forward requests to a replica that runs stages; another host
+	// makes the calls for pieces.
 	StageRequester
-	// Planner hosts pass requests on to a replica that runs stages, and ask it for pieces
-	// for all hosts.
+	// Planner hosts forward requests to a replica that runs stages, and make the calls for
+	// pieces on behalf of all hosts.
 	Planner
 )
 
-// OfRole returns how many calls this host may begin at a replica, of so many over all
-// hosts, by what it calls it for.
+// OfRole returns how many of the given calls over all hosts this host may begin at a
+// replica in its role.
 func (s *Shares) OfRole(replica string, calls int, role Role) int {
 	if role == Requester {
 		return s.Of(replica, calls)
@@ -52,7 +53,7 @@
 	return ownCalls
 }
 
-// OfLimit returns this host's part of the limit that a replica named last at a time.
+// OfLimit returns this host's quota of a replica's limit in its role.
 func (s *Shares) OfLimit(l Limited, role Role) Part {
 	perSecond, plannerRate := l.Limit.PerSecond, 0.0
 	switch role {
@@ -73,7 +74,9 @@
 	return p.capped()
 }
 
-// partOf returns a part of a rate by a share of the calls that it allows.
+// quotaOf returns a quota of a rate; share returns this host's number of the calls that the
+// rate allows per window. A rate of less than one call per quotaWindow uses a longer window
+// that allows one call.
 func quotaOf(share func(replica string, calls int) int, replica string, perSecond float64) Part {
 	window := quotaWindow
 	if perSecond*window.Seconds() < 1 {
@@ -84,7 +87,7 @@
 	return Part{Calls: share(replica, int(math.Min(calls+rounding, math.MaxInt32))), Window: window}
 }
 
-// and is a part of both: the calls of either, over the longer window.
+// combine returns a quota that allows the calls of both, over the longer window.
 func (p Part) combine(o Part) Part {
 	if p.Calls < 1 {
 		return o
@@ -96,13 +99,14 @@
 	return Part{Calls: p.callsIn(window) + o.callsIn(window), Window: window}
 }
 
-// in is the number of calls that a part allows in a window of at least its own.
+// callsIn returns the number of calls that the quota allows in a window that is at least
+// its own.
 func (p Part) callsIn(window time.Duration) int {
 	return int(float64(p.Calls) * float64(window) / float64(p.Window))
 }
 
-// bounded is the part with no more calls than are kept count of, in a window that is
-// so much shorter.
+// capped returns the quota with at most MaxTrackedCalls calls and a proportionally shorter
+// window.
 func (p Part) capped() Part {
 	if p.Calls > MaxTrackedCalls {
 		p.Window = time.Duration(float64(p.Window) * MaxTrackedCalls / float64(p.Calls))
@@ -111,7 +115,7 @@
 	return p
 }
 
-// rank is the number of hosts that rank before this one at a replica.
+// rank returns the number of hosts that rank before this one for a replica.
 func (s *Shares) rank(replica string) int {
 	replicaHash := xxhash.Sum64String(replica)
 	own, rank := hostWeight(s.self, replicaHash), 0
@@ -123,5 +127,5 @@
 	return rank
 }
 
-// NoPart is the part of a host that does not know its fleet yet.
+// NoPart returns the quota of a host that does not know its fleet yet.
 func NoPart() Part { return Part{Window: quotaWindow} }
--- a/core/intake/limit_test.go
+++ b/core/intake/limit_test.go
@@ -10,12 +10,12 @@
 	"github.com/wheatseam/wheatseam/core/intake"
 )
 
-// limitedTo is a replica that named a limit at start.
+// replicaLimit is the limit of a replica that named it at start.
 func replicaLimit(replica string, perSecond float64) intake.Limited {
 	return intake.Limited{Replica: replica, Limit: intake.Limit{Named: true, PerSecond: perSecond}, Since: start, At: start}
 }
 
-// perSecondOf is the rate of a part.
+// rateOf returns the rate of a quota in calls per second.
 func rateOf(p intake.Part) float64 { return float64(p.Calls) / p.Window.Seconds() }
 
 func TestQuotasAddUpToTheLimitRate(t *testing.T) {
@@ -33,8 +33,9 @@
 	}
 }
 
-// TestPlannerHasMostOfALimitAndTwoOfThemStayWithinIt has one planner follow another
-// within the judged window: both have begun their calls.
+// Two planners that succeed each other within the checked window may both have begun their
+// calls. Together with the other hosts they must stay within the limit, while a single
+// planner gets most of it.
 func TestTwoConsecutivePlannersStayWithinTheLimit(t *testing.T) {
 	hosts := hostNames(60)
 	for _, limit := range []float64{0.5, 1, 2.5, 4} {
@@ -83,7 +84,7 @@
 					probeTimes = append(probeTimes, d)
 					gate.Begin(start.Add(d))
 					_, refuses = gate.Refuses(start.Add(d))
-					g.Expect(refuses).To(BeTrue(), "one call")
+					g.Expect(refuses).To(BeTrue(), "one call only")
 					break
 				}
 			}
@@ -107,8 +108,8 @@
 	g.Expect(fmt.Sprint(source)).To(Equal("limited"))
 
 	gates.SetParts(intake.Cold, map[string]intake.Part{"r": {Window: time.Second}})
-	g.Expect(gate.Opens(at(2))).To(Equal(at(4)), "both hold")
-	g.Expect(gate.Opens(at(5))).To(Equal(at(6)), "other hosts' calls")
+	g.Expect(gate.Opens(at(2))).To(Equal(at(4)), "both quotas apply")
+	g.Expect(gate.Opens(at(5))).To(Equal(at(6)), "another host may begin a call")
 	gates.SetParts(intake.Resting, map[string]intake.Part{"r": {Until: at(9)}})
 	g.Expect(gate.Opens(at(5))).To(Equal(at(9)))
 	_, bounded := gate.Rate(at(5))
@@ -136,5 +137,5 @@
 
 	gates.SetParts(intake.Named, map[string]intake.Part{"later": {Window: time.Second}})
 	_, refuses = gates.Of("later").Refuses(start)
-	g.Expect(refuses).To(BeTrue(), "a replica that is listed later")
+	g.Expect(refuses).To(BeTrue(), "a gate created after the quota was set")
 }
--- a/core/intake/notice.go
+++ b/core/intake/notice.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// Notice is what a replica says of itself in the head of an answer. The zero value
-// says nothing.
+// Notice is what a replica announces about itself in the headers of a response. The zero
+// value announces nothing.
 type Notice struct {
 	Limit Limit
-	// Leaving says that the replica takes no new work from now on.
+	// Leaving says that the replica accepts no new work from now on.
 	Leaving bool
-	// Rest is for how long the replica wants nothing from this host, as it turns it away;
-	// 0 for no wish. UnreadRest is what it said where that could not be read.
+	// Rest is the time for which the replica asks this host to send nothing, as it refuses
+	// a call; 0 for none. UnreadRest is the header's value if it could not be parsed.
 	Rest       time.Duration
 	UnreadRest string
 }
 
-// Limit is the rate of requests that a replica takes from all hosts together.
+// Limit is the rate of requests that a replica accepts from all hosts together.
 type Limit struct {
-	// Named says that the answer names one.
+	// Named says that the response names a limit.
 	Named bool
-	// PerSecond is 0 or more, and finite.
+	// PerSecond is finite and not negative.
 	PerSecond float64
 }
 
-// Valid says whether the rate is one that a replica may name.
+// Valid reports whether the rate is one that a replica may name.
 func (l Limit) Valid() bool { return l.PerSecond >= 0 && !math.IsInf(l.PerSecond, 0) }
 
-// Answer is an answer of the replica that it was asked of.
+// Answer is a response of the replica that the call was meant for.
 type Answer struct {
-	// Replica names the start of the replica that was asked, and Address is where.
+	// Replica is the ID of the replica's start that was called, and Address its address.
 	Replica, Address string
-	// Sent is when what it answers was sent.
+	// Sent is when the request of this response was sent.
 	Sent time.Time
-	// Served says that it answers a request, or a call for pieces, that was run: what
-	// the replica has to say of itself is said there. Refusals and answers to other
-	// calls may leave it out.
+	// Served says that the response is to a request, or a call for pieces, that was
+	// executed. Such responses always carry the replica's notices; refusals and responses
+	// to other calls may omit them.
 	Served bool
 	Notice Notice
 }
--- a/core/intake/random_test.go
+++ b/core/intake/random_test.go
@@ -14,24 +14,28 @@
 
 const (
 	replica = "r"
-	// learning is how long hosts have from the first answer that names a limit, and
-	// passing how long one host has from its own.
+	// fleetNoticeTime is the time after the first response that names a limit, and
+	// hostNoticeTime the time after a host's own first one, from which the limit is
+	// enforced.
 	fleetNoticeTime = 3 * time.Second
 	hostNoticeTime  = 500 * time.Millisecond
-	// judged is the window in which a replica may get so much more than it named, and
-	// so many requests.
+	// checkWindow is the window in which a replica may get at most allowedFactor times its
+	// limit, plus allowedExtra requests.
 	checkWindow   = 4 * time.Second
 	allowedFactor = 1.5
 	allowedExtra  = 5
 	simStep       = 10 * time.Millisecond
-	// bounding is the interval at which hosts work their parts out.
+	// quotaInterval is the interval at which hosts recompute their quotas.
 	quotaInterval = 250 * time.Millisecond
-	// draining is how long a host that was told may still send to a replica that leaves.
+	// leavingNoticeTime is how long a host that was notified may still send to a replica
+	// that is leaving.
 	leavingNoticeTime = 2 * time.Second
-	// mostRest bounds a rest, and restAllowed the requests that may reach a replica in one.
+	// maxRest is the maximum duration of a rest, and allowedDuringRest the number of
+	// requests that may reach the replica during one.
 	maxRest           = 4 * time.Second
 	allowedDuringRest = 2
-	// repeating is the interval at which hosts tell again what they have heard.
+	// repeatInterval is the interval at which hosts send recent observations to their peers
+	// again.
 	repeatInterval = 3 * time.Second
 )
 
@@ -39,27 +43,29 @@
 type simHost struct {
 	name       string
 	knownHosts []string
-	// starts is when the host has its part of the work.
+	// startsAt is when the host begins to send requests.
 	startsAt time.Time
 	account  intake.Account
 	gates    *intake.Gates
 	gate     *intake.Gate
-	// told is when the host first had an answer that names a limit, and toldLeaving one
-	// that says that the replica leaves.
+	// limitHeardAt is when the host first got a response that names a limit, and
+	// leavingHeardAt one that announces that the replica is leaving.
 	limitHeardAt, leavingHeardAt time.Time
 	leavers                      intake.Leavers
 	rests                        intake.Rests
-	// asked are when the replica asked the host for rest, and until when.
+	// requestedRests are the rests that the replica asked this host for: when, and until
+	// when.
 	requestedRests []intake.Rest
-	// keeps says that the host goes by limits at all.
+	// appliesQuotas says that the host applies its quotas.
 	appliesQuotas bool
-	// neighbours are told what is news; cut is until when calls with the host fail.
+	// neighbours are the peers to which the host sends new observations; calls with the
+	// host fail until partitionedUntil.
 	neighbours       []*simHost
 	partitionedUntil time.Time
 	lastRepeat       time.Time
 }
 
-// bound works the host's part out.
+// updateQuotas recomputes the host's quotas.
 func (h *simHost) updateQuotas() {
 	parts := map[string]intake.Part{}
 	for _, l := range h.account.Limits() {
@@ -79,44 +85,44 @@
 	}
 }
 
-// simAnswer is an answer on its way.
+// simAnswer is a response in transit.
 type simAnswer struct {
 	at   time.Time
 	host *simHost
 	intake.Answer
 }
 
-// simCall tells a host of what another one knows.
+// simPeerCall is a message with one host's observations to another host.
 type simPeerCall struct {
 	at   time.Time
 	to   *simHost
 	from *simHost
-	// ages are those of the words when they were told.
+	// limits have times as of when they were sent.
 	limits  []intake.Limited
 	leavers []intake.Leaver
 	sent    time.Time
 }
 
-// simFleet is a fleet with one replica.
+// simFleet is a simulated fleet with one replica.
 type simFleet struct {
-	// spreads says that hosts tell each other what they hear.
+	// gossips says that hosts send their observations to each other.
 	gossips   bool
 	peerCalls []simPeerCall
-	// told counts all calls.
+	// peerCallCount counts all calls that carry limits.
 	peerCallCount   int
 	rng             *rand.Rand
 	now             time.Time
 	hosts           []*simHost
 	requestInterval time.Duration
 	answers         []simAnswer
-	// limit is what the replica names; under 0 for none.
+	// limit is the limit that the replica names; negative for none.
 	limit        float64
 	limitHeardAt time.Time
-	// leaving says that it leaves, rest for how long it asks hosts that it turns away, half
-	// of those that ask.
+	// leaving says that the replica is leaving. rest is the rest for which it asks hosts
+	// whose requests it refuses, which are half of them.
 	leaving bool
 	rest    time.Duration
-	// arrived has, of each arrival, when it came and from whom.
+	// arrivals holds the time and the sender of each request that reached the replica.
 	arrivals []simArrival
 }
 
@@ -125,8 +131,8 @@
 	host *simHost
 }
 
-// newSimFleet returns a fleet of which some hosts start while it runs, and some know dead
-// hosts, or not yet those that have started.
+// newSimFleet returns a fleet in which some hosts start during the simulation, some list
+// dead hosts, and some do not list yet those that start late.
 func newSimFleet(seed uint64, n int, every time.Duration) *simFleet {
 	f := &simFleet{rng: rand.New(rand.NewPCG(seed, 11)), now: start, requestInterval: every, limit: -1}
 	all := hostNames(n + n/2)
@@ -154,7 +160,7 @@
 	return f
 }
 
-// tell has a host tell its neighbours but one.
+// broadcastLimits sends limits to all neighbours of a host except one.
 func (f *simFleet) broadcastLimits(h, except *simHost, limits []intake.Limited) {
 	if !f.gossips {
 		return
@@ -166,7 +172,7 @@
 	}
 }
 
-// call has a host tell another one.
+// sendLimits sends limits from one host to another.
 func (f *simFleet) sendLimits(from, to *simHost, limits []intake.Limited) {
 	if len(limits) > 0 && !f.now.Before(from.partitionedUntil) && !f.now.Before(to.partitionedUntil) && !f.now.Before(to.startsAt) {
 		f.peerCallCount++
@@ -174,12 +180,12 @@
 	}
 }
 
-// arrival is when a call between hosts that is made now arrives.
+// peerCallArrival returns when a call between hosts that is made now arrives.
 func (f *simFleet) peerCallArrival() time.Time {
 	return f.now.Add(time.Duration(2+f.rng.IntN(200)) * time.Millisecond)
 }
 
-// tellLeavers has a host tell its neighbours but one that a replica leaves.
+// broadcastLeavers sends leaving replicas to all neighbours of a host except one.
 func (f *simFleet) broadcastLeavers(h, except *simHost, leavers []intake.Leaver) {
 	for _, to := range h.neighbours {
 		if f.gossips && to != except && !f.now.Before(h.partitionedUntil) && !f.now.Before(to.partitionedUntil) {
@@ -188,8 +194,9 @@
 	}
 }
 
-// learn brings the calls that are there. What they told is as old as it was when they were
-// sent, as far as the receiver knows.
+// deliverPeerCalls delivers the peer calls that are due. The times they contain are moved
+// by the delay of the call, since the receiver knows only how old the observations were
+// when they were sent.
 func (f *simFleet) deliverPeerCalls() {
 	due := f.peerCalls
 	f.peerCalls = nil
@@ -217,7 +224,7 @@
 	}
 }
 
-// repeat has a host tell what it heard since it last did.
+// repeatLimits sends the limits that a host observed since the last repetition.
 func (f *simFleet) repeatLimits(h *simHost) {
 	if f.now.Sub(h.lastRepeat) >= repeatInterval {
 		f.broadcastLimits(h, nil, h.account.News(h.lastRepeat))
@@ -225,7 +232,7 @@
 	}
 }
 
-// run lets time pass.
+// advance runs the simulation for a duration.
 func (f *simFleet) advance(duration time.Duration) {
 	for until := f.now.Add(duration); f.now.Before(until); f.now = f.now.Add(simStep) {
 		f.deliverAnswers()
@@ -247,8 +254,8 @@
 	}
 }
 
-// send has a request arrive, and its answer be on its way; one in ten is refused without
-// a word of the limit.
+// sendRequest sends a request to the replica and schedules the response. One request in ten
+// is refused without naming the limit.
 func (f *simFleet) sendRequest(h *simHost) {
 	h.gate.Begin(f.now)
 	arrives := f.now.Add(time.Duration(f.rng.IntN(50)) * time.Millisecond)
@@ -264,7 +271,7 @@
 	f.answers = append(f.answers, simAnswer{arrives.Add(time.Duration(10+f.rng.IntN(400)) * time.Millisecond), h, a})
 }
 
-// deliver brings the answers that are there.
+// deliverAnswers delivers the responses that are due.
 func (f *simFleet) deliverAnswers() {
 	f.answers = slices.DeleteFunc(f.answers, func(a simAnswer) bool {
 		if f.now.Before(a.at) {
@@ -293,8 +300,8 @@
 	})
 }
 
-// mostJudged is the largest number of requests in a window from hosts that had been told
-// before.
+// maxRequestsAfterNotice returns the maximum number of requests in a checkWindow from hosts
+// that had been notified long enough before.
 func (f *simFleet) maxRequestsAfterNotice() int {
 	arrived := slices.Clone(f.arrivals)
 	slices.SortFunc(arrived, func(a, b simArrival) int { return a.at.Compare(b.at) })
@@ -307,16 +314,16 @@
 	return maxInWindow(counted, checkWindow)
 }
 
-// allowedOf is the number of requests that a limit allows in a window.
+// allowedRequests returns the number of requests that a limit allows in a checkWindow.
 func allowedRequests(limit float64) int {
 	return int(allowedFactor*limit*checkWindow.Seconds()) + allowedExtra
 }
 
-// seeds is the number of schedules that are played for a fleet of a size.
+// seedCount returns the number of random schedules to run for a fleet of the given size.
 func seedCount(hosts int) uint64 { return uint64(max(1, 120/hosts)) }
 
-// TestLimitHoldsOverHostsThatBelieveDifferentThings has hosts hear a limit by their own
-// answers alone, at different times, while they know different fleets.
+// Hosts learn of a limit from their own responses only, at different times, and have
+// different lists of hosts. The limit must hold for all hosts that have been notified.
 func TestLimitHoldsUnderDifferentHostLists(t *testing.T) {
 	for _, n := range []int{6, 60, 300} {
 		for _, limit := range []float64{0, 0.1, 0.5, 1, 2.5, 20} {
@@ -334,8 +341,8 @@
 	}
 }
 
-// TestWaysToKeepALimit compares hosts that don't go by limits with those that do; it
-// prints the most requests in a window, of those that are allowed.
+// Compares hosts that ignore limits with hosts that apply their quotas. It logs the maximum
+// number of requests in a window and the number that is allowed.
 func TestQuotasKeepALimitThatIsExceededWithoutThem(t *testing.T) {
 	g := NewWithT(t)
 	for _, n := range []int{6, 60, 300} {
@@ -349,13 +356,14 @@
 			f.advance(20 * time.Second)
 			most[i] = f.maxRequestsAfterNotice()
 		}
-		t.Logf("%d hosts: %d as before, %d by parts, %d allowed", n, most[0], most[1], allowedRequests(1))
+		t.Logf("%d hosts: %d without quotas, %d with quotas, %d allowed", n, most[0], most[1], allowedRequests(1))
 		g.Expect(most[0]).To(BeNumerically(">", allowedRequests(1)))
 		g.Expect(most[1]).To(BeNumerically("<=", allowedRequests(1)))
 	}
 }
 
-// mostOf is the largest number of requests in a window from all hosts, from a moment on.
+// maxRequestsFrom returns the maximum number of requests in a checkWindow from all hosts,
+// from a given time on.
 func (f *simFleet) maxRequestsFrom(from time.Time) int {
 	var times []time.Time
 	for _, a := range f.arrivals {
@@ -367,7 +375,7 @@
 	return maxInWindow(times, checkWindow)
 }
 
-// knowing counts the hosts that work and know a limit.
+// hostsWithLimit returns the number of hosts that know of a limit in force.
 func (f *simFleet) hostsWithLimit() (n int) {
 	for _, h := range f.hosts {
 		if len(h.account.Limits()) > 0 {
@@ -377,8 +385,9 @@
 	return n
 }
 
-// comesBack is how long it may take until a limit that was lifted is known to be: the next
-// call that may begin, or the one after it, as one in ten is refused without a word.
+// maxLiftTime returns the maximum time until all hosts know that a limit was lifted. It
+// covers the next call that may begin and the one after it, since one request in ten is
+// refused without naming the limit.
 func maxLiftTime(limit float64) time.Duration {
 	if limit == 0 {
 		return 32 * time.Second
@@ -386,9 +395,10 @@
 	return 2*max(checkWindow, time.Duration(float64(time.Second)/limit)) + 2*time.Second
 }
 
-// TestLimitIsKnownToAllHostsAndItsEndToo has hosts tell each other: from the bound on all
-// requests count, also those of hosts that had no answer, and all come back when the limit
-// is lifted. Some hosts are cut off from the others for seconds meanwhile.
+// Hosts exchange their observations. Once the notice time has passed, the limit must hold
+// for all requests, including those of hosts that got no response themselves; when it is
+// lifted, all hosts must learn of it. One host is partitioned from the others for some
+// seconds meanwhile.
 func TestLimitAndItsEndReachAllHosts(t *testing.T) {
 	for _, n := range []int{6, 60, 300} {
 		for _, limit := range []float64{0, 0.5, 1, 2.5, 20} {
@@ -398,7 +408,7 @@
 					g := NewWithT(t)
 					f := newSimFleet(seed, n, 400*time.Millisecond)
 					f.gossips = true
-					f.advance(20 * time.Second) // all have started
+					f.advance(20 * time.Second) // until all hosts have started
 					f.limit = limit
 					f.advance(2 * time.Second)
 					partitioned := f.hosts[f.rng.IntN(n)]
@@ -417,8 +427,8 @@
 	}
 }
 
-// BenchmarkTelling has one host hear a limit, and reports the calls between hosts that it
-// takes until all know it, and how long that takes, in a fleet without other work.
+// Measures how many calls between hosts it takes until all hosts know a limit that one of
+// them observed, and how long, in a fleet without other traffic.
 func BenchmarkLimitPropagation(b *testing.B) {
 	for _, n := range []int{6, 300, 3020} {
 		b.Run(fmt.Sprint("hosts-", n), func(b *testing.B) {
@@ -443,8 +453,9 @@
 	}
 }
 
-// TestReplicaThatLeavesGetsNothingOfHostsThatWereTold has each host go by its own answers and
-// what fellows tell it; a part of them is cut off from the others.
+// Hosts learn that a replica is leaving from its responses and, for half of the seeds, from
+// peers, while up to a quarter of the hosts are partitioned from the others. Hosts that
+// have been notified must stop sending to the replica.
 func TestNotifiedHostsSendNothingToALeavingReplica(t *testing.T) {
 	for _, n := range []int{6, 60, 300} {
 		t.Run(fmt.Sprint(n, " hosts"), func(t *testing.T) {
@@ -469,8 +480,8 @@
 	}
 }
 
-// TestReplicaThatAsksForRestIsLeftAloneByThatHost has the replica turn away half of what
-// comes; hosts that it has not asked go on.
+// The replica refuses half of the requests and asks their senders for a rest; the other
+// hosts continue to send.
 func TestHostRespectsRequestedRest(t *testing.T) {
 	for _, n := range []int{6, 60, 300} {
 		for _, rest := range []time.Duration{300 * time.Millisecond, 3 * time.Second, time.Hour} {
@@ -492,7 +503,7 @@
 						NewWithT(t).Expect(during).To(BeNumerically("<=", allowedDuringRest))
 					}
 				}
-				NewWithT(t).Expect(rests).To(BeNumerically(">=", 2*n), "hosts ask again when a rest is over")
+				NewWithT(t).Expect(rests).To(BeNumerically(">=", 2*n), "hosts send again when a rest is over")
 			})
 		}
 	}
--- a/core/intake/rest.go
+++ b/core/intake/rest.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Rest is a replica that wants nothing from this host for a while.
+// Rest is a period in which a replica asked this host to send nothing.
 type Rest struct {
-	// Replica is the start that was asked. The one at the address that wants rest may be a
-	// later one, of which the list has not told yet.
+	// Replica is the ID of the replica's start that was called. The process at the address
+	// that asked for the rest may be a later start, which the list does not contain yet.
 	Replica, Address string
-	// Since is when it first said so, Until when that is over.
+	// Since is when the replica first asked, and Until when the rest is over.
 	Since, Until time.Time
 }
 
-// Rests are the replicas that want nothing from this host. The zero value is ready.
+// Rests holds the replicas that asked this host for a rest. The zero value is ready to use.
 type Rests struct {
 	entries map[string]*Rest
 }
 
-// Hear takes an answer, and says whether it begins a rest or makes one longer. No rest
-// lasts longer than most from the answer that asks for it; what was asked for before is
-// not taken back.
+// Hear processes a response, and reports whether it begins a rest, and whether it begins or
+// extends one. A rest lasts at most maxRest from the response that asks for it; a later
+// response never shortens it.
 func (r *Rests) Hear(now time.Time, answer Answer, maxRest time.Duration) (rest Rest, began, changed bool) {
 	if answer.Notice.Rest <= 0 {
 		return Rest{}, false, false
@@ -47,14 +47,14 @@
 	return *known, false, changed
 }
 
-// End drops the rests that are over, and says whether there were any.
+// End removes the rests that are over, and reports whether there were any.
 func (r *Rests) End(now time.Time) bool {
 	before := len(r.entries)
 	maps.DeleteFunc(r.entries, func(_ string, k *Rest) bool { return !now.Before(k.Until) })
 	return len(r.entries) < before
 }
 
-// All returns the rests that were heard of and not dropped, by replica.
+// All returns the rests that have not been removed, ordered by replica.
 func (r *Rests) All() []Rest {
 	out := make([]Rest, 0, len(r.entries))
 	for _, replica := range slices.Sorted(maps.Keys(r.entries)) {
--- a/core/intake/rest_test.go
+++ b/core/intake/rest_test.go
@@ -23,7 +23,7 @@
 	g.Expect(began && changed).To(BeTrue())
 	g.Expect(rest).To(Equal(intake.Rest{Replica: "r", Address: "a", Since: at(1), Until: at(4)}))
 	_, began, changed = hear(2, 1)
-	g.Expect(began || changed).To(BeFalse(), "what was asked for before holds")
+	g.Expect(began || changed).To(BeFalse(), "a shorter rest does not replace the current one")
 	rest, began, changed = hear(3, 2)
 	g.Expect(began).To(BeFalse())
 	g.Expect(changed).To(BeTrue())
--- a/core/intake/shares.go
+++ b/core/intake/shares.go
@@ -6,14 +6,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Shares are one host's parts of the calls that replicas take.
+// Shares computes one host's shares of the calls that replicas accept.
 type Shares struct {
 	self uint64
-	// others are the hashes of all other hosts' names.
+	// others are the hashes of the names of all other hosts, sorted.
 	others []uint64
 }
 
-// NewShares returns the parts of self among hosts, which may name self too.
+// NewShares returns the shares of self among hosts, which may include self.
 func NewShares(self string, hosts []string) *Shares {
 	s := &Shares{self: xxhash.Sum64String(self), others: make([]uint64, 0, len(hosts))}
 	for _, h := range hosts {
@@ -26,7 +26,7 @@
 	return s
 }
 
-// Of returns how many calls this host may begin at a replica, of so many over all hosts.
+// Of returns how many of the given calls over all hosts this host may begin at a replica.
 func (s *Shares) Of(replica string, calls int) int {
 	replicaHash := xxhash.Sum64String(replica)
 	own, rank := hostWeight(s.self, replicaHash), 0
@@ -41,7 +41,8 @@
 	return max(0, (calls-rank+hosts-1)/hosts)
 }
 
-// weigh orders hosts at a replica: the finalizer of splitmix64 over both hashes.
+// hostWeight returns the sort key of a host in the ranking for a replica. It applies the
+// finalizer of splitmix64 to both hashes.
 func hostWeight(host, replica uint64) uint64 {
 	z := host ^ replica
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
--- a/core/intake/shares_test.go
+++ b/core/intake/shares_test.go
@@ -49,14 +49,14 @@
 		for u := range upstreams {
 			total += s.Of(fmt.Sprint("u", u), limit)
 		}
-		// Even parts are 12 each.
+		// An even distribution is 12 calls for each host.
 		g.Expect(total).To(BeNumerically("~", limit, limit-1), h)
 	}
 }
 
-// TestPartsUnderDifferentBeliefs has hosts remember dead ones, and some not know those
-// that have just started: the former never costs the limit, the latter only as many
-// calls as there are such hosts.
+// Hosts may still list dead hosts, and may not list those that have just started. Listing
+// dead hosts must never exceed the limit; not listing new hosts may exceed it by at most
+// one call per such host.
 func TestSharesUnderDifferentHostLists(t *testing.T) {
 	const limit = 12
 	for seed := range uint64(90) {
@@ -84,10 +84,10 @@
 	}
 }
 
-// TestWaysToShareAColdUpstream compares three ways when all hosts have work for an
-// upstream that has just turned cold: to send as before, to have each host space its
-// calls by its part of the rate, and to give the calls of a second to the hosts that
-// rank first. It prints the most calls in any second, of 20 that the upstream bears.
+// Compares three strategies when all hosts have work for an upstream that has just become
+// cold: unlimited sending, each host spacing its calls by its part of the rate, and giving
+// the calls of one second to the hosts that rank first. It logs the maximum number of calls
+// in any second for each; the upstream can serve 20.
 func TestRankedSharesProtectAColdUpstream(t *testing.T) {
 	const capacity, limit, demand = 20, 12, 2 * time.Second
 	g := NewWithT(t)
@@ -107,12 +107,12 @@
 				ranked = append(ranked, at, at+1100*time.Millisecond)
 			}
 		}
-		t.Logf("%d hosts: %d as before, %d spaced, %d by rank", n, maxInOneSecond(unlimited), maxInOneSecond(spaced), maxInOneSecond(ranked))
+		t.Logf("%d hosts: %d unlimited, %d spaced, %d by rank", n, maxInOneSecond(unlimited), maxInOneSecond(spaced), maxInOneSecond(ranked))
 		g.Expect(maxInOneSecond(ranked)).To(BeNumerically("<=", capacity))
 	}
 }
 
-// mostInASecond is the largest number of times within a second.
+// maxInOneSecond returns the maximum number of times within one second.
 func maxInOneSecond(at []time.Duration) int {
 	slices.Sort(at)
 	times := make([]time.Time, 0, len(at))
@@ -122,7 +122,7 @@
 	return maxInWindow(times, time.Second)
 }
 
-// mostWithin is the largest number of times, which are in order, within a span.
+// maxInWindow returns the maximum number of the given sorted times within a window.
 func maxInWindow(times []time.Time, window time.Duration) int {
 	most, oldest := 0, 0
 	for i := range times {
--- a/core/poison/machine.go
+++ b/core/poison/machine.go
@@ -93,7 +93,8 @@
 func (m *Machine) LastServed(f Fingerprint) time.Time { return m.successes.last(f) }
 
 // Learn merges verdicts of other machines and returns those that change the local ones. A
-// verdict that is contradicted by a later successful run here is returned as lifted.
+// verdict is stored and returned as lifted if a run of the request succeeded here after the
+// first crash that counts against it.
 func (m *Machine) Learn(now time.Time, verdicts []Verdict) []Verdict {
 	m.expire(now)
 	var changed []Verdict
