--- a/core/catalog/config.go
+++ b/core/catalog/config.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Repeat is the execution guarantee of a route's requests.
+// Repeat is the policy on repeated execution of a route's requests.
 type Repeat uint8
 
-// The execution guarantees.
+// The repeat policies.
 const (
 	// AtMostOnce requests are executed at most once per request ID.
 	AtMostOnce Repeat = iota
--- a/core/intake/account.go
+++ b/core/intake/account.go
@@ -13,8 +13,8 @@
 	// Round counts the changes of the limit. It identifies outdated reports, since the
 	// clocks of the hosts are not synchronized.
 	Round uint64
-	// Since is when the limit was first observed, and At when a response last named it or
-	// showed that it was lifted.
+	// Since is when the limit was first observed, and At when a response last announced it
+	// or showed that it was lifted.
 	Since, At time.Time
 }
 
@@ -33,8 +33,8 @@
 	maxReplicas = 1 << 14
 )
 
-// Account holds one host's knowledge of the limits that replicas name. The zero value is
-// ready to use.
+// Account holds one host's knowledge of the limits that replicas announce. The zero value
+// is ready to use.
 type Account struct {
 	entries map[string]*limitEntry
 }
@@ -47,14 +47,14 @@
 
 // Hear processes a response, and returns the replica's limit if the response changed it. A
 // limit is in force until a served response omits it whose request was sent after the limit
-// was last named; responses to earlier requests are ignored, since responses may be
+// was last announced; responses to earlier requests are ignored, since responses may be
 // reordered.
-func (a *Account) Hear(now time.Time, answer Answer) (Limited, bool) {
-	known := a.entries[answer.Replica]
-	limit := answer.Notice.Limit
+func (a *Account) Hear(now time.Time, response Answer) (Limited, bool) {
+	known := a.entries[response.Replica]
+	limit := response.Notice.Limit
 	switch {
 	case limit.Named && known == nil:
-		l := Limited{Replica: answer.Replica, Limit: limit, Round: 1, Since: now, At: now}
+		l := Limited{Replica: response.Replica, Limit: limit, Round: 1, Since: now, At: now}
 		return l, a.add(now, l)
 	case limit.Named:
 		known.At = now
@@ -66,7 +66,7 @@
 		}
 		known.Limit, known.Round = limit, known.Round+1
 		return known.Limited, true
-	case known == nil || !known.Limit.Named || !answer.Served || !answer.Sent.After(known.At):
+	case known == nil || !known.Limit.Named || !response.Served || !response.Sent.After(known.At):
 		return Limited{}, false
 	}
 	known.Limit, known.Round, known.At = Limit{}, known.Round+1, now
--- a/core/intake/account_test.go
+++ b/core/intake/account_test.go
@@ -13,8 +13,8 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// runAnswer is the response to a served run; it names no limit if limit is negative.
-func runAnswer(sent, limit float64) intake.Answer {
+// runResponse is the response to a served run; it announces no limit if limit is negative.
+func runResponse(sent, limit float64) intake.Answer {
 	a := intake.Answer{Replica: "r", Sent: at(sent), Served: true}
 	if limit >= 0 {
 		a.Notice.Limit = intake.Limit{Named: true, PerSecond: limit}
@@ -22,36 +22,36 @@
 	return a
 }
 
-func TestLimitHoldsUntilAServedAnswerOmitsIt(t *testing.T) {
+func TestLimitHoldsUntilAServedResponseOmitsIt(t *testing.T) {
 	g := NewWithT(t)
 	var a intake.Account
-	_, changed := a.Hear(at(1), runAnswer(0, -1))
+	_, changed := a.Hear(at(1), runResponse(0, -1))
 	g.Expect(changed).To(BeFalse())
-	l, changed := a.Hear(at(2), runAnswer(1.9, 4))
+	l, changed := a.Hear(at(2), runResponse(1.9, 4))
 	g.Expect(changed).To(BeTrue())
 	g.Expect(l).To(Equal(intake.Limited{Replica: "r", Limit: intake.Limit{Named: true, PerSecond: 4}, Round: 1, Since: at(2), At: at(2)}))
-	_, changed = a.Hear(at(3), runAnswer(2.9, 4))
+	_, changed = a.Hear(at(3), runResponse(2.9, 4))
 	g.Expect(changed).To(BeFalse())
-	l, changed = a.Hear(at(4), runAnswer(3.9, 0.5))
-	g.Expect(changed).To(BeTrue(), "it names a different limit")
+	l, changed = a.Hear(at(4), runResponse(3.9, 0.5))
+	g.Expect(changed).To(BeTrue(), "it announces a different limit")
 	g.Expect(l.Since).To(Equal(at(2)))
 	g.Expect(a.Limits()).To(ConsistOf(l))
 
-	refused := runAnswer(4.5, -1)
+	refused := runResponse(4.5, -1)
 	refused.Served = false
 	_, changed = a.Hear(at(5), refused)
 	g.Expect(changed).To(BeFalse(), "a refusal")
-	l, changed = a.Hear(at(6), runAnswer(5.9, -1))
+	l, changed = a.Hear(at(6), runResponse(5.9, -1))
 	g.Expect(changed).To(BeTrue())
 	g.Expect(l.Limit.Named).To(BeFalse())
 	g.Expect(a.Limits()).To(BeEmpty())
 }
 
-func TestReorderedAnswerDoesNotLiftLimit(t *testing.T) {
+func TestReorderedResponseDoesNotLiftLimit(t *testing.T) {
 	g := NewWithT(t)
 	var a intake.Account
-	a.Hear(at(2), runAnswer(1, 4))
-	_, changed := a.Hear(at(2.001), runAnswer(1.5, -1))
+	a.Hear(at(2), runResponse(1, 4))
+	_, changed := a.Hear(at(2.001), runResponse(1.5, -1))
 	g.Expect(changed).To(BeFalse())
 	g.Expect(a.Limits()).To(HaveLen(1))
 }
@@ -59,7 +59,7 @@
 func TestUnlistedReplicasExpire(t *testing.T) {
 	g := NewWithT(t)
 	var a intake.Account
-	a.Hear(at(1), runAnswer(0, 4))
+	a.Hear(at(1), runResponse(0, 4))
 	a.Forget(at(100), func(string) bool { return true })
 	a.Forget(at(150), func(string) bool { return false })
 	g.Expect(a.Limits()).To(HaveLen(1), "retained in case the list contains it again")
@@ -112,8 +112,8 @@
 func TestLiftedLimitIsRetained(t *testing.T) {
 	g := NewWithT(t)
 	var a intake.Account
-	a.Hear(at(1), runAnswer(0, 2))
-	a.Hear(at(3), runAnswer(2, -1))
+	a.Hear(at(1), runResponse(0, 2))
+	a.Hear(at(3), runResponse(2, -1))
 	a.Forget(at(12), func(string) bool { return true })
 	g.Expect(a.News(at(2))).To(HaveLen(1), "peers are notified that it was lifted")
 	a.Forget(at(14), func(string) bool { return true })
--- a/core/intake/doc.go
+++ b/core/intake/doc.go
@@ -1,7 +1,7 @@
 // Package intake limits the calls to replicas that accept only a certain rate from all
-// hosts together: those that have just started, and those that name a limit in their
+// hosts together: those that have just started, and those that announce a limit in their
 // responses. No host asks another one before a call. The package also keeps track of these
-// limits, of replicas that are leaving and of replicas that asked for a rest.
+// limits, of replicas that are leaving and of replicas that asked for a backoff.
 //
 // Each host ranks all hosts that it knows by a hash of host and replica, in the same order
 // as every other host, and derives its quota of a limit from its own rank. If a limit
@@ -20,9 +20,9 @@
 //
 // A limit does not expire if its replica has not repeated it for a long time. Instead the
 // hosts without a quota may begin single probe calls in turn, and the first response to a
-// served run that does not name the limit lifts it. Thus a replica with a limit of zero is
-// probed again, even if all replicas of a service name such a limit, and the end of a limit
-// is detected even if no host has a quota of it.
+// served run that does not announce the limit lifts it. Thus a replica with a limit of zero
+// is probed again, even if all replicas of a service announce such a limit, and the end of
+// a limit is detected even if no host has a quota of it.
 //
 // A Gate counts every call that begins at its replica, whichever component makes it. It
 // enforces all quotas that are set, and each call counts against all of them.
--- a/core/intake/gate.go
+++ b/core/intake/gate.go
@@ -13,12 +13,12 @@
 const (
 	// Cold limits the calls to replicas that have just started.
 	Cold Source = iota
-	// Named limits the calls to replicas that name a limit in their responses.
+	// Named limits the calls to replicas that announce a limit in their responses.
 	Named
 	// Leaving blocks the calls to replicas that announced in a response that they are
 	// leaving.
 	Leaving
-	// Resting temporarily blocks the calls to replicas that asked this host for a rest.
+	// Resting temporarily blocks the calls to replicas that asked this host for a backoff.
 	Resting
 	sourceCount
 )
@@ -36,10 +36,10 @@
 	// call; 0 if none may.
 	Calls  int
 	Window time.Duration
-	// Probe is the time from which one call may begin although Calls is 0, and ProbeEvery
-	// the time from that call to the next one. A zero Probe allows none.
-	Probe      time.Time
-	ProbeEvery time.Duration
+	// ProbeFrom is the time from which one call may begin although Calls is 0, and
+	// ProbeInterval the time from that call to the next one. A zero ProbeFrom allows none.
+	ProbeFrom     time.Time
+	ProbeInterval time.Duration
 	// Until is the time until which no call may begin, and from which the quota no longer
 	// applies; zero for a quota without an end.
 	Until time.Time
@@ -78,7 +78,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for s, p := range g.quotas {
-		if p != nil && now.Before(g.nextAllowed(p)) {
+		if p != nil && now.Before(g.allowedAt(p)) {
 			return Source(s), true
 		}
 	}
@@ -99,7 +99,7 @@
 		if p == nil {
 			continue
 		}
-		opens := g.nextAllowed(p)
+		opens := g.allowedAt(p)
 		if othersOpen := now.Add(p.Window); p.Until.IsZero() && p.Calls < 1 && p.Window > 0 && opens.After(othersOpen) {
 			opens = othersOpen
 		}
@@ -111,8 +111,8 @@
 }
 
 // TurnsAway reports whether the replica itself announced that it accepts nothing from this
-// host, because it is leaving or resting. A call that was assigned to the replica before is
-// then not to be sent.
+// host, because it is leaving or requested a backoff. A call that was assigned to the
+// replica before is then not to be sent.
 func (g *Gate) TurnsAway(now time.Time) bool {
 	if !g.bounded.Load() {
 		return false
@@ -159,13 +159,13 @@
 	return perSecond, bounded
 }
 
-// nextAllowed returns when a quota allows this host's next call. The caller holds the lock.
-func (g *Gate) nextAllowed(p *Part) time.Time {
+// allowedAt returns when a quota allows this host's next call. The caller holds the lock.
+func (g *Gate) allowedAt(p *Part) time.Time {
 	switch {
 	case !p.Until.IsZero():
 		return p.Until
 	case p.Calls < 1:
-		return g.nextProbe(p)
+		return g.probeAllowedAt(p)
 	}
 	oldest := g.callTimes[(g.newest+1+MaxTrackedCalls-min(p.Calls, MaxTrackedCalls))%MaxTrackedCalls]
 	if oldest.IsZero() {
@@ -174,17 +174,17 @@
 	return oldest.Add(p.Window)
 }
 
-// nextProbe returns when a quota of no calls allows the next probe call. The caller holds
-// the lock.
-func (g *Gate) nextProbe(p *Part) time.Time {
+// probeAllowedAt returns when a quota of no calls allows the next probe call. The caller
+// holds the lock.
+func (g *Gate) probeAllowedAt(p *Part) time.Time {
 	last := g.callTimes[g.newest]
 	switch {
-	case p.Probe.IsZero():
+	case p.ProbeFrom.IsZero():
 		return farFuture
-	case last.Before(p.Probe):
-		return p.Probe
+	case last.Before(p.ProbeFrom):
+		return p.ProbeFrom
 	}
-	return last.Add(p.ProbeEvery)
+	return last.Add(p.ProbeInterval)
 }
 
 // farFuture is later than any time that is passed in.
@@ -226,10 +226,10 @@
 
 // SetParts replaces all quotas of a source, by replica. They also apply to gates that are
 // created later.
-func (gs *Gates) SetParts(s Source, parts map[string]Part) {
+func (gs *Gates) SetParts(s Source, quotas map[string]Part) {
 	gs.mu.Lock()
 	defer gs.mu.Unlock()
-	gs.quotas[s] = parts
+	gs.quotas[s] = quotas
 	for replica, g := range gs.gates {
 		gs.applyQuota(s, replica, g)
 	}
--- a/core/intake/leaving.go
+++ b/core/intake/leaving.go
@@ -29,11 +29,11 @@
 
 // Hear processes a response, and reports whether it is the first one that announces that
 // its replica is leaving.
-func (l *Leavers) Hear(now time.Time, answer Answer) (Leaver, bool) {
-	if !answer.Notice.Leaving {
+func (l *Leavers) Hear(now time.Time, response Answer) (Leaver, bool) {
+	if !response.Notice.Leaving {
 		return Leaver{}, false
 	}
-	heard := Leaver{Replica: answer.Replica, At: now}
+	heard := Leaver{Replica: response.Replica, At: now}
 	return heard, l.add(now, heard)
 }
 
--- a/core/intake/leaving_test.go
+++ b/core/intake/leaving_test.go
@@ -8,8 +8,8 @@
 	"github.com/wheatseam/wheatseam/core/intake"
 )
 
-// leavingAnswer is a response in which a replica announces that it is leaving.
-func leavingAnswer(replica string) intake.Answer {
+// leavingResponse is a response in which a replica announces that it is leaving.
+func leavingResponse(replica string) intake.Answer {
 	return intake.Answer{Replica: replica, Notice: intake.Notice{Leaving: true}}
 }
 
@@ -18,10 +18,10 @@
 	var l intake.Leavers
 	_, first := l.Hear(at(1), intake.Answer{Replica: "r@1"})
 	g.Expect(first).To(BeFalse())
-	heard, first := l.Hear(at(2), leavingAnswer("r@1"))
+	heard, first := l.Hear(at(2), leavingResponse("r@1"))
 	g.Expect(first).To(BeTrue())
 	g.Expect(heard).To(Equal(intake.Leaver{Replica: "r@1", At: at(2)}))
-	_, first = l.Hear(at(3), leavingAnswer("r@1"))
+	_, first = l.Hear(at(3), leavingResponse("r@1"))
 	g.Expect(first).To(BeFalse())
 	_, first = l.Hear(at(4), intake.Answer{Replica: "r@1", Served: true})
 	g.Expect(first).To(BeFalse(), "a response without the notice does not revoke it")
@@ -34,7 +34,7 @@
 func TestLeavingReplicaIsRetainedWhileUnlisted(t *testing.T) {
 	g := NewWithT(t)
 	var l intake.Leavers
-	l.Hear(at(0), leavingAnswer("r"))
+	l.Hear(at(0), leavingResponse("r"))
 	l.Forget(at(300), func(string) bool { return true })
 	l.Forget(at(330), func(string) bool { return false })
 	g.Expect(l.All()).To(HaveLen(1))
--- a/core/intake/limit.go
+++ b/core/intake/limit.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// quotaWindow is the interval for which the calls to a replica that names a limit are
-	// divided among the hosts. With a longer window more hosts get a quota of a small
+	// quotaWindow is the interval for which the calls to a replica that announces a limit
+	// are divided among the hosts. With a longer window more hosts get a quota of a small
 	// limit, but more calls may begin at once.
 	quotaWindow = 4 * time.Second
 	// probeInterval is the time since a limit was last observed after which the host that
@@ -68,8 +68,8 @@
 		p = p.combine(quotaOf(func(_ string, calls int) int { return calls }, l.Replica, plannerRate))
 	}
 	if p.Calls < 1 {
-		p.ProbeEvery = time.Duration(rank+1) * probeInterval
-		p.Probe = l.At.Add(p.ProbeEvery)
+		p.ProbeInterval = time.Duration(rank+1) * probeInterval
+		p.ProbeFrom = l.At.Add(p.ProbeInterval)
 	}
 	return p.capped()
 }
--- a/core/intake/limit_test.go
+++ b/core/intake/limit_test.go
@@ -10,7 +10,7 @@
 	"github.com/wheatseam/wheatseam/core/intake"
 )
 
-// replicaLimit is the limit of a replica that named it at start.
+// replicaLimit is the limit of a replica that announced it at start.
 func replicaLimit(replica string, perSecond float64) intake.Limited {
 	return intake.Limited{Replica: replica, Limit: intake.Limit{Named: true, PerSecond: perSecond}, Since: start, At: start}
 }
@@ -76,14 +76,14 @@
 	for _, limit := range []float64{0, 0.01} {
 		var probeTimes []time.Duration
 		for _, h := range hosts {
-			gates := intake.NewGates()
-			gate := gates.Of("r")
-			gates.SetParts(intake.Named, map[string]intake.Part{"r": intake.NewShares(h, hosts).OfLimit(replicaLimit("r", limit), intake.Requester)})
+			limiters := intake.NewGates()
+			limiter := limiters.Of("r")
+			limiters.SetParts(intake.Named, map[string]intake.Part{"r": intake.NewShares(h, hosts).OfLimit(replicaLimit("r", limit), intake.Requester)})
 			for d := time.Duration(0); d < 2*time.Minute; d += 100 * time.Millisecond {
-				if _, refuses := gate.Refuses(start.Add(d)); !refuses {
+				if _, refuses := limiter.Refuses(start.Add(d)); !refuses {
 					probeTimes = append(probeTimes, d)
-					gate.Begin(start.Add(d))
-					_, refuses = gate.Refuses(start.Add(d))
+					limiter.Begin(start.Add(d))
+					_, refuses = limiter.Refuses(start.Add(d))
 					g.Expect(refuses).To(BeTrue(), "one call only")
 					break
 				}
@@ -93,49 +93,49 @@
 	}
 }
 
-func TestGateReportsWhenTheNextCallIsAllowed(t *testing.T) {
+func TestLimiterReportsWhenTheNextCallIsAllowed(t *testing.T) {
 	g := NewWithT(t)
-	gates := intake.NewGates()
-	gate := gates.Of("r")
-	g.Expect(gate.Opens(start)).To(Equal(start))
-	gates.SetParts(intake.Named, map[string]intake.Part{"r": {Calls: 2, Window: 4 * time.Second}})
-	gate.Begin(start)
-	g.Expect(gate.Opens(at(1))).To(Equal(at(1)))
-	gate.Begin(at(1))
-	g.Expect(gate.Opens(at(2))).To(Equal(at(4)))
-	source, refuses := gate.Refuses(at(2))
+	limiters := intake.NewGates()
+	limiter := limiters.Of("r")
+	g.Expect(limiter.Opens(start)).To(Equal(start))
+	limiters.SetParts(intake.Named, map[string]intake.Part{"r": {Calls: 2, Window: 4 * time.Second}})
+	limiter.Begin(start)
+	g.Expect(limiter.Opens(at(1))).To(Equal(at(1)))
+	limiter.Begin(at(1))
+	g.Expect(limiter.Opens(at(2))).To(Equal(at(4)))
+	source, refuses := limiter.Refuses(at(2))
 	g.Expect(refuses).To(BeTrue())
 	g.Expect(fmt.Sprint(source)).To(Equal("limited"))
 
-	gates.SetParts(intake.Cold, map[string]intake.Part{"r": {Window: time.Second}})
-	g.Expect(gate.Opens(at(2))).To(Equal(at(4)), "both quotas apply")
-	g.Expect(gate.Opens(at(5))).To(Equal(at(6)), "another host may begin a call")
-	gates.SetParts(intake.Resting, map[string]intake.Part{"r": {Until: at(9)}})
-	g.Expect(gate.Opens(at(5))).To(Equal(at(9)))
-	_, bounded := gate.Rate(at(5))
+	limiters.SetParts(intake.Cold, map[string]intake.Part{"r": {Window: time.Second}})
+	g.Expect(limiter.Opens(at(2))).To(Equal(at(4)), "both quotas apply")
+	g.Expect(limiter.Opens(at(5))).To(Equal(at(6)), "another host may begin a call")
+	limiters.SetParts(intake.Resting, map[string]intake.Part{"r": {Until: at(9)}})
+	g.Expect(limiter.Opens(at(5))).To(Equal(at(9)))
+	_, bounded := limiter.Rate(at(5))
 	g.Expect(bounded).To(BeTrue())
-	gates.SetParts(intake.Cold, nil)
-	gates.SetParts(intake.Named, nil)
-	source, refuses = gate.Refuses(at(8.9))
+	limiters.SetParts(intake.Cold, nil)
+	limiters.SetParts(intake.Named, nil)
+	source, refuses = limiter.Refuses(at(8.9))
 	g.Expect(refuses).To(BeTrue())
 	g.Expect(source).To(Equal(intake.Resting))
-	_, refuses = gate.Refuses(at(9))
+	_, refuses = limiter.Refuses(at(9))
 	g.Expect(refuses).To(BeFalse())
-	_, bounded = gate.Rate(at(9))
+	_, bounded = limiter.Rate(at(9))
 	g.Expect(bounded).To(BeFalse())
-	gates.SetParts(intake.Resting, nil)
+	limiters.SetParts(intake.Resting, nil)
 
-	gates.SetParts(intake.Leaving, map[string]intake.Part{"r": {}})
-	g.Expect(gate.Leaves()).To(BeTrue())
-	g.Expect(gate.Opens(at(5))).To(BeTemporally(">", at(1e9)))
-	gates.SetParts(intake.Leaving, nil)
-	g.Expect(gate.Leaves()).To(BeFalse())
-	gates.SetParts(intake.Cold, nil)
-	gates.SetParts(intake.Named, nil)
-	_, refuses = gate.Refuses(at(2))
+	limiters.SetParts(intake.Leaving, map[string]intake.Part{"r": {}})
+	g.Expect(limiter.Leaves()).To(BeTrue())
+	g.Expect(limiter.Opens(at(5))).To(BeTemporally(">", at(1e9)))
+	limiters.SetParts(intake.Leaving, nil)
+	g.Expect(limiter.Leaves()).To(BeFalse())
+	limiters.SetParts(intake.Cold, nil)
+	limiters.SetParts(intake.Named, nil)
+	_, refuses = limiter.Refuses(at(2))
 	g.Expect(refuses).To(BeFalse())
 
-	gates.SetParts(intake.Named, map[string]intake.Part{"later": {Window: time.Second}})
-	_, refuses = gates.Of("later").Refuses(start)
+	limiters.SetParts(intake.Named, map[string]intake.Part{"later": {Window: time.Second}})
+	_, refuses = limiters.Of("later").Refuses(start)
 	g.Expect(refuses).To(BeTrue(), "a gate created after the quota was set")
 }
--- a/core/intake/notice.go
+++ b/core/intake/notice.go
@@ -19,13 +19,13 @@
 
 // Limit is the rate of requests that a replica accepts from all hosts together.
 type Limit struct {
-	// Named says that the response names a limit.
+	// Named says that the response announces a limit.
 	Named bool
 	// PerSecond is finite and not negative.
 	PerSecond float64
 }
 
-// Valid reports whether the rate is one that a replica may name.
+// Valid reports whether the rate is one that a replica may announce.
 func (l Limit) Valid() bool { return l.PerSecond >= 0 && !math.IsInf(l.PerSecond, 0) }
 
 // Answer is a response of the replica that the call was meant for.
--- a/core/intake/random_test.go
+++ b/core/intake/random_test.go
@@ -14,7 +14,7 @@
 
 const (
 	replica = "r"
-	// fleetNoticeTime is the time after the first response that names a limit, and
+	// fleetNoticeTime is the time after the first response that announces a limit, and
 	// hostNoticeTime the time after a host's own first one, from which the limit is
 	// enforced.
 	fleetNoticeTime = 3 * time.Second
@@ -30,10 +30,10 @@
 	// leavingNoticeTime is how long a host that was notified may still send to a replica
 	// that is leaving.
 	leavingNoticeTime = 2 * time.Second
-	// maxRest is the maximum duration of a rest, and allowedDuringRest the number of
-	// requests that may reach the replica during one.
-	maxRest           = 4 * time.Second
-	allowedDuringRest = 2
+	// maxBackoff is the maximum duration of a backoff, and allowedDuringBackoff the number
+	// of requests that may reach the replica during one.
+	maxBackoff           = 4 * time.Second
+	allowedDuringBackoff = 2
 	// repeatInterval is the interval at which hosts send recent observations to their peers
 	// again.
 	repeatInterval = 3 * time.Second
@@ -46,16 +46,16 @@
 	// startsAt is when the host begins to send requests.
 	startsAt time.Time
 	account  intake.Account
-	gates    *intake.Gates
-	gate     *intake.Gate
-	// limitHeardAt is when the host first got a response that names a limit, and
+	limiters *intake.Gates
+	limiter  *intake.Gate
+	// limitHeardAt is when the host first got a response that announces a limit, and
 	// leavingHeardAt one that announces that the replica is leaving.
 	limitHeardAt, leavingHeardAt time.Time
 	leavers                      intake.Leavers
-	rests                        intake.Rests
-	// requestedRests are the rests that the replica asked this host for: when, and until
+	backoffs                     intake.Rests
+	// requestedBackoffs are the backoffs that the replica asked this host for: when, and until
 	// when.
-	requestedRests []intake.Rest
+	requestedBackoffs []intake.Rest
 	// appliesQuotas says that the host applies its quotas.
 	appliesQuotas bool
 	// neighbours are the peers to which the host sends new observations; calls with the
@@ -67,26 +67,26 @@
 
 // updateQuotas recomputes the host's quotas.
 func (h *simHost) updateQuotas() {
-	parts := map[string]intake.Part{}
+	quotas := map[string]intake.Part{}
 	for _, l := range h.account.Limits() {
-		parts[l.Replica] = intake.NewShares(h.name, h.knownHosts).OfLimit(l, intake.Requester)
+		quotas[l.Replica] = intake.NewShares(h.name, h.knownHosts).OfLimit(l, intake.Requester)
 	}
 	leaving, resting := map[string]intake.Part{}, map[string]intake.Part{}
 	for _, l := range h.leavers.All() {
 		leaving[l.Replica] = intake.Part{}
 	}
-	for _, r := range h.rests.All() {
+	for _, r := range h.backoffs.All() {
 		resting[r.Replica] = intake.Part{Until: r.Until}
 	}
 	if h.appliesQuotas {
-		h.gates.SetParts(intake.Named, parts)
-		h.gates.SetParts(intake.Leaving, leaving)
-		h.gates.SetParts(intake.Resting, resting)
+		h.limiters.SetParts(intake.Named, quotas)
+		h.limiters.SetParts(intake.Leaving, leaving)
+		h.limiters.SetParts(intake.Resting, resting)
 	}
 }
 
-// simAnswer is a response in transit.
-type simAnswer struct {
+// simResponse is a response in transit.
+type simResponse struct {
 	at   time.Time
 	host *simHost
 	intake.Answer
@@ -114,14 +114,14 @@
 	now             time.Time
 	hosts           []*simHost
 	requestInterval time.Duration
-	answers         []simAnswer
-	// limit is the limit that the replica names; negative for none.
+	responses       []simResponse
+	// limit is the limit that the replica announces; negative for none.
 	limit        float64
 	limitHeardAt time.Time
-	// leaving says that the replica is leaving. rest is the rest for which it asks hosts
-	// whose requests it refuses, which are half of them.
+	// leaving says that the replica is leaving. backoff is the backoff for which it asks
+	// hosts whose requests it refuses, which are half of them.
 	leaving bool
-	rest    time.Duration
+	backoff time.Duration
 	// arrivals holds the time and the sender of each request that reached the replica.
 	arrivals []simArrival
 }
@@ -133,12 +133,12 @@
 
 // newSimFleet returns a fleet in which some hosts start during the simulation, some list
 // dead hosts, and some do not list yet those that start late.
-func newSimFleet(seed uint64, n int, every time.Duration) *simFleet {
-	f := &simFleet{rng: rand.New(rand.NewPCG(seed, 11)), now: start, requestInterval: every, limit: -1}
+func newSimFleet(seed uint64, n int, requestInterval time.Duration) *simFleet {
+	f := &simFleet{rng: rand.New(rand.NewPCG(seed, 11)), now: start, requestInterval: requestInterval, limit: -1}
 	all := hostNames(n + n/2)
 	living, dead, late := all[:n], all[n:], f.rng.IntN(4)
 	for i, name := range living {
-		h := &simHost{name: name, gates: intake.NewGates(), knownHosts: slices.Clone(living), appliesQuotas: true, startsAt: start}
+		h := &simHost{name: name, limiters: intake.NewGates(), knownHosts: slices.Clone(living), appliesQuotas: true, startsAt: start}
 		if i >= n-late {
 			h.startsAt = start.Add(time.Duration(f.rng.IntN(15)) * time.Second)
 		} else if f.rng.IntN(3) == 0 {
@@ -149,7 +149,7 @@
 				h.knownHosts = append(h.knownHosts, d)
 			}
 		}
-		h.gate = h.gates.Of(replica)
+		h.limiter = h.limiters.Of(replica)
 		f.hosts = append(f.hosts, h)
 	}
 	for i, h := range f.hosts {
@@ -235,19 +235,19 @@
 // advance runs the simulation for a duration.
 func (f *simFleet) advance(duration time.Duration) {
 	for until := f.now.Add(duration); f.now.Before(until); f.now = f.now.Add(simStep) {
-		f.deliverAnswers()
+		f.deliverResponses()
 		f.deliverPeerCalls()
 		for _, h := range f.hosts {
 			if f.now.Sub(start)%quotaInterval == 0 {
 				h.account.Forget(f.now, func(string) bool { return true })
-				h.rests.End(f.now)
+				h.backoffs.End(f.now)
 				h.updateQuotas()
 				f.repeatLimits(h)
 			}
 			if f.now.Before(h.startsAt) || f.rng.Float64() >= float64(simStep)/float64(f.requestInterval) {
 				continue
 			}
-			if _, refuses := h.gate.Refuses(f.now); !refuses {
+			if _, refuses := h.limiter.Refuses(f.now); !refuses {
 				f.sendRequest(h)
 			}
 		}
@@ -255,9 +255,9 @@
 }
 
 // sendRequest sends a request to the replica and schedules the response. One request in ten
-// is refused without naming the limit.
+// is refused without announcing the limit.
 func (f *simFleet) sendRequest(h *simHost) {
-	h.gate.Begin(f.now)
+	h.limiter.Begin(f.now)
 	arrives := f.now.Add(time.Duration(f.rng.IntN(50)) * time.Millisecond)
 	f.arrivals = append(f.arrivals, simArrival{arrives, h})
 	a := intake.Answer{Replica: replica, Sent: f.now, Served: f.rng.IntN(10) > 0}
@@ -265,15 +265,15 @@
 		a.Notice.Limit = intake.Limit{Named: true, PerSecond: f.limit}
 	}
 	a.Notice.Leaving = f.leaving
-	if f.rest > 0 && f.rng.IntN(2) == 0 {
-		a.Served, a.Notice.Rest = false, f.rest
+	if f.backoff > 0 && f.rng.IntN(2) == 0 {
+		a.Served, a.Notice.Rest = false, f.backoff
 	}
-	f.answers = append(f.answers, simAnswer{arrives.Add(time.Duration(10+f.rng.IntN(400)) * time.Millisecond), h, a})
+	f.responses = append(f.responses, simResponse{arrives.Add(time.Duration(10+f.rng.IntN(400)) * time.Millisecond), h, a})
 }
 
-// deliverAnswers delivers the responses that are due.
-func (f *simFleet) deliverAnswers() {
-	f.answers = slices.DeleteFunc(f.answers, func(a simAnswer) bool {
+// deliverResponses delivers the responses that are due.
+func (f *simFleet) deliverResponses() {
+	f.responses = slices.DeleteFunc(f.responses, func(a simResponse) bool {
 		if f.now.Before(a.at) {
 			return false
 		}
@@ -286,8 +286,8 @@
 			a.host.updateQuotas()
 			f.broadcastLeavers(a.host, nil, []intake.Leaver{l})
 		}
-		if r, _, changed := a.host.rests.Hear(f.now, a.Answer, maxRest); changed {
-			a.host.requestedRests = append(a.host.requestedRests, intake.Rest{Since: f.now, Until: r.Until})
+		if r, _, changed := a.host.backoffs.Hear(f.now, a.Answer, maxBackoff); changed {
+			a.host.requestedBackoffs = append(a.host.requestedBackoffs, intake.Rest{Since: f.now, Until: r.Until})
 			a.host.updateQuotas()
 		}
 		if a.Notice.Limit.Named && a.host.limitHeardAt.IsZero() {
@@ -387,7 +387,7 @@
 
 // maxLiftTime returns the maximum time until all hosts know that a limit was lifted. It
 // covers the next call that may begin and the one after it, since one request in ten is
-// refused without naming the limit.
+// refused without announcing the limit.
 func maxLiftTime(limit float64) time.Duration {
 	if limit == 0 {
 		return 32 * time.Second
@@ -480,30 +480,30 @@
 	}
 }
 
-// The replica refuses half of the requests and asks their senders for a rest; the other
+// The replica refuses half of the requests and asks their senders for a backoff; the other
 // hosts continue to send.
-func TestHostRespectsRequestedRest(t *testing.T) {
+func TestHostRespectsRequestedBackoff(t *testing.T) {
 	for _, n := range []int{6, 60, 300} {
-		for _, rest := range []time.Duration{300 * time.Millisecond, 3 * time.Second, time.Hour} {
-			t.Run(fmt.Sprintf("%d hosts, %s", n, rest), func(t *testing.T) {
+		for _, backoff := range []time.Duration{300 * time.Millisecond, 3 * time.Second, time.Hour} {
+			t.Run(fmt.Sprintf("%d hosts, %s", n, backoff), func(t *testing.T) {
 				t.Parallel()
 				f := newSimFleet(5, n, 100*time.Millisecond)
-				f.rest = rest
+				f.backoff = backoff
 				f.advance(15 * time.Second)
-				rests := 0
+				backoffs := 0
 				for _, h := range f.hosts {
-					rests += len(h.requestedRests)
-					for _, r := range h.requestedRests {
+					backoffs += len(h.requestedBackoffs)
+					for _, r := range h.requestedBackoffs {
 						during := 0
 						for _, a := range f.arrivals {
 							if a.host == h && !a.at.Before(r.Since.Add(hostNoticeTime)) && a.at.Before(r.Until) {
 								during++
 							}
 						}
-						NewWithT(t).Expect(during).To(BeNumerically("<=", allowedDuringRest))
+						NewWithT(t).Expect(during).To(BeNumerically("<=", allowedDuringBackoff))
 					}
 				}
-				NewWithT(t).Expect(rests).To(BeNumerically(">=", 2*n), "hosts send again when a rest is over")
+				NewWithT(t).Expect(backoffs).To(BeNumerically(">=", 2*n), "hosts send again when a backoff is over")
 			})
 		}
 	}
--- a/core/intake/rest.go
+++ b/core/intake/rest.go
@@ -9,26 +9,27 @@
 // Rest is a period in which a replica asked this host to send nothing.
 type Rest struct {
 	// Replica is the ID of the replica's start that was called. The process at the address
-	// that asked for the rest may be a later start, which the list does not contain yet.
+	// that asked for the backoff may be a later start, which the list does not contain yet.
 	Replica, Address string
-	// Since is when the replica first asked, and Until when the rest is over.
+	// Since is when the replica first asked, and Until when the backoff is over.
 	Since, Until time.Time
 }
 
-// Rests holds the replicas that asked this host for a rest. The zero value is ready to use.
+// Rests holds the replicas that asked this host for a backoff. The zero value is ready to
+// use.
 type Rests struct {
 	entries map[string]*Rest
 }
 
-// Hear processes a response, and reports whether it begins a rest, and whether it begins or
-// extends one. A rest lasts at most maxRest from the response that asks for it; a later
-// response never shortens it.
-func (r *Rests) Hear(now time.Time, answer Answer, maxRest time.Duration) (rest Rest, began, changed bool) {
-	if answer.Notice.Rest <= 0 {
+// Hear processes a response, and reports whether it begins a backoff, and whether it begins
+// or extends one. A backoff lasts at most maxBackoff from the response that asks for it; a
+// later response never shortens it.
+func (r *Rests) Hear(now time.Time, response Answer, maxBackoff time.Duration) (backoff Rest, began, changed bool) {
+	if response.Notice.Rest <= 0 {
 		return Rest{}, false, false
 	}
-	until := now.Add(min(answer.Notice.Rest, maxRest))
-	known := r.entries[answer.Replica]
+	until := now.Add(min(response.Notice.Rest, maxBackoff))
+	known := r.entries[response.Replica]
 	if known == nil || !now.Before(known.Until) {
 		if known == nil && len(r.entries) >= maxReplicas {
 			return Rest{}, false, false
@@ -36,8 +37,8 @@
 		if r.entries == nil {
 			r.entries = map[string]*Rest{}
 		}
-		known = &Rest{Replica: answer.Replica, Address: answer.Address, Since: now, Until: until}
-		r.entries[answer.Replica] = known
+		known = &Rest{Replica: response.Replica, Address: response.Address, Since: now, Until: until}
+		r.entries[response.Replica] = known
 		return *known, true, true
 	}
 	changed = until.After(known.Until)
@@ -47,14 +48,14 @@
 	return *known, false, changed
 }
 
-// End removes the rests that are over, and reports whether there were any.
+// End removes the backoffs that are over, and reports whether there were any.
 func (r *Rests) End(now time.Time) bool {
 	before := len(r.entries)
 	maps.DeleteFunc(r.entries, func(_ string, k *Rest) bool { return !now.Before(k.Until) })
 	return len(r.entries) < before
 }
 
-// All returns the rests that have not been removed, ordered by replica.
+// All returns the backoffs that have not been removed, ordered by replica.
 func (r *Rests) All() []Rest {
 	out := make([]Rest, 0, len(r.entries))
 	for _, replica := range slices.Sorted(maps.Keys(r.entries)) {
--- a/core/poison/machine.go
+++ b/core/poison/machine.go
@@ -287,12 +287,12 @@
 
 // Stats are the sizes of a Machine's state, for operators.
 type Stats struct {
-	Ends     int `json:"ends"`
-	Verdicts int `json:"verdicts"`
-	Served   int `json:"served"`
+	Ends      int `json:"ends"`
+	Verdicts  int `json:"verdicts"`
+	Successes int `json:"served"`
 }
 
 // Stats returns the current sizes.
 func (m *Machine) Stats() Stats {
-	return Stats{Ends: len(m.crashes), Verdicts: len(m.verdicts), Served: len(m.successes.recent) + len(m.successes.earlier)}
+	return Stats{Ends: len(m.crashes), Verdicts: len(m.verdicts), Successes: len(m.successes.recent) + len(m.successes.earlier)}
 }
--- a/core/poison/machine_test.go
+++ b/core/poison/machine_test.go
@@ -245,7 +245,7 @@
 		s := m.Stats()
 		Expect(s.Verdicts).To(Equal(poison.MaxVerdicts))
 		Expect(s.Ends).To(BeNumerically("<=", poison.MaxCrashes))
-		Expect(s.Served).To(BeNumerically("<=", 8192))
+		Expect(s.Successes).To(BeNumerically("<=", 8192))
 		runs := map[string]int{}
 		for i := range 10 * poison.MaxSuspects {
 			runs[fmt.Sprint("r", i)] = 1000 + i
