--- a/core/bucket/bucket_test.go
+++ b/core/bucket/bucket_test.go
@@ -21,50 +21,50 @@
 	return d
 }
 
-func TestSetsConvergeBucketByBucket(t *testing.T) {
+func TestSetsConvergeWhenExchangedByBucket(t *testing.T) {
 	g := NewWithT(t)
 	r := rand.New(rand.NewPCG(3, 4))
-	ours, theirs := map[string]string{}, map[string]string{}
+	local, remote := map[string]string{}, map[string]string{}
 	for i := range 3000 {
 		key := fmt.Sprint("replica-", i)
 		if r.IntN(50) > 0 {
-			ours[key] = fmt.Sprint(r.IntN(2))
+			local[key] = fmt.Sprint(r.IntN(2))
 		}
 		if r.IntN(50) > 0 {
-			theirs[key] = "0"
+			remote[key] = "0"
 		}
 	}
 	rounds := 0
-	for digest := digestOf(theirs); ; digest = digestOf(theirs) {
-		d := digestOf(ours)
+	for digest := digestOf(remote); ; digest = digestOf(remote) {
+		d := digestOf(local)
 		differing := d.Differing(digest[:], r.IntN(bucket.Count))
 		if len(differing) == 0 {
 			break
 		}
 		rounds++
 		for _, b := range differing[:min(5, len(differing))] {
-			for key := range theirs {
+			for key := range remote {
 				if bucket.Of(key) == b {
-					delete(theirs, key)
+					delete(remote, key)
 				}
 			}
-			for key, content := range ours {
+			for key, content := range local {
 				if bucket.Of(key) == b {
-					theirs[key] = content
+					remote[key] = content
 				}
 			}
 		}
 	}
-	g.Expect(theirs).To(Equal(ours))
+	g.Expect(remote).To(Equal(local))
 	g.Expect(rounds).To(BeNumerically("<=", (bucket.Count+4)/5))
 }
 
-func TestDigests(t *testing.T) {
+func TestDigestComparison(t *testing.T) {
 	g := NewWithT(t)
 	set := map[string]string{"a": "1", "b": "2"}
 	d := digestOf(set)
 	g.Expect(d.Equal(d[:])).To(BeTrue())
-	g.Expect(d.Equal(nil)).To(BeFalse(), "a peer that says nothing knows nothing")
+	g.Expect(d.Equal(nil)).To(BeFalse(), "a peer without a digest differs")
 	g.Expect(d.Differing(nil, 60)).To(HaveLen(bucket.Count))
 	g.Expect(d.Differing(nil, 60)[:5]).To(Equal([]int{60, 61, 62, 63, 0}))
 	set["b"] = "3"
--- a/core/estimate/doc.go
+++ b/core/estimate/doc.go
@@ -1,5 +1,5 @@
-// Package estimate learns durations from measurements.
+// Package estimate estimates durations from measurements.
 //
-// Its types are decision core: they do no I/O, read no clock and start no
-// goroutine. They are not safe for concurrent use.
+// Its types are pure decision logic: they do no I/O, read no clock and start no
+// goroutines. They are not safe for concurrent use.
 package estimate
--- a/core/estimate/estimate_test.go
+++ b/core/estimate/estimate_test.go
@@ -16,7 +16,7 @@
 	RunSpecs(t, "estimate")
 }
 
-var _ = Describe("a line", func() {
+var _ = Describe("a linear model", func() {
 	ms := func(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
 	at := func(l *estimate.Line, size float64) time.Duration {
@@ -32,7 +32,7 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("finds the fixed part and the part for each unit under noise", func() {
+	It("fits the constant and the cost per unit despite noise", func() {
 		r := rand.New(rand.NewPCG(1, 2))
 		var l estimate.Line
 		for range 2000 {
@@ -44,17 +44,17 @@
 		}
 	})
 
-	It("is the mean when all sizes are alike, and never falls with the size", func() {
-		var alike, falling estimate.Line
+	It("returns the mean when all sizes are equal, and never decreases with the size", func() {
+		var equalSizes, decreasing estimate.Line
 		for i := range 50 {
-			alike.Observe(7, ms(100))
-			falling.Observe(float64(i), ms(float64(100-i)))
+			equalSizes.Observe(7, ms(100))
+			decreasing.Observe(float64(i), ms(float64(100-i)))
 		}
-		Expect(at(&alike, 7000)).To(BeNumerically("~", ms(100), ms(1)))
-		Expect(at(&falling, 1000)).To(Equal(at(&falling, 0)))
+		Expect(at(&equalSizes, 7000)).To(BeNumerically("~", ms(100), ms(1)))
+		Expect(at(&decreasing, 1000)).To(Equal(at(&decreasing, 0)))
 	})
 
-	It("follows a change", func() {
+	It("adapts to a change", func() {
 		var l estimate.Line
 		for range 1000 {
 			l.Observe(1, ms(100))
@@ -65,7 +65,7 @@
 		Expect(at(&l, 1)).To(BeNumerically("~", ms(300), ms(5)))
 	})
 
-	It("never gives a negative duration", func() {
+	It("never returns a negative duration", func() {
 		var l estimate.Line
 		for i := range 50 {
 			l.Observe(float64(100+i), ms(float64(10*i)))
@@ -74,8 +74,8 @@
 	})
 })
 
-var _ = Describe("a deviation", func() {
-	It("is the mean distance in either direction", func() {
+var _ = Describe("a mean deviation", func() {
+	It("averages absolute differences in both directions", func() {
 		var d estimate.Deviation
 		for i := range 400 {
 			took := 100 * time.Millisecond
--- a/core/load/digest.go
+++ b/core/load/digest.go
@@ -8,40 +8,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A digest is the hash of the sorted list of upstreams, in 4 bytes, and then
-// entries of 4 bytes each, big-endian:
+// A digest is the 4-byte hash of the sorted list of upstreams, followed by entries of 4
+// bytes each, big-endian:
 //
-//	2 bytes  place of the upstream in the list
-//	1 byte   as-of in units of 100 ms, the low 8 bits of the Unix time
-//	1 byte   calls running and queued, see packLoad; the top bit means leaving
+//	2 bytes  index of the upstream in the list
+//	1 byte   AsOf in units of 100 ms, the low 8 bits of the Unix time
+//	1 byte   number of running and queued calls, see encodeLoad; the top bit means leaving
 //
-// Daemons whose lists differ, as while a bundle with other upstreams rolls
-// out, do not understand each other's digests until it is in force at both.
-// The as-of is the upstream's own, so that a report keeps its identity and its
-// order however often it is passed on.
+// Daemons with different lists cannot read each other's digests. This happens while a
+// bundle with other upstreams is rolled out, until it is in force at both daemons. AsOf
+// is set by the upstream, so that a report keeps its identity and its order however
+// often it is forwarded.
 const (
-	listBytes   = 4
-	entryBytes  = 4
-	asOfUnit    = 100 * time.Millisecond
-	asOfModulus = 1 << 8
-	leavingBit  = 1 << 7
-	// maxUpstreams is the number of upstreams that places can tell apart.
+	listHashBytes  = 4
+	entryBytes     = 4
+	asOfResolution = 100 * time.Millisecond
+	asOfModulus    = 1 << 8
+	leavingBit     = 1 << 7
+	// maxUpstreams is the number of upstreams that a 2-byte index can address.
 	maxUpstreams = 1 << 16
-	// maxPassedAge bounds the age of reports in digests: with maxAhead and a
-	// little for the way it must stay below asOfModulus units.
-	maxPassedAge = 23 * time.Second
+	// maxForwardAge bounds the age of the reports in digests. Together with
+	// maxClockSkew and an allowance for transit time it must stay below asOfModulus
+	// units, or AsOf becomes ambiguous.
+	maxForwardAge = 23 * time.Second
 )
 
-// Loads up to exactLoad are told exactly, higher ones in steps of loadStep.
+// Loads up to maxExactLoad are encoded exactly, higher ones in steps of loadStep.
 const (
-	exactLoad = 64
-	loadStep  = 16
-	maxPacked = leavingBit - 1
-	maxLoad   = exactLoad + (maxPacked-exactLoad)*loadStep
+	maxExactLoad         = 64
+	loadStep             = 16
+	maxEncodedLoad       = leavingBit - 1
+	maxRepresentableLoad = maxExactLoad + (maxEncodedLoad-maxExactLoad)*loadStep
 )
 
-// errDigest is a digest of no whole number of entries.
-var errDigest = errors.New("load: digest is cut")
+// errDigestLength is returned for a digest that does not hold a whole number of
+// entries.
+var errDigestLength = errors.New("load: digest length is not a whole number of entries")
 
 // listHash returns the hash of a sorted list of names.
 func listHash(names []string) uint32 {
@@ -54,47 +56,50 @@
 	return uint32(d.Sum64())
 }
 
-// tick returns the as-of unit that t falls into.
-func tick(t time.Time) int64 { return t.UnixMilli() / asOfUnit.Milliseconds() }
+// asOfTick returns the time t in units of asOfResolution, rounded down.
+func asOfTick(t time.Time) int64 { return t.UnixMilli() / asOfResolution.Milliseconds() }
 
-// truncate cuts t to the as-of unit, as passing it on would.
-func truncate(t time.Time) time.Time { return time.UnixMilli(tick(t) * asOfUnit.Milliseconds()) }
+// truncateAsOf rounds t down to asOfResolution, as encoding it in a digest does.
+func truncateAsOf(t time.Time) time.Time {
+	return time.UnixMilli(asOfTick(t) * asOfResolution.Milliseconds())
+}
 
-// packLoad packs a number of calls into 7 bits, rounded down; unpackLoad gives
-// the number back.
-func packLoad(n int) byte {
-	if n <= exactLoad {
+// encodeLoad encodes a number of calls in 7 bits, rounded down.
+func encodeLoad(n int) byte {
+	if n <= maxExactLoad {
 		return byte(max(n, 0))
 	}
-	return byte(exactLoad + (min(n, maxLoad)-exactLoad)/loadStep)
+	return byte(maxExactLoad + (min(n, maxRepresentableLoad)-maxExactLoad)/loadStep)
 }
 
-func unpackLoad(b byte) int {
+// decodeLoad returns the number of calls that encodeLoad encoded.
+func decodeLoad(b byte) int {
 	n := int(b)
-	if n <= exactLoad {
+	if n <= maxExactLoad {
 		return n
 	}
-	return exactLoad + (n-exactLoad)*loadStep
+	return maxExactLoad + (n-maxExactLoad)*loadStep
 }
 
-// appendEntry appends the entry of r, whose upstream is at place.
-func appendEntry(to []byte, place uint16, r *Report) []byte {
-	load := packLoad(r.Running + r.Queued)
+// appendEntry appends the entry of r, whose upstream has the given index in the list.
+func appendEntry(to []byte, index uint16, r *Report) []byte {
+	load := encodeLoad(r.Running + r.Queued)
 	if r.Leaving {
 		load |= leavingBit
 	}
-	to = binary.BigEndian.AppendUint16(to, place)
-	return append(to, byte(tick(r.AsOf)%asOfModulus), load)
+	to = binary.BigEndian.AppendUint16(to, index)
+	return append(to, byte(asOfTick(r.AsOf)%asOfModulus), load)
 }
 
-// readEntry reads the first entry of from. Of the moments that the cut as-of
-// may mean, the latest one that is not too far ahead of now is taken.
-func readEntry(now time.Time, from []byte) (place uint16, r Report) {
-	place = binary.BigEndian.Uint16(from)
-	latest := tick(now.Add(maxAhead))
-	back := int64(byte(latest) - from[2])
-	r.AsOf = time.UnixMilli((latest - back) * asOfUnit.Milliseconds())
-	r.Running = unpackLoad(from[3] &^ leavingBit)
+// readEntry reads the first entry of from. The encoded AsOf is ambiguous by multiples
+// of asOfModulus units. The latest time that is at most maxClockSkew after now is
+// taken.
+func readEntry(now time.Time, from []byte) (index uint16, r Report) {
+	index = binary.BigEndian.Uint16(from)
+	latest := asOfTick(now.Add(maxClockSkew))
+	ticksBack := int64(byte(latest) - from[2])
+	r.AsOf = time.UnixMilli((latest - ticksBack) * asOfResolution.Milliseconds())
+	r.Running = decodeLoad(from[3] &^ leavingBit)
 	r.Leaving = from[3]&leavingBit != 0
-	return place, r
+	return index, r
 }
--- a/core/load/doc.go
+++ b/core/load/doc.go
@@ -1,11 +1,13 @@
-// Package load holds what daemons know of the load of upstreams.
+// Package load holds what the daemons know about the load of upstreams.
 //
-// No daemon hears all upstreams itself. Each upstream is polled by a few
-// daemons, chosen by rendezvous hashing and spread over failure domains, and
-// the daemons pass on what they heard in digests of bounded size that ride on
-// their heartbeats. Of two reports about an upstream the later as-of counts.
+// No daemon polls all upstreams. Each upstream is polled by a few daemons, which are
+// chosen by rendezvous hashing and spread over failure domains. The daemons forward the
+// reports to each other in digests of bounded size, which are sent with their
+// heartbeats. Of two reports about an upstream, the one with the later AsOf replaces
+// the other.
 //
-// A Table is decision core: it does no I/O, reads no clock and starts no
-// goroutine. The caller asks it what is due, polls, and hands it the reports;
-// it builds digests and merges those of others. It may be used concurrently.
+// A Table is pure decision logic: it does no I/O, reads no clock and starts no
+// goroutines. The caller asks it which polls are due, polls the upstreams, and passes
+// it the reports. The Table builds digests and merges the digests of other daemons. It
+// is safe for concurrent use.
 package load
--- a/core/load/fleet_bench_test.go
+++ b/core/load/fleet_bench_test.go
@@ -9,29 +9,30 @@
 )
 
 const (
-	// benchUpstreams is the number of replicas at the size to come.
+	// benchUpstreams is the number of upstreams of the largest planned fleet.
 	benchUpstreams = 610
-	// benchNeighbours is the number of fellow daemons that one exchanges
-	// digests with: one of them each second, both ways (core/member).
-	benchNeighbours = 8
-	// benchPollBytes is what one poll costs a daemon: request and answer of
-	// BenchmarkPollBytes in package upstreamload, payload of TCP.
+	// benchPeers is the number of other daemons with which a daemon exchanges digests:
+	// each second it sends its digest to one of them and receives that one's digest
+	// (core/member).
+	benchPeers = 8
+	// benchPollBytes is the number of bytes that one poll costs a daemon: the request
+	// and the response of BenchmarkPollBytes in package upstreamload, as TCP payload.
 	benchPollBytes = 295
 	benchStep      = 100 * time.Millisecond
 	benchWarmup    = 30 * time.Second
-	benchLength    = 60 * time.Second
+	benchDuration  = 60 * time.Second
 )
 
-// benchFleet is many Tables in one process, in its own time.
+// benchFleet runs many Tables in one process with a simulated clock.
 type benchFleet struct {
-	tables      []*Table
-	neighbours  [][]int
-	offsets     []time.Duration // of each daemon's heartbeat in the second
-	digestBytes int
-	digests     int64 // bytes, sent
-	polls       int64
-	ages        []time.Duration
-	unknown     int
+	tables           []*Table
+	peers            [][]int
+	heartbeatOffsets []time.Duration // of each daemon's heartbeat within a second
+	digestBytes      int
+	digestBytesSent  int64
+	polls            int64
+	ages             []time.Duration
+	missingReports   int
 }
 
 func newBenchFleet(daemons, digestBytes int, rng *rand.Rand) *benchFleet {
@@ -44,28 +45,28 @@
 		t := NewTable(Config{Self: h.Name})
 		t.Configure(start, upstreams, hosts)
 		f.tables = append(f.tables, t)
-		f.offsets = append(f.offsets, time.Duration(rng.IntN(10))*benchStep)
-		var near []int
-		for len(near) < min(benchNeighbours, daemons-1) {
-			if j := rng.IntN(daemons); j != i && !slices.Contains(near, j) {
-				near = append(near, j)
+		f.heartbeatOffsets = append(f.heartbeatOffsets, time.Duration(rng.IntN(10))*benchStep)
+		var peers []int
+		for len(peers) < min(benchPeers, daemons-1) {
+			if j := rng.IntN(daemons); j != i && !slices.Contains(peers, j) {
+				peers = append(peers, j)
 			}
 		}
-		f.neighbours = append(f.neighbours, near)
+		f.peers = append(f.peers, peers)
 	}
 	return f
 }
 
-// run lets the fleet run and samples what it believes after the warm-up.
+// run simulates the fleet for benchDuration and samples the Tables after benchWarmup.
 func (f *benchFleet) run(rng *rand.Rand) {
-	for now := start; now.Before(start.Add(benchLength)); now = now.Add(benchStep) {
+	for now := start; now.Before(start.Add(benchDuration)); now = now.Add(benchStep) {
 		for i, t := range f.tables {
 			for _, u := range t.Due(now) {
 				f.polls++
 				t.Polled(now, Report{Upstream: u, AsOf: now, Running: rng.IntN(20)})
 			}
-			if len(f.neighbours[i]) > 0 && now.Sub(start)%time.Second == f.offsets[i] {
-				f.exchange(now, t, f.tables[f.neighbours[i][rng.IntN(len(f.neighbours[i]))]])
+			if len(f.peers[i]) > 0 && now.Sub(start)%time.Second == f.heartbeatOffsets[i] {
+				f.exchange(now, t, f.tables[f.peers[i][rng.IntN(len(f.peers[i]))]])
 			}
 		}
 		if now.Sub(start) >= benchWarmup && now.Sub(start)%time.Second == 0 {
@@ -74,28 +75,28 @@
 	}
 }
 
-// exchange is one heartbeat and its answer.
+// exchange simulates one heartbeat and its response, each with a digest.
 func (f *benchFleet) exchange(now time.Time, a, b *Table) {
 	ping := a.Digest(now, f.digestBytes)
 	ack := b.Digest(now, f.digestBytes)
 	_, _ = b.Merge(now, ping)
 	_, _ = a.Merge(now, ack)
-	f.digests += int64(len(ping) + len(ack))
+	f.digestBytesSent += int64(len(ping) + len(ack))
 }
 
 func (f *benchFleet) sample(now time.Time) {
 	for _, t := range f.tables {
 		reports := t.Reports()
-		f.unknown += benchUpstreams - len(reports)
+		f.missingReports += benchUpstreams - len(reports)
 		for i := range reports {
 			f.ages = append(f.ages, now.Sub(reports[i].AsOf))
 		}
 	}
 }
 
-// BenchmarkFleet gives, for each size of fleet, the age of what a daemon knows
-// of an upstream and the bytes a second that one daemon sends and receives for
-// it. One operation is a minute of the whole fleet.
+// BenchmarkFleet measures, for several fleet sizes, the age of the reports that a
+// daemon has of the upstreams, and the bytes a second that one daemon sends and
+// receives for them. One operation simulates one minute of the whole fleet.
 func BenchmarkFleet(b *testing.B) {
 	for _, digest := range []int{256, 512} {
 		for _, daemons := range []int{10, 50, 100, 200, 410} {
@@ -118,26 +119,27 @@
 	for _, a := range f.ages {
 		sum += a
 	}
-	each := benchLength.Seconds() * float64(daemons)
+	daemonSeconds := benchDuration.Seconds() * float64(daemons)
 	b.ReportMetric(sum.Seconds()/float64(len(f.ages)), "mean-age-s")
 	b.ReportMetric(at(0.5), "p50-age-s")
 	b.ReportMetric(at(0.99), "p99-age-s")
-	b.ReportMetric(float64(f.unknown)/float64(len(f.ages)+f.unknown), "unknown-share")
-	// A digest sent is one received: each daemon bears both.
-	b.ReportMetric(2*float64(f.digests)/each, "digest-B/s")
-	b.ReportMetric(benchPollBytes*float64(f.polls)/each, "poll-B/s")
-	b.ReportMetric(float64(f.polls)/each, "polls/s")
+	b.ReportMetric(float64(f.missingReports)/float64(len(f.ages)+f.missingReports), "unknown-share")
+	// Each digest is sent by one daemon and received by another one, so it counts
+	// twice.
+	b.ReportMetric(2*float64(f.digestBytesSent)/daemonSeconds, "digest-B/s")
+	b.ReportMetric(benchPollBytes*float64(f.polls)/daemonSeconds, "poll-B/s")
+	b.ReportMetric(float64(f.polls)/daemonSeconds, "polls/s")
 }
 
-// BenchmarkTable gives the processor time of building and of merging a digest
-// of 512 bytes.
+// BenchmarkTable measures the CPU time of building and of merging a digest of 512
+// bytes.
 func BenchmarkTable(b *testing.B) {
 	for _, upstreams := range []int{30, 150, 300, 610} {
 		names := testUpstreams(upstreams)
 		hosts := testHosts(2)
 		from, to := testTable("entry-0", names, hosts), testTable("entry-1", names, hosts)
 		for i, u := range names {
-			from.Polled(start, Report{Upstream: u, AsOf: start.Add(-time.Duration(i) * asOfUnit / 10), Running: i % 20})
+			from.Polled(start, Report{Upstream: u, AsOf: start.Add(-time.Duration(i) * asOfResolution / 10), Running: i % 20})
 		}
 		b.Run(fmt.Sprintf("digest/upstreams=%d", upstreams), func(b *testing.B) {
 			b.ReportAllocs()
--- a/core/load/report.go
+++ b/core/load/report.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Report is the load that an upstream had at a moment, by its own account.
+// Report is the load of an upstream at one moment, as the upstream itself reported it.
 type Report struct {
 	// Upstream is the name of the upstream.
 	Upstream string `json:"upstream"`
-	// AsOf is the upstream's clock when it took the figures.
+	// AsOf is the time of the upstream's clock at which it took the counts.
 	AsOf time.Time `json:"as_of"`
-	// Running and Queued count calls at the upstream. A report heard from a
-	// fellow daemon has both in Running.
+	// Running and Queued count the calls at the upstream. In a report from another
+	// daemon's digest, Running is the sum of both.
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
-	// Leaving says that the upstream wants no new work.
+	// Leaving means that the upstream accepts no new work.
 	Leaving bool `json:"leaving"`
 }
--- a/core/load/table_test.go
+++ b/core/load/table_test.go
@@ -39,19 +39,19 @@
 	return t
 }
 
-var _ = ginkgo.Describe("who polls whom", func() {
-	// pollersOf returns the hosts that poll each upstream.
+var _ = ginkgo.Describe("poller assignment", func() {
+	// pollersOf maps each upstream to the hosts that poll it.
 	pollersOf := func(hosts []Host, upstreams []string, k int) map[string][]Host {
 		by := map[string][]Host{}
 		for _, h := range hosts {
-			for _, u := range planFor(h.Name, hosts, upstreams, k) {
+			for _, u := range assignedUpstreams(h.Name, hosts, upstreams, k) {
 				by[u] = append(by[u], h)
 			}
 		}
 		return by
 	}
 
-	ginkgo.DescribeTable("each upstream has its pollers, in different failure domains first",
+	ginkgo.DescribeTable("gives each upstream its pollers, spread over failure domains first",
 		func(hosts, k int) {
 			by := pollersOf(testHosts(hosts), testUpstreams(50), k)
 			Expect(by).To(HaveLen(50))
@@ -65,12 +65,12 @@
 			}
 		},
 		ginkgo.Entry("one host", 1, 1),
-		ginkgo.Entry("today", 7, 1),
-		ginkgo.Entry("today, three pollers", 7, 3),
+		ginkgo.Entry("seven hosts, one poller", 7, 1),
+		ginkgo.Entry("seven hosts, three pollers", 7, 3),
 		ginkgo.Entry("more pollers than failure domains", 20, 6),
 	)
 
-	ginkgo.It("moves only a lost host's upstreams", func() {
+	ginkgo.It("reassigns only the upstreams of a lost host", func() {
 		hosts, upstreams := testHosts(20), testUpstreams(200)
 		before, after := pollersOf(hosts, upstreams, 1), pollersOf(hosts[:19], upstreams, 1)
 		for u, pollers := range before {
@@ -80,15 +80,15 @@
 		}
 	})
 
-	ginkgo.It("keeps to the poll rate and spreads the polls over the interval", func() {
+	ginkgo.It("observes the poll rate and spreads the polls over the interval", func() {
 		t := testTable("entry-0", testUpstreams(60), testHosts(1))
-		polls, most := 0, 0
+		polls, peak := 0, 0
 		for now := start; now.Before(start.Add(20 * time.Second)); now = now.Add(100 * time.Millisecond) {
 			n := len(t.Due(now))
-			polls, most = polls+n, max(most, n)
+			polls, peak = polls+n, max(peak, n)
 		}
 		Expect(polls).To(BeNumerically("~", 120, 6))
-		Expect(most).To(BeNumerically("<=", 6))
+		Expect(peak).To(BeNumerically("<=", 6))
 		Expect(len(t.Due(start.Add(time.Hour)))).To(Equal(60))
 		Expect(t.Due(start.Add(time.Hour))).To(BeEmpty())
 	})
@@ -97,29 +97,29 @@
 var _ = ginkgo.Describe("Table", func() {
 	upstreams := testUpstreams(3)
 
-	ginkgo.It("lets the later as-of win, whichever way it came", func() {
+	ginkgo.It("keeps the report with the later AsOf, whether polled or merged", func() {
 		a, b := testTable("entry-0", upstreams, testHosts(2)), testTable("entry-1", upstreams, testHosts(2))
 		now := start.Add(time.Second)
 		Expect(a.Polled(now, Report{Upstream: "upstream-0", AsOf: start, Running: 3, Queued: 2, Leaving: true})).To(BeTrue())
 		Expect(b.Polled(now, Report{Upstream: "upstream-0", AsOf: start.Add(500 * time.Millisecond), Running: 1})).To(BeTrue())
 		digest := a.Digest(now, 512)
 		Expect(b.Merge(now, digest)).To(BeEmpty())
-		news, err := a.Merge(now, b.Digest(now, 512))
+		updated, err := a.Merge(now, b.Digest(now, 512))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(news).To(HaveLen(1))
+		Expect(updated).To(HaveLen(1))
 		Expect(a.Reports()).To(Equal(b.Reports()))
 		Expect(a.Polled(now, Report{Upstream: "upstream-0", AsOf: start})).To(BeFalse())
 
 		c := testTable("entry-2", upstreams, testHosts(3))
-		news, err = c.Merge(now, digest)
+		updated, err = c.Merge(now, digest)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(news).To(HaveExactElements(And(
+		Expect(updated).To(HaveExactElements(And(
 			HaveField("Upstream", "upstream-0"), HaveField("Running", 5), HaveField("Leaving", true),
 			HaveField("AsOf", BeTemporally("==", start)))))
-		Expect(c.Merge(now, digest)).To(BeEmpty(), "the same report is no news again")
+		Expect(c.Merge(now, digest)).To(BeEmpty(), "a known report is not returned again")
 	})
 
-	ginkgo.It("keeps digests within their size, the least passed on first", func() {
+	ginkgo.It("limits the digest size and sends the reports sent least often first", func() {
 		t := testTable("entry-0", upstreams, testHosts(1))
 		for i, u := range upstreams {
 			t.Polled(start, Report{Upstream: u, AsOf: start.Add(time.Duration(i) * time.Second)})
@@ -133,51 +133,52 @@
 		}
 		Expect(seen).To(HaveLen(3))
 		Expect(t.Digest(now, 1000)).To(HaveLen(16))
-		Expect(t.Digest(now.Add(time.Minute), 1000)).To(HaveLen(listBytes))
+		Expect(t.Digest(now.Add(time.Minute), 1000)).To(HaveLen(listHashBytes))
 	})
 
-	ginkgo.It("takes no report from the far future, and is not silenced by one", func() {
+	ginkgo.It("limits AsOf to the present, so that a wrong clock does not suppress later reports", func() {
 		t := testTable("entry-0", upstreams, testHosts(1))
 		Expect(t.Polled(start, Report{Upstream: "upstream-0", AsOf: start.Add(time.Hour)})).To(BeTrue())
 		Expect(t.Polled(start.Add(time.Second), Report{Upstream: "upstream-0", AsOf: start.Add(time.Second)})).To(BeTrue())
 	})
 
-	ginkgo.It("does not take a digest over another list for its own, and refuses a cut one", func() {
+	ginkgo.It("ignores a digest for another list of upstreams and rejects a truncated one", func() {
 		t := testTable("entry-0", upstreams[:2], testHosts(1))
 		other := testTable("entry-1", upstreams, testHosts(1))
 		other.Polled(start, Report{Upstream: "upstream-1", AsOf: start})
 		digest := other.Digest(start, 512)
 		Expect(t.Merge(start, digest)).To(BeEmpty())
 		_, err := t.Merge(start, digest[:5])
-		Expect(err).To(MatchError(errDigest))
+		Expect(err).To(MatchError(errDigestLength))
 		_, err = t.Merge(start, nil)
-		Expect(err).To(MatchError(errDigest))
+		Expect(err).To(MatchError(errDigestLength))
 		t.Configure(start, upstreams, testHosts(1))
 		Expect(t.Merge(start, digest)).To(HaveLen(1))
-		digest[listBytes] = 0xff
-		Expect(t.Merge(start, digest)).To(BeEmpty(), "a place beyond the list")
+		digest[listHashBytes] = 0xff
+		Expect(t.Merge(start, digest)).To(BeEmpty(), "an index beyond the list")
 	})
 })
 
-// TestEntry: what a digest carries is read back, whatever the as-of within the
-// age that is passed on, also a little later and by a clock a little off.
-func TestEntry(t *testing.T) {
+// TestEntryRoundTrip checks that decoding a digest entry returns what was encoded, for
+// every AsOf up to the maximum age that is forwarded, also if the entry is read a
+// little later and if the reader's clock differs a little from the upstream's.
+func TestEntryRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start.Add(time.Duration(rapid.Int64Range(0, int64(300*24*time.Hour)).Draw(t, "now")))
-		age := time.Duration(rapid.Int64Range(-int64(maxAhead-asOfUnit), int64(maxPassedAge)).Draw(t, "age"))
+		age := time.Duration(rapid.Int64Range(-int64(maxClockSkew-asOfResolution), int64(maxForwardAge)).Draw(t, "age"))
 		r := Report{
-			AsOf:    truncate(now.Add(-age)),
-			Running: rapid.IntRange(0, maxLoad).Draw(t, "running"),
+			AsOf:    truncateAsOf(now.Add(-age)),
+			Running: rapid.IntRange(0, maxRepresentableLoad).Draw(t, "running"),
 			Leaving: rapid.Bool().Draw(t, "leaving"),
 		}
-		at := now.Add(time.Duration(rapid.Int64Range(0, int64(300*time.Millisecond)).Draw(t, "way")))
-		place := rapid.Uint16().Draw(t, "place")
-		gotPlace, got := readEntry(at, appendEntry(nil, place, &r))
-		if gotPlace != place || !got.AsOf.Equal(r.AsOf) || got.Leaving != r.Leaving {
-			t.Fatalf("%+v came back as %+v", r, got)
+		at := now.Add(time.Duration(rapid.Int64Range(0, int64(300*time.Millisecond)).Draw(t, "transit")))
+		index := rapid.Uint16().Draw(t, "index")
+		gotIndex, got := readEntry(at, appendEntry(nil, index, &r))
+		if gotIndex != index || !got.AsOf.Equal(r.AsOf) || got.Leaving != r.Leaving {
+			t.Fatalf("%+v was decoded as %+v", r, got)
 		}
-		if off := r.Running - got.Running; off < 0 || off >= loadStep || r.Running <= exactLoad && off != 0 {
-			t.Fatalf("load %d came back as %d", r.Running, got.Running)
+		if off := r.Running - got.Running; off < 0 || off >= loadStep || r.Running <= maxExactLoad && off != 0 {
+			t.Fatalf("load %d was decoded as %d", r.Running, got.Running)
 		}
 	})
 }
--- a/core/prefix/doc.go
+++ b/core/prefix/doc.go
@@ -1,15 +1,16 @@
-// Package prefix remembers which engines hold which leading parts of prompts.
+// Package prefix tracks which engines have which prompt prefixes in their KV cache.
 //
-// Prompts that begin with the same parts share what an engine has read of them.
-// An engine that lacks parts which another one holds can copy them from there
-// in a fifth of the time and for a tenth of the price of reading them again.
-// Engines publish what they hold late and with gaps; a daemon knows at once what
-// it sent where, and fellows tell it of theirs.
+// A prompt is a list of parts. Prompts that begin with the same parts share the cached
+// prefill of those parts. An engine that lacks a prefix can copy it from another engine
+// that has it, in a fifth of the time and at a tenth of the cost of computing it again.
+// Engines report their cache contents late and with gaps, whereas a daemon knows
+// immediately which prompts it sent to which engine, and its peers tell it about
+// theirs.
 //
-// Contract: Holders is told of each prompt that was sent, with the hashes of its
-// leading parts (of the first part, of the first two, and so on), and names a
-// holder of the longest leading parts that another engine lacks. What it knows
-// may be wrong: an engine may have dropped parts, and a copy then brings less
-// than all. It keeps no clock, makes no calls, is bounded by MaxParts and is not
-// safe for concurrent use.
+// Holders is told of each prompt that was sent, with the hashes of its prefixes (of the
+// first part, of the first two parts, and so on), and returns an engine that has the
+// longest prefix that another engine lacks. The information may be wrong: an engine may
+// have evicted parts, in which case a copy yields less than the whole prefix. Holders
+// reads no clock, makes no calls, stores at most MaxPrefixes prefixes and is not safe
+// for concurrent use.
 package prefix
--- a/core/refusal/doc.go
+++ b/core/refusal/doc.go
@@ -1,14 +1,15 @@
-// Package refusal tells refusals that a replica's load explains from those that
-// it does not.
+// Package refusal distinguishes refusals that a replica's load explains from those that
+// it does not explain.
 //
-// A replica that refuses while it is full is a matter of load. One that refuses
-// while it says that it has free places refuses something about the requests: a
-// header that it takes for an order, a prompt that is larger than its memory, a
-// version that it does not have. A Watch counts both by service, and raises an
-// Alarm when those without a reason are many and a good share of all attempts.
+// A replica that refuses requests while it is full is overloaded. A replica that
+// refuses while it reports free slots objects to something about the requests
+// themselves: a header that it interprets as an instruction, a prompt that exceeds its
+// memory, or a version that it does not have. A Watch counts both kinds by service and
+// raises an Alarm when the unexplained refusals are numerous and a considerable share
+// of all attempts.
 //
-// Contract: Observe is passed time and every attempt's end, in any order of
-// services. It returns an Alarm at most once in a Window for each service. The
-// package makes no calls, keeps no clock and is not safe for concurrent use.
-// Memory is bounded by MaxServices and MaxReplicas.
+// Observe is passed the time and the end of every attempt, with services in any order.
+// It returns an Alarm at most once in a Window for each service. The package makes no
+// calls, reads no clock and is not safe for concurrent use. Its memory is bounded by
+// MaxServices and MaxReplicas.
 package refusal
--- a/core/route/apply.go
+++ b/core/route/apply.go
@@ -15,13 +15,13 @@
 	region string
 	pools  map[string]*poolView
 	// byUpstream lists the places of each upstream's name.
-	byUpstream map[string][]place
+	byUpstream map[string][]memberRef
 }
 
 // place is where an upstream stands.
-type place struct {
+type memberRef struct {
 	pool  *poolView
-	state *state
+	state *memberState
 }
 
 // Apply puts the pools and the policy of b in force. Upstreams of the same
@@ -37,13 +37,13 @@
 	next := &snapshot{
 		region:     regions[r.config.FailureDomain],
 		pools:      make(map[string]*poolView, len(b.Pools)),
-		byUpstream: map[string][]place{},
+		byUpstream: map[string][]memberRef{},
 	}
 	for i := range b.Pools {
-		p := r.poolOf(old, &b.Pools[i], b, regions)
-		p.expected = expectedOf(b, p.name)
+		p := r.buildPool(old, &b.Pools[i], b, regions)
+		p.expectedLatency = expectedDuration(b, p.name)
 		next.pools[p.name] = p
-		next.place(p)
+		next.indexPool(p)
 	}
 	// A pool that the bundle dropped serves on for one more bundle, since
 	// requests that were admitted before may still need it; then it stays,
@@ -53,39 +53,39 @@
 		switch {
 		case next.pools[name] != nil:
 		case !p.dropped:
-			next.pools[name] = p.asDropped()
-			next.place(next.pools[name])
+			next.pools[name] = p.droppedCopy()
+			next.indexPool(next.pools[name])
 		case p.shard.inFlight() > 0:
 			next.pools[name] = &poolView{name: name, steps: p.steps, shard: p.shard, dropped: true}
 		}
 	}
 	r.current.Store(next)
-	if r.ownGates {
+	if r.ownsGates {
 		r.config.Gates.Keep(func(name string) bool { return len(next.byUpstream[name]) > 0 })
 	}
 }
 
 // place notes where the upstreams of a pool stand.
-func (s *snapshot) place(p *poolView) {
+func (s *snapshot) indexPool(p *poolView) {
 	for k := range p.members {
 		name := p.members[k].name
-		s.byUpstream[name] = append(s.byUpstream[name], place{p, p.members[k].state})
+		s.byUpstream[name] = append(s.byUpstream[name], memberRef{p, p.members[k].state})
 	}
 }
 
 // asDropped is the view of a pool that the bundle in force no longer has.
-func (p *poolView) asDropped() *poolView {
+func (p *poolView) droppedCopy() *poolView {
 	kept := *p
 	kept.dropped = true
 	return &kept
 }
 
 // poolOf builds the view of a pool and carries its states over.
-func (r *Router) poolOf(old *snapshot, b *bundle.Pool, of *bundle.Bundle, regions map[string]string) *poolView {
+func (r *Router) buildPool(old *snapshot, b *bundle.Pool, of *bundle.Bundle, regions map[string]string) *poolView {
 	p := &poolView{
-		name:        b.Name,
-		concurrency: float64(max(1, b.Concurrency)),
-		limit:       math.Ceil(r.config.SaturationFactor * float64(max(1, b.Concurrency))),
+		name:            b.Name,
+		concurrency:     float64(max(1, b.Concurrency)),
+		saturationLimit: math.Ceil(r.config.SaturationFactor * float64(max(1, b.Concurrency))),
 	}
 	policy, pack := of.Policy, packWeight(of.Objective)
 	if policy == "" {
@@ -96,21 +96,21 @@
 	} else {
 		p.shard = newShard(r.config.Seed, xxhash.Sum64String(b.Name))
 	}
-	if p.steps == nil || p.steps.policy != policy || p.steps.pack != pack {
-		p.steps = newSteps(policy, pack, r.config)
+	if p.steps == nil || p.steps.policy != policy || p.steps.packWeight != pack {
+		p.steps = newPolicySteps(policy, pack, r.config)
 	}
 	p.shard.mu.Lock()
 	defer p.shard.mu.Unlock()
-	kept := make(map[upstreamKey]*state, len(b.Upstreams))
+	kept := make(map[upstreamKey]*memberState, len(b.Upstreams))
 	for _, u := range b.Upstreams {
 		key := upstreamKey{u.Name, u.Address}
 		st := p.shard.states[key]
 		if st == nil {
-			st = &state{}
+			st = &memberState{}
 		}
 		// Gates of upstreams that were not listed meanwhile are others.
 		st.gate = r.config.Gates.Of(u.Name)
-		st.listed = r.leaving[u.Name]
+		st.markedLeaving = r.markedLeaving[u.Name]
 		kept[key] = st
 		p.members = append(p.members, member{
 			name: u.Name, address: u.Address, domain: u.FailureDomain,
@@ -118,7 +118,7 @@
 		})
 	}
 	for key, st := range p.shard.states {
-		if kept[key] == nil && st.own > 0 {
+		if kept[key] == nil && st.ownCalls > 0 {
 			kept[key] = st
 		}
 	}
@@ -127,7 +127,7 @@
 }
 
 // expectedOf returns the longest expected duration of the stages that use pool.
-func expectedOf(b *bundle.Bundle, pool string) time.Duration {
+func expectedDuration(b *bundle.Bundle, pool string) time.Duration {
 	var longest time.Duration
 	for i := range b.Pipelines {
 		for _, s := range b.Pipelines[i].Stages {
@@ -145,7 +145,7 @@
 	defer s.mu.Unlock()
 	n := 0
 	for _, st := range s.states {
-		n += st.own
+		n += st.ownCalls
 	}
 	return n
 }
@@ -155,14 +155,14 @@
 func (r *Router) SetLeaving(names []string, _ time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leaving = make(map[string]bool, len(names))
+	r.markedLeaving = make(map[string]bool, len(names))
 	for _, n := range names {
-		r.leaving[n] = true
+		r.markedLeaving[n] = true
 	}
 	for name, places := range r.current.Load().byUpstream {
 		for _, pl := range places {
 			pl.pool.shard.mu.Lock()
-			pl.state.listed = r.leaving[name]
+			pl.state.markedLeaving = r.markedLeaving[name]
 			pl.pool.shard.mu.Unlock()
 		}
 	}
@@ -174,7 +174,7 @@
 	for _, rep := range reports {
 		for _, pl := range snap.byUpstream[rep.Upstream] {
 			pl.pool.shard.mu.Lock()
-			pl.state.hear(rep)
+			pl.state.observeReport(rep)
 			pl.pool.shard.mu.Unlock()
 		}
 	}
--- a/core/route/bench_test.go
+++ b/core/route/bench_test.go
@@ -13,9 +13,9 @@
 )
 
 // lastEntry is a record.Recorder that keeps the last entry.
-type lastEntry struct{ entry record.Entry }
+type lastEntryRecorder struct{ entry record.Entry }
 
-func (l *lastEntry) Add(e record.Entry) { l.entry = e }
+func (l *lastEntryRecorder) Add(e record.Entry) { l.entry = e }
 
 func BenchmarkPick(b *testing.B) {
 	for _, upstreams := range []int{10, 20, 100, 610} {
@@ -36,10 +36,10 @@
 	}
 	var rec record.Recorder
 	if recorded {
-		rec = &lastEntry{}
+		rec = &lastEntryRecorder{}
 	}
 	now := start
-	q := query()
+	q := testQuery()
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
@@ -58,7 +58,7 @@
 	r := testRouter(testBundle(20, 1000, bundle.PolicyAdaptive), 1)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			c, err := r.Pick(start, query(), nil)
+			c, err := r.Pick(start, testQuery(), nil)
 			if err != nil {
 				b.Error(err)
 				return
--- a/core/route/cold_test.go
+++ b/core/route/cold_test.go
@@ -23,9 +23,9 @@
 	It("get no more than this daemon's part in any second", func() {
 		r := coldOnly(2)
 		for at := time.Duration(0); at < 10*time.Second; at += 20 * time.Millisecond {
-			c, err := r.Pick(start.Add(at), query(), nil)
+			c, err := r.Pick(start.Add(at), testQuery(), nil)
 			if err == nil {
-				done(r, start.Add(at), c, request.CallOK, 0)
+				finishCall(r, start.Add(at), c, request.CallOK, 0)
 			}
 			allowed := at%coldWindow < 40*time.Millisecond
 			Expect(err == nil).To(Equal(allowed), "at %s", at)
@@ -33,26 +33,26 @@
 	})
 
 	It("are refused with a reason, and when to come back", func() {
-		_, err := coldOnly(0).Pick(start, query(), nil)
+		_, err := coldOnly(0).Pick(start, testQuery(), nil)
 		Expect(err).NotTo(BeNil())
 		Expect(err.Kind).To(Equal(problem.NoUpstream))
 		Expect(err.Detail).To(ContainSubstring("1 cold"))
-		Expect(err.RetryAfter).To(Equal(saturatedRetry))
+		Expect(err.RetryAfter).To(Equal(saturatedRetryAfter))
 	})
 
 	It("count what was begun before they were cold, and keep the limit over a new list", func() {
 		b := testBundle(1, 100, bundle.PolicyAdaptive)
 		r := testRouter(b, 1)
-		mustPick(r, start, query())
+		mustPick(r, start, testQuery())
 		r.SetCold(map[string]int{"u0": 1})
-		_, err := r.Pick(start.Add(time.Second), query(), nil)
+		_, err := r.Pick(start.Add(time.Second), testQuery(), nil)
 		Expect(err).NotTo(BeNil())
 		r.Apply(b)
-		_, err = r.Pick(start.Add(time.Second), query(), nil)
+		_, err = r.Pick(start.Add(time.Second), testQuery(), nil)
 		Expect(err).NotTo(BeNil())
-		mustPick(r, start.Add(coldWindow), query())
+		mustPick(r, start.Add(coldWindow), testQuery())
 		r.SetCold(nil)
-		mustPick(r, start.Add(coldWindow), query())
+		mustPick(r, start.Add(coldWindow), testQuery())
 	})
 
 	It("limit an upstream that is listed later", func() {
@@ -61,7 +61,7 @@
 		r.SetCold(map[string]int{"u1": 0})
 		r.Apply(b)
 		for i := range 50 {
-			Expect(mustPick(r, start.Add(time.Duration(i)*time.Second), query()).Upstream).To(Equal("u0"))
+			Expect(mustPick(r, start.Add(time.Duration(i)*time.Second), testQuery()).Upstream).To(Equal("u0"))
 		}
 	})
 
@@ -71,8 +71,8 @@
 	DescribeTable("of a domain that came back stay within what they bear, and carry its share once warm", func(hosts, upstreams int) {
 		const bears, limit, perUpstream = 20, 12, 8
 		f := newFleet(hosts, upstreams, 64, bundle.PolicyAdaptive)
-		f.every = time.Second / time.Duration(perUpstream*upstreams)
-		f.service = func(string) time.Duration { return time.Second }
+		f.arrivalInterval = time.Second / time.Duration(perUpstream*upstreams)
+		f.serviceTime = func(string) time.Duration { return time.Second }
 		names := make([]string, hosts)
 		for i := range names {
 			names[i] = fmt.Sprint("host-", i)
--- a/core/route/config.go
+++ b/core/route/config.go
@@ -14,7 +14,7 @@
 	Seed uint64
 	// Choices is the number of random candidates of a pick, one of them of the
 	// own failure domain where there is one. Default 2.
-	Choices int
+	RandomChoices int
 	// SaturationFactor times the pool's concurrency is the number of calls at
 	// an upstream from which it gets no more. Default 2.
 	SaturationFactor float64
@@ -24,13 +24,13 @@
 	ReportHalfLife time.Duration
 	// CrossDomain and CrossRegion are the round trips that leaving the own
 	// failure domain or region adds. Defaults 1 ms and 20 ms.
-	CrossDomain time.Duration
-	CrossRegion time.Duration
+	CrossDomainRTT time.Duration
+	CrossRegionRTT time.Duration
 	// PrefixBonus is the cost that a cached prompt prefix saves. Default 0.1.
 	PrefixBonus float64
 	// PrefixBound is how far over the mean load the home of a prefix may
 	// be. Default 1.25.
-	PrefixBound float64
+	PrefixLoadFactor float64
 	// PrefixRoom is the share of an upstream's concurrency up to which it keeps
 	// its prefixes whatever the mean load. Default 0: only the mean counts.
 	PrefixRoom float64
@@ -43,7 +43,7 @@
 	Ejection      EjectionConfig
 	// Window is the length of the two windows of the latency histograms.
 	// Default 15 s.
-	Window time.Duration
+	HistogramWindow time.Duration
 	// Gates bound the calls at upstreams; others that call the same upstreams share
 	// them. Default: gates of the router's own.
 	Gates *intake.Gates
@@ -67,19 +67,19 @@
 	SlowRatio float64
 	// Base is the first ejection time; it doubles up to Max with each that
 	// follows. Defaults 2 s and 60 s.
-	Base time.Duration
-	Max  time.Duration
+	BaseDuration time.Duration
+	MaxDuration  time.Duration
 	// Ramp is the time in which a readmitted upstream returns to its full
 	// share. Default 10 s.
-	Ramp time.Duration
+	RampDuration time.Duration
 	// MaxShare caps the share of a pool ejected for slowness or failure rate,
 	// MaxFailingShare that ejected for any reason. One upstream may always be
 	// ejected from a pool of two or more, never all. Defaults 0.3 and 0.6.
-	MaxShare        float64
-	MaxFailingShare float64
+	MaxEjectedShare        float64
+	MaxFailingEjectedShare float64
 }
 
-func orDefault[T int | float64 | time.Duration](v *T, d T) {
+func setDefault[T int | float64 | time.Duration](v *T, d T) {
 	if *v == 0 {
 		*v = d
 	}
@@ -89,24 +89,24 @@
 	if c.Gates == nil {
 		c.Gates = intake.NewGates()
 	}
-	orDefault(&c.Choices, 2)
-	orDefault(&c.SaturationFactor, 2)
-	orDefault(&c.ReportHalfLife, time.Second)
-	orDefault(&c.CrossDomain, time.Millisecond)
-	orDefault(&c.CrossRegion, 20*time.Millisecond)
-	orDefault(&c.PrefixBonus, 0.1)
-	orDefault(&c.PrefixBound, 1.25)
-	orDefault(&c.LatencyWeight, 0.5)
-	orDefault(&c.Window, 15*time.Second)
+	setDefault(&c.RandomChoices, 2)
+	setDefault(&c.SaturationFactor, 2)
+	setDefault(&c.ReportHalfLife, time.Second)
+	setDefault(&c.CrossDomainRTT, time.Millisecond)
+	setDefault(&c.CrossRegionRTT, 20*time.Millisecond)
+	setDefault(&c.PrefixBonus, 0.1)
+	setDefault(&c.PrefixLoadFactor, 1.25)
+	setDefault(&c.LatencyWeight, 0.5)
+	setDefault(&c.HistogramWindow, 15*time.Second)
 	e := &c.Ejection
-	orDefault(&e.ConsecutiveFailures, 3)
-	orDefault(&e.FailureRate, 0.5)
-	orDefault(&e.MinCalls, 8)
-	orDefault(&e.SlowRatio, 4)
-	orDefault(&e.Base, 2*time.Second)
-	orDefault(&e.Max, time.Minute)
-	orDefault(&e.Ramp, 10*time.Second)
-	orDefault(&e.MaxShare, 0.3)
-	orDefault(&e.MaxFailingShare, 0.6)
+	setDefault(&e.ConsecutiveFailures, 3)
+	setDefault(&e.FailureRate, 0.5)
+	setDefault(&e.MinCalls, 8)
+	setDefault(&e.SlowRatio, 4)
+	setDefault(&e.BaseDuration, 2*time.Second)
+	setDefault(&e.MaxDuration, time.Minute)
+	setDefault(&e.RampDuration, 10*time.Second)
+	setDefault(&e.MaxEjectedShare, 0.3)
+	setDefault(&e.MaxFailingEjectedShare, 0.6)
 	return c
 }
--- a/core/route/dump.go
+++ b/core/route/dump.go
@@ -56,7 +56,7 @@
 func (p *poolView) dump(now time.Time, c *Config) PoolState {
 	p.shard.mu.Lock()
 	defer p.shard.mu.Unlock()
-	d := PoolState{Pool: p.name, Policy: string(p.steps.policy), Limit: int(p.limit)}
+	d := PoolState{Pool: p.name, Policy: string(p.steps.policy), Limit: int(p.saturationLimit)}
 	for i := range p.members {
 		d.Upstreams = append(d.Upstreams, p.members[i].dump(now, c))
 	}
@@ -74,10 +74,10 @@
 	s := m.state
 	u := UpstreamState{
 		Upstream: m.name, Address: m.address, FailureDomain: m.domain,
-		InFlight: s.own, Slowness: s.slownessNow(now), Leaving: s.leaves(),
-		Share: s.ejection.share(now, c.Ejection.Ramp),
+		InFlight: s.ownCalls, Slowness: s.decayedSlowness(now), Leaving: s.isLeaving(),
+		Share: s.ejection.share(now, c.Ejection.RampDuration),
 	}
-	if s.reported {
+	if s.hasReport {
 		calls, age := s.report.Running+s.report.Queued, now.Sub(s.report.AsOf)
 		u.Reported, u.ReportAge = &calls, &age
 	}
--- a/core/route/filter.go
+++ b/core/route/filter.go
@@ -4,11 +4,11 @@
 
 // Relaxation says when the refusals of a filter are lifted because no
 // candidate is left: Never, or in rising order.
-type Relaxation uint8
+type RelaxLevel uint8
 
 // The relaxations.
 const (
-	Never Relaxation = iota
+	Never RelaxLevel = iota
 	RelaxFirst
 	RelaxSecond
 	RelaxThird
@@ -19,7 +19,7 @@
 // Implementations have no state and may be used concurrently.
 type Filter interface {
 	Name() string
-	Relax() Relaxation
+	Relax() RelaxLevel
 	Refuse(v *View, c *Candidate) string
 }
 
@@ -27,7 +27,7 @@
 type leavingFilter struct{}
 
 func (leavingFilter) Name() string      { return "leaving" }
-func (leavingFilter) Relax() Relaxation { return Never }
+func (leavingFilter) Relax() RelaxLevel { return Never }
 func (leavingFilter) Refuse(_ *View, c *Candidate) string {
 	if c.Leaving {
 		return "leaving"
@@ -39,9 +39,9 @@
 type saturatedFilter struct{}
 
 func (saturatedFilter) Name() string      { return "saturated" }
-func (saturatedFilter) Relax() Relaxation { return Never }
+func (saturatedFilter) Relax() RelaxLevel { return Never }
 func (saturatedFilter) Refuse(v *View, c *Candidate) string {
-	if c.Load() >= v.Limit {
+	if c.Load() >= v.SaturationLimit {
 		return "saturated"
 	}
 	return ""
@@ -51,14 +51,14 @@
 type ejectedFilter struct{}
 
 func (ejectedFilter) Name() string                        { return "ejected" }
-func (ejectedFilter) Relax() Relaxation                   { return RelaxThird }
+func (ejectedFilter) Relax() RelaxLevel                   { return RelaxThird }
 func (ejectedFilter) Refuse(_ *View, c *Candidate) string { return c.Ejected }
 
 // stalledFilter refuses upstreams where calls hang.
 type stalledFilter struct{}
 
 func (stalledFilter) Name() string      { return "stalled" }
-func (stalledFilter) Relax() Relaxation { return RelaxSecond }
+func (stalledFilter) Relax() RelaxLevel { return RelaxSecond }
 func (stalledFilter) Refuse(_ *View, c *Candidate) string {
 	if c.Stalled {
 		return "stalled"
@@ -70,7 +70,7 @@
 type busyFilter struct{}
 
 func (busyFilter) Name() string      { return "busy" }
-func (busyFilter) Relax() Relaxation { return RelaxSecond }
+func (busyFilter) Relax() RelaxLevel { return RelaxSecond }
 func (busyFilter) Refuse(_ *View, c *Candidate) string {
 	if c.Busy {
 		return "busy"
@@ -82,9 +82,9 @@
 type readmittingFilter struct{}
 
 func (readmittingFilter) Name() string      { return "readmitting" }
-func (readmittingFilter) Relax() Relaxation { return RelaxSecond }
+func (readmittingFilter) Relax() RelaxLevel { return RelaxSecond }
 func (readmittingFilter) Refuse(_ *View, c *Candidate) string {
-	if c.Coin >= c.Share {
+	if c.RampDraw >= c.RampShare {
 		return "readmitting"
 	}
 	return ""
@@ -94,7 +94,7 @@
 type triedFilter struct{}
 
 func (triedFilter) Name() string      { return "tried" }
-func (triedFilter) Relax() Relaxation { return RelaxLast }
+func (triedFilter) Relax() RelaxLevel { return RelaxLast }
 func (triedFilter) Refuse(v *View, c *Candidate) string {
 	if slices.Contains(v.Query.Tried, c.Name) {
 		return "tried"
@@ -106,7 +106,7 @@
 type triedDomainFilter struct{}
 
 func (triedDomainFilter) Name() string      { return "tried_domain" }
-func (triedDomainFilter) Relax() Relaxation { return RelaxFirst }
+func (triedDomainFilter) Relax() RelaxLevel { return RelaxFirst }
 func (triedDomainFilter) Refuse(v *View, c *Candidate) string {
 	if slices.Contains(v.Query.TriedDomains, c.Domain) {
 		return "tried_domain"
@@ -116,11 +116,11 @@
 
 // domainFilter refuses failure domains other than the one in which the inputs
 // lie.
-type domainFilter struct{}
+type inputDomainFilter struct{}
 
-func (domainFilter) Name() string      { return "domain" }
-func (domainFilter) Relax() Relaxation { return RelaxFirst }
-func (domainFilter) Refuse(v *View, c *Candidate) string {
+func (inputDomainFilter) Name() string      { return "domain" }
+func (inputDomainFilter) Relax() RelaxLevel { return RelaxFirst }
+func (inputDomainFilter) Refuse(v *View, c *Candidate) string {
 	if v.Query.Domain != "" && v.Query.Domain != c.Domain {
 		return "other_domain"
 	}
@@ -131,7 +131,7 @@
 func adaptiveFilters() []Filter {
 	return []Filter{
 		leavingFilter{}, intakeFilter{}, ejectedFilter{}, stalledFilter{}, busyFilter{},
-		readmittingFilter{}, saturatedFilter{}, triedFilter{}, triedDomainFilter{}, domainFilter{},
+		readmittingFilter{}, saturatedFilter{}, triedFilter{}, triedDomainFilter{}, inputDomainFilter{},
 	}
 }
 
@@ -146,7 +146,7 @@
 	refusals []uint16
 	eligible []int
 	// relaxed is the highest relaxation that was needed; Never for none.
-	relaxed Relaxation
+	relaxed RelaxLevel
 }
 
 // runFilters fills r with the verdicts of fs over v. Refusals are lifted, in
@@ -157,7 +157,7 @@
 		r.refusals = append(r.refusals, refusalsOf(v, fs, &v.Candidates[i]))
 	}
 	for r.relaxed = Never; r.relaxed <= RelaxLast; r.relaxed++ {
-		lifted := liftedAt(fs, r.relaxed)
+		lifted := relaxedFilters(fs, r.relaxed)
 		r.eligible = r.eligible[:0]
 		for i, set := range r.refusals {
 			if set&^lifted == 0 {
@@ -182,7 +182,7 @@
 }
 
 // liftedAt returns the filters that are lifted at relaxation level.
-func liftedAt(fs []Filter, level Relaxation) uint16 {
+func relaxedFilters(fs []Filter, level RelaxLevel) uint16 {
 	var set uint16
 	for i, f := range fs {
 		if f.Relax() != Never && f.Relax() <= level {
@@ -193,7 +193,7 @@
 }
 
 // reasonOf returns the reason of the first filter that refused c.
-func reasonOf(v *View, fs []Filter, c *Candidate) string {
+func refusalReason(v *View, fs []Filter, c *Candidate) string {
 	for _, f := range fs {
 		if reason := f.Refuse(v, c); reason != "" {
 			return f.Name() + ": " + reason
--- a/core/route/fleet_behaviour_test.go
+++ b/core/route/fleet_behaviour_test.go
@@ -24,18 +24,18 @@
 
 	It("takes a dead upstream out after three failures, for longer each time", func() {
 		f := newFleet(1, 10, 100, bundle.PolicyAdaptive)
-		f.every = 4 * time.Millisecond
+		f.arrivalInterval = 4 * time.Millisecond
 		f.result = fail
-		f.service = func(u string) time.Duration {
+		f.serviceTime = func(u string) time.Duration {
 			if u == dead {
 				return time.Millisecond
 			}
 			return 100 * time.Millisecond
 		}
 		f.run(time.Second)
-		Expect(f.picked[dead]).To(BeNumerically("<=", 4))
+		Expect(f.pickCounts[dead]).To(BeNumerically("<=", 4))
 		f.run(59 * time.Second)
-		Expect(f.picked[dead]).To(BeNumerically("<=", 16), "one or two calls after each of 2, 4, 8, 16, 32 s")
+		Expect(f.pickCounts[dead]).To(BeNumerically("<=", 16), "one or two calls after each of 2, 4, 8, 16, 32 s")
 	})
 
 	DescribeTable("never takes out more than the cap",
@@ -49,7 +49,7 @@
 				return request.CallOK
 			}
 			worst := 0
-			f.onPick = func(string) { worst = max(worst, f.routers[0].current.Load().pools[pool].ejected(f.now)) }
+			f.onPick = func(string) { worst = max(worst, f.routers[0].current.Load().pools[pool].ejectedCount(f.now)) }
 			f.run(2 * time.Second)
 			Expect(f.errors).To(BeZero())
 			Expect(worst).To(Equal(most))
@@ -65,21 +65,21 @@
 		f.result = func(string) request.CallResult { return request.CallFailed }
 		f.run(2 * time.Second)
 		Expect(f.errors).To(BeZero())
-		Expect(f.routers[0].current.Load().pools[pool].ejected(f.now)).To(BeNumerically("<=", 1))
+		Expect(f.routers[0].current.Load().pools[pool].ejectedCount(f.now)).To(BeNumerically("<=", 1))
 	})
 
 	It("takes out at most the share of stragglers that the cap leaves", func() {
 		f := newFleet(1, 10, 1000, bundle.PolicyAdaptive)
 		slow := map[string]bool{"u0": true, "u1": true, "u2": true, "u3": true, "u4": true}
 		f.run(time.Second)
-		f.service = func(u string) time.Duration {
+		f.serviceTime = func(u string) time.Duration {
 			if slow[u] {
 				return 900 * time.Millisecond
 			}
 			return 100 * time.Millisecond
 		}
 		most := 0
-		f.onPick = func(string) { most = max(most, f.routers[0].current.Load().pools[pool].ejected(f.now)) }
+		f.onPick = func(string) { most = max(most, f.routers[0].current.Load().pools[pool].ejectedCount(f.now)) }
 		f.run(3 * time.Second)
 		Expect(most).To(Equal(3))
 	})
@@ -93,13 +93,13 @@
 		view := f.routers[0].current.Load().pools[pool]
 		f.now = view.members[3].state.ejection.until
 		shareOver := func(d time.Duration) float64 {
-			clear(f.picked)
+			clear(f.pickCounts)
 			f.run(d)
 			total := 0
-			for _, n := range f.picked {
+			for _, n := range f.pickCounts {
 				total += n
 			}
-			return float64(f.picked[dead]) / float64(total)
+			return float64(f.pickCounts[dead]) / float64(total)
 		}
 		first := shareOver(time.Second)
 		shareOver(4 * time.Second)
@@ -116,37 +116,37 @@
 		r := testRouter(testBundle(2, 100, bundle.PolicyAdaptive), 1)
 		var old []request.Choice
 		for len(old) < 6 {
-			if c := mustPick(r, start, query()); c.Upstream == "u0" {
+			if c := mustPick(r, start, testQuery()); c.Upstream == "u0" {
 				old = append(old, c)
 			}
 		}
 		e := &r.current.Load().pools[pool].members[0].state.ejection
 		for _, c := range old[:5] {
-			done(r, start.Add(time.Second), c, request.CallFailed, time.Second)
+			finishCall(r, start.Add(time.Second), c, request.CallFailed, time.Second)
 		}
 		until := e.until
 		Expect(e.active(start.Add(time.Second))).To(BeTrue())
-		done(r, start.Add(4*time.Second), old[5], request.CallFailed, 4*time.Second)
+		finishCall(r, start.Add(4*time.Second), old[5], request.CallFailed, 4*time.Second)
 		Expect(e.until).To(Equal(until))
 	})
 
 	It("ejects again at the first failure after readmission", func() {
 		c := Config{}.withDefaults().Ejection
-		p := &poolView{members: []member{{state: &state{}}, {state: &state{}}}}
+		p := &poolView{members: []member{{state: &memberState{}}, {state: &memberState{}}}}
 		s := p.members[0].state
 		s.ejection.start(start, ejectedFailures, c)
 		Expect(s.ejection.until).To(Equal(start.Add(2 * time.Second)))
 		back := start.Add(3 * time.Second)
-		s.count(back, false)
-		p.eject(back, s, c)
+		s.countCall(back, false)
+		p.ejectIfNeeded(back, s, c)
 		Expect(s.ejection.until).To(Equal(back.Add(4 * time.Second)))
-		Expect(s.ejection.share(back.Add(9*time.Second), c.Ramp)).To(BeNumerically("~", 0.55, 1e-9))
+		Expect(s.ejection.share(back.Add(9*time.Second), c.RampDuration)).To(BeNumerically("~", 0.55, 1e-9))
 	})
 })
 
 var _ = Describe("a straggler at ten times the usual latency", func() {
 	straggle := func(f *fleet) {
-		f.service = func(u string) time.Duration {
+		f.serviceTime = func(u string) time.Duration {
 			d := time.Duration(float64(100*time.Millisecond) * (0.5 + rand.New(rand.NewPCG(uint64(f.now.UnixNano()), 1)).ExpFloat64()/2))
 			if u == "u3" {
 				return 10 * d
@@ -156,13 +156,13 @@
 	}
 	shareAfter := func(policy bundle.Policy, warmup time.Duration) float64 {
 		f := newFleet(1, 10, 64, policy)
-		f.every = 2 * time.Millisecond
+		f.arrivalInterval = 2 * time.Millisecond
 		f.run(2 * time.Second)
 		straggle(f)
 		f.run(warmup)
-		clear(f.picked)
+		clear(f.pickCounts)
 		f.run(10 * time.Second)
-		return float64(f.picked["u3"]) / 5000
+		return float64(f.pickCounts["u3"]) / 5000
 	}
 
 	It("is avoided after two seconds", func() {
@@ -175,15 +175,15 @@
 	It("is refused although none ever ended", func() {
 		f := newFleet(1, 4, 1000, bundle.PolicyAdaptive)
 		f.run(2 * time.Second)
-		f.service = func(u string) time.Duration {
+		f.serviceTime = func(u string) time.Duration {
 			if u == "u0" {
 				return time.Hour
 			}
 			return 100 * time.Millisecond
 		}
 		f.run(time.Second)
-		var rec entries
-		_, err := f.routers[0].Pick(f.now, query(), &rec)
+		var rec entryRecorder
+		_, err := f.routers[0].Pick(f.now, testQuery(), &rec)
 		Expect(err).To(BeNil())
 		Expect(rec[0].Choices).To(ContainElement(record.Candidate{Upstream: "u0", Refused: "stalled: stalled"}))
 	})
@@ -210,7 +210,7 @@
 			picks++
 		}
 		for range 4 {
-			f.report()
+			f.broadcastReports()
 			f.run(time.Second)
 		}
 		return sum / float64(picks)
@@ -218,8 +218,8 @@
 
 	It("do not all choose the upstream that it shows idle", func() {
 		adaptive := peak(func(p Picker) Picker { return p })
-		random := peak(func(Picker) Picker { return anyAtRandom{} })
-		naive := peak(func(Picker) Picker { return leastReported{} })
+		random := peak(func(Picker) Picker { return randomPicker{} })
+		naive := peak(func(Picker) Picker { return leastLoadedPicker{} })
 		GinkgoWriter.Printf("peak over mean: adaptive %.2f, at random %.2f, least by report %.2f\n", adaptive, random, naive)
 		Expect(adaptive).To(BeNumerically("<", 1.1*random))
 		Expect(naive).To(BeNumerically(">", 1.5*random))
@@ -227,25 +227,25 @@
 })
 
 // anyAtRandom ignores all that is known: nothing herds less.
-type anyAtRandom struct{}
+type randomPicker struct{}
 
-func (anyAtRandom) Name() string { return "random" }
+func (randomPicker) Name() string { return "random" }
 
-func (anyAtRandom) Pick(_ *View, eligible []int, rng *rand.Rand, drawn []scored) []scored {
-	return append(drawn, scored{index: eligible[rng.IntN(len(eligible))]})
+func (randomPicker) Pick(_ *View, eligible []int, rng *rand.Rand, drawn []scoredCandidate) []scoredCandidate {
+	return append(drawn, scoredCandidate{index: eligible[rng.IntN(len(eligible))]})
 }
 
 // leastReported is the naive picker: the least loaded of all by the report.
-type leastReported struct{}
+type leastLoadedPicker struct{}
 
-func (leastReported) Name() string { return "least_reported" }
+func (leastLoadedPicker) Name() string { return "least_reported" }
 
-func (leastReported) Pick(v *View, eligible []int, _ *rand.Rand, drawn []scored) []scored {
+func (leastLoadedPicker) Pick(v *View, eligible []int, _ *rand.Rand, drawn []scoredCandidate) []scoredCandidate {
 	best := eligible[0]
 	for _, i := range eligible {
 		if v.Candidates[i].Load() < v.Candidates[best].Load() {
 			best = i
 		}
 	}
-	return append(drawn, scored{index: best})
+	return append(drawn, scoredCandidate{index: best})
 }
--- a/core/route/fleet_test.go
+++ b/core/route/fleet_test.go
@@ -34,28 +34,28 @@
 // fleet drives many routers over the same upstreams, open-loop, in its own
 // time: calls arrive evenly, each at a random router.
 type fleet struct {
-	rng     *rand.Rand
-	routers []*Router
-	now     time.Time
-	every   time.Duration // between arrivals
-	service func(upstream string) time.Duration
-	result  func(upstream string) request.CallResult
+	rng             *rand.Rand
+	routers         []*Router
+	now             time.Time
+	arrivalInterval time.Duration // between arrivals
+	serviceTime     func(upstream string) time.Duration
+	result          func(upstream string) request.CallResult
 
-	open    calls
-	running map[string]int
-	picked  map[string]int
-	errors  int
+	inFlight   calls
+	running    map[string]int
+	pickCounts map[string]int
+	errors     int
 	// onPick is called after each pick with the state of the upstreams.
 	onPick func(upstream string)
 }
 
 func newFleet(routers, upstreams, concurrency int, policy bundle.Policy) *fleet {
 	f := &fleet{
-		rng: rand.New(rand.NewPCG(3, 4)), now: start, every: time.Millisecond,
-		running: map[string]int{}, picked: map[string]int{},
-		service: func(string) time.Duration { return 100 * time.Millisecond },
-		result:  func(string) request.CallResult { return request.CallOK },
-		onPick:  func(string) {},
+		rng: rand.New(rand.NewPCG(3, 4)), now: start, arrivalInterval: time.Millisecond,
+		running: map[string]int{}, pickCounts: map[string]int{},
+		serviceTime: func(string) time.Duration { return 100 * time.Millisecond },
+		result:      func(string) request.CallResult { return request.CallOK },
+		onPick:      func(string) {},
 	}
 	for i := range routers {
 		r := New(Config{FailureDomain: fmt.Sprintf("d%d", i%4), Seed: uint64(i)})
@@ -67,32 +67,32 @@
 
 // run lets calls arrive for d.
 func (f *fleet) run(d time.Duration) {
-	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(f.every) {
-		f.finish()
+	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(f.arrivalInterval) {
+		f.endDueCalls()
 		i := f.rng.IntN(len(f.routers))
-		c, err := f.routers[i].Pick(f.now, query(), nil)
+		c, err := f.routers[i].Pick(f.now, testQuery(), nil)
 		if err != nil {
 			f.errors++
 			continue
 		}
 		f.running[c.Upstream]++
-		f.picked[c.Upstream]++
+		f.pickCounts[c.Upstream]++
 		f.onPick(c.Upstream)
-		heap.Push(&f.open, call{f.now.Add(f.service(c.Upstream)), f.now, i, c})
+		heap.Push(&f.inFlight, call{f.now.Add(f.serviceTime(c.Upstream)), f.now, i, c})
 	}
 }
 
 // finish ends the calls that are due.
-func (f *fleet) finish() {
-	for len(f.open) > 0 && !f.open[0].ends.After(f.now) {
-		c := heap.Pop(&f.open).(call)
+func (f *fleet) endDueCalls() {
+	for len(f.inFlight) > 0 && !f.inFlight[0].ends.After(f.now) {
+		c := heap.Pop(&f.inFlight).(call)
 		f.running[c.choice.Upstream]--
-		done(f.routers[c.router], c.ends, c.choice, f.result(c.choice.Upstream), c.ends.Sub(c.began))
+		finishCall(f.routers[c.router], c.ends, c.choice, f.result(c.choice.Upstream), c.ends.Sub(c.began))
 	}
 }
 
 // report tells all routers the true load of all upstreams.
-func (f *fleet) report() {
+func (f *fleet) broadcastReports() {
 	for _, r := range f.routers {
 		for i := range r.current.Load().pools[pool].members {
 			name := fmt.Sprintf("u%d", i)
--- a/core/route/intake.go
+++ b/core/route/intake.go
@@ -27,10 +27,10 @@
 type intakeFilter struct{}
 
 func (intakeFilter) Name() string      { return "intake" }
-func (intakeFilter) Relax() Relaxation { return Never }
+func (intakeFilter) Relax() RelaxLevel { return Never }
 func (intakeFilter) Refuse(_ *View, c *Candidate) string {
-	if c.Bounded {
-		return c.BoundedBy.String()
+	if c.IntakeLimited {
+		return c.IntakeLimitSource.String()
 	}
 	return ""
 }
--- a/core/route/intake_test.go
+++ b/core/route/intake_test.go
@@ -23,27 +23,27 @@
 		r := limited(3, map[string]intake.Part{"u0": part, "u1": part})
 		picks := map[string]int{}
 		for at := time.Duration(0); at < 4*time.Second; at += 20 * time.Millisecond {
-			q := query()
+			q := testQuery()
 			q.Tried = []string{"u2"}
 			c, err := r.Pick(start.Add(at), q, nil)
 			Expect(err).To(BeNil())
 			picks[c.Upstream]++
-			done(r, start.Add(at), c, request.CallOK, 0)
+			finishCall(r, start.Add(at), c, request.CallOK, 0)
 		}
 		Expect(picks).To(And(HaveKeyWithValue("u0", 2), HaveKeyWithValue("u1", 2)))
 	})
 
 	It("are refused with the time until the first of them may be asked again", func() {
 		r := limited(2, map[string]intake.Part{"u0": {Calls: 1, Window: 4 * time.Second}, "u1": {Calls: 1, Window: 4 * time.Second}})
-		first := mustPick(r, start, query())
-		Expect(mustPick(r, start.Add(time.Second), query()).Upstream).NotTo(Equal(first.Upstream))
+		first := mustPick(r, start, testQuery())
+		Expect(mustPick(r, start.Add(time.Second), testQuery()).Upstream).NotTo(Equal(first.Upstream))
 		_, closed := r.Closed(start.Add(time.Second), "llm")
 		Expect(closed).To(BeTrue())
-		_, err := r.Pick(start.Add(1500*time.Millisecond), query(), nil)
+		_, err := r.Pick(start.Add(1500*time.Millisecond), testQuery(), nil)
 		Expect(err).NotTo(BeNil())
 		Expect(err.Detail).To(ContainSubstring("2 limited"))
 		Expect(err.RetryAfter).To(Equal(2500 * time.Millisecond))
-		Expect(mustPick(r, start.Add(4*time.Second), query()).Upstream).To(Equal(first.Upstream))
+		Expect(mustPick(r, start.Add(4*time.Second), testQuery()).Upstream).To(Equal(first.Upstream))
 	})
 
 	It("are no source of copies", func() {
@@ -75,7 +75,7 @@
 		r := testRouter(b, 1)
 		leaving(r, "u0")
 		for i := range 100 {
-			q := query()
+			q := testQuery()
 			q.Tried = []string{"u1"}
 			Expect(mustPick(r, start.Add(time.Duration(i)*time.Second), q).Upstream).To(Equal("u1"))
 			r.Apply(b)
@@ -87,10 +87,10 @@
 		leaving(r, "u0", "u1")
 		wait, closed := r.Closed(start, "llm")
 		Expect(closed).To(BeTrue())
-		Expect(wait).To(Equal(emptyRetry))
-		_, err := r.Pick(start, query(), nil)
+		Expect(wait).To(Equal(unavailableRetryAfter))
+		_, err := r.Pick(start, testQuery(), nil)
 		Expect(err).NotTo(BeNil())
-		Expect(err.RetryAfter).To(Equal(emptyRetry))
+		Expect(err.RetryAfter).To(Equal(unavailableRetryAfter))
 	})
 
 	It("leave a place for another start", func() {
@@ -99,7 +99,7 @@
 		b := testBundle(1, 100, bundle.PolicyAdaptive)
 		b.Pools[0].Upstreams[0].Name = "u0@2"
 		r.Apply(b)
-		Expect(mustPick(r, start, query()).Upstream).To(Equal("u0@2"))
+		Expect(mustPick(r, start, testQuery()).Upstream).To(Equal("u0@2"))
 	})
 })
 
@@ -118,16 +118,16 @@
 		wait, closed := r.Closed(start, "llm")
 		Expect(closed).To(BeTrue())
 		Expect(wait).To(Equal(2 * time.Second))
-		_, err := r.Pick(start.Add(time.Second), query(), nil)
+		_, err := r.Pick(start.Add(time.Second), testQuery(), nil)
 		Expect(err).NotTo(BeNil())
 		Expect(err.Detail).To(ContainSubstring("2 resting"))
 		Expect(err.RetryAfter).To(Equal(time.Second))
 		for at := 2 * time.Second; at < 3*time.Second; at += 50 * time.Millisecond {
-			Expect(mustPick(r, start.Add(at), query()).Upstream).To(Equal("u1"))
+			Expect(mustPick(r, start.Add(at), testQuery()).Upstream).To(Equal("u1"))
 		}
 		picks := map[string]int{}
 		for range 50 {
-			picks[mustPick(r, start.Add(3*time.Second), query()).Upstream]++
+			picks[mustPick(r, start.Add(3*time.Second), testQuery()).Upstream]++
 		}
 		Expect(picks).To(HaveKey("u0"))
 	})
@@ -140,7 +140,7 @@
 		b := testBundle(2, 100, bundle.PolicyAdaptive)
 		r.Apply(b)
 		for range 20 {
-			mustPick(r, start, query())
+			mustPick(r, start, testQuery())
 		}
 		less := testBundle(1, 100, bundle.PolicyAdaptive)
 		r.Apply(less)
@@ -148,7 +148,7 @@
 		gates.SetParts(intake.Leaving, map[string]intake.Part{"u1": {}})
 		r.Apply(b)
 		for range 50 {
-			Expect(mustPick(r, start, query()).Upstream).To(Equal("u0"))
+			Expect(mustPick(r, start, testQuery()).Upstream).To(Equal("u0"))
 		}
 	})
 })
--- a/core/route/latency.go
+++ b/core/route/latency.go
@@ -14,22 +14,22 @@
 	// minSamples is the number of calls from which quantiles are given.
 	minSamples = 20
 	// refreshAfter is how old the merged histogram may get under traffic.
-	refreshAfter = 200 * time.Millisecond
+	mergeInterval = 200 * time.Millisecond
 )
 
 // window holds the latencies of the last one to two window lengths. Without
 // traffic the last ones stay. It is not safe for concurrent use.
-type window struct {
+type latencyWindow struct {
 	length            time.Duration
 	current, previous *hdrhistogram.Histogram
 	merged            *hdrhistogram.Histogram
 	started           time.Time
-	refreshed         time.Time
+	mergedAt          time.Time
 	median            time.Duration
 }
 
-func newWindow(now time.Time, length time.Duration) *window {
-	return &window{
+func newWindow(now time.Time, length time.Duration) *latencyWindow {
+	return &latencyWindow{
 		length: length, started: now,
 		current: newHistogram(), previous: newHistogram(), merged: newHistogram(),
 	}
@@ -40,7 +40,7 @@
 }
 
 // add counts d, which is cut to the histogram's range.
-func (w *window) add(now time.Time, d time.Duration) {
+func (w *latencyWindow) add(now time.Time, d time.Duration) {
 	if now.Sub(w.started) >= w.length && w.current.TotalCount() >= minSamples {
 		w.current, w.previous = w.previous, w.current
 		w.current.Reset()
@@ -51,21 +51,21 @@
 	if w.current.TotalCount()+w.previous.TotalCount() < minSamples {
 		return
 	}
-	if w.merged.TotalCount() < minSamples || now.Sub(w.refreshed) >= refreshAfter {
-		w.refresh(now)
+	if w.merged.TotalCount() < minSamples || now.Sub(w.mergedAt) >= mergeInterval {
+		w.merge(now)
 	}
 }
 
-func (w *window) refresh(now time.Time) {
+func (w *latencyWindow) merge(now time.Time) {
 	w.merged.Reset()
 	w.merged.Merge(w.current)
 	w.merged.Merge(w.previous)
-	w.refreshed = now
+	w.mergedAt = now
 	w.median, _ = w.quantile(0.5)
 }
 
 // quantile returns the latency at q (0 to 1), false with too few calls.
-func (w *window) quantile(q float64) (time.Duration, bool) {
+func (w *latencyWindow) quantile(q float64) (time.Duration, bool) {
 	if w.merged.TotalCount() < minSamples {
 		return 0, false
 	}
@@ -75,10 +75,10 @@
 // stageLatency holds the latencies of one stage in one pool.
 type stageLatency struct {
 	// total is the latency of whole calls, first that to the first byte.
-	total, first *window
+	total, first *latencyWindow
 	// unit is the latency for each unit of work, or of the call where that is
 	// not known: what upstreams are compared by.
-	unit *window
+	perUnit *latencyWindow
 }
 
 func newStageLatency(now time.Time, length time.Duration) *stageLatency {
@@ -86,31 +86,31 @@
 }
 
 // unitOf returns the latency that upstreams are compared by.
-func unitOf(latency time.Duration, work int) time.Duration {
+func latencyPerUnit(latency time.Duration, work int) time.Duration {
 	return latency / time.Duration(max(work, 1))
 }
 
 // done counts a call that ended well.
-func (s *stageLatency) done(now time.Time, latency, first time.Duration, work int) {
+func (s *stageLatency) addCompleted(now time.Time, latency, first time.Duration, work int) {
 	s.total.add(now, latency)
 	if first > 0 {
 		s.first.add(now, first)
 	}
-	s.unit.add(now, unitOf(latency, work))
+	s.perUnit.add(now, latencyPerUnit(latency, work))
 }
 
 // gaveUp counts a call that was given up after latency: a lower bound of what
 // it would have taken. Left out, the calls that lose against a hedge would
 // make the quantiles, and so the next hedge delay, too short. Calls given up
 // early say nothing and are left out.
-func (s *stageLatency) gaveUp(now time.Time, latency time.Duration) {
+func (s *stageLatency) addCancelled(now time.Time, latency time.Duration) {
 	if s.total.median > 0 && latency > s.total.median {
 		s.total.add(now, latency)
 	}
 }
 
 // gaveUpFirst is gaveUp for a call that was given up before its first byte.
-func (s *stageLatency) gaveUpFirst(now time.Time, latency time.Duration) {
+func (s *stageLatency) addCancelledFirstByte(now time.Time, latency time.Duration) {
 	if s.first.median > 0 && latency > s.first.median {
 		s.first.add(now, latency)
 	}
@@ -119,8 +119,8 @@
 // slowness returns how many times the usual a call took, 0 when it can't be
 // said. For a call given up it is a lower bound.
 func (s *stageLatency) slowness(latency time.Duration, work int, whole bool) float64 {
-	usual := s.unit.median
-	took := unitOf(latency, work)
+	usual := s.perUnit.median
+	took := latencyPerUnit(latency, work)
 	if !whole && work == 0 && s.first.median > 0 {
 		usual, took = s.first.median, latency
 	}
--- a/core/route/picker.go
+++ b/core/route/picker.go
@@ -8,10 +8,10 @@
 // smallPool is the number of candidates up to which all are drawn: the one that
 // looks best cannot get many times its even share then, and leaving one out of
 // three leaves the emptiest out of every third pick.
-const smallPool = 4
+const smallPoolSize = 4
 
 // scored is a drawn candidate and its cost.
-type scored struct {
+type scoredCandidate struct {
 	index int
 	cost  float64
 }
@@ -20,7 +20,7 @@
 // ones it weighed to drawn, the chosen one first.
 type Picker interface {
 	Name() string
-	Pick(v *View, eligible []int, rng *rand.Rand, drawn []scored) []scored
+	Pick(v *View, eligible []int, rng *rand.Rand, drawn []scoredCandidate) []scoredCandidate
 }
 
 // randomChoices draws one candidate at random from the own failure domain, the
@@ -33,13 +33,13 @@
 	scorers []Scorer
 	// packed says that generations are packed: then as many candidates as may
 	// be are drawn, since the fullest one with room must be among them.
-	packed bool
-	local  []int
+	packing bool
+	local   []int
 }
 
 func (*randomChoices) Name() string { return "random_choices" }
 
-func (p *randomChoices) Pick(v *View, eligible []int, rng *rand.Rand, drawn []scored) []scored {
+func (p *randomChoices) Pick(v *View, eligible []int, rng *rand.Rand, drawn []scoredCandidate) []scoredCandidate {
 	p.local = p.local[:0]
 	for _, i := range eligible {
 		if v.Candidates[i].Domain == v.Domain {
@@ -47,13 +47,13 @@
 		}
 	}
 	choices := p.choices
-	if len(eligible) <= smallPool || p.packed && packs(v) {
+	if len(eligible) <= smallPoolSize || p.packing && canPack(v) {
 		choices = maxDrawn
 	}
 	drawn = p.draw(v, p.local, 1, rng, drawn)
 	drawn = p.draw(v, eligible, choices, rng, drawn)
-	if v.Home >= 0 {
-		drawn = p.add(v, v.Home, drawn)
+	if v.PrefixHome >= 0 {
+		drawn = p.addCandidate(v, v.PrefixHome, drawn)
 	}
 	best := 0
 	for i := range drawn {
@@ -66,17 +66,17 @@
 }
 
 // draw adds members of from until want candidates are drawn.
-func (p *randomChoices) draw(v *View, from []int, want int, rng *rand.Rand, drawn []scored) []scored {
+func (p *randomChoices) draw(v *View, from []int, want int, rng *rand.Rand, drawn []scoredCandidate) []scoredCandidate {
 	for k := 0; len(drawn) < want && k < len(from); k++ {
 		j := k + rng.IntN(len(from)-k)
 		from[k], from[j] = from[j], from[k]
-		drawn = p.add(v, from[k], drawn)
+		drawn = p.addCandidate(v, from[k], drawn)
 	}
 	return drawn
 }
 
 // add scores candidate i unless it was drawn already.
-func (p *randomChoices) add(v *View, i int, drawn []scored) []scored {
+func (p *randomChoices) addCandidate(v *View, i int, drawn []scoredCandidate) []scoredCandidate {
 	for _, d := range drawn {
 		if d.index == i {
 			return drawn
@@ -85,7 +85,7 @@
 	if len(drawn) == maxDrawn {
 		return drawn
 	}
-	return append(drawn, scored{i, scoreOf(v, p.scorers, &v.Candidates[i])})
+	return append(drawn, scoredCandidate{i, totalCost(v, p.scorers, &v.Candidates[i])})
 }
 
 // roundRobin takes the eligible candidates in turn.
@@ -93,10 +93,10 @@
 
 func (*roundRobin) Name() string { return "round_robin" }
 
-func (p *roundRobin) Pick(_ *View, eligible []int, _ *rand.Rand, drawn []scored) []scored {
+func (p *roundRobin) Pick(_ *View, eligible []int, _ *rand.Rand, drawn []scoredCandidate) []scoredCandidate {
 	i := eligible[p.next%len(eligible)]
 	p.next++
-	return append(drawn, scored{index: i})
+	return append(drawn, scoredCandidate{index: i})
 }
 
 // leastRequests takes the candidate with the fewest own calls in flight, a
@@ -105,10 +105,10 @@
 
 func (leastRequests) Name() string { return "least_requests" }
 
-func (leastRequests) Pick(v *View, eligible []int, rng *rand.Rand, drawn []scored) []scored {
+func (leastRequests) Pick(v *View, eligible []int, rng *rand.Rand, drawn []scoredCandidate) []scoredCandidate {
 	best, ties := eligible[0], 0
 	for _, i := range eligible {
-		switch own, least := v.Candidates[i].Own, v.Candidates[best].Own; {
+		switch own, least := v.Candidates[i].OwnCalls, v.Candidates[best].OwnCalls; {
 		case own < least:
 			best, ties = i, 1
 		case own == least:
@@ -117,5 +117,5 @@
 			}
 		}
 	}
-	return append(drawn, scored{best, float64(v.Candidates[best].Own)})
+	return append(drawn, scoredCandidate{best, float64(v.Candidates[best].OwnCalls)})
 }
--- a/core/route/reading_test.go
+++ b/core/route/prefill_test.go
@@ -11,22 +11,22 @@
 	"github.com/wheatseam/wheatseam/core/request"
 )
 
-var _ = DescribeTable("the backlog of an engine", func(prompts []prompt, after, want time.Duration) {
+var _ = DescribeTable("the backlog of an engine", func(prompts []pendingPrompt, after, want time.Duration) {
 	start := time.Unix(1000, 0)
-	var r reading
+	var r prefillQueue
 	for _, p := range prompts {
-		p.sent = start
+		p.sentAt = start
 		r.add(p)
 	}
 	Expect(r.backlog(start.Add(after))).To(Equal(want))
 },
 	Entry("nothing", nil, time.Second, time.Duration(0)),
-	Entry("one prompt", []prompt{{read: time.Second, usual: time.Second}}, 300*time.Millisecond, 700*time.Millisecond),
-	Entry("two prompts, one after the other", []prompt{{read: time.Second, usual: 3 * time.Second}, {read: time.Second, usual: 3 * time.Second}},
+	Entry("one prompt", []pendingPrompt{{prefillTime: time.Second, usualFirstByte: time.Second}}, 300*time.Millisecond, 700*time.Millisecond),
+	Entry("two prompts, one after the other", []pendingPrompt{{prefillTime: time.Second, usualFirstByte: 3 * time.Second}, {prefillTime: time.Second, usualFirstByte: 3 * time.Second}},
 		500*time.Millisecond, 1500*time.Millisecond),
-	Entry("one that is overdue: as much again", []prompt{{read: 100 * time.Millisecond, usual: 200 * time.Millisecond}}, 500*time.Millisecond, 300*time.Millisecond),
-	Entry("one that is overdue for long", []prompt{{read: 100 * time.Millisecond, usual: 200 * time.Millisecond}}, time.Minute, maxOverdue),
-	Entry("a fellow's, whose end is not heard of", []prompt{{read: 100 * time.Millisecond, told: true}}, time.Second, time.Duration(0)),
+	Entry("one that is overdue: as much again", []pendingPrompt{{prefillTime: 100 * time.Millisecond, usualFirstByte: 200 * time.Millisecond}}, 500*time.Millisecond, 300*time.Millisecond),
+	Entry("one that is overdue for long", []pendingPrompt{{prefillTime: 100 * time.Millisecond, usualFirstByte: 200 * time.Millisecond}}, time.Minute, maxOverdueBacklog),
+	Entry("a fellow's, whose end is not heard of", []pendingPrompt{{prefillTime: 100 * time.Millisecond, fromPeer: true}}, time.Second, time.Duration(0)),
 )
 
 // The pattern: a prompt that takes an engine a second to read, among prompts of
@@ -80,20 +80,20 @@
 		c := pick(r, now, "fails", time.Second)
 		r.Done(now, request.Outcome{Choice: c, Stage: "s", Result: request.CallFailed})
 		st := r.current.Load().pools["llm"].members[0].state
-		Expect(st.reading.prompts).To(BeEmpty())
-		for i := range 3 * maxReading {
+		Expect(st.prefillQueue.prompts).To(BeEmpty())
+		for i := range 3 * maxPendingPrompts {
 			r.Told(now, "llm", c.Upstream, c.Address, time.Duration(i)*time.Second)
 		}
-		Expect(st.reading.prompts).To(HaveLen(maxReading))
+		Expect(st.prefillQueue.prompts).To(HaveLen(maxPendingPrompts))
 		r.Told(now.Add(time.Hour), "llm", c.Upstream, c.Address, time.Second)
-		Expect(st.reading.prompts).To(HaveLen(1))
+		Expect(st.prefillQueue.prompts).To(HaveLen(1))
 	})
 
 	It("says whether another engine can be copied from", func() {
 		r := engines(2)
 		c := pick(r, now, "x", time.Second)
 		Expect(r.Usable(now, "llm", c.Upstream, c.Address)).To(BeTrue())
-		Expect(r.Usable(now.Add(stallFloor), "llm", c.Upstream, c.Address)).To(BeFalse(), "it has said nothing for long")
+		Expect(r.Usable(now.Add(minStallTimeout), "llm", c.Upstream, c.Address)).To(BeFalse(), "it has said nothing for long")
 		Expect(r.Usable(now, "llm", "unknown", "unknown")).To(BeFalse())
 	})
 
@@ -101,9 +101,9 @@
 		r := engines(1)
 		c := pick(r, now, "x", time.Second)
 		st := r.current.Load().pools["llm"].members[0].state
-		r.Unpick(now.Add(stallFloor), pick(r, now.Add(stallFloor), "x", time.Second))
-		Expect(r.Usable(now.Add(stallFloor), "llm", c.Upstream, c.Address)).To(BeFalse(), "it has said nothing since")
-		Expect(st.reading.prompts).To(HaveLen(1), "it still reads the prompt that was sent")
-		Expect(st.own).To(Equal(1))
+		r.Unpick(now.Add(minStallTimeout), pick(r, now.Add(minStallTimeout), "x", time.Second))
+		Expect(r.Usable(now.Add(minStallTimeout), "llm", c.Upstream, c.Address)).To(BeFalse(), "it has said nothing since")
+		Expect(st.prefillQueue.prompts).To(HaveLen(1), "it still reads the prompt that was sent")
+		Expect(st.ownCalls).To(Equal(1))
 	})
 })
--- a/core/route/prefix.go
+++ b/core/route/prefix.go
@@ -28,7 +28,7 @@
 		if regional && !v.sameRegion(c) || c.Load()+1 > bound {
 			continue
 		}
-		if rank := mix(prefix ^ c.Hash); home < 0 || rank > best {
+		if rank := mix64(prefix ^ c.Hash); home < 0 || rank > best {
 			home, best = i, rank
 		}
 	}
@@ -38,7 +38,7 @@
 // mix is the finaliser of splitmix64: it ranks a key's upstreams. The pinned
 // rendezvous library returns a key's first node only; the bound needs the next
 // ones too.
-func mix(x uint64) uint64 {
+func mix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
--- a/core/route/note.go
+++ b/core/route/record.go
@@ -11,16 +11,16 @@
 const StepPick record.Step = "route.pick"
 
 // maxRecorded bounds the candidates in one record entry.
-const maxRecorded = 16
+const maxRecordedCandidates = 16
 
 // note records the pick: first the candidates drawn, then refused ones.
-func (p *poolView) note(rec record.Recorder, v *View, outcome string, drawn []scored) {
+func (p *poolView) recordPick(rec record.Recorder, v *View, outcome string, drawn []scoredCandidate) {
 	if rec == nil {
 		return
 	}
 	s := p.shard
 	e := record.Entry{At: v.Now, Step: StepPick, Stage: v.Query.Stage, Attempt: v.Query.Attempt, Outcome: outcome}
-	e.Choices = make([]record.Candidate, 0, min(maxRecorded, len(v.Candidates)))
+	e.Choices = make([]record.Candidate, 0, min(maxRecordedCandidates, len(v.Candidates)))
 	for _, d := range drawn {
 		e.Choices = append(e.Choices, record.Candidate{Upstream: v.Candidates[d.index].Name, Score: d.cost})
 	}
@@ -30,17 +30,17 @@
 			continue
 		}
 		refused++
-		if len(e.Choices) < maxRecorded {
+		if len(e.Choices) < maxRecordedCandidates {
 			c := &v.Candidates[i]
-			e.Choices = append(e.Choices, record.Candidate{Upstream: c.Name, Refused: reasonOf(v, p.steps.filters, c)})
+			e.Choices = append(e.Choices, record.Candidate{Upstream: c.Name, Refused: refusalReason(v, p.steps.filters, c)})
 		}
 	}
-	e.Fields = p.fields(v, refused, drawn)
+	e.Fields = p.recordFields(v, refused, drawn)
 	rec.Add(e)
 }
 
 // fields returns the inputs that decided a pick.
-func (p *poolView) fields(v *View, refused int, drawn []scored) []record.Field {
+func (p *poolView) recordFields(v *View, refused int, drawn []scoredCandidate) []record.Field {
 	fs := make([]record.Field, 0, 8+len(p.steps.scorers))
 	add := func(key, value string) { fs = append(fs, record.Field{Key: key, Value: value}) }
 	add("pool", p.name)
@@ -50,16 +50,16 @@
 	if r := p.shard.result.relaxed; r != Never {
 		add("relaxed", strconv.Itoa(int(r)))
 	}
-	if v.Home >= 0 {
-		add("prefix_home", v.Candidates[v.Home].Name)
+	if v.PrefixHome >= 0 {
+		add("prefix_home", v.Candidates[v.PrefixHome].Name)
 	}
 	if len(drawn) == 0 {
 		return fs
 	}
 	c := &v.Candidates[drawn[0].index]
-	add("own", strconv.Itoa(c.Own))
-	add("foreign", formatCost(c.Foreign))
-	add("believed", formatCost(c.Believed))
+	add("own", strconv.Itoa(c.OwnCalls))
+	add("foreign", formatCost(c.OtherCalls))
+	add("believed", formatCost(c.SampledOtherCalls))
 	for _, s := range p.steps.scorers {
 		add("cost."+s.Name(), formatCost(s.Cost(v, c)))
 	}
@@ -69,6 +69,6 @@
 func formatCost(x float64) string { return strconv.FormatFloat(x, 'f', 3, 64) }
 
 // wasDrawn says whether candidate i is among drawn: a refusal that was lifted.
-func wasDrawn(drawn []scored, i int) bool {
-	return slices.ContainsFunc(drawn, func(d scored) bool { return d.index == i })
+func wasDrawn(drawn []scoredCandidate, i int) bool {
+	return slices.ContainsFunc(drawn, func(d scoredCandidate) bool { return d.index == i })
 }
--- a/core/route/route_suite_test.go
+++ b/core/route/route_suite_test.go
@@ -49,7 +49,7 @@
 	return r
 }
 
-func query() request.Query {
+func testQuery() request.Query {
 	return request.Query{Request: "r", Pool: pool, Stage: "generate", Kind: bundle.StageGenerate, Attempt: 1}
 }
 
@@ -61,23 +61,23 @@
 	return c
 }
 
-func done(r *Router, now time.Time, c request.Choice, result request.CallResult, latency time.Duration) {
+func finishCall(r *Router, now time.Time, c request.Choice, result request.CallResult, latency time.Duration) {
 	r.Done(now, request.Outcome{Choice: c, Stage: "generate", Result: result, Latency: latency})
 }
 
 // entries is a record.Recorder.
-type entries []record.Entry
+type entryRecorder []record.Entry
 
-func (e *entries) Add(x record.Entry) { *e = append(*e, x) }
+func (e *entryRecorder) Add(x record.Entry) { *e = append(*e, x) }
 
 func testView(candidates ...Candidate) *View {
 	for i := range candidates {
-		if candidates[i].Share == 0 {
-			candidates[i].Share = 1
+		if candidates[i].RampShare == 0 {
+			candidates[i].RampShare = 1
 		}
 	}
-	q := query()
-	return &View{Now: start, Query: &q, Domain: "d0", Region: "r0", Concurrency: 4, Limit: 8, Home: -1, Candidates: candidates}
+	q := testQuery()
+	return &View{Now: start, Query: &q, Domain: "d0", Region: "r0", Concurrency: 4, SaturationLimit: 8, PrefixHome: -1, Candidates: candidates}
 }
 
 func testRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
--- a/core/route/router.go
+++ b/core/route/router.go
@@ -14,26 +14,26 @@
 
 // Retry hints of a refusal. A cold upstream takes calls again after a second.
 const (
-	saturatedRetry = time.Second
-	emptyRetry     = 5 * time.Second
+	saturatedRetryAfter   = time.Second
+	unavailableRetryAfter = 5 * time.Second
 )
 
 // Router implements request.Router. All methods may be called concurrently.
 type Router struct {
 	config Config
 	// ownGates says that nobody shares the gates.
-	ownGates bool
+	ownsGates bool
 	// mu serialises Apply and SetLeaving.
-	mu      sync.Mutex
-	leaving map[string]bool
-	current atomic.Pointer[snapshot]
+	mu            sync.Mutex
+	markedLeaving map[string]bool
+	current       atomic.Pointer[snapshot]
 }
 
 var _ request.Router = (*Router)(nil)
 
 // New returns a Router that knows no upstream until Apply.
 func New(c Config) *Router {
-	r := &Router{config: c.withDefaults(), ownGates: c.Gates == nil, leaving: map[string]bool{}}
+	r := &Router{config: c.withDefaults(), ownsGates: c.Gates == nil, markedLeaving: map[string]bool{}}
 	r.current.Store(&snapshot{pools: map[string]*poolView{}})
 	return r
 }
@@ -53,22 +53,22 @@
 // pick runs the steps; the shard is locked.
 func (p *poolView) pick(now time.Time, q *request.Query, c *Config, region string, rec record.Recorder) (request.Choice, *problem.Error) {
 	s := p.shard
-	v := p.fill(now, q, c, region)
+	v := p.buildView(now, q, c, region)
 	runFilters(v, p.steps.filters, &s.result)
 	if len(s.result.eligible) == 0 {
-		err := p.refusal(v)
-		p.note(rec, v, "refused", nil)
+		err := p.noUpstreamError(v)
+		p.recordPick(rec, v, "refused", nil)
 		return request.Choice{}, err
 	}
 	if q.Kind == bundle.StageGenerate && p.steps.policy == bundle.PolicyAdaptive {
-		v.Home = prefixHome(v, s.result.eligible, q.Prefix, c.PrefixBound, c.PrefixRoom)
+		v.PrefixHome = prefixHome(v, s.result.eligible, q.Prefix, c.PrefixLoadFactor, c.PrefixRoom)
 	}
 	s.drawn = p.steps.picker.Pick(v, s.result.eligible, s.rng, s.drawn[:0])
 	m := &p.members[s.drawn[0].index]
-	p.note(rec, v, m.name, s.drawn)
-	m.state.begin(now)
+	p.recordPick(rec, v, m.name, s.drawn)
+	m.state.startCall(now)
 	if q.Read > 0 {
-		m.state.reading.add(prompt{request: q.Request, sent: now, read: q.Read, usual: q.FirstByte})
+		m.state.prefillQueue.add(pendingPrompt{request: q.Request, sentAt: now, prefillTime: q.Read, usualFirstByte: q.FirstByte})
 	}
 	return request.Choice{Request: q.Request, Pool: p.name, Upstream: m.name, Address: m.address, FailureDomain: m.domain}, nil
 }
@@ -84,9 +84,9 @@
 	q := &request.Query{Pool: pool, Kind: bundle.StageGenerate, Prefix: prefix}
 	p.shard.mu.Lock()
 	defer p.shard.mu.Unlock()
-	v := p.fill(now, q, &r.config, snap.region)
+	v := p.buildView(now, q, &r.config, snap.region)
 	runFilters(v, p.steps.filters, &p.shard.result)
-	home := prefixHome(v, p.shard.result.eligible, prefix, r.config.PrefixBound, r.config.PrefixRoom)
+	home := prefixHome(v, p.shard.result.eligible, prefix, r.config.PrefixLoadFactor, r.config.PrefixRoom)
 	if home < 0 {
 		return ""
 	}
@@ -94,20 +94,20 @@
 }
 
 // refusal explains why no upstream is left.
-func (p *poolView) refusal(v *View) *problem.Error {
+func (p *poolView) noUpstreamError(v *View) *problem.Error {
 	saturated, cold, limited, resting := 0, 0, 0, 0
-	var opens soonest
+	var opens shortestWait
 	for i := range v.Candidates {
 		switch c := &v.Candidates[i]; {
 		case c.Leaving:
-		case c.Load() >= v.Limit:
+		case c.Load() >= v.SaturationLimit:
 			saturated++
-			opens.add(saturatedRetry)
-		case c.Bounded && c.BoundedBy == intake.Cold:
+			opens.add(saturatedRetryAfter)
+		case c.IntakeLimited && c.IntakeLimitSource == intake.Cold:
 			cold++
-			opens.add(saturatedRetry)
-		case c.Bounded:
-			if c.BoundedBy == intake.Resting {
+			opens.add(saturatedRetryAfter)
+		case c.IntakeLimited:
+			if c.IntakeLimitSource == intake.Resting {
 				resting++
 			} else {
 				limited++
@@ -117,24 +117,24 @@
 	}
 	err := problem.New(problem.NoUpstream, "pool %q: of %d upstreams %d are saturated, %d cold, %d limited, %d resting, the others leaving",
 		p.name, len(v.Candidates), saturated, cold, limited, resting)
-	err.RetryAfter = opens.or(emptyRetry)
+	err.RetryAfter = opens.orElse(unavailableRetryAfter)
 	return err
 }
 
 // soonest is the shortest of some waits.
-type soonest struct {
+type shortestWait struct {
 	wait  time.Duration
 	known bool
 }
 
-func (s *soonest) add(wait time.Duration) {
+func (s *shortestWait) add(wait time.Duration) {
 	if !s.known || wait < s.wait {
 		s.wait, s.known = wait, true
 	}
 }
 
 // or returns the shortest wait, or another one without any.
-func (s *soonest) or(none time.Duration) time.Duration {
+func (s *shortestWait) orElse(none time.Duration) time.Duration {
 	if !s.known {
 		return none
 	}
@@ -150,11 +150,11 @@
 	}
 	p.shard.mu.Lock()
 	defer p.shard.mu.Unlock()
-	var opens soonest
+	var opens shortestWait
 	for i := range p.members {
 		st := p.members[i].state
-		if st.leaves() {
-			opens.add(emptyRetry)
+		if st.isLeaving() {
+			opens.add(unavailableRetryAfter)
 			continue
 		}
 		if _, refuses := st.gate.Refuses(now); !refuses {
@@ -173,22 +173,22 @@
 	}
 	p.shard.mu.Lock()
 	defer p.shard.mu.Unlock()
-	p.done(now, &o, &r.config)
+	p.finishCall(now, &o, &r.config)
 }
 
 // Unpick takes a pick back for which nothing was sent; it is then not owed to Done.
 func (r *Router) Unpick(now time.Time, c request.Choice) {
-	r.update(c.Pool, c.Upstream, c.Address, func(st *state) {
-		st.unbegin(now)
-		st.reading.undo(c.Request)
+	r.updateState(c.Pool, c.Upstream, c.Address, func(st *memberState) {
+		st.cancelCall(now)
+		st.prefillQueue.removeNewest(c.Request)
 	})
 }
 
 // Told notes that another daemon has sent an upstream a prompt that takes that
 // long to read.
 func (r *Router) Told(now time.Time, pool, upstream, address string, read time.Duration) {
-	r.update(pool, upstream, address, func(st *state) {
-		st.reading.add(prompt{sent: now, read: read, told: true})
+	r.updateState(pool, upstream, address, func(st *memberState) {
+		st.prefillQueue.add(pendingPrompt{sentAt: now, prefillTime: read, fromPeer: true})
 	})
 }
 
@@ -196,14 +196,14 @@
 // known, and neither leaving, bounded, ejected nor silent.
 func (r *Router) Usable(now time.Time, pool, upstream, address string) bool {
 	usable := false
-	r.update(pool, upstream, address, func(st *state) {
-		usable = !st.leaves() && !st.gate.Bounded() && !st.ejection.active(now) && (st.own == 0 || now.Sub(st.progress) < stallFloor)
+	r.updateState(pool, upstream, address, func(st *memberState) {
+		usable = !st.isLeaving() && !st.gate.Bounded() && !st.ejection.active(now) && (st.ownCalls == 0 || now.Sub(st.lastProgress) < minStallTimeout)
 	})
 	return usable
 }
 
 // update changes the state of an upstream, if it is known.
-func (r *Router) update(pool, upstream, address string, change func(*state)) {
+func (r *Router) updateState(pool, upstream, address string, change func(*memberState)) {
 	p := r.current.Load().pools[pool]
 	if p == nil {
 		return
@@ -218,50 +218,50 @@
 // FirstByte notes that an upstream has begun to answer a picked call: it has read
 // the prompt.
 func (r *Router) FirstByte(c request.Choice) {
-	r.update(c.Pool, c.Upstream, c.Address, func(st *state) { st.reading.done(c.Request) })
+	r.updateState(c.Pool, c.Upstream, c.Address, func(st *memberState) { st.prefillQueue.remove(c.Request) })
 }
 
 // done ends a call; the shard is locked.
-func (p *poolView) done(now time.Time, o *request.Outcome, c *Config) {
+func (p *poolView) finishCall(now time.Time, o *request.Outcome, c *Config) {
 	s := p.shard
 	st := s.states[upstreamKey{o.Choice.Upstream, o.Choice.Address}]
 	if st == nil {
 		return
 	}
-	st.end(now)
-	st.reading.done(o.Choice.Request)
-	covered := st.ejection.covers(now.Add(-o.Latency), now)
+	st.endCall(now)
+	st.prefillQueue.remove(o.Choice.Request)
+	covered := st.ejection.ignoresCall(now.Add(-o.Latency), now)
 	switch o.Result {
 	case request.CallOK:
-		l := s.stage(now, o.Stage, c.Window)
+		l := s.stageLatencyFor(now, o.Stage, c.HistogramWindow)
 		slowness := l.slowness(o.Latency, o.Work, true)
-		l.done(now, o.Latency, o.FirstByte, o.Work)
-		if l.total.refreshed.Equal(now) {
-			s.measure()
+		l.addCompleted(now, o.Latency, o.FirstByte, o.Work)
+		if l.total.mergedAt.Equal(now) {
+			s.updateEstimates()
 		}
 		if !covered {
-			p.judge(now, st, slowness, c)
-			st.count(now, true)
+			p.addSlowness(now, st, slowness, c)
+			st.countCall(now, true)
 		}
 	case request.CallFailed:
 		if !covered {
-			st.count(now, false)
+			st.countCall(now, false)
 		}
 	case request.CallRefused:
-		st.refused(now)
+		st.backOff(now)
 	case request.CallCancelled:
-		l := s.stage(now, o.Stage, c.Window)
+		l := s.stageLatencyFor(now, o.Stage, c.HistogramWindow)
 		slowness := l.slowness(o.Latency, o.Work, false)
-		l.gaveUp(now, o.Latency)
+		l.addCancelled(now, o.Latency)
 		if o.FirstByte <= 0 {
-			l.gaveUpFirst(now, o.Latency)
+			l.addCancelledFirstByte(now, o.Latency)
 		}
-		if !covered && slowness > st.slownessNow(now) {
-			p.judge(now, st, slowness, c)
+		if !covered && slowness > st.decayedSlowness(now) {
+			p.addSlowness(now, st, slowness, c)
 		}
 	}
 	if !covered {
-		p.eject(now, st, c.Ejection)
+		p.ejectIfNeeded(now, st, c.Ejection)
 		if c.Ejected != nil && st.ejection.since.Equal(now) {
 			c.Ejected(p.name, o.Choice.Upstream, st.ejection.reason, st.ejection.until)
 		}
@@ -269,28 +269,28 @@
 }
 
 // judge takes a sample of slowness, 0 for none.
-func (p *poolView) judge(now time.Time, st *state, sample float64, c *Config) {
+func (p *poolView) addSlowness(now time.Time, st *memberState, sample float64, c *Config) {
 	if sample <= 0 {
 		return
 	}
-	smoothing := slowSmoothing
-	if st.ejection.ramping(now, c.Ejection.Ramp) {
-		smoothing = rampSmoothing
+	smoothing := slownessSmoothing
+	if st.ejection.ramping(now, c.Ejection.RampDuration) {
+		smoothing = rampSlownessSmoothing
 	}
-	st.slow(now, sample, smoothing)
+	st.addSlowness(now, sample, smoothing)
 }
 
 // Expect implements request.Router.
 func (r *Router) Expect(pool, stage string, quantile float64) (time.Duration, bool) {
-	return r.expect(pool, stage, func(l *stageLatency) *window { return l.total }, quantile)
+	return r.latencyQuantile(pool, stage, func(l *stageLatency) *latencyWindow { return l.total }, quantile)
 }
 
 // ExpectFirstByte implements request.Router.
 func (r *Router) ExpectFirstByte(pool, stage string, quantile float64) (time.Duration, bool) {
-	return r.expect(pool, stage, func(l *stageLatency) *window { return l.first }, quantile)
+	return r.latencyQuantile(pool, stage, func(l *stageLatency) *latencyWindow { return l.first }, quantile)
 }
 
-func (r *Router) expect(pool, stage string, of func(*stageLatency) *window, quantile float64) (time.Duration, bool) {
+func (r *Router) latencyQuantile(pool, stage string, of func(*stageLatency) *latencyWindow, quantile float64) (time.Duration, bool) {
 	p := r.current.Load().pools[pool]
 	if p == nil {
 		return 0, false
--- a/core/route/router_test.go
+++ b/core/route/router_test.go
@@ -18,9 +18,9 @@
 		run := func() (names []string) {
 			r := testRouter(testBundle(10, 4, bundle.PolicyAdaptive), 7)
 			for i := range 100 {
-				c := mustPick(r, start, query())
+				c := mustPick(r, start, testQuery())
 				if i%3 == 0 {
-					done(r, start, c, request.CallOK, time.Millisecond)
+					finishCall(r, start, c, request.CallOK, time.Millisecond)
 				}
 				if i%8 == 7 {
 					r = testRouter(testBundle(10, 4, bundle.PolicyAdaptive), 7)
@@ -34,7 +34,7 @@
 
 	It("refuses unknown and empty pools as not run", func() {
 		r := New(Config{})
-		_, err := r.Pick(start, query(), nil)
+		_, err := r.Pick(start, testQuery(), nil)
 		Expect(err.Kind).To(Equal(problem.NoUpstream))
 		Expect(err.Execution).To(Equal(problem.NotRun))
 	})
@@ -44,19 +44,19 @@
 			r := testRouter(testBundle(4, 100, policy), 1)
 			var open []request.Choice
 			for range 20 {
-				open = append(open, mustPick(r, start, query()))
+				open = append(open, mustPick(r, start, testQuery()))
 			}
 			r.SetLeaving([]string{"u1"}, start)
 			r.Observe(load.Report{Upstream: "u2", AsOf: start, Leaving: true})
 			r.Apply(testBundle(4, 100, policy))
 			for range 100 {
-				Expect(mustPick(r, start, query()).Upstream).To(BeElementOf("u0", "u3"))
+				Expect(mustPick(r, start, testQuery()).Upstream).To(BeElementOf("u0", "u3"))
 			}
 			for _, c := range open {
-				done(r, start, c, request.CallOK, time.Millisecond)
+				finishCall(r, start, c, request.CallOK, time.Millisecond)
 			}
 			r.SetLeaving([]string{"u0", "u1", "u3"}, start)
-			_, err := r.Pick(start, query(), nil)
+			_, err := r.Pick(start, testQuery(), nil)
 			Expect(err.Kind).To(Equal(problem.NoUpstream))
 		},
 		Entry("adaptive", bundle.PolicyAdaptive),
@@ -69,7 +69,7 @@
 		r.Observe(load.Report{Upstream: "u0", AsOf: start.Add(time.Second), Leaving: true})
 		r.Observe(load.Report{Upstream: "u0", AsOf: start})
 		for range 20 {
-			Expect(mustPick(r, start, query()).Upstream).To(Equal("u1"))
+			Expect(mustPick(r, start, testQuery()).Upstream).To(Equal("u1"))
 		}
 	})
 
@@ -77,12 +77,12 @@
 		r := testRouter(testBundle(1, 2, bundle.PolicyAdaptive), 1)
 		var open []request.Choice
 		for range 4 {
-			open = append(open, mustPick(r, start, query()))
+			open = append(open, mustPick(r, start, testQuery()))
 		}
 		saturated := func() bool {
-			c, err := r.Pick(start, query(), nil)
+			c, err := r.Pick(start, testQuery(), nil)
 			if err == nil {
-				done(r, start, c, request.CallCancelled, 0)
+				finishCall(r, start, c, request.CallCancelled, 0)
 			}
 			return err != nil
 		}
@@ -97,13 +97,13 @@
 		r.Apply(testBundle(1, 2, bundle.PolicyAdaptive))
 		Expect(saturated()).To(BeTrue())
 		for _, c := range open {
-			done(r, start, c, request.CallOK, time.Millisecond)
+			finishCall(r, start, c, request.CallOK, time.Millisecond)
 		}
 		Expect(saturated()).To(BeFalse())
 
 		moved := testBundle(1, 2, bundle.PolicyAdaptive)
 		for range 4 {
-			mustPick(r, start, query())
+			mustPick(r, start, testQuery())
 		}
 		moved.Pools[0].Upstreams[0].Address = "127.0.0.1:9"
 		r.Apply(moved)
@@ -113,11 +113,11 @@
 	It("keeps the count of an upstream that a bundle dropped while its calls ran", func() {
 		r := testRouter(testBundle(2, 2, bundle.PolicyAdaptive), 1)
 		for range 8 {
-			mustPick(r, start, query())
+			mustPick(r, start, testQuery())
 		}
 		r.Apply(testBundle(1, 2, bundle.PolicyAdaptive))
 		r.Apply(testBundle(2, 2, bundle.PolicyAdaptive))
-		_, err := r.Pick(start, query(), nil)
+		_, err := r.Pick(start, testQuery(), nil)
 		Expect(err).NotTo(BeNil())
 	})
 
@@ -126,39 +126,39 @@
 		without := testBundle(2, 2, bundle.PolicyAdaptive)
 		without.Pools[0].Name = "another"
 		r.Apply(without)
-		done(r, start, mustPick(r, start, query()), request.CallOK, time.Millisecond)
+		finishCall(r, start, mustPick(r, start, testQuery()), request.CallOK, time.Millisecond)
 		r.Apply(without)
-		_, err := r.Pick(start, query(), nil)
+		_, err := r.Pick(start, testQuery(), nil)
 		Expect(err).NotTo(BeNil())
 	})
 
 	It("goes to another failure domain on a retry", func() {
 		r := testRouter(testBundle(8, 4, bundle.PolicyAdaptive), 1)
-		q := query()
+		q := testQuery()
 		q.Tried, q.TriedDomains = []string{"u0"}, []string{"d0"}
 		for range 20 {
 			c := mustPick(r, start, q)
 			Expect(c.FailureDomain).NotTo(Equal("d0"))
-			done(r, start, c, request.CallOK, time.Millisecond)
+			finishCall(r, start, c, request.CallOK, time.Millisecond)
 		}
 	})
 
 	It("records candidates, scores and reasons, 16 at most", func() {
 		r := testRouter(testBundle(40, 4, bundle.PolicyAdaptive), 1)
-		q := query()
+		q := testQuery()
 		for i := range 30 {
 			q.Tried = append(q.Tried, r.current.Load().pools[pool].members[i].name)
 		}
-		var rec entries
+		var rec entryRecorder
 		c, err := r.Pick(start, q, &rec)
 		Expect(err).To(BeNil())
 		Expect(rec).To(HaveLen(1))
 		e := rec[0]
 		Expect(e.Outcome).To(Equal(c.Upstream))
-		Expect(e.Choices).To(HaveLen(maxRecorded))
+		Expect(e.Choices).To(HaveLen(maxRecordedCandidates))
 		Expect(e.Choices[0].Upstream).To(Equal(c.Upstream))
 		Expect(e.Choices[0].Score).To(BeNumerically(">", 0))
-		Expect(e.Choices[maxRecorded-1].Refused).To(Equal("tried: tried"))
+		Expect(e.Choices[maxRecordedCandidates-1].Refused).To(Equal("tried: tried"))
 	})
 
 	It("expects what it measured, and nothing before 20 calls", func() {
@@ -166,7 +166,7 @@
 		_, known := r.Expect(pool, "generate", 0.5)
 		Expect(known).To(BeFalse())
 		for i := range 100 {
-			done(r, start.Add(time.Duration(i)*time.Second), mustPick(r, start, query()), request.CallOK, time.Duration(i+1)*time.Millisecond)
+			finishCall(r, start.Add(time.Duration(i)*time.Second), mustPick(r, start, testQuery()), request.CallOK, time.Duration(i+1)*time.Millisecond)
 		}
 		// The window holds the last 20 to 40 calls.
 		d, known := r.Expect(pool, "generate", 0.5)
@@ -178,7 +178,7 @@
 		r := testRouter(testBundle(2, 4, bundle.PolicyAdaptive), 1)
 		now := start.Add(time.Second)
 		r.Observe(load.Report{Upstream: "u1", AsOf: start, Running: 2, Queued: 1, Leaving: true})
-		mustPick(r, now, query())
+		mustPick(r, now, testQuery())
 		for range 3 {
 			r.Done(now, request.Outcome{Choice: request.Choice{Pool: pool, Upstream: "u1", Address: "127.0.0.1:1001"}, Result: request.CallFailed})
 		}
@@ -198,9 +198,9 @@
 		for g := range 8 {
 			wg.Go(func() {
 				for i := range 200 {
-					c, err := r.Pick(start, query(), nil)
+					c, err := r.Pick(start, testQuery(), nil)
 					if err == nil {
-						done(r, start, c, request.CallOK, time.Millisecond)
+						finishCall(r, start, c, request.CallOK, time.Millisecond)
 					}
 					switch {
 					case g == 0 && i%20 == 0:
--- a/core/route/scorer.go
+++ b/core/route/scorer.go
@@ -8,7 +8,7 @@
 
 const (
 	// slownessFree is the multiple of the usual latency that costs nothing.
-	slownessFree = 2.0
+	freeSlowness = 2.0
 	// unmeasuredLatency stands in for a stage's latency until it is measured.
 	unmeasuredLatency = 50 * time.Millisecond
 	// maxLocalityCost bounds the cost of leaving the failure domain, so that
@@ -29,7 +29,7 @@
 
 func (loadScorer) Name() string { return "load" }
 func (loadScorer) Cost(v *View, c *Candidate) float64 {
-	return (float64(c.Own) + c.Believed + 1) / v.Concurrency
+	return (float64(c.OwnCalls) + c.SampledOtherCalls + 1) / v.Concurrency
 }
 
 // latencyScorer costs slowness beyond what is usual in the pool.
@@ -37,12 +37,12 @@
 
 func (latencyScorer) Name() string { return "latency" }
 func (s latencyScorer) Cost(_ *View, c *Candidate) float64 {
-	return s.weight * max(0, c.Slowness-slownessFree)
+	return s.weight * max(0, c.Slowness-freeSlowness)
 }
 
 // localityScorer costs the round trip of leaving the failure domain or region
 // relative to the latency of the stage.
-type localityScorer struct{ crossDomain, crossRegion time.Duration }
+type localityScorer struct{ crossDomainRTT, crossRegionRTT time.Duration }
 
 func (localityScorer) Name() string { return "locality" }
 func (s localityScorer) Cost(v *View, c *Candidate) float64 {
@@ -51,11 +51,11 @@
 	case c.Domain == v.Domain:
 		return 0
 	case v.sameRegion(c):
-		trip = s.crossDomain
+		trip = s.crossDomainRTT
 	default:
-		trip = s.crossRegion
+		trip = s.crossRegionRTT
 	}
-	typical := v.Typical
+	typical := v.MedianLatency
 	if typical <= 0 {
 		typical = unmeasuredLatency
 	}
@@ -68,7 +68,7 @@
 
 func (prefixScorer) Name() string { return "prefix" }
 func (s prefixScorer) Cost(v *View, c *Candidate) float64 {
-	if v.Home >= 0 && &v.Candidates[v.Home] == c {
+	if v.PrefixHome >= 0 && &v.Candidates[v.PrefixHome] == c {
 		return -s.bonus
 	}
 	return 0
@@ -84,15 +84,15 @@
 const (
 	// packBound is the share of an engine's concurrency up to which calls are
 	// packed; beyond it they spread.
-	packBound = 0.8
+	maxPackedLoad = 0.8
 	// packSlack is the multiple of the usual latency that a generation must
 	// have time for to be packed: in a full batch it takes up to twice as long.
-	packSlack = 3
+	minPackBudgetFactor = 3
 )
 
 // packs says whether the call may be packed: a generation with time to spare.
-func packs(v *View) bool {
-	return v.Query.Kind == bundle.StageGenerate && v.Typical > 0 && v.Query.Budget >= packSlack*v.Typical
+func canPack(v *View) bool {
+	return v.Query.Kind == bundle.StageGenerate && v.MedianLatency > 0 && v.Query.Budget >= minPackBudgetFactor*v.MedianLatency
 }
 
 // packScorer makes engines cheaper the fuller they are, up to packBound. A step
@@ -106,8 +106,8 @@
 
 func (packScorer) Name() string { return "pack" }
 func (s packScorer) Cost(v *View, c *Candidate) float64 {
-	load := (float64(c.Own) + c.Believed + 1) / v.Concurrency
-	if !packs(v) || load > packBound {
+	load := (float64(c.OwnCalls) + c.SampledOtherCalls + 1) / v.Concurrency
+	if !canPack(v) || load > maxPackedLoad {
 		return 0
 	}
 	return -2 * s.weight * load
@@ -126,14 +126,14 @@
 	return []Scorer{
 		loadScorer{},
 		latencyScorer{c.LatencyWeight},
-		localityScorer{c.CrossDomain, c.CrossRegion},
+		localityScorer{c.CrossDomainRTT, c.CrossRegionRTT},
 		prefixScorer{c.PrefixBonus},
 		backlogScorer{c.BacklogWeight},
 	}
 }
 
 // scoreOf adds up the costs of c.
-func scoreOf(v *View, ss []Scorer, c *Candidate) float64 {
+func totalCost(v *View, ss []Scorer, c *Candidate) float64 {
 	var sum float64
 	for _, s := range ss {
 		sum += s.Cost(v, c)
--- a/core/route/steps_test.go
+++ b/core/route/steps_test.go
@@ -18,15 +18,15 @@
 	},
 	Entry("leaving", leavingFilter{}, Candidate{Leaving: true}, request.Query{}, "leaving"),
 	Entry("staying", leavingFilter{}, Candidate{}, request.Query{}, ""),
-	Entry("saturated by own calls", saturatedFilter{}, Candidate{Own: 8}, request.Query{}, "saturated"),
-	Entry("saturated by own and others' calls", saturatedFilter{}, Candidate{Own: 5, Foreign: 3}, request.Query{}, "saturated"),
-	Entry("one below the limit", saturatedFilter{}, Candidate{Own: 7}, request.Query{}, ""),
+	Entry("saturated by own calls", saturatedFilter{}, Candidate{OwnCalls: 8}, request.Query{}, "saturated"),
+	Entry("saturated by own and others' calls", saturatedFilter{}, Candidate{OwnCalls: 5, OtherCalls: 3}, request.Query{}, "saturated"),
+	Entry("one below the limit", saturatedFilter{}, Candidate{OwnCalls: 7}, request.Query{}, ""),
 	Entry("ejected", ejectedFilter{}, Candidate{Ejected: ejectedSlow}, request.Query{}, ejectedSlow),
 	Entry("not ejected", ejectedFilter{}, Candidate{}, request.Query{}, ""),
 	Entry("stalled", stalledFilter{}, Candidate{Stalled: true}, request.Query{}, "stalled"),
 	Entry("busy", busyFilter{}, Candidate{Busy: true}, request.Query{}, "busy"),
-	Entry("readmitting, tails", readmittingFilter{}, Candidate{Share: 0.2, Coin: 0.3}, request.Query{}, "readmitting"),
-	Entry("readmitting, heads", readmittingFilter{}, Candidate{Share: 0.2, Coin: 0.1}, request.Query{}, ""),
+	Entry("readmitting, tails", readmittingFilter{}, Candidate{RampShare: 0.2, RampDraw: 0.3}, request.Query{}, "readmitting"),
+	Entry("readmitting, heads", readmittingFilter{}, Candidate{RampShare: 0.2, RampDraw: 0.1}, request.Query{}, ""),
 	Entry("tried", triedFilter{}, Candidate{Name: "u1"}, request.Query{Tried: []string{"u0", "u1"}}, "tried"),
 	Entry("not tried", triedFilter{}, Candidate{Name: "u2"}, request.Query{Tried: []string{"u0", "u1"}}, ""),
 	Entry("tried domain", triedDomainFilter{}, Candidate{Domain: "d1"}, request.Query{TriedDomains: []string{"d1"}}, "tried_domain"),
@@ -47,17 +47,17 @@
 	Entry("ejected before tried", []Candidate{{Ejected: ejectedFailures}, {Name: "tried"}}, []int{0}),
 	Entry("tried at last", []Candidate{{Name: "tried"}, {Leaving: true}}, []int{0}),
 	Entry("leaving never", []Candidate{{Leaving: true}, {Leaving: true}}, []int{}),
-	Entry("saturated never", []Candidate{{Own: 8}, {Leaving: true}}, []int{}),
+	Entry("saturated never", []Candidate{{OwnCalls: 8}, {Leaving: true}}, []int{}),
 )
 
 var _ = DescribeTable("scorers",
 	func(s Scorer, c Candidate, typical time.Duration, cost float64) {
 		v := testView(c)
-		v.Typical = typical
+		v.MedianLatency = typical
 		Expect(s.Cost(v, &v.Candidates[0])).To(BeNumerically("~", cost, 1e-9))
 	},
 	Entry("load of an idle upstream", loadScorer{}, Candidate{}, time.Duration(0), 0.25),
-	Entry("load counts own and others' calls", loadScorer{}, Candidate{Own: 1, Believed: 2}, time.Duration(0), 1.0),
+	Entry("load counts own and others' calls", loadScorer{}, Candidate{OwnCalls: 1, SampledOtherCalls: 2}, time.Duration(0), 1.0),
 	Entry("usual latency is free", latencyScorer{0.5}, Candidate{Slowness: 1}, time.Duration(0), 0.0),
 	Entry("slowness costs", latencyScorer{0.5}, Candidate{Slowness: 4}, time.Duration(0), 1.0),
 	Entry("own domain is free", localityScorer{time.Millisecond, 20 * time.Millisecond}, Candidate{Domain: "d0", Region: "r0"}, 100*time.Millisecond, 0.0),
@@ -74,7 +74,7 @@
 		for range 50 {
 			Expect(p.Pick(v, []int{0, 1, 2}, rng, nil)[0].index).To(Equal(0))
 		}
-		v.Candidates[0].Own = 2
+		v.Candidates[0].OwnCalls = 2
 		for range 50 {
 			Expect(p.Pick(v, []int{0, 1, 2}, rng, nil)[0].index).NotTo(Equal(0))
 		}
@@ -82,10 +82,10 @@
 
 	It("take the home of the prefix until it costs more than the cache saves", func() {
 		p := &randomChoices{choices: 2, scorers: adaptiveScorers(Config{PrefixBonus: 0.5}.withDefaults())}
-		v := testView(Candidate{Domain: "d0"}, Candidate{Domain: "d0"}, Candidate{Domain: "d0", Own: 1})
-		v.Home = 2
+		v := testView(Candidate{Domain: "d0"}, Candidate{Domain: "d0"}, Candidate{Domain: "d0", OwnCalls: 1})
+		v.PrefixHome = 2
 		Expect(p.Pick(v, []int{0, 1, 2}, testRand(), nil)[0].index).To(Equal(2))
-		v.Candidates[2].Own = 4
+		v.Candidates[2].OwnCalls = 4
 		Expect(p.Pick(v, []int{0, 1, 2}, testRand(), nil)[0].index).NotTo(Equal(2))
 	})
 
@@ -102,7 +102,7 @@
 
 	It("draw all of a small pool, so that the emptiest is among them", func() {
 		p := &randomChoices{choices: 2, scorers: adaptiveScorers(Config{}.withDefaults())}
-		v := testView(Candidate{Domain: "d0", Own: 2}, Candidate{Domain: "d1", Own: 2}, Candidate{Domain: "d2"})
+		v := testView(Candidate{Domain: "d0", OwnCalls: 2}, Candidate{Domain: "d1", OwnCalls: 2}, Candidate{Domain: "d2"})
 		rng := testRand()
 		for range 50 {
 			Expect(p.Pick(v, []int{0, 1, 2}, rng, nil)[0].index).To(Equal(2))
@@ -119,7 +119,7 @@
 	})
 
 	It("least requests takes the least loaded, any of equals", func() {
-		v := testView(Candidate{Own: 2}, Candidate{Own: 1}, Candidate{Own: 1})
+		v := testView(Candidate{OwnCalls: 2}, Candidate{OwnCalls: 1}, Candidate{OwnCalls: 1})
 		seen := map[int]int{}
 		rng := testRand()
 		for range 100 {
@@ -135,7 +135,7 @@
 		candidates := make([]Candidate, 10)
 		eligible := make([]int, 10)
 		for i := range candidates {
-			candidates[i].Hash = mix(uint64(i + 1))
+			candidates[i].Hash = mix64(uint64(i + 1))
 			eligible[i] = i
 		}
 		v := testView(candidates...)
@@ -153,7 +153,7 @@
 		Expect(moved).To(BeNumerically("<", 200))
 
 		full := homes[1]
-		v.Candidates[full].Own = 4
+		v.Candidates[full].OwnCalls = 4
 		Expect(prefixHome(v, eligible, 1, 1.5, 0)).NotTo(Equal(full))
 	})
 
@@ -169,15 +169,15 @@
 
 var _ = Describe("packing", func() {
 	pick := func(o bundle.Objective, budget time.Duration, own ...int) int {
-		s := newSteps(bundle.PolicyAdaptive, packWeight(o), Config{}.withDefaults())
+		s := newPolicySteps(bundle.PolicyAdaptive, packWeight(o), Config{}.withDefaults())
 		candidates := make([]Candidate, len(own))
 		eligible := make([]int, len(own))
 		for i := range own {
-			candidates[i] = Candidate{Domain: "d0", Own: own[i], Slowness: 1}
+			candidates[i] = Candidate{Domain: "d0", OwnCalls: own[i], Slowness: 1}
 			eligible[i] = i
 		}
 		v := testView(candidates...)
-		v.Typical, v.Concurrency = time.Second, 10
+		v.MedianLatency, v.Concurrency = time.Second, 10
 		v.Query = &request.Query{Kind: bundle.StageGenerate, Budget: budget}
 		return s.picker.Pick(v, eligible, testRand(), nil)[0].index
 	}
--- a/core/route/view.go
+++ b/core/route/view.go
@@ -15,15 +15,15 @@
 	// Hash is the hash of the name, for rendezvous hashing.
 	Hash uint64
 	// Own is the number of this daemon's calls in flight there.
-	Own int
+	OwnCalls int
 	// Foreign is the estimated number of others' calls there: between the load
 	// report and the pool's mean, by the report's age.
-	Foreign float64
+	OtherCalls float64
 	// Believed is either the report's number of others' calls or the pool's
 	// mean, the report's with the probability that its age leaves it. Its mean
 	// is Foreign. Daemons that hear the same report thus do not all rank the
 	// upstreams alike, whatever little it still says.
-	Believed float64
+	SampledOtherCalls float64
 	// Backlog is how long a prompt is expected to wait for those that are being
 	// read there, as far as this daemon knows.
 	Backlog time.Duration
@@ -38,16 +38,16 @@
 	Busy bool
 	// Bounded says that the upstream has had this daemon's part of the calls that it
 	// takes for the moment, and BoundedBy by whose word.
-	Bounded   bool
-	BoundedBy intake.Source
+	IntakeLimited     bool
+	IntakeLimitSource intake.Source
 	// Share is the share of its calls that a readmitted upstream gets, 0 to 1.
-	Share float64
+	RampShare float64
 	// Coin is a random number in [0, 1), drawn when Share is under 1.
-	Coin float64
+	RampDraw float64
 }
 
 // Load is the estimated number of calls at the candidate.
-func (c *Candidate) Load() float64 { return float64(c.Own) + c.Foreign }
+func (c *Candidate) Load() float64 { return float64(c.OwnCalls) + c.OtherCalls }
 
 // View is the immutable picture of a pool that one pick is decided on. Steps
 // must neither change nor keep it.
@@ -60,12 +60,12 @@
 	// Concurrency is the number of calls that an upstream runs well.
 	Concurrency float64
 	// Limit is the number of calls from which an upstream is saturated.
-	Limit float64
+	SaturationLimit float64
 	// Typical is the median latency of the stage, 0 while it is not measured.
-	Typical time.Duration
+	MedianLatency time.Duration
 	// Home is the index of the candidate whose prefix cache is to be used; -1
 	// when there is none.
-	Home       int
+	PrefixHome int
 	Candidates []Candidate
 }
 
