--- a/core/route/apply.go
+++ b/core/route/apply.go
@@ -10,22 +10,22 @@
 	"github.com/wheatseam/wheatseam/core/load"
 )
 
-// snapshot is one immutable list of pools.
+// snapshot is an immutable set of pools.
 type snapshot struct {
 	region string
 	pools  map[string]*poolView
-	// byUpstream lists the places of each upstream's name.
+	// byUpstream lists, for each upstream name, the pools that contain it.
 	byUpstream map[string][]memberRef
 }
 
-// place is where an upstream stands.
+// memberRef refers to an upstream in one pool.
 type memberRef struct {
 	pool  *poolView
 	state *memberState
 }
 
-// Apply puts the pools and the policy of b in force. Upstreams of the same
-// pool, name and address keep their counts and measurements.
+// Apply replaces the pools and the policy by those of b. Upstreams with the same pool,
+// name and address keep their call counts and measurements.
 func (r *Router) Apply(b *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,10 +45,10 @@
 		next.pools[p.name] = p
 		next.indexPool(p)
 	}
-	// A pool that the bundle dropped serves on for one more bundle, since
-	// requests that were admitted before may still need it; then it stays,
-	// without upstreams to pick, while it has calls in flight: a later bundle
-	// may bring it back.
+	// A pool that is missing from b remains in use until the next bundle, because
+	// requests that were admitted before may still need it. After that it is kept
+	// without upstreams to pick from while it has calls in flight, so that their
+	// counts are not lost if a later bundle contains the pool again.
 	for name, p := range old.pools {
 		switch {
 		case next.pools[name] != nil:
@@ -65,7 +65,7 @@
 	}
 }
 
-// place notes where the upstreams of a pool stand.
+// indexPool adds the upstreams of a pool to byUpstream.
 func (s *snapshot) indexPool(p *poolView) {
 	for k := range p.members {
 		name := p.members[k].name
@@ -73,42 +73,44 @@
 	}
 }
 
-// asDropped is the view of a pool that the bundle in force no longer has.
+// droppedCopy returns a copy of a pool that is marked as missing from the bundle in
+// force.
 func (p *poolView) droppedCopy() *poolView {
-	kept := *p
-	kept.dropped = true
-	return &kept
+	pool := *p
+	pool.dropped = true
+	return &pool
 }
 
-// poolOf builds the view of a pool and carries its states over.
-func (r *Router) buildPool(old *snapshot, b *bundle.Pool, of *bundle.Bundle, regions map[string]string) *poolView {
+// buildPool builds the view of a pool of b. It takes over the state of the pool's
+// upstreams from old.
+func (r *Router) buildPool(old *snapshot, cfg *bundle.Pool, b *bundle.Bundle, regions map[string]string) *poolView {
 	p := &poolView{
-		name:            b.Name,
-		concurrency:     float64(max(1, b.Concurrency)),
-		saturationLimit: math.Ceil(r.config.SaturationFactor * float64(max(1, b.Concurrency))),
+		name:            cfg.Name,
+		concurrency:     float64(max(1, cfg.Concurrency)),
+		saturationLimit: math.Ceil(r.config.SaturationFactor * float64(max(1, cfg.Concurrency))),
 	}
-	policy, pack := of.Policy, packWeight(of.Objective)
+	policy, pack := b.Policy, packWeight(b.Objective)
 	if policy == "" {
 		policy = bundle.PolicyAdaptive
 	}
-	if was := old.pools[b.Name]; was != nil {
-		p.shard, p.steps = was.shard, was.steps
+	if previous := old.pools[cfg.Name]; previous != nil {
+		p.shard, p.steps = previous.shard, previous.steps
 	} else {
-		p.shard = newShard(r.config.Seed, xxhash.Sum64String(b.Name))
+		p.shard = newShard(r.config.Seed, xxhash.Sum64String(cfg.Name))
 	}
 	if p.steps == nil || p.steps.policy != policy || p.steps.packWeight != pack {
 		p.steps = newPolicySteps(policy, pack, r.config)
 	}
 	p.shard.mu.Lock()
 	defer p.shard.mu.Unlock()
-	kept := make(map[upstreamKey]*memberState, len(b.Upstreams))
-	for _, u := range b.Upstreams {
+	kept := make(map[upstreamKey]*memberState, len(cfg.Upstreams))
+	for _, u := range cfg.Upstreams {
 		key := upstreamKey{u.Name, u.Address}
 		st := p.shard.states[key]
 		if st == nil {
 			st = &memberState{}
 		}
-		// Gates of upstreams that were not listed meanwhile are others.
+		// The upstream may have a new gate if it was not listed in the meantime.
 		st.gate = r.config.Gates.Of(u.Name)
 		st.markedLeaving = r.markedLeaving[u.Name]
 		kept[key] = st
@@ -126,7 +128,7 @@
 	return p
 }
 
-// expectedOf returns the longest expected duration of the stages that use pool.
+// expectedDuration returns the longest expected duration of the stages that use pool.
 func expectedDuration(b *bundle.Bundle, pool string) time.Duration {
 	var longest time.Duration
 	for i := range b.Pipelines {
@@ -139,7 +141,7 @@
 	return longest
 }
 
-// inFlight returns the number of own calls in flight.
+// inFlight returns the number of this daemon's calls in flight in the pool.
 func (s *shard) inFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,8 +152,9 @@
 	return n
 }
 
-// SetLeaving says which upstreams, by name, the host list marks as leaving; it
-// replaces what was said before. They get no new work; calls in flight go on.
+// SetLeaving sets the names of the upstreams that the host list marks as leaving. It
+// replaces the previous set. These upstreams get no new calls; calls in flight
+// continue.
 func (r *Router) SetLeaving(names []string, _ time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -168,7 +171,8 @@
 	}
 }
 
-// Observe takes load reports, in any order; of an upstream the newest counts.
+// Observe stores load reports. They may come in any order: of the reports about an
+// upstream, the newest is kept.
 func (r *Router) Observe(reports ...load.Report) {
 	snap := r.current.Load()
 	for _, rep := range reports {
--- a/core/route/config.go
+++ b/core/route/config.go
@@ -6,75 +6,78 @@
 	"github.com/wheatseam/wheatseam/core/intake"
 )
 
-// Config parametrises a Router. The zero value of a field takes its default.
+// Config configures a Router. A zero field takes its default value.
 type Config struct {
 	// FailureDomain is the failure domain of this daemon.
 	FailureDomain string
-	// Seed seeds the generators of the shards.
+	// Seed seeds the random number generators of the shards.
 	Seed uint64
-	// Choices is the number of random candidates of a pick, one of them of the
-	// own failure domain where there is one. Default 2.
+	// RandomChoices is the number of candidates that a pick samples at random. One of
+	// them is in the daemon's own failure domain if any is. Default 2.
 	RandomChoices int
-	// SaturationFactor times the pool's concurrency is the number of calls at
-	// an upstream from which it gets no more. Default 2.
+	// An upstream is saturated and gets no further calls when the number of its calls
+	// reaches SaturationFactor times the pool's concurrency. Default 2.
 	SaturationFactor float64
-	// ReportHalfLife is the age at which a load report counts half and the
-	// pool's mean the other half; the pool's usual latency where that is
-	// shorter. Default 1 s.
+	// ReportHalfLife is the age at which a load report and the pool's mean each
+	// contribute half of the load estimate. In a pool whose usual latency is shorter,
+	// that latency is used instead. Default 1 s.
 	ReportHalfLife time.Duration
-	// CrossDomain and CrossRegion are the round trips that leaving the own
+	// CrossDomainRTT and CrossRegionRTT are the round-trip times that a call to another
 	// failure domain or region adds. Defaults 1 ms and 20 ms.
 	CrossDomainRTT time.Duration
 	CrossRegionRTT time.Duration
 	// PrefixBonus is the cost that a cached prompt prefix saves. Default 0.1.
 	PrefixBonus float64
-	// PrefixBound is how far over the mean load the home of a prefix may
-	// be. Default 1.25.
+	// PrefixLoadFactor is the highest load that the home of a prefix may have, as a
+	// multiple of the mean load. Default 1.25.
 	PrefixLoadFactor float64
-	// PrefixRoom is the share of an upstream's concurrency up to which it keeps
-	// its prefixes whatever the mean load. Default 0: only the mean counts.
+	// PrefixRoom is the share of an upstream's concurrency below which it remains the
+	// home of its prefixes regardless of the mean load. Default 0: only the mean load
+	// counts.
 	PrefixRoom float64
-	// BacklogWeight is the cost of each second that a prompt waits for others to
-	// be read. Default 0: only PrefixBonus counts for prompts.
+	// BacklogWeight is the cost of each second that a prompt waits for the prefill of
+	// other prompts. Default 0: for prompts only PrefixBonus counts.
 	BacklogWeight float64
-	// LatencyWeight is the cost of each multiple of the usual latency.
+	// LatencyWeight is the cost of each additional multiple of the usual latency.
 	// Default 0.5.
 	LatencyWeight float64
 	Ejection      EjectionConfig
-	// Window is the length of the two windows of the latency histograms.
+	// HistogramWindow is the length of each of the two windows of a latency histogram.
 	// Default 15 s.
 	HistogramWindow time.Duration
-	// Gates bound the calls at upstreams; others that call the same upstreams share
-	// them. Default: gates of the router's own.
+	// Gates limit the calls that begin at the upstreams. They are shared with other
+	// components that call the same upstreams. Default: gates used by this Router only.
 	Gates *intake.Gates
-	// Ejected hears of every ejection of an upstream of a pool, with its reason
-	// and end. It is called under a lock and must not block; nil for none.
+	// Ejected is called for every ejection of an upstream from a pool, with its reason
+	// and end. It is called with a lock held and must not block. It may be nil.
 	Ejected func(pool, upstream, reason string, until time.Time)
 }
 
-// EjectionConfig parametrises the ejection of failing and straggling upstreams.
+// EjectionConfig configures the ejection of failing and slow upstreams.
 type EjectionConfig struct {
-	// ConsecutiveFailures eject an upstream, unless over half the calls at the
-	// rest of the pool fail too. Default 3.
+	// ConsecutiveFailures is the number of failures in a row that ejects an upstream,
+	// unless half or more of the recent calls to the rest of the pool fail too. Default
+	// 3.
 	ConsecutiveFailures int
-	// FailureRate ejects an upstream, when at least MinCalls recent calls were
-	// counted and the rest of the pool is at under half that rate.
+	// FailureRate is the failure rate that ejects an upstream if at least MinCalls
+	// recent calls were counted and the rest of the pool has less than half that rate.
 	// Defaults 0.5 and 8.
 	FailureRate float64
 	MinCalls    float64
-	// SlowRatio is the smoothed multiple of the pool's median latency that
-	// ejects an upstream. Default 4.
+	// SlowRatio is the smoothed multiple of the pool's median latency that ejects an
+	// upstream. Default 4.
 	SlowRatio float64
-	// Base is the first ejection time; it doubles up to Max with each that
-	// follows. Defaults 2 s and 60 s.
+	// BaseDuration is the duration of the first ejection. It doubles with each further
+	// ejection up to MaxDuration. Defaults 2 s and 60 s.
 	BaseDuration time.Duration
 	MaxDuration  time.Duration
-	// Ramp is the time in which a readmitted upstream returns to its full
-	// share. Default 10 s.
+	// RampDuration is the time over which the traffic of a readmitted upstream grows to
+	// its full share. Default 10 s.
 	RampDuration time.Duration
-	// MaxShare caps the share of a pool ejected for slowness or failure rate,
-	// MaxFailingShare that ejected for any reason. One upstream may always be
-	// ejected from a pool of two or more, never all. Defaults 0.3 and 0.6.
+	// MaxEjectedShare limits the share of a pool that is ejected when an upstream is to
+	// be ejected for slowness or failure rate, and MaxFailingEjectedShare when it is to
+	// be ejected for consecutive failures. In a pool of two or more, one upstream may
+	// always be ejected, and never all of them. Defaults 0.3 and 0.6.
 	MaxEjectedShare        float64
 	MaxFailingEjectedShare float64
 }
--- a/core/route/dump.go
+++ b/core/route/dump.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// PoolState is a pool as the state dump shows it.
+// PoolState is the state of a pool in the state dump.
 type PoolState struct {
 	Pool      string          `json:"pool"`
 	Policy    string          `json:"policy"`
@@ -15,27 +15,28 @@
 	Stages    []StageState    `json:"stages"`
 }
 
-// UpstreamState is what a Router knows of one upstream.
+// UpstreamState is the state of one upstream in the state dump.
 type UpstreamState struct {
 	Upstream      string `json:"upstream"`
 	Address       string `json:"address"`
 	FailureDomain string `json:"failure_domain"`
-	// InFlight counts this daemon's calls, Reported all calls by the load
-	// report of ReportAge ago.
+	// InFlight counts the calls of this daemon. Reported counts the calls of all
+	// daemons according to the latest load report, which is ReportAge old.
 	InFlight  int            `json:"in_flight"`
 	Reported  *int           `json:"reported,omitempty"`
 	ReportAge *time.Duration `json:"report_age_ns,omitempty"`
-	// Slowness is the smoothed multiple of the usual latency.
+	// Slowness is the smoothed latency as a multiple of the usual latency.
 	Slowness float64 `json:"slowness"`
 	Leaving  bool    `json:"leaving,omitempty"`
-	// Ejected says why the upstream is left out, until EjectedUntil.
+	// Ejected is the reason why the upstream is ejected until EjectedUntil.
 	Ejected      string     `json:"ejected,omitempty"`
 	EjectedUntil *time.Time `json:"ejected_until,omitempty"`
-	// Share is under 1 while the upstream is being readmitted.
+	// Share is the share of its traffic that the upstream gets. It is below 1 while the
+	// upstream is ejected or being readmitted.
 	Share float64 `json:"share"`
 }
 
-// StageState is what a Router measured of one stage; 0 is not measured yet.
+// StageState holds the measured latencies of one stage; 0 means not measured yet.
 type StageState struct {
 	Stage        string        `json:"stage"`
 	Median       time.Duration `json:"median_ns"`
@@ -43,7 +44,7 @@
 	FirstByteP95 time.Duration `json:"first_byte_p95_ns"`
 }
 
-// Dump returns the state of all pools, by name.
+// Dump returns the state of all pools, sorted by name.
 func (r *Router) Dump(now time.Time) []PoolState {
 	var pools []PoolState
 	for _, p := range r.current.Load().pools {
@@ -63,7 +64,7 @@
 	for name, l := range p.shard.stages {
 		st := StageState{Stage: name, Median: l.total.median}
 		st.P95, _ = l.total.quantile(0.95)
-		st.FirstByteP95, _ = l.first.quantile(0.95)
+		st.FirstByteP95, _ = l.firstByte.quantile(0.95)
 		d.Stages = append(d.Stages, st)
 	}
 	slices.SortFunc(d.Stages, func(a, b StageState) int { return strings.Compare(a.Stage, b.Stage) })
--- a/core/route/eject.go
+++ b/core/route/eject.go
@@ -12,28 +12,29 @@
 	ejectedSlow     = "slow"
 )
 
-// wholePool is the failure rate of the other upstreams from which the pool as a
-// whole fails, by overload or by a fault behind it: an upstream is then not
-// ejected for failing like the others.
+// poolWideFailureRate is the failure rate of the other upstreams from which the whole
+// pool is considered failing, because of overload or a fault in something that all
+// upstreams depend on. An upstream is then not ejected for consecutive failures.
 const poolWideFailureRate = 0.5
 
-// rampFloor is the share of its calls that a readmitted upstream starts with.
+// rampInitialShare is the share of its traffic that a readmitted upstream starts with.
 const rampInitialShare = 0.1
 
-// ejection is the time that an upstream is left out, and its way back.
+// ejection is the latest ejection of an upstream and its readmission.
 type ejection struct {
-	reason string
-	since  time.Time
-	until  time.Time
-	// row counts the ejections in a row; the time doubles with each.
+	reason    string
+	startedAt time.Time
+	until     time.Time
+	// consecutive counts the ejections that followed each other closely. The duration
+	// doubles with each of them.
 	consecutive int
 }
 
-// active says whether the upstream is ejected at now.
+// active reports whether the upstream is ejected at now.
 func (e *ejection) active(now time.Time) bool { return now.Before(e.until) }
 
-// share returns the share of its calls that the upstream gets, 0 while it is
-// ejected, then growing to 1.
+// share returns the share of its traffic that the upstream gets: 0 while it is ejected,
+// and then a share that grows to 1.
 func (e *ejection) share(now time.Time, ramp time.Duration) float64 {
 	if e.until.IsZero() {
 		return 1
@@ -44,35 +45,36 @@
 	return min(1, rampInitialShare+(1-rampInitialShare)*float64(now.Sub(e.until))/float64(ramp))
 }
 
-// ramping says whether the upstream is being readmitted.
+// ramping reports whether the upstream is being readmitted.
 func (e *ejection) ramping(now time.Time, ramp time.Duration) bool {
 	return !e.until.IsZero() && !e.active(now) && now.Sub(e.until) < ramp
 }
 
-// covers says whether a call that began at began and ended at now tells nothing
-// new: it was sent before the ejection, or ended during it.
-func (e *ejection) ignoresCall(began, now time.Time) bool {
-	return e.active(now) || began.Before(e.since)
+// ignoresCall reports whether a call that started at callStart and ended at now must
+// not count towards the next ejection, because it was sent before this ejection or
+// ended during it.
+func (e *ejection) ignoresCall(callStart, now time.Time) bool {
+	return e.active(now) || callStart.Before(e.startedAt)
 }
 
-// start ejects at now.
+// start ejects the upstream at now.
 func (e *ejection) start(now time.Time, reason string, c EjectionConfig) {
 	if !e.until.IsZero() && now.Sub(e.until) > 2*c.RampDuration {
 		e.consecutive = 0
 	}
 	e.reason = reason
-	e.since = now
+	e.startedAt = now
 	e.until = now.Add(min(c.MaxDuration, c.BaseDuration<<min(e.consecutive, 20)))
 	e.consecutive++
 }
 
-// ejectable returns how many upstreams of a pool of n may be ejected at share:
-// one at least in a pool of two or more, and never all.
+// maxEjected returns how many of a pool's n upstreams may be ejected if share limits
+// them: at least one in a pool of two or more, and never all.
 func maxEjected(n int, share float64) int {
 	return min(n-1, max(1, int(math.Floor(share*float64(n)))))
 }
 
-// verdictOn returns why the upstream s of a pool should be ejected now, or "".
+// ejectionReason returns the reason why upstream s should be ejected now, or "".
 func (p *poolView) ejectionReason(now time.Time, s *memberState, c EjectionConfig) string {
 	ramping := s.ejection.ramping(now, c.RampDuration)
 	failing := s.consecutiveFailures >= c.ConsecutiveFailures || ramping && s.consecutiveFailures > 0
@@ -82,32 +84,32 @@
 	case s.decayedSlowness(now) >= c.SlowRatio:
 		return ejectedSlow
 	}
-	oks, fails := s.decayedCounts(now)
-	if calls := oks + fails; calls < c.MinCalls || fails/calls < c.FailureRate {
+	successes, failures := s.decayedCounts(now)
+	if calls := successes + failures; calls < c.MinCalls || failures/calls < c.FailureRate {
 		return ""
 	}
-	if p.failureRateOfOthers(now, s) >= fails/(oks+fails)/2 {
+	if p.failureRateOfOthers(now, s) >= failures/(successes+failures)/2 {
 		return ""
 	}
 	return ejectedRate
 }
 
-// failureRate returns the failure rate of all upstreams but one.
+// failureRateOfOthers returns the failure rate of all upstreams of the pool except one.
 func (p *poolView) failureRateOfOthers(now time.Time, except *memberState) float64 {
-	var oks, fails float64
+	var successes, failures float64
 	for i := range p.members {
 		if s := p.members[i].state; s != except {
 			o, f := s.decayedCounts(now)
-			oks, fails = oks+o, fails+f
+			successes, failures = successes+o, failures+f
 		}
 	}
-	if oks+fails == 0 {
+	if successes+failures == 0 {
 		return 0
 	}
-	return fails / (oks + fails)
+	return failures / (successes + failures)
 }
 
-// eject ejects s when verdictOn says so and the caps leave room.
+// ejectIfNeeded ejects s if ejectionReason returns a reason and the limits permit it.
 func (p *poolView) ejectIfNeeded(now time.Time, s *memberState, c EjectionConfig) {
 	reason := p.ejectionReason(now, s, c)
 	if reason == "" {
@@ -124,7 +126,7 @@
 	s.resetMeasurements()
 }
 
-// ejected returns how many upstreams are ejected.
+// ejectedCount returns the number of upstreams that are ejected.
 func (p *poolView) ejectedCount(now time.Time) int {
 	n := 0
 	for i := range p.members {
--- a/core/route/filter.go
+++ b/core/route/filter.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Relaxation says when the refusals of a filter are lifted because no
-// candidate is left: Never, or in rising order.
+// RelaxLevel is the level from which a filter is ignored because no candidate is left.
+// The levels are tried in increasing order. Filters of level Never are not ignored.
 type RelaxLevel uint8
 
-// The relaxations.
+// The relaxation levels.
 const (
 	Never RelaxLevel = iota
 	RelaxFirst
@@ -15,15 +15,15 @@
 	RelaxLast
 )
 
-// Filter refuses candidates. Refuse returns the reason, or "" to let c pass.
-// Implementations have no state and may be used concurrently.
+// Filter rejects candidates. Refuse returns the reason, or "" to accept c.
+// Implementations are stateless and safe for concurrent use.
 type Filter interface {
 	Name() string
 	Relax() RelaxLevel
 	Refuse(v *View, c *Candidate) string
 }
 
-// leavingFilter refuses upstreams that are leaving: they get no new work.
+// leavingFilter rejects upstreams that are leaving, since they accept no new work.
 type leavingFilter struct{}
 
 func (leavingFilter) Name() string      { return "leaving" }
@@ -35,7 +35,7 @@
 	return ""
 }
 
-// saturatedFilter refuses upstreams with as many calls as they may have.
+// saturatedFilter rejects upstreams that have reached the saturation limit.
 type saturatedFilter struct{}
 
 func (saturatedFilter) Name() string      { return "saturated" }
@@ -47,14 +47,14 @@
 	return ""
 }
 
-// ejectedFilter refuses upstreams ejected for failures or slowness.
+// ejectedFilter rejects upstreams that are ejected.
 type ejectedFilter struct{}
 
 func (ejectedFilter) Name() string                        { return "ejected" }
 func (ejectedFilter) Relax() RelaxLevel                   { return RelaxThird }
 func (ejectedFilter) Refuse(_ *View, c *Candidate) string { return c.Ejected }
 
-// stalledFilter refuses upstreams where calls hang.
+// stalledFilter rejects upstreams whose calls hang.
 type stalledFilter struct{}
 
 func (stalledFilter) Name() string      { return "stalled" }
@@ -66,7 +66,7 @@
 	return ""
 }
 
-// busyFilter refuses upstreams that refused calls a moment ago.
+// busyFilter rejects upstreams that refused calls a short time ago.
 type busyFilter struct{}
 
 func (busyFilter) Name() string      { return "busy" }
@@ -78,7 +78,7 @@
 	return ""
 }
 
-// readmittingFilter lets a readmitted upstream pass at its growing share.
+// readmittingFilter accepts a readmitted upstream with a probability that grows to 1.
 type readmittingFilter struct{}
 
 func (readmittingFilter) Name() string      { return "readmitting" }
@@ -90,7 +90,7 @@
 	return ""
 }
 
-// triedFilter refuses the upstreams of the request's earlier attempts.
+// triedFilter rejects the upstreams of the request's earlier attempts.
 type triedFilter struct{}
 
 func (triedFilter) Name() string      { return "tried" }
@@ -102,7 +102,7 @@
 	return ""
 }
 
-// triedDomainFilter refuses the failure domains of earlier attempts.
+// triedDomainFilter rejects the failure domains of the request's earlier attempts.
 type triedDomainFilter struct{}
 
 func (triedDomainFilter) Name() string      { return "tried_domain" }
@@ -114,8 +114,7 @@
 	return ""
 }
 
-// domainFilter refuses failure domains other than the one in which the inputs
-// lie.
+// inputDomainFilter rejects failure domains other than the one that stores the inputs.
 type inputDomainFilter struct{}
 
 func (inputDomainFilter) Name() string      { return "domain" }
@@ -127,7 +126,7 @@
 	return ""
 }
 
-// adaptiveFilters are the filters of the adaptive policy, in order.
+// adaptiveFilters returns the filters of the adaptive policy, in order.
 func adaptiveFilters() []Filter {
 	return []Filter{
 		leavingFilter{}, intakeFilter{}, ejectedFilter{}, stalledFilter{}, busyFilter{},
@@ -135,22 +134,23 @@
 	}
 }
 
-// baselineFilters are the filters of the two baselines: no limits.
+// baselineFilters returns the filters of the two baseline policies, which set no limits
+// on load or failures.
 func baselineFilters() []Filter {
 	return []Filter{leavingFilter{}, intakeFilter{}, triedFilter{}}
 }
 
-// filterResult holds, for each candidate, the set of filters that refuse it
-// (bit i for filter i), and which candidates are eligible.
+// filterResult holds, for each candidate, the set of filters that reject it (bit i for
+// filter i), and the indexes of the eligible candidates.
 type filterResult struct {
 	refusals []uint16
 	eligible []int
-	// relaxed is the highest relaxation that was needed; Never for none.
+	// relaxed is the highest relaxation level that was needed, or Never.
 	relaxed RelaxLevel
 }
 
-// runFilters fills r with the verdicts of fs over v. Refusals are lifted, in
-// the order of Relax, only as far as needed to leave one candidate.
+// runFilters applies fs to the candidates of v and stores the result in r. It relaxes
+// filters, level by level, only as far as needed to leave one candidate.
 func runFilters(v *View, fs []Filter, r *filterResult) {
 	r.refusals = r.refusals[:0]
 	for i := range v.Candidates {
@@ -181,7 +181,7 @@
 	return set
 }
 
-// liftedAt returns the filters that are lifted at relaxation level.
+// relaxedFilters returns the set of filters that are ignored at a relaxation level.
 func relaxedFilters(fs []Filter, level RelaxLevel) uint16 {
 	var set uint16
 	for i, f := range fs {
@@ -192,7 +192,7 @@
 	return set
 }
 
-// reasonOf returns the reason of the first filter that refused c.
+// refusalReason returns the name and the reason of the first filter that rejects c.
 func refusalReason(v *View, fs []Filter, c *Candidate) string {
 	for _, f := range fs {
 		if reason := f.Refuse(v, c); reason != "" {
--- a/core/route/intake.go
+++ b/core/route/intake.go
@@ -6,24 +6,25 @@
 	"github.com/wheatseam/wheatseam/core/intake"
 )
 
-// coldWindow is the time in which a cold upstream gets no more calls than this
-// daemon's part: a second, and by how much the times of sending may differ from
-// those of picking.
+// coldWindow is the time over which the calls that begin at a cold upstream are
+// limited: one second, plus an allowance for the variable delay between picking and
+// sending.
 const coldWindow = 1100 * time.Millisecond
 
-// SetCold says which upstreams, by name, are cold, and how many calls this daemon may
-// begin at each in any second; it replaces what was said before.
-func (r *Router) SetCold(most map[string]int) {
-	parts := make(map[string]intake.Part, len(most))
-	for name, calls := range most {
+// SetCold sets the cold upstreams by name, each with the number of calls that this
+// daemon may begin there in any second. It replaces the previous set.
+func (r *Router) SetCold(limits map[string]int) {
+	parts := make(map[string]intake.Part, len(limits))
+	for name, calls := range limits {
 		parts[name] = intake.Part{Calls: calls, Window: coldWindow}
 	}
 	r.config.Gates.SetParts(intake.Cold, parts)
 }
 
-// intakeFilter refuses upstreams that have had this daemon's part of the calls that
-// they take. It is never lifted: a cold upstream that gets more may end, with all that
-// runs there.
+// intakeFilter rejects upstreams whose gate refuses further calls from this daemon,
+// because its quota there is used up or because the upstream is leaving or resting. It
+// is never relaxed: a cold upstream that gets more calls may crash, with all calls that
+// run there.
 type intakeFilter struct{}
 
 func (intakeFilter) Name() string      { return "intake" }
--- a/core/route/latency.go
+++ b/core/route/latency.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	// Latencies are kept in microseconds, from 10 us to 10 min, within 1%.
+	// Latencies are recorded in microseconds, from 10 us to 10 min, to within 1%.
 	histogramLowest  = 10
 	histogramHighest = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits  = 2
-	// minSamples is the number of calls from which quantiles are given.
+	// minSamples is the number of calls from which quantiles are returned.
 	minSamples = 20
-	// refreshAfter is how old the merged histogram may get under traffic.
+	// mergeInterval is the maximum age of the merged histogram while calls are
+	// recorded.
 	mergeInterval = 200 * time.Millisecond
 )
 
-// window holds the latencies of the last one to two window lengths. Without
-// traffic the last ones stay. It is not safe for concurrent use.
+// latencyWindow holds the latencies of the last one to two window lengths. Without
+// traffic, the last ones are kept. It is not safe for concurrent use.
 type latencyWindow struct {
 	length            time.Duration
 	current, previous *hdrhistogram.Histogram
@@ -39,14 +40,14 @@
 	return hdrhistogram.New(histogramLowest, histogramHighest, histogramDigits)
 }
 
-// add counts d, which is cut to the histogram's range.
+// add records d, clamped to the histogram's range.
 func (w *latencyWindow) add(now time.Time, d time.Duration) {
 	if now.Sub(w.started) >= w.length && w.current.TotalCount() >= minSamples {
 		w.current, w.previous = w.previous, w.current
 		w.current.Reset()
 		w.started = now
 	}
-	// The value is in range, so that there is no error.
+	// The value is within the range, so RecordValue cannot fail.
 	_ = w.current.RecordValue(min(max(d.Microseconds(), histogramLowest), histogramHighest))
 	if w.current.TotalCount()+w.previous.TotalCount() < minSamples {
 		return
@@ -64,7 +65,7 @@
 	w.median, _ = w.quantile(0.5)
 }
 
-// quantile returns the latency at q (0 to 1), false with too few calls.
+// quantile returns the latency at q (0 to 1), or false if too few calls were recorded.
 func (w *latencyWindow) quantile(q float64) (time.Duration, bool) {
 	if w.merged.TotalCount() < minSamples {
 		return 0, false
@@ -74,10 +75,10 @@
 
 // stageLatency holds the latencies of one stage in one pool.
 type stageLatency struct {
-	// total is the latency of whole calls, first that to the first byte.
-	total, first *latencyWindow
-	// unit is the latency for each unit of work, or of the call where that is
-	// not known: what upstreams are compared by.
+	// total is the latency of whole calls, firstByte the latency to the first byte.
+	total, firstByte *latencyWindow
+	// perUnit is the latency per unit of work, or per call if the work is unknown. It
+	// is used to compare upstreams.
 	perUnit *latencyWindow
 }
 
@@ -85,47 +86,49 @@
 	return &stageLatency{newWindow(now, length), newWindow(now, length), newWindow(now, length)}
 }
 
-// unitOf returns the latency that upstreams are compared by.
+// latencyPerUnit returns the latency by which upstreams are compared.
 func latencyPerUnit(latency time.Duration, work int) time.Duration {
 	return latency / time.Duration(max(work, 1))
 }
 
-// done counts a call that ended well.
-func (s *stageLatency) addCompleted(now time.Time, latency, first time.Duration, work int) {
+// addCompleted records a call that succeeded.
+func (s *stageLatency) addCompleted(now time.Time, latency, firstByte time.Duration, work int) {
 	s.total.add(now, latency)
-	if first > 0 {
-		s.first.add(now, first)
+	if firstByte > 0 {
+		s.firstByte.add(now, firstByte)
 	}
 	s.perUnit.add(now, latencyPerUnit(latency, work))
 }
 
-// gaveUp counts a call that was given up after latency: a lower bound of what
-// it would have taken. Left out, the calls that lose against a hedge would
-// make the quantiles, and so the next hedge delay, too short. Calls given up
-// early say nothing and are left out.
+// addCancelled records a call that was cancelled after latency, which is a lower bound
+// of the latency that it would have had. Without the calls that lose against a hedge,
+// the quantiles would be too low, and so would the next hedge delay. Calls cancelled
+// before the median latency are not recorded, since such a low bound carries no
+// information.
 func (s *stageLatency) addCancelled(now time.Time, latency time.Duration) {
 	if s.total.median > 0 && latency > s.total.median {
 		s.total.add(now, latency)
 	}
 }
 
-// gaveUpFirst is gaveUp for a call that was given up before its first byte.
+// addCancelledFirstByte does the same for the latency to the first byte, for a call
+// that was cancelled before it.
 func (s *stageLatency) addCancelledFirstByte(now time.Time, latency time.Duration) {
-	if s.first.median > 0 && latency > s.first.median {
-		s.first.add(now, latency)
+	if s.firstByte.median > 0 && latency > s.firstByte.median {
+		s.firstByte.add(now, latency)
 	}
 }
 
-// slowness returns how many times the usual a call took, 0 when it can't be
-// said. For a call given up it is a lower bound.
-func (s *stageLatency) slowness(latency time.Duration, work int, whole bool) float64 {
-	usual := s.perUnit.median
+// slowness returns the latency of a call as a multiple of the median, or 0 if it is
+// unknown. For a call that did not complete, the result is a lower bound.
+func (s *stageLatency) slowness(latency time.Duration, work int, completed bool) float64 {
+	median := s.perUnit.median
 	took := latencyPerUnit(latency, work)
-	if !whole && work == 0 && s.first.median > 0 {
-		usual, took = s.first.median, latency
+	if !completed && work == 0 && s.firstByte.median > 0 {
+		median, took = s.firstByte.median, latency
 	}
-	if usual <= 0 {
+	if median <= 0 {
 		return 0
 	}
-	return float64(took) / float64(usual)
+	return float64(took) / float64(median)
 }
--- a/core/route/picker.go
+++ b/core/route/picker.go
@@ -2,37 +2,39 @@
 
 import "math/rand/v2"
 
-// maxDrawn bounds the candidates that one pick scores.
+// maxDrawn limits the candidates that one pick scores.
 const maxDrawn = 16
 
-// smallPool is the number of candidates up to which all are drawn: the one that
-// looks best cannot get many times its even share then, and leaving one out of
-// three leaves the emptiest out of every third pick.
+// smallPoolSize is the number of candidates up to which all are scored. With so few,
+// the cheapest one cannot get many times its even share of the calls, whereas sampling
+// two of three would miss the emptiest one in every third pick.
 const smallPoolSize = 4
 
-// scored is a drawn candidate and its cost.
+// scoredCandidate is a sampled candidate and its cost.
 type scoredCandidate struct {
 	index int
 	cost  float64
 }
 
-// Picker chooses among the eligible candidates (at least one). It appends the
-// ones it weighed to drawn, the chosen one first.
+// Picker chooses one of the eligible candidates, of which there is at least one. It
+// appends the candidates that it considered to drawn, with the chosen one first.
 type Picker interface {
 	Name() string
 	Pick(v *View, eligible []int, rng *rand.Rand, drawn []scoredCandidate) []scoredCandidate
 }
 
-// randomChoices draws one candidate at random from the own failure domain, the
-// other choices from everywhere, adds the home of the prefix, and takes the
-// cheapest. Drawing few keeps daemons that share a view from all choosing the
-// same upstream: of n daemons' calls the one that looks best gets about
-// choices times its even share, and no more. Of smallPool or fewer all are drawn.
+// randomChoices samples one candidate at random from the daemon's own failure domain
+// and fills up to choices candidates from all domains, adds the home of the prefix, and
+// chooses the cheapest. Sampling few candidates keeps daemons that have the same view
+// from all choosing the same upstream: of the calls of n daemons, the cheapest upstream
+// gets at most about choices times its even share. If there are at most smallPoolSize
+// candidates, all are sampled.
 type randomChoices struct {
 	choices int
 	scorers []Scorer
-	// packed says that generations are packed: then as many candidates as may
-	// be are drawn, since the fullest one with room must be among them.
+	// packing is set if generations are packed onto few upstreams. Then as many
+	// candidates as permitted are sampled, since the fullest one with free capacity
+	// must be among them.
 	packing bool
 	local   []int
 }
@@ -65,7 +67,7 @@
 	return drawn
 }
 
-// draw adds members of from until want candidates are drawn.
+// draw adds random elements of from until want candidates are sampled.
 func (p *randomChoices) draw(v *View, from []int, want int, rng *rand.Rand, drawn []scoredCandidate) []scoredCandidate {
 	for k := 0; len(drawn) < want && k < len(from); k++ {
 		j := k + rng.IntN(len(from)-k)
@@ -75,7 +77,7 @@
 	return drawn
 }
 
-// add scores candidate i unless it was drawn already.
+// addCandidate scores and adds candidate i unless it was added already.
 func (p *randomChoices) addCandidate(v *View, i int, drawn []scoredCandidate) []scoredCandidate {
 	for _, d := range drawn {
 		if d.index == i {
@@ -88,7 +90,7 @@
 	return append(drawn, scoredCandidate{i, totalCost(v, p.scorers, &v.Candidates[i])})
 }
 
-// roundRobin takes the eligible candidates in turn.
+// roundRobin chooses the eligible candidates in turn.
 type roundRobin struct{ next int }
 
 func (*roundRobin) Name() string { return "round_robin" }
@@ -99,8 +101,8 @@
 	return append(drawn, scoredCandidate{index: i})
 }
 
-// leastRequests takes the candidate with the fewest own calls in flight, a
-// random one among equals.
+// leastRequests chooses the candidate with the fewest calls of this daemon in flight,
+// and a random one of these if several are equal.
 type leastRequests struct{}
 
 func (leastRequests) Name() string { return "least_requests" }
--- a/core/route/prefill.go
+++ b/core/route/prefill.go
@@ -6,34 +6,33 @@
 )
 
 const (
-	// maxReading bounds the prompts that are remembered of one engine; more than
-	// an engine runs at once.
+	// maxPendingPrompts limits the prompts stored for one engine. It exceeds the number
+	// of prompts that an engine runs at once.
 	maxPendingPrompts = 128
-	// maxOverdue bounds what an overdue prompt says of the work before it.
+	// maxOverdueBacklog limits the backlog that is inferred from an overdue prompt.
 	maxOverdueBacklog = 2 * time.Second
 )
 
-// reading is what was sent to one engine to read and has brought no answer yet, as
-// far as this daemon knows: all of its own, and the long ones that fellows told it
-// of. Engines read prompts about in the order in which they come, and a long one
-// keeps all that follow it waiting.
+// prefillQueue holds the prompts that were sent to one engine and have not been
+// answered yet, as far as this daemon knows: all of its own prompts, and the long ones
+// that its peers reported. Engines process prefills approximately in arrival order, so
+// a long prompt delays all that follow it.
 type prefillQueue struct {
 	prompts []pendingPrompt
 }
 
-// prompt is one prompt that is being read or waits for it.
+// pendingPrompt is one prompt whose prefill is running or waiting.
 type pendingPrompt struct {
 	request string
 	sentAt  time.Time
-	// read is the engine's own time for it, and usual the usual time to the first
-	// byte of the answer.
+	// prefillTime is the time that the engine needs for the prefill alone.
+	// usualFirstByte is the usual time until the first byte of the response.
 	prefillTime, usualFirstByte time.Duration
-	// told says that a fellow sent it: its end is not heard of.
+	// fromPeer is set if a peer sent the prompt. This daemon is not told when it ends.
 	fromPeer bool
 }
 
-// toldGrace is how much longer than it is expected to be read a prompt of a
-// fellow counts.
+// peerPromptGrace is how long a peer's prompt is kept beyond its expected prefill time.
 const peerPromptGrace = 100 * time.Millisecond
 
 func (r *prefillQueue) add(p pendingPrompt) {
@@ -45,12 +44,13 @@
 	}
 }
 
-// done forgets a prompt that was read, or is no longer wanted.
+// remove removes the prompt of a request whose prefill has completed or is no longer
+// needed.
 func (r *prefillQueue) remove(request string) {
 	r.prompts = slices.DeleteFunc(r.prompts, func(p pendingPrompt) bool { return p.request == request })
 }
 
-// undo forgets the newest prompt of a request, which was not sent.
+// removeNewest removes the newest prompt of a request, which was not sent.
 func (r *prefillQueue) removeNewest(request string) {
 	for n := len(r.prompts) - 1; n >= 0; n-- {
 		if r.prompts[n].request == request {
@@ -60,9 +60,10 @@
 	}
 }
 
-// backlog is how long a prompt that is sent now is expected to wait for those
-// before it. A prompt whose answer is overdue shows that the engine reads more
-// than this daemon knows of: as much again is expected.
+// backlog returns how long a prompt that is sent now is expected to wait for the
+// prefill of earlier ones. An overdue response indicates that the engine has work that
+// this daemon does not know of. The time by which it is overdue is added as an estimate
+// of that work.
 func (r *prefillQueue) backlog(now time.Time) time.Duration {
 	var end time.Time
 	var overdue time.Duration
--- a/core/route/record.go
+++ b/core/route/record.go
@@ -10,10 +10,11 @@
 // StepPick is the decision step that a Router records.
 const StepPick record.Step = "route.pick"
 
-// maxRecorded bounds the candidates in one record entry.
+// maxRecordedCandidates limits the candidates in one record entry.
 const maxRecordedCandidates = 16
 
-// note records the pick: first the candidates drawn, then refused ones.
+// recordPick records the pick with its candidates: first the sampled ones, then
+// rejected ones.
 func (p *poolView) recordPick(rec record.Recorder, v *View, outcome string, drawn []scoredCandidate) {
 	if rec == nil {
 		return
@@ -39,7 +40,7 @@
 	rec.Add(e)
 }
 
-// fields returns the inputs that decided a pick.
+// recordFields returns the values on which a pick was based.
 func (p *poolView) recordFields(v *View, refused int, drawn []scoredCandidate) []record.Field {
 	fs := make([]record.Field, 0, 8+len(p.steps.scorers))
 	add := func(key, value string) { fs = append(fs, record.Field{Key: key, Value: value}) }
@@ -68,7 +69,8 @@
 
 func formatCost(x float64) string { return strconv.FormatFloat(x, 'f', 3, 64) }
 
-// wasDrawn says whether candidate i is among drawn: a refusal that was lifted.
+// wasDrawn reports whether candidate i is among drawn, because the filters that reject
+// it were relaxed.
 func wasDrawn(drawn []scoredCandidate, i int) bool {
 	return slices.ContainsFunc(drawn, func(d scoredCandidate) bool { return d.index == i })
 }
--- a/core/route/router.go
+++ b/core/route/router.go
@@ -12,18 +12,18 @@
 	"github.com/wheatseam/wheatseam/record"
 )
 
-// Retry hints of a refusal. A cold upstream takes calls again after a second.
+// Retry-After hints of a refusal. A cold upstream accepts calls again after a second.
 const (
 	saturatedRetryAfter   = time.Second
 	unavailableRetryAfter = 5 * time.Second
 )
 
-// Router implements request.Router. All methods may be called concurrently.
+// Router implements request.Router. It is safe for concurrent use.
 type Router struct {
 	config Config
-	// ownGates says that nobody shares the gates.
+	// ownsGates is set if the gates are not shared with other components.
 	ownsGates bool
-	// mu serialises Apply and SetLeaving.
+	// mu serializes Apply and SetLeaving.
 	mu            sync.Mutex
 	markedLeaving map[string]bool
 	current       atomic.Pointer[snapshot]
@@ -31,7 +31,7 @@
 
 var _ request.Router = (*Router)(nil)
 
-// New returns a Router that knows no upstream until Apply.
+// New returns a Router without pools. Apply sets them.
 func New(c Config) *Router {
 	r := &Router{config: c.withDefaults(), ownsGates: c.Gates == nil, markedLeaving: map[string]bool{}}
 	r.current.Store(&snapshot{pools: map[string]*poolView{}})
@@ -50,7 +50,7 @@
 	return p.pick(now, &q, &r.config, snap.region, rec)
 }
 
-// pick runs the steps; the shard is locked.
+// pick runs the steps of the policy. The shard must be locked.
 func (p *poolView) pick(now time.Time, q *request.Query, c *Config, region string, rec record.Recorder) (request.Choice, *problem.Error) {
 	s := p.shard
 	v := p.buildView(now, q, c, region)
@@ -73,8 +73,8 @@
 	return request.Choice{Request: q.Request, Pool: p.name, Upstream: m.name, Address: m.address, FailureDomain: m.domain}, nil
 }
 
-// HomeDomain returns the failure domain of the engine that should hold a prompt
-// prefix; "" when the pool has none.
+// HomeDomain returns the failure domain of the engine that should hold a prompt prefix,
+// or "" if no engine in the pool qualifies.
 func (r *Router) HomeDomain(now time.Time, pool string, prefix uint64) string {
 	snap := r.current.Load()
 	p := snap.pools[pool]
@@ -93,7 +93,7 @@
 	return v.Candidates[home].Domain
 }
 
-// refusal explains why no upstream is left.
+// noUpstreamError returns the error for a pick that no upstream is eligible for.
 func (p *poolView) noUpstreamError(v *View) *problem.Error {
 	saturated, cold, limited, resting := 0, 0, 0, 0
 	var opens shortestWait
@@ -121,7 +121,7 @@
 	return err
 }
 
-// soonest is the shortest of some waits.
+// shortestWait is the minimum of the durations that were added to it.
 type shortestWait struct {
 	wait  time.Duration
 	known bool
@@ -133,16 +133,16 @@
 	}
 }
 
-// or returns the shortest wait, or another one without any.
-func (s *shortestWait) orElse(none time.Duration) time.Duration {
+// orElse returns the minimum, or fallback if no duration was added.
+func (s *shortestWait) orElse(fallback time.Duration) time.Duration {
 	if !s.known {
-		return none
+		return fallback
 	}
 	return s.wait
 }
 
-// Closed says whether all upstreams of a pool leave or refuse calls by their bounds, and
-// for how long that will last at least. A pool without upstreams is not closed.
+// Closed reports whether all upstreams of a pool are leaving or refused by their gates,
+// and how long this lasts at least. A pool without upstreams is not closed.
 func (r *Router) Closed(now time.Time, pool string) (time.Duration, bool) {
 	p := r.current.Load().pools[pool]
 	if p == nil {
@@ -176,7 +176,7 @@
 	p.finishCall(now, &o, &r.config)
 }
 
-// Unpick takes a pick back for which nothing was sent; it is then not owed to Done.
+// Unpick undoes a pick for which no call was sent. Done must not be called for it.
 func (r *Router) Unpick(now time.Time, c request.Choice) {
 	r.updateState(c.Pool, c.Upstream, c.Address, func(st *memberState) {
 		st.cancelCall(now)
@@ -184,16 +184,17 @@
 	})
 }
 
-// Told notes that another daemon has sent an upstream a prompt that takes that
-// long to read.
+// Told records that another daemon has sent an upstream a prompt that takes read to
+// prefill.
 func (r *Router) Told(now time.Time, pool, upstream, address string, read time.Duration) {
 	r.updateState(pool, upstream, address, func(st *memberState) {
 		st.prefillQueue.add(pendingPrompt{sentAt: now, prefillTime: read, fromPeer: true})
 	})
 }
 
-// Usable says whether an upstream takes calls beside those that it is picked for: it is
-// known, and neither leaving, bounded, ejected nor silent.
+// Usable reports whether an upstream can serve calls other than those for which it is
+// picked: it is known, is neither leaving, limited nor ejected, and does not have calls
+// in flight without any progress.
 func (r *Router) Usable(now time.Time, pool, upstream, address string) bool {
 	usable := false
 	r.updateState(pool, upstream, address, func(st *memberState) {
@@ -202,7 +203,8 @@
 	return usable
 }
 
-// update changes the state of an upstream, if it is known.
+// updateState calls change with the locked state of an upstream, if the upstream is
+// known.
 func (r *Router) updateState(pool, upstream, address string, change func(*memberState)) {
 	p := r.current.Load().pools[pool]
 	if p == nil {
@@ -215,13 +217,13 @@
 	}
 }
 
-// FirstByte notes that an upstream has begun to answer a picked call: it has read
-// the prompt.
+// FirstByte records that an upstream has begun to answer a picked call, so that the
+// prefill of its prompt has completed.
 func (r *Router) FirstByte(c request.Choice) {
 	r.updateState(c.Pool, c.Upstream, c.Address, func(st *memberState) { st.prefillQueue.remove(c.Request) })
 }
 
-// done ends a call; the shard is locked.
+// finishCall records the end of a call. The shard must be locked.
 func (p *poolView) finishCall(now time.Time, o *request.Outcome, c *Config) {
 	s := p.shard
 	st := s.states[upstreamKey{o.Choice.Upstream, o.Choice.Address}]
@@ -230,7 +232,7 @@
 	}
 	st.endCall(now)
 	st.prefillQueue.remove(o.Choice.Request)
-	covered := st.ejection.ignoresCall(now.Add(-o.Latency), now)
+	ignored := st.ejection.ignoresCall(now.Add(-o.Latency), now)
 	switch o.Result {
 	case request.CallOK:
 		l := s.stageLatencyFor(now, o.Stage, c.HistogramWindow)
@@ -239,12 +241,12 @@
 		if l.total.mergedAt.Equal(now) {
 			s.updateEstimates()
 		}
-		if !covered {
+		if !ignored {
 			p.addSlowness(now, st, slowness, c)
 			st.countCall(now, true)
 		}
 	case request.CallFailed:
-		if !covered {
+		if !ignored {
 			st.countCall(now, false)
 		}
 	case request.CallRefused:
@@ -256,19 +258,19 @@
 		if o.FirstByte <= 0 {
 			l.addCancelledFirstByte(now, o.Latency)
 		}
-		if !covered && slowness > st.decayedSlowness(now) {
+		if !ignored && slowness > st.decayedSlowness(now) {
 			p.addSlowness(now, st, slowness, c)
 		}
 	}
-	if !covered {
+	if !ignored {
 		p.ejectIfNeeded(now, st, c.Ejection)
-		if c.Ejected != nil && st.ejection.since.Equal(now) {
+		if c.Ejected != nil && st.ejection.startedAt.Equal(now) {
 			c.Ejected(p.name, o.Choice.Upstream, st.ejection.reason, st.ejection.until)
 		}
 	}
 }
 
-// judge takes a sample of slowness, 0 for none.
+// addSlowness adds a slowness sample; 0 means that there is none.
 func (p *poolView) addSlowness(now time.Time, st *memberState, sample float64, c *Config) {
 	if sample <= 0 {
 		return
@@ -287,10 +289,10 @@
 
 // ExpectFirstByte implements request.Router.
 func (r *Router) ExpectFirstByte(pool, stage string, quantile float64) (time.Duration, bool) {
-	return r.latencyQuantile(pool, stage, func(l *stageLatency) *latencyWindow { return l.first }, quantile)
+	return r.latencyQuantile(pool, stage, func(l *stageLatency) *latencyWindow { return l.firstByte }, quantile)
 }
 
-func (r *Router) latencyQuantile(pool, stage string, of func(*stageLatency) *latencyWindow, quantile float64) (time.Duration, bool) {
+func (r *Router) latencyQuantile(pool, stage string, windowOf func(*stageLatency) *latencyWindow, quantile float64) (time.Duration, bool) {
 	p := r.current.Load().pools[pool]
 	if p == nil {
 		return 0, false
@@ -301,5 +303,5 @@
 	if l == nil {
 		return 0, false
 	}
-	return of(l).quantile(quantile)
+	return windowOf(l).quantile(quantile)
 }
--- a/core/route/scorer.go
+++ b/core/route/scorer.go
@@ -7,24 +7,26 @@
 )
 
 const (
-	// slownessFree is the multiple of the usual latency that costs nothing.
+	// freeSlowness is the multiple of the usual latency up to which slowness costs
+	// nothing.
 	freeSlowness = 2.0
-	// unmeasuredLatency stands in for a stage's latency until it is measured.
+	// unmeasuredLatency is the assumed latency of a stage until it is measured.
 	unmeasuredLatency = 50 * time.Millisecond
-	// maxLocalityCost bounds the cost of leaving the failure domain, so that
-	// it yields to load.
+	// maxLocalityCost limits the cost of leaving the failure domain, so that load can
+	// outweigh it.
 	maxLocalityCost = 0.5
 )
 
-// Scorer adds to the cost of a candidate; lower is better, 1 is a full
-// upstream. Implementations have no state and may be used concurrently.
+// Scorer adds to the cost of a candidate. Lower is better; 1 is the cost of a full
+// upstream. Implementations are stateless and safe for concurrent use.
 type Scorer interface {
 	Name() string
 	Cost(v *View, c *Candidate) float64
 }
 
-// loadScorer costs the share of the upstream that is in use, this call
-// included: own calls in flight and what is believed of others'.
+// loadScorer charges the utilization of the upstream including this call: the daemon's
+// own calls in flight and the assumed number of other daemons' calls, relative to the
+// concurrency.
 type loadScorer struct{}
 
 func (loadScorer) Name() string { return "load" }
@@ -32,7 +34,7 @@
 	return (float64(c.OwnCalls) + c.SampledOtherCalls + 1) / v.Concurrency
 }
 
-// latencyScorer costs slowness beyond what is usual in the pool.
+// latencyScorer charges slowness beyond freeSlowness.
 type latencyScorer struct{ weight float64 }
 
 func (latencyScorer) Name() string { return "latency" }
@@ -40,30 +42,30 @@
 	return s.weight * max(0, c.Slowness-freeSlowness)
 }
 
-// localityScorer costs the round trip of leaving the failure domain or region
+// localityScorer charges the round-trip time of leaving the failure domain or region,
 // relative to the latency of the stage.
 type localityScorer struct{ crossDomainRTT, crossRegionRTT time.Duration }
 
 func (localityScorer) Name() string { return "locality" }
 func (s localityScorer) Cost(v *View, c *Candidate) float64 {
-	var trip time.Duration
+	var rtt time.Duration
 	switch {
 	case c.Domain == v.Domain:
 		return 0
 	case v.sameRegion(c):
-		trip = s.crossDomainRTT
+		rtt = s.crossDomainRTT
 	default:
-		trip = s.crossRegionRTT
+		rtt = s.crossRegionRTT
 	}
-	typical := v.MedianLatency
-	if typical <= 0 {
-		typical = unmeasuredLatency
+	latency := v.MedianLatency
+	if latency <= 0 {
+		latency = unmeasuredLatency
 	}
-	return min(maxLocalityCost, float64(trip)/float64(typical))
+	return min(maxLocalityCost, float64(rtt)/float64(latency))
 }
 
-// prefixScorer rewards the upstream that is likely to hold the prompt's prefix
-// in its cache.
+// prefixScorer rewards the upstream that is likely to have the prompt's prefix in its
+// cache.
 type prefixScorer struct{ bonus float64 }
 
 func (prefixScorer) Name() string { return "prefix" }
@@ -74,7 +76,8 @@
 	return 0
 }
 
-// backlogScorer costs the time for which the engine reads other prompts first.
+// backlogScorer charges the time that the engine needs for the prefill of earlier
+// prompts.
 type backlogScorer struct{ weight float64 }
 
 func (backlogScorer) Name() string { return "backlog" }
@@ -82,23 +85,24 @@
 func (s backlogScorer) Cost(_ *View, c *Candidate) float64 { return s.weight * c.Backlog.Seconds() }
 
 const (
-	// packBound is the share of an engine's concurrency up to which calls are
-	// packed; beyond it they spread.
+	// maxPackedLoad is the utilization of an engine up to which calls are packed onto
+	// it. Beyond it, calls are spread.
 	maxPackedLoad = 0.8
-	// packSlack is the multiple of the usual latency that a generation must
-	// have time for to be packed: in a full batch it takes up to twice as long.
+	// minPackBudgetFactor times the median latency is the time budget that a generation
+	// needs in order to be packed: in a full batch it takes up to twice as long.
 	minPackBudgetFactor = 3
 )
 
-// packs says whether the call may be packed: a generation with time to spare.
+// canPack reports whether the call may be packed: it is a generation with a sufficient
+// time budget.
 func canPack(v *View) bool {
 	return v.Query.Kind == bundle.StageGenerate && v.MedianLatency > 0 && v.Query.Budget >= minPackBudgetFactor*v.MedianLatency
 }
 
-// packScorer makes engines cheaper the fuller they are, up to packBound. A step
-// of an engine costs much the same whatever its batch, so that a token of a
-// full batch costs least and comes later. It is in force only where cost weighs
-// more than attainment.
+// packScorer makes engines cheaper the fuller they are, up to maxPackedLoad. A step of
+// an engine costs about the same for any batch size, so a token of a full batch is the
+// cheapest but takes longer. The scorer is used only if the objective weighs cost more
+// than attainment.
 type packScorer struct {
 	// weight is the weight of cost in the objective, 0 to 1.
 	weight float64
@@ -113,7 +117,8 @@
 	return -2 * s.weight * load
 }
 
-// packWeight returns the weight of cost if it prevails, else 0.
+// packWeight returns the weight of cost if it exceeds that of attainment, and 0
+// otherwise.
 func packWeight(o bundle.Objective) float64 {
 	if o.CostByStage <= o.Attainment {
 		return 0
@@ -121,7 +126,7 @@
 	return o.CostByStage / (o.Attainment + o.CostByStage)
 }
 
-// adaptiveScorers are the scorers of the adaptive policy.
+// adaptiveScorers returns the scorers of the adaptive policy.
 func adaptiveScorers(c Config) []Scorer {
 	return []Scorer{
 		loadScorer{},
@@ -132,7 +137,7 @@
 	}
 }
 
-// scoreOf adds up the costs of c.
+// totalCost returns the sum of the costs of c.
 func totalCost(v *View, ss []Scorer, c *Candidate) float64 {
 	var sum float64
 	for _, s := range ss {
--- a/core/route/shard.go
+++ b/core/route/shard.go
@@ -11,15 +11,18 @@
 )
 
 const (
-	// stallFactor times the 95th percentile of a stage is how long calls may
-	// be in flight without any ending; stallFloor is the least.
+	// An upstream is stalled if it has calls in flight and none has ended for
+	// stallFactor times the 95th percentile latency of the pool's slowest stage, and
+	// for minStallTimeout at least.
 	stallFactor     = 4
 	minStallTimeout = 500 * time.Millisecond
-	// minHalfLife bounds the half-life of reports in pools of fast services.
+	// minReportHalfLife is the lower limit of the half-life of load reports in pools of
+	// fast services.
 	minReportHalfLife = 20 * time.Millisecond
 )
 
-// upstreamKey names an upstream's state: another address is another upstream.
+// upstreamKey identifies an upstream's state. A changed address makes it another
+// upstream.
 type upstreamKey struct{ name, address string }
 
 // member is one upstream of a poolView.
@@ -29,25 +32,26 @@
 	state                         *memberState
 }
 
-// poolView is the immutable configuration of a pool. The states that its
-// members point to are guarded by the shard's lock.
+// poolView is the immutable configuration of a pool. The states to which its members
+// point are guarded by the shard's lock.
 type poolView struct {
 	name            string
 	concurrency     float64
 	saturationLimit float64
-	// expected is the usual duration of the slowest stage by the bundle.
+	// expectedLatency is the expected duration of the slowest stage according to the
+	// bundle.
 	expectedLatency time.Duration
 	members         []member
 	steps           *policySteps
 	shard           *shard
-	// dropped says that the bundle in force no longer has the pool.
+	// dropped is set if the bundle in force does not contain the pool.
 	dropped bool
 }
 
-// steps are the decision steps of a policy.
+// policySteps holds the decision steps of a policy.
 type policySteps struct {
 	policy bundle.Policy
-	// pack is how far the objective weighs cost over attainment.
+	// packWeight is the weight of cost if the objective favors it, see func packWeight.
 	packWeight float64
 	filters    []Filter
 	scorers    []Scorer
@@ -73,20 +77,20 @@
 	}
 }
 
-// shard holds what changes in a pool. Its lock guards all of it, and the
+// shard holds the mutable state of a pool. Its lock guards all of it, including the
 // states of the pool's upstreams.
 type shard struct {
 	mu     sync.Mutex
 	rng    *rand.Rand
 	states map[upstreamKey]*memberState
 	stages map[string]*stageLatency
-	// stall is how long calls may be in flight without any ending; 0 while it
-	// is not measured.
+	// stallTimeout is the time without any call ending after which an upstream with
+	// calls in flight is stalled; 0 if it is not known yet.
 	stallTimeout time.Duration
-	// usual is the median latency of the slowest stage; 0 while it is not
-	// measured.
+	// usualLatency is the median latency of the slowest stage; 0 if it is not known
+	// yet.
 	usualLatency time.Duration
-	// Scratch space of one pick.
+	// Scratch buffers of a pick.
 	view    View
 	weights []float64
 	result  filterResult
@@ -101,7 +105,7 @@
 	}
 }
 
-// stage returns the latencies of a stage.
+// stageLatencyFor returns the latencies of a stage, and creates them if necessary.
 func (s *shard) stageLatencyFor(now time.Time, name string, length time.Duration) *stageLatency {
 	l := s.stages[name]
 	if l == nil {
@@ -111,7 +115,7 @@
 	return l
 }
 
-// fill draws the view of a pick.
+// buildView builds the View of a pick in the shard's scratch buffer.
 func (p *poolView) buildView(now time.Time, q *request.Query, c *Config, region string) *View {
 	s := p.shard
 	v := &s.view
@@ -129,36 +133,36 @@
 	return v
 }
 
-// meanForeign fills the weights of the members' reports and returns the
-// weighted mean of the others' calls at an upstream. When all reports are old
-// it fades away.
+// meanOtherCalls computes the weights of the members' load reports and returns the
+// weighted mean number of other daemons' calls at an upstream. The mean decays towards
+// 0 as the newest report gets old.
 func (p *poolView) meanOtherCalls(now time.Time, c *Config) float64 {
 	s := p.shard
 	s.weights = s.weights[:0]
 	halfLife := p.halfLife(c)
-	var sum, weights, freshest float64
+	var sum, weights, freshestWeight float64
 	for i := range p.members {
 		st := p.members[i].state
 		w := st.reportWeight(now, halfLife)
 		s.weights = append(s.weights, w)
 		sum += w * st.otherCalls()
 		weights += w
-		freshest = max(freshest, w)
+		freshestWeight = max(freshestWeight, w)
 	}
 	if weights == 0 {
 		return 0
 	}
-	fade := float64(halfLife) / float64(staleMeanHalfLife)
-	return sum / weights * decayFactor(freshest, fade)
+	rate := float64(halfLife) / float64(staleMeanHalfLife)
+	return sum / weights * decayFactor(freshestWeight, rate)
 }
 
 func (p *poolView) candidate(now time.Time, m *member, weight, mean float64, c *Config) Candidate {
 	st := m.state
-	foreign := st.otherCalls()
+	others := st.otherCalls()
 	cand := Candidate{
 		Name: m.name, Domain: m.domain, Region: m.region, Hash: m.hash,
 		OwnCalls:          st.ownCalls,
-		OtherCalls:        weight*foreign + (1-weight)*mean,
+		OtherCalls:        weight*others + (1-weight)*mean,
 		SampledOtherCalls: mean,
 		Backlog:           st.prefillQueue.backlog(now),
 		Slowness:          st.decayedSlowness(now),
@@ -169,10 +173,10 @@
 	cand.IntakeLimitSource, cand.IntakeLimited = st.gate.Refuses(now)
 	if st.ejection.active(now) {
 		cand.Ejected = st.ejection.reason
-		cand.RampShare = 1 // the ejection alone refuses
+		cand.RampShare = 1 // ejectedFilter rejects it; readmittingFilter must not
 	}
 	if weight > 0 && p.shard.rng.Float64() < weight {
-		cand.SampledOtherCalls = foreign
+		cand.SampledOtherCalls = others
 	}
 	if cand.RampShare < 1 {
 		cand.RampDraw = p.shard.rng.Float64()
@@ -182,8 +186,8 @@
 	return cand
 }
 
-// measure renews what follows from the latencies of all stages: how long a call
-// usually takes, and after which time calls count as hanging.
+// updateEstimates derives the usual latency and the stall timeout from the latencies of
+// all stages.
 func (s *shard) updateEstimates() {
 	var usual, longest time.Duration
 	for _, l := range s.stages {
@@ -198,10 +202,10 @@
 	}
 }
 
-// halfLife returns the age at which a report counts half. The calls that it
-// counted end within about the usual latency, and what is known of the mean is
-// better from then on: all daemons that still believed the report would choose
-// the same upstreams.
+// halfLife returns the age at which the weight of a load report is one half. The calls
+// that a report counted end within about the usual latency. After that, the mean is a
+// better estimate than the report; and if all daemons still relied on the report, they
+// would all choose the same upstreams.
 func (p *poolView) halfLife(c *Config) time.Duration {
 	usual := p.shard.usualLatency
 	if usual <= 0 {
@@ -213,6 +217,6 @@
 	return min(c.ReportHalfLife, max(minReportHalfLife, usual))
 }
 
-// fadeOf returns how much of a mean is left when the freshest report weighs
-// freshest: the weight's decay, slowed down by rate.
-func decayFactor(freshest, rate float64) float64 { return math.Pow(freshest, rate) }
+// decayFactor returns the factor by which the mean decays when the newest report has
+// the weight freshestWeight: that weight's decay, slowed down by rate.
+func decayFactor(freshestWeight, rate float64) float64 { return math.Pow(freshestWeight, rate) }
--- a/core/route/state.go
+++ b/core/route/state.go
@@ -9,41 +9,45 @@
 )
 
 const (
-	// ownSlot and ownSlots shape the history of own calls in flight that load
-	// reports are compared with: 16 slots of 200 ms.
+	// The history of this daemon's calls in flight, with which load reports are
+	// compared, has historySlots slots of historySlot each: 16 slots of 200 ms.
 	historySlot  = 200 * time.Millisecond
 	historySlots = 16
-	// slowSmoothing is the weight of a new slowness sample, and rampSmoothing
-	// that while an upstream is being readmitted.
+	// slownessSmoothing is the smoothing weight of a new slowness sample.
+	// rampSlownessSmoothing is its weight while the upstream is being readmitted.
 	slownessSmoothing     = 0.3
 	rampSlownessSmoothing = 0.6
-	// slowClip bounds one sample, so that a single heavy-tailed call does not
-	// eject.
+	// maxSlownessSample limits one sample, so that a single call from the long tail of
+	// the latency distribution does not eject an upstream.
 	maxSlownessSample = 8.0
-	// slowMemory is the time in which slowness decays to 1/e, so that an
-	// upstream that is avoided is measured again.
+	// slownessDecay is the time in which slowness decays to 1/e, so that an upstream
+	// that was avoided because of it is used and measured again.
 	slownessDecay = 5 * time.Second
-	// callMemory is the time in which counted calls decay to 1/e.
+	// callCountDecay is the time in which the call counts decay to 1/e.
 	callCountDecay = 10 * time.Second
-	// busyBase and busyMax bound the time that a busy upstream is left alone.
+	// busyBackoffBase and busyBackoffMax limit the time for which an upstream that
+	// refused a call gets no further calls.
 	busyBackoffBase = 100 * time.Millisecond
 	busyBackoffMax  = time.Second
-	// staleMemory is the age at which even the mean of all reports is halved.
+	// staleMeanHalfLife is the age of the newest report at which the mean of all
+	// reports is halved.
 	staleMeanHalfLife = 10 * time.Second
 )
 
-// ownSample is the number of own calls in flight at the end of a slot.
+// callSample is the number of this daemon's calls in flight at the end of a history
+// slot.
 type callSample struct {
 	at time.Time
 	n  int
 }
 
-// state is what a shard knows of one upstream. The shard's lock guards it.
+// memberState is the state of one upstream in a pool. It is guarded by the shard's
+// lock.
 type memberState struct {
 	ownCalls       int
 	ownCallHistory [historySlots]callSample
 	newestSample   int
-	lastProgress   time.Time // when a call last ended, or the first one began
+	lastProgress   time.Time // when a call last ended, or when the first call in flight began
 
 	slowness                   float64
 	slownessAt                 time.Time
@@ -62,13 +66,14 @@
 	report           load.Report
 	hasReport        bool
 	ownCallsAtReport int
-	markedLeaving    bool // leaving by the host list
+	markedLeaving    bool // the host list marks the upstream as leaving
 }
 
-// leaves says whether the host list, the upstream's report or an answer of it says so.
+// isLeaving reports whether the host list, the upstream's load report or one of its
+// responses says that the upstream is leaving.
 func (s *memberState) isLeaving() bool { return s.markedLeaving || s.report.Leaving || s.gate.Leaves() }
 
-// begin counts one call as in flight.
+// startCall counts a call as in flight.
 func (s *memberState) startCall(now time.Time) {
 	if s.ownCalls == 0 {
 		s.lastProgress = now
@@ -78,14 +83,15 @@
 	s.recordOwnCalls(now)
 }
 
-// end counts one call as ended.
+// endCall counts a call as ended.
 func (s *memberState) endCall(now time.Time) {
 	s.ownCalls = max(0, s.ownCalls-1)
 	s.lastProgress = now
 	s.recordOwnCalls(now)
 }
 
-// unbegin takes begin back: nothing was heard of the upstream.
+// cancelCall undoes startCall. It does not count as progress, since the upstream did
+// not respond.
 func (s *memberState) cancelCall(now time.Time) {
 	s.ownCalls = max(0, s.ownCalls-1)
 	s.recordOwnCalls(now)
@@ -101,7 +107,8 @@
 	last.n = s.ownCalls
 }
 
-// ownAt returns the number of own calls in flight at t, as far as remembered.
+// ownCallsAt returns the number of this daemon's calls in flight at t, or at the start
+// of the history if t is earlier.
 func (s *memberState) ownCallsAt(t time.Time) int {
 	n := 0
 	for k := 0; k < historySlots; k++ {
@@ -117,7 +124,7 @@
 	return n
 }
 
-// hear takes a load report, unless a newer one is known.
+// observeReport stores a load report unless the stored one is at least as new.
 func (s *memberState) observeReport(r load.Report) {
 	if s.hasReport && !r.AsOf.After(s.report.AsOf) {
 		return
@@ -126,12 +133,12 @@
 	s.ownCallsAtReport = s.ownCallsAt(r.AsOf)
 }
 
-// foreign returns the others' calls at the time of the report.
+// otherCalls returns the number of other daemons' calls at the time of the report.
 func (s *memberState) otherCalls() float64 {
 	return float64(max(0, s.report.Running+s.report.Queued-s.ownCallsAtReport))
 }
 
-// reportWeight returns how far the report counts, 0 to 1, by its age.
+// reportWeight returns the weight of the report, 0 to 1, which decreases with its age.
 func (s *memberState) reportWeight(now time.Time, halfLife time.Duration) float64 {
 	if !s.hasReport {
 		return 0
@@ -140,14 +147,14 @@
 	return math.Exp2(-float64(age) / float64(halfLife))
 }
 
-// slow takes a sample of slowness; smoothing is its weight.
+// addSlowness adds a slowness sample with the given smoothing weight.
 func (s *memberState) addSlowness(now time.Time, sample, smoothing float64) {
-	was := s.decayedSlowness(now)
-	s.slowness = was + smoothing*(min(sample, maxSlownessSample)-was)
+	current := s.decayedSlowness(now)
+	s.slowness = current + smoothing*(min(sample, maxSlownessSample)-current)
 	s.slownessAt = now
 }
 
-// slownessNow returns the smoothed slowness, decayed towards 1.
+// decayedSlowness returns the smoothed slowness, decayed towards 1.
 func (s *memberState) decayedSlowness(now time.Time) float64 {
 	if s.slowness == 0 {
 		return 1
@@ -158,7 +165,7 @@
 	return 1 + (s.slowness-1)*math.Exp(-float64(now.Sub(s.slownessAt))/float64(slownessDecay))
 }
 
-// count counts one call that ended well or failed.
+// countCall counts one call as succeeded or failed.
 func (s *memberState) countCall(now time.Time, ok bool) {
 	s.successCount, s.failureCount = s.decayedCounts(now)
 	s.countsAt = now
@@ -172,8 +179,8 @@
 	s.consecutiveFailures++
 }
 
-// callsNow returns the decayed counts of calls that ended well and failed.
-func (s *memberState) decayedCounts(now time.Time) (oks, fails float64) {
+// decayedCounts returns the decayed numbers of calls that succeeded and failed.
+func (s *memberState) decayedCounts(now time.Time) (successes, failures float64) {
 	if s.countsAt.IsZero() {
 		return 0, 0
 	}
@@ -181,13 +188,13 @@
 	return s.successCount * k, s.failureCount * k
 }
 
-// refused leaves the upstream alone for a moment, longer each time in a row.
+// backOff marks the upstream as busy, for longer with each consecutive refusal.
 func (s *memberState) backOff(now time.Time) {
 	s.busyUntil = now.Add(min(busyBackoffMax, busyBackoffBase<<min(s.consecutiveRefusals, 10)))
 	s.consecutiveRefusals++
 }
 
-// forgive clears the measurements that led to an ejection.
+// resetMeasurements clears the measurements that led to an ejection.
 func (s *memberState) resetMeasurements() {
 	s.slowness, s.consecutiveFailures, s.successCount, s.failureCount = 1, 0, 0, 0
 }
--- a/core/route/view.go
+++ b/core/route/view.go
@@ -7,70 +7,72 @@
 	"github.com/wheatseam/wheatseam/core/request"
 )
 
-// Candidate is one upstream as a View shows it.
+// Candidate is one upstream in a View.
 type Candidate struct {
 	Name   string
 	Domain string
 	Region string
-	// Hash is the hash of the name, for rendezvous hashing.
+	// Hash is the hash of the name, used for rendezvous hashing.
 	Hash uint64
-	// Own is the number of this daemon's calls in flight there.
+	// OwnCalls is the number of this daemon's calls in flight at the upstream.
 	OwnCalls int
-	// Foreign is the estimated number of others' calls there: between the load
-	// report and the pool's mean, by the report's age.
+	// OtherCalls is the estimated number of other daemons' calls at the upstream. It is
+	// the mean of the number by the load report and the pool's mean, weighted by the
+	// report's age.
 	OtherCalls float64
-	// Believed is either the report's number of others' calls or the pool's
-	// mean, the report's with the probability that its age leaves it. Its mean
-	// is Foreign. Daemons that hear the same report thus do not all rank the
-	// upstreams alike, whatever little it still says.
+	// SampledOtherCalls is at random either the number of other daemons' calls by the
+	// load report or the pool's mean. The probability of the former is the report's
+	// weight, so that the expected value is OtherCalls. Daemons that have the same
+	// report thus do not all rank the upstreams in the same order, even if the report
+	// is almost worthless.
 	SampledOtherCalls float64
-	// Backlog is how long a prompt is expected to wait for those that are being
-	// read there, as far as this daemon knows.
+	// Backlog is how long a prompt is expected to wait for the prefill of earlier
+	// prompts, as far as this daemon knows.
 	Backlog time.Duration
-	// Slowness is the smoothed multiple of the usual latency, 1 or more.
+	// Slowness is the smoothed latency as a multiple of the usual latency, at least 1.
 	Slowness float64
 	Leaving  bool
-	// Ejected says why the upstream is ejected; else empty.
+	// Ejected is the reason why the upstream is ejected, or "".
 	Ejected string
-	// Stalled says that calls are in flight there and none ended for long.
+	// Stalled means that calls are in flight and none has ended for a long time.
 	Stalled bool
-	// Busy says that the upstream refused calls a moment ago.
+	// Busy means that the upstream refused a call a short time ago.
 	Busy bool
-	// Bounded says that the upstream has had this daemon's part of the calls that it
-	// takes for the moment, and BoundedBy by whose word.
+	// IntakeLimited means that the upstream's gate refuses further calls from this
+	// daemon for now, because of the limit that IntakeLimitSource identifies.
 	IntakeLimited     bool
 	IntakeLimitSource intake.Source
-	// Share is the share of its calls that a readmitted upstream gets, 0 to 1.
+	// RampShare is the share of its traffic that a readmitted upstream gets, 0 to 1.
 	RampShare float64
-	// Coin is a random number in [0, 1), drawn when Share is under 1.
+	// RampDraw is a random number in [0, 1). It is drawn if RampShare is below 1.
 	RampDraw float64
 }
 
-// Load is the estimated number of calls at the candidate.
+// Load returns the estimated number of calls at the candidate.
 func (c *Candidate) Load() float64 { return float64(c.OwnCalls) + c.OtherCalls }
 
-// View is the immutable picture of a pool that one pick is decided on. Steps
-// must neither change nor keep it.
+// View is the immutable snapshot of a pool on which one pick is decided. Steps must
+// neither modify nor retain it.
 type View struct {
 	Now   time.Time
 	Query *request.Query
 	// Domain and Region are those of this daemon.
 	Domain string
 	Region string
-	// Concurrency is the number of calls that an upstream runs well.
+	// Concurrency is the number of calls that an upstream can run without degradation.
 	Concurrency float64
-	// Limit is the number of calls from which an upstream is saturated.
+	// SaturationLimit is the number of calls from which an upstream is saturated.
 	SaturationLimit float64
-	// Typical is the median latency of the stage, 0 while it is not measured.
+	// MedianLatency is the median latency of the stage, or 0 if it is not known yet.
 	MedianLatency time.Duration
-	// Home is the index of the candidate whose prefix cache is to be used; -1
-	// when there is none.
+	// PrefixHome is the index of the candidate whose prefix cache should be used, or
+	// -1.
 	PrefixHome int
 	Candidates []Candidate
 }
 
-// sameRegion says whether c is in this daemon's region; an unknown region is
-// taken for the own one.
+// sameRegion reports whether c is in this daemon's region. An unknown region is assumed
+// to be the same.
 func (v *View) sameRegion(c *Candidate) bool {
 	return v.Region == "" || c.Region == "" || c.Region == v.Region
 }
