--- a/core/route/bench_test.go
+++ b/core/route/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/wheatseam/wheatseam/record"
 )
 
-// lastEntry is a record.Recorder that keeps the last entry.
+// lastEntryRecorder is a record.Recorder that keeps only the last entry.
 type lastEntryRecorder struct{ entry record.Entry }
 
 func (l *lastEntryRecorder) Add(e record.Entry) { l.entry = e }
@@ -53,7 +53,7 @@
 	}
 }
 
-// BenchmarkPickParallel measures the lock of one pool's shard.
+// BenchmarkPickParallel measures contention for the lock of one pool's shard.
 func BenchmarkPickParallel(b *testing.B) {
 	r := testRouter(testBundle(20, 1000, bundle.PolicyAdaptive), 1)
 	b.RunParallel(func(pb *testing.PB) {
@@ -68,8 +68,8 @@
 	})
 }
 
-// BenchmarkMemory gives the heap of a Router at the users' target shape: pools
-// of about 23 upstreams, and three measured stages in each pool.
+// BenchmarkMemory measures the heap size of a Router with the pool sizes that the users
+// plan for: about 23 upstreams in each pool, and three measured stages.
 func BenchmarkMemory(b *testing.B) {
 	for _, upstreams := range []int{23, 92, 184, 368, 610} {
 		b.Run(fmt.Sprintf("upstreams=%d", upstreams), func(b *testing.B) {
--- a/core/route/cold_test.go
+++ b/core/route/cold_test.go
@@ -14,13 +14,13 @@
 )
 
 var _ = Describe("cold upstreams", func() {
-	coldOnly := func(most int) *Router {
+	coldOnly := func(limit int) *Router {
 		r := testRouter(testBundle(1, 100, bundle.PolicyAdaptive), 1)
-		r.SetCold(map[string]int{"u0": most})
+		r.SetCold(map[string]int{"u0": limit})
 		return r
 	}
 
-	It("get no more than this daemon's part in any second", func() {
+	It("get no more calls than this daemon's quota in any second", func() {
 		r := coldOnly(2)
 		for at := time.Duration(0); at < 10*time.Second; at += 20 * time.Millisecond {
 			c, err := r.Pick(start.Add(at), testQuery(), nil)
@@ -32,7 +32,7 @@
 		}
 	})
 
-	It("are refused with a reason, and when to come back", func() {
+	It("are refused with a reason and a retry time", func() {
 		_, err := coldOnly(0).Pick(start, testQuery(), nil)
 		Expect(err).NotTo(BeNil())
 		Expect(err.Kind).To(Equal(problem.NoUpstream))
@@ -40,7 +40,7 @@
 		Expect(err.RetryAfter).To(Equal(saturatedRetryAfter))
 	})
 
-	It("count what was begun before they were cold, and keep the limit over a new list", func() {
+	It("count calls that began before they became cold, and keep the limit when a bundle is applied", func() {
 		b := testBundle(1, 100, bundle.PolicyAdaptive)
 		r := testRouter(b, 1)
 		mustPick(r, start, testQuery())
@@ -55,7 +55,7 @@
 		mustPick(r, start.Add(coldWindow), testQuery())
 	})
 
-	It("limit an upstream that is listed later", func() {
+	It("are limited also if they are listed only later", func() {
 		r := coldOnly(0)
 		b := testBundle(2, 100, bundle.PolicyAdaptive)
 		r.SetCold(map[string]int{"u1": 0})
@@ -65,11 +65,11 @@
 		}
 	})
 
-	// The pattern: a failure domain comes back, its upstreams empty and cold, while the
-	// others are busy and requests arrive at more than twice the usual rate. All hosts
-	// find the same upstreams empty.
-	DescribeTable("of a domain that came back stay within what they bear, and carry its share once warm", func(hosts, upstreams int) {
-		const bears, limit, perUpstream = 20, 12, 8
+	// A failure domain recovers with idle, cold upstreams, while the others are busy
+	// and requests arrive at more than twice the usual rate. All hosts see the same
+	// upstreams idle and would overload them.
+	DescribeTable("of a recovered failure domain stay within their capacity, and get their share once warm", func(hosts, upstreams int) {
+		const capacity, limit, perUpstream = 20, 12, 8
 		f := newFleet(hosts, upstreams, 64, bundle.PolicyAdaptive)
 		f.arrivalInterval = time.Second / time.Duration(perUpstream*upstreams)
 		f.serviceTime = func(string) time.Duration { return time.Second }
@@ -77,13 +77,13 @@
 		for i := range names {
 			names[i] = fmt.Sprint("host-", i)
 		}
-		back := f.now.Add(3 * time.Second)
+		recovery := f.now.Add(3 * time.Second)
 		inDomain := func(i int) bool { return i%4 == 3 }
 		for i, r := range f.routers {
-			shares, most := intake.NewShares(names[i], names), map[string]int{}
+			shares, limits := intake.NewShares(names[i], names), map[string]int{}
 			for u := range upstreams {
 				if inDomain(u) {
-					most[fmt.Sprint("u", u)] = shares.Of(fmt.Sprint("u", u), limit)
+					limits[fmt.Sprint("u", u)] = shares.Of(fmt.Sprint("u", u), limit)
 				}
 			}
 			without := testBundle(upstreams, 64, bundle.PolicyAdaptive)
@@ -94,48 +94,48 @@
 					without.Pools[0].Upstreams = append(without.Pools[0].Upstreams, all[u])
 				}
 			}
-			r.SetCold(most)
+			r.SetCold(limits)
 			r.Apply(without)
 		}
-		f.run(back.Sub(f.now))
+		f.run(recovery.Sub(f.now))
 		for _, r := range f.routers {
 			r.Apply(testBundle(upstreams, 64, bundle.PolicyAdaptive))
 		}
 		picks, total := map[string][]time.Time{}, 0
 		f.onPick = func(u string) { picks[u] = append(picks[u], f.now); total++ }
 		f.run(3 * time.Second)
-		carried := 0
+		recoveredPicks := 0
 		for u := range upstreams {
 			if name := fmt.Sprint("u", u); inDomain(u) {
-				Expect(mostInASecond(picks[name])).To(BeNumerically("<=", bears), name)
-				carried += len(picks[name])
+				Expect(maxPicksPerSecond(picks[name])).To(BeNumerically("<=", capacity), name)
+				recoveredPicks += len(picks[name])
 			}
 		}
-		Expect(f.errors).To(BeZero(), "the warm upstreams have room")
-		Expect(carried).To(BeNumerically(">", 0))
+		Expect(f.errors).To(BeZero(), "the warm upstreams have free capacity")
+		Expect(recoveredPicks).To(BeNumerically(">", 0))
 		for _, r := range f.routers {
 			r.SetCold(nil)
 		}
 		f.run(time.Second)
-		picks, total, carried = map[string][]time.Time{}, 0, 0
+		picks, total, recoveredPicks = map[string][]time.Time{}, 0, 0
 		f.run(time.Second)
 		for u := range upstreams {
 			if inDomain(u) {
-				carried += len(picks[fmt.Sprint("u", u)])
+				recoveredPicks += len(picks[fmt.Sprint("u", u)])
 			}
 		}
-		Expect(float64(carried)/float64(total)).To(BeNumerically(">", 0.2), "of a quarter of the upstreams")
+		Expect(float64(recoveredPicks)/float64(total)).To(BeNumerically(">", 0.2), "the recovered ones are a quarter of the upstreams")
 	}, Entry("6 hosts", 6, 12), Entry("60 hosts", 60, 92), Entry("300 hosts", 300, 240))
 })
 
-// mostInASecond is the largest number of picks within a second.
-func mostInASecond(at []time.Time) int {
-	most, from := 0, 0
+// maxPicksPerSecond returns the largest number of picks within any second.
+func maxPicksPerSecond(at []time.Time) int {
+	peak, from := 0, 0
 	for i := range at {
 		for at[i].Sub(at[from]) >= time.Second {
 			from++
 		}
-		most = max(most, i-from+1)
+		peak = max(peak, i-from+1)
 	}
-	return most
+	return peak
 }
--- a/core/route/fleet_behaviour_test.go
+++ b/core/route/fleet_behaviour_test.go
@@ -22,7 +22,7 @@
 		return request.CallOK
 	}
 
-	It("takes a dead upstream out after three failures, for longer each time", func() {
+	It("ejects a dead upstream after three failures, for longer each time", func() {
 		f := newFleet(1, 10, 100, bundle.PolicyAdaptive)
 		f.arrivalInterval = 4 * time.Millisecond
 		f.result = fail
@@ -38,21 +38,21 @@
 		Expect(f.pickCounts[dead]).To(BeNumerically("<=", 16), "one or two calls after each of 2, 4, 8, 16, 32 s")
 	})
 
-	DescribeTable("never takes out more than the cap",
-		func(upstreams, dead, most int) {
+	DescribeTable("never ejects more upstreams than the limit",
+		func(upstreams, deadCount, want int) {
 			f := newFleet(1, upstreams, 1000, bundle.PolicyAdaptive)
 			f.run(time.Second)
 			f.result = func(u string) request.CallResult {
-				if n, _ := strconv.Atoi(u[1:]); n < dead {
+				if n, _ := strconv.Atoi(u[1:]); n < deadCount {
 					return request.CallFailed
 				}
 				return request.CallOK
 			}
-			worst := 0
-			f.onPick = func(string) { worst = max(worst, f.routers[0].current.Load().pools[pool].ejectedCount(f.now)) }
+			peak := 0
+			f.onPick = func(string) { peak = max(peak, f.routers[0].current.Load().pools[pool].ejectedCount(f.now)) }
 			f.run(2 * time.Second)
 			Expect(f.errors).To(BeZero())
-			Expect(worst).To(Equal(most))
+			Expect(peak).To(Equal(want))
 		},
 		Entry("one upstream, dead", 1, 1, 0),
 		Entry("two upstreams, one dead", 2, 1, 1),
@@ -60,7 +60,7 @@
 		Entry("ten upstreams, eight dead", 10, 8, 6),
 	)
 
-	It("leaves a pool whole that fails whole", func() {
+	It("does not eject the upstreams of a pool that fails as a whole", func() {
 		f := newFleet(1, 10, 1000, bundle.PolicyAdaptive)
 		f.result = func(string) request.CallResult { return request.CallFailed }
 		f.run(2 * time.Second)
@@ -68,7 +68,7 @@
 		Expect(f.routers[0].current.Load().pools[pool].ejectedCount(f.now)).To(BeNumerically("<=", 1))
 	})
 
-	It("takes out at most the share of stragglers that the cap leaves", func() {
+	It("ejects slow upstreams only up to the limit", func() {
 		f := newFleet(1, 10, 1000, bundle.PolicyAdaptive)
 		slow := map[string]bool{"u0": true, "u1": true, "u2": true, "u3": true, "u4": true}
 		f.run(time.Second)
@@ -78,13 +78,13 @@
 			}
 			return 100 * time.Millisecond
 		}
-		most := 0
-		f.onPick = func(string) { most = max(most, f.routers[0].current.Load().pools[pool].ejectedCount(f.now)) }
+		peak := 0
+		f.onPick = func(string) { peak = max(peak, f.routers[0].current.Load().pools[pool].ejectedCount(f.now)) }
 		f.run(3 * time.Second)
-		Expect(most).To(Equal(3))
+		Expect(peak).To(Equal(3))
 	})
 
-	It("readmits at a growing share", func() {
+	It("readmits an upstream with a growing share of calls", func() {
 		f := newFleet(1, 10, 100, bundle.PolicyAdaptive)
 		f.run(2 * time.Second)
 		f.result = fail
@@ -112,7 +112,7 @@
 		Expect(last).To(BeNumerically(">", 0.05))
 	})
 
-	It("does not blame a readmitted upstream for calls sent before its ejection", func() {
+	It("ignores failures of calls that were sent before the ejection", func() {
 		r := testRouter(testBundle(2, 100, bundle.PolicyAdaptive), 1)
 		var old []request.Choice
 		for len(old) < 6 {
@@ -136,16 +136,16 @@
 		s := p.members[0].state
 		s.ejection.start(start, ejectedFailures, c)
 		Expect(s.ejection.until).To(Equal(start.Add(2 * time.Second)))
-		back := start.Add(3 * time.Second)
-		s.countCall(back, false)
-		p.ejectIfNeeded(back, s, c)
-		Expect(s.ejection.until).To(Equal(back.Add(4 * time.Second)))
-		Expect(s.ejection.share(back.Add(9*time.Second), c.RampDuration)).To(BeNumerically("~", 0.55, 1e-9))
+		readmitted := start.Add(3 * time.Second)
+		s.countCall(readmitted, false)
+		p.ejectIfNeeded(readmitted, s, c)
+		Expect(s.ejection.until).To(Equal(readmitted.Add(4 * time.Second)))
+		Expect(s.ejection.share(readmitted.Add(9*time.Second), c.RampDuration)).To(BeNumerically("~", 0.55, 1e-9))
 	})
 })
 
-var _ = Describe("a straggler at ten times the usual latency", func() {
-	straggle := func(f *fleet) {
+var _ = Describe("an upstream with ten times the usual latency", func() {
+	slowDown := func(f *fleet) {
 		f.serviceTime = func(u string) time.Duration {
 			d := time.Duration(float64(100*time.Millisecond) * (0.5 + rand.New(rand.NewPCG(uint64(f.now.UnixNano()), 1)).ExpFloat64()/2))
 			if u == "u3" {
@@ -158,21 +158,21 @@
 		f := newFleet(1, 10, 64, policy)
 		f.arrivalInterval = 2 * time.Millisecond
 		f.run(2 * time.Second)
-		straggle(f)
+		slowDown(f)
 		f.run(warmup)
 		clear(f.pickCounts)
 		f.run(10 * time.Second)
 		return float64(f.pickCounts["u3"]) / 5000
 	}
 
-	It("is avoided after two seconds", func() {
+	It("gets almost no calls after two seconds", func() {
 		Expect(shareAfter(bundle.PolicyAdaptive, 2*time.Second)).To(BeNumerically("<", 0.02))
 		Expect(shareAfter(bundle.PolicyRoundRobin, 2*time.Second)).To(BeNumerically("~", 0.1, 0.01))
 	})
 })
 
 var _ = Describe("an upstream whose calls hang", func() {
-	It("is refused although none ever ended", func() {
+	It("is rejected as stalled although no call ever ended", func() {
 		f := newFleet(1, 4, 1000, bundle.PolicyAdaptive)
 		f.run(2 * time.Second)
 		f.serviceTime = func(u string) time.Duration {
@@ -189,9 +189,9 @@
 	})
 })
 
-var _ = Describe("many daemons that hear the same report", func() {
-	// peak returns the mean over time of the highest load of any upstream, in
-	// multiples of the mean load, while all hear the same report each second.
+var _ = Describe("many daemons that have the same load report", func() {
+	// peak returns the time average of the highest load of any upstream, as a
+	// multiple of the mean load, while all daemons get the same report each second.
 	peak := func(p func(Picker) Picker) float64 {
 		f := newFleet(40, 20, 16, bundle.PolicyAdaptive)
 		for _, r := range f.routers {
@@ -202,11 +202,11 @@
 		f.run(500 * time.Millisecond)
 		sum, picks := 0.0, 0
 		f.onPick = func(string) {
-			total, most := 0, 0
+			total, highest := 0, 0
 			for _, n := range f.running {
-				total, most = total+n, max(most, n)
+				total, highest = total+n, max(highest, n)
 			}
-			sum += float64(most) * 20 / float64(total)
+			sum += float64(highest) * 20 / float64(total)
 			picks++
 		}
 		for range 4 {
@@ -216,17 +216,18 @@
 		return sum / float64(picks)
 	}
 
-	It("do not all choose the upstream that it shows idle", func() {
+	It("do not all choose the upstream that the report shows as idle", func() {
 		adaptive := peak(func(p Picker) Picker { return p })
 		random := peak(func(Picker) Picker { return randomPicker{} })
 		naive := peak(func(Picker) Picker { return leastLoadedPicker{} })
-		GinkgoWriter.Printf("peak over mean: adaptive %.2f, at random %.2f, least by report %.2f\n", adaptive, random, naive)
+		GinkgoWriter.Printf("peak over mean load: adaptive %.2f, random %.2f, least loaded by report %.2f\n", adaptive, random, naive)
 		Expect(adaptive).To(BeNumerically("<", 1.1*random))
 		Expect(naive).To(BeNumerically(">", 1.5*random))
 	})
 })
 
-// anyAtRandom ignores all that is known: nothing herds less.
+// randomPicker ignores all information, so that daemons choose independently of each
+// other.
 type randomPicker struct{}
 
 func (randomPicker) Name() string { return "random" }
@@ -235,7 +236,8 @@
 	return append(drawn, scoredCandidate{index: eligible[rng.IntN(len(eligible))]})
 }
 
-// leastReported is the naive picker: the least loaded of all by the report.
+// leastLoadedPicker chooses the upstream with the least load by the report, which makes
+// all daemons choose the same one.
 type leastLoadedPicker struct{}
 
 func (leastLoadedPicker) Name() string { return "least_reported" }
--- a/core/route/fleet_test.go
+++ b/core/route/fleet_test.go
@@ -11,7 +11,7 @@
 	"github.com/wheatseam/wheatseam/core/request"
 )
 
-// call is a call in flight of a fleet.
+// call is a call in flight in a fleet.
 type call struct {
 	ends   time.Time
 	began  time.Time
@@ -31,8 +31,8 @@
 	return last
 }
 
-// fleet drives many routers over the same upstreams, open-loop, in its own
-// time: calls arrive evenly, each at a random router.
+// fleet simulates many routers over the same upstreams with an open-loop load: calls
+// arrive at even intervals, each at a random router.
 type fleet struct {
 	rng             *rand.Rand
 	routers         []*Router
@@ -45,7 +45,7 @@
 	running    map[string]int
 	pickCounts map[string]int
 	errors     int
-	// onPick is called after each pick with the state of the upstreams.
+	// onPick is called after each pick with the name of the picked upstream.
 	onPick func(upstream string)
 }
 
@@ -65,7 +65,7 @@
 	return f
 }
 
-// run lets calls arrive for d.
+// run simulates arrivals for d.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(f.arrivalInterval) {
 		f.endDueCalls()
@@ -82,7 +82,7 @@
 	}
 }
 
-// finish ends the calls that are due.
+// endDueCalls ends the calls whose end time has been reached.
 func (f *fleet) endDueCalls() {
 	for len(f.inFlight) > 0 && !f.inFlight[0].ends.After(f.now) {
 		c := heap.Pop(&f.inFlight).(call)
@@ -91,7 +91,7 @@
 	}
 }
 
-// report tells all routers the true load of all upstreams.
+// broadcastReports gives all routers the actual load of all upstreams.
 func (f *fleet) broadcastReports() {
 	for _, r := range f.routers {
 		for i := range r.current.Load().pools[pool].members {
--- a/core/route/intake_test.go
+++ b/core/route/intake_test.go
@@ -11,14 +11,14 @@
 	"github.com/wheatseam/wheatseam/core/request"
 )
 
-var _ = Describe("upstreams that name a limit", func() {
+var _ = Describe("upstreams that declare a call limit", func() {
 	limited := func(upstreams int, parts map[string]intake.Part) *Router {
 		r := testRouter(testBundle(upstreams, 100, bundle.PolicyAdaptive), 1)
 		r.config.Gates.SetParts(intake.Named, parts)
 		return r
 	}
 
-	It("get no more than this daemon's part, whatever else is tried, and the others the rest", func() {
+	It("get no more calls than this daemon's quota, also on retries, and the others get the rest", func() {
 		part := intake.Part{Calls: 2, Window: 4 * time.Second}
 		r := limited(3, map[string]intake.Part{"u0": part, "u1": part})
 		picks := map[string]int{}
@@ -33,7 +33,7 @@
 		Expect(picks).To(And(HaveKeyWithValue("u0", 2), HaveKeyWithValue("u1", 2)))
 	})
 
-	It("are refused with the time until the first of them may be asked again", func() {
+	It("are refused with the time until the first of them accepts calls again", func() {
 		r := limited(2, map[string]intake.Part{"u0": {Calls: 1, Window: 4 * time.Second}, "u1": {Calls: 1, Window: 4 * time.Second}})
 		first := mustPick(r, start, testQuery())
 		Expect(mustPick(r, start.Add(time.Second), testQuery()).Upstream).NotTo(Equal(first.Upstream))
@@ -46,7 +46,7 @@
 		Expect(mustPick(r, start.Add(4*time.Second), testQuery()).Upstream).To(Equal(first.Upstream))
 	})
 
-	It("are no source of copies", func() {
+	It("are not used as a source of copies", func() {
 		r := limited(2, map[string]intake.Part{"u0": {Calls: 2, Window: 4 * time.Second}})
 		address := func(name string) string {
 			for _, p := range r.current.Load().pools["llm"].members {
@@ -61,7 +61,7 @@
 	})
 })
 
-var _ = Describe("upstreams that say they leave", func() {
+var _ = Describe("upstreams that report that they are leaving", func() {
 	leaving := func(r *Router, names ...string) {
 		parts := map[string]intake.Part{}
 		for _, n := range names {
@@ -70,7 +70,7 @@
 		r.config.Gates.SetParts(intake.Leaving, parts)
 	}
 
-	It("get nothing more, whatever else was tried and whatever list comes", func() {
+	It("get no more calls, also on retries and after a bundle is applied", func() {
 		b := testBundle(2, 100, bundle.PolicyAdaptive)
 		r := testRouter(b, 1)
 		leaving(r, "u0")
@@ -82,7 +82,7 @@
 		}
 	})
 
-	It("leave nobody: the caller is refused at once", func() {
+	It("cause an immediate refusal if no other upstream is left", func() {
 		r := testRouter(testBundle(2, 100, bundle.PolicyAdaptive), 1)
 		leaving(r, "u0", "u1")
 		wait, closed := r.Closed(start, "llm")
@@ -93,7 +93,7 @@
 		Expect(err.RetryAfter).To(Equal(unavailableRetryAfter))
 	})
 
-	It("leave a place for another start", func() {
+	It("do not block a new instance of the same upstream", func() {
 		r := testRouter(testBundle(1, 100, bundle.PolicyAdaptive), 1)
 		leaving(r, "u0")
 		b := testBundle(1, 100, bundle.PolicyAdaptive)
@@ -103,7 +103,7 @@
 	})
 })
 
-var _ = Describe("upstreams that ask for rest", func() {
+var _ = Describe("upstreams that request a pause", func() {
 	resting := func(r *Router, until map[string]time.Duration) {
 		parts := map[string]intake.Part{}
 		for name, d := range until {
@@ -112,7 +112,7 @@
 		r.config.Gates.SetParts(intake.Resting, parts)
 	}
 
-	It("get nothing until it is over, also as the last that are left", func() {
+	It("get no calls until the pause is over, even if no others are left", func() {
 		r := testRouter(testBundle(2, 100, bundle.PolicyAdaptive), 1)
 		resting(r, map[string]time.Duration{"u0": 3 * time.Second, "u1": 2 * time.Second})
 		wait, closed := r.Closed(start, "llm")
@@ -133,8 +133,8 @@
 	})
 })
 
-var _ = Describe("an upstream that is not listed for a while", func() {
-	It("is bounded again when it is, though calls are in flight there", func() {
+var _ = Describe("an upstream that is temporarily not listed", func() {
+	It("is limited when it is listed again, although calls to it are in flight", func() {
 		gates := intake.NewGates()
 		r := New(Config{FailureDomain: "d0", Seed: 1, Gates: gates})
 		b := testBundle(2, 100, bundle.PolicyAdaptive)
--- a/core/route/prefill_test.go
+++ b/core/route/prefill_test.go
@@ -20,17 +20,17 @@
 	}
 	Expect(r.backlog(start.Add(after))).To(Equal(want))
 },
-	Entry("nothing", nil, time.Second, time.Duration(0)),
+	Entry("no prompts", nil, time.Second, time.Duration(0)),
 	Entry("one prompt", []pendingPrompt{{prefillTime: time.Second, usualFirstByte: time.Second}}, 300*time.Millisecond, 700*time.Millisecond),
 	Entry("two prompts, one after the other", []pendingPrompt{{prefillTime: time.Second, usualFirstByte: 3 * time.Second}, {prefillTime: time.Second, usualFirstByte: 3 * time.Second}},
 		500*time.Millisecond, 1500*time.Millisecond),
-	Entry("one that is overdue: as much again", []pendingPrompt{{prefillTime: 100 * time.Millisecond, usualFirstByte: 200 * time.Millisecond}}, 500*time.Millisecond, 300*time.Millisecond),
-	Entry("one that is overdue for long", []pendingPrompt{{prefillTime: 100 * time.Millisecond, usualFirstByte: 200 * time.Millisecond}}, time.Minute, maxOverdueBacklog),
-	Entry("a fellow's, whose end is not heard of", []pendingPrompt{{prefillTime: 100 * time.Millisecond, fromPeer: true}}, time.Second, time.Duration(0)),
+	Entry("one overdue prompt adds the time by which it is overdue", []pendingPrompt{{prefillTime: 100 * time.Millisecond, usualFirstByte: 200 * time.Millisecond}}, 500*time.Millisecond, 300*time.Millisecond),
+	Entry("one long overdue prompt", []pendingPrompt{{prefillTime: 100 * time.Millisecond, usualFirstByte: 200 * time.Millisecond}}, time.Minute, maxOverdueBacklog),
+	Entry("a peer's prompt, whose end is not reported", []pendingPrompt{{prefillTime: 100 * time.Millisecond, fromPeer: true}}, time.Second, time.Duration(0)),
 )
 
-// The pattern: a prompt that takes an engine a second to read, among prompts of
-// some hundredths that all have their shared parts there.
+// The load pattern: one prompt whose prefill takes an engine a second, among prompts
+// that take some hundredths of a second and have the same cached prefix there.
 var _ = Describe("a long prompt among short ones", func() {
 	engines := func(n int) *Router {
 		r := New(Config{PrefixRoom: 0.35, PrefixBonus: 2, BacklogWeight: 4, Seed: 1})
@@ -50,7 +50,7 @@
 	}
 	now := time.Unix(1000, 0)
 
-	It("sends the short ones elsewhere until it is read", func() {
+	It("sends short prompts to other engines until its prefill completes", func() {
 		r := engines(12)
 		home := pick(r, now, "long", 1200*time.Millisecond)
 		for i := range 20 {
@@ -60,7 +60,7 @@
 		Expect(pick(r, now.Add(1250*time.Millisecond), "after", 10*time.Millisecond).Upstream).To(Equal(home.Upstream))
 	})
 
-	It("does so when a fellow sent it", func() {
+	It("diverts short prompts also if a peer sent the long one", func() {
 		r := engines(12)
 		home := pick(r, now, "before", 10*time.Millisecond)
 		r.Done(now, request.Outcome{Choice: home, Stage: "s", Result: request.CallOK})
@@ -69,13 +69,13 @@
 		Expect(pick(r, now.Add(1300*time.Millisecond), "y", 10*time.Millisecond).Upstream).To(Equal(home.Upstream))
 	})
 
-	It("keeps prompts with their shared parts when the wait is short", func() {
+	It("keeps prompts at the engine that has their prefix cached if the wait is short", func() {
 		r := engines(12)
 		home := pick(r, now, "long", 300*time.Millisecond)
 		Expect(pick(r, now, "short", 10*time.Millisecond).Upstream).To(Equal(home.Upstream))
 	})
 
-	It("forgets prompts that failed, and remembers a bounded number", func() {
+	It("removes failed prompts and stores a bounded number", func() {
 		r := engines(1)
 		c := pick(r, now, "fails", time.Second)
 		r.Done(now, request.Outcome{Choice: c, Stage: "s", Result: request.CallFailed})
@@ -89,21 +89,21 @@
 		Expect(st.prefillQueue.prompts).To(HaveLen(1))
 	})
 
-	It("says whether another engine can be copied from", func() {
+	It("determines whether an engine can serve copies", func() {
 		r := engines(2)
 		c := pick(r, now, "x", time.Second)
 		Expect(r.Usable(now, "llm", c.Upstream, c.Address)).To(BeTrue())
-		Expect(r.Usable(now.Add(minStallTimeout), "llm", c.Upstream, c.Address)).To(BeFalse(), "it has said nothing for long")
+		Expect(r.Usable(now.Add(minStallTimeout), "llm", c.Upstream, c.Address)).To(BeFalse(), "calls are in flight without progress")
 		Expect(r.Usable(now, "llm", "unknown", "unknown")).To(BeFalse())
 	})
 
-	It("learns nothing of an engine from a pick for which nothing was sent", func() {
+	It("takes no progress from a pick for which no call was sent", func() {
 		r := engines(1)
 		c := pick(r, now, "x", time.Second)
 		st := r.current.Load().pools["llm"].members[0].state
 		r.Unpick(now.Add(minStallTimeout), pick(r, now.Add(minStallTimeout), "x", time.Second))
-		Expect(r.Usable(now.Add(minStallTimeout), "llm", c.Upstream, c.Address)).To(BeFalse(), "it has said nothing since")
-		Expect(st.prefillQueue.prompts).To(HaveLen(1), "it still reads the prompt that was sent")
+		Expect(r.Usable(now.Add(minStallTimeout), "llm", c.Upstream, c.Address)).To(BeFalse(), "no call has made progress since")
+		Expect(st.prefillQueue.prompts).To(HaveLen(1), "the prefill of the sent prompt is still pending")
 		Expect(st.ownCalls).To(Equal(1))
 	})
 })
--- a/core/route/route_suite_test.go
+++ b/core/route/route_suite_test.go
@@ -23,8 +23,8 @@
 
 const pool = "llm"
 
-// testBundle has one engine pool of n upstreams u0, u1, ... spread over
-// failure domains d0 to d3 of region r0.
+// testBundle returns a bundle with one engine pool of n upstreams u0, u1, ... spread
+// over the failure domains d0 to d3 of region r0.
 func testBundle(n, concurrency int, policy bundle.Policy) *bundle.Bundle {
 	b := &bundle.Bundle{Policy: policy}
 	for i := range 4 {
@@ -53,7 +53,7 @@
 	return request.Query{Request: "r", Pool: pool, Stage: "generate", Kind: bundle.StageGenerate, Attempt: 1}
 }
 
-// mustPick picks and fails the spec on a refusal.
+// mustPick picks an upstream and fails the spec on an error.
 func mustPick(r *Router, now time.Time, q request.Query) request.Choice {
 	GinkgoHelper()
 	c, err := r.Pick(now, q, nil)
@@ -65,7 +65,7 @@
 	r.Done(now, request.Outcome{Choice: c, Stage: "generate", Result: result, Latency: latency})
 }
 
-// entries is a record.Recorder.
+// entryRecorder is a record.Recorder that keeps all entries.
 type entryRecorder []record.Entry
 
 func (e *entryRecorder) Add(x record.Entry) { *e = append(*e, x) }
--- a/core/route/router_test.go
+++ b/core/route/router_test.go
@@ -32,14 +32,14 @@
 		Expect(run()).To(Equal(run()))
 	})
 
-	It("refuses unknown and empty pools as not run", func() {
+	It("refuses a pick from an unknown pool with an error that says that nothing was run", func() {
 		r := New(Config{})
 		_, err := r.Pick(start, testQuery(), nil)
 		Expect(err.Kind).To(Equal(problem.NoUpstream))
 		Expect(err.Execution).To(Equal(problem.NotRun))
 	})
 
-	DescribeTable("gives a leaving upstream no new work, and finishes its calls",
+	DescribeTable("gives a leaving upstream no new calls, and lets its calls finish",
 		func(policy bundle.Policy) {
 			r := testRouter(testBundle(4, 100, policy), 1)
 			var open []request.Choice
@@ -64,7 +64,7 @@
 		Entry("least requests", bundle.PolicyLeastRequests),
 	)
 
-	It("does not let an older report undo that an upstream is leaving", func() {
+	It("ignores an older report that does not say that an upstream is leaving", func() {
 		r := testRouter(testBundle(2, 100, bundle.PolicyAdaptive), 1)
 		r.Observe(load.Report{Upstream: "u0", AsOf: start.Add(time.Second), Leaving: true})
 		r.Observe(load.Report{Upstream: "u0", AsOf: start})
@@ -73,7 +73,7 @@
 		}
 	})
 
-	It("keeps counts over a new bundle by name and address, also of upstreams away for a while", func() {
+	It("keeps call counts by name and address across bundles, also of upstreams that are temporarily absent", func() {
 		r := testRouter(testBundle(1, 2, bundle.PolicyAdaptive), 1)
 		var open []request.Choice
 		for range 4 {
@@ -110,7 +110,7 @@
 		Expect(saturated()).To(BeFalse())
 	})
 
-	It("keeps the count of an upstream that a bundle dropped while its calls ran", func() {
+	It("keeps the call count of an upstream that a bundle drops while its calls run", func() {
 		r := testRouter(testBundle(2, 2, bundle.PolicyAdaptive), 1)
 		for range 8 {
 			mustPick(r, start, testQuery())
@@ -121,7 +121,7 @@
 		Expect(err).NotTo(BeNil())
 	})
 
-	It("serves a dropped pool for one more bundle, to requests admitted before", func() {
+	It("keeps a dropped pool until the next bundle, for requests that were admitted before", func() {
 		r := testRouter(testBundle(2, 2, bundle.PolicyAdaptive), 1)
 		without := testBundle(2, 2, bundle.PolicyAdaptive)
 		without.Pools[0].Name = "another"
@@ -132,7 +132,7 @@
 		Expect(err).NotTo(BeNil())
 	})
 
-	It("goes to another failure domain on a retry", func() {
+	It("retries in another failure domain", func() {
 		r := testRouter(testBundle(8, 4, bundle.PolicyAdaptive), 1)
 		q := testQuery()
 		q.Tried, q.TriedDomains = []string{"u0"}, []string{"d0"}
@@ -143,7 +143,7 @@
 		}
 	})
 
-	It("records candidates, scores and reasons, 16 at most", func() {
+	It("records at most 16 candidates, with scores and reasons", func() {
 		r := testRouter(testBundle(40, 4, bundle.PolicyAdaptive), 1)
 		q := testQuery()
 		for i := range 30 {
@@ -161,7 +161,7 @@
 		Expect(e.Choices[maxRecordedCandidates-1].Refused).To(Equal("tried: tried"))
 	})
 
-	It("expects what it measured, and nothing before 20 calls", func() {
+	It("returns measured latencies from 20 calls on", func() {
 		r := testRouter(testBundle(4, 100, bundle.PolicyAdaptive), 1)
 		_, known := r.Expect(pool, "generate", 0.5)
 		Expect(known).To(BeFalse())
@@ -174,7 +174,7 @@
 		Expect(d).To(BeNumerically(">", 70*time.Millisecond))
 	})
 
-	It("dumps what it knows", func() {
+	It("dumps its state", func() {
 		r := testRouter(testBundle(2, 4, bundle.PolicyAdaptive), 1)
 		now := start.Add(time.Second)
 		r.Observe(load.Report{Upstream: "u1", AsOf: start, Running: 2, Queued: 1, Leaving: true})
@@ -192,7 +192,7 @@
 		Expect(*u.ReportAge).To(Equal(time.Second))
 	})
 
-	It("is safe for concurrent use and loses no count", func() {
+	It("is safe for concurrent use and keeps call counts exact", func() {
 		r := testRouter(testBundle(10, 1000, bundle.PolicyAdaptive), 1)
 		var wg sync.WaitGroup
 		for g := range 8 {
--- a/core/route/steps_test.go
+++ b/core/route/steps_test.go
@@ -17,7 +17,7 @@
 		Expect(f.Refuse(v, &v.Candidates[0])).To(Equal(reason))
 	},
 	Entry("leaving", leavingFilter{}, Candidate{Leaving: true}, request.Query{}, "leaving"),
-	Entry("staying", leavingFilter{}, Candidate{}, request.Query{}, ""),
+	Entry("not leaving", leavingFilter{}, Candidate{}, request.Query{}, ""),
 	Entry("saturated by own calls", saturatedFilter{}, Candidate{OwnCalls: 8}, request.Query{}, "saturated"),
 	Entry("saturated by own and others' calls", saturatedFilter{}, Candidate{OwnCalls: 5, OtherCalls: 3}, request.Query{}, "saturated"),
 	Entry("one below the limit", saturatedFilter{}, Candidate{OwnCalls: 7}, request.Query{}, ""),
@@ -25,15 +25,15 @@
 	Entry("not ejected", ejectedFilter{}, Candidate{}, request.Query{}, ""),
 	Entry("stalled", stalledFilter{}, Candidate{Stalled: true}, request.Query{}, "stalled"),
 	Entry("busy", busyFilter{}, Candidate{Busy: true}, request.Query{}, "busy"),
-	Entry("readmitting, tails", readmittingFilter{}, Candidate{RampShare: 0.2, RampDraw: 0.3}, request.Query{}, "readmitting"),
-	Entry("readmitting, heads", readmittingFilter{}, Candidate{RampShare: 0.2, RampDraw: 0.1}, request.Query{}, ""),
+	Entry("readmitting, draw above the share", readmittingFilter{}, Candidate{RampShare: 0.2, RampDraw: 0.3}, request.Query{}, "readmitting"),
+	Entry("readmitting, draw below the share", readmittingFilter{}, Candidate{RampShare: 0.2, RampDraw: 0.1}, request.Query{}, ""),
 	Entry("tried", triedFilter{}, Candidate{Name: "u1"}, request.Query{Tried: []string{"u0", "u1"}}, "tried"),
 	Entry("not tried", triedFilter{}, Candidate{Name: "u2"}, request.Query{Tried: []string{"u0", "u1"}}, ""),
 	Entry("tried domain", triedDomainFilter{}, Candidate{Domain: "d1"}, request.Query{TriedDomains: []string{"d1"}}, "tried_domain"),
 	Entry("other domain", triedDomainFilter{}, Candidate{Domain: "d2"}, request.Query{TriedDomains: []string{"d1"}}, ""),
 )
 
-var _ = DescribeTable("relaxation leaves the least bad candidates",
+var _ = DescribeTable("relaxation admits candidates in the order of the levels",
 	func(candidates []Candidate, eligible []int) {
 		v := testView(candidates...)
 		v.Query = &request.Query{Tried: []string{"tried"}, TriedDomains: []string{"d9"}}
@@ -45,7 +45,7 @@
 	Entry("tried domain before busy", []Candidate{{Domain: "d9"}, {Busy: true}}, []int{0}),
 	Entry("busy before ejected", []Candidate{{Busy: true}, {Ejected: ejectedFailures}}, []int{0}),
 	Entry("ejected before tried", []Candidate{{Ejected: ejectedFailures}, {Name: "tried"}}, []int{0}),
-	Entry("tried at last", []Candidate{{Name: "tried"}, {Leaving: true}}, []int{0}),
+	Entry("tried last", []Candidate{{Name: "tried"}, {Leaving: true}}, []int{0}),
 	Entry("leaving never", []Candidate{{Leaving: true}, {Leaving: true}}, []int{}),
 	Entry("saturated never", []Candidate{{OwnCalls: 8}, {Leaving: true}}, []int{}),
 )
@@ -58,16 +58,16 @@
 	},
 	Entry("load of an idle upstream", loadScorer{}, Candidate{}, time.Duration(0), 0.25),
 	Entry("load counts own and others' calls", loadScorer{}, Candidate{OwnCalls: 1, SampledOtherCalls: 2}, time.Duration(0), 1.0),
-	Entry("usual latency is free", latencyScorer{0.5}, Candidate{Slowness: 1}, time.Duration(0), 0.0),
+	Entry("usual latency costs nothing", latencyScorer{0.5}, Candidate{Slowness: 1}, time.Duration(0), 0.0),
 	Entry("slowness costs", latencyScorer{0.5}, Candidate{Slowness: 4}, time.Duration(0), 1.0),
-	Entry("own domain is free", localityScorer{time.Millisecond, 20 * time.Millisecond}, Candidate{Domain: "d0", Region: "r0"}, 100*time.Millisecond, 0.0),
-	Entry("other domain costs its trip", localityScorer{time.Millisecond, 20 * time.Millisecond}, Candidate{Domain: "d1", Region: "r0"}, 100*time.Millisecond, 0.01),
-	Entry("other region costs more", localityScorer{time.Millisecond, 20 * time.Millisecond}, Candidate{Domain: "d5", Region: "r1"}, 100*time.Millisecond, 0.2),
-	Entry("the cost of distance is bounded", localityScorer{time.Millisecond, 20 * time.Millisecond}, Candidate{Domain: "d5", Region: "r1"}, time.Millisecond, maxLocalityCost),
+	Entry("the own domain costs nothing", localityScorer{time.Millisecond, 20 * time.Millisecond}, Candidate{Domain: "d0", Region: "r0"}, 100*time.Millisecond, 0.0),
+	Entry("another domain costs its round trip", localityScorer{time.Millisecond, 20 * time.Millisecond}, Candidate{Domain: "d1", Region: "r0"}, 100*time.Millisecond, 0.01),
+	Entry("another region costs more", localityScorer{time.Millisecond, 20 * time.Millisecond}, Candidate{Domain: "d5", Region: "r1"}, 100*time.Millisecond, 0.2),
+	Entry("the locality cost is bounded", localityScorer{time.Millisecond, 20 * time.Millisecond}, Candidate{Domain: "d5", Region: "r1"}, time.Millisecond, maxLocalityCost),
 )
 
 var _ = Describe("pickers", func() {
-	It("prefer the own failure domain at equal load, and yield when it is loaded more", func() {
+	It("prefer the own failure domain at equal load, but not at higher load", func() {
 		p := &randomChoices{choices: 2, scorers: adaptiveScorers(Config{}.withDefaults())}
 		v := testView(Candidate{Domain: "d0"}, Candidate{Domain: "d1"}, Candidate{Domain: "d2"})
 		rng := testRand()
@@ -80,7 +80,7 @@
 		}
 	})
 
-	It("take the home of the prefix until it costs more than the cache saves", func() {
+	It("choose the home of the prefix until its load costs more than the cache saves", func() {
 		p := &randomChoices{choices: 2, scorers: adaptiveScorers(Config{PrefixBonus: 0.5}.withDefaults())}
 		v := testView(Candidate{Domain: "d0"}, Candidate{Domain: "d0"}, Candidate{Domain: "d0", OwnCalls: 1})
 		v.PrefixHome = 2
@@ -89,7 +89,7 @@
 		Expect(p.Pick(v, []int{0, 1, 2}, testRand(), nil)[0].index).NotTo(Equal(2))
 	})
 
-	It("draw few candidates of many", func() {
+	It("sample few of many candidates", func() {
 		p := &randomChoices{choices: 2, scorers: adaptiveScorers(Config{}.withDefaults())}
 		eligible := make([]int, 100)
 		candidates := make([]Candidate, 100)
@@ -100,7 +100,7 @@
 		Expect(p.Pick(testView(candidates...), eligible, testRand(), nil)).To(HaveLen(2))
 	})
 
-	It("draw all of a small pool, so that the emptiest is among them", func() {
+	It("score all candidates of a small pool, so that the emptiest is among them", func() {
 		p := &randomChoices{choices: 2, scorers: adaptiveScorers(Config{}.withDefaults())}
 		v := testView(Candidate{Domain: "d0", OwnCalls: 2}, Candidate{Domain: "d1", OwnCalls: 2}, Candidate{Domain: "d2"})
 		rng := testRand()
@@ -109,7 +109,7 @@
 		}
 	})
 
-	It("round robin takes all in turn", func() {
+	It("round robin chooses all in turn", func() {
 		p := &roundRobin{}
 		var got []int
 		for range 4 {
@@ -118,7 +118,7 @@
 		Expect(got).To(Equal([]int{5, 6, 7, 5}))
 	})
 
-	It("least requests takes the least loaded, any of equals", func() {
+	It("least requests chooses the least loaded, at random among equals", func() {
 		v := testView(Candidate{OwnCalls: 2}, Candidate{OwnCalls: 1}, Candidate{OwnCalls: 1})
 		seen := map[int]int{}
 		rng := testRand()
@@ -131,7 +131,7 @@
 })
 
 var _ = Describe("prefix home", func() {
-	It("stays within the bound and moves few prefixes when an upstream goes", func() {
+	It("stays within the load bound and moves few prefixes when an upstream is removed", func() {
 		candidates := make([]Candidate, 10)
 		eligible := make([]int, 10)
 		for i := range candidates {
@@ -152,12 +152,12 @@
 		}
 		Expect(moved).To(BeNumerically("<", 200))
 
-		full := homes[1]
-		v.Candidates[full].OwnCalls = 4
-		Expect(prefixHome(v, eligible, 1, 1.5, 0)).NotTo(Equal(full))
+		loaded := homes[1]
+		v.Candidates[loaded].OwnCalls = 4
+		Expect(prefixHome(v, eligible, 1, 1.5, 0)).NotTo(Equal(loaded))
 	})
 
-	It("is of the own region where that has any", func() {
+	It("is in the own region if that has eligible upstreams", func() {
 		v := testView(Candidate{Region: "r1", Hash: 1}, Candidate{Region: "r0", Hash: 2})
 		for p := uint64(1); p < 50; p++ {
 			Expect(prefixHome(v, []int{0, 1}, p, 1.5, 0)).To(Equal(1))
@@ -183,20 +183,20 @@
 	}
 	costFirst := bundle.Objective{Attainment: 0.4, CostByStage: 1}
 
-	It("fills an engine up to its bound where cost comes first", func() {
+	It("fills an engine up to maxPackedLoad if cost outweighs attainment", func() {
 		Expect(pick(costFirst, 4*time.Second, 0, 5, 1)).To(Equal(1))
 		Expect(pick(costFirst, 4*time.Second, 0, 5, 8)).To(Equal(1))
 	})
 
-	It("spreads when all are beyond the bound", func() {
+	It("spreads calls if all engines are beyond maxPackedLoad", func() {
 		Expect(pick(costFirst, 4*time.Second, 9, 8, 9)).To(Equal(1))
 	})
 
-	It("spreads calls without time to spare", func() {
+	It("spreads calls with a short time budget", func() {
 		Expect(pick(costFirst, 2*time.Second, 0, 5)).To(Equal(0))
 	})
 
-	It("spreads where attainment comes first", func() {
+	It("spreads calls if attainment outweighs cost", func() {
 		Expect(pick(bundle.Objective{Attainment: 1, CostByStage: 0.2}, 4*time.Second, 0, 5)).To(Equal(0))
 	})
 })
