--- a/core/route/router.go
+++ b/core/route/router.go
@@ -184,11 +184,11 @@
 	})
 }
 
-// Told records that another daemon has sent an upstream a prompt that takes read to
-// prefill.
-func (r *Router) Told(now time.Time, pool, upstream, address string, read time.Duration) {
+// Told records that another daemon has sent an upstream a prompt whose prefill takes
+// prefillTime.
+func (r *Router) Told(now time.Time, pool, upstream, address string, prefillTime time.Duration) {
 	r.updateState(pool, upstream, address, func(st *memberState) {
-		st.prefillQueue.add(pendingPrompt{sentAt: now, prefillTime: read, fromPeer: true})
+		st.prefillQueue.add(pendingPrompt{sentAt: now, prefillTime: prefillTime, fromPeer: true})
 	})
 }
 
--- a/core/route/shard.go
+++ b/core/route/shard.go
@@ -181,8 +181,8 @@
 	if cand.RampShare < 1 {
 		cand.RampDraw = p.shard.rng.Float64()
 	}
-	stall := p.shard.stallTimeout
-	cand.Stalled = stall > 0 && st.ownCalls > 0 && now.Sub(st.lastProgress) > stall
+	stallTimeout := p.shard.stallTimeout
+	cand.Stalled = stallTimeout > 0 && st.ownCalls > 0 && now.Sub(st.lastProgress) > stallTimeout
 	return cand
 }
 
