--- a/core/stage/bench_test.go
+++ b/core/stage/bench_test.go
@@ -8,14 +8,14 @@
 	"github.com/wheatseam/wheatseam/core/catalog"
 )
 
-// BenchmarkOverload is one job and one call at a planner with a thousand jobs
-// before 51 replicas, as a burst leaves one of 80 daemons.
+// BenchmarkOverload measures one job and one call of a planner with 1,000 queued jobs and
+// 51 replicas, as after a burst in a fleet of 80 daemons.
 func BenchmarkOverload(b *testing.B) {
 	m := New(Config{})
 	now := time.Unix(1000, 0)
 	e := Configured{Services: map[string]*catalog.Service{}}
 	for _, name := range []string{"a", "b", "c"} {
-		e.Services[name] = figures(30, 3_000_000)
+		e.Services[name] = pieceParams(30, 3_000_000)
 		for i := range 17 {
 			id := fmt.Sprint(name, i)
 			e.Replicas = append(e.Replicas, catalog.Replica{ID: id, Service: name, FailureDomain: fmt.Sprint(i % 4), Concurrency: 1})
