--- a/core/route/apply.go
+++ b/core/route/apply.go
@@ -10,22 +10,22 @@
 	"github.com/wheatseam/wheatseam/core/load"
 )
 
-// snapshot is one immutable list of pools.
+// snapshot is an immutable set of pools.
 type snapshot struct {
 	region string
 	pools  map[string]*poolView
-	// byUpstream lists the places of each upstream's name.
-	byUpstream map[string][]place
+	// byUpstream lists, for each upstream name, the pools that contain it.
+	byUpstream map[string][]memberRef
 }
 
-// place is where an upstream stands.
-type place struct {
+// memberRef refers to an upstream in one pool.
+type memberRef struct {
 	pool  *poolView
-	state *state
+	state *memberState
 }
 
-// Apply puts the pools and the policy of b in force. Upstreams of the same
-// pool, name and address keep their counts and measurements.
+// Apply replaces the pools and the policy by those of b. Upstreams with the same pool,
+// name and address keep their call counts and measurements.
 func (r *Router) Apply(b *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -37,80 +37,82 @@
 	next := &snapshot{
 		region:     regions[r.config.FailureDomain],
 		pools:      make(map[string]*poolView, len(b.Pools)),
-		byUpstream: map[string][]place{},
+		byUpstream: map[string][]memberRef{},
 	}
 	for i := range b.Pools {
-		p := r.poolOf(old, &b.Pools[i], b, regions)
-		p.expected = expectedOf(b, p.name)
+		p := r.buildPool(old, &b.Pools[i], b, regions)
+		p.expectedLatency = expectedDuration(b, p.name)
 		next.pools[p.name] = p
-		next.place(p)
+		next.indexPool(p)
 	}
-	// A pool that the bundle dropped serves on for one more bundle, since
-	// requests that were admitted before may still need it; then it stays,
-	// without upstreams to pick, while it has calls in flight: a later bundle
-	// may bring it back.
+	// A pool that is missing from b remains in use until the next bundle, because
+	// requests that were admitted before may still need it. After that it is kept
+	// without upstreams to pick from while it has calls in flight, so that their
+	// counts are not lost if a later bundle contains the pool again.
 	for name, p := range old.pools {
 		switch {
 		case next.pools[name] != nil:
 		case !p.dropped:
-			next.pools[name] = p.asDropped()
-			next.place(next.pools[name])
+			next.pools[name] = p.droppedCopy()
+			next.indexPool(next.pools[name])
 		case p.shard.inFlight() > 0:
 			next.pools[name] = &poolView{name: name, steps: p.steps, shard: p.shard, dropped: true}
 		}
 	}
 	r.current.Store(next)
-	if r.ownGates {
+	if r.ownsGates {
 		r.config.Gates.Keep(func(name string) bool { return len(next.byUpstream[name]) > 0 })
 	}
 }
 
-// place notes where the upstreams of a pool stand.
-func (s *snapshot) place(p *poolView) {
+// indexPool adds the upstreams of a pool to byUpstream.
+func (s *snapshot) indexPool(p *poolView) {
 	for k := range p.members {
 		name := p.members[k].name
-		s.byUpstream[name] = append(s.byUpstream[name], place{p, p.members[k].state})
+		s.byUpstream[name] = append(s.byUpstream[name], memberRef{p, p.members[k].state})
 	}
 }
 
-// asDropped is the view of a pool that the bundle in force no longer has.
-func (p *poolView) asDropped() *poolView {
-	kept := *p
-	kept.dropped = true
-	return &kept
+// droppedCopy returns a copy of a pool that is marked as missing from the bundle in
+// force.
+func (p *poolView) droppedCopy() *poolView {
+	pool := *p
+	pool.dropped = true
+	return &pool
 }
 
-// poolOf builds the view of a pool and carries its states over.
-func (r *Router) poolOf(old *snapshot, b *bundle.Pool, of *bundle.Bundle, regions map[string]string) *poolView {
+// buildPool builds the view of a pool of b. It takes over the state of the pool's
+// upstreams from old.
+func (r *Router) buildPool(old *snapshot, cfg *bundle.Pool, b *bundle.Bundle, regions map[string]string) *poolView {
 	p := &poolView{
-		name:        b.Name,
-		concurrency: float64(max(1, b.Concurrency)),
-		limit:       math.Ceil(r.config.SaturationFactor * float64(max(1, b.Concurrency))),
+		name:            cfg.Name,
+		concurrency:     float64(max(1, cfg.Concurrency)),
+		saturationLimit: math.Ceil(r.config.SaturationFactor * float64(max(1, cfg.Concurrency))),
 	}
-	policy, pack := of.Policy, packWeight(of.Objective)
+	policy, pack := b.Policy, packWeight(b.Objective)
 	if policy == "" {
 		policy = bundle.PolicyAdaptive
 	}
-	if was := old.pools[b.Name]; was != nil {
-		p.shard, p.steps = was.shard, was.steps
+	if previous := old.pools[cfg.Name]; previous != nil {
+		p.shard, p.steps = previous.shard, previous.steps
 	} else {
-		p.shard = newShard(r.config.Seed, xxhash.Sum64String(b.Name))
+		p.shard = newShard(r.config.Seed, xxhash.Sum64String(cfg.Name))
 	}
-	if p.steps == nil || p.steps.policy != policy || p.steps.pack != pack {
-		p.steps = newSteps(policy, pack, r.config)
+	if p.steps == nil || p.steps.policy != policy || p.steps.packWeight != pack {
+		p.steps = newPolicySteps(policy, pack, r.config)
 	}
 	p.shard.mu.Lock()
 	defer p.shard.mu.Unlock()
-	kept := make(map[upstreamKey]*state, len(b.Upstreams))
-	for _, u := range b.Upstreams {
+	kept := make(map[upstreamKey]*memberState, len(cfg.Upstreams))
+	for _, u := range cfg.Upstreams {
 		key := upstreamKey{u.Name, u.Address}
 		st := p.shard.states[key]
 		if st == nil {
-			st = &state{}
+			st = &memberState{}
 		}
-		// Gates of upstreams that were not listed meanwhile are others.
+		// The upstream may have a new gate if it was not listed in the meantime.
 		st.gate = r.config.Gates.Of(u.Name)
-		st.listed = r.leaving[u.Name]
+		st.markedLeaving = r.markedLeaving[u.Name]
 		kept[key] = st
 		p.members = append(p.members, member{
 			name: u.Name, address: u.Address, domain: u.FailureDomain,
@@ -118,7 +120,7 @@
 		})
 	}
 	for key, st := range p.shard.states {
-		if kept[key] == nil && st.own > 0 {
+		if kept[key] == nil && st.ownCalls > 0 {
 			kept[key] = st
 		}
 	}
@@ -126,8 +128,8 @@
 	return p
 }
 
-// expectedOf returns the longest expected duration of the stages that use pool.
-func expectedOf(b *bundle.Bundle, pool string) time.Duration {
+// expectedDuration returns the longest expected duration of the stages that use pool.
+func expectedDuration(b *bundle.Bundle, pool string) time.Duration {
 	var longest time.Duration
 	for i := range b.Pipelines {
 		for _, s := range b.Pipelines[i].Stages {
@@ -139,42 +141,44 @@
 	return longest
 }
 
-// inFlight returns the number of own calls in flight.
+// inFlight returns the number of this daemon's calls in flight in the pool.
 func (s *shard) inFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
 	for _, st := range s.states {
-		n += st.own
+		n += st.ownCalls
 	}
 	return n
 }
 
-// SetLeaving says which upstreams, by name, the host list marks as leaving; it
-// replaces what was said before. They get no new work; calls in flight go on.
+// SetLeaving sets the names of the upstreams that the host list marks as leaving. It
+// replaces the previous set. These upstreams get no new calls; calls in flight
+// continue.
 func (r *Router) SetLeaving(names []string, _ time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leaving = make(map[string]bool, len(names))
+	r.markedLeaving = make(map[string]bool, len(names))
 	for _, n := range names {
-		r.leaving[n] = true
+		r.markedLeaving[n] = true
 	}
 	for name, places := range r.current.Load().byUpstream {
 		for _, pl := range places {
 			pl.pool.shard.mu.Lock()
-			pl.state.listed = r.leaving[name]
+			pl.state.markedLeaving = r.markedLeaving[name]
 			pl.pool.shard.mu.Unlock()
 		}
 	}
 }
 
-// Observe takes load reports, in any order; of an upstream the newest counts.
+// Observe stores load reports. They may come in any order: of the reports about an
+// upstream, the newest is kept.
 func (r *Router) Observe(reports ...load.Report) {
 	snap := r.current.Load()
 	for _, rep := range reports {
 		for _, pl := range snap.byUpstream[rep.Upstream] {
 			pl.pool.shard.mu.Lock()
-			pl.state.hear(rep)
+			pl.state.observeReport(rep)
 			pl.pool.shard.mu.Unlock()
 		}
 	}
--- a/core/route/filter.go
+++ b/core/route/filter.go
@@ -2,32 +2,32 @@
 
 import "slices"
 
-// Relaxation says when the refusals of a filter are lifted because no
-// candidate is left: Never, or in rising order.
-type Relaxation uint8
+// RelaxLevel is the level from which a filter is ignored because no candidate is left.
+// The levels are tried in increasing order. Filters of level Never are not ignored.
+type RelaxLevel uint8
 
-// The relaxations.
+// The relaxation levels.
 const (
-	Never Relaxation = iota
+	Never RelaxLevel = iota
 	RelaxFirst
 	RelaxSecond
 	RelaxThird
 	RelaxLast
 )
 
-// Filter refuses candidates. Refuse returns the reason, or "" to let c pass.
-// Implementations have no state and may be used concurrently.
+// Filter rejects candidates. Refuse returns the reason, or "" to accept c.
+// Implementations are stateless and safe for concurrent use.
 type Filter interface {
 	Name() string
-	Relax() Relaxation
+	Relax() RelaxLevel
 	Refuse(v *View, c *Candidate) string
 }
 
-// leavingFilter refuses upstreams that are leaving: they get no new work.
+// leavingFilter rejects upstreams that are leaving, since they accept no new work.
 type leavingFilter struct{}
 
 func (leavingFilter) Name() string      { return "leaving" }
-func (leavingFilter) Relax() Relaxation { return Never }
+func (leavingFilter) Relax() RelaxLevel { return Never }
 func (leavingFilter) Refuse(_ *View, c *Candidate) string {
 	if c.Leaving {
 		return "leaving"
@@ -35,30 +35,30 @@
 	return ""
 }
 
-// saturatedFilter refuses upstreams with as many calls as they may have.
+// saturatedFilter rejects upstreams that have reached the saturation limit.
 type saturatedFilter struct{}
 
 func (saturatedFilter) Name() string      { return "saturated" }
-func (saturatedFilter) Relax() Relaxation { return Never }
+func (saturatedFilter) Relax() RelaxLevel { return Never }
 func (saturatedFilter) Refuse(v *View, c *Candidate) string {
-	if c.Load() >= v.Limit {
+	if c.Load() >= v.SaturationLimit {
 		return "saturated"
 	}
 	return ""
 }
 
-// ejectedFilter refuses upstreams ejected for failures or slowness.
+// ejectedFilter rejects upstreams that are ejected.
 type ejectedFilter struct{}
 
 func (ejectedFilter) Name() string                        { return "ejected" }
-func (ejectedFilter) Relax() Relaxation                   { return RelaxThird }
+func (ejectedFilter) Relax() RelaxLevel                   { return RelaxThird }
 func (ejectedFilter) Refuse(_ *View, c *Candidate) string { return c.Ejected }
 
-// stalledFilter refuses upstreams where calls hang.
+// stalledFilter rejects upstreams whose calls hang.
 type stalledFilter struct{}
 
 func (stalledFilter) Name() string      { return "stalled" }
-func (stalledFilter) Relax() Relaxation { return RelaxSecond }
+func (stalledFilter) Relax() RelaxLevel { return RelaxSecond }
 func (stalledFilter) Refuse(_ *View, c *Candidate) string {
 	if c.Stalled {
 		return "stalled"
@@ -66,11 +66,11 @@
 	return ""
 }
 
-// busyFilter refuses upstreams that refused calls a moment ago.
+// busyFilter rejects upstreams that refused calls a short time ago.
 type busyFilter struct{}
 
 func (busyFilter) Name() string      { return "busy" }
-func (busyFilter) Relax() Relaxation { return RelaxSecond }
+func (busyFilter) Relax() RelaxLevel { return RelaxSecond }
 func (busyFilter) Refuse(_ *View, c *Candidate) string {
 	if c.Busy {
 		return "busy"
@@ -78,23 +78,23 @@
 	return ""
 }
 
-// readmittingFilter lets a readmitted upstream pass at its growing share.
+// readmittingFilter accepts a readmitted upstream with a probability that grows to 1.
 type readmittingFilter struct{}
 
 func (readmittingFilter) Name() string      { return "readmitting" }
-func (readmittingFilter) Relax() Relaxation { return RelaxSecond }
+func (readmittingFilter) Relax() RelaxLevel { return RelaxSecond }
 func (readmittingFilter) Refuse(_ *View, c *Candidate) string {
-	if c.Coin >= c.Share {
+	if c.RampDraw >= c.RampShare {
 		return "readmitting"
 	}
 	return ""
 }
 
-// triedFilter refuses the upstreams of the request's earlier attempts.
+// triedFilter rejects the upstreams of the request's earlier attempts.
 type triedFilter struct{}
 
 func (triedFilter) Name() string      { return "tried" }
-func (triedFilter) Relax() Relaxation { return RelaxLast }
+func (triedFilter) Relax() RelaxLevel { return RelaxLast }
 func (triedFilter) Refuse(v *View, c *Candidate) string {
 	if slices.Contains(v.Query.Tried, c.Name) {
 		return "tried"
@@ -102,11 +102,11 @@
 	return ""
 }
 
-// triedDomainFilter refuses the failure domains of earlier attempts.
+// triedDomainFilter rejects the failure domains of the request's earlier attempts.
 type triedDomainFilter struct{}
 
 func (triedDomainFilter) Name() string      { return "tried_domain" }
-func (triedDomainFilter) Relax() Relaxation { return RelaxFirst }
+func (triedDomainFilter) Relax() RelaxLevel { return RelaxFirst }
 func (triedDomainFilter) Refuse(v *View, c *Candidate) string {
 	if slices.Contains(v.Query.TriedDomains, c.Domain) {
 		return "tried_domain"
@@ -114,50 +114,50 @@
 	return ""
 }
 
-// domainFilter refuses failure domains other than the one in which the inputs
-// lie.
-type domainFilter struct{}
+// inputDomainFilter rejects failure domains other than the one that stores the inputs.
+type inputDomainFilter struct{}
 
-func (domainFilter) Name() string      { return "domain" }
-func (domainFilter) Relax() Relaxation { return RelaxFirst }
-func (domainFilter) Refuse(v *View, c *Candidate) string {
+func (inputDomainFilter) Name() string      { return "domain" }
+func (inputDomainFilter) Relax() RelaxLevel { return RelaxFirst }
+func (inputDomainFilter) Refuse(v *View, c *Candidate) string {
 	if v.Query.Domain != "" && v.Query.Domain != c.Domain {
 		return "other_domain"
 	}
 	return ""
 }
 
-// adaptiveFilters are the filters of the adaptive policy, in order.
+// adaptiveFilters returns the filters of the adaptive policy, in order.
 func adaptiveFilters() []Filter {
 	return []Filter{
 		leavingFilter{}, intakeFilter{}, ejectedFilter{}, stalledFilter{}, busyFilter{},
-		readmittingFilter{}, saturatedFilter{}, triedFilter{}, triedDomainFilter{}, domainFilter{},
+		readmittingFilter{}, saturatedFilter{}, triedFilter{}, triedDomainFilter{}, inputDomainFilter{},
 	}
 }
 
-// baselineFilters are the filters of the two baselines: no limits.
+// baselineFilters returns the filters of the two baseline policies, which set no limits
+// on load or failures.
 func baselineFilters() []Filter {
 	return []Filter{leavingFilter{}, intakeFilter{}, triedFilter{}}
 }
 
-// filterResult holds, for each candidate, the set of filters that refuse it
-// (bit i for filter i), and which candidates are eligible.
+// filterResult holds, for each candidate, the set of filters that reject it (bit i for
+// filter i), and the indexes of the eligible candidates.
 type filterResult struct {
 	refusals []uint16
 	eligible []int
-	// relaxed is the highest relaxation that was needed; Never for none.
-	relaxed Relaxation
+	// relaxed is the highest relaxation level that was needed, or Never.
+	relaxed RelaxLevel
 }
 
-// runFilters fills r with the verdicts of fs over v. Refusals are lifted, in
-// the order of Relax, only as far as needed to leave one candidate.
+// runFilters applies fs to the candidates of v and stores the result in r. It relaxes
+// filters, level by level, only as far as needed to leave one candidate.
 func runFilters(v *View, fs []Filter, r *filterResult) {
 	r.refusals = r.refusals[:0]
 	for i := range v.Candidates {
 		r.refusals = append(r.refusals, refusalsOf(v, fs, &v.Candidates[i]))
 	}
 	for r.relaxed = Never; r.relaxed <= RelaxLast; r.relaxed++ {
-		lifted := liftedAt(fs, r.relaxed)
+		lifted := relaxedFilters(fs, r.relaxed)
 		r.eligible = r.eligible[:0]
 		for i, set := range r.refusals {
 			if set&^lifted == 0 {
@@ -181,8 +181,8 @@
 	return set
 }
 
-// liftedAt returns the filters that are lifted at relaxation level.
-func liftedAt(fs []Filter, level Relaxation) uint16 {
+// relaxedFilters returns the set of filters that are ignored at a relaxation level.
+func relaxedFilters(fs []Filter, level RelaxLevel) uint16 {
 	var set uint16
 	for i, f := range fs {
 		if f.Relax() != Never && f.Relax() <= level {
@@ -192,8 +192,8 @@
 	return set
 }
 
-// reasonOf returns the reason of the first filter that refused c.
-func reasonOf(v *View, fs []Filter, c *Candidate) string {
+// refusalReason returns the name and the reason of the first filter that rejects c.
+func refusalReason(v *View, fs []Filter, c *Candidate) string {
 	for _, f := range fs {
 		if reason := f.Refuse(v, c); reason != "" {
 			return f.Name() + ": " + reason
--- a/core/route/latency.go
+++ b/core/route/latency.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// Latencies are kept in microseconds, from 10 us to 10 min, within 1%.
+	// Latencies are recorded in microseconds, from 10 us to 10 min, to within 1%.
 	histogramLowest  = 10
 	histogramHighest = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits  = 2
-	// minSamples is the number of calls from which quantiles are given.
+	// minSamples is the number of calls from which quantiles are returned.
 	minSamples = 20
-	// refreshAfter is how old the merged histogram may get under traffic.
-	refreshAfter = 200 * time.Millisecond
+	// mergeInterval is the maximum age of the merged histogram while calls are
+	// recorded.
+	mergeInterval = 200 * time.Millisecond
 )
 
-// window holds the latencies of the last one to two window lengths. Without
-// traffic the last ones stay. It is not safe for concurrent use.
-type window struct {
+// latencyWindow holds the latencies of the last one to two window lengths. Without
+// traffic, the last ones are kept. It is not safe for concurrent use.
+type latencyWindow struct {
 	length            time.Duration
 	current, previous *hdrhistogram.Histogram
 	merged            *hdrhistogram.Histogram
 	started           time.Time
-	refreshed         time.Time
+	mergedAt          time.Time
 	median            time.Duration
 }
 
-func newWindow(now time.Time, length time.Duration) *window {
-	return &window{
+func newWindow(now time.Time, length time.Duration) *latencyWindow {
+	return &latencyWindow{
 		length: length, started: now,
 		current: newHistogram(), previous: newHistogram(), merged: newHistogram(),
 	}
@@ -39,33 +40,33 @@
 	return hdrhistogram.New(histogramLowest, histogramHighest, histogramDigits)
 }
 
-// add counts d, which is cut to the histogram's range.
-func (w *window) add(now time.Time, d time.Duration) {
+// add records d, clamped to the histogram's range.
+func (w *latencyWindow) add(now time.Time, d time.Duration) {
 	if now.Sub(w.started) >= w.length && w.current.TotalCount() >= minSamples {
 		w.current, w.previous = w.previous, w.current
 		w.current.Reset()
 		w.started = now
 	}
-	// The value is in range, so that there is no error.
+	// The value is within the range, so RecordValue cannot fail.
 	_ = w.current.RecordValue(min(max(d.Microseconds(), histogramLowest), histogramHighest))
 	if w.current.TotalCount()+w.previous.TotalCount() < minSamples {
 		return
 	}
-	if w.merged.TotalCount() < minSamples || now.Sub(w.refreshed) >= refreshAfter {
-		w.refresh(now)
+	if w.merged.TotalCount() < minSamples || now.Sub(w.mergedAt) >= mergeInterval {
+		w.merge(now)
 	}
 }
 
-func (w *window) refresh(now time.Time) {
+func (w *latencyWindow) merge(now time.Time) {
 	w.merged.Reset()
 	w.merged.Merge(w.current)
 	w.merged.Merge(w.previous)
-	w.refreshed = now
+	w.mergedAt = now
 	w.median, _ = w.quantile(0.5)
 }
 
-// quantile returns the latency at q (0 to 1), false with too few calls.
-func (w *window) quantile(q float64) (time.Duration, bool) {
+// quantile returns the latency at q (0 to 1), or false if too few calls were recorded.
+func (w *latencyWindow) quantile(q float64) (time.Duration, bool) {
 	if w.merged.TotalCount() < minSamples {
 		return 0, false
 	}
@@ -74,58 +75,60 @@
 
 // stageLatency holds the latencies of one stage in one pool.
 type stageLatency struct {
-	// total is the latency of whole calls, first that to the first byte.
-	total, first *window
-	// unit is the latency for each unit of work, or of the call where that is
-	// not known: what upstreams are compared by.
-	unit *window
+	// total is the latency of whole calls, firstByte the latency to the first byte.
+	total, firstByte *latencyWindow
+	// perUnit is the latency per unit of work, or per call if the work is unknown. It
+	// is used to compare upstreams.
+	perUnit *latencyWindow
 }
 
 func newStageLatency(now time.Time, length time.Duration) *stageLatency {
 	return &stageLatency{newWindow(now, length), newWindow(now, length), newWindow(now, length)}
 }
 
-// unitOf returns the latency that upstreams are compared by.
-func unitOf(latency time.Duration, work int) time.Duration {
+// latencyPerUnit returns the latency by which upstreams are compared.
+func latencyPerUnit(latency time.Duration, work int) time.Duration {
 	return latency / time.Duration(max(work, 1))
 }
 
-// done counts a call that ended well.
-func (s *stageLatency) done(now time.Time, latency, first time.Duration, work int) {
+// addCompleted records a call that succeeded.
+func (s *stageLatency) addCompleted(now time.Time, latency, firstByte time.Duration, work int) {
 	s.total.add(now, latency)
-	if first > 0 {
-		s.first.add(now, first)
+	if firstByte > 0 {
+		s.firstByte.add(now, firstByte)
 	}
-	s.unit.add(now, unitOf(latency, work))
+	s.perUnit.add(now, latencyPerUnit(latency, work))
 }
 
-// gaveUp counts a call that was given up after latency: a lower bound of what
-// it would have taken. Left out, the calls that lose against a hedge would
-// make the quantiles, and so the next hedge delay, too short. Calls given up
-// early say nothing and are left out.
-func (s *stageLatency) gaveUp(now time.Time, latency time.Duration) {
+// addCancelled records a call that was cancelled after latency, which is a lower bound
+// of the latency that it would have had. Without the calls that lose against a hedge,
+// the quantiles would be too low, and so would the next hedge delay. Calls cancelled
+// before the median latency are not recorded, since such a low bound carries no
+// information.
+func (s *stageLatency) addCancelled(now time.Time, latency time.Duration) {
 	if s.total.median > 0 && latency > s.total.median {
 		s.total.add(now, latency)
 	}
 }
 
-// gaveUpFirst is gaveUp for a call that was given up before its first byte.
-func (s *stageLatency) gaveUpFirst(now time.Time, latency time.Duration) {
-	if s.first.median > 0 && latency > s.first.median {
-		s.first.add(now, latency)
+// addCancelledFirstByte does the same for the latency to the first byte, for a call
+// that was cancelled before it.
+func (s *stageLatency) addCancelledFirstByte(now time.Time, latency time.Duration) {
+	if s.firstByte.median > 0 && latency > s.firstByte.median {
+		s.firstByte.add(now, latency)
 	}
 }
 
-// slowness returns how many times the usual a call took, 0 when it can't be
-// said. For a call given up it is a lower bound.
-func (s *stageLatency) slowness(latency time.Duration, work int, whole bool) float64 {
-	usual := s.unit.median
-	took := unitOf(latency, work)
-	if !whole && work == 0 && s.first.median > 0 {
-		usual, took = s.first.median, latency
+// slowness returns the latency of a call as a multiple of the median, or 0 if it is
+// unknown. For a call that did not complete, the result is a lower bound.
+func (s *stageLatency) slowness(latency time.Duration, work int, completed bool) float64 {
+	median := s.perUnit.median
+	took := latencyPerUnit(latency, work)
+	if !completed && work == 0 && s.firstByte.median > 0 {
+		median, took = s.firstByte.median, latency
 	}
-	if usual <= 0 {
+	if median <= 0 {
 		return 0
 	}
-	return float64(took) / float64(usual)
+	return float64(took) / float64(median)
 }
