--- a/core/route/bench_test.go
+++ b/core/route/bench_test.go
@@ -12,10 +12,10 @@
 	"github.com/wheatseam/wheatseam/record"
 )
 
-// lastEntry is a record.Recorder that keeps the last entry.
-type lastEntry struct{ entry record.Entry }
+// lastEntryRecorder is a record.Recorder that keeps only the last entry.
+type lastEntryRecorder struct{ entry record.Entry }
 
-func (l *lastEntry) Add(e record.Entry) { l.entry = e }
+func (l *lastEntryRecorder) Add(e record.Entry) { l.entry = e }
 
 func BenchmarkPick(b *testing.B) {
 	for _, upstreams := range []int{10, 20, 100, 610} {
@@ -36,10 +36,10 @@
 	}
 	var rec record.Recorder
 	if recorded {
-		rec = &lastEntry{}
+		rec = &lastEntryRecorder{}
 	}
 	now := start
-	q := query()
+	q := testQuery()
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
@@ -53,12 +53,12 @@
 	}
 }
 
-// BenchmarkPickParallel measures the lock of one pool's shard.
+// BenchmarkPickParallel measures contention for the lock of one pool's shard.
 func BenchmarkPickParallel(b *testing.B) {
 	r := testRouter(testBundle(20, 1000, bundle.PolicyAdaptive), 1)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			c, err := r.Pick(start, query(), nil)
+			c, err := r.Pick(start, testQuery(), nil)
 			if err != nil {
 				b.Error(err)
 				return
@@ -68,8 +68,8 @@
 	})
 }
 
-// BenchmarkMemory gives the heap of a Router at the users' target shape: pools
-// of about 23 upstreams, and three measured stages in each pool.
+// BenchmarkMemory measures the heap size of a Router with the pool sizes that the users
+// plan for: about 23 upstreams in each pool, and three measured stages.
 func BenchmarkMemory(b *testing.B) {
 	for _, upstreams := range []int{23, 92, 184, 368, 610} {
 		b.Run(fmt.Sprintf("upstreams=%d", upstreams), func(b *testing.B) {
--- a/core/stage/handover_test.go
+++ b/core/stage/handover_test.go
@@ -7,104 +7,105 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a job whose owner may hand it to another planner", func() {
+var _ = Describe("a transferable job", func() {
 	stages := []Stage{{Service: "a", Pieces: 2, ResultBytes: 100}, {Service: "b", Pieces: 1, ResultBytes: 100}, {Service: "c", Pieces: 1}}
-	plain := func() *bench { return newBench(figures(20, 0), "x") }
-	// began returns a bench with the first stage made and the second running.
-	began := func() *bench {
-		b := plain()
-		b.submit(b.shared("j", stages...))
-		b.answer(b.running[0].Call)
-		return b
+	plain := func() *harness { return newHarness(pieceParams(20, 0), "x") }
+	// startedJob returns a harness with the first stage completed and the second running.
+	startedJob := func() *harness {
+		h := plain()
+		h.submit(h.newTransferableChain("j", stages...))
+		h.answer(h.running[0].Call)
+		return h
 	}
-	next := func(b *bench) { b.answer(b.running[0].Call) }
+	answerNext := func(h *harness) { h.answer(h.running[0].Call) }
 
-	It("has results given up as they are read while its owner was not told of them", func() {
-		b := began()
-		next(b)
-		Expect(b.held).To(HaveLen(1))
-		Expect(b.informs).To(BeEmpty())
+	It("has results released once they are read if they were not reported to its owner", func() {
+		h := startedJob()
+		answerNext(h)
+		Expect(h.results).To(HaveLen(1))
+		Expect(h.ownerNotices).To(BeEmpty())
 	})
 
-	It("has results that its owner was told of given up once it has heard that they were read", func() {
-		b := began()
-		first := b.progress["j"]
-		b.tell("j", first...)
-		next(b)
-		Expect(b.held).To(HaveLen(3), "it may have named them to another planner")
-		Expect(b.informs["j"]).To(Equal(1))
-		b.tell("j", b.progress["j"][2])
-		Expect(b.held).To(HaveLen(3), "it may not have heard")
-		b.hear("j", first...)
-		Expect(b.held).To(HaveLen(3), "they were not read by then")
-		b.hear("j", b.progress["j"][2])
-		Expect(b.held).To(HaveLen(1))
-		b.finish()
-		b.giveUp("j", Cancelled{Job: "j"})
-		Expect(b.held).To(BeEmpty())
+	It("has results reported to its owner released once the owner has acknowledged that they were read", func() {
+		h := startedJob()
+		first := h.progress["j"]
+		h.sendProgress("j", first...)
+		answerNext(h)
+		Expect(h.results).To(HaveLen(3), "the owner may have named them to another planner")
+		Expect(h.ownerNotices["j"]).To(Equal(1))
+		h.sendProgress("j", h.progress["j"][2])
+		Expect(h.results).To(HaveLen(3), "the owner may not have received the message")
+		h.ackProgress("j", first...)
+		Expect(h.results).To(HaveLen(3), "they had not been read by then")
+		h.ackProgress("j", h.progress["j"][2])
+		Expect(h.results).To(HaveLen(1))
+		h.answerAll()
+		h.endJob("j", Cancelled{Job: "j"})
+		Expect(h.results).To(BeEmpty())
 	})
 
-	It("has them all given up when its owner gives it up", func() {
-		b := began()
-		b.tell("j", b.progress["j"]...)
-		next(b)
-		b.giveUp("j", Cancelled{Job: "j"})
-		b.finish()
-		Expect(b.held).To(BeEmpty())
+	It("has all results released when its owner cancels it", func() {
+		h := startedJob()
+		h.sendProgress("j", h.progress["j"]...)
+		answerNext(h)
+		h.endJob("j", Cancelled{Job: "j"})
+		h.answerAll()
+		Expect(h.results).To(BeEmpty())
 	})
 
-	It("has results kept that its owner was told of when it is refused, until it says that it heard", func() {
-		b := began()
-		b.tell("j", b.progress["j"][0])
-		b.pass(20 * time.Second)
-		Expect(b.refused["j"].Held).To(BeTrue())
-		Expect(b.held).To(HaveLen(1))
-		Expect(b.held).To(HaveKey(b.progress["j"][0].Handle))
-		b.giveUp("j", Cancelled{Job: "j"})
-		b.finish()
-		Expect(b.held).To(BeEmpty())
-		Expect(b.m.refused).To(BeEmpty())
+	It("when refused keeps the results reported to its owner until the owner acknowledges", func() {
+		h := startedJob()
+		h.sendProgress("j", h.progress["j"][0])
+		h.advance(20 * time.Second)
+		Expect(h.refused["j"].Held).To(BeTrue())
+		Expect(h.results).To(HaveLen(1))
+		Expect(h.results).To(HaveKey(h.progress["j"][0].Handle))
+		h.endJob("j", Cancelled{Job: "j"})
+		h.answerAll()
+		Expect(h.results).To(BeEmpty())
+		Expect(h.m.refused).To(BeEmpty())
 	})
 
-	It("is refused with nothing left where its owner was told of nothing", func() {
-		b := began()
-		b.pass(20 * time.Second)
-		Expect(b.refused["j"].Held).To(BeFalse())
-		Expect(b.held).To(BeEmpty())
-		Expect(b.m.refused).To(BeEmpty())
+	It("when refused keeps no results if none were reported to its owner", func() {
+		h := startedJob()
+		h.advance(20 * time.Second)
+		Expect(h.refused["j"].Held).To(BeFalse())
+		Expect(h.results).To(BeEmpty())
+		Expect(h.m.refused).To(BeEmpty())
 	})
 
-	It("keeps what another planner had made when it is refused at once", func() {
-		b := plain()
-		j := b.shared("j", stages...)
-		j.Due, j.Deadline = b.now, b.now // one that may still end in time goes on
+	It("when refused on arrival keeps the results of another planner", func() {
+		h := plain()
+		j := h.newTransferableChain("j", stages...)
+		j.Due, j.Deadline = h.now, h.now // a job that may still be on time is continued
 		j.Made = []MadePiece{{Stage: 0, Index: 0, Handle: "old/1", Replica: "a1"}}
-		b.held["old/1"] = Piece{Job: "j"}
-		b.submit(j)
-		Expect(b.refused["j"].Held).To(BeTrue())
-		Expect(b.held).To(HaveLen(1))
-		b.submit(j) // the word of the refusal was lost
-		b.giveUp("j", Cancelled{Job: "j"})
-		Expect(b.held).To(BeEmpty())
+		h.results["old/1"] = Piece{Job: "j"}
+		h.submit(j)
+		Expect(h.refused["j"].Held).To(BeTrue())
+		Expect(h.results).To(HaveLen(1))
+		h.submit(j) // the refusal message was lost
+		h.endJob("j", Cancelled{Job: "j"})
+		Expect(h.results).To(BeEmpty())
 	})
 
-	It("leaves inputs to their time when one of them is gone", func() {
-		b := began()
-		b.tell("j", b.progress["j"]...)
-		run := b.take(b.running[0].Call)
-		clear(b.held) // a replica of the first stage is gone
-		b.step(CallEnded{Call: run.Call, Results: []Result{{Kind: InputGone}}})
-		Expect(b.running).To(HaveLen(1))
-		b.finish()
-		Expect(b.ready).To(HaveKey("j"))
+	It("leaves its inputs to expire when one of them is gone", func() {
+		h := startedJob()
+		h.sendProgress("j", h.progress["j"]...)
+		run := h.removeCall(h.running[0].Call)
+		clear(h.results) // the replica of the first stage is gone
+		h.step(CallEnded{Call: run.Call, Results: []Result{{Kind: InputGone}}})
+		Expect(h.running).To(HaveLen(1))
+		h.answerAll()
+		Expect(h.ready).To(HaveKey("j"))
 	})
 
-	// handed is the job as its owner hands it on, with the results that it knows of.
-	handed := func(b *bench, made ...MadePiece) Job {
-		j := b.shared("j", stages...)
+	// handedOver returns the job as its owner hands it over, with the results that the
+	// owner knows of.
+	handedOver := func(h *harness, made ...MadePiece) Job {
+		j := h.newTransferableChain("j", stages...)
 		for _, p := range made {
 			j.Made = append(j.Made, p)
-			b.held[p.Handle] = Piece{Job: "j", Stage: p.Stage, Index: p.Index}
+			h.results[p.Handle] = Piece{Job: "j", Stage: p.Stage, Index: p.Index}
 		}
 		return j
 	}
@@ -112,30 +113,30 @@
 	two := MadePiece{Stage: 0, Index: 1, Handle: "old/2", Replica: "a1"}
 	read := MadePiece{Stage: 1, Index: 0, Handle: "old/3", Replica: "b1"}
 
-	It("has results that were read left alone by the next planner, also those that their readers outlived", func() {
-		b := plain()
-		j := handed(b, two, read)
-		delete(b.held, "old/2") // the earlier planner gave them up
-		runs := b.submit(j)
+	It("does not use or release results that were read under an earlier planner", func() {
+		h := plain()
+		j := handedOver(h, two, read)
+		delete(h.results, "old/2") // the earlier planner released them
+		runs := h.submit(j)
 		Expect(runs).To(HaveLen(1))
 		Expect(runs[0].Service).To(Equal("c"))
-		b.finish()
-		b.giveUp("j", Cancelled{Job: "j"})
-		Expect(b.held).To(BeEmpty())
+		h.answerAll()
+		h.endJob("j", Cancelled{Job: "j"})
+		Expect(h.results).To(BeEmpty())
 	})
 
-	It("has results made again that were read by what is not there any more", func() {
-		b := plain()
+	It("has results recomputed whose reader's result is gone", func() {
+		h := plain()
 		lost := read
 		lost.Replica = "gone"
-		j := handed(b, one, two, lost)
-		clear(b.held) // the earlier planner gave them up, and the reader's replica is gone
-		runs := b.submit(j)
+		j := handedOver(h, one, two, lost)
+		clear(h.results) // the earlier planner released them, and the reader's replica is gone
+		runs := h.submit(j)
 		Expect(runs).To(HaveLen(1))
 		Expect(runs[0].Service).To(Equal("a"))
-		b.finish()
-		Expect(b.ready).To(HaveKey("j"))
-		b.giveUp("j", Cancelled{Job: "j"})
-		Expect(b.held).To(BeEmpty())
+		h.answerAll()
+		Expect(h.ready).To(HaveKey("j"))
+		h.endJob("j", Cancelled{Job: "j"})
+		Expect(h.results).To(BeEmpty())
 	})
 })
