--- a/core/route/fleet_test.go
+++ b/core/route/fleet_test.go
@@ -11,7 +11,7 @@
 	"github.com/wheatseam/wheatseam/core/request"
 )
 
-// call is a call in flight of a fleet.
+// call is a call in flight in a fleet.
 type call struct {
 	ends   time.Time
 	began  time.Time
@@ -31,31 +31,31 @@
 	return last
 }
 
-// fleet drives many routers over the same upstreams, open-loop, in its own
-// time: calls arrive evenly, each at a random router.
+// fleet simulates many routers over the same upstreams with an open-loop load: calls
+// arrive at even intervals, each at a random router.
 type fleet struct {
-	rng     *rand.Rand
-	routers []*Router
-	now     time.Time
-	every   time.Duration // between arrivals
-	service func(upstream string) time.Duration
-	result  func(upstream string) request.CallResult
+	rng             *rand.Rand
+	routers         []*Router
+	now             time.Time
+	arrivalInterval time.Duration // between arrivals
+	serviceTime     func(upstream string) time.Duration
+	result          func(upstream string) request.CallResult
 
-	open    calls
-	running map[string]int
-	picked  map[string]int
-	errors  int
-	// onPick is called after each pick with the state of the upstreams.
+	inFlight   calls
+	running    map[string]int
+	pickCounts map[string]int
+	errors     int
+	// onPick is called after each pick with the name of the picked upstream.
 	onPick func(upstream string)
 }
 
 func newFleet(routers, upstreams, concurrency int, policy bundle.Policy) *fleet {
 	f := &fleet{
-		rng: rand.New(rand.NewPCG(3, 4)), now: start, every: time.Millisecond,
-		running: map[string]int{}, picked: map[string]int{},
-		service: func(string) time.Duration { return 100 * time.Millisecond },
-		result:  func(string) request.CallResult { return request.CallOK },
-		onPick:  func(string) {},
+		rng: rand.New(rand.NewPCG(3, 4)), now: start, arrivalInterval: time.Millisecond,
+		running: map[string]int{}, pickCounts: map[string]int{},
+		serviceTime: func(string) time.Duration { return 100 * time.Millisecond },
+		result:      func(string) request.CallResult { return request.CallOK },
+		onPick:      func(string) {},
 	}
 	for i := range routers {
 		r := New(Config{FailureDomain: fmt.Sprintf("d%d", i%4), Seed: uint64(i)})
@@ -65,34 +65,34 @@
 	return f
 }
 
-// run lets calls arrive for d.
+// run simulates arrivals for d.
 func (f *fleet) run(d time.Duration) {
-	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(f.every) {
-		f.finish()
+	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(f.arrivalInterval) {
+		f.endDueCalls()
 		i := f.rng.IntN(len(f.routers))
-		c, err := f.routers[i].Pick(f.now, query(), nil)
+		c, err := f.routers[i].Pick(f.now, testQuery(), nil)
 		if err != nil {
 			f.errors++
 			continue
 		}
 		f.running[c.Upstream]++
-		f.picked[c.Upstream]++
+		f.pickCounts[c.Upstream]++
 		f.onPick(c.Upstream)
-		heap.Push(&f.open, call{f.now.Add(f.service(c.Upstream)), f.now, i, c})
+		heap.Push(&f.inFlight, call{f.now.Add(f.serviceTime(c.Upstream)), f.now, i, c})
 	}
 }
 
-// finish ends the calls that are due.
-func (f *fleet) finish() {
-	for len(f.open) > 0 && !f.open[0].ends.After(f.now) {
-		c := heap.Pop(&f.open).(call)
+// endDueCalls ends the calls whose end time has been reached.
+func (f *fleet) endDueCalls() {
+	for len(f.inFlight) > 0 && !f.inFlight[0].ends.After(f.now) {
+		c := heap.Pop(&f.inFlight).(call)
 		f.running[c.choice.Upstream]--
-		done(f.routers[c.router], c.ends, c.choice, f.result(c.choice.Upstream), c.ends.Sub(c.began))
+		finishCall(f.routers[c.router], c.ends, c.choice, f.result(c.choice.Upstream), c.ends.Sub(c.began))
 	}
 }
 
-// report tells all routers the true load of all upstreams.
-func (f *fleet) report() {
+// broadcastReports gives all routers the actual load of all upstreams.
+func (f *fleet) broadcastReports() {
 	for _, r := range f.routers {
 		for i := range r.current.Load().pools[pool].members {
 			name := fmt.Sprintf("u%d", i)
