--- a/gateway/site_test.go
+++ b/gateway/fixture_test.go
@@ -19,14 +19,14 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// The services and routes of the tests.
+// The paths of the routes under test.
 const (
-	host     = site.Hostname
-	sealPath = site.SealPath
-	safePath = site.SafePath
-	onePath  = site.StreamPath
-	goOnPath = site.ResumePath
-	// longPath streams are as those of goOnPath, with longer to go and one stage.
+	host       = site.Hostname
+	sealPath   = site.SealPath
+	safePath   = site.SafePath
+	streamPath = site.StreamPath
+	resumePath = site.ResumePath
+	// longPath streams are like those of resumePath, with a longer timeout and one stage.
 	longPath = "/long/"
 )
 
@@ -38,26 +38,26 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", 2+(os.Getpid()>>8+n/perOctet)&0x7f, os.Getpid()&0xff, 1+n%perOctet, port)
 }
 
-// tester is a test: one of Go's, or the spec that runs.
+// tester is a test of package testing, or the current Ginkgo spec.
 type tester interface {
 	Helper()
 	Fatalf(format string, args ...any)
 	Cleanup(func())
 }
 
-// fixture is a site with one gateway, or several.
+// fixture is a site with one gateway or several.
 type fixture struct {
 	*WithT
 	test     tester
 	store    *site.Store
 	ledger   *site.Ledger
-	address  string // of the store
+	address  string // address of the store
 	replicas map[string]*site.Replica
 	version  int
 	keys     []string
-	// coldRate is what cold replicas of plain bear in a second, and coldCalls those of
-	// encode; 0 for any number.
-	coldRate, coldCalls int
+	// coldRate is how many requests per second cold replicas of "plain" can take, and
+	// coldCallRate how many calls those of "encode" can; 0 for no limit.
+	coldRate, coldCallRate int
 }
 
 // newFixture returns the site of a spec.
@@ -98,14 +98,14 @@
 	f.store.Put("servers/"+r.ID, site.Entry(r, phase))
 }
 
-// registerCold registers a replica that stays cold for a while.
+// registerCold registers a replica that stays cold for the given time.
 func (f *fixture) registerCold(id string, left time.Duration) {
 	entry := site.Entry(f.replicas[id], "ready")
 	entry["warmup_left_ms"] = left.Milliseconds()
 	f.store.Put("servers/"+id, entry)
 }
 
-// behave makes all replicas of a service behave so.
+// behave sets the behaviour of all replicas of a service.
 func (f *fixture) behave(service string, b site.Behaviour) {
 	for _, r := range f.replicas {
 		if r.Service == service {
@@ -114,7 +114,7 @@
 	}
 }
 
-// configure puts the next version of the configuration in the store.
+// configure stores the next version of the configuration.
 func (f *fixture) configure() {
 	f.version++
 	c := site.Configuration(f.version, f.keys)
@@ -129,16 +129,16 @@
 	plain := c["services"].([]any)[0].(map[string]any)
 	plain["warmup_s"], plain["warmup_per_s"] = 2, f.coldRate
 	for _, s := range c["services"].([]any) {
-		if encode := s.(map[string]any); encode["name"] == "encode" && f.coldCalls > 0 {
-			encode["warmup_s"], encode["warmup_per_s"] = 20, f.coldCalls
+		if encode := s.(map[string]any); encode["name"] == "encode" && f.coldCallRate > 0 {
+			encode["warmup_s"], encode["warmup_per_s"] = 20, f.coldCallRate
 		}
 	}
 	c["limits"] = map[string]any{"max_body_bytes": 1000}
 	f.store.Put("op/config", c)
 }
 
-// running is one gateway.
-type running struct {
+// gatewayProcess is a running gateway.
+type gatewayProcess struct {
 	*WithT
 	test                               tester
 	callers, readiness, metrics, peers string
@@ -147,26 +147,28 @@
 	done chan error
 }
 
-// start starts a gateway.
-func (f *fixture) start(seeds ...string) *running { return f.startLogged(zap.NewNop(), seeds...) }
+// start starts a gateway that does not log.
+func (f *fixture) start(seeds ...string) *gatewayProcess {
+	return f.startLogged(zap.NewNop(), seeds...)
+}
 
 // startLogged starts a gateway that logs to log.
-func (f *fixture) startLogged(log *zap.Logger, seeds ...string) *running {
+func (f *fixture) startLogged(log *zap.Logger, seeds ...string) *gatewayProcess {
 	return f.startWith(log, nil, seeds...)
 }
 
-// startWith starts a gateway that logs to log; change may alter its settings.
-func (f *fixture) startWith(log *zap.Logger, change func(*gateway.Settings), seeds ...string) *running {
+// startWith starts a gateway that logs to log; change may modify its settings.
+func (f *fixture) startWith(log *zap.Logger, change func(*gateway.Settings), seeds ...string) *gatewayProcess {
 	self := address(7403)
 	s := &gateway.Settings{
 		Host: self, Name: "gw", FailureDomain: "x", Seeds: append(seeds, self),
-		Listen: gateway.Listen{Callers: address(7404), Readiness: address(7405), Peers: self, Metrics: address(7406)},
-		Store:  gateway.Store{Address: f.address},
-		Bounds: gateway.Bounds{Drain: time.Second, Configuration: time.Second},
-		Drain:  gateway.Drain{Grace: 2 * time.Second},
-		Budget: gateway.Budget{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
-		Rest:   gateway.Rest{Most: time.Minute},
-		Limits: gateway.Limits{Processors: 1, ProcessorShare: 1, MemoryMB: 256},
+		Listen:  gateway.Listen{Callers: address(7404), Readiness: address(7405), Peers: self, Metrics: address(7406)},
+		Store:   gateway.Store{Address: f.address},
+		Bounds:  gateway.Bounds{Drain: time.Second, Configuration: time.Second},
+		Drain:   gateway.Drain{Grace: 2 * time.Second},
+		Budget:  gateway.Budget{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
+		Backoff: gateway.Backoff{Max: time.Minute},
+		Limits:  gateway.Limits{Processors: 1, ProcessorShare: 1, MemoryMB: 256},
 	}
 	if change != nil {
 		change(s)
@@ -174,7 +176,7 @@
 	g, err := gateway.New(s, log)
 	f.Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{
+	r := &gatewayProcess{
 		WithT: f.WithT, test: f.test, callers: s.Listen.Callers, readiness: s.Listen.Readiness, metrics: s.Listen.Metrics, peers: self,
 		stop: cancel, done: make(chan error, 1),
 	}
@@ -186,14 +188,14 @@
 	return r
 }
 
-// ready waits until a gateway takes requests.
-func (r *running) ready() *running {
+// ready waits until the gateway is ready to serve.
+func (r *gatewayProcess) ready() *gatewayProcess {
 	r.test.Helper()
-	r.Eventually(r.status, "5s").Should(Equal(http.StatusOK))
+	r.Eventually(r.readinessStatus, "5s").Should(Equal(http.StatusOK))
 	return r
 }
 
-func (r *running) status() int {
+func (r *gatewayProcess) readinessStatus() int {
 	resp, err := http.Get("http://" + r.readiness + "/-/readyz")
 	if err != nil {
 		return 0
@@ -202,7 +204,7 @@
 	return resp.StatusCode
 }
 
-// answer is what a caller got.
+// answer is the answer that a caller received.
 type answer struct {
 	status int
 	header http.Header
@@ -213,8 +215,8 @@
 
 var nextID atomic.Uint64
 
-// send sends a request and reads the whole answer; change may alter it.
-func (r *running) send(method, path, body string, change func(*http.Request)) (answer, string) {
+// send sends a request and reads the whole answer; change may modify the request.
+func (r *gatewayProcess) send(method, path, body string, change func(*http.Request)) (answer, string) {
 	r.test.Helper()
 	id := fmt.Sprintf("%08x", nextID.Add(1))
 	req, err := http.NewRequest(method, "http://"+r.callers+path, bytes.NewReader([]byte(body)))
