--- a/core/admit/bench_test.go
+++ b/core/admit/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/wheatseam/wheatseam/core/request"
 )
 
-// The sizes of the target: pipelines of four stages over pools of their own
-// for generation and shared ones for the rest.
+// The benchmark bundle has the size of the target deployment. Each pipeline has four
+// stages: a generation stage with its own pool, and three stages on shared pools.
 const (
 	benchPipelines = 12
 	benchCustomers = 410
@@ -40,10 +40,10 @@
 		Deadline: epoch.Add(time.Hour),
 	}
 	for _, stage := range []string{"encode", "retrieve", "rerank"} {
-		p.Needs = append(p.Needs, request.Need{Stage: stage, Pool: stage, Expected: 10 * time.Millisecond})
+		p.Stages = append(p.Stages, request.PlannedStage{Stage: stage, Pool: stage, Expected: 10 * time.Millisecond})
 	}
 	generate := fmt.Sprintf("generate-%d", i%benchPipelines)
-	p.Needs = append(p.Needs, request.Need{Stage: "generate", Pool: generate, Expected: time.Second})
+	p.Stages = append(p.Stages, request.PlannedStage{Stage: "generate", Pool: generate, Expected: time.Second})
 	return p
 }
 
@@ -57,21 +57,22 @@
 	return plans
 }
 
-// request plays one whole request: its arrival, four slots, and its end.
-func playRequest(c *Controller, p request.Plan) int {
-	if c.Arrive(epoch, p, nil) != nil {
+// runRequest runs one whole request: its arrival, four slots and its end. It returns
+// the number of admitted requests, 0 or 1.
+func runRequest(c *Controller, p request.Plan) int {
+	if c.Admit(epoch, p, nil) != nil {
 		return 0
 	}
-	for _, n := range p.Needs {
+	for _, n := range p.Stages {
 		t := request.Ticket{
 			Request: p.Request, Attempt: 1, Stage: n.Stage, Pool: n.Pool, Customer: p.Customer,
 			Deadline: p.Deadline, Expected: n.Expected,
 		}
-		if verdict, _ := c.Acquire(epoch, t, nil); verdict == request.Granted {
+		if result, _ := c.Acquire(epoch, t, nil); result == request.Granted {
 			c.Release(epoch, t, request.CallOK, n.Expected)
 		}
 	}
-	c.Leave(epoch, p, true)
+	c.Finish(epoch, p, true)
 	return 1
 }
 
@@ -81,8 +82,8 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		p := plans[i%benchPlans]
-		if c.Arrive(epoch, p, nil) == nil {
-			c.Leave(epoch, p, true)
+		if c.Admit(epoch, p, nil) == nil {
+			c.Finish(epoch, p, true)
 		}
 	}
 }
@@ -98,13 +99,13 @@
 	}
 }
 
-// BenchmarkReleaseBacklog measures a slot that goes on to one of the tickets of
-// 410 backlogged customers.
+// BenchmarkReleaseBacklog measures a Release that grants the slot to one of the queued
+// tickets of 410 customers.
 func BenchmarkReleaseBacklog(b *testing.B) {
 	c := New(Config{MinQueue: 10 * benchCustomers})
-	bun := benchBundle()
-	bun.Hosts = make([]bundle.Host, 1280) // one slot
-	c.Apply(bun)
+	manyHosts := benchBundle()
+	manyHosts.Hosts = make([]bundle.Host, 1280) // one slot
+	c.Apply(manyHosts)
 	ticket := func(i int) request.Ticket {
 		return request.Ticket{
 			Request: fmt.Sprint(i), Attempt: 1, Stage: "encode", Pool: "encode",
@@ -123,18 +124,18 @@
 	}
 }
 
-// BenchmarkRequestParallel measures whole requests of four stages from all
-// processors at once.
+// BenchmarkRequestParallel measures whole requests of four stages, run in parallel on
+// all processors.
 func BenchmarkRequestParallel(b *testing.B) {
 	c, plans := New(Config{}), benchPlanList()
 	c.Apply(benchBundle())
 	var next, admitted atomic.Int64
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
-		own := int(next.Add(1)) * 1009
+		i := int(next.Add(1)) * 1009
 		for pb.Next() {
-			own++
-			admitted.Add(int64(playRequest(c, plans[own%benchPlans])))
+			i++
+			admitted.Add(int64(runRequest(c, plans[i%benchPlans])))
 		}
 	})
 	b.ReportMetric(float64(admitted.Load())/float64(b.N), "admitted/op")
--- a/core/intake/limit_test.go
+++ b/core/intake/limit_test.go
@@ -10,32 +10,33 @@
 	"github.com/wheatseam/wheatseam/core/intake"
 )
 
-// limitedTo is a replica that named a limit at start.
-func limitedTo(replica string, perSecond float64) intake.Limited {
+// replicaLimit is the limit of a replica that announced it at start.
+func replicaLimit(replica string, perSecond float64) intake.Limited {
 	return intake.Limited{Replica: replica, Limit: intake.Limit{Named: true, PerSecond: perSecond}, Since: start, At: start}
 }
 
-// perSecondOf is the rate of a part.
-func perSecondOf(p intake.Part) float64 { return float64(p.Calls) / p.Window.Seconds() }
+// rateOf returns the rate of a quota in calls per second.
+func rateOf(p intake.Part) float64 { return float64(p.Calls) / p.Window.Seconds() }
 
-func TestPartsOfALimitAddUpToIt(t *testing.T) {
+func TestQuotasAddUpToTheLimitRate(t *testing.T) {
 	for _, n := range []int{1, 6, 60, 300} {
 		hosts := hostNames(n)
 		for _, limit := range []float64{0.1, 0.2, 0.25, 0.5, 1, 2.5, 20, 100, 1e6} {
 			sum := 0.0
 			for _, h := range hosts {
-				p := intake.NewShares(h, hosts).OfLimit(limitedTo("r", limit), intake.Requester)
-				NewWithT(t).Expect(p.Calls).To(BeNumerically("<=", intake.MaxCalls))
-				sum += perSecondOf(p)
+				p := intake.NewShares(h, hosts).OfLimit(replicaLimit("r", limit), intake.Requester)
+				NewWithT(t).Expect(p.Calls).To(BeNumerically("<=", intake.MaxTrackedCalls))
+				sum += rateOf(p)
 			}
 			NewWithT(t).Expect(sum).To(BeNumerically("~", limit, 1e-3*limit), "%d hosts, %v a second", n, limit)
 		}
 	}
 }
 
-// TestPlannerHasMostOfALimitAndTwoOfThemStayWithinIt has one planner follow another
-// within the judged window: both have begun their calls.
-func TestPlannerHasMostOfALimitAndTwoOfThemStayWithinIt(t *testing.T) {
+// Two planners that succeed each other within the checked window may both have begun their
+// calls. Together with the other hosts they must stay within the limit, while a single
+// planner gets most of it.
+func TestTwoConsecutivePlannersStayWithinTheLimit(t *testing.T) {
 	hosts := hostNames(60)
 	for _, limit := range []float64{0.5, 1, 2.5, 4} {
 		g := NewWithT(t)
@@ -45,15 +46,15 @@
 			if i < 2 {
 				role = intake.Planner
 			}
-			calls += intake.NewShares(h, hosts).OfLimit(limitedTo("r", limit), role).Calls
+			calls += intake.NewShares(h, hosts).OfLimit(replicaLimit("r", limit), role).Calls
 		}
-		g.Expect(calls).To(BeNumerically("<=", allowedOf(limit)), "%v a second", limit)
-		alone := intake.NewShares(hosts[0], hosts).OfLimit(limitedTo("r", limit), intake.Planner)
-		g.Expect(perSecondOf(alone)).To(BeNumerically(">=", 0.5*limit))
+		g.Expect(calls).To(BeNumerically("<=", allowedRequests(limit)), "%v a second", limit)
+		planner := intake.NewShares(hosts[0], hosts).OfLimit(replicaLimit("r", limit), intake.Planner)
+		g.Expect(rateOf(planner)).To(BeNumerically(">=", 0.5*limit))
 	}
 }
 
-func TestPartsByRoleAddUpToTheCalls(t *testing.T) {
+func TestQuotasByRoleAddUpToTheCalls(t *testing.T) {
 	hosts := hostNames(60)
 	for _, calls := range []int{1, 2, 4, 12} {
 		sum := 0
@@ -69,72 +70,72 @@
 	}
 }
 
-func TestLimitWithoutPartsLetsSingleCallsPassOneHostAfterTheOther(t *testing.T) {
+func TestHostsWithoutQuotaProbeInTurn(t *testing.T) {
 	g := NewWithT(t)
 	hosts := hostNames(6)
 	for _, limit := range []float64{0, 0.01} {
-		var firsts []time.Duration
+		var probeTimes []time.Duration
 		for _, h := range hosts {
-			gates := intake.NewGates()
-			gate := gates.Of("r")
-			gates.SetParts(intake.Named, map[string]intake.Part{"r": intake.NewShares(h, hosts).OfLimit(limitedTo("r", limit), intake.Requester)})
+			limiters := intake.NewGates()
+			limiter := limiters.Of("r")
+			limiters.SetParts(intake.Named, map[string]intake.Part{"r": intake.NewShares(h, hosts).OfLimit(replicaLimit("r", limit), intake.Requester)})
 			for d := time.Duration(0); d < 2*time.Minute; d += 100 * time.Millisecond {
-				if _, refuses := gate.Refuses(start.Add(d)); !refuses {
-					firsts = append(firsts, d)
-					gate.Begin(start.Add(d))
-					_, refuses = gate.Refuses(start.Add(d))
-					g.Expect(refuses).To(BeTrue(), "one call")
+				if _, refuses := limiter.Refuses(start.Add(d)); !refuses {
+					probeTimes = append(probeTimes, d)
+					limiter.Begin(start.Add(d))
+					_, refuses = limiter.Refuses(start.Add(d))
+					g.Expect(refuses).To(BeTrue(), "one call only")
 					break
 				}
 			}
 		}
-		g.Expect(firsts).To(ConsistOf(10*time.Second, 20*time.Second, 30*time.Second, 40*time.Second, 50*time.Second, time.Minute))
+		g.Expect(probeTimes).To(ConsistOf(10*time.Second, 20*time.Second, 30*time.Second, 40*time.Second, 50*time.Second, time.Minute))
 	}
 }
 
-func TestGateOpensWhenTheNextCallIsAllowed(t *testing.T) {
+func TestLimiterReportsWhenTheNextCallIsAllowed(t *testing.T) {
 	g := NewWithT(t)
-	gates := intake.NewGates()
-	gate := gates.Of("r")
-	g.Expect(gate.Opens(start)).To(Equal(start))
-	gates.SetParts(intake.Named, map[string]intake.Part{"r": {Calls: 2, Window: 4 * time.Second}})
-	gate.Begin(start)
-	g.Expect(gate.Opens(at(1))).To(Equal(at(1)))
-	gate.Begin(at(1))
-	g.Expect(gate.Opens(at(2))).To(Equal(at(4)))
-	source, refuses := gate.Refuses(at(2))
+	limiters := intake.NewGates()
+	limiter := limiters.Of("r")
+	g.Expect(limiter.Opens(start)).To(Equal(start))
+	limiters.SetParts(intake.Named, map[string]intake.Part{"r": {Calls: 2, Window: 4 * time.Second}})
+	limiter.Begin(start)
+	g.Expect(limiter.Opens(at(1))).To(Equal(at(1)))
+	limiter.Begin(at(1))
+	g.Expect(limiter.Opens(at(2))).To(Equal(at(4)))
+	source, refuses := limiter.Refuses(at(2))
 	g.Expect(refuses).To(BeTrue())
 	g.Expect(fmt.Sprint(source)).To(Equal("limited"))
 
-	gates.SetParts(intake.Cold, map[string]intake.Part{"r": {Window: time.Second}})
-	g.Expect(gate.Opens(at(2))).To(Equal(at(4)), "both hold")
-	g.Expect(gate.Opens(at(5))).To(Equal(at(6)), "other hosts' calls")
-	gates.SetParts(intake.Resting, map[string]intake.Part{"r": {Until: at(9)}})
-	g.Expect(gate.Opens(at(5))).To(Equal(at(9)))
-	_, bounded := gate.Rate(at(5))
+	limiters.SetParts(intake.Cold, map[string]intake.Part{"r": {Window: time.Second}})
+	g.Expect(limiter.Opens(at(2))).To(Equal(at(4)), "both quotas apply")
+	g.Expect(limiter.Opens(at(5))).To(Equal(at(6)), "another host may begin a call")
+	limiters.SetParts(intake.Resting, map[string]intake.Part{"r": {Until: at(9)}})
+	g.Expect(limiter.Opens(at(5))).To(Equal(at(9)))
+	_, bounded := limiter.Rate(at(5))
 	g.Expect(bounded).To(BeTrue())
-	gates.SetParts(intake.Cold, nil)
-	gates.SetParts(intake.Named, nil)
-	source, refuses = gate.Refuses(at(8.9))
+	limiters.SetParts(intake.Cold, nil)
+	limiters.SetParts(intake.Named, nil)
+	source, refuses = limiter.Refuses(at(8.9))
 	g.Expect(refuses).To(BeTrue())
 	g.Expect(source).To(Equal(intake.Resting))
-	_, refuses = gate.Refuses(at(9))
+	_, refuses = limiter.Refuses(at(9))
 	g.Expect(refuses).To(BeFalse())
-	_, bounded = gate.Rate(at(9))
+	_, bounded = limiter.Rate(at(9))
 	g.Expect(bounded).To(BeFalse())
-	gates.SetParts(intake.Resting, nil)
+	limiters.SetParts(intake.Resting, nil)
 
-	gates.SetParts(intake.Leaving, map[string]intake.Part{"r": {}})
-	g.Expect(gate.Leaves()).To(BeTrue())
-	g.Expect(gate.Opens(at(5))).To(BeTemporally(">", at(1e9)))
-	gates.SetParts(intake.Leaving, nil)
-	g.Expect(gate.Leaves()).To(BeFalse())
-	gates.SetParts(intake.Cold, nil)
-	gates.SetParts(intake.Named, nil)
-	_, refuses = gate.Refuses(at(2))
+	limiters.SetParts(intake.Leaving, map[string]intake.Part{"r": {}})
+	g.Expect(limiter.Leaves()).To(BeTrue())
+	g.Expect(limiter.Opens(at(5))).To(BeTemporally(">", at(1e9)))
+	limiters.SetParts(intake.Leaving, nil)
+	g.Expect(limiter.Leaves()).To(BeFalse())
+	limiters.SetParts(intake.Cold, nil)
+	limiters.SetParts(intake.Named, nil)
+	_, refuses = limiter.Refuses(at(2))
 	g.Expect(refuses).To(BeFalse())
 
-	gates.SetParts(intake.Named, map[string]intake.Part{"later": {Window: time.Second}})
-	_, refuses = gates.Of("later").Refuses(start)
-	g.Expect(refuses).To(BeTrue(), "a replica that is listed later")
+	limiters.SetParts(intake.Named, map[string]intake.Part{"later": {Window: time.Second}})
+	_, refuses = limiters.Of("later").Refuses(start)
+	g.Expect(refuses).To(BeTrue(), "a gate created after the quota was set")
 }
