--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -34,40 +34,41 @@
 	RunSpecs(t, "discovery")
 }
 
-// hosts are daemons that call each other without a network.
-type hosts struct {
-	mu     sync.Mutex
-	muxes  map[string]*peer.Mux
-	cut    map[string]bool
-	frozen map[string]bool
-	// forming is closed when the fleet has formed; nil when it has long.
+// localPeers connects daemons that call each other without a network.
+type localPeers struct {
+	mu           sync.Mutex
+	muxes        map[string]*peer.Mux
+	disconnected map[string]bool
+	unresponsive map[string]bool
+	// forming is closed when the fleet has formed; nil stands for a fleet that already
+	// has.
 	forming chan struct{}
 }
 
-// caller is one host's way to the others.
-type caller struct {
-	hosts *hosts
+// localCaller makes the calls of one host to the others.
+type localCaller struct {
+	hosts *localPeers
 	self  string
 }
 
-var errCut = errors.New("cut")
+var errDisconnected = errors.New("disconnected")
 
-func (c caller) Call(ctx context.Context, host, method string, req, resp proto.Message) error {
+func (c localCaller) Call(ctx context.Context, host, method string, req, resp proto.Message) error {
 	c.hosts.mu.Lock()
-	mux, cut, frozen := c.hosts.muxes[host], c.hosts.cut[host], c.hosts.frozen[host]
+	mux, cut, frozen := c.hosts.muxes[host], c.hosts.disconnected[host], c.hosts.unresponsive[host]
 	c.hosts.mu.Unlock()
 	if frozen {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	if mux == nil || cut {
-		return errCut
+		return errDisconnected
 	}
 	return peer.CallLocal(ctx, mux, c.self, method, req, resp)
 }
 
-// Reachable implements discovery.Members: host-1 ranks first.
-func (h *hosts) Reachable() []fleet.Host {
+// Reachable implements discovery.Members. host-1 has run for longest and so ranks first.
+func (h *localPeers) Reachable() []fleet.Host {
 	var out []fleet.Host
 	for i := 1; i <= len(h.muxes); i++ {
 		out = append(out, fleet.Host{Host: member.Host{Name: fmt.Sprint("host-", i)}, Incarnation: uint64(i)})
@@ -76,116 +77,116 @@
 }
 
 // Formed implements discovery.Members.
-func (h *hosts) Formed() <-chan struct{} {
+func (h *localPeers) Formed() <-chan struct{} {
 	if h.forming != nil {
 		return h.forming
 	}
-	return formed
+	return closedChannel
 }
 
-// formed is closed: the fleet is known.
-var formed = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
+// closedChannel is the channel of a fleet that has formed.
+var closedChannel = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
 
-// bound is the time within which news must be in force in these tests.
+// bound is the time within which changes must be active in these tests.
 const bound = 800 * time.Millisecond
 
-// day is a fleet of discoveries before one store.
-type day struct {
-	hosts  *hosts
-	store  *site.Store
-	found  map[string]*discovery.Discovery
-	stores map[string]*platform.Store
-	broken map[string]bool
-	mu     sync.Mutex
+// testFleet is a set of discoveries that share one store.
+type testFleet struct {
+	hosts       *localPeers
+	store       *site.Store
+	discoveries map[string]*discovery.Discovery
+	stores      map[string]*platform.Store
+	storeDown   map[string]bool
+	mu          sync.Mutex
 }
 
-// gate lets single hosts lose the store.
-type gate struct {
-	day  *day
-	host string
+// faultyStore is one host's access to the store, which can be made to fail.
+type faultyStore struct {
+	fleet *testFleet
+	host  string
 }
 
-var errAway = errors.New("the store is away")
+var errStoreDown = errors.New("store is down")
 
-// away says whether the host has lost the store.
-func (g gate) away() bool {
-	g.day.mu.Lock()
-	defer g.day.mu.Unlock()
-	return g.day.broken[g.host]
+// down reports whether the store fails for this host.
+func (s faultyStore) down() bool {
+	s.fleet.mu.Lock()
+	defer s.fleet.mu.Unlock()
+	return s.fleet.storeDown[s.host]
 }
 
-func (g gate) Pages(ctx context.Context, prefix string, take func([]platform.Item)) (uint64, error) {
-	if g.away() {
-		return 0, errAway
+func (s faultyStore) Pages(ctx context.Context, prefix string, visit func([]platform.Item)) (uint64, error) {
+	if s.down() {
+		return 0, errStoreDown
 	}
-	return g.day.stores[g.host].Pages(ctx, prefix, take)
+	return s.fleet.stores[s.host].Pages(ctx, prefix, visit)
 }
 
-func (g gate) Get(ctx context.Context, key string) (platform.Item, uint64, error) {
-	if g.away() {
-		return platform.Item{}, 0, errAway
+func (s faultyStore) Get(ctx context.Context, key string) (platform.Item, uint64, error) {
+	if s.down() {
+		return platform.Item{}, 0, errStoreDown
 	}
-	return g.day.stores[g.host].Get(ctx, key)
+	return s.fleet.stores[s.host].Get(ctx, key)
 }
 
-func (g gate) Changes(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]platform.Item, uint64, error) {
-	if g.away() {
-		return nil, 0, errAway
+func (s faultyStore) Changes(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]platform.Item, uint64, error) {
+	if s.down() {
+		return nil, 0, errStoreDown
 	}
-	return g.day.stores[g.host].Changes(ctx, prefix, after, wait)
+	return s.fleet.stores[s.host].Changes(ctx, prefix, after, wait)
 }
 
-func newDay(n int, options ...func(*discovery.Config)) *day {
-	d := &day{
-		hosts: &hosts{muxes: map[string]*peer.Mux{}, cut: map[string]bool{}, frozen: map[string]bool{}}, store: site.NewStore(),
-		found: map[string]*discovery.Discovery{}, stores: map[string]*platform.Store{}, broken: map[string]bool{},
+func newTestFleet(n int, options ...func(*discovery.Config)) *testFleet {
+	f := &testFleet{
+		hosts: &localPeers{muxes: map[string]*peer.Mux{}, disconnected: map[string]bool{}, unresponsive: map[string]bool{}}, store: site.NewStore(),
+		discoveries: map[string]*discovery.Discovery{}, stores: map[string]*platform.Store{}, storeDown: map[string]bool{},
 	}
-	server := httptest.NewServer(d.store)
+	server := httptest.NewServer(f.store)
 	DeferCleanup(server.Close)
-	d.config(1)
-	d.replica("i-1", "ready")
+	f.writeConfig(1)
+	f.writeReplica("i-1", "ready")
 	for i := 1; i <= n; i++ {
 		name := fmt.Sprint("host-", i)
-		d.hosts.muxes[name] = peer.NewMux()
-		d.stores[name] = platform.NewStore(strings.TrimPrefix(server.URL, "http://"))
+		f.hosts.muxes[name] = peer.NewMux()
+		f.stores[name] = platform.NewStore(strings.TrimPrefix(server.URL, "http://"))
 		cfg := discovery.Config{
-			Self: name, Store: gate{d, name}, Members: d.hosts, Caller: caller{d.hosts, name}, Mux: d.hosts.muxes[name],
+			Self: name, Store: faultyStore{f, name}, Members: f.hosts, Caller: localCaller{f.hosts, name}, Mux: f.hosts.muxes[name],
 			Logger: zap.NewNop(), Bound: func() time.Duration { return bound }, Changed: func(*discovery.View) {},
 		}
 		for _, change := range options {
 			change(&cfg)
 		}
-		d.found[name] = discovery.New(cfg)
+		f.discoveries[name] = discovery.New(cfg)
 	}
-	return d
+	return f
 }
 
-func (d *day) config(version int) {
-	d.store.Put(platform.ConfigKey, []byte(fmt.Sprintf(`{"version":%d,"routes":[],"services":[{"name":"s"}]}`, version)))
+func (f *testFleet) writeConfig(version int) {
+	f.store.Put(platform.ConfigKey, []byte(fmt.Sprintf(`{"version":%d,"routes":[],"services":[{"name":"s"}]}`, version)))
 }
 
-func (d *day) replica(id, phase string) {
-	d.store.Put(platform.ReplicaPrefix+id, map[string]any{"service": "s", "address": "127.0.0.1:1", "zone": "z", "concurrency": 8, "phase": phase})
+func (f *testFleet) writeReplica(id, phase string) {
+	f.store.Put(platform.ReplicaPrefix+id, map[string]any{"service": "s", "address": "127.0.0.1:1", "zone": "z", "concurrency": 8, "phase": phase})
 }
 
-func (d *day) lose(host string, lost bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.broken[host] = lost
+func (f *testFleet) setStoreDown(host string, down bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.storeDown[host] = down
 }
 
-func (d *day) run(names ...string) {
+func (f *testFleet) run(names ...string) {
 	for _, name := range names {
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
-		go func() { defer close(done); d.found[name].Run(ctx) }()
+		go func() { defer close(done); f.discoveries[name].Run(ctx) }()
 		DeferCleanup(func() { cancel(); <-done })
 	}
 }
 
-func (d *day) version(host string) func() uint64 {
+func (f *testFleet) version(host string) func() uint64 {
 	return func() uint64 {
-		if c := d.found[host].View().Config; c != nil {
+		if c := f.discoveries[host].View().Config; c != nil {
 			return c.Version
 		}
 		return 0
@@ -193,48 +194,48 @@
 }
 
 var _ = Describe("discovery", func() {
-	It("lets one host read the store and the others learn from it within the bound", func() {
-		d := newDay(4)
-		d.run("host-1", "host-2", "host-3", "host-4")
-		for name := range d.found {
-			Eventually(d.version(name), "2s").Should(Equal(uint64(1)))
+	It("has one host read the store and the others learn from it within the bound", func() {
+		f := newTestFleet(4)
+		f.run("host-1", "host-2", "host-3", "host-4")
+		for name := range f.discoveries {
+			Eventually(f.version(name), "2s").Should(Equal(uint64(1)))
 		}
-		Eventually(func() string { return d.found["host-4"].View().Source }, "2s").Should(Equal("host-2"))
-		before := d.store.Calls()
-		d.config(2)
-		d.replica("i-1", "draining")
-		for name := range d.found {
-			Eventually(d.version(name), bound).Should(Equal(uint64(2)))
-			Eventually(func() bool { return d.found[name].View().Replicas["i-1"].Draining }, bound).Should(BeTrue())
+		Eventually(func() string { return f.discoveries["host-4"].View().Source }, "2s").Should(Equal("host-2"))
+		before := f.store.Calls()
+		f.writeConfig(2)
+		f.writeReplica("i-1", "draining")
+		for name := range f.discoveries {
+			Eventually(f.version(name), bound).Should(Equal(uint64(2)))
+			Eventually(func() bool { return f.discoveries[name].View().Replicas["i-1"].Draining }, bound).Should(BeTrue())
 		}
 		time.Sleep(bound)
-		Expect(d.store.Calls()-before).To(BeNumerically("<", 12), "one host's reads")
+		Expect(f.store.Calls()-before).To(BeNumerically("<", 12), "the reads of one host")
 	})
 
-	It("does not take replicas back from a host that was cut off while they went", func() {
-		d := newDay(3)
-		d.replica("i-2", "ready")
-		d.run("host-1", "host-2", "host-3")
+	It("does not restore removed replicas from a host that was disconnected when they were removed", func() {
+		f := newTestFleet(3)
+		f.writeReplica("i-2", "ready")
+		f.run("host-1", "host-2", "host-3")
 		replicas := func(host string) func() int {
-			return func() int { return len(d.found[host].View().Replicas) }
+			return func() int { return len(f.discoveries[host].View().Replicas) }
 		}
 		for _, host := range []string{"host-1", "host-2", "host-3"} {
 			Eventually(replicas(host), "3s").Should(Equal(2))
 		}
 		cut := func(is bool) {
-			d.hosts.mu.Lock()
-			defer d.hosts.mu.Unlock()
-			d.hosts.cut["host-2"] = is
+			f.hosts.mu.Lock()
+			defer f.hosts.mu.Unlock()
+			f.hosts.disconnected["host-2"] = is
 		}
 		cut(true)
-		d.lose("host-2", true)
-		d.store.Delete(platform.ReplicaPrefix + "i-2")
+		f.setStoreDown("host-2", true)
+		f.store.Delete(platform.ReplicaPrefix + "i-2")
 		for _, host := range []string{"host-1", "host-3"} {
 			Eventually(replicas(host), "6s").Should(Equal(1))
 		}
-		time.Sleep(4 * time.Second) // host-2 takes the store for having been away
+		time.Sleep(4 * time.Second) // by then host-2 has noticed that it lost the store
 		cut(false)
-		d.lose("host-2", false)
+		f.setStoreDown("host-2", false)
 		for range 80 {
 			Expect(replicas("host-1")()).To(Equal(1))
 			Expect(replicas("host-3")()).To(Equal(1))
@@ -243,91 +244,92 @@
 		Expect(replicas("host-2")()).To(Equal(1))
 	})
 
-	It("reads for itself when the host that reads has lost the store, is cut off or stands still", func() {
-		for _, trouble := range []func(d *day){
-			func(d *day) { d.lose("host-2", true) },
-			func(d *day) { d.hosts.mu.Lock(); d.hosts.cut["host-2"] = true; d.hosts.mu.Unlock() },
-			func(d *day) { d.hosts.mu.Lock(); d.hosts.frozen["host-2"] = true; d.hosts.mu.Unlock() },
+	It("reads the store when the host that reads it has lost the store, is disconnected or does not respond", func() {
+		for _, fail := range []func(f *testFleet){
+			func(f *testFleet) { f.setStoreDown("host-2", true) },
+			func(f *testFleet) { f.hosts.mu.Lock(); f.hosts.disconnected["host-2"] = true; f.hosts.mu.Unlock() },
+			func(f *testFleet) { f.hosts.mu.Lock(); f.hosts.unresponsive["host-2"] = true; f.hosts.mu.Unlock() },
 		} {
-			d := newDay(3)
-			d.run("host-1", "host-2", "host-3")
-			Eventually(func() string { return d.found["host-3"].View().Source }, "2s").Should(Equal("host-2"))
-			trouble(d)
-			d.config(2)
-			// newsWait + newsGrace of 250 ms + a read: under 1.2 bounds of this size.
-			Eventually(d.version("host-3"), bound+bound/5, "5ms").Should(Equal(uint64(2)))
+			f := newTestFleet(3)
+			f.run("host-1", "host-2", "host-3")
+			Eventually(func() string { return f.discoveries["host-3"].View().Source }, "2s").Should(Equal("host-2"))
+			fail(f)
+			f.writeConfig(2)
+			// changesWaitFraction of the bound + replyGrace of 250 ms + a read is less
+			// than 1.2 bounds of this size.
+			Eventually(f.version("host-3"), bound+bound/5, "5ms").Should(Equal(uint64(2)))
 		}
 	})
 
-	It("learns from a fellow while the store turns this host away, also at its start", func() {
-		d := newDay(2)
-		d.lose("host-2", true)
-		d.run("host-1", "host-2")
-		Eventually(d.version("host-2"), "2s").Should(Equal(uint64(1)))
+	It("learns from a peer while the store rejects this host, also at startup", func() {
+		f := newTestFleet(2)
+		f.setStoreDown("host-2", true)
+		f.run("host-1", "host-2")
+		Eventually(f.version("host-2"), "2s").Should(Equal(uint64(1)))
 	})
 
-	It("does not take the news of a host that has no view yet", func() {
-		d := newDay(2)
-		d.run("host-2")
-		Eventually(func() bool { return d.found["host-2"].View().Ready() }, "2s").Should(BeTrue())
-		d.lose("host-1", true)
-		Consistently(func() int { return len(d.found["host-2"].View().Replicas) }, bound).Should(Equal(1))
-		Expect(d.found["host-2"].View().AsOf).To(BeTemporally("~", time.Now(), bound))
+	It("ignores peers that have no view yet", func() {
+		f := newTestFleet(2)
+		f.run("host-2")
+		Eventually(func() bool { return f.discoveries["host-2"].View().Ready() }, "2s").Should(BeTrue())
+		f.setStoreDown("host-1", true)
+		Consistently(func() int { return len(f.discoveries["host-2"].View().Replicas) }, bound).Should(Equal(1))
+		Expect(f.discoveries["host-2"].View().AsOf).To(BeTemporally("~", time.Now(), bound))
 	})
 
-	It("never goes back to an older configuration, and keeps the old one when the new one is faulty", func() {
-		d := newDay(1)
-		d.run("host-1")
-		d.config(5)
-		Eventually(d.version("host-1"), "2s").Should(Equal(uint64(5)))
-		d.config(4)
-		d.store.Put(platform.ConfigKey, []byte("garbage"))
-		Consistently(d.version("host-1"), bound/2).Should(Equal(uint64(5)))
-		d.config(6)
-		Eventually(d.version("host-1"), bound).Should(Equal(uint64(6)))
+	It("never activates an older or an invalid configuration", func() {
+		f := newTestFleet(1)
+		f.run("host-1")
+		f.writeConfig(5)
+		Eventually(f.version("host-1"), "2s").Should(Equal(uint64(5)))
+		f.writeConfig(4)
+		f.store.Put(platform.ConfigKey, []byte("garbage"))
+		Consistently(f.version("host-1"), bound/2).Should(Equal(uint64(5)))
+		f.writeConfig(6)
+		Eventually(f.version("host-1"), bound).Should(Equal(uint64(6)))
 	})
 
-	It("passes changes of many replicas to many hosts", func() {
-		d := newDay(20)
+	It("propagates changes of many replicas to many hosts", func() {
+		f := newTestFleet(20)
 		for i := range 300 {
-			d.replica(fmt.Sprintf("r-%03d", i), "ready")
+			f.writeReplica(fmt.Sprintf("r-%03d", i), "ready")
 		}
 		var names []string
-		for name := range d.found {
+		for name := range f.discoveries {
 			names = append(names, name)
 		}
-		d.run(names...)
+		f.run(names...)
 		for _, name := range names {
-			Eventually(func() int { return len(d.found[name].View().Replicas) }, "4s").Should(Equal(301))
+			Eventually(func() int { return len(f.discoveries[name].View().Replicas) }, "4s").Should(Equal(301))
 		}
 		for i := range 20 {
-			d.replica(fmt.Sprintf("r-%03d", i), "draining")
-			d.store.Delete(fmt.Sprintf("servers/r-%03d", 100+i))
+			f.writeReplica(fmt.Sprintf("r-%03d", i), "draining")
+			f.store.Delete(fmt.Sprintf("servers/r-%03d", 100+i))
 		}
 		for _, name := range names {
-			// The pages of a read are no snapshot: a view may have the deletions
-			// of its last page without the changes of its first.
+			// The pages of a read are not a snapshot: a view may have the deletions of its
+			// last page without the changes of its first.
 			Eventually(func() bool {
-				replicas := d.found[name].View().Replicas
+				replicas := f.discoveries[name].View().Replicas
 				return len(replicas) == 281 && replicas["r-005"].Draining
 			}, "2s").Should(BeTrue())
 		}
 	})
 
-	It("leaves replicas out whose entries cannot be read", func() {
-		d := newDay(1)
-		d.store.Put(platform.ReplicaPrefix+"bad", []byte("garbage"))
-		d.run("host-1")
-		Eventually(func() int { return len(d.found["host-1"].View().Replicas) }, "2s").Should(Equal(1))
-		Expect(d.found["host-1"].Dump().Replicas).To(HaveLen(1))
+	It("skips replica entries that cannot be decoded", func() {
+		f := newTestFleet(1)
+		f.store.Put(platform.ReplicaPrefix+"bad", []byte("garbage"))
+		f.run("host-1")
+		Eventually(func() int { return len(f.discoveries["host-1"].View().Replicas) }, "2s").Should(Equal(1))
+		Expect(f.discoveries["host-1"].Dump().Replicas).To(HaveLen(1))
 	})
 
 	It("is not ready before the first configuration", func() {
-		d := newDay(1)
-		d.store.Delete(platform.ConfigKey)
-		d.run("host-1")
-		Consistently(func() bool { return d.found["host-1"].View().Ready() }, "100ms").Should(BeFalse())
-		d.config(1)
-		Eventually(func() bool { return d.found["host-1"].View().Ready() }, "2s").Should(BeTrue())
+		f := newTestFleet(1)
+		f.store.Delete(platform.ConfigKey)
+		f.run("host-1")
+		Consistently(func() bool { return f.discoveries["host-1"].View().Ready() }, "100ms").Should(BeFalse())
+		f.writeConfig(1)
+		Eventually(func() bool { return f.discoveries["host-1"].View().Ready() }, "2s").Should(BeTrue())
 	})
 })
