--- a/core/breaker/breaker_test.go
+++ b/core/breaker/breaker_test.go
@@ -17,14 +17,14 @@
 
 var _ = Describe("Set", func() {
 	var (
-		s    *Set
-		now  time.Time
-		need = []string{"encoders", "lm"}
+		s     *Set
+		now   time.Time
+		pools = []string{"encoders", "lm"}
 	)
 
 	BeforeEach(func() { s, now = New(Config{}), epoch })
 
-	// fail reports n failures of lm, spread over a second.
+	// fail records n failures of the pool lm, spread over one second.
 	fail := func(n int) {
 		for range n {
 			now = now.Add(time.Second / time.Duration(n))
@@ -32,24 +32,24 @@
 		}
 	}
 	allowed := func() bool {
-		_, ok := s.Allow(now, need)
+		_, ok := s.Allow(now, pools)
 		return ok
 	}
 
-	It("opens a pool that fails whole and lets one request in an interval through", func() {
+	It("opens a pool after consecutive failures and admits one request per probe interval", func() {
 		fail(12)
 		Expect(s.Open()).To(Equal([]string{"lm"}))
-		let := 0
+		admitted := 0
 		for range 100 {
 			now = now.Add(10 * time.Millisecond)
 			if allowed() {
-				let++
+				admitted++
 			}
 		}
-		Expect(let).To(Equal(4))
+		Expect(admitted).To(Equal(4))
 	})
 
-	It("closes at the first success", func() {
+	It("closes on the first success", func() {
 		fail(12)
 		Expect(allowed()).To(BeFalse())
 		s.Succeeded("lm")
@@ -57,11 +57,11 @@
 		Expect(s.Open()).To(BeEmpty())
 	})
 
-	It("leaves requests alone that do not need the pool", func() {
+	It("admits requests that do not need the open pool", func() {
 		fail(12)
 		_, ok := s.Allow(now, []string{"encoders"})
 		Expect(ok).To(BeTrue())
-		open, _ := s.Allow(now, need)
+		open, _ := s.Allow(now, pools)
 		Expect(open).To(Equal("lm"))
 	})
 
@@ -69,8 +69,8 @@
 		report()
 		Expect(allowed()).To(BeTrue())
 	},
-		Entry("after few failures", func() { fail(11) }),
-		Entry("after a burst of failures in an instant", func() {
+		Entry("below the failure threshold", func() { fail(11) }),
+		Entry("after a burst of simultaneous failures", func() {
 			for range 100 {
 				s.Failed(now, "lm")
 			}
--- a/core/intake/account.go
+++ b/core/intake/account.go
@@ -6,73 +6,76 @@
 	"time"
 )
 
-// Limited is a replica's limit as one host knows it.
+// Limited is a replica's limit as known to one host.
 type Limited struct {
 	Replica string
 	Limit   Limit
-	// Round counts the changes that led here, so that what is told late is known for
-	// old: hosts agree on no time.
+	// Round counts the changes of the limit. It identifies outdated reports, since the
+	// clocks of the hosts are not synchronized.
 	Round uint64
-	// Since is when the limit was first heard, and At when it was last named, or
-	// found to be lifted.
+	// Since is when the limit was first observed, and At when a response last announced it
+	// or showed that it was lifted.
 	Since, At time.Time
 }
 
 const (
-	// freshBy is how much younger a fellow's word must be to count as the replica's
-	// own again: what it takes to tell is not known.
-	freshBy = time.Second
-	// liftedLife is how long it is remembered that a limit was lifted, so that fellows
-	// which know it as named are told.
-	liftedLife = 10 * time.Second
-	// unlistedLife is how long what a replica has said is remembered though it is not
-	// listed: the list may lose it and have it again.
-	unlistedLife = time.Minute
-	// maxReplicas bounds the replicas that are remembered for one word of theirs.
+	// refreshThreshold is how much newer a peer's report has to be to count as a new
+	// response of the replica, since the time that the report took to arrive is unknown.
+	refreshThreshold = time.Second
+	// liftedRetention is how long a lifted limit is retained, so that peers which still
+	// have it in force are notified.
+	liftedRetention = 10 * time.Second
+	// unlistedRetention is how long the information about an unlisted replica is retained,
+	// since the list may lose a replica temporarily.
+	unlistedRetention = time.Minute
+	// maxReplicas is the maximum number of replicas that are retained per kind of
+	// information.
 	maxReplicas = 1 << 14
 )
 
-// Account is what one host knows of the limits that replicas name. The zero value is
-// ready.
+// Account holds one host's knowledge of the limits that replicas announce. The zero value
+// is ready to use.
 type Account struct {
-	limits map[string]*limited
+	entries map[string]*limitEntry
 }
 
-type limited struct {
+type limitEntry struct {
 	Limited
-	// listed is when the replica was last listed, or first heard of.
-	listed time.Time
+	// lastListed is when the replica was last listed, or when its limit was first observed.
+	lastListed time.Time
 }
 
-// Hear takes an answer, and returns the replica's limit if the answer changed it. A
-// limit holds until a run that was sent after it was last named is answered without:
-// heads of answers may overtake each other.
-func (a *Account) Hear(now time.Time, answer Answer) (Limited, bool) {
-	known := a.limits[answer.Replica]
-	said := answer.Notice.Limit
+// Hear processes a response, and returns the replica's limit if the response changed it. A
+// limit is in force until a served response omits it whose request was sent after the limit
+// was last announced; responses to earlier requests are ignored, since responses may be
+// reordered.
+func (a *Account) Hear(now time.Time, response Answer) (Limited, bool) {
+	known := a.entries[response.Replica]
+	limit := response.Notice.Limit
 	switch {
-	case said.Named && known == nil:
-		l := Limited{Replica: answer.Replica, Limit: said, Round: 1, Since: now, At: now}
+	case limit.Named && known == nil:
+		l := Limited{Replica: response.Replica, Limit: limit, Round: 1, Since: now, At: now}
 		return l, a.add(now, l)
-	case said.Named:
+	case limit.Named:
 		known.At = now
-		if known.Limit == said {
+		if known.Limit == limit {
 			return known.Limited, false
 		}
 		if !known.Limit.Named {
 			known.Since = now
 		}
-		known.Limit, known.Round = said, known.Round+1
+		known.Limit, known.Round = limit, known.Round+1
 		return known.Limited, true
-	case known == nil || !known.Limit.Named || !answer.Served || !answer.Sent.After(known.At):
+	case known == nil || !known.Limit.Named || !response.Served || !response.Sent.After(known.At):
 		return Limited{}, false
 	}
 	known.Limit, known.Round, known.At = Limit{}, known.Round+1, now
 	return known.Limited, true
 }
 
-// supersedes says whether a word replaces another one. Of two that hosts heard beside
-// each other the stricter holds: the next answer of a run tells.
+// supersedes reports whether a report replaces another one. If two hosts observed different
+// limits in the same round, the stricter one is used; the next response to a served run
+// corrects it.
 func (l *Limited) supersedes(o *Limited) bool {
 	switch {
 	case l.Round != o.Round:
@@ -83,23 +86,23 @@
 	return l.Limit.PerSecond < o.Limit.PerSecond
 }
 
-// add takes a replica that was not known; it says whether there is room.
+// add inserts the limit of a new replica; it returns false if the table is full.
 func (a *Account) add(now time.Time, l Limited) bool {
-	if len(a.limits) >= maxReplicas {
+	if len(a.entries) >= maxReplicas {
 		return false
 	}
-	if a.limits == nil {
-		a.limits = map[string]*limited{}
+	if a.entries == nil {
+		a.entries = map[string]*limitEntry{}
 	}
-	a.limits[l.Replica] = &limited{l, now}
+	a.entries[l.Replica] = &limitEntry{l, now}
 	return true
 }
 
-// Learn takes what a fellow knows. It returns what that changes here, and what the fellow
-// is to be told since it knows something older.
-func (a *Account) Learn(now time.Time, told []Limited) (changed, newer []Limited) {
-	for _, l := range told {
-		known := a.limits[l.Replica]
+// Learn merges the reports of a peer. It returns the limits that changed here, and those
+// that are newer here than in the peer's reports, to be sent to the peer.
+func (a *Account) Learn(now time.Time, reports []Limited) (changed, newer []Limited) {
+	for _, l := range reports {
+		known := a.entries[l.Replica]
 		switch {
 		case known == nil:
 			if l.Limit.Named && a.add(now, l) {
@@ -107,7 +110,7 @@
 			}
 		case known.Limit == l.Limit:
 			known.Round = max(known.Round, l.Round)
-			if l.At.Sub(known.At) > freshBy {
+			if l.At.Sub(known.At) > refreshThreshold {
 				known.At = l.At
 			}
 		case l.supersedes(&known.Limited):
@@ -120,32 +123,32 @@
 	return changed, newer
 }
 
-// News returns what was heard, here or by a fellow, after a time.
+// News returns the limits observed after a time, here or by a peer.
 func (a *Account) News(after time.Time) []Limited {
-	return a.which(func(l *limited) bool { return l.At.After(after) })
+	return a.filter(func(l *limitEntry) bool { return l.At.After(after) })
 }
 
-// Forget drops what is known of replicas that have not been listed for long, or whose
-// limit was lifted long ago.
+// Forget removes replicas that have been unlisted for longer than unlistedRetention, and
+// limits that were lifted more than liftedRetention ago.
 func (a *Account) Forget(now time.Time, listed func(replica string) bool) {
-	maps.DeleteFunc(a.limits, func(replica string, l *limited) bool {
+	maps.DeleteFunc(a.entries, func(replica string, l *limitEntry) bool {
 		if listed(replica) {
-			l.listed = now
+			l.lastListed = now
 		}
-		return now.Sub(l.listed) > unlistedLife || !l.Limit.Named && now.Sub(l.At) > liftedLife
+		return now.Sub(l.lastListed) > unlistedRetention || !l.Limit.Named && now.Sub(l.At) > liftedRetention
 	})
 }
 
-// Limits returns the limits in force, by replica.
+// Limits returns the limits in force, ordered by replica.
 func (a *Account) Limits() []Limited {
-	return a.which(func(l *limited) bool { return l.Limit.Named })
+	return a.filter(func(l *limitEntry) bool { return l.Limit.Named })
 }
 
-// which returns what is known of some replicas, by replica.
-func (a *Account) which(counts func(*limited) bool) []Limited {
+// filter returns the entries that include selects, ordered by replica.
+func (a *Account) filter(include func(*limitEntry) bool) []Limited {
 	var out []Limited
-	for _, id := range slices.Sorted(maps.Keys(a.limits)) {
-		if l := a.limits[id]; counts(l) {
+	for _, id := range slices.Sorted(maps.Keys(a.entries)) {
+		if l := a.entries[id]; include(l) {
 			out = append(out, l.Limited)
 		}
 	}
--- a/core/intake/rest.go
+++ b/core/intake/rest.go
@@ -6,38 +6,39 @@
 	"time"
 )
 
-// Rest is a replica that wants nothing from this host for a while.
+// Rest is a period in which a replica asked this host to send nothing.
 type Rest struct {
-	// Replica is the start that was asked. The one at the address that wants rest may be a
-	// later one, of which the list has not told yet.
+	// Replica is the ID of the replica's start that was called. The process at the address
+	// that asked for the backoff may be a later start, which the list does not contain yet.
 	Replica, Address string
-	// Since is when it first said so, Until when that is over.
+	// Since is when the replica first asked, and Until when the backoff is over.
 	Since, Until time.Time
 }
 
-// Rests are the replicas that want nothing from this host. The zero value is ready.
+// Rests holds the replicas that asked this host for a backoff. The zero value is ready to
+// use.
 type Rests struct {
-	known map[string]*Rest
+	entries map[string]*Rest
 }
 
-// Hear takes an answer, and says whether it begins a rest or makes one longer. No rest
-// lasts longer than most from the answer that asks for it; what was asked for before is
-// not taken back.
-func (r *Rests) Hear(now time.Time, answer Answer, most time.Duration) (rest Rest, began, changed bool) {
-	if answer.Notice.Rest <= 0 {
+// Hear processes a response, and reports whether it begins a backoff, and whether it begins
+// or extends one. A backoff lasts at most maxBackoff from the response that asks for it; a
+// later response never shortens it.
+func (r *Rests) Hear(now time.Time, response Answer, maxBackoff time.Duration) (backoff Rest, began, changed bool) {
+	if response.Notice.Rest <= 0 {
 		return Rest{}, false, false
 	}
-	until := now.Add(min(answer.Notice.Rest, most))
-	known := r.known[answer.Replica]
+	until := now.Add(min(response.Notice.Rest, maxBackoff))
+	known := r.entries[response.Replica]
 	if known == nil || !now.Before(known.Until) {
-		if known == nil && len(r.known) >= maxReplicas {
+		if known == nil && len(r.entries) >= maxReplicas {
 			return Rest{}, false, false
 		}
-		if r.known == nil {
-			r.known = map[string]*Rest{}
+		if r.entries == nil {
+			r.entries = map[string]*Rest{}
 		}
-		known = &Rest{Replica: answer.Replica, Address: answer.Address, Since: now, Until: until}
-		r.known[answer.Replica] = known
+		known = &Rest{Replica: response.Replica, Address: response.Address, Since: now, Until: until}
+		r.entries[response.Replica] = known
 		return *known, true, true
 	}
 	changed = until.After(known.Until)
@@ -47,18 +48,18 @@
 	return *known, false, changed
 }
 
-// End drops the rests that are over, and says whether there were any.
+// End removes the backoffs that are over, and reports whether there were any.
 func (r *Rests) End(now time.Time) bool {
-	before := len(r.known)
-	maps.DeleteFunc(r.known, func(_ string, k *Rest) bool { return !now.Before(k.Until) })
-	return len(r.known) < before
+	before := len(r.entries)
+	maps.DeleteFunc(r.entries, func(_ string, k *Rest) bool { return !now.Before(k.Until) })
+	return len(r.entries) < before
 }
 
-// All returns the rests that were heard of and not dropped, by replica.
+// All returns the backoffs that have not been removed, ordered by replica.
 func (r *Rests) All() []Rest {
-	out := make([]Rest, 0, len(r.known))
-	for _, replica := range slices.Sorted(maps.Keys(r.known)) {
-		out = append(out, *r.known[replica])
+	out := make([]Rest, 0, len(r.entries))
+	for _, replica := range slices.Sorted(maps.Keys(r.entries)) {
+		out = append(out, *r.entries[replica])
 	}
 	return out
 }
--- a/core/route/picker.go
+++ b/core/route/picker.go
@@ -2,44 +2,46 @@
 
 import "math/rand/v2"
 
-// maxDrawn bounds the candidates that one pick scores.
+// maxDrawn limits the candidates that one pick scores.
 const maxDrawn = 16
 
-// smallPool is the number of candidates up to which all are drawn: the one that
-// looks best cannot get many times its even share then, and leaving one out of
-// three leaves the emptiest out of every third pick.
-const smallPool = 4
+// smallPoolSize is the number of candidates up to which all are scored. With so few,
+// the cheapest one cannot get many times its even share of the calls, whereas sampling
+// two of three would miss the emptiest one in every third pick.
+const smallPoolSize = 4
 
-// scored is a drawn candidate and its cost.
-type scored struct {
+// scoredCandidate is a sampled candidate and its cost.
+type scoredCandidate struct {
 	index int
 	cost  float64
 }
 
-// Picker chooses among the eligible candidates (at least one). It appends the
-// ones it weighed to drawn, the chosen one first.
+// Picker chooses one of the eligible candidates, of which there is at least one. It
+// appends the candidates that it considered to drawn, with the chosen one first.
 type Picker interface {
 	Name() string
-	Pick(v *View, eligible []int, rng *rand.Rand, drawn []scored) []scored
+	Pick(v *View, eligible []int, rng *rand.Rand, drawn []scoredCandidate) []scoredCandidate
 }
 
-// randomChoices draws one candidate at random from the own failure domain, the
-// other choices from everywhere, adds the home of the prefix, and takes the
-// cheapest. Drawing few keeps daemons that share a view from all choosing the
-// same upstream: of n daemons' calls the one that looks best gets about
-// choices times its even share, and no more. Of smallPool or fewer all are drawn.
+// randomChoices samples one candidate at random from the daemon's own failure domain
+// and fills up to choices candidates from all domains, adds the home of the prefix, and
+// chooses the cheapest. Sampling few candidates keeps daemons that have the same view
+// from all choosing the same upstream: of the calls of n daemons, the cheapest upstream
+// gets at most about choices times its even share. If there are at most smallPoolSize
+// candidates, all are sampled.
 type randomChoices struct {
 	choices int
 	scorers []Scorer
-	// packed says that generations are packed: then as many candidates as may
-	// be are drawn, since the fullest one with room must be among them.
-	packed bool
-	local  []int
+	// packing is set if generations are packed onto few upstreams. Then as many
+	// candidates as permitted are sampled, since the fullest one with free capacity
+	// must be among them.
+	packing bool
+	local   []int
 }
 
 func (*randomChoices) Name() string { return "random_choices" }
 
-func (p *randomChoices) Pick(v *View, eligible []int, rng *rand.Rand, drawn []scored) []scored {
+func (p *randomChoices) Pick(v *View, eligible []int, rng *rand.Rand, drawn []scoredCandidate) []scoredCandidate {
 	p.local = p.local[:0]
 	for _, i := range eligible {
 		if v.Candidates[i].Domain == v.Domain {
@@ -47,13 +49,13 @@
 		}
 	}
 	choices := p.choices
-	if len(eligible) <= smallPool || p.packed && packs(v) {
+	if len(eligible) <= smallPoolSize || p.packing && canPack(v) {
 		choices = maxDrawn
 	}
 	drawn = p.draw(v, p.local, 1, rng, drawn)
 	drawn = p.draw(v, eligible, choices, rng, drawn)
-	if v.Home >= 0 {
-		drawn = p.add(v, v.Home, drawn)
+	if v.PrefixHome >= 0 {
+		drawn = p.addCandidate(v, v.PrefixHome, drawn)
 	}
 	best := 0
 	for i := range drawn {
@@ -65,18 +67,18 @@
 	return drawn
 }
 
-// draw adds members of from until want candidates are drawn.
-func (p *randomChoices) draw(v *View, from []int, want int, rng *rand.Rand, drawn []scored) []scored {
+// draw adds random elements of from until want candidates are sampled.
+func (p *randomChoices) draw(v *View, from []int, want int, rng *rand.Rand, drawn []scoredCandidate) []scoredCandidate {
 	for k := 0; len(drawn) < want && k < len(from); k++ {
 		j := k + rng.IntN(len(from)-k)
 		from[k], from[j] = from[j], from[k]
-		drawn = p.add(v, from[k], drawn)
+		drawn = p.addCandidate(v, from[k], drawn)
 	}
 	return drawn
 }
 
-// add scores candidate i unless it was drawn already.
-func (p *randomChoices) add(v *View, i int, drawn []scored) []scored {
+// addCandidate scores and adds candidate i unless it was added already.
+func (p *randomChoices) addCandidate(v *View, i int, drawn []scoredCandidate) []scoredCandidate {
 	for _, d := range drawn {
 		if d.index == i {
 			return drawn
@@ -85,30 +87,30 @@
 	if len(drawn) == maxDrawn {
 		return drawn
 	}
-	return append(drawn, scored{i, scoreOf(v, p.scorers, &v.Candidates[i])})
+	return append(drawn, scoredCandidate{i, totalCost(v, p.scorers, &v.Candidates[i])})
 }
 
-// roundRobin takes the eligible candidates in turn.
+// roundRobin chooses the eligible candidates in turn.
 type roundRobin struct{ next int }
 
 func (*roundRobin) Name() string { return "round_robin" }
 
-func (p *roundRobin) Pick(_ *View, eligible []int, _ *rand.Rand, drawn []scored) []scored {
+func (p *roundRobin) Pick(_ *View, eligible []int, _ *rand.Rand, drawn []scoredCandidate) []scoredCandidate {
 	i := eligible[p.next%len(eligible)]
 	p.next++
-	return append(drawn, scored{index: i})
+	return append(drawn, scoredCandidate{index: i})
 }
 
-// leastRequests takes the candidate with the fewest own calls in flight, a
-// random one among equals.
+// leastRequests chooses the candidate with the fewest calls of this daemon in flight,
+// and a random one of these if several are equal.
 type leastRequests struct{}
 
 func (leastRequests) Name() string { return "least_requests" }
 
-func (leastRequests) Pick(v *View, eligible []int, rng *rand.Rand, drawn []scored) []scored {
+func (leastRequests) Pick(v *View, eligible []int, rng *rand.Rand, drawn []scoredCandidate) []scoredCandidate {
 	best, ties := eligible[0], 0
 	for _, i := range eligible {
-		switch own, least := v.Candidates[i].Own, v.Candidates[best].Own; {
+		switch own, least := v.Candidates[i].OwnCalls, v.Candidates[best].OwnCalls; {
 		case own < least:
 			best, ties = i, 1
 		case own == least:
@@ -117,5 +119,5 @@
 			}
 		}
 	}
-	return append(drawn, scored{best, float64(v.Candidates[best].Own)})
+	return append(drawn, scoredCandidate{best, float64(v.Candidates[best].OwnCalls)})
 }
