--- a/core/intake/random_test.go
+++ b/core/intake/random_test.go
@@ -14,110 +14,116 @@
 
 const (
 	replica = "r"
-	// learning is how long hosts have from the first answer that names a limit, and
-	// passing how long one host has from its own.
-	learning = 3 * time.Second
-	passing  = 500 * time.Millisecond
-	// judged is the window in which a replica may get so much more than it named, and
-	// so many requests.
-	judged   = 4 * time.Second
-	overage  = 1.5
-	overplus = 5
-	step     = 10 * time.Millisecond
-	// bounding is the interval at which hosts work their parts out.
-	bounding = 250 * time.Millisecond
-	// draining is how long a host that was told may still send to a replica that leaves.
-	draining = 2 * time.Second
-	// mostRest bounds a rest, and restAllowed the requests that may reach a replica in one.
-	mostRest    = 4 * time.Second
-	restAllowed = 2
-	// repeating is the interval at which hosts tell again what they have heard.
-	repeating = 3 * time.Second
+	// fleetNoticeTime is the time after the first response that announces a limit, and
+	// hostNoticeTime the time after a host's own first one, from which the limit is
+	// enforced.
+	fleetNoticeTime = 3 * time.Second
+	hostNoticeTime  = 500 * time.Millisecond
+	// checkWindow is the window in which a replica may get at most allowedFactor times its
+	// limit, plus allowedExtra requests.
+	checkWindow   = 4 * time.Second
+	allowedFactor = 1.5
+	allowedExtra  = 5
+	simStep       = 10 * time.Millisecond
+	// quotaInterval is the interval at which hosts recompute their quotas.
+	quotaInterval = 250 * time.Millisecond
+	// leavingNoticeTime is how long a host that was notified may still send to a replica
+	// that is leaving.
+	leavingNoticeTime = 2 * time.Second
+	// maxBackoff is the maximum duration of a backoff, and allowedDuringBackoff the number
+	// of requests that may reach the replica during one.
+	maxBackoff           = 4 * time.Second
+	allowedDuringBackoff = 2
+	// repeatInterval is the interval at which hosts send recent observations to their peers
+	// again.
+	repeatInterval = 3 * time.Second
 )
 
 // simHost is one host of a simulated fleet.
 type simHost struct {
-	name  string
-	knows []string
-	// starts is when the host has its part of the work.
-	starts  time.Time
-	account intake.Account
-	gates   *intake.Gates
-	gate    *intake.Gate
-	// told is when the host first had an answer that names a limit, and toldLeaving one
-	// that says that the replica leaves.
-	told, toldLeaving time.Time
-	leavers           intake.Leavers
-	rests             intake.Rests
-	// asked are when the replica asked the host for rest, and until when.
-	asked []intake.Rest
-	// keeps says that the host goes by limits at all.
-	keeps bool
-	// neighbours are told what is news; cut is until when calls with the host fail.
-	neighbours []*simHost
-	cut        time.Time
-	repeated   time.Time
+	name       string
+	knownHosts []string
+	// startsAt is when the host begins to send requests.
+	startsAt time.Time
+	account  intake.Account
+	limiters *intake.Gates
+	limiter  *intake.Gate
+	// limitHeardAt is when the host first got a response that announces a limit, and
+	// leavingHeardAt one that announces that the replica is leaving.
+	limitHeardAt, leavingHeardAt time.Time
+	leavers                      intake.Leavers
+	backoffs                     intake.Rests
+	// requestedBackoffs are the backoffs that the replica asked this host for: when, and until
+	// when.
+	requestedBackoffs []intake.Rest
+	// appliesQuotas says that the host applies its quotas.
+	appliesQuotas bool
+	// neighbours are the peers to which the host sends new observations; calls with the
+	// host fail until partitionedUntil.
+	neighbours       []*simHost
+	partitionedUntil time.Time
+	lastRepeat       time.Time
 }
 
-// bound works the host's part out.
-func (h *simHost) bound() {
-	parts := map[string]intake.Part{}
+// updateQuotas recomputes the host's quotas.
+func (h *simHost) updateQuotas() {
+	quotas := map[string]intake.Part{}
 	for _, l := range h.account.Limits() {
-		parts[l.Replica] = intake.NewShares(h.name, h.knows).OfLimit(l, intake.Requester)
+		quotas[l.Replica] = intake.NewShares(h.name, h.knownHosts).OfLimit(l, intake.Requester)
 	}
 	leaving, resting := map[string]intake.Part{}, map[string]intake.Part{}
 	for _, l := range h.leavers.All() {
 		leaving[l.Replica] = intake.Part{}
 	}
-	for _, r := range h.rests.All() {
+	for _, r := range h.backoffs.All() {
 		resting[r.Replica] = intake.Part{Until: r.Until}
 	}
-	if h.keeps {
-		h.gates.SetParts(intake.Named, parts)
-		h.gates.SetParts(intake.Leaving, leaving)
-		h.gates.SetParts(intake.Resting, resting)
+	if h.appliesQuotas {
+		h.limiters.SetParts(intake.Named, quotas)
+		h.limiters.SetParts(intake.Leaving, leaving)
+		h.limiters.SetParts(intake.Resting, resting)
 	}
 }
 
-// simAnswer is an answer on its way.
-type simAnswer struct {
+// simResponse is a response in transit.
+type simResponse struct {
 	at   time.Time
 	host *simHost
 	intake.Answer
 }
 
-// simCall tells a host of what another one knows.
-type simCall struct {
+// simPeerCall is a message with one host's observations to another host.
+type simPeerCall struct {
 	at   time.Time
 	to   *simHost
 	from *simHost
-	// ages are those of the words when they were told.
-	told    []intake.Limited
+	// limits have times as of when they were sent.
+	limits  []intake.Limited
 	leavers []intake.Leaver
 	sent    time.Time
 }
 
-// simFleet is a fleet with one replica.
+// simFleet is a simulated fleet with one replica.
 type simFleet struct {
-	// spreads says that hosts tell each other what they hear.
-	spreads bool
-	calls   []simCall
-	// told counts all calls.
-	told    int
-	rng     *rand.Rand
-	now     time.Time
-	hosts   []*simHost
-	every   time.Duration
-	answers []simAnswer
-	// limit is what the replica names; under 0 for none.
-	limit float64
-	named time.Time
-	// leaving says that it leaves, rest for how long it asks hosts that it turns away, half
-	// of those that ask.
+	// gossips says that hosts send their observations to each other.
+	gossips   bool
+	peerCalls []simPeerCall
+	// peerCallCount counts all calls that carry limits.
+	peerCallCount   int
+	rng             *rand.Rand
+	now             time.Time
+	hosts           []*simHost
+	requestInterval time.Duration
+	responses       []simResponse
+	// limit is the limit that the replica announces; negative for none.
+	limit        float64
+	limitHeardAt time.Time
+	// leaving says that the replica is leaving. backoff is the backoff for which it asks
+	// hosts whose requests it refuses, which are half of them.
 	leaving bool
-	rest    time.Duration
-	// arrived has, of each arrival, when it came and from whom.
-	arrived []simArrival
+	backoff time.Duration
+	// arrivals holds the time and the sender of each request that reached the replica.
+	arrivals []simArrival
 }
 
 type simArrival struct {
@@ -125,25 +131,25 @@
 	host *simHost
 }
 
-// newSimFleet returns a fleet of which some hosts start while it runs, and some know dead
-// hosts, or not yet those that have started.
-func newSimFleet(seed uint64, n int, every time.Duration) *simFleet {
-	f := &simFleet{rng: rand.New(rand.NewPCG(seed, 11)), now: start, every: every, limit: -1}
+// newSimFleet returns a fleet in which some hosts start during the simulation, some list
+// dead hosts, and some do not list yet those that start late.
+func newSimFleet(seed uint64, n int, requestInterval time.Duration) *simFleet {
+	f := &simFleet{rng: rand.New(rand.NewPCG(seed, 11)), now: start, requestInterval: requestInterval, limit: -1}
 	all := hostNames(n + n/2)
 	living, dead, late := all[:n], all[n:], f.rng.IntN(4)
 	for i, name := range living {
-		h := &simHost{name: name, gates: intake.NewGates(), knows: slices.Clone(living), keeps: true, starts: start}
+		h := &simHost{name: name, limiters: intake.NewGates(), knownHosts: slices.Clone(living), appliesQuotas: true, startsAt: start}
 		if i >= n-late {
-			h.starts = start.Add(time.Duration(f.rng.IntN(15)) * time.Second)
+			h.startsAt = start.Add(time.Duration(f.rng.IntN(15)) * time.Second)
 		} else if f.rng.IntN(3) == 0 {
-			h.knows = h.knows[:n-late]
+			h.knownHosts = h.knownHosts[:n-late]
 		}
 		for _, d := range dead {
 			if f.rng.IntN(4) == 0 {
-				h.knows = append(h.knows, d)
+				h.knownHosts = append(h.knownHosts, d)
 			}
 		}
-		h.gate = h.gates.Of(replica)
+		h.limiter = h.limiters.Of(replica)
 		f.hosts = append(f.hosts, h)
 	}
 	for i, h := range f.hosts {
@@ -154,219 +160,223 @@
 	return f
 }
 
-// tell has a host tell its neighbours but one.
-func (f *simFleet) tell(h, but *simHost, told []intake.Limited) {
-	if !f.spreads {
+// broadcastLimits sends limits to all neighbours of a host except one.
+func (f *simFleet) broadcastLimits(h, except *simHost, limits []intake.Limited) {
+	if !f.gossips {
 		return
 	}
 	for _, to := range h.neighbours {
-		if to != but {
-			f.call(h, to, told)
+		if to != except {
+			f.sendLimits(h, to, limits)
 		}
 	}
 }
 
-// call has a host tell another one.
-func (f *simFleet) call(from, to *simHost, told []intake.Limited) {
-	if len(told) > 0 && !f.now.Before(from.cut) && !f.now.Before(to.cut) && !f.now.Before(to.starts) {
-		f.told++
-		f.calls = append(f.calls, simCall{at: f.arrival(), to: to, from: from, told: told, sent: f.now})
+// sendLimits sends limits from one host to another.
+func (f *simFleet) sendLimits(from, to *simHost, limits []intake.Limited) {
+	if len(limits) > 0 && !f.now.Before(from.partitionedUntil) && !f.now.Before(to.partitionedUntil) && !f.now.Before(to.startsAt) {
+		f.peerCallCount++
+		f.peerCalls = append(f.peerCalls, simPeerCall{at: f.peerCallArrival(), to: to, from: from, limits: limits, sent: f.now})
 	}
 }
 
-// arrival is when a call between hosts that is made now arrives.
-func (f *simFleet) arrival() time.Time {
+// peerCallArrival returns when a call between hosts that is made now arrives.
+func (f *simFleet) peerCallArrival() time.Time {
 	return f.now.Add(time.Duration(2+f.rng.IntN(200)) * time.Millisecond)
 }
 
-// tellLeavers has a host tell its neighbours but one that a replica leaves.
-func (f *simFleet) tellLeavers(h, but *simHost, leavers []intake.Leaver) {
+// broadcastLeavers sends leaving replicas to all neighbours of a host except one.
+func (f *simFleet) broadcastLeavers(h, except *simHost, leavers []intake.Leaver) {
 	for _, to := range h.neighbours {
-		if f.spreads && to != but && !f.now.Before(h.cut) && !f.now.Before(to.cut) {
-			f.calls = append(f.calls, simCall{at: f.arrival(), to: to, from: h, leavers: leavers, sent: f.now})
+		if f.gossips && to != except && !f.now.Before(h.partitionedUntil) && !f.now.Before(to.partitionedUntil) {
+			f.peerCalls = append(f.peerCalls, simPeerCall{at: f.peerCallArrival(), to: to, from: h, leavers: leavers, sent: f.now})
 		}
 	}
 }
 
-// learn brings the calls that are there. What they told is as old as it was when they were
-// sent, as far as the receiver knows.
-func (f *simFleet) learn() {
-	due := f.calls
-	f.calls = nil
+// deliverPeerCalls delivers the peer calls that are due. The times they contain are moved
+// by the delay of the call, since the receiver knows only how old the observations were
+// when they were sent.
+func (f *simFleet) deliverPeerCalls() {
+	due := f.peerCalls
+	f.peerCalls = nil
 	for _, c := range due {
 		if f.now.Before(c.at) {
-			f.calls = append(f.calls, c)
+			f.peerCalls = append(f.peerCalls, c)
 			continue
 		}
-		late := f.now.Sub(c.sent)
-		var told []intake.Limited
-		for _, l := range c.told {
-			l.At, l.Since = l.At.Add(late), l.Since.Add(late)
-			told = append(told, l)
+		delay := f.now.Sub(c.sent)
+		var limits []intake.Limited
+		for _, l := range c.limits {
+			l.At, l.Since = l.At.Add(delay), l.Since.Add(delay)
+			limits = append(limits, l)
 		}
-		changed, newer := c.to.account.Learn(f.now, told)
+		changed, newer := c.to.account.Learn(f.now, limits)
 		if len(changed) > 0 {
-			c.to.bound()
-			f.tell(c.to, c.from, changed)
+			c.to.updateQuotas()
+			f.broadcastLimits(c.to, c.from, changed)
 		}
-		f.call(c.to, c.from, newer)
+		f.sendLimits(c.to, c.from, newer)
 		if news := c.to.leavers.Learn(f.now, slices.Clone(c.leavers)); len(news) > 0 {
-			c.to.bound()
-			f.tellLeavers(c.to, c.from, news)
+			c.to.updateQuotas()
+			f.broadcastLeavers(c.to, c.from, news)
 		}
 	}
 }
 
-// repeat has a host tell what it heard since it last did.
-func (f *simFleet) repeat(h *simHost) {
-	if f.now.Sub(h.repeated) >= repeating {
-		f.tell(h, nil, h.account.News(h.repeated))
-		h.repeated = f.now
+// repeatLimits sends the limits that a host observed since the last repetition.
+func (f *simFleet) repeatLimits(h *simHost) {
+	if f.now.Sub(h.lastRepeat) >= repeatInterval {
+		f.broadcastLimits(h, nil, h.account.News(h.lastRepeat))
+		h.lastRepeat = f.now
 	}
 }
 
-// run lets time pass.
-func (f *simFleet) run(during time.Duration) {
-	for until := f.now.Add(during); f.now.Before(until); f.now = f.now.Add(step) {
-		f.deliver()
-		f.learn()
+// advance runs the simulation for a duration.
+func (f *simFleet) advance(duration time.Duration) {
+	for until := f.now.Add(duration); f.now.Before(until); f.now = f.now.Add(simStep) {
+		f.deliverResponses()
+		f.deliverPeerCalls()
 		for _, h := range f.hosts {
-			if f.now.Sub(start)%bounding == 0 {
+			if f.now.Sub(start)%quotaInterval == 0 {
 				h.account.Forget(f.now, func(string) bool { return true })
-				h.rests.End(f.now)
-				h.bound()
-				f.repeat(h)
+				h.backoffs.End(f.now)
+				h.updateQuotas()
+				f.repeatLimits(h)
 			}
-			if f.now.Before(h.starts) || f.rng.Float64() >= float64(step)/float64(f.every) {
+			if f.now.Before(h.startsAt) || f.rng.Float64() >= float64(simStep)/float64(f.requestInterval) {
 				continue
 			}
-			if _, refuses := h.gate.Refuses(f.now); !refuses {
-				f.send(h)
+			if _, refuses := h.limiter.Refuses(f.now); !refuses {
+				f.sendRequest(h)
 			}
 		}
 	}
 }
 
-// send has a request arrive, and its answer be on its way; one in ten is refused without
-// a word of the limit.
-func (f *simFleet) send(h *simHost) {
-	h.gate.Begin(f.now)
+// sendRequest sends a request to the replica and schedules the response. One request in ten
+// is refused without announcing the limit.
+func (f *simFleet) sendRequest(h *simHost) {
+	h.limiter.Begin(f.now)
 	arrives := f.now.Add(time.Duration(f.rng.IntN(50)) * time.Millisecond)
-	f.arrived = append(f.arrived, simArrival{arrives, h})
+	f.arrivals = append(f.arrivals, simArrival{arrives, h})
 	a := intake.Answer{Replica: replica, Sent: f.now, Served: f.rng.IntN(10) > 0}
 	if f.limit >= 0 && a.Served {
 		a.Notice.Limit = intake.Limit{Named: true, PerSecond: f.limit}
 	}
 	a.Notice.Leaving = f.leaving
-	if f.rest > 0 && f.rng.IntN(2) == 0 {
-		a.Served, a.Notice.Rest = false, f.rest
+	if f.backoff > 0 && f.rng.IntN(2) == 0 {
+		a.Served, a.Notice.Rest = false, f.backoff
 	}
-	f.answers = append(f.answers, simAnswer{arrives.Add(time.Duration(10+f.rng.IntN(400)) * time.Millisecond), h, a})
+	f.responses = append(f.responses, simResponse{arrives.Add(time.Duration(10+f.rng.IntN(400)) * time.Millisecond), h, a})
 }
 
-// deliver brings the answers that are there.
-func (f *simFleet) deliver() {
-	f.answers = slices.DeleteFunc(f.answers, func(a simAnswer) bool {
+// deliverResponses delivers the responses that are due.
+func (f *simFleet) deliverResponses() {
+	f.responses = slices.DeleteFunc(f.responses, func(a simResponse) bool {
 		if f.now.Before(a.at) {
 			return false
 		}
 		if l, changed := a.host.account.Hear(f.now, a.Answer); changed {
-			a.host.bound()
-			f.tell(a.host, nil, []intake.Limited{l})
+			a.host.updateQuotas()
+			f.broadcastLimits(a.host, nil, []intake.Limited{l})
 		}
 		if l, first := a.host.leavers.Hear(f.now, a.Answer); first {
-			a.host.toldLeaving = f.now
-			a.host.bound()
-			f.tellLeavers(a.host, nil, []intake.Leaver{l})
+			a.host.leavingHeardAt = f.now
+			a.host.updateQuotas()
+			f.broadcastLeavers(a.host, nil, []intake.Leaver{l})
 		}
-		if r, _, changed := a.host.rests.Hear(f.now, a.Answer, mostRest); changed {
-			a.host.asked = append(a.host.asked, intake.Rest{Since: f.now, Until: r.Until})
-			a.host.bound()
+		if r, _, changed := a.host.backoffs.Hear(f.now, a.Answer, maxBackoff); changed {
+			a.host.requestedBackoffs = append(a.host.requestedBackoffs, intake.Rest{Since: f.now, Until: r.Until})
+			a.host.updateQuotas()
 		}
-		if a.Notice.Limit.Named && a.host.told.IsZero() {
-			a.host.told = f.now
-			if f.named.IsZero() {
-				f.named = f.now
+		if a.Notice.Limit.Named && a.host.limitHeardAt.IsZero() {
+			a.host.limitHeardAt = f.now
+			if f.limitHeardAt.IsZero() {
+				f.limitHeardAt = f.now
 			}
 		}
 		return true
 	})
 }
 
-// mostJudged is the largest number of requests in a window from hosts that had been told
-// before.
-func (f *simFleet) mostJudged() int {
-	arrived := slices.Clone(f.arrived)
+// maxRequestsAfterNotice returns the maximum number of requests in a checkWindow from hosts
+// that had been notified long enough before.
+func (f *simFleet) maxRequestsAfterNotice() int {
+	arrived := slices.Clone(f.arrivals)
 	slices.SortFunc(arrived, func(a, b simArrival) int { return a.at.Compare(b.at) })
 	var counted []time.Time
 	for _, a := range arrived {
-		if !a.host.told.IsZero() && a.at.Sub(a.host.told) >= passing && !f.named.IsZero() && a.at.Sub(f.named) >= learning {
+		if !a.host.limitHeardAt.IsZero() && a.at.Sub(a.host.limitHeardAt) >= hostNoticeTime && !f.limitHeardAt.IsZero() && a.at.Sub(f.limitHeardAt) >= fleetNoticeTime {
 			counted = append(counted, a.at)
 		}
 	}
-	return mostWithin(counted, judged)
+	return maxInWindow(counted, checkWindow)
 }
 
-// allowedOf is the number of requests that a limit allows in a window.
-func allowedOf(limit float64) int { return int(overage*limit*judged.Seconds()) + overplus }
+// allowedRequests returns the number of requests that a limit allows in a checkWindow.
+func allowedRequests(limit float64) int {
+	return int(allowedFactor*limit*checkWindow.Seconds()) + allowedExtra
+}
 
-// seeds is the number of schedules that are played for a fleet of a size.
-func seeds(hosts int) uint64 { return uint64(max(1, 120/hosts)) }
+// seedCount returns the number of random schedules to run for a fleet of the given size.
+func seedCount(hosts int) uint64 { return uint64(max(1, 120/hosts)) }
 
-// TestLimitHoldsOverHostsThatBelieveDifferentThings has hosts hear a limit by their own
-// answers alone, at different times, while they know different fleets.
-func TestLimitHoldsOverHostsThatBelieveDifferentThings(t *testing.T) {
+// Hosts learn of a limit from their own responses only, at different times, and have
+// different lists of hosts. The limit must hold for all hosts that have been notified.
+func TestLimitHoldsUnderDifferentHostLists(t *testing.T) {
 	for _, n := range []int{6, 60, 300} {
 		for _, limit := range []float64{0, 0.1, 0.5, 1, 2.5, 20} {
 			t.Run(fmt.Sprintf("%d hosts, %v a second", n, limit), func(t *testing.T) {
 				t.Parallel()
-				for seed := range seeds(n) {
+				for seed := range seedCount(n) {
 					f := newSimFleet(seed, n, 400*time.Millisecond)
-					f.run(time.Second)
+					f.advance(time.Second)
 					f.limit = limit
-					f.run(20 * time.Second)
-					NewWithT(t).Expect(f.mostJudged()).To(BeNumerically("<=", allowedOf(limit)), "seed %d", seed)
+					f.advance(20 * time.Second)
+					NewWithT(t).Expect(f.maxRequestsAfterNotice()).To(BeNumerically("<=", allowedRequests(limit)), "seed %d", seed)
 				}
 			})
 		}
 	}
 }
 
-// TestWaysToKeepALimit compares hosts that don't go by limits with those that do; it
-// prints the most requests in a window, of those that are allowed.
-func TestWaysToKeepALimit(t *testing.T) {
+// Compares hosts that ignore limits with hosts that apply their quotas. It logs the maximum
+// number of requests in a window and the number that is allowed.
+func TestQuotasKeepALimitThatIsExceededWithoutThem(t *testing.T) {
 	g := NewWithT(t)
 	for _, n := range []int{6, 60, 300} {
 		var most [2]int
-		for i, keeps := range []bool{false, true} {
+		for i, appliesQuotas := range []bool{false, true} {
 			f := newSimFleet(7, n, 400*time.Millisecond)
 			for _, h := range f.hosts {
-				h.keeps = keeps
+				h.appliesQuotas = appliesQuotas
 			}
 			f.limit = 1
-			f.run(20 * time.Second)
-			most[i] = f.mostJudged()
+			f.advance(20 * time.Second)
+			most[i] = f.maxRequestsAfterNotice()
 		}
-		t.Logf("%d hosts: %d as before, %d by parts, %d allowed", n, most[0], most[1], allowedOf(1))
-		g.Expect(most[0]).To(BeNumerically(">", allowedOf(1)))
-		g.Expect(most[1]).To(BeNumerically("<=", allowedOf(1)))
+		t.Logf("%d hosts: %d without quotas, %d with quotas, %d allowed", n, most[0], most[1], allowedRequests(1))
+		g.Expect(most[0]).To(BeNumerically(">", allowedRequests(1)))
+		g.Expect(most[1]).To(BeNumerically("<=", allowedRequests(1)))
 	}
 }
 
-// mostOf is the largest number of requests in a window from all hosts, from a moment on.
-func (f *simFleet) mostOf(from time.Time) int {
+// maxRequestsFrom returns the maximum number of requests in a checkWindow from all hosts,
+// from a given time on.
+func (f *simFleet) maxRequestsFrom(from time.Time) int {
 	var times []time.Time
-	for _, a := range f.arrived {
+	for _, a := range f.arrivals {
 		if !a.at.Before(from) {
 			times = append(times, a.at)
 		}
 	}
 	slices.SortFunc(times, time.Time.Compare)
-	return mostWithin(times, judged)
+	return maxInWindow(times, checkWindow)
 }
 
-// knowing counts the hosts that work and know a limit.
-func (f *simFleet) knowing() (n int) {
+// hostsWithLimit returns the number of hosts that know of a limit in force.
+func (f *simFleet) hostsWithLimit() (n int) {
 	for _, h := range f.hosts {
 		if len(h.account.Limits()) > 0 {
 			n++
@@ -375,65 +385,67 @@
 	return n
 }
 
-// comesBack is how long it may take until a limit that was lifted is known to be: the next
-// call that may begin, or the one after it, as one in ten is refused without a word.
-func comesBack(limit float64) time.Duration {
+// maxLiftTime returns the maximum time until all hosts know that a limit was lifted. It
+// covers the next call that may begin and the one after it, since one request in ten is
+// refused without announcing the limit.
+func maxLiftTime(limit float64) time.Duration {
 	if limit == 0 {
 		return 32 * time.Second
 	}
-	return 2*max(judged, time.Duration(float64(time.Second)/limit)) + 2*time.Second
+	return 2*max(checkWindow, time.Duration(float64(time.Second)/limit)) + 2*time.Second
 }
 
-// TestLimitIsKnownToAllHostsAndItsEndToo has hosts tell each other: from the bound on all
-// requests count, also those of hosts that had no answer, and all come back when the limit
-// is lifted. Some hosts are cut off from the others for seconds meanwhile.
-func TestLimitIsKnownToAllHostsAndItsEndToo(t *testing.T) {
+// Hosts exchange their observations. Once the notice time has passed, the limit must hold
+// for all requests, including those of hosts that got no response themselves; when it is
+// lifted, all hosts must learn of it. One host is partitioned from the others for some
+// seconds meanwhile.
+func TestLimitAndItsEndReachAllHosts(t *testing.T) {
 	for _, n := range []int{6, 60, 300} {
 		for _, limit := range []float64{0, 0.5, 1, 2.5, 20} {
 			t.Run(fmt.Sprintf("%d hosts, %v a second", n, limit), func(t *testing.T) {
 				t.Parallel()
-				for seed := range seeds(n) {
+				for seed := range seedCount(n) {
 					g := NewWithT(t)
 					f := newSimFleet(seed, n, 400*time.Millisecond)
-					f.spreads = true
-					f.run(20 * time.Second) // all have started
+					f.gossips = true
+					f.advance(20 * time.Second) // until all hosts have started
 					f.limit = limit
-					f.run(2 * time.Second)
-					cut := f.hosts[f.rng.IntN(n)]
-					cut.cut = f.now.Add(3 * time.Second)
-					f.run(13 * time.Second)
-					g.Expect(f.named).NotTo(BeZero())
-					g.Expect(f.mostOf(f.named.Add(learning))).To(BeNumerically("<=", allowedOf(limit)), "seed %d", seed)
-					g.Expect(f.mostJudged()).To(BeNumerically("<=", allowedOf(limit)), "seed %d", seed)
-					g.Expect(f.knowing()).To(Equal(n), "seed %d", seed)
+					f.advance(2 * time.Second)
+					partitioned := f.hosts[f.rng.IntN(n)]
+					partitioned.partitionedUntil = f.now.Add(3 * time.Second)
+					f.advance(13 * time.Second)
+					g.Expect(f.limitHeardAt).NotTo(BeZero())
+					g.Expect(f.maxRequestsFrom(f.limitHeardAt.Add(fleetNoticeTime))).To(BeNumerically("<=", allowedRequests(limit)), "seed %d", seed)
+					g.Expect(f.maxRequestsAfterNotice()).To(BeNumerically("<=", allowedRequests(limit)), "seed %d", seed)
+					g.Expect(f.hostsWithLimit()).To(Equal(n), "seed %d", seed)
 					f.limit = -1
-					f.run(comesBack(limit))
-					g.Expect(f.knowing()).To(BeZero(), "seed %d", seed)
+					f.advance(maxLiftTime(limit))
+					g.Expect(f.hostsWithLimit()).To(BeZero(), "seed %d", seed)
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkTelling has one host hear a limit, and reports the calls between hosts that it
-// takes until all know it, and how long that takes, in a fleet without other work.
-func BenchmarkTelling(b *testing.B) {
+// Measures how many calls between hosts it takes until all hosts know a limit that one of
+// them observed, and how long, in a fleet without other traffic.
+func BenchmarkLimitPropagation(b *testing.B) {
 	for _, n := range []int{6, 300, 3020} {
 		b.Run(fmt.Sprint("hosts-", n), func(b *testing.B) {
 			calls, took := 0, time.Duration(0)
 			for i := range b.N {
 				f := newSimFleet(uint64(i), n, time.Hour)
-				f.spreads = true
+				f.gossips = true
 				for _, h := range f.hosts {
-					h.starts = start
+					h.startsAt = start
 				}
 				l, _ := f.hosts[0].account.Hear(f.now, intake.Answer{Replica: replica, Notice: intake.Notice{Limit: intake.Limit{Named: true, PerSecond: 1}}})
-				f.tell(f.hosts[0], nil, []intake.Limited{l})
-				for f.knowing() < n {
-					f.run(step)
+				f.broadcastLimits(f.hosts[0], nil, []intake.Limited{l})
+				for f.hostsWithLimit() < n {
+					f.advance(simStep)
 				}
 				took += f.now.Sub(start)
-				calls += f.told
+				calls += f.peerCallCount
 			}
 			b.ReportMetric(float64(calls)/float64(b.N*n), "calls/host")
 			b.ReportMetric(took.Seconds()/float64(b.N), "s")
@@ -441,25 +453,26 @@
 	}
 }
 
-// TestReplicaThatLeavesGetsNothingOfHostsThatWereTold has each host go by its own answers and
-// what fellows tell it; a part of them is cut off from the others.
-func TestReplicaThatLeavesGetsNothingOfHostsThatWereTold(t *testing.T) {
+// Hosts learn that a replica is leaving from its responses and, for half of the seeds, from
+// peers, while up to a quarter of the hosts are partitioned from the others. Hosts that
+// have been notified must stop sending to the replica.
+func TestNotifiedHostsSendNothingToALeavingReplica(t *testing.T) {
 	for _, n := range []int{6, 60, 300} {
 		t.Run(fmt.Sprint(n, " hosts"), func(t *testing.T) {
 			t.Parallel()
-			for seed := range seeds(n) {
+			for seed := range seedCount(n) {
 				g := NewWithT(t)
 				f := newSimFleet(seed, n, 400*time.Millisecond)
-				f.spreads = seed%2 == 0
-				f.run(2 * time.Second)
+				f.gossips = seed%2 == 0
+				f.advance(2 * time.Second)
 				for range n / 4 {
-					f.hosts[f.rng.IntN(n)].cut = f.now.Add(4 * time.Second)
+					f.hosts[f.rng.IntN(n)].partitionedUntil = f.now.Add(4 * time.Second)
 				}
 				f.leaving = true
-				f.run(20 * time.Second)
-				for _, a := range f.arrived {
-					if told := a.host.toldLeaving; !told.IsZero() {
-						g.Expect(a.at.Sub(told)).To(BeNumerically("<=", draining), "seed %d", seed)
+				f.advance(20 * time.Second)
+				for _, a := range f.arrivals {
+					if heardAt := a.host.leavingHeardAt; !heardAt.IsZero() {
+						g.Expect(a.at.Sub(heardAt)).To(BeNumerically("<=", leavingNoticeTime), "seed %d", seed)
 					}
 				}
 			}
@@ -467,30 +480,30 @@
 	}
 }
 
-// TestReplicaThatAsksForRestIsLeftAloneByThatHost has the replica turn away half of what
-// comes; hosts that it has not asked go on.
-func TestReplicaThatAsksForRestIsLeftAloneByThatHost(t *testing.T) {
+// The replica refuses half of the requests and asks their senders for a backoff; the other
+// hosts continue to send.
+func TestHostRespectsRequestedBackoff(t *testing.T) {
 	for _, n := range []int{6, 60, 300} {
-		for _, rest := range []time.Duration{300 * time.Millisecond, 3 * time.Second, time.Hour} {
-			t.Run(fmt.Sprintf("%d hosts, %s", n, rest), func(t *testing.T) {
+		for _, backoff := range []time.Duration{300 * time.Millisecond, 3 * time.Second, time.Hour} {
+			t.Run(fmt.Sprintf("%d hosts, %s", n, backoff), func(t *testing.T) {
 				t.Parallel()
 				f := newSimFleet(5, n, 100*time.Millisecond)
-				f.rest = rest
-				f.run(15 * time.Second)
-				rested := 0
+				f.backoff = backoff
+				f.advance(15 * time.Second)
+				backoffs := 0
 				for _, h := range f.hosts {
-					rested += len(h.asked)
-					for _, r := range h.asked {
+					backoffs += len(h.requestedBackoffs)
+					for _, r := range h.requestedBackoffs {
 						during := 0
-						for _, a := range f.arrived {
-							if a.host == h && !a.at.Before(r.Since.Add(passing)) && a.at.Before(r.Until) {
+						for _, a := range f.arrivals {
+							if a.host == h && !a.at.Before(r.Since.Add(hostNoticeTime)) && a.at.Before(r.Until) {
 								during++
 							}
 						}
-						NewWithT(t).Expect(during).To(BeNumerically("<=", restAllowed))
+						NewWithT(t).Expect(during).To(BeNumerically("<=", allowedDuringBackoff))
 					}
 				}
-				NewWithT(t).Expect(rested).To(BeNumerically(">=", 2*n), "hosts ask again when a rest is over")
+				NewWithT(t).Expect(backoffs).To(BeNumerically(">=", 2*n), "hosts send again when a backoff is over")
 			})
 		}
 	}
--- a/discovery/replicas.go
+++ b/discovery/replicas.go
@@ -13,61 +13,61 @@
 	"github.com/wheatseam/wheatseam/platform"
 )
 
-// sourceStore is the Source of a view that this host has read itself.
+// sourceStore is the Source of a view that this host has read from the store itself.
 const sourceStore = "store"
 
-// keepReplicas keeps the replicas up to date until ctx ends, and hears of newer
-// configurations while fellows are asked.
-func (d *Discovery) keepReplicas(ctx context.Context) {
-	d.begin(ctx)
-	wait := firstRetry
+// syncReplicas keeps the replicas up to date until ctx ends. While it asks peers, it also
+// learns of newer configurations.
+func (d *Discovery) syncReplicas(ctx context.Context) {
+	d.awaitFirstPeers(ctx)
+	wait := minRetryInterval
 	for ctx.Err() == nil {
 		source := d.chooseSource(clock.Now())
 		if source != d.cfg.Self {
-			// A fellow that refused at once, as it has just started, costs no read of
-			// the store: the next one is asked.
-			if d.askFor(ctx, source, d.share(newsWait)) || clock.Since(d.View().AsOf) < d.share(readShare) {
-				wait = firstRetry
+			// A peer that has just started and refuses at once does not cause a read of
+			// the store: the next peer is asked.
+			if d.requestChanges(ctx, source, d.boundFraction(changesWaitFraction)) || clock.Since(d.View().AsOf) < d.boundFraction(readFraction) {
+				wait = minRetryInterval
 				continue
 			}
-			d.checkSoon()
+			d.requestConfigCheck()
 		}
 		started := clock.Now()
 		if !d.readReplicas(ctx) {
-			if !d.View().Ready() && d.askAny(ctx) {
+			if !d.View().Ready() && d.requestChangesFromAny(ctx) {
 				continue
 			}
-			if d.View().Ready() && d.askOther(ctx) {
-				periodic.Sleep(ctx, d.share(readShare))
-				wait = firstRetry
+			if d.View().Ready() && d.requestChangesFromRandomPeer(ctx) {
+				periodic.Sleep(ctx, d.boundFraction(readFraction))
+				wait = minRetryInterval
 				continue
 			}
 			periodic.Sleep(ctx, wait/2+rand.N(wait/2+1))
 			wait = min(2*wait, d.retryLimit())
 			continue
 		}
-		wait = firstRetry
+		wait = minRetryInterval
 		if d.View().Config == nil {
-			d.awaitChange(ctx, maxRetry) // nothing can be served before
+			d.awaitChange(ctx, maxRetryInterval) // requests cannot be served before
 		} else if source == d.cfg.Self {
 			periodic.Sleep(ctx, d.interval()-clock.Since(started))
 		}
 	}
 }
 
-// begin waits, where the store holds no configuration yet, until there are fellows
-// to ask: nothing can be served before, and of a whole fleet that starts for the
-// first time one host watches the store and the others hear from it. 295 hosts
-// that each did made some 1,900 calls.
-func (d *Discovery) begin(ctx context.Context) {
-	periodic.Await(ctx, d.looked, firstRetry)
-	if d.unwritten.Load() {
-		d.awaitFleet(ctx)
+// awaitFirstPeers waits until the fleet has formed if the store contains no configuration
+// yet. Nothing can be served before, and when a whole fleet starts for the first time one
+// host then watches the store and informs the others. 295 hosts that each watched the
+// store made some 1,900 calls.
+func (d *Discovery) awaitFirstPeers(ctx context.Context) {
+	periodic.Await(ctx, d.firstConfigRead, minRetryInterval)
+	if d.configMissing.Load() {
+		d.awaitFormed(ctx)
 	}
 }
 
-// awaitFleet waits until the hosts of the fleet are known.
-func (d *Discovery) awaitFleet(ctx context.Context) {
+// awaitFormed waits until the hosts of the fleet are known.
+func (d *Discovery) awaitFormed(ctx context.Context) {
 	select {
 	case <-d.cfg.Members.Formed():
 	case <-ctx.Done():
@@ -77,33 +77,33 @@
 // awaitChange waits until the view changes, at most for limit.
 func (d *Discovery) awaitChange(ctx context.Context, limit time.Duration) {
 	d.mu.Lock()
-	changed := d.changed
+	changed := d.viewChanged
 	d.mu.Unlock()
 	periodic.Await(ctx, changed, limit)
 }
 
-// interval is the time between two reads of the replicas: short until there is
-// something to serve.
+// interval returns the time between two reads of the replicas, which is short until there
+// are replicas.
 func (d *Discovery) interval() time.Duration {
 	if !d.View().Ready() || len(d.View().Replicas) == 0 {
-		return firstRetry
+		return minRetryInterval
 	}
-	if d.lone() {
-		return d.share(loneShare)
+	if d.noRecentPeerRequests() {
+		return d.boundFraction(idleReadFraction)
 	}
-	return d.share(readShare)
+	return d.boundFraction(readFraction)
 }
 
-// lone says whether no fellow has asked this host for news since its last read but
-// one.
-func (d *Discovery) lone() bool {
-	return time.Duration(clock.Nanos()-d.askedAt.Load()) > 2*d.share(loneShare)
+// noRecentPeerRequests reports whether no peer has asked this host for changes since the
+// read before the last.
+func (d *Discovery) noRecentPeerRequests() bool {
+	return time.Duration(clock.Nanos()-d.lastPeerRequest.Load()) > 2*d.boundFraction(idleReadFraction)
 }
 
-// readReplicas reads the replicas from the store and says whether that succeeded.
+// readReplicas reads the replicas from the store and reports whether that succeeded.
 func (d *Discovery) readReplicas(ctx context.Context) bool {
 	started := clock.Now()
-	d.reads.Add(1)
+	d.storeReads.Add(1)
 	entries := []catalog.Replica{}
 	faults := map[string]string{}
 	revision, err := d.cfg.Store.Pages(ctx, platform.ReplicaPrefix, func(items []platform.Item) {
@@ -119,42 +119,42 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil {
-		if !d.lost && ctx.Err() == nil {
-			d.lost = true
-			d.log.Warn("store lost", zap.Error(err), zap.Duration("view_age", started.Sub(d.View().AsOf)))
+		if !d.replicaReadFailed && ctx.Err() == nil {
+			d.replicaReadFailed = true
+			d.log.Warn("could not read the replicas from the store", zap.Error(err), zap.Duration("view_age", started.Sub(d.View().AsOf)))
 		}
 		return false
 	}
-	if d.lost {
-		d.lost = false
-		d.wake()
-		d.log.Info("store regained", zap.Uint64("revision", revision))
+	if d.replicaReadFailed {
+		d.replicaReadFailed = false
+		d.wakeConfigSync()
+		d.log.Info("store is readable again for the replicas", zap.Uint64("revision", revision))
 	}
-	d.noteFaults(faults)
+	d.recordInvalidEntries(faults)
 	next := *d.View()
 	next.replicasAsOf, next.Source = started, sourceStore
 	d.registry.Update(clock.Now(), entries)
-	d.listed = revision
+	d.replicaListRevision = revision
 	d.publish(&next)
 	return true
 }
 
-// noteFaults takes the entries that name no replica, by key, with what is wrong
-// with them: anybody may write beside the replicas. Each change is logged once;
-// the lock is held.
-func (d *Discovery) noteFaults(faults map[string]string) {
-	for key, why := range faults {
-		if d.faults[key] != why {
-			d.log.Warn("replica entry refused", zap.String("key", key), zap.String("why", why))
+// recordInvalidEntries replaces the faults of entries that are not valid replicas, by key:
+// other writers may use the same prefix. Each change is logged once. The caller holds
+// d.mu.
+func (d *Discovery) recordInvalidEntries(faults map[string]string) {
+	for key, fault := range faults {
+		if d.invalidEntries[key] != fault {
+			d.log.Warn("invalid replica entry ignored", zap.String("key", key), zap.String("why", fault))
 		}
 	}
-	d.faults = faults
+	d.invalidEntries = faults
 }
 
-// Faults is the number of entries among the replicas that name none, as of this
-// host's last read of the store.
+// Faults returns the number of entries under the replica prefix that are not valid
+// replicas, as of this host's last read of the store.
 func (d *Discovery) Faults() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.faults)
+	return len(d.invalidEntries)
 }
