--- a/core/stage/loadsim_test.go
+++ b/core/stage/loadsim_test.go
@@ -12,14 +12,13 @@
 	"github.com/wheatseam/wheatseam/core/catalog"
 )
 
-// loadSim plays the load of a fleet against a Machine in simulated time: callers
-// that come at random and come back once when refused, replicas whose calls
-// take time and whose rooms fill up, and engines that read the results.
+// loadSim simulates the load of a fleet on a Machine in simulated time: callers that arrive
+// at random and retry once when refused, replicas whose calls take time and whose memory
+// fills up, and engines that read the results.
 type loadSim struct {
-	m   *Machine
-	rng *rand.Rand
-	now time.Time
-	// start is the time of the first arrival.
+	m          *Machine
+	rng        *rand.Rand
+	now        time.Time
 	start      time.Time
 	events     simEvents
 	seq        int
@@ -28,36 +27,35 @@
 	jobs       map[string]*simJob
 	handles    int
 	configured Configured
-	// lost says that all hosts are down; life counts the planners.
-	lost bool
-	// noRoom and gone count pieces that found no room, or whose inputs were gone.
-	noRoom, gone int
-	// overtaken counts jobs that were refused after they had been admitted.
-	overtaken int
+	// powerLost says that all hosts are down.
+	powerLost bool
+	// outOfMemory and missingInputs count the pieces that found no memory or no inputs.
+	outOfMemory, missingInputs int
+	// refusedAfterAdmission counts the jobs that were refused after they had been admitted.
+	refusedAfterAdmission int
 }
 
-// simKind is a kind of request.
 type simKind struct {
 	name string
-	// rate is the requests a second.
+	// rate returns the number of requests a second.
 	rate                func(at time.Duration) float64
 	priority            int
 	objective, deadline time.Duration
-	// engine is the usual time from results to the first event.
+	// engine is the usual time from the results to the first event of the answer.
 	engine time.Duration
-	// onTime and late are what an answer is worth.
-	onTime, late float64
-	stages       func(*rand.Rand) []Stage
-	domain       bool
+	// onTimeValue and lateValue are the values of an answer.
+	onTimeValue, lateValue float64
+	stages                 func(*rand.Rand) []Stage
+	domain                 bool
 
 	buckets map[int]*simTally
 }
 
-// simTally counts what became of the requests of a kind that came in a second.
-type simTally struct{ asked, onTime, late, refused int }
+// simTally counts the outcomes of the requests of a kind that arrived within one second.
+type simTally struct{ arrived, onTime, late, refused int }
 
 func (t *simTally) add(o simTally) {
-	t.asked += o.asked
+	t.arrived += o.arrived
 	t.onTime += o.onTime
 	t.late += o.late
 	t.refused += o.refused
@@ -66,25 +64,25 @@
 type simJob struct {
 	kind    *simKind
 	arrived time.Time
-	returns int
+	retries int
 	job     Job
-	// answered says that the first event has come.
+	// answered says that the first event of the answer was sent.
 	answered bool
 }
 
 // simReplica is a replica that runs one call at a time.
 type simReplica struct {
 	catalog.Replica
-	figures catalog.Pieces
-	// work scales the time of a piece of a stage's results.
-	room int64
-	// seen is room as it was last told.
-	seen  int64
-	slow  float64
-	down  bool
-	held  map[string]int64
-	boot  int
-	speed float64
+	params catalog.Pieces
+	// usedBytes is the memory taken by results.
+	usedBytes int64
+	// reportedBytes is usedBytes as of the last report.
+	reportedBytes int64
+	slowFactor    float64
+	down          bool
+	results       map[string]int64
+	incarnation   int
+	baseFactor    float64
 }
 
 type simEvent struct {
@@ -108,8 +106,8 @@
 	return x
 }
 
-// simHop is the time between two hosts, with what their processors take.
-const simHop = 4 * time.Millisecond
+// networkDelay is the time between two hosts, including processing.
+const networkDelay = 4 * time.Millisecond
 
 func newLoadSim(seed uint64) *loadSim {
 	return &loadSim{
@@ -123,93 +121,95 @@
 	heap.Push(&s.events, simEvent{s.now.Add(d), s.seq, do})
 }
 
-// at has something happen at a time after the start.
+// at schedules a function at a time after the start.
 func (s *loadSim) at(d time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.events, simEvent{s.start.Add(d), s.seq, do})
 }
 
-// service adds the replicas of a service, evenly over the failure domains.
+// service adds the replicas of a service, spread evenly over the failure domains.
 func (s *loadSim) service(e *Configured, name string, f catalog.Pieces, n int, domains []string) {
 	e.Services[name] = &catalog.Service{Name: name, Pieces: &f}
 	for i := range n {
 		id := fmt.Sprintf("%s-%02d", name, i)
 		r := catalog.Replica{ID: id, Service: name, Address: id + ":80", FailureDomain: domains[i%len(domains)], Concurrency: 1}
 		e.Replicas = append(e.Replicas, r)
-		s.replicas[id] = &simReplica{Replica: r, figures: f, slow: 1, speed: []float64{1, 1, 1.3}[i%3], held: map[string]int64{}}
+		s.replicas[id] = &simReplica{Replica: r, params: f, slowFactor: 1, baseFactor: []float64{1, 1, 1.3}[i%3], results: map[string]int64{}}
 	}
 }
 
 func (s *loadSim) step(e Event) {
-	if s.lost {
+	if s.powerLost {
 		return
 	}
 	for _, a := range s.m.Step(s.now, e) {
 		switch a := a.(type) {
 		case Run:
-			s.after(simHop, func() { s.run(a) })
+			s.after(networkDelay, func() { s.startCall(a) })
 		case Free:
-			s.after(simHop/2, func() {
+			s.after(networkDelay/2, func() {
 				for _, h := range a.Handles {
 					s.release(s.replicas[a.Replica], h)
 				}
 			})
 		case Inspect:
-			s.inspect(a)
+			s.queryMemory(a)
 		case Ready:
-			s.after(simHop, func() { s.ready(a) })
+			s.after(networkDelay, func() { s.ready(a) })
 		case Refused:
 			if _, submitted := e.(Submitted); !submitted {
-				s.overtaken++
+				s.refusedAfterAdmission++
 			}
-			s.after(simHop, func() { s.refused(a) })
+			s.after(networkDelay, func() { s.refused(a) })
 		}
 	}
 }
 
-// inspect asks a replica for its room: the answer is of simLag before.
-func (s *loadSim) inspect(a Inspect) {
-	r, asked, asker := s.replicas[a.Replica], s.now, s.m
-	s.after(simHop, func() {
-		if r.down || s.m != asker {
+// queryMemory asks a replica for its free memory; the answer is up to memoryReportInterval
+// old.
+func (s *loadSim) queryMemory(a Inspect) {
+	r, queriedAt, planner := s.replicas[a.Replica], s.now, s.m
+	s.after(networkDelay, func() {
+		if r.down || s.m != planner {
 			return
 		}
-		least := (r.figures.RoomBytes - r.seen) / simRoomUnit * simRoomUnit
-		s.step(Inspected{Replica: a.Replica, Asked: asked, Room: Room{least, min(least+simRoomUnit, r.figures.RoomBytes)}})
+		least := (r.params.RoomBytes - r.reportedBytes) / memoryReportUnit * memoryReportUnit
+		s.step(Inspected{Replica: a.Replica, Asked: queriedAt, Room: Room{least, min(least+memoryReportUnit, r.params.RoomBytes)}})
 	})
 }
 
-// report has all replicas tell their room as of now, every simLag.
-func (s *loadSim) report() {
+// reportMemory updates what all replicas report as their free memory, every
+// memoryReportInterval.
+func (s *loadSim) reportMemory() {
 	for _, r := range s.replicas {
-		r.seen = r.room
+		r.reportedBytes = r.usedBytes
 	}
 	if len(s.events) > 0 {
-		s.after(simLag, s.report)
+		s.after(memoryReportInterval, s.reportMemory)
 	}
 }
 
-// simRoomUnit is the unit in which replicas tell their room, in bytes.
-const simRoomUnit = 1_000_000
+// memoryReportUnit is the unit in which replicas report their free memory, in bytes.
+const memoryReportUnit = 1_000_000
 
-// simLag is how late replicas tell their room at most.
-const simLag = 200 * time.Millisecond
+// memoryReportInterval is the largest age of the free memory that replicas report.
+const memoryReportInterval = 200 * time.Millisecond
 
 func (s *loadSim) release(r *simReplica, h string) {
-	r.room -= r.held[h]
-	delete(r.held, h)
+	r.usedBytes -= r.results[h]
+	delete(r.results, h)
 }
 
-// run makes a call at a replica.
-func (s *loadSim) run(a Run) {
+// startCall executes a call at a replica.
+func (s *loadSim) startCall(a Run) {
 	r := s.replicas[a.Replica]
-	boot := r.boot
+	incarnation := r.incarnation
 	if r.down {
-		s.after(simHop, func() { s.step(CallEnded{Call: a.Call, Outcome: CallUnreachable}) })
+		s.after(networkDelay, func() { s.step(CallEnded{Call: a.Call, Outcome: CallUnreachable}) })
 		return
 	}
 	end := CallEnded{Call: a.Call, Outcome: CallAnswered}
-	took := r.figures.CallTime
+	duration := r.params.CallTime
 	for _, p := range a.Pieces {
 		j := s.jobs[p.Job]
 		if j == nil {
@@ -217,54 +217,54 @@
 			continue
 		}
 		size := j.job.Stages[p.Stage].ResultBytes
-		if !s.exist(p.Inputs) {
-			s.gone++
+		if !s.inputsExist(p.Inputs) {
+			s.missingInputs++
 			end.Results = append(end.Results, Result{Kind: InputGone})
 			continue
 		}
-		if len(r.held) > 0 && r.room+size > r.figures.RoomBytes {
-			s.noRoom++
+		if len(r.results) > 0 && r.usedBytes+size > r.params.RoomBytes {
+			s.outOfMemory++
 			end.Results = append(end.Results, Result{Kind: NoRoom})
 			continue
 		}
 		s.handles++
 		h := fmt.Sprintf("%s/%d", r.Address, s.handles)
-		r.room += size
-		r.held[h] = size
-		work := 1.0
+		r.usedBytes += size
+		r.results[h] = size
+		sizeFactor := 1.0
 		if size == smallResult {
-			work = 0.3
+			sizeFactor = 0.3
 		}
-		took += time.Duration(work * (0.8 + 0.4*s.rng.Float64()) * float64(r.figures.PieceTime))
+		duration += time.Duration(sizeFactor * (0.8 + 0.4*s.rng.Float64()) * float64(r.params.PieceTime))
 		end.Results = append(end.Results, Result{Handle: h})
 	}
-	took = time.Duration(float64(took) * r.slow * r.speed)
-	asker := s.m
-	s.after(took, func() {
-		if r.boot != boot {
-			if s.m == asker {
+	duration = time.Duration(float64(duration) * r.slowFactor * r.baseFactor)
+	planner := s.m
+	s.after(duration, func() {
+		if r.incarnation != incarnation {
+			if s.m == planner {
 				s.step(CallEnded{Call: a.Call, Outcome: CallFailed})
 			}
 			return
 		}
 		for _, res := range end.Results {
 			if h := res.Handle; h != "" {
-				s.after(r.figures.ResultLife, func() { s.release(r, h) })
+				s.after(r.params.ResultLife, func() { s.release(r, h) })
 			}
 		}
-		s.after(simHop/2, func() {
-			if s.m == asker {
+		s.after(networkDelay/2, func() {
+			if s.m == planner {
 				s.step(end)
 			}
 		})
 	})
 }
 
-// exist says whether all inputs are held somewhere.
-func (s *loadSim) exist(inputs []string) bool {
+// inputsExist says whether all inputs are held by some replica.
+func (s *loadSim) inputsExist(inputs []string) bool {
 	for _, h := range inputs {
 		maker, _, _ := strings.Cut(h, ":")
-		if _, ok := s.replicas[maker].held[h]; !ok {
+		if _, ok := s.replicas[maker].results[h]; !ok {
 			return false
 		}
 	}
@@ -279,23 +279,23 @@
 	return k.buckets[sec]
 }
 
-// arrive takes a new request of a kind.
+// arrive creates a new request of a kind.
 func (s *loadSim) arrive(k *simKind, n int) {
 	j := &simJob{kind: k, arrived: s.now}
 	j.job = Job{Key: "key", Rank: catalog.Rank{Customer: 1, Route: k.priority}, Stages: k.stages(s.rng)}
-	k.tally(s, j).asked++
-	s.offer(j, fmt.Sprintf("%s-%d", k.name, n))
+	k.tally(s, j).arrived++
+	s.submit(j, fmt.Sprintf("%s-%d", k.name, n))
 }
 
-// offer submits a request for the first or the second time.
-func (s *loadSim) offer(j *simJob, id string) {
+// submit submits a request for the first or the second time.
+func (s *loadSim) submit(j *simJob, id string) {
 	k := j.kind
-	if s.lost {
-		s.comeBack(j, id)
+	if s.powerLost {
+		s.retry(j, id)
 		return
 	}
 	if len(j.job.Stages) == 0 {
-		s.answered(j, s.engineTime(k))
+		s.recordAnswer(j, s.engineTime(k))
 		return
 	}
 	arrived := s.now
@@ -307,15 +307,15 @@
 		j.job.Domain = fmt.Sprint("d", s.rng.IntN(6))
 	}
 	s.jobs[id] = j
-	s.after(simHop, func() { s.step(Submitted{j.job}) })
+	s.after(networkDelay, func() { s.step(Submitted{j.job}) })
 }
 
 func (s *loadSim) engineTime(k *simKind) time.Duration {
 	return time.Duration((0.7 + 0.6*s.rng.Float64()) * float64(k.engine))
 }
 
-// answered takes the first event of an answer.
-func (s *loadSim) answered(j *simJob, in time.Duration) {
+// recordAnswer records the first event of an answer.
+func (s *loadSim) recordAnswer(j *simJob, in time.Duration) {
 	j.answered = true
 	t := j.kind.tally(s, j)
 	if s.now.Add(in).Sub(j.arrived) <= j.kind.objective {
@@ -331,59 +331,59 @@
 		return
 	}
 	in := s.engineTime(j.kind)
-	s.answered(j, in)
-	s.after(in+simHop, func() {
+	s.recordAnswer(j, in)
+	s.after(in+networkDelay, func() {
 		delete(s.jobs, a.Job)
 		s.step(Cancelled{Job: a.Job})
 	})
 }
 
-// The waits of a caller that was refused, as shares of the time it has left.
+// The delay before a refused caller retries, as shares of its remaining time.
 const (
-	simBackLeast = 0.2
-	simBackMost  = 0.32
+	minRetryShare = 0.2
+	maxRetryShare = 0.32
 )
 
 func (s *loadSim) refused(a Refused) {
 	if j := s.jobs[a.Job]; j != nil {
 		delete(s.jobs, a.Job)
-		s.comeBack(j, a.Job)
+		s.retry(j, a.Job)
 	}
 }
 
-// comeBack has a caller try once more after a wait.
-func (s *loadSim) comeBack(j *simJob, id string) {
+// retry has a caller retry once after a delay.
+func (s *loadSim) retry(j *simJob, id string) {
 	if j.answered {
 		return
 	}
 	left := float64(j.arrived.Add(j.kind.deadline).Sub(s.now))
-	if j.returns > 0 || left <= 0 {
+	if j.retries > 0 || left <= 0 {
 		j.kind.tally(s, j).refused++
 		return
 	}
-	j.returns++
-	wait := time.Duration(left * (simBackLeast + (simBackMost-simBackLeast)*s.rng.Float64()))
-	s.after(wait, func() { s.offer(j, id+"-again") })
+	j.retries++
+	wait := time.Duration(left * (minRetryShare + (maxRetryShare-minRetryShare)*s.rng.Float64()))
+	s.after(wait, func() { s.submit(j, id+"-again") })
 }
 
-// feed draws the arrivals of a kind until the end.
-func (s *loadSim) feed(k *simKind, end time.Duration, n int) {
+// generateArrivals generates the arrivals of a kind until the end.
+func (s *loadSim) generateArrivals(k *simKind, end time.Duration, n int) {
 	at := s.now.Sub(s.start)
 	if at >= end {
 		return
 	}
 	s.arrive(k, n)
 	wait := -math.Log(1-s.rng.Float64()) / k.rate(at)
-	s.after(time.Duration(wait*float64(time.Second)), func() { s.feed(k, end, n+1) })
+	s.after(time.Duration(wait*float64(time.Second)), func() { s.generateArrivals(k, end, n+1) })
 }
 
-// play runs arrivals until end and then until all is answered.
-func (s *loadSim) play(end time.Duration) {
+// run simulates arrivals until end and continues until all requests are finished.
+func (s *loadSim) run(end time.Duration) {
 	for _, k := range s.kinds {
 		k.buckets = map[int]*simTally{}
-		s.feed(k, end, 0)
+		s.generateArrivals(k, end, 0)
 	}
-	s.report()
+	s.reportMemory()
 	for len(s.events) > 0 {
 		next := s.events[0].at
 		if tick, ok := s.m.NextTick(s.now); ok && tick.Before(next) {
--- a/core/stage/resume_test.go
+++ b/core/stage/resume_test.go
@@ -8,118 +8,118 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a job that another planner began", func() {
+var _ = Describe("a job that another planner started", func() {
 	chain := []Stage{{Service: "a", Pieces: 2, ResultBytes: 100}, {Service: "b", Pieces: 1}}
 
-	// begun returns a bench where the results of the first stage exist, and the
+	// startedJob returns a harness in which the results of the first stage exist, and the
 	// job as its owner hands it over.
-	begun := func(service func() *bench) (*bench, Job) {
-		b := service()
-		j := b.chain("j", chain...)
-		for i, h := range []string{"old/1", "old/2"} {
-			j.Made = append(j.Made, MadePiece{Stage: 0, Index: i, Handle: h, Replica: "a1"})
-			b.held[h] = Piece{Job: "j", Stage: 0, Index: i}
+	startedJob := func(service func() *harness) (*harness, Job) {
+		h := service()
+		j := h.newChain("j", chain...)
+		for i, handle := range []string{"old/1", "old/2"} {
+			j.Made = append(j.Made, MadePiece{Stage: 0, Index: i, Handle: handle, Replica: "a1"})
+			h.results[handle] = Piece{Job: "j", Stage: 0, Index: i}
 		}
-		return b, j
+		return h, j
 	}
-	plain := func() *bench { return newBench(figures(20, 0), "x") }
+	plain := func() *harness { return newHarness(pieceParams(20, 0), "x") }
 
-	It("goes on with what is made", func() {
-		b, j := begun(plain)
-		runs := b.submit(j)
+	It("continues with the completed pieces", func() {
+		h, j := startedJob(plain)
+		runs := h.submit(j)
 		Expect(runs).To(HaveLen(1))
 		Expect(runs[0].Service).To(Equal("b"))
 		Expect(runs[0].Pieces[0].Inputs).To(Equal([]string{"old/1", "old/2"}))
-		b.answer(runs[0].Call)
-		Expect(b.ready).To(HaveKey("j"))
-		Expect(b.held).To(HaveLen(1), "what the earlier planner made is freed once it is read")
+		h.answer(runs[0].Call)
+		Expect(h.ready).To(HaveKey("j"))
+		Expect(h.results).To(HaveLen(1), "the earlier planner's results are released once they are read")
 	})
 
-	It("makes only what is missing", func() {
-		b, j := begun(plain)
+	It("executes only the missing pieces", func() {
+		h, j := startedJob(plain)
 		j.Made = j.Made[:1]
-		runs := b.submit(j)
+		runs := h.submit(j)
 		Expect(runs[0].Pieces).To(HaveLen(1))
 		Expect(runs[0].Pieces[0].Index).To(Equal(1))
 	})
 
-	It("makes again what cannot be relied on", func() {
-		b, j := begun(plain)
+	It("repeats pieces whose results are not usable", func() {
+		h, j := startedJob(plain)
 		j.Made = []MadePiece{
 			{Stage: 0, Index: 0, Handle: "old/1", Replica: "gone"}, {Stage: 0, Index: 1, Handle: "old/2", Replica: "b1"},
 			{Stage: 7, Index: 0, Handle: "x", Replica: "a1"}, {Stage: 0, Index: 2, Handle: "x", Replica: "a1"}, {Stage: -1, Handle: "x", Replica: "a1"},
 		}
-		Expect(b.submit(j)[0].Pieces).To(HaveLen(2))
+		Expect(h.submit(j)[0].Pieces).To(HaveLen(2))
 	})
 
-	It("counts its results as held", func() {
-		b, j := begun(func() *bench { return newBench(figures(20, 250), "x") })
-		b.submit(j)
-		Expect(b.submit(b.chain("k", Stage{Service: "a", Pieces: 1, ResultBytes: 100}))).To(BeEmpty())
+	It("has its results counted in the memory of their replicas", func() {
+		h, j := startedJob(func() *harness { return newHarness(pieceParams(20, 250), "x") })
+		h.submit(j)
+		Expect(h.submit(h.newChain("k", Stage{Service: "a", Pieces: 1, ResultBytes: 100}))).To(BeEmpty())
 	})
 
-	It("has its results freed when it is refused", func() {
-		b, j := begun(plain)
-		j.Due, j.Deadline = b.now, b.now
-		b.submit(j)
-		Expect(b.refused).To(HaveKey("j"))
-		Expect(b.held).To(BeEmpty())
+	It("has its results released when it is refused", func() {
+		h, j := startedJob(plain)
+		j.Due, j.Deadline = h.now, h.now
+		h.submit(j)
+		Expect(h.refused).To(HaveKey("j"))
+		Expect(h.results).To(BeEmpty())
 	})
 
-	It("keeps the results that its owner was told of where another planner may go on with it", func() {
-		b := plain()
-		first := b.submit(b.shared("j", chain...))[0]
-		b.answer(first.Call)
-		b.tell("j", b.resultsOf("j")...)
-		b.giveUp("j", Cancelled{Job: "j", Moved: true})
-		Expect(b.held).To(HaveLen(2))
+	It("keeps the results reported to its owner if another planner may continue it", func() {
+		h := plain()
+		first := h.submit(h.newTransferableChain("j", chain...))[0]
+		h.answer(first.Call)
+		h.sendProgress("j", h.existingResults("j")...)
+		h.endJob("j", Cancelled{Job: "j", Moved: true})
+		Expect(h.results).To(HaveLen(2))
 	})
 
-	It("gives up the results of which nobody else can know where another planner may go on with it", func() {
-		b := plain()
-		first := b.submit(b.shared("j", chain...))[0]
-		b.answer(first.Call)
-		results := b.resultsOf("j")
-		b.tell("j", results[0])
-		b.giveUp("j", Cancelled{Job: "j", Moved: true})
-		Expect(b.held).To(HaveLen(1))
-		Expect(b.held).To(HaveKey(results[0].Handle))
+	It("has the results not reported to its owner released if another planner may continue it", func() {
+		h := plain()
+		first := h.submit(h.newTransferableChain("j", chain...))[0]
+		h.answer(first.Call)
+		results := h.existingResults("j")
+		h.sendProgress("j", results[0])
+		h.endJob("j", Cancelled{Job: "j", Moved: true})
+		Expect(h.results).To(HaveLen(1))
+		Expect(h.results).To(HaveKey(results[0].Handle))
 	})
 
-	It("is not given up twice where its results had been read", func() {
-		b, j := begun(plain)
+	It("does not have results released again that had been read", func() {
+		h, j := startedJob(plain)
 		j.Stages = append(j.Stages, Stage{Service: "c", After: []int{1}, Pieces: 1})
 		j.Made = append(j.Made, MadePiece{Stage: 1, Index: 0, Handle: "old/3", Replica: "b1"})
-		delete(b.held, "old/1") // the earlier planner gave them up, as stage 1 is complete
-		delete(b.held, "old/2")
-		b.held["old/3"] = Piece{Job: "j", Stage: 1}
-		runs := b.submit(j)
+		delete(h.results, "old/1") // the earlier planner released them, as stage 1 is complete
+		delete(h.results, "old/2")
+		h.results["old/3"] = Piece{Job: "j", Stage: 1}
+		runs := h.submit(j)
 		Expect(runs).To(HaveLen(1))
 		Expect(runs[0].Service).To(Equal("c"))
-		b.finish()
-		Expect(b.ready).To(HaveKey("j"))
+		h.answerAll()
+		Expect(h.ready).To(HaveKey("j"))
 	})
 
-	It("is told of piece by piece", func() {
-		b := plain()
-		run := b.submit(b.chain("j", chain...))[0]
-		var told []Progress
-		for _, a := range b.m.Step(b.now, CallEnded{Call: run.Call, Results: []Result{{Handle: "h1"}, {Handle: "h2"}}}) {
+	It("is reported piece by piece", func() {
+		h := plain()
+		run := h.submit(h.newChain("j", chain...))[0]
+		var reported []Progress
+		for _, a := range h.m.Step(h.now, CallEnded{Call: run.Call, Results: []Result{{Handle: "h1"}, {Handle: "h2"}}}) {
 			if p, ok := a.(Progress); ok {
-				told = append(told, p)
+				reported = append(reported, p)
 			}
 		}
-		Expect(told).To(Equal([]Progress{
+		Expect(reported).To(Equal([]Progress{
 			{Job: "j", Piece: MadePiece{Stage: 0, Index: 0, Handle: "h1", Replica: "a1"}},
 			{Job: "j", Piece: MadePiece{Stage: 0, Index: 1, Handle: "h2", Replica: "a1"}},
 		}))
 	})
 })
 
-var _ = Describe("room that results of another planner take", func() {
-	// noRoom ends a call of which only the first pieces found room.
-	noRoom := func(b *bench, run Run, made int) []Run {
-		b.take(run.Call)
+var _ = Describe("memory that another planner's results take", func() {
+	// endOutOfMemory ends a call in which there was memory only for the first pieces.
+	endOutOfMemory := func(h *harness, run Run, made int) []Run {
+		h.removeCall(run.Call)
 		e := CallEnded{Call: run.Call}
 		for i, p := range run.Pieces {
 			if i >= made {
@@ -127,34 +127,34 @@
 				continue
 			}
 			handle := string(rune('A' + i))
-			b.held[handle] = p
+			h.results[handle] = p
 			e.Results = append(e.Results, Result{Handle: handle})
 		}
-		return b.step(e)
+		return h.step(e)
 	}
 
-	It("is not asked for, and comes back as those results go", func() {
-		service := figures(10, 1000)
+	It("is not used, and becomes available as those results expire", func() {
+		service := pieceParams(10, 1000)
 		service.Pieces.ResultLife = 4 * time.Second
-		b := newBench(service, "x")
-		b.submit(b.chain("first", Stage{Service: "a", Pieces: 1, ResultBytes: 100}))
+		h := newHarness(service, "x")
+		h.submit(h.newChain("first", Stage{Service: "a", Pieces: 1, ResultBytes: 100}))
 		for i := range 10 {
-			b.submit(b.chain(fmt.Sprint("j", i), Stage{Service: "a", Pieces: 1, ResultBytes: 100}))
+			h.submit(h.newChain(fmt.Sprint("j", i), Stage{Service: "a", Pieces: 1, ResultBytes: 100}))
 		}
-		run := b.answer(b.running[0].Call)[0]
-		Expect(run.Pieces).To(HaveLen(9), "one result is held")
-		Expect(noRoom(b, run, 1)).To(BeEmpty(), "800 of 1000 bytes are others'")
-		Expect(b.pass(400*time.Millisecond)).To(BeEmpty(), "80 bytes may have come free")
-		again := b.pass(200 * time.Millisecond)
-		Expect(again).To(HaveLen(1))
-		Expect(again[0].Pieces).To(HaveLen(1), "120 bytes may have come free")
+		run := h.answer(h.running[0].Call)[0]
+		Expect(run.Pieces).To(HaveLen(9), "one result is present")
+		Expect(endOutOfMemory(h, run, 1)).To(BeEmpty(), "800 of 1000 bytes are taken by others")
+		Expect(h.advance(400*time.Millisecond)).To(BeEmpty(), "80 bytes may be free")
+		repeated := h.advance(200 * time.Millisecond)
+		Expect(repeated).To(HaveLen(1))
+		Expect(repeated[0].Pieces).To(HaveLen(1), "120 bytes may be free")
 	})
 
-	It("is all there once they have outlived their time", func() {
-		b := newBench(figures(10, 1000), "x")
-		run := b.submit(b.chain("j", Stage{Service: "a", Pieces: 10, ResultBytes: 100}))[0]
-		noRoom(b, run, 0)
-		b.now = b.now.Add(assumedResultLife)
-		Expect(b.step(Tick{})[0].Pieces).To(HaveLen(10))
+	It("is all available once those results have expired", func() {
+		h := newHarness(pieceParams(10, 1000), "x")
+		run := h.submit(h.newChain("j", Stage{Service: "a", Pieces: 10, ResultBytes: 100}))[0]
+		endOutOfMemory(h, run, 0)
+		h.now = h.now.Add(defaultResultLifetime)
+		Expect(h.step(Tick{})[0].Pieces).To(HaveLen(10))
 	})
 })
--- a/stages/asleep_test.go
+++ b/stages/planner_test.go
@@ -17,43 +17,46 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// busy replicas make nothing until the test ends, and count what is given up: calls,
-// and results.
-type busy struct {
-	until  chan struct{}
-	calls  atomic.Int32
-	closed atomic.Int32
-	freed  atomic.Int32
+// blockedReplicas complete no call until unblock is closed. They count calls, cancelled
+// calls and releases of results.
+type blockedReplicas struct {
+	unblock   chan struct{}
+	calls     atomic.Int32
+	cancelled atomic.Int32
+	releases  atomic.Int32
 }
 
-func (b *busy) RunPieces(ctx context.Context, _ stage.Run) ([]stage.Result, stage.CallOutcome, error) {
+func (b *blockedReplicas) RunPieces(ctx context.Context, _ stage.Run) ([]stage.Result, stage.CallOutcome, error) {
 	b.calls.Add(1)
 	select {
-	case <-b.until:
+	case <-b.unblock:
 	case <-ctx.Done():
-		b.closed.Add(1)
+		b.cancelled.Add(1)
 	}
 	return nil, stage.CallFailed, context.Canceled
 }
 
-func (b *busy) FreeResults(context.Context, stage.Free) error {
-	b.freed.Add(1)
+func (b *blockedReplicas) FreeResults(context.Context, stage.Free) error {
+	b.releases.Add(1)
 	return nil
 }
 
-func (b *busy) Room(context.Context, stage.Inspect) (stage.Room, error) { return stage.Room{}, nil }
+func (b *blockedReplicas) Room(context.Context, stage.Inspect) (stage.Room, error) {
+	return stage.Room{}, nil
+}
 
-// encoding makes pieces of encode at once, and none of render until the test ends.
-type encoding struct {
-	busy
-	mu      sync.Mutex
-	handles []string
-	given   []string
+// encodingReplicas complete pieces of the service encode at once, and pieces of other
+// services like blockedReplicas.
+type encodingReplicas struct {
+	blockedReplicas
+	mu              sync.Mutex
+	handles         []string
+	releasedHandles []string
 }
 
-func (e *encoding) RunPieces(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error) {
+func (e *encodingReplicas) RunPieces(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error) {
 	if a.Service != "encode" {
-		return e.busy.RunPieces(ctx, a)
+		return e.blockedReplicas.RunPieces(ctx, a)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,29 +69,29 @@
 	return out, stage.CallAnswered, nil
 }
 
-func (e *encoding) FreeResults(_ context.Context, a stage.Free) error {
+func (e *encodingReplicas) FreeResults(_ context.Context, a stage.Free) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.given = append(e.given, a.Handles...)
+	e.releasedHandles = append(e.releasedHandles, a.Handles...)
 	return nil
 }
 
-func (e *encoding) made() []string {
+func (e *encodingReplicas) completedHandles() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.handles)
 }
 
-func (e *encoding) givenUp() []string {
+func (e *encodingReplicas) released() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.given)
+	return slices.Clone(e.releasedHandles)
 }
 
 var _ = Describe("a planner", func() {
-	It("that slept leaves alone what the owners of its jobs were told of, and gives up the rest", func() {
-		replicas := &encoding{busy: busy{until: make(chan struct{})}}
-		DeferCleanup(func() { close(replicas.until) })
+	It("releases only unreported results of other daemons' jobs after it was suspended", func() {
+		replicas := &encodingReplicas{blockedReplicas: blockedReplicas{unblock: make(chan struct{})}}
+		DeferCleanup(func() { close(replicas.unblock) })
 		p := newPlanner(stage.Config{}, replicas, zap.NewNop())
 		pieces := &catalog.Pieces{Concurrency: 2, Batch: 8, CallTime: time.Second, PieceTime: time.Millisecond, RoomBytes: 1 << 20, ResultLife: time.Second}
 		services := map[string]*catalog.Service{}
@@ -98,31 +101,31 @@
 			listed = append(listed, catalog.Replica{ID: name, Service: name, Address: "127.0.0.1:1", FailureDomain: "x", Concurrency: 2})
 		}
 		p.configure(services, listed)
-		for _, id := range []string{"told", "untold"} {
-			_, ok := p.submit("fellow", stage.Job{
+		for _, id := range []string{"reported", "unreported"} {
+			_, ok := p.submit("peer", stage.Job{
 				ID: id, Key: "k", Due: clock.Now().Add(time.Hour), Deadline: clock.Now().Add(time.Hour),
 				Stages: []stage.Stage{{Service: "encode", Pieces: 1, ResultBytes: 100}, {Service: "render", After: []int{0}, Pieces: 1}},
 			})
 			Expect(ok).To(BeTrue())
-			Eventually(replicas.made).Should(ContainElement(id + "/0"))
+			Eventually(replicas.completedHandles).Should(ContainElement(id + "/0"))
 		}
-		Eventually(replicas.calls.Load).Should(BeNumerically(">", 0), "the results have been taken in")
+		Eventually(replicas.calls.Load).Should(BeNumerically(">", 0), "the results have been accepted")
 		Eventually(func() int {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return len(p.jobs["told"].made) + len(p.jobs["untold"].made)
+			return len(p.jobs["reported"].unreported) + len(p.jobs["unreported"].unreported)
 		}).Should(Equal(2))
-		out, _, _ := p.look("fellow", []string{"told"}, true)
-		Expect(out.made["told"]).To(HaveLen(1))
-		clock.Simulate(2 * orphanAfter)
+		out, _, _ := p.checkJobs("peer", []string{"reported"}, true)
+		Expect(out.completed["reported"]).To(HaveLen(1))
+		clock.Simulate(2 * orphanTimeout)
 		p.tick()
-		Eventually(replicas.givenUp).Should(Equal([]string{"untold/0"}))
-		Consistently(replicas.givenUp, 2*freeDelay).Should(HaveLen(1))
+		Eventually(replicas.released).Should(Equal([]string{"unreported/0"}))
+		Consistently(replicas.released, 2*releaseDelay).Should(HaveLen(1))
 	})
 
-	It("closes a call that waits at its replica once no job waits for it, and not before", func() {
-		replicas := &busy{until: make(chan struct{})}
-		DeferCleanup(func() { close(replicas.until) })
+	It("cancels a call that is queued at its replica once no job waits for it, and not before", func() {
+		replicas := &blockedReplicas{unblock: make(chan struct{})}
+		DeferCleanup(func() { close(replicas.unblock) })
 		p := newPlanner(stage.Config{}, replicas, zap.NewNop())
 		pieces := &catalog.Pieces{Concurrency: 1, Batch: 8, CallTime: 100 * time.Millisecond, PieceTime: time.Millisecond}
 		p.configure(map[string]*catalog.Service{"encode": {Name: "encode", Pieces: pieces}},
@@ -137,18 +140,18 @@
 			clock.Simulate(2 * time.Second)
 			p.tick()
 		}
-		Eventually(replicas.calls.Load).Should(BeEquivalentTo(2), "the pieces are asked for again")
-		Consistently(replicas.closed.Load, 20*time.Millisecond).Should(BeZero())
-		p.drop("", []string{"own"}, false)
+		Eventually(replicas.calls.Load).Should(BeEquivalentTo(2), "the pieces are called again")
+		Consistently(replicas.cancelled.Load, 20*time.Millisecond).Should(BeZero())
+		p.dropJobs("", []string{"own"}, false)
 		clock.Simulate(time.Second)
 		p.tick()
-		Eventually(replicas.closed.Load).Should(BeEquivalentTo(1))
-		Consistently(replicas.closed.Load, 20*time.Millisecond).Should(BeEquivalentTo(1), "the replica may be at work on the first")
+		Eventually(replicas.cancelled.Load).Should(BeEquivalentTo(1))
+		Consistently(replicas.cancelled.Load, 20*time.Millisecond).Should(BeEquivalentTo(1), "the replica may be executing the first call")
 	})
 
-	It("that slept is one no more for others: they have gone on elsewhere", func() {
-		replicas := &busy{until: make(chan struct{})}
-		DeferCleanup(func() { close(replicas.until) })
+	It("drops the jobs of other daemons after it was suspended, since they were handed over", func() {
+		replicas := &blockedReplicas{unblock: make(chan struct{})}
+		DeferCleanup(func() { close(replicas.unblock) })
 		p := newPlanner(stage.Config{}, replicas, zap.NewNop())
 		pieces := &catalog.Pieces{Concurrency: 1, Batch: 8, CallTime: 10 * time.Second, PieceTime: time.Millisecond, RoomBytes: 1 << 20, ResultLife: time.Second}
 		p.configure(map[string]*catalog.Service{"encode": {Name: "encode", Pieces: pieces}},
@@ -159,28 +162,28 @@
 				Stages: []stage.Stage{{Service: "encode", Pieces: 1, ResultBytes: 100}},
 			}
 		}
-		for from, id := range map[string]string{"": "own", "fellow": "theirs"} {
+		for from, id := range map[string]string{"": "own", "peer": "theirs"} {
 			_, ok := p.submit(from, job(id))
 			Expect(ok).To(BeTrue())
 		}
-		out, _, _ := p.look("fellow", []string{"theirs"}, true)
+		out, _, _ := p.checkJobs("peer", []string{"theirs"}, true)
 		Expect(out.unknown).To(BeEmpty())
-		clock.Simulate(2 * orphanAfter)
+		clock.Simulate(2 * orphanTimeout)
 		p.tick()
-		out, _, _ = p.look("fellow", []string{"theirs"}, true)
+		out, _, _ = p.checkJobs("peer", []string{"theirs"}, true)
 		Expect(out.unknown).To(ConsistOf("theirs"))
-		out, _, _ = p.look("", []string{"own"}, true)
+		out, _, _ = p.checkJobs("", []string{"own"}, true)
 		Expect(out.unknown).To(BeEmpty())
-		Expect(replicas.freed.Load()).To(BeZero(), "what was made is the next planner's")
+		Expect(replicas.releases.Load()).To(BeZero(), "the results now belong to the next planner")
 
-		By("not taking a time without jobs for a sleep")
-		p.drop("", []string{"own"}, false)
-		clock.Simulate(2 * orphanAfter)
+		By("not treating a period without jobs as a suspension")
+		p.dropJobs("", []string{"own"}, false)
+		clock.Simulate(2 * orphanTimeout)
 		p.tick()
-		_, ok := p.submit("fellow", job("later"))
+		_, ok := p.submit("peer", job("later"))
 		Expect(ok).To(BeTrue())
 		p.tick()
-		out, _, _ = p.look("fellow", []string{"later"}, true)
+		out, _, _ = p.checkJobs("peer", []string{"later"}, true)
 		Expect(out.unknown).To(BeEmpty())
 	})
 })
--- a/stages/send_test.go
+++ b/stages/send_test.go
@@ -13,23 +13,24 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// counting counts the calls that are made.
-type counting struct{ calls int }
+// countingReplicas count the calls for pieces.
+type countingReplicas struct{ calls int }
 
-func (c *counting) RunPieces(context.Context, stage.Run) ([]stage.Result, stage.CallOutcome, error) {
+func (c *countingReplicas) RunPieces(context.Context, stage.Run) ([]stage.Result, stage.CallOutcome, error) {
 	c.calls++
 	return nil, stage.CallAnswered, nil
 }
-func (c *counting) FreeResults(context.Context, stage.Free) error { return nil }
-func (c *counting) Room(context.Context, stage.Inspect) (stage.Room, error) {
+func (c *countingReplicas) FreeResults(context.Context, stage.Free) error { return nil }
+func (c *countingReplicas) Room(context.Context, stage.Inspect) (stage.Room, error) {
 	return stage.Room{}, nil
 }
 
-// Guards against calls that were chosen before their replica said that it takes nothing, and
-// are sent after it: a call waits for results that are being given up.
-func TestCallThatWasChosenBeforeIsNotSent(t *testing.T) {
+// Guards against sending a call to a replica that has announced, after the call was
+// dispatched, that it accepts no calls. There is time for that because a call first waits
+// for pending releases of results.
+func TestCallToReplicaThatClosedSinceDispatchIsNotSent(t *testing.T) {
 	g := NewWithT(t)
-	replicas, gates := &counting{}, intake.NewGates()
+	replicas, gates := &countingReplicas{}, intake.NewGates()
 	p := newPlanner(stage.Config{Gates: gates}, replicas, zap.NewNop())
 	send := func() stage.CallOutcome {
 		_, outcome, _ := p.send(context.Background(), stage.Run{Replica: "r"})
@@ -43,6 +44,6 @@
 	g.Expect(send()).To(Equal(stage.CallNotExecuted))
 	gates.SetParts(intake.Resting, nil)
 	gates.SetParts(intake.Named, map[string]intake.Part{"r": {Window: time.Hour}})
-	g.Expect(send()).To(Equal(stage.CallAnswered), "a call of this host's part, which it was chosen by")
+	g.Expect(send()).To(Equal(stage.CallAnswered), "the replica accepts this host's share of calls, and dispatch has accounted for the call")
 	g.Expect(replicas.calls).To(Equal(2))
 }
