--- a/core/rollout/bench_test.go
+++ b/core/rollout/bench_test.go
@@ -12,24 +12,25 @@
 	"github.com/wheatseam/wheatseam/bundle/bundletest"
 )
 
-// The sizes of fleet that docs/capacity/membership.md is worked out from. The
-// bundle grows with the fleet, up to the users' target size.
+// benchSizes are the fleet sizes, in hosts, behind the figures in
+// docs/capacity/membership.md. The bundle grows with the fleet, up to the users'
+// target size.
 var benchSizes = []int{10, 50, 100, 200, 410}
 
 const (
 	benchDomains = 8
 	benchRegions = 3
 	benchChanges = 10
-	// benchSpacing is the time between two changes, at 2,500 a day.
-	benchSpacing = 24 * time.Hour / 2500
-	benchLimit   = 2 * time.Minute
+	// benchChangeInterval is the time between two changes, at 2,500 per day.
+	benchChangeInterval = 24 * time.Hour / 2500
+	benchLimit          = 2 * time.Minute
 )
 
-// benchKey signs the benchmarks' bundles.
+// benchKey signs the bundles of the benchmarks.
 var benchKey = ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
 
-// benchCodec reads real bundles. A document is parsed once for all daemons;
-// what parsing costs each is measured by the benchmarks of package bundle.
+// benchCodec reads real bundles. Each document is parsed once for all daemons; the
+// benchmarks of package bundle measure the cost of parsing per daemon.
 func benchCodec() Codec {
 	keys := []ed25519.PublicKey{benchKey.Public().(ed25519.PublicKey)}
 	opened := map[hash]*bundle.Bundle{}
@@ -54,8 +55,8 @@
 	}
 }
 
-// benchDocument signs a bundle for n hosts whose customers' weights change
-// with the version, one at a time.
+// benchDocument returns a signed bundle for n hosts. Each version changes the
+// weight of one customer.
 func benchDocument(n int, version uint64) []byte {
 	target := bundletest.Target
 	sizes := bundletest.Sizes{
@@ -70,26 +71,28 @@
 	return bundle.Sign([]byte(text), benchKey)
 }
 
-// benchFleet starts a fleet with version 1 in force.
+// benchFleet starts a fleet and runs it until version 1 is active, and then for
+// benchLimit.
 func benchFleet(b *testing.B, n int) *fleet {
-	f := newFleetOf(n, benchDomains, 1, benchCodec())
+	f := newFleetWithCodec(n, benchDomains, 1, benchCodec())
 	f.service.put(benchDocument(n, 1))
-	if _, ok := f.until(benchLimit, f.inForce(1)); !ok {
-		b.Fatal("version 1 is not in force")
+	if _, ok := f.runUntil(benchLimit, f.isActive(1)); !ok {
+		b.Fatal("version 1 did not become active")
 	}
 	f.run(benchLimit)
 	return f
 }
 
-// quiet zeroes the counts.
-func (f *fleet) quiet() {
+// resetCounters resets the counts and recorded actions.
+func (f *fleet) resetCounters() {
 	f.service.reads, f.service.bytes = 0, 0
 	for _, n := range f.nodes {
-		n.bytes, n.sent, n.spent, n.actions = 0, 0, 0, nil
+		n.bytes, n.messagesSent, n.cpuTime, n.actions = 0, 0, 0, nil
 	}
 }
 
-// meanBytes returns the mean bytes of the running daemons, and of the worst.
+// meanBytes returns the mean and the maximum number of bytes over the running
+// daemons.
 func (f *fleet) meanBytes() (mean, worst float64) {
 	count := 0.0
 	for _, name := range f.names {
@@ -102,8 +105,8 @@
 	return mean / count, worst
 }
 
-// BenchmarkFleetChanges measures changes at the users' rate. Bytes are sent
-// and received together between daemons, membership and framing included.
+// BenchmarkFleetChanges measures changes at the users' rate. Bytes are the sum of
+// bytes sent and received between daemons, including membership and framing.
 func BenchmarkFleetChanges(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
@@ -119,29 +122,29 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	f := benchFleet(b, n)
-	f.quiet()
+	f.resetCounters()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	f.run(benchSpacing)
+	f.run(benchChangeInterval)
 	idle, _ := f.meanBytes()
-	f.quiet()
+	f.resetCounters()
 	var sum, worst time.Duration
 	for i := range benchChanges {
 		version := uint64(i + 2)
 		f.service.put(benchDocument(n, version))
-		took, ok := f.until(benchLimit, f.inForce(version))
+		took, ok := f.runUntil(benchLimit, f.isActive(version))
 		if !ok {
-			b.Fatalf("version %d is not in force", version)
+			b.Fatalf("version %d did not become active", version)
 		}
 		sum += took
 		worst = max(worst, took)
-		f.run(benchSpacing - took)
+		f.run(benchChangeInterval - took)
 	}
-	seconds := (benchChanges * benchSpacing).Seconds()
+	seconds := (benchChanges * benchChangeInterval).Seconds()
 	mean, most := f.meanBytes()
 	var spent time.Duration
 	for _, x := range f.nodes {
-		spent += x.spent
+		spent += x.cpuTime
 	}
 	b.ReportMetric(sum.Seconds()/benchChanges, "s-in-force")
 	b.ReportMetric(worst.Seconds(), "s-worst")
@@ -156,16 +159,16 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkFleetLost measures a change right after the loss of hosts, and one
-// that a single daemon can read.
+// BenchmarkFleetLost measures a change right after the loss of hosts, and a change
+// that only one daemon can read from the service.
 func BenchmarkFleetLost(b *testing.B) {
 	domain := func(i int) int { return i % benchDomains }
 	cases := []struct {
 		name string
 		lost func(i int) bool
-		// lone lets one daemon alone reach the service, for that long
-		// before the change.
-		lone time.Duration
+		// singleReaderFor is how long before the change only one daemon can
+		// reach the service; 0 leaves all connected.
+		singleReaderFor time.Duration
 	}{
 		{"host", func(i int) bool { return i == 3 }, 0},
 		{"domain", func(i int) bool { return domain(i) == 0 }, 0},
@@ -181,13 +184,13 @@
 					for i, name := range f.names {
 						f.nodes[name].up = !c.lost(i)
 					}
-					if c.lone > 0 {
-						f.cutService = func(host string) bool { return host != f.names[1] }
-						f.run(c.lone)
+					if c.singleReaderFor > 0 {
+						f.serviceUnreachable = func(host string) bool { return host != f.names[1] }
+						f.run(c.singleReaderFor)
 					}
-					f.quiet()
+					f.resetCounters()
 					f.service.put(benchDocument(n, 2))
-					took, ok := f.until(2*benchLimit, f.inForce(2))
+					took, ok := f.runUntil(2*benchLimit, f.isActive(2))
 					if !ok {
 						took = 2 * benchLimit
 					}
@@ -200,12 +203,12 @@
 	}
 }
 
-// BenchmarkFleetStart measures a fleet of which all daemons start at once.
+// BenchmarkFleetStart measures a fleet whose daemons all start at the same time.
 func BenchmarkFleetStart(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				f := newFleetOf(n, benchDomains, 1, benchCodec())
+				f := newFleetWithCodec(n, benchDomains, 1, benchCodec())
 				f.service.put(benchDocument(n, 1))
 				ready := func() bool {
 					for _, x := range f.nodes {
