--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("draining", func() {
-	It("finishes what is in flight, serves on kept connections and closes them", func() {
+	It("finishes requests in flight, serves kept-alive connections and closes them", func() {
 		f := newFixture()
 		f.behave("plain", site.Behaviour{Work: 300 * time.Millisecond})
 		g := f.start().ready()
@@ -23,38 +23,38 @@
 		}()
 		time.Sleep(100 * time.Millisecond)
 		g.stop()
-		Eventually(g.status, "500ms").Should(Equal(http.StatusServiceUnavailable))
+		Eventually(g.readinessStatus, "500ms").Should(Equal(http.StatusServiceUnavailable))
 		late, _ := g.send(http.MethodPost, sealPath, "", nil)
-		Expect(late.status).To(Equal(http.StatusOK), "connections still come for a while")
+		Expect(late.status).To(Equal(http.StatusOK), "connections still arrive for a while")
 		Expect((<-inFlight).status).To(Equal(http.StatusOK))
 		Eventually(g.done, "3s").Should(Receive(BeNil()))
 	})
 
-	It("refuses a request whose stages are still being made when the time is over", func() {
+	It("refuses a request whose stages are still running when their time is over", func() {
 		f := newFixture()
 		f.behave("encode", site.Behaviour{Hang: true})
 		g := f.start().ready()
-		waits := make(chan answer, 1)
+		answers := make(chan answer, 1)
 		go func() {
 			defer GinkgoRecover()
-			a, _ := g.send(http.MethodPost, goOnPath, "", func(r *http.Request) {
+			a, _ := g.send(http.MethodPost, resumePath, "", func(r *http.Request) {
 				r.Header.Set("Deadline-Ms", "20000")
 				r.Header.Set("Piece-Count", "1")
 				r.Header.Set("Piece-Key", "k")
 			})
-			waits <- a
+			answers <- a
 		}()
 		time.Sleep(100 * time.Millisecond)
 		g.stop()
 		var a answer
-		Eventually(waits, "3s").Should(Receive(&a))
+		Eventually(answers, "3s").Should(Receive(&a))
 		Expect(a.err).NotTo(HaveOccurred())
 		Expect(a.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(a.header.Get("Retry-After")).NotTo(BeEmpty())
 		Eventually(g.done, "3s").Should(Receive())
 	})
 
-	It("ends within the grace, whatever runs", func() {
+	It("ends within the grace period, whatever is running", func() {
 		f := newFixture()
 		f.behave("plain", site.Behaviour{Hang: true})
 		g := f.start().ready()
@@ -71,7 +71,7 @@
 })
 
 var _ = Describe("replicas that drain", func() {
-	It("get no new requests within the bound", func() {
+	It("get no new requests after the bound", func() {
 		f := newFixture()
 		g := f.start().ready()
 		f.register(f.replicas["p1"], "draining")
@@ -83,8 +83,8 @@
 	})
 })
 
-var _ = Describe("an address that another replica has taken", func() {
-	It("does not get the requests of the one before", func() {
+var _ = Describe("an address that another replica has taken over", func() {
+	It("does not get the requests of the previous replica", func() {
 		f := newFixture()
 		g := f.start().ready()
 		f.store.Put("servers/old", map[string]any{
