--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -41,11 +41,11 @@
 type Action interface{ action() }
 
 type (
-	// SendAsk sends an Ask to a holder. The caller passes the reply to
+	// SendAcquire sends an Ask to a holder. The caller passes the reply to
 	// Claim.Reply and a failed call to Claim.Unreachable.
-	SendAsk struct {
-		Holder string
-		Ask    Ask
+	SendAcquire struct {
+		Holder  string
+		Acquire Acquire
 	}
 	// SendRelease sends a Release to a holder. The caller should retry it a few
 	// times.
@@ -64,9 +64,9 @@
 	// Won reports that the claim succeeded. The request may be sent once
 	// Claim.Send returns true.
 	Won struct{}
-	// Lost reports that another attempt has run the request, and carries its
+	// AlreadyExecuted reports that another attempt has run the request, and carries its
 	// result.
-	Lost struct {
+	AlreadyExecuted struct {
 		Owner  Owner
 		Record Record
 	}
@@ -82,18 +82,18 @@
 		// Verdict is the holders' reason; zero if they were unreachable.
 		Verdict Verdict
 	}
-	// Kept reports that a majority of each quorum has stored the result.
-	Kept struct{}
+	// ResultStored reports that a majority of each quorum has stored the result.
+	ResultStored struct{}
 )
 
-func (SendAsk) action()     {}
-func (SendRelease) action() {}
-func (SendStore) action()   {}
-func (Wait) action()        {}
-func (Won) action()         {}
-func (Lost) action()        {}
-func (Refuse) action()      {}
-func (Kept) action()        {}
+func (SendAcquire) action()     {}
+func (SendRelease) action()     {}
+func (SendStore) action()       {}
+func (Wait) action()            {}
+func (Won) action()             {}
+func (AlreadyExecuted) action() {}
+func (Refuse) action()          {}
+func (ResultStored) action()    {}
 
 // phase is the protocol phase of a Claim.
 type phase uint8
@@ -163,19 +163,19 @@
 func (c *Claim) startRound() []Action {
 	c.phase = acquiring
 	c.round++
-	a := Ask{Key: c.cfg.Key, Owner: c.cfg.Owner, Digest: c.cfg.Digest, Round: c.round, Epoch: c.cfg.Epoch, Arrived: c.cfg.Arrived}
+	a := Acquire{Key: c.cfg.Key, Owner: c.cfg.Owner, Digest: c.cfg.Digest, Round: c.round, Epoch: c.cfg.Epoch, Arrived: c.cfg.Arrived}
 	actions := make([]Action, 0, len(c.holders))
 	for i := range c.holders {
 		if c.round > 1 && !c.disabled.replyRound {
 			c.holders[i] = holderState{name: c.holders[i].name}
 		}
-		actions = append(actions, SendAsk{c.holders[i].name, a})
+		actions = append(actions, SendAcquire{c.holders[i].name, a})
 	}
 	return actions
 }
 
-// Reply handles a holder's reply to an Ask.
-func (c *Claim) Reply(now time.Time, r Reply) []Action {
+// HandleReply handles a holder's reply to an Ask.
+func (c *Claim) HandleReply(now time.Time, r Reply) []Action {
 	s := c.holder(r.Holder)
 	if s == nil {
 		return nil
@@ -220,8 +220,8 @@
 	return []Action{SendRelease{r.Holder, Release{Key: c.cfg.Key, Owner: c.cfg.Owner, Round: r.Round}}}
 }
 
-// Unreachable handles the failure of an Ask that was sent in a round.
-func (c *Claim) Unreachable(now time.Time, holder string, round uint32) []Action {
+// HandleUnreachable handles the failure of an Ask that was sent in a round.
+func (c *Claim) HandleUnreachable(now time.Time, holder string, round uint32) []Action {
 	s := c.holder(holder)
 	if s == nil || c.phase != acquiring || round != c.round || s.verdict != 0 {
 		return nil
@@ -230,8 +230,8 @@
 	return c.evaluate(now)
 }
 
-// Timer ends the backoff and starts the next round.
-func (c *Claim) Timer() []Action {
+// HandleTimer ends the backoff and starts the next round.
+func (c *Claim) HandleTimer() []Action {
 	if c.phase != backingOff {
 		return nil
 	}
@@ -259,10 +259,10 @@
 // Sent reports whether the request may have been sent.
 func (c *Claim) Sent() bool { return c.phase == sent || c.phase == stored }
 
-// GiveUp ends a claim whose request was not sent, because its deadline passed, its
+// Abort ends a claim whose request was not sent, because its deadline passed, its
 // caller disconnected or no upstream is available. It does nothing after Send has
 // returned true.
-func (c *Claim) GiveUp(kind problem.Kind) []Action {
+func (c *Claim) Abort(kind problem.Kind) []Action {
 	if c.phase == ended || c.Sent() && !c.disabled.sentBeforeRelease {
 		return nil
 	}
@@ -296,9 +296,9 @@
 	return actions
 }
 
-// Stored handles a holder's reply to a Store. It returns Kept once a majority of
+// HandleStoreReply handles a holder's reply to a Store. It returns Kept once a majority of
 // each quorum has stored the result.
-func (c *Claim) Stored(r Reply) []Action {
+func (c *Claim) HandleStoreReply(r Reply) []Action {
 	s := c.holder(r.Holder)
 	if s == nil || c.phase != sent || r.Verdict != Recorded {
 		return nil
@@ -308,5 +308,5 @@
 		return nil
 	}
 	c.phase = stored
-	return []Action{Kept{}}
+	return []Action{ResultStored{}}
 }
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -37,7 +37,7 @@
 	}
 	actions := c.release()
 	c.phase = ended
-	return append(actions, Lost{Owner: s.owner, Record: *s.record})
+	return append(actions, AlreadyExecuted{Owner: s.owner, Record: *s.record})
 }
 
 // keyReused reports whether another owner has claimed the key for a request with a
--- a/core/claim/encode_test.go
+++ b/core/claim/encode_test.go
@@ -78,7 +78,7 @@
 	var c encoder
 	c.uvarint(uint64(m.to), uint64(m.attempt))
 	switch p := m.payload.(type) {
-	case Ask:
+	case Acquire:
 		c.uvarint(1, uint64(p.Round), p.Epoch)
 	case Release:
 		c.uvarint(2, uint64(p.Round))
--- a/core/claim/holder.go
+++ b/core/claim/holder.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// Ask grants a key, or returns the verdict that prevents the grant.
-func (h *Holder) Ask(env Env, a Ask) Reply {
+// Acquire grants a key, or returns the verdict that prevents the grant.
+func (h *Holder) Acquire(env Env, a Acquire) Reply {
 	h.evictExpired(env.Now)
 	r := h.newReply(env, a.Round)
 	e := h.entries[a.Key]
@@ -100,7 +100,7 @@
 
 // refusal returns the verdict that prevents a grant of a key that no other owner
 // has, or 0.
-func (h *Holder) refusal(env Env, a Ask, e *entry) Verdict {
+func (h *Holder) refusal(env Env, a Acquire, e *entry) Verdict {
 	switch {
 	case !env.Ready:
 		return NotReady
@@ -131,7 +131,7 @@
 }
 
 // alreadyReleased reports whether the release of a's round arrived before a.
-func (e *entry) alreadyReleased(a Ask) bool {
+func (e *entry) alreadyReleased(a Acquire) bool {
 	if e == nil {
 		return false
 	}
--- a/core/claim/holder_test.go
+++ b/core/claim/holder_test.go
@@ -74,7 +74,7 @@
 var _ = Describe("Holder memory", func() {
 	env := Env{Now: baseTime, Epoch: 1, Ready: true}
 	ask := func(h *Holder, e Env, tail byte) Verdict {
-		return h.Ask(e, Ask{Key: keyAt(e.Now, tail), Owner: ownerOf("a", "r"), Round: 1, Epoch: 1}).Verdict
+		return h.Acquire(e, Acquire{Key: keyAt(e.Now, tail), Owner: ownerOf("a", "r"), Round: 1, Epoch: 1}).Verdict
 	}
 	It("refuses new keys when full and evicts none before its retention ends", func() {
 		h := NewHolder("a", 1, baseTime.Add(-time.Hour), testPolicy)
@@ -120,8 +120,8 @@
 	}
 	win := func(c *Claim) {
 		c.Start()
-		c.Reply(baseTime, Reply{Holder: "a", Incarnation: 1, Verdict: Granted, Round: 1})
-		Expect(c.Reply(baseTime, Reply{Holder: "b", Incarnation: 1, Verdict: Granted, Round: 1})).To(Equal([]Action{Won{}}))
+		c.HandleReply(baseTime, Reply{Holder: "a", Incarnation: 1, Verdict: Granted, Round: 1})
+		Expect(c.HandleReply(baseTime, Reply{Holder: "b", Incarnation: 1, Verdict: Granted, Round: 1})).To(Equal([]Action{Won{}}))
 	}
 	It("sends once, and not at or after the deadline", func() {
 		c := newClaim(baseTime.Add(time.Second))
@@ -129,14 +129,14 @@
 		Expect(c.Send(baseTime.Add(time.Second))).To(BeFalse())
 		Expect(c.Send(baseTime)).To(BeTrue())
 		Expect(c.Send(baseTime)).To(BeFalse())
-		Expect(c.GiveUp(problem.DeadlineExceeded)).To(BeEmpty())
+		Expect(c.Abort(problem.DeadlineExceeded)).To(BeEmpty())
 	})
 	It("ignores grants of an earlier incarnation of a holder", func() {
 		c := newClaim(baseTime.Add(time.Second))
 		c.Start()
-		c.Reply(baseTime, Reply{Holder: "a", Incarnation: 1, Verdict: Granted, Round: 1})
-		c.Reply(baseTime, Reply{Holder: "a", Incarnation: 2, Verdict: HolderRestarted, Round: 1})
-		Expect(c.Reply(baseTime, Reply{Holder: "b", Incarnation: 1, Verdict: Granted, Round: 1})).To(BeEmpty())
+		c.HandleReply(baseTime, Reply{Holder: "a", Incarnation: 1, Verdict: Granted, Round: 1})
+		c.HandleReply(baseTime, Reply{Holder: "a", Incarnation: 2, Verdict: HolderRestarted, Round: 1})
+		Expect(c.HandleReply(baseTime, Reply{Holder: "b", Incarnation: 1, Verdict: Granted, Round: 1})).To(BeEmpty())
 	})
 	DescribeTable("refuses immediately when a majority is impossible",
 		func(v Verdict, kind problem.Kind, execution problem.Execution) {
@@ -145,9 +145,9 @@
 			var last []Action
 			for _, h := range []string{"a", "b"} {
 				if v == 0 {
-					last = c.Unreachable(baseTime, h, 1)
+					last = c.HandleUnreachable(baseTime, h, 1)
 				} else {
-					last = c.Reply(baseTime, Reply{Holder: h, Incarnation: 1, Verdict: v, Round: 1})
+					last = c.HandleReply(baseTime, Reply{Holder: h, Incarnation: 1, Verdict: v, Round: 1})
 				}
 			}
 			Expect(last).To(ContainElement(Refuse{Kind: kind, Execution: execution, Verdict: v}))
@@ -162,9 +162,9 @@
 		c := newClaim(baseTime.Add(time.Second))
 		c.Start()
 		for _, h := range []string{"a", "b"} {
-			c.Reply(baseTime, Reply{Holder: h, Incarnation: 1, Verdict: Taken, Round: 1, Owner: ownerOf("b", "q")})
+			c.HandleReply(baseTime, Reply{Holder: h, Incarnation: 1, Verdict: Taken, Round: 1, Owner: ownerOf("b", "q")})
 		}
-		Expect(c.GiveUp(problem.OutcomeUnknown)).To(ContainElement(
+		Expect(c.Abort(problem.OutcomeUnknown)).To(ContainElement(
 			Refuse{Kind: problem.OutcomeUnknown, Execution: problem.MayHaveRun, Owner: ownerOf("b", "q")}))
 	})
 })
@@ -199,9 +199,9 @@
 	})
 	It("compares its clock with the median of the peers' clocks", func() {
 		v := NewViews("a", 1, baseTime, Lineage{Current: view(1, "a")}, testPolicy)
-		v.SetClock([]time.Duration{time.Hour, 0, 0})
+		v.SetClockOffsets([]time.Duration{time.Hour, 0, 0})
 		Expect(v.Ready()).To(BeTrue())
-		v.SetClock([]time.Duration{time.Hour, time.Hour, 0})
+		v.SetClockOffsets([]time.Duration{time.Hour, time.Hour, 0})
 		Expect(v.Ready()).To(BeFalse())
 	})
 })
--- a/core/claim/messages.go
+++ b/core/claim/messages.go
@@ -52,8 +52,8 @@
 	return "unknown"
 }
 
-// Ask requests a grant of a key from a holder.
-type Ask struct {
+// Acquire requests a grant of a key from a holder.
+type Acquire struct {
 	Key    Key
 	Owner  Owner
 	Digest Digest
--- a/core/claim/steps_test.go
+++ b/core/claim/steps_test.go
@@ -75,7 +75,7 @@
 		}
 	case backingOff:
 		if int(a.claim.round) < st.scenario.rounds[i] {
-			step(func(c *systemState) { c.perform(i, c.writeClaim(i).Timer()) })
+			step(func(c *systemState) { c.perform(i, c.writeClaim(i).HandleTimer()) })
 		}
 	case won:
 		step(func(c *systemState) { c.send(i) })
@@ -85,7 +85,7 @@
 		}
 	}
 	if st.scenario.canGiveUp[i] && a.claim.phase != ended && (!a.claim.Sent() || st.disabled.sentBeforeRelease) {
-		step(func(c *systemState) { c.perform(i, c.writeClaim(i).GiveUp(problem.DeadlineExceeded)) })
+		step(func(c *systemState) { c.perform(i, c.writeClaim(i).Abort(problem.DeadlineExceeded)) })
 	}
 }
 
@@ -131,7 +131,7 @@
 func (st *systemState) fail(i int, holder string) {
 	st.failures--
 	c := st.writeClaim(i)
-	st.perform(i, c.Unreachable(st.now(st.scenario.ownerNodes[i]), holder, c.round))
+	st.perform(i, c.HandleUnreachable(st.now(st.scenario.ownerNodes[i]), holder, c.round))
 }
 
 func (st *systemState) send(i int) {
@@ -155,8 +155,8 @@
 		st.network = append(st.network[:i:i], st.network[i+1:]...)
 	}
 	switch p := m.payload.(type) {
-	case Ask:
-		r := st.writeHolder(m.to).Ask(st.env(m.to), p)
+	case Acquire:
+		r := st.writeHolder(m.to).Acquire(st.env(m.to), p)
 		if st.scenario.atomicCalls[m.attempt] && (m.attempt != 0 || r.Holder != st.scenario.asyncHolder) {
 			st.handleReply(m.attempt, r)
 			return
@@ -176,13 +176,13 @@
 	case Reply:
 		st.handleReply(m.attempt, p)
 	case Status:
-		st.writeViews(m.to).Hear(p)
+		st.writeViews(m.to).HandleStatus(p)
 	}
 }
 
 func (st *systemState) handleReply(i int, r Reply) {
 	if !st.attempts[i].stopped {
-		st.perform(i, st.writeClaim(i).Reply(st.now(st.scenario.ownerNodes[i]), r))
+		st.perform(i, st.writeClaim(i).HandleReply(st.now(st.scenario.ownerNodes[i]), r))
 	}
 }
 
@@ -211,7 +211,7 @@
 			offsets = append(offsets, st.nodes[i].skew-st.nodes[n].skew)
 		}
 	}
-	st.nodes[n].views.SetClock(offsets)
+	st.nodes[n].views.SetClockOffsets(offsets)
 }
 
 func (st *systemState) newest() Lineage { return st.scenario.lineages[len(st.scenario.lineages)-1] }
@@ -226,6 +226,6 @@
 func (st *systemState) query(asker, peer int) {
 	st.statuses--
 	p := st.writeViews(peer)
-	p.Hear(st.nodes[asker].views.Status())
+	p.HandleStatus(st.nodes[asker].views.Status())
 	st.enqueue(message{to: asker, payload: p.Status()})
 }
--- a/core/claim/system_state_test.go
+++ b/core/claim/system_state_test.go
@@ -164,7 +164,7 @@
 func (st *systemState) exchangeAll() {
 	for i := range st.nodes {
 		for j := range st.nodes {
-			st.nodes[i].views.Hear(st.nodes[j].views.Status())
+			st.nodes[i].views.HandleStatus(st.nodes[j].views.Status())
 		}
 	}
 }
@@ -224,7 +224,7 @@
 
 func (st *systemState) env(n int) Env {
 	v := st.nodes[n].views
-	return Env{Now: st.now(n), Epoch: v.Epoch(), Ready: v.Serves()}
+	return Env{Now: st.now(n), Epoch: v.Epoch(), Ready: v.CanGrant()}
 }
 
 func (st *systemState) nodeOf(host string) int { return slices.Index(st.scenario.nodes, host) }
@@ -251,11 +251,11 @@
 func (st *systemState) perform(i int, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case SendAsk:
-			if a.Ask.Round == 1 && a.Holder == st.scenario.droppedFirstAsks[i] {
+		case SendAcquire:
+			if a.Acquire.Round == 1 && a.Holder == st.scenario.droppedFirstAsks[i] {
 				continue
 			}
-			st.enqueue(message{to: st.nodeOf(a.Holder), attempt: i, payload: a.Ask})
+			st.enqueue(message{to: st.nodeOf(a.Holder), attempt: i, payload: a.Acquire})
 		case SendRelease:
 			if st.scenario.dropReleases {
 				continue
@@ -263,7 +263,7 @@
 			st.enqueue(message{to: st.nodeOf(a.Holder), attempt: i, payload: a.Release})
 		case SendStore:
 			st.enqueue(message{to: st.nodeOf(a.Holder), attempt: i, payload: a.Store})
-		case Lost:
+		case AlreadyExecuted:
 			st.checkLost(i, a)
 		case Refuse:
 			if st.scenario.voidOnRefusal {
@@ -276,7 +276,7 @@
 }
 
 // checkLost checks that a returned result is that of the attempt that sent.
-func (st *systemState) checkLost(i int, l Lost) {
+func (st *systemState) checkLost(i int, l AlreadyExecuted) {
 	from := int(l.Record.Result[0])
 	if !st.attempts[from].sent || st.scenario.digests[from] != st.scenario.digests[i] {
 		st.violation = fmt.Sprintf("attempt %d received the result of attempt %d", i, from)
--- a/core/claim/views.go
+++ b/core/claim/views.go
@@ -138,8 +138,8 @@
 
 func (v *Views) ack() Ack { return Ack{v.incarnation, v.adopted} }
 
-// Hear handles a peer's status.
-func (v *Views) Hear(s Status) {
+// HandleStatus handles a peer's status.
+func (v *Views) HandleStatus(s Status) {
 	if s.Incarnation < v.incarnations[s.Host] {
 		return
 	}
@@ -169,10 +169,10 @@
 	}
 }
 
-// SetClock sets the offsets of the peers' clocks from this host's clock. The median
+// SetClockOffsets sets the offsets of the peers' clocks from this host's clock. The median
 // decides whether this clock is wrong, so that one wrong clock excludes only its
 // own host.
-func (v *Views) SetClock(offsets []time.Duration) {
+func (v *Views) SetClockOffsets(offsets []time.Duration) {
 	v.clockSkewed = false
 	if len(offsets) == 0 {
 		return
@@ -187,10 +187,10 @@
 	return v.synced && !v.clockSkewed && v.lineage.Current.Has(v.host)
 }
 
-// Serves reports whether the daemon may grant. Unlike Ready it is also true for a
+// CanGrant reports whether the daemon may grant. Unlike Ready it is also true for a
 // host that the current list no longer contains, since that host still belongs to
 // groups of earlier lists.
-func (v *Views) Serves() bool { return v.synced && !v.clockSkewed }
+func (v *Views) CanGrant() bool { return v.synced && !v.clockSkewed }
 
 // Epoch returns the epoch of the current list.
 func (v *Views) Epoch() uint64 { return v.lineage.Current.Epoch }
--- a/core/claim/void.go
+++ b/core/claim/void.go
@@ -31,7 +31,7 @@
 		r.Verdict = Taken
 		return r
 	}
-	ask := Ask{Key: m.Key, Owner: m.Owner, Round: unreleasedRound, Epoch: m.Epoch}
+	ask := Acquire{Key: m.Key, Owner: m.Owner, Round: unreleasedRound, Epoch: m.Epoch}
 	if r.Verdict = h.refusal(env, ask, e); r.Verdict != 0 {
 		return r
 	}
--- a/core/load/table.go
+++ b/core/load/table.go
@@ -123,9 +123,9 @@
 	return time.Duration(share * float64(t.interval))
 }
 
-// Due returns the upstreams to poll now. Each of them is due again after the interval,
+// DuePolls returns the upstreams to poll now. Each of them is due again after the interval,
 // regardless of the outcome of the poll.
-func (t *Table) Due(now time.Time) []string {
+func (t *Table) DuePolls(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var due []string
@@ -141,9 +141,9 @@
 	return due
 }
 
-// Polled stores the report that a poll returned. It reports whether it is newer than
+// ObservePoll stores the report that a poll returned. It reports whether it is newer than
 // the stored one.
-func (t *Table) Polled(now time.Time, r Report) bool {
+func (t *Table) ObservePoll(now time.Time, r Report) bool {
 	if r.AsOf.After(now.Add(maxClockSkew)) {
 		r.AsOf = now
 	}
@@ -227,9 +227,9 @@
 	return reports
 }
 
-// Polling returns the upstreams that this daemon polls and the interval between two
+// AssignedPolls returns the upstreams that this daemon polls and the interval between two
 // polls of the same upstream.
-func (t *Table) Polling() (upstreams []string, interval time.Duration) {
+func (t *Table) AssignedPolls() (upstreams []string, interval time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.entries {
--- a/core/member/bench_test.go
+++ b/core/member/bench_test.go
@@ -27,8 +27,8 @@
 // it for benchWarmUp.
 func benchFleet(n int, seed uint64) *fleet {
 	f := newFleet(n, benchDomains, seed, func(c *Config) {
-		c.Extensions = []Extension{
-			{ID: directTestSlot, MaxBytes: benchDirectBytes}, {ID: fleetTestSlot, MaxBytes: benchFleetBytes, Fleet: true},
+		c.Slots = []SlotConfig{
+			{ID: directTestSlot, MaxBytes: benchDirectBytes}, {ID: fleetTestSlot, MaxBytes: benchFleetBytes, FleetWide: true},
 		}
 	})
 	f.encodeMessages = true
@@ -149,7 +149,7 @@
 		return
 	}
 	f.dropped = func(string, string) bool { return false }
-	_, healed, healPeak := f.measureTransition(f.onAllNodes(func(m *node) bool { return m.machine.Living() == n }), func() bool { return true })
+	_, healed, healPeak := f.measureTransition(f.onAllNodes(func(m *node) bool { return m.machine.LiveHosts() == n }), func() bool { return true })
 	b.ReportMetric(healed.Seconds(), "s-healed")
 	b.ReportMetric(healPeak, "heal-peak-B/s")
 }
--- a/core/member/config.go
+++ b/core/member/config.go
@@ -29,16 +29,16 @@
 	SlotQuarantine SlotID = 5
 )
 
-// Extension registers a slot: a small value that each daemon attaches to its
+// SlotConfig registers a slot: a small value that each daemon attaches to its
 // heartbeats.
-type Extension struct {
+type SlotConfig struct {
 	ID SlotID
 	// MaxBytes is the largest accepted size of one value.
 	MaxBytes int
-	// Fleet marks a fleet-wide slot, whose values are gossiped to every host.
+	// FleetWide marks a fleet-wide slot, whose values are gossiped to every host.
 	// The values of other (direct) slots are sent only to neighbours, with every
 	// ping and ack.
-	Fleet bool
+	FleetWide bool
 }
 
 // The limits on registered slots, in bytes.
@@ -57,8 +57,8 @@
 	// Rings is the number of hash rings of the overlay, and so the largest number
 	// of neighbours that a daemon probes.
 	Rings int
-	// Interval is the time between two probes by this daemon.
-	Interval time.Duration
+	// ProbeInterval is the time between two probes by this daemon.
+	ProbeInterval time.Duration
 	// ProbeTimeout is the wait for an ack before other daemons are asked to probe
 	// the target.
 	ProbeTimeout time.Duration
@@ -87,7 +87,7 @@
 	// LeavingHoldDown is how much newer than a leaving mark a host list must be
 	// before it can clear the mark.
 	LeavingHoldDown time.Duration
-	Extensions      []Extension
+	Slots           []SlotConfig
 }
 
 // DefaultConfig returns the parameters that docs/decisions/0005-membership.md
@@ -97,7 +97,7 @@
 		Self:             self,
 		Incarnation:      incarnation,
 		Rings:            8,
-		Interval:         time.Second,
+		ProbeInterval:    time.Second,
 		ProbeTimeout:     400 * time.Millisecond,
 		IndirectProbes:   3,
 		SuspicionMin:     3 * time.Second,
@@ -116,15 +116,15 @@
 func (c Config) validate() error {
 	directBytes := 0
 	seen := map[SlotID]bool{}
-	for _, e := range c.Extensions {
+	for _, e := range c.Slots {
 		if seen[e.ID] {
 			return fmt.Errorf("member: slot %d is registered twice", e.ID)
 		}
 		seen[e.ID] = true
-		if e.Fleet && e.MaxBytes > MaxFleetSlotBytes {
+		if e.FleetWide && e.MaxBytes > MaxFleetSlotBytes {
 			return fmt.Errorf("member: fleet-wide slot %d allows %d bytes, above the limit of %d bytes", e.ID, e.MaxBytes, MaxFleetSlotBytes)
 		}
-		if !e.Fleet {
+		if !e.FleetWide {
 			directBytes += e.MaxBytes
 		}
 	}
@@ -135,11 +135,11 @@
 }
 
 // slotConfig returns the registration of a slot.
-func (c Config) slotConfig(id SlotID) (Extension, bool) {
-	for _, e := range c.Extensions {
+func (c Config) slotConfig(id SlotID) (SlotConfig, bool) {
+	for _, e := range c.Slots {
 		if e.ID == id {
 			return e, true
 		}
 	}
-	return Extension{}, false
+	return SlotConfig{}, false
 }
--- a/core/member/event.go
+++ b/core/member/event.go
@@ -17,17 +17,17 @@
 // TickInterval is the time between two Tick events.
 const TickInterval = 100 * time.Millisecond
 
-// Received is a message from another daemon, of any message type in
+// MessageReceived is a message from another daemon, of any message type in
 // wire/member.proto. A *wire.MemberPing is answered by exactly one Send of a
 // *wire.MemberAck with the same seq, a *wire.MemberSync by one Send of a
 // *wire.MemberSyncReply; both go to the sender.
-type Received struct {
+type MessageReceived struct {
 	From string
 	Msg  proto.Message
 }
 
-// Failed reports that a sent message did not reach its host.
-type Failed struct {
+// SendFailed reports that a sent message did not reach its host.
+type SendFailed struct {
 	To  string
 	Msg proto.Message
 }
@@ -76,8 +76,8 @@
 }
 
 func (Tick) isEvent()             {}
-func (Received) isEvent()         {}
-func (Failed) isEvent()           {}
+func (MessageReceived) isEvent()  {}
+func (SendFailed) isEvent()       {}
 func (Configured) isEvent()       {}
 func (HostList) isEvent()         {}
 func (UpstreamReported) isEvent() {}
@@ -95,11 +95,11 @@
 	Msg proto.Message
 }
 
-// Changed reports a change in this daemon's view of a host.
-type Changed struct{ Member Member }
+// MemberChanged reports a change in this daemon's view of a host.
+type MemberChanged struct{ Member Member }
 
-// SlotHeard delivers another host's value of a slot.
-type SlotHeard struct {
+// SlotReceived delivers another host's value of a slot.
+type SlotReceived struct {
 	ID          SlotID
 	Host        string
 	Incarnation uint64
@@ -119,9 +119,9 @@
 	Leaving bool
 }
 
-// Freshness reports whether the membership view is fresh. It is stale after a
+// FreshnessChanged reports whether the membership view is fresh. It is stale after a
 // start or a pause until a majority of the live neighbours has answered.
-type Freshness struct{ Fresh bool }
+type FreshnessChanged struct{ Fresh bool }
 
 // SkewChanged reports that this host's clock came to differ from the peers'
 // median by more than MaxClockSkew, or no longer does.
@@ -132,23 +132,23 @@
 
 // Superseded reports that a later process runs under this host's name; By is its
 // incarnation. This process must stop serving.
-type Superseded struct{ By uint64 }
+type Superseded struct{ Incarnation uint64 }
 
-// Refused reports that an event or message was invalid or exceeded a limit and
+// Rejected reports that an event or message was invalid or exceeded a limit and
 // was dropped.
-type Refused struct {
+type Rejected struct {
 	From   string
 	Reason string
 }
 
-func (Send) isAction()            {}
-func (Changed) isAction()         {}
-func (SlotHeard) isAction()       {}
-func (UpstreamChanged) isAction() {}
-func (Freshness) isAction()       {}
-func (SkewChanged) isAction()     {}
-func (Superseded) isAction()      {}
-func (Refused) isAction()         {}
+func (Send) isAction()             {}
+func (MemberChanged) isAction()    {}
+func (SlotReceived) isAction()     {}
+func (UpstreamChanged) isAction()  {}
+func (FreshnessChanged) isAction() {}
+func (SkewChanged) isAction()      {}
+func (Superseded) isAction()       {}
+func (Rejected) isAction()         {}
 
 // State is this daemon's view of a host.
 type State uint8
@@ -182,9 +182,9 @@
 	Neighbour bool
 }
 
-// Living reports whether the host is alive or suspect. A suspect host counts as
+// Live reports whether the host is alive or suspect. A suspect host counts as
 // live until it is declared dead.
-func (m Member) Living() bool { return m.State == Alive || m.State == Suspect }
+func (m Member) Live() bool { return m.State == Alive || m.State == Suspect }
 
 // Stats holds a Machine's event counts since its start.
 type Stats struct {
--- a/core/member/machine.go
+++ b/core/member/machine.go
@@ -80,7 +80,7 @@
 	m.freshness.markStale(now)
 	// The first probe is sent at a random time within the interval, so that
 	// daemons that start together do not probe in step.
-	m.nextProbeAt = now.Add(time.Duration(rng.Int64N(int64(cfg.Interval))))
+	m.nextProbeAt = now.Add(time.Duration(rng.Int64N(int64(cfg.ProbeInterval))))
 	m.self = &hostEntry{host: cfg.Self, incarnation: cfg.Incarnation, state: wire.MemberState_MEMBER_ALIVE, since: now}
 	m.handleConfigured(now, Configured{})
 	m.updateHash(m.self)
@@ -100,9 +100,9 @@
 	switch e := event.(type) {
 	case Tick:
 		m.tick(now)
-	case Received:
+	case MessageReceived:
 		m.handleMessage(now, e.From, e.Msg)
-	case Failed:
+	case SendFailed:
 		m.handleFailed(now, e)
 	case Configured:
 		m.handleConfigured(now, e)
@@ -133,7 +133,7 @@
 	m.expireProbes(now)
 	m.expireSuspicions(now)
 	if !now.Before(m.nextProbeAt) {
-		m.nextProbeAt = now.Add(m.cfg.Interval)
+		m.nextProbeAt = now.Add(m.cfg.ProbeInterval)
 		m.probeNext(now)
 		if c, changed := m.clock.updateSkew(now, m.cfg.MaxClockSkew); changed {
 			m.emit(c)
@@ -162,7 +162,7 @@
 	case *wire.MemberPush:
 		m.mergeItems(now, from, msg.GetItems())
 	default:
-		m.emit(Refused{from, "unknown message type"})
+		m.emit(Rejected{from, "unknown message type"})
 	}
 }
 
@@ -226,7 +226,7 @@
 	m.self.since = now
 	m.gossipRecord(m.self)
 	m.push.request()
-	m.emit(Changed{m.self.toMember(false)})
+	m.emit(MemberChanged{m.self.toMember(false)})
 }
 
 // handlePaused starts a stale period, which lasts until the neighbours have
@@ -243,7 +243,7 @@
 		}
 	}
 	if m.freshness.fresh {
-		m.emit(Freshness{false})
+		m.emit(FreshnessChanged{false})
 	}
 	m.freshness.markStale(now)
 	m.sync = syncState{}
@@ -276,7 +276,7 @@
 		return
 	}
 	m.freshness.fresh = true
-	m.emit(Freshness{true})
+	m.emit(FreshnessChanged{true})
 }
 
 // emit queues an action.
@@ -317,8 +317,8 @@
 	return out
 }
 
-// Living returns the number of hosts that are not dead, including this one.
-func (m *Machine) Living() int {
+// LiveHosts returns the number of hosts that are not dead, including this one.
+func (m *Machine) LiveHosts() int {
 	n := 0
 	for _, e := range m.hosts {
 		if e.state != wire.MemberState_MEMBER_DEAD {
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -21,7 +21,7 @@
 const fleetTestSlot SlotID = 101
 
 func withTestSlots(c *Config) {
-	c.Extensions = []Extension{{ID: directTestSlot, MaxBytes: 64}, {ID: fleetTestSlot, MaxBytes: 64, Fleet: true}}
+	c.Slots = []SlotConfig{{ID: directTestSlot, MaxBytes: 64}, {ID: fleetTestSlot, MaxBytes: 64, FleetWide: true}}
 }
 
 var _ = Describe("the overlay", func() {
@@ -61,7 +61,7 @@
 var _ = Describe("membership", func() {
 	It("marks all hosts alive, becomes fresh, and raises no suspicions", func() {
 		f := newFleet(40, 4, 1, nil)
-		_, ok := f.runUntil(60*time.Second, f.onAllNodes(func(n *node) bool { return n.machine.Fresh() && n.machine.Living() == 40 }))
+		_, ok := f.runUntil(60*time.Second, f.onAllNodes(func(n *node) bool { return n.machine.Fresh() && n.machine.LiveHosts() == 40 }))
 		Expect(ok).To(BeTrue())
 		f.run(60 * time.Second)
 		for _, name := range f.names {
@@ -100,11 +100,11 @@
 		Expect(f.nodes["entry-000"].machine.gossip.queue).To(BeEmpty())
 		// The first event of any kind makes it detect the pause.
 		out := old.machine.Step(f.now, SetSlot{ID: directTestSlot})
-		Expect(out).To(ConsistOf(Freshness{false}, BeAssignableToTypeOf(Refused{})))
+		Expect(out).To(ConsistOf(FreshnessChanged{false}, BeAssignableToTypeOf(Rejected{})))
 		ping := &wire.MemberPing{Seq: 9, Digest: old.machine.buildDigest(f.now, "entry-000", false)}
-		for _, a := range f.nodes["entry-000"].machine.Step(f.now, Received{"entry-002", ping}) {
+		for _, a := range f.nodes["entry-000"].machine.Step(f.now, MessageReceived{"entry-002", ping}) {
 			if s, ok := a.(Send); ok {
-				old.machine.Step(f.now, Received{"entry-000", s.Msg})
+				old.machine.Step(f.now, MessageReceived{"entry-000", s.Msg})
 			}
 		}
 		Expect(old.machine.Superseded()).To(BeTrue())
@@ -171,10 +171,10 @@
 		f.run(20 * time.Second)
 		side := func(name string) bool { return f.nodes[name].machine.cfg.Self.FailureDomain == "domain-0" }
 		f.dropped = func(from, to string) bool { return side(from) != side(to) }
-		_, ok := f.runUntil(45*time.Second, f.onAllNodes(func(n *node) bool { l := n.machine.Living(); return l == 10 || l == 30 }))
+		_, ok := f.runUntil(45*time.Second, f.onAllNodes(func(n *node) bool { l := n.machine.LiveHosts(); return l == 10 || l == 30 }))
 		Expect(ok).To(BeTrue())
 		f.dropped = func(string, string) bool { return false }
-		_, ok = f.runUntil(60*time.Second, f.onAllNodes(func(n *node) bool { return n.machine.Living() == 40 && n.machine.Fresh() }))
+		_, ok = f.runUntil(60*time.Second, f.onAllNodes(func(n *node) bool { return n.machine.LiveHosts() == 40 && n.machine.Fresh() }))
 		Expect(ok).To(BeTrue())
 		_, ok = f.runUntil(60*time.Second, f.onAllNodes(func(n *node) bool { return n.machine.stateHash == f.nodes["entry-000"].machine.stateHash }))
 		Expect(ok).To(BeTrue())
@@ -203,7 +203,7 @@
 
 	It("rejects slots that are too large", func() {
 		c := DefaultConfig(Host{"a", "d"}, 1)
-		c.Extensions = []Extension{{ID: 9, MaxBytes: MaxDirectSlotBytes + 1}}
+		c.Slots = []SlotConfig{{ID: 9, MaxBytes: MaxDirectSlotBytes + 1}}
 		_, err := New(c, startTime, rand.New(rand.NewPCG(1, 1)))
 		Expect(err).To(HaveOccurred())
 	})
@@ -236,7 +236,7 @@
 			count := 0
 			for _, name := range f.names {
 				for _, a := range f.nodes[name].actions {
-					if s, ok := a.(SlotHeard); ok && s.ID == id && s.Host == "entry-009" {
+					if s, ok := a.(SlotReceived); ok && s.ID == id && s.Host == "entry-009" {
 						count++
 						break
 					}
@@ -261,7 +261,7 @@
 		n.actions = nil
 		solicited := func() (yes, no int) {
 			for _, a := range n.actions {
-				if s, ok := a.(SlotHeard); ok && s.Solicited {
+				if s, ok := a.(SlotReceived); ok && s.Solicited {
 					yes++
 				} else if ok {
 					no++
@@ -292,7 +292,7 @@
 	It("refuses a value above its limit", func() {
 		f := newFleet(2, 1, 13, withTestSlots)
 		out := f.nodes["entry-000"].machine.Step(f.now, SetSlot{ID: directTestSlot, Value: make([]byte, 65)})
-		Expect(out).To(ConsistOf(BeAssignableToTypeOf(Refused{})))
+		Expect(out).To(ConsistOf(BeAssignableToTypeOf(Rejected{})))
 	})
 })
 
--- a/core/member/probe.go
+++ b/core/member/probe.go
@@ -36,7 +36,7 @@
 	p := m.ping(now, target)
 	p.suspectOnFailure = true
 	p.indirectAt = now.Add(m.health.scaleTimeout(m.cfg.ProbeTimeout))
-	p.failAt = now.Add(m.health.scaleTimeout(m.cfg.Interval))
+	p.failAt = now.Add(m.health.scaleTimeout(m.cfg.ProbeInterval))
 }
 
 // deadNeighbourProbeEvery is how many turns of a dead neighbour there are, on
@@ -87,7 +87,7 @@
 // ping sends a ping that raises no suspicion and is dropped after an interval.
 func (m *Machine) ping(now time.Time, target string) *probe {
 	m.lastPingSeq++
-	p := &probe{seq: m.lastPingSeq, target: target, sent: now, failAt: now.Add(m.health.scaleTimeout(m.cfg.Interval))}
+	p := &probe{seq: m.lastPingSeq, target: target, sent: now, failAt: now.Add(m.health.scaleTimeout(m.cfg.ProbeInterval))}
 	m.probes = append(m.probes, p)
 	m.send(target, &wire.MemberPing{Seq: p.seq, Digest: m.buildDigest(now, target, false)})
 	return p
@@ -138,7 +138,7 @@
 		return
 	}
 	if len(m.probes) >= maxProbes {
-		m.emit(Refused{requester, "too many pings in flight"})
+		m.emit(Rejected{requester, "too many pings in flight"})
 		return
 	}
 	p := m.ping(now, msg.GetTarget())
@@ -151,7 +151,7 @@
 
 // handleFailed schedules the indirect probes for the next tick when a ping did
 // not reach its host.
-func (m *Machine) handleFailed(now time.Time, e Failed) {
+func (m *Machine) handleFailed(now time.Time, e SendFailed) {
 	ping, ok := e.Msg.(*wire.MemberPing)
 	if !ok {
 		return
--- a/core/member/record.go
+++ b/core/member/record.go
@@ -70,7 +70,7 @@
 		m.stats.Deaths++
 	}
 	m.gossipRecord(e)
-	m.emit(Changed{e.toMember(m.isNeighbour(e.host.Name))})
+	m.emit(MemberChanged{e.toMember(m.isNeighbour(e.host.Name))})
 }
 
 // isNeighbour reports whether a host is a neighbour.
@@ -237,12 +237,12 @@
 // solicited marks the answer to one of this daemon's own pings.
 func (m *Machine) handleDigest(now time.Time, from string, d *wire.MemberDigest, solicited bool) bool {
 	if d.GetSelf().GetHost() != from {
-		m.emit(Refused{from, "digest does not hold the sender's own record"})
+		m.emit(Rejected{from, "digest does not hold the sender's own record"})
 		return false
 	}
 	e := m.hosts[from]
 	if e != nil && d.GetSelf().GetIncarnation() < e.incarnation {
-		m.emit(Refused{from, "digest from an earlier process of the host"})
+		m.emit(Rejected{from, "digest from an earlier process of the host"})
 		return true
 	}
 	m.mergeRecord(now, from, d.GetSelf())
--- a/core/member/simulation_test.go
+++ b/core/member/simulation_test.go
@@ -130,13 +130,13 @@
 	to := f.nodes[s.To]
 	switch {
 	case to == nil || !to.up:
-		f.schedule(f.latency*2, from, Failed(s))
+		f.schedule(f.latency*2, from, SendFailed(s))
 	case f.dropped(from, s.To):
-		f.schedule(time.Second, from, Failed(s))
+		f.schedule(time.Second, from, SendFailed(s))
 	default:
 		to.bytes += size
 		jitter := time.Duration(f.rng.Int64N(int64(f.latency)))
-		f.schedule(f.latency+jitter, s.To, Received{from, msg})
+		f.schedule(f.latency+jitter, s.To, MessageReceived{from, msg})
 	}
 }
 
--- a/core/member/slot.go
+++ b/core/member/slot.go
@@ -21,11 +21,11 @@
 func (m *Machine) handleSetSlot(e SetSlot) {
 	registered, ok := m.cfg.slotConfig(e.ID)
 	if !ok || len(e.Value) > registered.MaxBytes {
-		m.emit(Refused{m.cfg.Self.Name, fmt.Sprintf("slot %d: value of %d bytes rejected; the limit is %d bytes, 0 if the slot is not registered", e.ID, len(e.Value), registered.MaxBytes)})
+		m.emit(Rejected{m.cfg.Self.Name, fmt.Sprintf("slot %d: value of %d bytes rejected; the limit is %d bytes, 0 if the slot is not registered", e.ID, len(e.Value), registered.MaxBytes)})
 		return
 	}
 	value := slices.Clone(e.Value)
-	if registered.Fleet {
+	if registered.FleetWide {
 		m.lastSlotSeq++
 		m.mergeSlot(&wire.FleetSlot{
 			Host: m.cfg.Self.Name, Incarnation: m.self.incarnation, Id: uint32(e.ID), Seq: m.lastSlotSeq, Value: value,
@@ -54,10 +54,10 @@
 func (m *Machine) handleDirectSlots(from string, d *wire.MemberDigest, solicited bool) {
 	for _, s := range d.GetSlots() {
 		registered, ok := m.cfg.slotConfig(SlotID(s.GetId()))
-		if !ok || registered.Fleet || len(s.GetValue()) > registered.MaxBytes {
+		if !ok || registered.FleetWide || len(s.GetValue()) > registered.MaxBytes {
 			continue // a slot of a later release, or an invalid value
 		}
-		m.emit(SlotHeard{
+		m.emit(SlotReceived{
 			ID: registered.ID, Host: from, Incarnation: d.GetSelf().GetIncarnation(), Value: s.GetValue(),
 			Solicited: solicited, SentUnixMS: d.GetWallUnixMs(),
 		})
@@ -69,7 +69,7 @@
 	id := SlotID(s.GetId())
 	registered, ok := m.cfg.slotConfig(id)
 	e := m.hosts[s.GetHost()]
-	if !ok || !registered.Fleet || e == nil || len(s.GetValue()) > registered.MaxBytes || s.GetIncarnation() < e.incarnation {
+	if !ok || !registered.FleetWide || e == nil || len(s.GetValue()) > registered.MaxBytes || s.GetIncarnation() < e.incarnation {
 		return false
 	}
 	if e == m.self && s.GetIncarnation() != e.incarnation {
@@ -90,7 +90,7 @@
 	m.stateHash ^= old.hash
 	m.gossip.add(key)
 	if e != m.self {
-		m.emit(SlotHeard{ID: id, Host: s.GetHost(), Incarnation: s.GetIncarnation(), Value: s.GetValue()})
+		m.emit(SlotReceived{ID: id, Host: s.GetHost(), Incarnation: s.GetIncarnation(), Value: s.GetValue()})
 	}
 	return true
 }
--- a/core/member/upstream.go
+++ b/core/member/upstream.go
@@ -95,7 +95,7 @@
 	asOf := min(u.GetAsOfUnixMs(), now.Add(maxMarkFuture).UnixMilli())
 	if old == nil {
 		if len(m.upstreamMarks.byName) >= maxUpstreamMarks {
-			m.emit(Refused{name, "too many upstream marks"})
+			m.emit(Rejected{name, "too many upstream marks"})
 			return false
 		}
 		old = &upstreamMark{asOf: -1}
--- a/core/request/action.go
+++ b/core/request/action.go
@@ -20,10 +20,10 @@
 	// NotAfter is the request's deadline. The call must not be sent after it;
 	// the sender checks its clock right before it writes the first byte.
 	NotAfter time.Time
-	// StartBy is the latest time at which the call can start and still meet
+	// LatestStart is the latest time at which the call can start and still meet
 	// the deadline, given the expected time of this stage and the later ones.
 	// An upstream should serve its waiting calls in order of StartBy.
-	StartBy time.Time
+	LatestStart time.Time
 	// Key is the idempotency key if the stage is non-repeatable, else empty.
 	Key string
 }
@@ -31,32 +31,32 @@
 // Cancel cancels a running call. The call is still answered by CallEnded.
 type Cancel struct{ Attempt int }
 
-// Claim asks the claim holders for the exclusive right to run a stage.
-type Claim struct {
+// AcquireClaim asks the claim holders for the exclusive right to run a stage.
+type AcquireClaim struct {
 	Key   ClaimKey
 	Stage bundle.Stage
 }
 
-// Release releases a claim under which no call was sent. The holders then refuse
+// ReleaseClaim releases a claim under which no call was sent. The holders then refuse
 // all attempts at the key that arrived before the release.
-type Release struct{ Key ClaimKey }
+type ReleaseClaim struct{ Key ClaimKey }
 
-// Record stores the result of a claimed stage at the claim holders.
-type Record struct {
+// RecordResult stores the result of a claimed stage at the claim holders.
+type RecordResult struct {
 	Key    ClaimKey
 	Result json.RawMessage
 }
 
-// LookUp asks the upstreams of a pool for the outcome of a call whose response
+// LookUpStatus asks the upstreams of a pool for the outcome of a call whose response
 // was lost, until one of them returns the result or the deadline passes.
-type LookUp struct {
+type LookUpStatus struct {
 	Pool string
 	Key  string
 }
 
-// Keep stores a stage's result at other daemons until the deadline, so that a
+// StoreResult stores a stage's result at other daemons until the deadline, so that a
 // later request with the same key can reuse it.
-type Keep struct {
+type StoreResult struct {
 	Stage  string
 	Result json.RawMessage
 }
@@ -64,8 +64,8 @@
 // Forward forwards the stream of an attempt to the caller.
 type Forward struct{ Attempt int }
 
-// Reset tells a streaming caller to discard the text it has received so far.
-type Reset struct{}
+// ResetStream tells a streaming caller to discard the text it has received so far.
+type ResetStream struct{}
 
 // SetTimer requests a TimerFired event at the time At.
 type SetTimer struct {
@@ -74,45 +74,45 @@
 	At      time.Time
 }
 
-// Notify delivers a grant to the request that waits for it.
-type Notify struct{ Grant Grant }
+// DeliverGrant delivers a grant to the request that waits for it.
+type DeliverGrant struct{ Grant Grant }
 
 // Finish answers the caller. Exactly one of Answer and Err is set.
 type Finish struct {
 	Answer *Answer
 	Err    *problem.Error
-	// Settle says what must be done with Key before the caller gets an Err whose
+	// ClaimCleanup says what must be done with Key before the caller gets an Err whose
 	// Execution is NotRun. If that fails, the caller gets MayHaveRun instead.
-	Settle Settle
-	Key    ClaimKey
+	ClaimCleanup ClaimCleanup
+	Key          ClaimKey
 }
 
-// Settle is the operation on a key that guarantees that the request of a NotRun
+// ClaimCleanup is the operation on a key that guarantees that the request of a NotRun
 // response has not run and will not run.
-type Settle uint8
+type ClaimCleanup uint8
 
 // Operations on the key of a refused request.
 const (
-	// SettleNone does nothing.
-	SettleNone Settle = iota
-	// SettleRelease releases a claim under which no call was sent.
-	SettleRelease
-	// SettleVoid voids all attempts at a key that has not been claimed yet.
-	SettleVoid
+	// ClaimCleanupNone does nothing.
+	ClaimCleanupNone ClaimCleanup = iota
+	// ClaimCleanupRelease releases a claim under which no call was sent.
+	ClaimCleanupRelease
+	// ClaimCleanupVoid voids all attempts at a key that has not been claimed yet.
+	ClaimCleanupVoid
 )
 
-func (Call) isAction()     {}
-func (Cancel) isAction()   {}
-func (Claim) isAction()    {}
-func (Release) isAction()  {}
-func (Record) isAction()   {}
-func (LookUp) isAction()   {}
-func (Keep) isAction()     {}
-func (Forward) isAction()  {}
-func (Reset) isAction()    {}
-func (SetTimer) isAction() {}
-func (Notify) isAction()   {}
-func (Finish) isAction()   {}
+func (Call) isAction()         {}
+func (Cancel) isAction()       {}
+func (AcquireClaim) isAction() {}
+func (ReleaseClaim) isAction() {}
+func (RecordResult) isAction() {}
+func (LookUpStatus) isAction() {}
+func (StoreResult) isAction()  {}
+func (Forward) isAction()      {}
+func (ResetStream) isAction()  {}
+func (SetTimer) isAction()     {}
+func (DeliverGrant) isAction() {}
+func (Finish) isAction()       {}
 
 // ClaimKey identifies a stage that may run at most once.
 type ClaimKey struct {
--- a/core/rollout/active.go
+++ b/core/rollout/active.go
@@ -38,8 +38,8 @@
 // hash is a SHA-256 hash.
 type hash = [sha256.Size]byte
 
-// InForce is an adopted bundle with its manifest and parts, which peers request.
-type InForce struct {
+// ActiveBundle is an adopted bundle with its manifest and parts, which peers request.
+type ActiveBundle struct {
 	Bundle *bundle.Bundle
 	// Digest is the SHA-256 of the signed document.
 	Digest [sha256.Size]byte
@@ -50,8 +50,8 @@
 }
 
 // newActiveBundle splits a verified document into parts.
-func newActiveBundle(b *bundle.Bundle, signed []byte, split func([]byte) [][]byte) *InForce {
-	f := &InForce{Bundle: b, Digest: sha256.Sum256(signed), signed: signed, parts: map[hash][]byte{}}
+func newActiveBundle(b *bundle.Bundle, signed []byte, split func([]byte) [][]byte) *ActiveBundle {
+	f := &ActiveBundle{Bundle: b, Digest: sha256.Sum256(signed), signed: signed, parts: map[hash][]byte{}}
 	f.manifest = &wire.BundleManifest{Version: b.Version, Digest: f.Digest[:], Size: uint64(len(signed))}
 	for _, part := range split(signed) {
 		h := sha256.Sum256(part)
@@ -62,11 +62,11 @@
 }
 
 // Manifest returns the manifest. It must not be modified.
-func (f *InForce) Manifest() *wire.BundleManifest { return f.manifest }
+func (f *ActiveBundle) Manifest() *wire.BundleManifest { return f.manifest }
 
 // Parts returns the requested parts that this bundle has, up to the limits of one
 // answer.
-func (f *InForce) Parts(req *wire.BundlePartsRequest) *wire.BundleParts {
+func (f *ActiveBundle) Parts(req *wire.BundlePartsRequest) *wire.BundleParts {
 	out := &wire.BundleParts{}
 	size := 0
 	for _, raw := range req.GetHashes()[:min(len(req.GetHashes()), MaxBatchParts)] {
--- a/core/rollout/event.go
+++ b/core/rollout/event.go
@@ -12,8 +12,8 @@
 // Tick advances the machine's time. The caller passes one about every 100 ms.
 type Tick struct{}
 
-// PeerHeard is the mark received with a peer's heartbeat.
-type PeerHeard struct {
+// PeerMarkReceived is the mark received with a peer's heartbeat.
+type PeerMarkReceived struct {
 	Host string
 	Mark *wire.BundleMark
 	// Solicited reports that the mark came with the answer to a ping that this
@@ -26,8 +26,8 @@
 type PeersChanged struct {
 	// Neighbours are the hosts that this daemon exchanges heartbeats with.
 	Neighbours []string
-	// Living is the number of hosts that are not dead, including this one.
-	Living int
+	// LiveHosts is the number of hosts that are not dead, including this one.
+	LiveHosts int
 }
 
 // ManifestArrived is the answer to a FetchManifest.
@@ -61,13 +61,13 @@
 // ServiceFailed reports that a read of the service failed.
 type ServiceFailed struct{ Err error }
 
-// Woke reports that the process was paused. It is not ready until its peers have
+// Resumed reports that the process was paused. It is not ready until its peers have
 // answered again.
-type Woke struct{}
+type Resumed struct{}
 
 func (Tick) isEvent()             {}
-func (Woke) isEvent()             {}
-func (PeerHeard) isEvent()        {}
+func (Resumed) isEvent()          {}
+func (PeerMarkReceived) isEvent() {}
 func (PeersChanged) isEvent()     {}
 func (ManifestArrived) isEvent()  {}
 func (PartsArrived) isEvent()     {}
@@ -96,8 +96,8 @@
 
 // Adopt makes a bundle the active one.
 type Adopt struct {
-	InForce *InForce
-	Source  Source
+	Active *ActiveBundle
+	Source Source
 }
 
 // Announce replaces the mark in this daemon's heartbeats. It is urgent when a
@@ -119,19 +119,19 @@
 // Conflict reports another document with the version of the active one, which
 // stays active.
 type Conflict struct {
-	Source         Source
-	Version        uint64
-	InForce, Other uint64 // short digests
+	Source                    Source
+	Version                   uint64
+	ActiveDigest, OtherDigest uint64 // short digests
 }
 
 // ServiceStale reports that the service serves a lower version than the active
 // one.
-type ServiceStale struct{ Served, InForce uint64 }
+type ServiceStale struct{ ServedVersion, ActiveVersion uint64 }
 
-// Readiness reports that the daemon became ready: its active bundle is the newest
+// BecameReady reports that the daemon became ready: its active bundle is the newest
 // one announced to it. Alone reports that too few peers answered in time to
 // confirm that.
-type Readiness struct{ Alone bool }
+type BecameReady struct{ Unconfirmed bool }
 
 func (PollService) isAction()   {}
 func (FetchManifest) isAction() {}
@@ -141,7 +141,7 @@
 func (Rejected) isAction()      {}
 func (Conflict) isAction()      {}
 func (ServiceStale) isAction()  {}
-func (Readiness) isAction()     {}
+func (BecameReady) isAction()   {}
 
 // Source is the origin of a document.
 type Source struct {
@@ -162,8 +162,8 @@
 	// FleetPollInterval is the mean time between two reads of the service over
 	// all daemons of the fleet.
 	FleetPollInterval time.Duration
-	// PollMin is the lower bound of the mean time between two reads by this daemon.
-	PollMin time.Duration
+	// MinPollInterval is the lower bound of the mean time between two reads by this daemon.
+	MinPollInterval time.Duration
 	// MaxPollDelay is the longest delay between two reads by this daemon.
 	MaxPollDelay time.Duration
 	// FullReadEvery makes every n-th read unconditional, which detects a service
@@ -187,7 +187,7 @@
 	return Config{
 		Codec:             c,
 		FleetPollInterval: 500 * time.Millisecond,
-		PollMin:           2 * time.Second,
+		MinPollInterval:   2 * time.Second,
 		MaxPollDelay:      10 * time.Minute,
 		FullReadEvery:     20,
 		FirstPollSpread:   time.Second,
--- a/core/rollout/machine.go
+++ b/core/rollout/machine.go
@@ -35,7 +35,7 @@
 type Machine struct {
 	cfg    Config
 	rng    *rand.Rand
-	active *InForce
+	active *ActiveBundle
 	source Source
 	// revision at which the service serves the active document; 0 if unknown.
 	revision uint64
@@ -79,9 +79,9 @@
 	case Tick:
 		m.expireFetch(now)
 		m.pollIfDue(now)
-	case Woke:
+	case Resumed:
 		m.handleWoke(now)
-	case PeerHeard:
+	case PeerMarkReceived:
 		m.handlePeerMark(now, e)
 	case PeersChanged:
 		m.handlePeersChanged(e)
@@ -117,7 +117,7 @@
 
 // handlePeerMark stores a peer's mark, reports a conflicting document, and takes
 // over the service revision of the active one.
-func (m *Machine) handlePeerMark(now time.Time, e PeerHeard) {
+func (m *Machine) handlePeerMark(now time.Time, e PeerMarkReceived) {
 	p := m.peers[e.Host]
 	if p == nil {
 		if !slices.Contains(m.neighbours, e.Host) && len(m.peers) >= maxNonNeighbours+len(m.neighbours) {
@@ -144,7 +144,7 @@
 // handlePeersChanged drops the marks of hosts that are not neighbours.
 func (m *Machine) handlePeersChanged(e PeersChanged) {
 	m.neighbours = slices.Clone(e.Neighbours)
-	m.liveHosts = max(e.Living, 1)
+	m.liveHosts = max(e.LiveHosts, 1)
 	for host := range m.peers {
 		if !slices.Contains(m.neighbours, host) {
 			delete(m.peers, host)
@@ -204,7 +204,7 @@
 }
 
 // adopt makes a bundle the active one.
-func (m *Machine) adopt(f *InForce, source Source) {
+func (m *Machine) adopt(f *ActiveBundle, source Source) {
 	m.active, m.source = f, source
 	m.revision = 0
 	m.reportedStale = 0
@@ -276,15 +276,15 @@
 	switch {
 	case majority && (len(m.neighbours) > 0 || m.poll.completed > 0):
 		m.ready = true
-		m.emit(Readiness{})
+		m.emit(BecameReady{})
 	case now.Sub(m.startedAt) >= m.cfg.StartTimeout && m.poll.completed > 0:
 		m.ready = true
-		m.emit(Readiness{Alone: true})
+		m.emit(BecameReady{Unconfirmed: true})
 	}
 }
 
-// Current returns the active bundle, or nil.
-func (m *Machine) Current() *InForce { return m.active }
+// Active returns the active bundle, or nil.
+func (m *Machine) Active() *ActiveBundle { return m.active }
 
 // Ready reports whether the daemon has become ready since its start or last
 // pause; see Readiness.
--- a/core/rollout/poll.go
+++ b/core/rollout/poll.go
@@ -73,10 +73,10 @@
 		return m.poll.firstDelay
 	}
 	readers := float64(m.liveHosts) * m.readerShare(now)
-	mean := max(m.cfg.PollMin, time.Duration(readers*float64(m.cfg.FleetPollInterval)))
+	mean := max(m.cfg.MinPollInterval, time.Duration(readers*float64(m.cfg.FleetPollInterval)))
 	mean <<= min(m.poll.failures, maxPollBackoffDoublings)
 	if m.active == nil {
-		mean = m.cfg.PollMin
+		mean = m.cfg.MinPollInterval
 	}
 	return min(time.Duration(m.poll.jitter*float64(mean)), m.cfg.MaxPollDelay)
 }
--- a/core/rollout/rollout_test.go
+++ b/core/rollout/rollout_test.go
@@ -175,7 +175,7 @@
 		_, ok = f.runUntil(10*time.Second, n.rollout.Ready)
 		Expect(ok).To(BeTrue())
 		Expect(n.rollout.version()).To(Equal(uint64(2)))
-		Expect(actionsOf[Readiness](n)).To(Equal([]Readiness{{Alone: false}}))
+		Expect(actionsOf[BecameReady](n)).To(Equal([]BecameReady{{Unconfirmed: false}}))
 	})
 
 	It("is taken by a restarted daemon from its peers while the service is down", func() {
@@ -198,7 +198,7 @@
 		Expect(n.rollout.Ready()).To(BeFalse())
 		_, ok := f.runUntil(30*time.Second, n.rollout.Ready)
 		Expect(ok).To(BeTrue())
-		Expect(actionsOf[Readiness](n)).To(Equal([]Readiness{{Alone: true}}))
+		Expect(actionsOf[BecameReady](n)).To(Equal([]BecameReady{{Unconfirmed: true}}))
 	})
 
 	It("reports a second document with the same version, and recovers with the next version", func() {
@@ -292,8 +292,8 @@
 	mark := &wire.BundleMark{Version: 5, Digest: 77}
 	start := func() *Machine {
 		m := New(DefaultConfig(testCodec()), now, rand.New(rand.NewPCG(1, 1)))
-		m.Step(now, PeersChanged{Neighbours: []string{"a", "b"}, Living: 3})
-		Expect(m.Step(now, PeerHeard{"a", mark, true})).To(ContainElement(FetchManifest{"a"}))
+		m.Step(now, PeersChanged{Neighbours: []string{"a", "b"}, LiveHosts: 3})
+		Expect(m.Step(now, PeerMarkReceived{"a", mark, true})).To(ContainElement(FetchManifest{"a"}))
 		return m
 	}
 	complete := newActiveBundle(must(testCodec().Open(document(5, 3, ""))), document(5, 3, ""), testCodec().Split)
@@ -319,7 +319,7 @@
 		out := m.Step(now, e)
 		Expect(out).To(ContainElement(BeAssignableToTypeOf(Rejected{})))
 		Expect(out).NotTo(ContainElement(FetchManifest{"a"}))
-		Expect(m.Step(now, PeerHeard{"b", mark, true})).To(ContainElement(FetchManifest{"b"}))
+		Expect(m.Step(now, PeerMarkReceived{"b", mark, true})).To(ContainElement(FetchManifest{"b"}))
 	},
 		Entry("on parts that were not requested", PartsArrived{"a", &wire.BundleParts{Parts: [][]byte{[]byte("junk")}}}),
 		Entry("on an empty answer", PartsArrived{"a", &wire.BundleParts{}}),
@@ -331,11 +331,11 @@
 		out := m.Step(now, ManifestArrived{"a", wrong})
 		out = m.Step(now, PartsArrived{"a", complete.Parts(out[0].(FetchParts).Request)})
 		Expect(out).To(ContainElement(BeAssignableToTypeOf(Rejected{})))
-		Expect(m.Current()).To(BeNil())
+		Expect(m.Active()).To(BeNil())
 	})
 	It("keeps a starting daemon from being ready", func() {
 		m := start()
-		m.Step(now, PeerHeard{"b", &wire.BundleMark{}, true})
+		m.Step(now, PeerMarkReceived{"b", &wire.BundleMark{}, true})
 		m.Step(now, ServiceAnswered{1, document(4, 3, "")})
 		Expect(m.Ready()).To(BeFalse())
 		out := m.Step(now, ManifestArrived{"a", complete.Manifest()})
@@ -345,19 +345,19 @@
 	})
 	It("keeps a daemon that resumes from a pause from being ready", func() {
 		m := start()
-		m.Step(now, PeerHeard{"a", &wire.BundleMark{}, true})
+		m.Step(now, PeerMarkReceived{"a", &wire.BundleMark{}, true})
 		m.Step(now, FetchFailed{From: "a"})
-		m.Step(now, PeerHeard{"b", &wire.BundleMark{}, true})
+		m.Step(now, PeerMarkReceived{"b", &wire.BundleMark{}, true})
 		m.Step(now, ServiceAnswered{1, document(4, 3, "")})
 		Expect(m.Ready()).To(BeTrue())
-		m.Step(now, Woke{})
+		m.Step(now, Resumed{})
 		Expect(m.Ready()).To(BeFalse())
 		// Marks sent before the pause and buffered in sockets do not count.
-		m.Step(now, PeerHeard{"a", &wire.BundleMark{}, false})
-		m.Step(now, PeerHeard{"b", &wire.BundleMark{}, false})
+		m.Step(now, PeerMarkReceived{"a", &wire.BundleMark{}, false})
+		m.Step(now, PeerMarkReceived{"b", &wire.BundleMark{}, false})
 		Expect(m.Ready()).To(BeFalse())
-		m.Step(now, PeerHeard{"a", mark, true})
-		m.Step(now, PeerHeard{"b", &wire.BundleMark{}, true})
+		m.Step(now, PeerMarkReceived{"a", mark, true})
+		m.Step(now, PeerMarkReceived{"b", &wire.BundleMark{}, true})
 		Expect(m.Ready()).To(BeFalse(), "a peer has a higher version")
 		out := m.Step(now, ManifestArrived{"a", complete.Manifest()})
 		m.Step(now, PartsArrived{"a", complete.Parts(out[0].(FetchParts).Request)})
@@ -365,7 +365,7 @@
 	})
 	It("switches to another peer when one stops answering", func() {
 		m := start()
-		m.Step(now, PeerHeard{"b", mark, true})
+		m.Step(now, PeerMarkReceived{"b", mark, true})
 		Expect(m.Step(now.Add(4*time.Second), Tick{})).NotTo(ContainElement(FetchManifest{"b"}))
 		Expect(m.Step(now.Add(6*time.Second), Tick{})).To(ContainElement(FetchManifest{"b"}))
 	})
@@ -374,13 +374,13 @@
 		bad := document(5, 1, "")
 		copy(bad, "5 evil ")
 		digest := digestOf(bad)
-		m.Step(now, PeerHeard{"a", &wire.BundleMark{Version: 5, Digest: shortDigest(digest[:])}, true})
-		f := &InForce{parts: map[hash][]byte{digest: bad}}
+		m.Step(now, PeerMarkReceived{"a", &wire.BundleMark{Version: 5, Digest: shortDigest(digest[:])}, true})
+		f := &ActiveBundle{parts: map[hash][]byte{digest: bad}}
 		m.Step(now, ManifestArrived{"a", &wire.BundleManifest{Version: 5, Digest: digest[:], Parts: [][]byte{digest[:]}}})
 		out := m.Step(now, PartsArrived{"a", f.Parts(&wire.BundlePartsRequest{Hashes: [][]byte{digest[:]}})})
 		Expect(out).To(ContainElement(BeAssignableToTypeOf(Rejected{})))
 		later := now.Add(time.Minute)
-		out = m.Step(later, PeerHeard{"b", &wire.BundleMark{Version: 5, Digest: shortDigest(digest[:])}, true})
+		out = m.Step(later, PeerMarkReceived{"b", &wire.BundleMark{Version: 5, Digest: shortDigest(digest[:])}, true})
 		Expect(out).NotTo(ContainElement(BeAssignableToTypeOf(FetchManifest{})))
 	})
 })
--- a/core/share/bench_test.go
+++ b/core/share/bench_test.go
@@ -103,7 +103,7 @@
 // customer's limit.
 func (f *fleet) allLeased(contended int) bool {
 	for i := range contended {
-		if f.share(f.names[i*len(f.names)/10], f.resources[i]) < Full/2 {
+		if f.share(f.names[i*len(f.names)/10], f.resources[i]) < FullShare/2 {
 			return false
 		}
 	}
--- a/core/share/local_share.go
+++ b/core/share/local_share.go
@@ -67,7 +67,7 @@
 func (m *Machine) setDemand(now time.Time, demand map[Resource]float64) {
 	byID := make(map[ID]int64, len(demand))
 	for r, d := range demand {
-		byID[r.ID()] += int64(min(d, 1e3) * Full)
+		byID[r.ID()] += int64(min(d, 1e3) * FullShare)
 	}
 	for id, s := range m.localShares {
 		s.demand = byID[id]
--- a/core/share/machine.go
+++ b/core/share/machine.go
@@ -22,9 +22,9 @@
 	Resources []Resource
 }
 
-// LiveChanged sets the hosts that this daemon considers alive. Allocators are chosen
+// LiveHostsChanged sets the hosts that this daemon considers alive. Allocators are chosen
 // among them. Daemons need not agree on them.
-type LiveChanged struct{ Hosts []string }
+type LiveHostsChanged struct{ Hosts []string }
 
 // DemandMeasured sets the demand of callers on this daemon, as a fraction of each
 // resource's limit. Resources that are not listed have no demand.
@@ -45,12 +45,12 @@
 // TimerFired is a periodic event, every 50 to 100 ms.
 type TimerFired struct{}
 
-func (HostsChanged) event()   {}
-func (LiveChanged) event()    {}
-func (DemandMeasured) event() {}
-func (ReportReceived) event() {}
-func (ReplyReceived) event()  {}
-func (TimerFired) event()     {}
+func (HostsChanged) event()     {}
+func (LiveHostsChanged) event() {}
+func (DemandMeasured) event()   {}
+func (ReportReceived) event()   {}
+func (ReplyReceived) event()    {}
+func (TimerFired) event()       {}
 
 // Action is one output of a Machine: a message to send. The protocol tolerates the
 // loss of any message.
@@ -150,7 +150,7 @@
 	switch e := e.(type) {
 	case HostsChanged:
 		m.setHosts(now, e)
-	case LiveChanged:
+	case LiveHostsChanged:
 		m.setLiveHosts(e.Hosts)
 	case DemandMeasured:
 		m.setDemand(now, e.Demand)
--- a/core/share/resource.go
+++ b/core/share/resource.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Full is the share that equals a resource's whole limit. Shares are counted in
+// FullShare is the share that equals a resource's whole limit. Shares are counted in
 // millionths of the limit.
-const Full = 1_000_000
+const FullShare = 1_000_000
 
 // Kind is the type of object that a resource limits.
 type Kind string
@@ -67,7 +67,7 @@
 		l.hosts[n] = true
 	}
 	l.id = uint32(xxhash.Sum64String(strings.Join(sorted, "\n")))
-	l.equalShare = Full / int64(max(1, len(sorted)))
+	l.equalShare = FullShare / int64(max(1, len(sorted)))
 	l.minShare = max(1, l.equalShare/minShareDivisor)
 	return l
 }
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -24,7 +24,7 @@
 		for _, r := range f.resources {
 			sum := f.sum(r)
 			*highestSum = max(*highestSum, sum)
-			if limit := Full + allowedExcess(); sum > limit {
+			if limit := FullShare + allowedExcess(); sum > limit {
 				Fail(fmt.Sprintf("at %v the sum of the shares of %v is %d, above the limit %d", f.now, r, sum, limit))
 			}
 		}
@@ -41,7 +41,7 @@
 		check, _ := checkSums(f, noExcess)
 		f.run(20*time.Second, check)
 		for _, n := range f.names {
-			Expect(f.share(n, f.resources[0])).To(BeEquivalentTo(Full / 7))
+			Expect(f.share(n, f.resources[0])).To(BeEquivalentTo(FullShare / 7))
 		}
 	})
 
@@ -70,7 +70,7 @@
 		check, _ := checkSums(f, noExcess)
 		f.run(20*time.Second, check)
 		for _, n := range f.names {
-			Expect(f.share(n, r)).To(BeNumerically(">=", Full/7))
+			Expect(f.share(n, r)).To(BeNumerically(">=", FullShare/7))
 		}
 	})
 
@@ -85,9 +85,9 @@
 			f.partition[n] = i % 2
 		}
 		f.run(30*time.Second, check)
-		Expect(*highestSum).To(BeNumerically(">", Full*8/10), "no capacity was leased")
+		Expect(*highestSum).To(BeNumerically(">", FullShare*8/10), "no capacity was leased")
 		for _, n := range f.names[:5] {
-			f.step(n, LiveChanged{f.reachable(n)})
+			f.step(n, LiveHostsChanged{f.reachable(n)})
 		}
 		f.run(30*time.Second, check)
 	})
@@ -100,7 +100,7 @@
 				f.injectFaults()
 				f.run(time.Duration(200+f.rng.IntN(4000))*time.Millisecond, check)
 			}
-			Expect(*highestSum).To(BeNumerically(">", Full*7/10), "no capacity was leased")
+			Expect(*highestSum).To(BeNumerically(">", FullShare*7/10), "no capacity was leased")
 		},
 		Entry(nil, uint64(11)), Entry(nil, uint64(12)), Entry(nil, uint64(13)),
 		// These seeds fail if a reported share counts while a reply to the daemon is
@@ -121,7 +121,7 @@
 					recent++
 				}
 			}
-			return int64(recent) * Full / 9
+			return int64(recent) * FullShare / 9
 		}
 		check, _ := checkSums(f, allowedExcess)
 		for range 40 {
@@ -157,7 +157,7 @@
 				f.partition[n] = 0
 			}
 		}
-		Expect(*highestSum).To(BeNumerically(">", Full*9/10), "no capacity was leased")
+		Expect(*highestSum).To(BeNumerically(">", FullShare*9/10), "no capacity was leased")
 	})
 
 	It("include a margin for clock drift in the durations of leases and caps", func() {
@@ -165,7 +165,7 @@
 		r := f.resources[0]
 		heavy, idle := f.names[0], f.names[1]
 		f.nodes[heavy].demand[r] = 2
-		f.until(func() bool { return f.share(heavy, r) > Full/2 }, func() {})
+		f.until(func() bool { return f.share(heavy, r) > FullShare/2 }, func() {})
 		cfg := f.nodes[heavy].machine.cfg
 		heavyShare := f.nodes[heavy].machine.localShares[r.ID()]
 		Expect(heavyShare.leaseUntil.Sub(f.clock(heavy))).To(BeNumerically("<=", cfg.LeaseDuration*19/20))
@@ -188,11 +188,11 @@
 		}
 		// The restarted daemon loses its own cap. It grants no leases until those of
 		// its earlier process have ended.
-		check, _ := checkSums(f, func() int64 { return Full / 7 * (minShareDivisor - 1) / minShareDivisor })
+		check, _ := checkSums(f, func() int64 { return FullShare / 7 * (minShareDivisor - 1) / minShareDivisor })
 		for round := range 12 {
 			before, after := others[round%6], others[(round+1)%6]
 			f.nodes[before].demand[r] = 3
-			Expect(f.until(func() bool { return f.share(before, r) > Full/2 }, check)).To(BeNumerically("<", 20*time.Second))
+			Expect(f.until(func() bool { return f.share(before, r) > FullShare/2 }, check)).To(BeNumerically("<", 20*time.Second))
 			f.partition[before] = 1
 			f.restart(allocator)
 			f.nodes[before].demand[r], f.nodes[after].demand[r] = 0, 3
@@ -265,7 +265,7 @@
 	}
 	if f.rng.IntN(2) == 0 {
 		n := f.names[f.rng.IntN(len(f.names))]
-		f.step(n, LiveChanged{f.reachable(n)})
+		f.step(n, LiveHostsChanged{f.reachable(n)})
 	}
 	if f.rng.IntN(5) == 0 {
 		n := f.nodes[f.names[f.rng.IntN(len(f.names))]]
--- a/core/stage/config.go
+++ b/core/stage/config.go
@@ -47,9 +47,9 @@
 	// Default 3 s: late jobs are executed last, and in a long burst they stayed queued
 	// until their callers left.
 	LateGrace time.Duration
-	// Gates limit the calls to replicas, together with the calls of other components of
+	// Limiters limit the calls to replicas, together with the calls of other components of
 	// this host. Default: gates that only this Machine uses.
-	Gates *intake.Gates
+	Gates *intake.Limiters
 	// MinRetryAfter is the shortest retry delay returned to a refused job. Default 300 ms.
 	MinRetryAfter time.Duration
 }
@@ -62,7 +62,7 @@
 
 func (c Config) withDefaults() Config {
 	if c.Gates == nil {
-		c.Gates = intake.NewGates()
+		c.Gates = intake.NewLimiters()
 	}
 	orDefault(&c.CrossDomainBytesPerMs, 600)
 	orDefault(&c.DomainWaitSlackShare, 0.8)
--- a/discovery/view.go
+++ b/discovery/view.go
@@ -39,9 +39,9 @@
 // Ready reports whether requests can be routed with this view.
 func (v *View) Ready() bool { return v.Config != nil && v.Replicas != nil }
 
-// Closed reports whether a replica takes no new work, because it is draining or its
+// RefusesNewWork reports whether a replica takes no new work, because it is draining or its
 // failure domain is evacuated.
-func (v *View) Closed(r catalog.Replica) bool {
+func (v *View) RefusesNewWork(r catalog.Replica) bool {
 	return r.Draining || v.Evacuations.Has(r.FailureDomain)
 }
 
