--- a/core/catalog/config.go
+++ b/core/catalog/config.go
@@ -114,9 +114,9 @@
 }
 
 // NewConfig returns a configuration whose routes are indexed by host and prefix.
-func NewConfig(version uint64, routes []*Route, services []*Service, tenants map[string]*CustomerConfig, limits Limits) *Config {
+func NewConfig(version uint64, routes []*Route, services []*Service, customers map[string]*CustomerConfig, limits Limits) *Config {
 	c := &Config{
-		Version: version, Customers: tenants, Limits: limits,
+		Version: version, Customers: customers, Limits: limits,
 		Services: make(map[string]*Service, len(services)),
 		hosts:    make(map[string][]*Route),
 	}
--- a/core/claim/bench_test.go
+++ b/core/claim/bench_test.go
@@ -20,24 +20,24 @@
 	return p
 }
 
-// BenchmarkAsk measures one grant of a new key by one holder on one core, and the
+// BenchmarkAcquire measures one grant of a new key by one holder on one core, and the
 // memory that the holder uses for it.
-func BenchmarkAsk(b *testing.B) {
+func BenchmarkAcquire(b *testing.B) {
 	h := NewHolder("a", 1, baseTime.Add(-time.Hour), benchPolicy(b.N))
 	env := Env{Now: baseTime, Epoch: 1, Ready: true}
-	asks := make([]Acquire, b.N)
-	for i := range asks {
-		asks[i] = Acquire{Key: benchKey(i), Owner: ownerOf("a", "0198c5a0-0000-7000-8000-000000000000"), Round: 1, Epoch: 1}
+	acquires := make([]Acquire, b.N)
+	for i := range acquires {
+		acquires[i] = Acquire{Key: benchKey(i), Owner: ownerOf("a", "0198c5a0-0000-7000-8000-000000000000"), Round: 1, Epoch: 1}
 	}
 	before := heap()
 	b.ResetTimer()
-	for _, a := range asks {
+	for _, a := range acquires {
 		h.Acquire(env, a)
 	}
 	b.StopTimer()
 	b.ReportMetric(float64(heap()-before)/float64(b.N), "heap-B/claim")
 	runtime.KeepAlive(h)
-	runtime.KeepAlive(asks)
+	runtime.KeepAlive(acquires)
 }
 
 func heap() uint64 {
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -41,8 +41,8 @@
 type Action interface{ action() }
 
 type (
-	// SendAcquire sends an Ask to a holder. The caller passes the reply to
-	// Claim.Reply and a failed call to Claim.Unreachable.
+	// SendAcquire sends an Acquire to a holder. The caller passes the reply to
+	// Claim.HandleReply and a failed call to Claim.HandleUnreachable.
 	SendAcquire struct {
 		Holder  string
 		Acquire Acquire
@@ -54,12 +54,12 @@
 		Release Release
 	}
 	// SendStore sends a Store to a holder. The caller passes the reply to
-	// Claim.Stored.
+	// Claim.HandleStoreReply.
 	SendStore struct {
 		Holder string
 		Store  Store
 	}
-	// Wait asks the caller to call Claim.Timer at Until.
+	// Wait asks the caller to call Claim.HandleTimer at Until.
 	Wait struct{ Until time.Time }
 	// Won reports that the claim succeeded. The request may be sent once
 	// Claim.Send returns true.
@@ -148,7 +148,7 @@
 	return c
 }
 
-// Start begins the first round: it asks all holders for the key.
+// Start begins the first round: it sends an Acquire to all holders.
 func (c *Claim) Start() []Action { return c.startRound() }
 
 func (c *Claim) holder(holder string) *holderState {
@@ -159,7 +159,7 @@
 	return &c.holders[i]
 }
 
-// startRound begins a round: it asks all holders for the key.
+// startRound begins a round: it sends an Acquire to all holders.
 func (c *Claim) startRound() []Action {
 	c.phase = acquiring
 	c.round++
@@ -174,7 +174,7 @@
 	return actions
 }
 
-// HandleReply handles a holder's reply to an Ask.
+// HandleReply handles a holder's reply to an Acquire.
 func (c *Claim) HandleReply(now time.Time, r Reply) []Action {
 	s := c.holder(r.Holder)
 	if s == nil {
@@ -220,7 +220,7 @@
 	return []Action{SendRelease{r.Holder, Release{Key: c.cfg.Key, Owner: c.cfg.Owner, Round: r.Round}}}
 }
 
-// HandleUnreachable handles the failure of an Ask that was sent in a round.
+// HandleUnreachable handles the failure of an Acquire that was sent in a round.
 func (c *Claim) HandleUnreachable(now time.Time, holder string, round uint32) []Action {
 	s := c.holder(holder)
 	if s == nil || c.phase != acquiring || round != c.round || s.verdict != 0 {
@@ -275,7 +275,7 @@
 // NotExecuted reverts Send when the request verifiably was not executed: the
 // connection was never established, or the upstream reports that it did not
 // execute the request. The claim is in the won phase again, so the request may be
-// sent again or the claim given up.
+// sent again or the claim aborted.
 func (c *Claim) NotExecuted() {
 	if c.phase == sent {
 		c.phase = won
@@ -296,7 +296,7 @@
 	return actions
 }
 
-// HandleStoreReply handles a holder's reply to a Store. It returns Kept once a majority of
+// HandleStoreReply handles a holder's reply to a Store. It returns ResultStored once a majority of
 // each quorum has stored the result.
 func (c *Claim) HandleStoreReply(r Reply) []Action {
 	s := c.holder(r.Holder)
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -85,7 +85,7 @@
 }
 
 // release releases the grants of the round at every holder, including those that
-// have not replied: the Ask may still reach them.
+// have not replied: the Acquire may still reach them.
 func (c *Claim) release() []Action {
 	m := Release{Key: c.cfg.Key, Owner: c.cfg.Owner, Round: c.round}
 	actions := make([]Action, 0, len(c.holders)+1)
--- a/core/claim/disabled_checks.go
+++ b/core/claim/disabled_checks.go
@@ -17,7 +17,7 @@
 	endedBeforeSend   bool // an owner sends after its claim was refused
 	notRunMajority    bool // an owner reports not_run without a majority that rules out a send
 	digestMatch       bool // an owner returns a result with another digest
-	earlierViews      bool // an owner does not ask the holders of earlier host lists
+	earlierViews      bool // an owner sends no Acquire to the holders of earlier host lists
 	ackMajority       bool // an earlier list retires on a single acknowledgement
 	ackIncarnation    bool // acknowledgements of earlier incarnations count
 	ackTime           bool // a list retires also for keys made before its acknowledgements
--- a/core/claim/explore_test.go
+++ b/core/claim/explore_test.go
@@ -26,7 +26,7 @@
 
 var largeBounds = os.Getenv(exploreEnv) == "large"
 
-// dropUnlessLarge returns the hosts that the first Ask of each attempt never reaches:
+// dropUnlessLarge returns the hosts that the first Acquire of each attempt never reaches:
 // first and second, or none with large bounds.
 func dropUnlessLarge(first, second string) [2]string {
 	if largeBounds {
@@ -93,7 +93,7 @@
 		name: name, lineages: twoLineages, nodes: []string{"a", "b", "c", "d"}, startLineages: []int{0, 0, 0, 1},
 		ownerNodes: []int{0, 2}, digests: sameDigests, rounds: [2]int{1, 1}, skipStore: true, dropReleases: true,
 		atomicCalls: [2]bool{true, true}, adoptingNodes: []int{1, 2}, statusQueries: [][2]int{{2, 1}},
-		keyTime: time.Minute, times: []time.Duration{0, time.Minute}, droppedFirstAsks: dropUnlessLarge("c", "a"),
+		keyTime: time.Minute, times: []time.Duration{0, time.Minute}, droppedFirstAcquires: dropUnlessLarge("c", "a"),
 	}
 	change(sc)
 	return sc
@@ -102,12 +102,12 @@
 var scenarios = []*scenario{
 	threeHolders("split votes", func(s *scenario) {
 		s.rounds, s.failures, s.failingHost = [2]int{2, 1}, 1, "c"
-		s.droppedFirstAsks = dropUnlessLarge("c", "c")
+		s.droppedFirstAcquires = dropUnlessLarge("c", "c")
 		s.skipStore, s.atomicCalls = true, [2]bool{true, true}
 	}),
 	threeHolders("late replies", func(s *scenario) {
 		s.rounds, s.failures, s.failingHost, s.asyncHolder = [2]int{2, 1}, 1, "c", "a"
-		s.droppedFirstAsks = dropUnlessLarge("c", "c")
+		s.droppedFirstAcquires = dropUnlessLarge("c", "c")
 		s.skipStore, s.atomicCalls = true, [2]bool{true, true}
 	}),
 	threeHolders("message loss", func(s *scenario) {
@@ -117,12 +117,12 @@
 	threeHolders("results", func(s *scenario) {
 		s.atomicCalls = [2]bool{true, true}
 	}),
-	threeHolders("giving up", func(s *scenario) {
-		s.canGiveUp, s.skipStore, s.asyncHolder = [2]bool{true, false}, true, "a"
+	threeHolders("aborting", func(s *scenario) {
+		s.canAbort, s.skipStore, s.asyncHolder = [2]bool{true, false}, true, "a"
 		s.atomicCalls = [2]bool{true, true}
 	}),
 	threeHolders("voiding", func(s *scenario) {
-		s.canGiveUp, s.voidOnRefusal, s.skipStore, s.dropReleases = [2]bool{true, false}, true, true, true
+		s.canAbort, s.voidOnRefusal, s.skipStore, s.dropReleases = [2]bool{true, false}, true, true, true
 		s.atomicCalls = [2]bool{true, true}
 		if largeBounds {
 			s.restarts, s.restartableNodes = 1, []int{2}
@@ -145,7 +145,7 @@
 	}),
 	threeHolders("wrong clock", func(s *scenario) {
 		s.restartSkew, s.restarts, s.restartableNodes = -time.Minute, 1, []int{2}
-		s.times, s.droppedFirstAsks = []time.Duration{0, time.Minute}, dropUnlessLarge("b", "a")
+		s.times, s.droppedFirstAcquires = []time.Duration{0, time.Minute}, dropUnlessLarge("b", "a")
 		s.skipStore, s.atomicCalls = true, [2]bool{true, true}
 	}),
 	hostReplaced("host replaced", func(s *scenario) { s.statuses, s.stableBeforeStart = 1, !largeBounds }),
@@ -216,9 +216,9 @@
 	{"a release of an earlier round is ignored", "split votes", disabledChecks{releaseRound: true}},
 	{"grants of a released round do not count", "late replies", disabledChecks{replyRound: true}},
 	{"a majority must grant", "split votes", disabledChecks{majority: true}},
-	{"a claim is not released after its request was sent", "giving up", disabledChecks{sentBeforeRelease: true}},
-	{"a refused claim never sends", "giving up", disabledChecks{endedBeforeSend: true}},
-	{"not_run requires a majority", "giving up", disabledChecks{notRunMajority: true}},
+	{"a claim is not released after its request was sent", "aborting", disabledChecks{sentBeforeRelease: true}},
+	{"a refused claim never sends", "aborting", disabledChecks{endedBeforeSend: true}},
+	{"not_run requires a majority", "aborting", disabledChecks{notRunMajority: true}},
 	{"a voided attempt is not granted", "voiding", disabledChecks{voidedAttempts: true}},
 	{"a result is returned for its own digest only", "key reuse", disabledChecks{digestMatch: true}},
 	{"a restarted holder does not grant old keys", "restarts", disabledChecks{restartAbstention: true}},
--- a/core/claim/holder.go
+++ b/core/claim/holder.go
@@ -6,8 +6,8 @@
 )
 
 // maxReleasesPerKey bounds the number of releases recorded for one key. A recorded
-// release only prevents an Ask that arrives after it from granting the key to an
-// owner that has given up.
+// release only prevents an Acquire that arrives after it from granting the key to an
+// owner that has aborted its claim.
 const maxReleasesPerKey = 4
 
 // bucketWidth is the granularity at which a holder evicts old keys.
@@ -141,7 +141,7 @@
 }
 
 // Release frees a key whose owner has not sent the request. It is idempotent, and a
-// release that arrives before its Ask has the same effect.
+// release that arrives before its Acquire has the same effect.
 func (h *Holder) Release(env Env, m Release) {
 	h.evictExpired(env.Now)
 	e := h.entries[m.Key]
--- a/core/claim/holder_test.go
+++ b/core/claim/holder_test.go
@@ -73,19 +73,19 @@
 
 var _ = Describe("Holder memory", func() {
 	env := Env{Now: baseTime, Epoch: 1, Ready: true}
-	ask := func(h *Holder, e Env, tail byte) Verdict {
+	acquire := func(h *Holder, e Env, tail byte) Verdict {
 		return h.Acquire(e, Acquire{Key: keyAt(e.Now, tail), Owner: ownerOf("a", "r"), Round: 1, Epoch: 1}).Verdict
 	}
 	It("refuses new keys when full and evicts none before its retention ends", func() {
 		h := NewHolder("a", 1, baseTime.Add(-time.Hour), testPolicy)
 		for i := range testPolicy.MaxKeys {
-			Expect(ask(h, env, byte(i))).To(Equal(Granted))
+			Expect(acquire(h, env, byte(i))).To(Equal(Granted))
 		}
-		Expect(ask(h, env, 200)).To(Equal(Full))
-		Expect(ask(h, env, 0)).To(Equal(Granted), "the same owner asks again")
+		Expect(acquire(h, env, 200)).To(Equal(Full))
+		Expect(acquire(h, env, 0)).To(Equal(Granted), "the same owner sends an Acquire again")
 		later := env
 		later.Now = baseTime.Add(testPolicy.Retention + testPolicy.MaxClockSkew + 2*bucketWidth)
-		Expect(ask(h, later, 200)).To(Equal(Granted))
+		Expect(acquire(h, later, 200)).To(Equal(Granted))
 		Expect(h.Stats().Granted).To(Equal(1))
 	})
 	It("bounds the size of results and subtracts it when they are evicted", func() {
@@ -100,13 +100,13 @@
 		later := env
 		later.Now = baseTime.Add(2 * testPolicy.Retention)
 		h.Lookup(later, keyAt(baseTime, 1))
-		ask(h, later, 3)
+		acquire(h, later, 3)
 		Expect(h.Stats().Bytes).To(BeZero())
 	})
 	It("refuses an Ask that arrives after the release of its round", func() {
 		h := NewHolder("a", 1, baseTime.Add(-time.Hour), testPolicy)
 		h.Release(env, Release{Key: keyAt(baseTime, 1), Owner: ownerOf("a", "r"), Round: 1})
-		Expect(ask(h, env, 1)).To(Equal(Superseded))
+		Expect(acquire(h, env, 1)).To(Equal(Superseded))
 	})
 })
 
@@ -158,7 +158,7 @@
 		Entry("an old key", KeyTooOld, problem.KeyExpired, problem.MayHaveRun),
 		Entry("an old host list", OldView, problem.NotReady, problem.MayHaveRun),
 	)
-	It("reports the given error kind when a claim is given up for a reason other than its deadline", func() {
+	It("reports the given error kind when a claim is aborted for a reason other than its deadline", func() {
 		c := newClaim(baseTime.Add(time.Second))
 		c.Start()
 		for _, h := range []string{"a", "b"} {
--- a/core/claim/messages.go
+++ b/core/claim/messages.go
@@ -7,7 +7,7 @@
 
 // The verdicts.
 const (
-	// Granted grants the key to the owner that asked.
+	// Granted grants the key to the owner that sent the Acquire.
 	Granted Verdict = iota + 1
 	// Taken reports that another owner has the key, or that its result is
 	// recorded.
@@ -28,7 +28,7 @@
 	// Full reports that the holder has no memory for another key and knows of no
 	// owner of this one.
 	Full
-	// Superseded refuses an Ask that arrived after the release of its round.
+	// Superseded refuses an Acquire that arrived after the release of its round.
 	Superseded
 	// Recorded acknowledges a Store.
 	Recorded
@@ -81,12 +81,12 @@
 	Record Record
 }
 
-// Reply is a holder's reply to an Ask, a Store, a Void or a lookup.
+// Reply is a holder's reply to an Acquire, a Store, a Void or a lookup.
 type Reply struct {
 	Holder      string
 	Incarnation uint64
 	Verdict     Verdict
-	// Round is the round of the Ask.
+	// Round is the round of the Acquire.
 	Round uint32
 	// Epoch is the epoch of the holder's current host list.
 	Epoch uint64
--- a/core/claim/steps_test.go
+++ b/core/claim/steps_test.go
@@ -84,7 +84,7 @@
 			step(func(c *systemState) { c.store(i) })
 		}
 	}
-	if st.scenario.canGiveUp[i] && a.claim.phase != ended && (!a.claim.Sent() || st.disabled.sentBeforeRelease) {
+	if st.scenario.canAbort[i] && a.claim.phase != ended && (!a.claim.Sent() || st.disabled.sentBeforeRelease) {
 		step(func(c *systemState) { c.perform(i, c.writeClaim(i).Abort(problem.DeadlineExceeded)) })
 	}
 }
@@ -222,10 +222,10 @@
 	}
 }
 
-// query passes the status of asker to peer, whose reply is delivered later.
-func (st *systemState) query(asker, peer int) {
+// query passes the status of node from to peer, whose reply is delivered later.
+func (st *systemState) query(from, peer int) {
 	st.statuses--
 	p := st.writeViews(peer)
-	p.HandleStatus(st.nodes[asker].views.Status())
-	st.enqueue(message{to: asker, payload: p.Status()})
+	p.HandleStatus(st.nodes[from].views.Status())
+	st.enqueue(message{to: from, payload: p.Status()})
 }
--- a/core/claim/system_state_test.go
+++ b/core/claim/system_state_test.go
@@ -34,17 +34,17 @@
 	restartableNodes, adoptingNodes          []int
 	// statusQueries are the pairs of node and peer that exchange statuses.
 	statusQueries [][2]int
-	// canGiveUp allows an attempt to give up at any time.
-	canGiveUp [2]bool
+	// canAbort allows an attempt to abort its claim at any time.
+	canAbort [2]bool
 	// failingHost is the only host to which calls fail, and only those of attempt
 	// 0. If it is empty, calls of any attempt to any host may fail.
 	failingHost string
 	// voidOnRefusal makes a refused attempt void the earlier ones before it reports
 	// not_run.
 	voidOnRefusal bool
-	// droppedFirstAsks holds for each attempt the host that its first Ask never
+	// droppedFirstAcquires holds for each attempt the host that its first Acquire never
 	// reaches.
-	droppedFirstAsks [2]string
+	droppedFirstAcquires [2]string
 	// skipStore omits storing results.
 	skipStore bool
 	// stableBeforeStart ends restarts, statuses and adoptions before the attempts
@@ -52,7 +52,7 @@
 	stableBeforeStart bool
 	// dropReleases drops every Release.
 	dropReleases bool
-	// atomicCalls combines an Ask and its reply into one step, for each attempt.
+	// atomicCalls combines an Acquire and its reply into one step, for each attempt.
 	atomicCalls [2]bool
 	// asyncHolder is a host whose replies to attempt 0 remain separate steps despite
 	// atomicCalls.
@@ -88,7 +88,7 @@
 type message struct {
 	to      int // node, or attempt for replies
 	attempt int
-	payload any // Ask, Release, Store, Void, Reply or Status
+	payload any // Acquire, Release, Store, Void, Reply or Status
 	encoded string
 }
 
@@ -252,7 +252,7 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case SendAcquire:
-			if a.Acquire.Round == 1 && a.Holder == st.scenario.droppedFirstAsks[i] {
+			if a.Acquire.Round == 1 && a.Holder == st.scenario.droppedFirstAcquires[i] {
 				continue
 			}
 			st.enqueue(message{to: st.nodeOf(a.Holder), attempt: i, payload: a.Acquire})
--- a/core/claim/views.go
+++ b/core/claim/views.go
@@ -87,7 +87,7 @@
 }
 
 // NewViews returns the views of a process that found lineage l at its start. Unless
-// its host is the only one of the list, it becomes synced through Hear.
+// its host is the only one of the list, it becomes synced through HandleStatus.
 func NewViews(host string, incarnation uint64, now time.Time, l Lineage, p Policy) *Views {
 	v := &Views{
 		host:         host,
@@ -106,18 +106,18 @@
 // Adopt replaces the lineage by l. It ignores an l whose current epoch is older than
 // the one in force, since a list in force never reverts.
 func (v *Views) Adopt(now time.Time, l Lineage) error {
-	inForce := v.lineage.Current
-	if l.Current.Epoch < inForce.Epoch {
+	current := v.lineage.Current
+	if l.Current.Epoch < current.Epoch {
 		return nil
 	}
-	same, ok := l.find(inForce.Epoch)
+	same, ok := l.find(current.Epoch)
 	if !ok {
-		return fmt.Errorf("%w: epoch %d, in force %d", ErrCurrentListMissing, l.Current.Epoch, inForce.Epoch)
+		return fmt.Errorf("%w: epoch %d, in force %d", ErrCurrentListMissing, l.Current.Epoch, current.Epoch)
 	}
-	if !same.sameHosts(inForce) {
-		return fmt.Errorf("%w: epoch %d", ErrEpochReused, inForce.Epoch)
+	if !same.sameHosts(current) {
+		return fmt.Errorf("%w: epoch %d", ErrEpochReused, current.Epoch)
 	}
-	if l.Current.Epoch > inForce.Epoch {
+	if l.Current.Epoch > current.Epoch {
 		v.adopted = append(slices.Clip(v.adopted), Adoption{l.Current.Epoch, now})
 	}
 	v.lineage = l
--- a/core/claim/void.go
+++ b/core/claim/void.go
@@ -31,8 +31,8 @@
 		r.Verdict = Taken
 		return r
 	}
-	ask := Acquire{Key: m.Key, Owner: m.Owner, Round: unreleasedRound, Epoch: m.Epoch}
-	if r.Verdict = h.refusal(env, ask, e); r.Verdict != 0 {
+	acquire := Acquire{Key: m.Key, Owner: m.Owner, Round: unreleasedRound, Epoch: m.Epoch}
+	if r.Verdict = h.refusal(env, acquire, e); r.Verdict != 0 {
 		return r
 	}
 	if e == nil {
--- a/core/intake/rest.go
+++ b/core/intake/backoff.go
@@ -15,15 +15,15 @@
 	Since, Until time.Time
 }
 
-// Backoffs holds the replicas that asked this host for a backoff. The zero value is ready to
+// Backoffs holds the backoffs that replicas asked this host for. The zero value is ready to
 // use.
 type Backoffs struct {
 	entries map[string]*Backoff
 }
 
-// Observe processes a response, and reports whether it begins a backoff, and whether it begins
-// or extends one. A backoff lasts at most maxBackoff from the response that asks for it; a
-// later response never shortens it.
+// Observe processes a response, and reports whether it begins a backoff (began), and whether
+// it begins or extends one (changed). A backoff lasts at most maxBackoff from the response
+// that asks for it; a later response never shortens it.
 func (r *Backoffs) Observe(now time.Time, response ReplicaResponse, maxBackoff time.Duration) (backoff Backoff, began, changed bool) {
 	if response.Notice.Backoff <= 0 {
 		return Backoff{}, false, false
@@ -55,7 +55,7 @@
 	return len(r.entries) < before
 }
 
-// All returns the backoffs that have not been removed, ordered by replica.
+// All returns the backoffs that have not been removed, ordered by replica ID.
 func (r *Backoffs) All() []Backoff {
 	out := make([]Backoff, 0, len(r.entries))
 	for _, replica := range slices.Sorted(maps.Keys(r.entries)) {
--- a/core/intake/doc.go
+++ b/core/intake/doc.go
@@ -1,7 +1,7 @@
 // Package intake limits the calls to replicas that accept only a certain rate from all
 // hosts together: those that have just started, and those that announce a limit in their
-// responses. No host asks another one before a call. The package also keeps track of these
-// limits, of replicas that are leaving and of replicas that asked for a backoff.
+// responses. No host asks another one before a call. The package also tracks these limits,
+// the replicas that are leaving and the backoffs that replicas asked for.
 //
 // Each host ranks all hosts that it knows by a hash of host and replica, in the same order
 // as every other host, and derives its quota of a limit from its own rank. If a limit
@@ -16,7 +16,7 @@
 // Shares is immutable. The quotas of hosts that know the same hosts add up to the limit. A
 // host that knows more hosts than the others gets the same quota or a smaller one, so hosts
 // that still list dead ones stay within the limit. A host that knows fewer may get more
-// than its quota. A host that has not learned of its fleet yet must use no quota (NoPart).
+// than its quota. A host that does not know its fleet yet must use NoQuota.
 //
 // A limit does not expire if its replica has not repeated it for a long time. Instead the
 // hosts without a quota may begin single probe calls in turn, and the first response to a
@@ -24,10 +24,10 @@
 // is probed again, even if all replicas of a service announce such a limit, and the end of
 // a limit is detected even if no host has a quota of it.
 //
-// A Gate counts every call that begins at its replica, whichever component makes it. It
+// A Limiter counts every call that begins at its replica, whichever component makes it. It
 // enforces all quotas that are set, and each call counts against all of them.
 //
-// An Account is not safe for concurrent use. It must be passed only responses of the
-// replica that the call was meant for: a response of a replica that has taken over the
-// address, or to another request, says nothing about that replica.
+// LimitTable, LeavingReplicas and Backoffs are not safe for concurrent use. They must be
+// passed only responses of the replica that the call was meant for: a response of another
+// replica that has taken over the address says nothing about that replica.
 package intake
--- a/core/intake/leaving.go
+++ b/core/intake/leaving.go
@@ -27,14 +27,14 @@
 	lastListed time.Time
 }
 
-// Observe processes a response, and reports whether it is the first one that announces that
-// its replica is leaving.
+// Observe processes a response, and reports whether it is the first one to announce that its
+// replica is leaving.
 func (l *LeavingReplicas) Observe(now time.Time, response ReplicaResponse) (LeavingReplica, bool) {
 	if !response.Notice.Leaving {
 		return LeavingReplica{}, false
 	}
-	heard := LeavingReplica{Replica: response.Replica, AnnouncedAt: now}
-	return heard, l.add(now, heard)
+	observed := LeavingReplica{Replica: response.Replica, AnnouncedAt: now}
+	return observed, l.add(now, observed)
 }
 
 // Merge merges the reports of a peer, and returns those that are new here. It modifies the
@@ -56,8 +56,8 @@
 	return true
 }
 
-// RemoveExpired removes replicas that have been unlisted for longer than unlistedRetention, and
-// reports whether there were any.
+// RemoveExpired removes replicas that have been unlisted for longer than unlistedRetention,
+// and reports whether there were any.
 func (l *LeavingReplicas) RemoveExpired(now time.Time, listed func(replica string) bool) bool {
 	before := len(l.entries)
 	maps.DeleteFunc(l.entries, func(replica string, k *leavingEntry) bool {
@@ -72,8 +72,8 @@
 // All returns all leaving replicas, ordered by ID.
 func (l *LeavingReplicas) All() []LeavingReplica { return l.ObservedAfter(time.Time{}) }
 
-// ObservedAfter returns the replicas whose announcement was first observed after a time, ordered by
-// ID.
+// ObservedAfter returns the replicas whose announcement was first observed after a time,
+// ordered by ID.
 func (l *LeavingReplicas) ObservedAfter(after time.Time) []LeavingReplica {
 	var out []LeavingReplica
 	for _, replica := range slices.Sorted(maps.Keys(l.entries)) {
--- a/core/intake/leaving_test.go
+++ b/core/intake/leaving_test.go
@@ -18,14 +18,14 @@
 	var l intake.LeavingReplicas
 	_, first := l.Observe(at(1), intake.ReplicaResponse{Replica: "r@1"})
 	g.Expect(first).To(BeFalse())
-	heard, first := l.Observe(at(2), leavingResponse("r@1"))
+	observed, first := l.Observe(at(2), leavingResponse("r@1"))
 	g.Expect(first).To(BeTrue())
-	g.Expect(heard).To(Equal(intake.LeavingReplica{Replica: "r@1", AnnouncedAt: at(2)}))
+	g.Expect(observed).To(Equal(intake.LeavingReplica{Replica: "r@1", AnnouncedAt: at(2)}))
 	_, first = l.Observe(at(3), leavingResponse("r@1"))
 	g.Expect(first).To(BeFalse())
 	_, first = l.Observe(at(4), intake.ReplicaResponse{Replica: "r@1", Served: true})
 	g.Expect(first).To(BeFalse(), "a response without the notice does not revoke it")
-	g.Expect(l.All()).To(ConsistOf(heard), "it concerns this start of the replica only")
+	g.Expect(l.All()).To(ConsistOf(observed), "it concerns this start of the replica only")
 
 	g.Expect(l.Merge(at(5), []intake.LeavingReplica{{Replica: "r@1", AnnouncedAt: at(1)}, {Replica: "s", AnnouncedAt: at(4)}})).To(ConsistOf(intake.LeavingReplica{Replica: "s", AnnouncedAt: at(4)}))
 	g.Expect(l.ObservedAfter(at(3))).To(ConsistOf(intake.LeavingReplica{Replica: "s", AnnouncedAt: at(4)}))
--- a/core/intake/account.go
+++ b/core/intake/limit_table.go
@@ -13,8 +13,8 @@
 	// Round counts the changes of the limit. It identifies outdated reports, since the
 	// clocks of the hosts are not synchronized.
 	Round uint64
-	// Since is when the limit was first observed, and At when a response last announced it
-	// or showed that it was lifted.
+	// Since is when the limit was first observed, and LastObserved when a response last
+	// announced it or showed that it was lifted.
 	Since, LastObserved time.Time
 }
 
@@ -25,8 +25,8 @@
 	// liftedRetention is how long a lifted limit is retained, so that peers which still
 	// have it in force are notified.
 	liftedRetention = 10 * time.Second
-	// unlistedRetention is how long the information about an unlisted replica is retained,
-	// since the list may lose a replica temporarily.
+	// unlistedRetention is how long the information about an unlisted replica is retained:
+	// a replica may be missing from the list temporarily.
 	unlistedRetention = time.Minute
 	// maxReplicas is the maximum number of replicas that are retained per kind of
 	// information.
@@ -128,8 +128,8 @@
 	return a.filter(func(l *limitEntry) bool { return l.LastObserved.After(after) })
 }
 
-// RemoveExpired removes replicas that have been unlisted for longer than unlistedRetention, and
-// limits that were lifted more than liftedRetention ago.
+// RemoveExpired removes replicas that have been unlisted for longer than unlistedRetention,
+// and limits that were lifted more than liftedRetention ago.
 func (a *LimitTable) RemoveExpired(now time.Time, listed func(replica string) bool) {
 	maps.DeleteFunc(a.entries, func(replica string, l *limitEntry) bool {
 		if listed(replica) {
--- a/core/intake/account_test.go
+++ b/core/intake/limit_table_test.go
@@ -79,34 +79,34 @@
 func TestLatestPeerReportWins(t *testing.T) {
 	g := NewWithT(t)
 	var a intake.LimitTable
-	learn := func(l intake.ReplicaLimit) (changed, newer []intake.ReplicaLimit) {
+	merge := func(l intake.ReplicaLimit) (changed, newer []intake.ReplicaLimit) {
 		return a.Merge(at(1), []intake.ReplicaLimit{l})
 	}
-	changed, newer := learn(peerReport(-1, 4, 1))
+	changed, newer := merge(peerReport(-1, 4, 1))
 	g.Expect(changed).To(BeEmpty(), "the end of an unknown limit")
 	g.Expect(newer).To(BeEmpty())
-	changed, _ = learn(peerReport(2, 1, 3))
+	changed, _ = merge(peerReport(2, 1, 3))
 	g.Expect(changed).To(ConsistOf(peerReport(2, 1, 3)))
 
-	changed, _ = learn(peerReport(2, 1, 3.5))
+	changed, _ = merge(peerReport(2, 1, 3.5))
 	g.Expect(changed).To(BeEmpty())
 	g.Expect(a.ObservedAfter(at(3))).To(BeEmpty(), "too little newer to count as a new response")
-	changed, _ = learn(peerReport(2, 1, 5))
+	changed, _ = merge(peerReport(2, 1, 5))
 	g.Expect(changed).To(BeEmpty())
 	g.Expect(a.ObservedAfter(at(3))).To(ConsistOf(peerReport(2, 1, 5)))
 
-	changed, _ = learn(peerReport(-1, 2, 4))
+	changed, _ = merge(peerReport(-1, 2, 4))
 	g.Expect(changed).To(HaveLen(1), "a later round, regardless of its time")
 	g.Expect(a.Limits()).To(BeEmpty())
-	changed, newer = learn(peerReport(2, 1, 9))
+	changed, newer = merge(peerReport(2, 1, 9))
 	g.Expect(changed).To(BeEmpty(), "an earlier round that arrives late")
 	g.Expect(newer).To(ConsistOf(peerReport(-1, 2, 4)))
 
-	changed, _ = learn(peerReport(3, 2, 5))
+	changed, _ = merge(peerReport(3, 2, 5))
 	g.Expect(changed).To(HaveLen(1), "the stricter limit of the same round")
-	changed, _ = learn(peerReport(1, 2, 5))
+	changed, _ = merge(peerReport(1, 2, 5))
 	g.Expect(changed).To(HaveLen(1))
-	changed, newer = learn(peerReport(3, 2, 6))
+	changed, newer = merge(peerReport(3, 2, 6))
 	g.Expect(changed).To(BeEmpty())
 	g.Expect(newer).To(HaveLen(1))
 }
--- a/core/intake/limit_test.go
+++ b/core/intake/limit_test.go
@@ -80,11 +80,11 @@
 			limiter := limiters.Get("r")
 			limiters.SetQuotas(intake.AnnouncedLimit, map[string]intake.Quota{"r": intake.NewShares(h, hosts).LimitQuota(replicaLimit("r", limit), intake.Requester)})
 			for d := time.Duration(0); d < 2*time.Minute; d += 100 * time.Millisecond {
-				if _, refuses := limiter.Blocked(start.Add(d)); !refuses {
+				if _, blocked := limiter.Blocked(start.Add(d)); !blocked {
 					probeTimes = append(probeTimes, d)
 					limiter.RecordCall(start.Add(d))
-					_, refuses = limiter.Blocked(start.Add(d))
-					g.Expect(refuses).To(BeTrue(), "one call only")
+					_, blocked = limiter.Blocked(start.Add(d))
+					g.Expect(blocked).To(BeTrue(), "one call only")
 					break
 				}
 			}
@@ -103,8 +103,8 @@
 	g.Expect(limiter.NextAllowed(at(1))).To(Equal(at(1)))
 	limiter.RecordCall(at(1))
 	g.Expect(limiter.NextAllowed(at(2))).To(Equal(at(4)))
-	source, refuses := limiter.Blocked(at(2))
-	g.Expect(refuses).To(BeTrue())
+	source, blocked := limiter.Blocked(at(2))
+	g.Expect(blocked).To(BeTrue())
 	g.Expect(fmt.Sprint(source)).To(Equal("limited"))
 
 	limiters.SetQuotas(intake.Cold, map[string]intake.Quota{"r": {Window: time.Second}})
@@ -116,11 +116,11 @@
 	g.Expect(bounded).To(BeTrue())
 	limiters.SetQuotas(intake.Cold, nil)
 	limiters.SetQuotas(intake.AnnouncedLimit, nil)
-	source, refuses = limiter.Blocked(at(8.9))
-	g.Expect(refuses).To(BeTrue())
+	source, blocked = limiter.Blocked(at(8.9))
+	g.Expect(blocked).To(BeTrue())
 	g.Expect(source).To(Equal(intake.BackingOff))
-	_, refuses = limiter.Blocked(at(9))
-	g.Expect(refuses).To(BeFalse())
+	_, blocked = limiter.Blocked(at(9))
+	g.Expect(blocked).To(BeFalse())
 	_, bounded = limiter.Rate(at(9))
 	g.Expect(bounded).To(BeFalse())
 	limiters.SetQuotas(intake.BackingOff, nil)
@@ -132,10 +132,10 @@
 	g.Expect(limiter.IsLeaving()).To(BeFalse())
 	limiters.SetQuotas(intake.Cold, nil)
 	limiters.SetQuotas(intake.AnnouncedLimit, nil)
-	_, refuses = limiter.Blocked(at(2))
-	g.Expect(refuses).To(BeFalse())
+	_, blocked = limiter.Blocked(at(2))
+	g.Expect(blocked).To(BeFalse())
 
 	limiters.SetQuotas(intake.AnnouncedLimit, map[string]intake.Quota{"later": {Window: time.Second}})
-	_, refuses = limiters.Get("later").Blocked(start)
-	g.Expect(refuses).To(BeTrue(), "a gate created after the quota was set")
+	_, blocked = limiters.Get("later").Blocked(start)
+	g.Expect(blocked).To(BeTrue(), "a limiter created after the quota was set")
 }
--- a/core/intake/gate.go
+++ b/core/intake/limiter.go
@@ -40,23 +40,24 @@
 	// ProbeInterval the time from that call to the next one. A zero ProbeFrom allows none.
 	ProbeFrom     time.Time
 	ProbeInterval time.Duration
-	// BlockedUntil is the time until which no call may begin, and from which the quota no longer
-	// applies; zero for a quota without an end.
+	// BlockedUntil is the time until which no call may begin, and from which the quota no
+	// longer applies; zero for a quota that does not expire.
 	BlockedUntil time.Time
 }
 
-// MaxTrackedCalls is the maximum number of calls of a Part that a Gate tracks.
+// MaxTrackedCalls is the maximum number of calls of a Quota that a Limiter tracks.
 const MaxTrackedCalls = 16
 
-// Limiter is the limiter of the calls to one replica. It is safe for concurrent use.
+// Limiter limits the calls to one replica. It is safe for concurrent use.
 type Limiter struct {
-	// bounded says that any quota is set. It spares calls to unlimited replicas the lock.
+	// bounded is set while any quota is set. Calls to unlimited replicas check only this
+	// field and do not take the lock.
 	bounded atomic.Bool
 
 	mu     sync.Mutex
 	quotas [sourceCount]*Quota
 	// callTimes is a ring buffer of the last calls, with the latest at index newest. It is
-	// also kept up while no quota is set.
+	// also updated while no quota is set.
 	callTimes [MaxTrackedCalls]time.Time
 	newest    int
 }
@@ -85,9 +86,9 @@
 	return 0, false
 }
 
-// NextAllowed returns when a call is allowed by all quotas, at this host or, where this host has
-// no quota, at another one. It is a time in the far future for a replica that is leaving,
-// and not after now if a call is allowed now.
+// NextAllowed returns when all quotas allow a call, by this host or, where this host has no
+// quota, by another one. The time is in the far future for a replica that is leaving, and
+// not after now if a call is allowed now.
 func (g *Limiter) NextAllowed(now time.Time) time.Time {
 	if !g.bounded.Load() {
 		return now
@@ -99,28 +100,28 @@
 		if p == nil {
 			continue
 		}
-		opens := g.allowedAt(p)
-		if othersOpen := now.Add(p.Window); p.BlockedUntil.IsZero() && p.Calls < 1 && p.Window > 0 && opens.After(othersOpen) {
-			opens = othersOpen
+		allowed := g.allowedAt(p)
+		if othersAllowed := now.Add(p.Window); p.BlockedUntil.IsZero() && p.Calls < 1 && p.Window > 0 && allowed.After(othersAllowed) {
+			allowed = othersAllowed
 		}
-		if opens.After(at) {
-			at = opens
+		if allowed.After(at) {
+			at = allowed
 		}
 	}
 	return at
 }
 
-// RefusedByReplica reports whether the replica itself announced that it accepts nothing from this
-// host, because it is leaving or requested a backoff. A call that was assigned to the
-// replica before is then not to be sent.
+// RefusedByReplica reports whether the replica itself announced that it accepts nothing
+// from this host, because it is leaving or requested a backoff. A call that was assigned to
+// the replica earlier must then not be sent.
 func (g *Limiter) RefusedByReplica(now time.Time) bool {
 	if !g.bounded.Load() {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	rest := g.quotas[BackingOff]
-	return g.quotas[Leaving] != nil || rest != nil && now.Before(rest.BlockedUntil)
+	backoff := g.quotas[BackingOff]
+	return g.quotas[Leaving] != nil || backoff != nil && now.Before(backoff.BlockedUntil)
 }
 
 // IsLeaving reports whether the replica is leaving and accepts no new work.
@@ -198,25 +199,25 @@
 	g.bounded.Store(g.quotas != [sourceCount]*Quota{})
 }
 
-// Limiters holds the gates of all replicas by ID. It is safe for concurrent use.
+// Limiters holds the limiters of all replicas by ID. It is safe for concurrent use.
 type Limiters struct {
-	mu     sync.Mutex
-	gates  map[string]*Limiter
-	quotas [sourceCount]map[string]Quota
+	mu       sync.Mutex
+	limiters map[string]*Limiter
+	quotas   [sourceCount]map[string]Quota
 }
 
-// NewLimiters returns Gates without quotas.
-func NewLimiters() *Limiters { return &Limiters{gates: map[string]*Limiter{}} }
+// NewLimiters returns Limiters without quotas.
+func NewLimiters() *Limiters { return &Limiters{limiters: map[string]*Limiter{}} }
 
-// Get returns the gate of a replica, creating it if needed. It returns the same gate until
-// Keep removes it.
+// Get returns the limiter of a replica, creating it if needed. It returns the same limiter
+// until RemoveUnlisted removes it.
 func (gs *Limiters) Get(replica string) *Limiter {
 	gs.mu.Lock()
 	defer gs.mu.Unlock()
-	g := gs.gates[replica]
+	g := gs.limiters[replica]
 	if g == nil {
 		g = &Limiter{}
-		gs.gates[replica] = g
+		gs.limiters[replica] = g
 		for s := range gs.quotas {
 			gs.applyQuota(Source(s), replica, g)
 		}
@@ -224,18 +225,18 @@
 	return g
 }
 
-// SetQuotas replaces all quotas of a source, by replica. They also apply to gates that are
-// created later.
+// SetQuotas replaces all quotas of a source, by replica. They also apply to limiters that
+// are created later.
 func (gs *Limiters) SetQuotas(s Source, quotas map[string]Quota) {
 	gs.mu.Lock()
 	defer gs.mu.Unlock()
 	gs.quotas[s] = quotas
-	for replica, g := range gs.gates {
+	for replica, g := range gs.limiters {
 		gs.applyQuota(s, replica, g)
 	}
 }
 
-// applyQuota sets a gate's quota of a source. The caller holds the lock.
+// applyQuota sets a limiter's quota of a source. The caller holds the lock.
 func (gs *Limiters) applyQuota(s Source, replica string, g *Limiter) {
 	if p, ok := gs.quotas[s][replica]; ok {
 		g.setQuota(s, &p)
@@ -244,13 +245,13 @@
 	g.setQuota(s, nil)
 }
 
-// RemoveUnlisted removes the gates of replicas that are not listed.
+// RemoveUnlisted removes the limiters of replicas that are not listed.
 func (gs *Limiters) RemoveUnlisted(listed func(replica string) bool) {
 	gs.mu.Lock()
 	defer gs.mu.Unlock()
-	for replica := range gs.gates {
+	for replica := range gs.limiters {
 		if !listed(replica) {
-			delete(gs.gates, replica)
+			delete(gs.limiters, replica)
 		}
 	}
 }
--- a/core/intake/notice.go
+++ b/core/intake/notice.go
@@ -11,8 +11,9 @@
 	Limit Limit
 	// Leaving says that the replica accepts no new work from now on.
 	Leaving bool
-	// Backoff is the time for which the replica asks this host to send nothing, as it refuses
-	// a call; 0 for none. UnreadRest is the header's value if it could not be parsed.
+	// Backoff is the time for which the replica, as it refuses a call, asks this host to
+	// send nothing; 0 for none. UnparsedBackoff is the header's value if it could not be
+	// parsed.
 	Backoff         time.Duration
 	UnparsedBackoff string
 }
--- a/core/intake/random_test.go
+++ b/core/intake/random_test.go
@@ -44,17 +44,16 @@
 	name       string
 	knownHosts []string
 	// startsAt is when the host begins to send requests.
-	startsAt time.Time
-	account  intake.LimitTable
-	limiters *intake.Limiters
-	limiter  *intake.Limiter
-	// limitHeardAt is when the host first got a response that announces a limit, and
-	// leavingHeardAt one that announces that the replica is leaving.
-	limitHeardAt, leavingHeardAt time.Time
-	leavers                      intake.LeavingReplicas
-	backoffs                     intake.Backoffs
-	// requestedBackoffs are the backoffs that the replica asked this host for: when, and until
-	// when.
+	startsAt   time.Time
+	limitTable intake.LimitTable
+	limiters   *intake.Limiters
+	limiter    *intake.Limiter
+	// limitObservedAt is when the host first got a response that announces a limit, and
+	// leavingObservedAt when it first got one that announces that the replica is leaving.
+	limitObservedAt, leavingObservedAt time.Time
+	leavingReplicas                    intake.LeavingReplicas
+	backoffs                           intake.Backoffs
+	// requestedBackoffs are the backoffs that the replica asked this host for.
 	requestedBackoffs []intake.Backoff
 	// appliesQuotas says that the host applies its quotas.
 	appliesQuotas bool
@@ -68,20 +67,20 @@
 // updateQuotas recomputes the host's quotas.
 func (h *simHost) updateQuotas() {
 	quotas := map[string]intake.Quota{}
-	for _, l := range h.account.Limits() {
+	for _, l := range h.limitTable.Limits() {
 		quotas[l.Replica] = intake.NewShares(h.name, h.knownHosts).LimitQuota(l, intake.Requester)
 	}
-	leaving, resting := map[string]intake.Quota{}, map[string]intake.Quota{}
-	for _, l := range h.leavers.All() {
+	leaving, backingOff := map[string]intake.Quota{}, map[string]intake.Quota{}
+	for _, l := range h.leavingReplicas.All() {
 		leaving[l.Replica] = intake.Quota{}
 	}
 	for _, r := range h.backoffs.All() {
-		resting[r.Replica] = intake.Quota{BlockedUntil: r.Until}
+		backingOff[r.Replica] = intake.Quota{BlockedUntil: r.Until}
 	}
 	if h.appliesQuotas {
 		h.limiters.SetQuotas(intake.AnnouncedLimit, quotas)
 		h.limiters.SetQuotas(intake.Leaving, leaving)
-		h.limiters.SetQuotas(intake.BackingOff, resting)
+		h.limiters.SetQuotas(intake.BackingOff, backingOff)
 	}
 }
 
@@ -98,9 +97,9 @@
 	to   *simHost
 	from *simHost
 	// limits have times as of when they were sent.
-	limits  []intake.ReplicaLimit
-	leavers []intake.LeavingReplica
-	sent    time.Time
+	limits          []intake.ReplicaLimit
+	leavingReplicas []intake.LeavingReplica
+	sent            time.Time
 }
 
 // simFleet is a simulated fleet with one replica.
@@ -116,10 +115,10 @@
 	requestInterval time.Duration
 	responses       []simResponse
 	// limit is the limit that the replica announces; negative for none.
-	limit        float64
-	limitHeardAt time.Time
-	// leaving says that the replica is leaving. backoff is the backoff for which it asks
-	// hosts whose requests it refuses, which are half of them.
+	limit           float64
+	limitObservedAt time.Time
+	// leaving says that the replica is leaving. backoff is the duration of the backoff that
+	// it asks for as it refuses requests, which it does with half of them.
 	leaving bool
 	backoff time.Duration
 	// arrivals holds the time and the sender of each request that reached the replica.
@@ -185,11 +184,11 @@
 	return f.now.Add(time.Duration(2+f.rng.IntN(200)) * time.Millisecond)
 }
 
-// broadcastLeavers sends leaving replicas to all neighbours of a host except one.
-func (f *simFleet) broadcastLeavers(h, except *simHost, leavers []intake.LeavingReplica) {
+// broadcastLeaving sends leaving replicas to all neighbours of a host except one.
+func (f *simFleet) broadcastLeaving(h, except *simHost, leaving []intake.LeavingReplica) {
 	for _, to := range h.neighbours {
 		if f.gossips && to != except && !f.now.Before(h.partitionedUntil) && !f.now.Before(to.partitionedUntil) {
-			f.peerCalls = append(f.peerCalls, simPeerCall{at: f.peerCallArrival(), to: to, from: h, leavers: leavers, sent: f.now})
+			f.peerCalls = append(f.peerCalls, simPeerCall{at: f.peerCallArrival(), to: to, from: h, leavingReplicas: leaving, sent: f.now})
 		}
 	}
 }
@@ -211,15 +210,15 @@
 			l.LastObserved, l.Since = l.LastObserved.Add(delay), l.Since.Add(delay)
 			limits = append(limits, l)
 		}
-		changed, newer := c.to.account.Merge(f.now, limits)
+		changed, newer := c.to.limitTable.Merge(f.now, limits)
 		if len(changed) > 0 {
 			c.to.updateQuotas()
 			f.broadcastLimits(c.to, c.from, changed)
 		}
 		f.sendLimits(c.to, c.from, newer)
-		if news := c.to.leavers.Merge(f.now, slices.Clone(c.leavers)); len(news) > 0 {
+		if added := c.to.leavingReplicas.Merge(f.now, slices.Clone(c.leavingReplicas)); len(added) > 0 {
 			c.to.updateQuotas()
-			f.broadcastLeavers(c.to, c.from, news)
+			f.broadcastLeaving(c.to, c.from, added)
 		}
 	}
 }
@@ -227,7 +226,7 @@
 // repeatLimits sends the limits that a host observed since the last repetition.
 func (f *simFleet) repeatLimits(h *simHost) {
 	if f.now.Sub(h.lastRepeat) >= repeatInterval {
-		f.broadcastLimits(h, nil, h.account.ObservedAfter(h.lastRepeat))
+		f.broadcastLimits(h, nil, h.limitTable.ObservedAfter(h.lastRepeat))
 		h.lastRepeat = f.now
 	}
 }
@@ -239,7 +238,7 @@
 		f.deliverPeerCalls()
 		for _, h := range f.hosts {
 			if f.now.Sub(start)%quotaInterval == 0 {
-				h.account.RemoveExpired(f.now, func(string) bool { return true })
+				h.limitTable.RemoveExpired(f.now, func(string) bool { return true })
 				h.backoffs.RemoveExpired(f.now)
 				h.updateQuotas()
 				f.repeatLimits(h)
@@ -247,7 +246,7 @@
 			if f.now.Before(h.startsAt) || f.rng.Float64() >= float64(simStep)/float64(f.requestInterval) {
 				continue
 			}
-			if _, refuses := h.limiter.Blocked(f.now); !refuses {
+			if _, blocked := h.limiter.Blocked(f.now); !blocked {
 				f.sendRequest(h)
 			}
 		}
@@ -277,23 +276,23 @@
 		if f.now.Before(a.at) {
 			return false
 		}
-		if l, changed := a.host.account.Observe(f.now, a.ReplicaResponse); changed {
+		if l, changed := a.host.limitTable.Observe(f.now, a.ReplicaResponse); changed {
 			a.host.updateQuotas()
 			f.broadcastLimits(a.host, nil, []intake.ReplicaLimit{l})
 		}
-		if l, first := a.host.leavers.Observe(f.now, a.ReplicaResponse); first {
-			a.host.leavingHeardAt = f.now
+		if l, first := a.host.leavingReplicas.Observe(f.now, a.ReplicaResponse); first {
+			a.host.leavingObservedAt = f.now
 			a.host.updateQuotas()
-			f.broadcastLeavers(a.host, nil, []intake.LeavingReplica{l})
+			f.broadcastLeaving(a.host, nil, []intake.LeavingReplica{l})
 		}
 		if r, _, changed := a.host.backoffs.Observe(f.now, a.ReplicaResponse, maxBackoff); changed {
 			a.host.requestedBackoffs = append(a.host.requestedBackoffs, intake.Backoff{Since: f.now, Until: r.Until})
 			a.host.updateQuotas()
 		}
-		if a.Notice.Limit.Announced && a.host.limitHeardAt.IsZero() {
-			a.host.limitHeardAt = f.now
-			if f.limitHeardAt.IsZero() {
-				f.limitHeardAt = f.now
+		if a.Notice.Limit.Announced && a.host.limitObservedAt.IsZero() {
+			a.host.limitObservedAt = f.now
+			if f.limitObservedAt.IsZero() {
+				f.limitObservedAt = f.now
 			}
 		}
 		return true
@@ -307,7 +306,7 @@
 	slices.SortFunc(arrived, func(a, b simArrival) int { return a.at.Compare(b.at) })
 	var counted []time.Time
 	for _, a := range arrived {
-		if !a.host.limitHeardAt.IsZero() && a.at.Sub(a.host.limitHeardAt) >= hostNoticeTime && !f.limitHeardAt.IsZero() && a.at.Sub(f.limitHeardAt) >= fleetNoticeTime {
+		if !a.host.limitObservedAt.IsZero() && a.at.Sub(a.host.limitObservedAt) >= hostNoticeTime && !f.limitObservedAt.IsZero() && a.at.Sub(f.limitObservedAt) >= fleetNoticeTime {
 			counted = append(counted, a.at)
 		}
 	}
@@ -378,7 +377,7 @@
 // hostsWithLimit returns the number of hosts that know of a limit in force.
 func (f *simFleet) hostsWithLimit() (n int) {
 	for _, h := range f.hosts {
-		if len(h.account.Limits()) > 0 {
+		if len(h.limitTable.Limits()) > 0 {
 			n++
 		}
 	}
@@ -414,8 +413,8 @@
 					partitioned := f.hosts[f.rng.IntN(n)]
 					partitioned.partitionedUntil = f.now.Add(3 * time.Second)
 					f.advance(13 * time.Second)
-					g.Expect(f.limitHeardAt).NotTo(BeZero())
-					g.Expect(f.maxRequestsFrom(f.limitHeardAt.Add(fleetNoticeTime))).To(BeNumerically("<=", allowedRequests(limit)), "seed %d", seed)
+					g.Expect(f.limitObservedAt).NotTo(BeZero())
+					g.Expect(f.maxRequestsFrom(f.limitObservedAt.Add(fleetNoticeTime))).To(BeNumerically("<=", allowedRequests(limit)), "seed %d", seed)
 					g.Expect(f.maxRequestsAfterNotice()).To(BeNumerically("<=", allowedRequests(limit)), "seed %d", seed)
 					g.Expect(f.hostsWithLimit()).To(Equal(n), "seed %d", seed)
 					f.limit = -1
@@ -439,7 +438,7 @@
 				for _, h := range f.hosts {
 					h.startsAt = start
 				}
-				l, _ := f.hosts[0].account.Observe(f.now, intake.ReplicaResponse{Replica: replica, Notice: intake.Notice{Limit: intake.Limit{Announced: true, PerSecond: 1}}})
+				l, _ := f.hosts[0].limitTable.Observe(f.now, intake.ReplicaResponse{Replica: replica, Notice: intake.Notice{Limit: intake.Limit{Announced: true, PerSecond: 1}}})
 				f.broadcastLimits(f.hosts[0], nil, []intake.ReplicaLimit{l})
 				for f.hostsWithLimit() < n {
 					f.advance(simStep)
@@ -471,8 +470,8 @@
 				f.leaving = true
 				f.advance(20 * time.Second)
 				for _, a := range f.arrivals {
-					if heardAt := a.host.leavingHeardAt; !heardAt.IsZero() {
-						g.Expect(a.at.Sub(heardAt)).To(BeNumerically("<=", leavingNoticeTime), "seed %d", seed)
+					if observedAt := a.host.leavingObservedAt; !observedAt.IsZero() {
+						g.Expect(a.at.Sub(observedAt)).To(BeNumerically("<=", leavingNoticeTime), "seed %d", seed)
 					}
 				}
 			}
--- a/core/member/event.go
+++ b/core/member/event.go
@@ -130,8 +130,8 @@
 	Offset time.Duration
 }
 
-// Superseded reports that a later process runs under this host's name; By is its
-// incarnation. This process must stop serving.
+// Superseded reports that a later process runs under this host's name, with
+// the given incarnation. This process must stop serving.
 type Superseded struct{ Incarnation uint64 }
 
 // Rejected reports that an event or message was invalid or exceeded a limit and
--- a/core/poison/crash.go
+++ b/core/poison/crash.go
@@ -40,7 +40,7 @@
 	sameCrashWindow = 500 * time.Millisecond
 )
 
-// OutageCrashes is the number of replicas that crash within MassWindow from which a daemon
+// OutageCrashes is the number of replicas that crash within OutageWindow from which a daemon
 // treats the crashes as an outage of a machine or a network. It then reports only requests
 // that were running on more than one of these replicas. Otherwise, 3,000 daemons that lose
 // a third of their replicas would send about 50 MB to two of the daemons.
@@ -50,19 +50,19 @@
 )
 
 // Reportable returns the crashes to report out of those that one daemon observed within
-// MassWindow.
-func Reportable(ends []Crash) []Crash {
-	if len(ends) < OutageCrashes {
-		return ends
+// OutageWindow.
+func Reportable(crashes []Crash) []Crash {
+	if len(crashes) < OutageCrashes {
+		return crashes
 	}
 	replicas := map[Fingerprint]int{}
-	for _, e := range ends {
+	for _, e := range crashes {
 		for _, s := range e.Suspects {
 			replicas[s.Request]++
 		}
 	}
 	var out []Crash
-	for _, e := range ends {
+	for _, e := range crashes {
 		e.Suspects = slices.DeleteFunc(slices.Clone(e.Suspects), func(s Suspect) bool { return replicas[s.Request] < 2 })
 		if len(e.Suspects) > 0 {
 			out = append(out, e)
--- a/core/poison/machine.go
+++ b/core/poison/detector.go
@@ -29,8 +29,8 @@
 	verdicts         map[Fingerprint]*Verdict
 }
 
-// RecordCrash records a replica's crash as observed by one daemon, and returns the verdicts that
-// changed.
+// RecordCrash records a replica's crash as observed by one daemon, and returns the verdicts
+// that changed.
 func (m *Detector) RecordCrash(now time.Time, e Crash) []Verdict {
 	m.expire(now)
 	for _, s := range e.Suspects {
@@ -92,7 +92,7 @@
 // retained.
 func (m *Detector) LastSuccess(f Fingerprint) time.Time { return m.successes.last(f) }
 
-// Merge merges verdicts of other machines and returns those that change the local ones. A
+// Merge merges verdicts of other detectors and returns those that change the local ones. A
 // verdict is stored and returned as lifted if a run of the request succeeded here after the
 // first crash that counts against it.
 func (m *Detector) Merge(now time.Time, verdicts []Verdict) []Verdict {
@@ -136,7 +136,8 @@
 	return *v, true
 }
 
-// ReturnTrial takes back a granted trial that led to no run, and returns the updated verdict.
+// ReturnTrial takes back a granted trial that led to no run, and returns the updated
+// verdict.
 func (m *Detector) ReturnTrial(f Fingerprint) (Verdict, bool) {
 	v, ok := m.verdicts[f]
 	if !ok || v.Lifted || v.UnusedTrials >= min(v.Trials, MaxUnusedTrials) {
@@ -277,15 +278,15 @@
 // CrashesOf returns the retained crashes of replicas that were running a request, ordered
 // by time.
 func (m *Detector) CrashesOf(f Fingerprint) []Crash {
-	var ends []Crash
+	var crashes []Crash
 	for _, e := range m.crashesByRequest[f] {
-		ends = append(ends, *e)
+		crashes = append(crashes, *e)
 	}
-	slices.SortFunc(ends, func(a, b Crash) int { return a.At.Compare(b.At) })
-	return ends
+	slices.SortFunc(crashes, func(a, b Crash) int { return a.At.Compare(b.At) })
+	return crashes
 }
 
-// Stats are the sizes of a Machine's state, for operators.
+// Stats are the sizes of a Detector's state, for operators.
 type Stats struct {
 	Crashes   int `json:"ends"`
 	Verdicts  int `json:"verdicts"`
--- a/core/poison/doc.go
+++ b/core/poison/doc.go
@@ -21,9 +21,9 @@
 //
 // # Contract
 //
-// A Machine is told of crashes, successful runs and the verdicts of other machines, each
+// A Detector is passed crashes, successful runs and the verdicts of other detectors, each
 // with its time, and returns the verdicts that changed. It is deterministic, does no I/O,
-// reads no clock and is not safe for concurrent use. The verdicts of several machines
+// reads no clock and is not safe for concurrent use. The verdicts of several detectors
 // converge in whatever order they are merged (Verdict.Supersedes). Memory is bounded by
 // MaxCrashes, MaxSuspects, MaxVerdicts and maxSuccesses.
 package poison
--- a/core/poison/verdict.go
+++ b/core/poison/verdict.go
@@ -15,13 +15,13 @@
 	Round uint32
 	// Lifted says that a run has succeeded since the request was quarantined.
 	Lifted bool
-	// Trials is the number of granted trials, and TriedAt when the last one was granted.
+	// Trials is the number of granted trials, and LastTrial when the last one was granted.
 	Trials    uint32
 	LastTrial time.Time
 	// UnusedTrials is the number of granted trials that led to no run.
 	UnusedTrials uint32
-	// QuarantinedAt is when the request was quarantined, and Since when the first crash occurred that
-	// counts against it.
+	// QuarantinedAt is when the request was quarantined, and FirstCrash when the first crash
+	// occurred that counts against it.
 	QuarantinedAt, FirstCrash time.Time
 	// Doubtful says that replicas also crashed without the request at that time, or that
 	// the crashes are attributed to another request.
@@ -101,11 +101,11 @@
 }
 
 // expiryMargin is how long before its expiry a verdict is excluded from the digest.
-// Machines drop a verdict at slightly different times and need not exchange it because of
+// Detectors drop a verdict at slightly different times and need not exchange it because of
 // that.
 const expiryMargin = 10 * time.Second
 
-// Digest returns a hash that is equal for machines with the same verdicts; 0 if there are
+// Digest returns a hash that is equal for detectors with the same verdicts; 0 if there are
 // none.
 func (m *Detector) Digest(now time.Time) uint64 {
 	var digest uint64
--- a/core/prefix/doc.go
+++ b/core/prefix/doc.go
@@ -7,10 +7,10 @@
 // immediately which prompts it sent to which engine, and its peers tell it about
 // theirs.
 //
-// Holders is told of each prompt that was sent, with the hashes of its prefixes (of the
+// An Index is told of each prompt that was sent, with the hashes of its prefixes (of the
 // first part, of the first two parts, and so on), and returns an engine that has the
 // longest prefix that another engine lacks. The information may be wrong: an engine may
-// have evicted parts, in which case a copy yields less than the whole prefix. Holders
+// have evicted parts, in which case a copy yields less than the whole prefix. An Index
 // reads no clock, makes no calls, stores at most MaxPrefixes prefixes and is not safe
 // for concurrent use.
 package prefix
--- a/core/refusal/doc.go
+++ b/core/refusal/doc.go
@@ -4,7 +4,7 @@
 // A replica that refuses requests while it is full is overloaded. A replica that
 // refuses while it reports free slots objects to something about the requests
 // themselves: a header that it interprets as an instruction, a prompt that exceeds its
-// memory, or a version that it does not have. A Watch counts both kinds by service and
+// memory, or a version that it does not have. A Monitor counts both kinds by service and
 // raises an Alarm when the unexplained refusals are numerous and a considerable share
 // of all attempts.
 //
--- a/core/refusal/monitor.go
+++ b/core/refusal/monitor.go
@@ -45,8 +45,8 @@
 	// unexplained.
 	MinRefusals = 10
 	MinShare    = 0.05
-	// MaxServices and MaxReplicas bound the memory of a Watch. Services beyond
-	// MaxServices are not watched, and an Alarm names at most MaxReplicas replicas.
+	// MaxServices and MaxReplicas bound the memory of a Monitor. Services beyond
+	// MaxServices are not counted, and an Alarm names at most MaxReplicas replicas.
 	MaxServices = 256
 	MaxReplicas = 8
 )
@@ -81,7 +81,7 @@
 	alarmRaised           bool
 }
 
-// New returns a Watch without any counts.
+// New returns a Monitor without any counts.
 func New() *Monitor { return &Monitor{services: map[string]*windowCounts{}} }
 
 // Observe counts the end of an attempt. It returns an alarm if this attempt makes the
--- a/core/request/action.go
+++ b/core/request/action.go
@@ -22,7 +22,7 @@
 	NotAfter time.Time
 	// LatestStart is the latest time at which the call can start and still meet
 	// the deadline, given the expected time of this stage and the later ones.
-	// An upstream should serve its waiting calls in order of StartBy.
+	// An upstream should serve its waiting calls in order of LatestStart.
 	LatestStart time.Time
 	// Key is the idempotency key if the stage is non-repeatable, else empty.
 	Key string
--- a/core/request/event.go
+++ b/core/request/event.go
@@ -47,14 +47,14 @@
 	Detail    string
 }
 
-// StatusAnswered answers a LookUp action.
+// StatusAnswered answers a LookUpStatus action.
 type StatusAnswered struct {
 	// Known is set when an upstream has executed the call; Output is the result.
 	Known  bool
 	Output json.RawMessage
 }
 
-// Recorded answers a Record action. Err is nil if a majority of the claim holders
+// Recorded answers a RecordResult action. Err is nil if a majority of the claim holders
 // stored the result.
 type Recorded struct{ Err error }
 
--- a/core/request/ports.go
+++ b/core/request/ports.go
@@ -31,8 +31,8 @@
 	// Budget is the time left for this stage.
 	Budget time.Duration
 	// PrefillTime is the expected time that an engine needs to process the part of the
-	// prompt that is not in a shared prefix. FirstByte is the usual time to the
-	// first byte of the response. Either is 0 if it is not known.
+	// prompt that is not in a shared prefix. ExpectedFirstByte is the usual time
+	// to the first byte of the response. Either is 0 if it is not known.
 	PrefillTime, ExpectedFirstByte time.Duration
 }
 
@@ -89,7 +89,7 @@
 	// ExpectedLatency returns the measured latency of a stage at a pool at the given
 	// quantile (0 to 1). It returns false until enough calls have been measured.
 	ExpectedLatency(pool, stage string, quantile float64) (time.Duration, bool)
-	// ExpectedFirstByte is like Expect, for the time to the first byte or token.
+	// ExpectedFirstByte is like ExpectedLatency, for the time to the first byte or token.
 	ExpectedFirstByte(pool, stage string, quantile float64) (time.Duration, bool)
 }
 
--- a/core/retry/shared_test.go
+++ b/core/retry/shared_budget_test.go
@@ -10,7 +10,7 @@
 	"github.com/wheatseam/wheatseam/core/retry"
 )
 
-var _ = Describe("a daemon's part of a fleet-wide budget", func() {
+var _ = Describe("a daemon's share of a fleet-wide budget", func() {
 	const window = 10 * time.Second
 	start := time.Unix(1000, 0)
 
@@ -81,7 +81,7 @@
 			n++
 		}
 		Expect(n).To(Equal(2))
-		Expect(b.Withdraw(start.Add(window))).To(BeTrue(), "half of the part is refilled per window")
+		Expect(b.Withdraw(start.Add(window))).To(BeTrue(), "half of the share is refilled per window")
 	})
 
 	It("takes refunds of attempts that were not sent, up to its capacity", func() {
--- a/core/rollout/doc.go
+++ b/core/rollout/doc.go
@@ -12,6 +12,6 @@
 // A Machine is deterministic: it does no I/O, reads no clock, starts no goroutine
 // and takes randomness only from the source it is given. The caller passes events
 // to Machine.Step with the current time and carries out the returned actions in
-// order. Only one goroutine may call a Machine at a time; an InForce is immutable
+// order. Only one goroutine may call a Machine at a time; an ActiveBundle is immutable
 // and may be shared.
 package rollout
--- a/core/rollout/event.go
+++ b/core/rollout/event.go
@@ -129,7 +129,7 @@
 type ServiceStale struct{ ServedVersion, ActiveVersion uint64 }
 
 // BecameReady reports that the daemon became ready: its active bundle is the newest
-// one announced to it. Alone reports that too few peers answered in time to
+// one announced to it. Unconfirmed is set if too few peers answered in time to
 // confirm that.
 type BecameReady struct{ Unconfirmed bool }
 
--- a/core/rollout/machine.go
+++ b/core/rollout/machine.go
@@ -80,7 +80,7 @@
 		m.expireFetch(now)
 		m.pollIfDue(now)
 	case Resumed:
-		m.handleWoke(now)
+		m.handleResumed(now)
 	case PeerMarkReceived:
 		m.handlePeerMark(now, e)
 	case PeersChanged:
@@ -106,8 +106,8 @@
 // emit queues an action.
 func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// handleWoke repeats the start sequence but keeps the active bundle.
-func (m *Machine) handleWoke(now time.Time) {
+// handleResumed repeats the start sequence but keeps the active bundle.
+func (m *Machine) handleResumed(now time.Time) {
 	m.ready = false
 	m.startedAt = now
 	m.peers = map[string]*peerMark{}
@@ -287,7 +287,7 @@
 func (m *Machine) Active() *ActiveBundle { return m.active }
 
 // Ready reports whether the daemon has become ready since its start or last
-// pause; see Readiness.
+// pause; see BecameReady.
 func (m *Machine) Ready() bool { return m.ready }
 
 // Stats returns the event counts since the start.
--- a/core/route/apply.go
+++ b/core/route/apply.go
@@ -60,8 +60,8 @@
 		}
 	}
 	r.current.Store(next)
-	if r.ownsGates {
-		r.config.Gates.RemoveUnlisted(func(name string) bool { return len(next.byUpstream[name]) > 0 })
+	if r.ownsLimiters {
+		r.config.Limiters.RemoveUnlisted(func(name string) bool { return len(next.byUpstream[name]) > 0 })
 	}
 }
 
@@ -110,8 +110,8 @@
 		if st == nil {
 			st = &memberState{}
 		}
-		// The upstream may have a new gate if it was not listed in the meantime.
-		st.gate = r.config.Gates.Get(u.Name)
+		// The upstream may have a new limiter if it was not listed in the meantime.
+		st.limiter = r.config.Limiters.Get(u.Name)
 		st.markedLeaving = r.markedLeaving[u.Name]
 		kept[key] = st
 		p.members = append(p.members, member{
--- a/core/route/config.go
+++ b/core/route/config.go
@@ -46,8 +46,9 @@
 	// Default 15 s.
 	HistogramWindow time.Duration
 	// Limiters limit the calls that begin at the upstreams. They are shared with other
-	// components that call the same upstreams. Default: gates used by this Router only.
-	Gates *intake.Limiters
+	// components that call the same upstreams. Default: limiters that only this Router
+	// uses.
+	Limiters *intake.Limiters
 	// OnEjected is called for every ejection of an upstream from a pool, with its reason
 	// and end. It is called with a lock held and must not block. It may be nil.
 	OnEjected func(pool, upstream, reason string, until time.Time)
@@ -89,8 +90,8 @@
 }
 
 func (c Config) withDefaults() Config {
-	if c.Gates == nil {
-		c.Gates = intake.NewLimiters()
+	if c.Limiters == nil {
+		c.Limiters = intake.NewLimiters()
 	}
 	setDefault(&c.RandomChoices, 2)
 	setDefault(&c.SaturationFactor, 2)
--- a/core/route/intake.go
+++ b/core/route/intake.go
@@ -14,17 +14,17 @@
 // SetColdLimits sets the cold upstreams by name, each with the number of calls that this
 // daemon may begin there in any second. It replaces the previous set.
 func (r *Router) SetColdLimits(limits map[string]int) {
-	parts := make(map[string]intake.Quota, len(limits))
+	quotas := make(map[string]intake.Quota, len(limits))
 	for name, calls := range limits {
-		parts[name] = intake.Quota{Calls: calls, Window: coldWindow}
+		quotas[name] = intake.Quota{Calls: calls, Window: coldWindow}
 	}
-	r.config.Gates.SetQuotas(intake.Cold, parts)
+	r.config.Limiters.SetQuotas(intake.Cold, quotas)
 }
 
-// intakeFilter rejects upstreams whose gate refuses further calls from this daemon,
-// because its quota there is used up or because the upstream is leaving or resting. It
-// is never relaxed: a cold upstream that gets more calls may crash, with all calls that
-// run there.
+// intakeFilter rejects upstreams whose limiter blocks further calls from this daemon,
+// because the daemon's quota is used up, the upstream is leaving, or it requested a
+// backoff. The filter is never relaxed: a cold upstream that gets more calls may crash,
+// with all calls that run there.
 type intakeFilter struct{}
 
 func (intakeFilter) Name() string      { return "intake" }
--- a/core/route/intake_test.go
+++ b/core/route/intake_test.go
@@ -12,15 +12,15 @@
 )
 
 var _ = Describe("upstreams that declare a call limit", func() {
-	limited := func(upstreams int, parts map[string]intake.Quota) *Router {
+	limited := func(upstreams int, quotas map[string]intake.Quota) *Router {
 		r := testRouter(testBundle(upstreams, 100, bundle.PolicyAdaptive), 1)
-		r.config.Gates.SetQuotas(intake.AnnouncedLimit, parts)
+		r.config.Limiters.SetQuotas(intake.AnnouncedLimit, quotas)
 		return r
 	}
 
 	It("get no more calls than this daemon's quota, also on retries, and the others get the rest", func() {
-		part := intake.Quota{Calls: 2, Window: 4 * time.Second}
-		r := limited(3, map[string]intake.Quota{"u0": part, "u1": part})
+		quota := intake.Quota{Calls: 2, Window: 4 * time.Second}
+		r := limited(3, map[string]intake.Quota{"u0": quota, "u1": quota})
 		picks := map[string]int{}
 		for at := time.Duration(0); at < 4*time.Second; at += 20 * time.Millisecond {
 			q := testQuery()
@@ -37,8 +37,8 @@
 		r := limited(2, map[string]intake.Quota{"u0": {Calls: 1, Window: 4 * time.Second}, "u1": {Calls: 1, Window: 4 * time.Second}})
 		first := mustPick(r, start, testQuery())
 		Expect(mustPick(r, start.Add(time.Second), testQuery()).Upstream).NotTo(Equal(first.Upstream))
-		_, closed := r.Unavailable(start.Add(time.Second), "llm")
-		Expect(closed).To(BeTrue())
+		_, unavailable := r.Unavailable(start.Add(time.Second), "llm")
+		Expect(unavailable).To(BeTrue())
 		_, err := r.Pick(start.Add(1500*time.Millisecond), testQuery(), nil)
 		Expect(err).NotTo(BeNil())
 		Expect(err.Detail).To(ContainSubstring("2 limited"))
@@ -63,11 +63,11 @@
 
 var _ = Describe("upstreams that report that they are leaving", func() {
 	leaving := func(r *Router, names ...string) {
-		parts := map[string]intake.Quota{}
+		quotas := map[string]intake.Quota{}
 		for _, n := range names {
-			parts[n] = intake.Quota{}
+			quotas[n] = intake.Quota{}
 		}
-		r.config.Gates.SetQuotas(intake.Leaving, parts)
+		r.config.Limiters.SetQuotas(intake.Leaving, quotas)
 	}
 
 	It("get no more calls, also on retries and after a bundle is applied", func() {
@@ -85,8 +85,8 @@
 	It("cause an immediate refusal if no other upstream is left", func() {
 		r := testRouter(testBundle(2, 100, bundle.PolicyAdaptive), 1)
 		leaving(r, "u0", "u1")
-		wait, closed := r.Unavailable(start, "llm")
-		Expect(closed).To(BeTrue())
+		wait, unavailable := r.Unavailable(start, "llm")
+		Expect(unavailable).To(BeTrue())
 		Expect(wait).To(Equal(unavailableRetryAfter))
 		_, err := r.Pick(start, testQuery(), nil)
 		Expect(err).NotTo(BeNil())
@@ -103,20 +103,20 @@
 	})
 })
 
-var _ = Describe("upstreams that request a pause", func() {
-	resting := func(r *Router, until map[string]time.Duration) {
-		parts := map[string]intake.Quota{}
+var _ = Describe("upstreams that request a backoff", func() {
+	backingOff := func(r *Router, until map[string]time.Duration) {
+		quotas := map[string]intake.Quota{}
 		for name, d := range until {
-			parts[name] = intake.Quota{BlockedUntil: start.Add(d)}
+			quotas[name] = intake.Quota{BlockedUntil: start.Add(d)}
 		}
-		r.config.Gates.SetQuotas(intake.BackingOff, parts)
+		r.config.Limiters.SetQuotas(intake.BackingOff, quotas)
 	}
 
-	It("get no calls until the pause is over, even if no others are left", func() {
+	It("get no calls until the backoff is over, even if no others are left", func() {
 		r := testRouter(testBundle(2, 100, bundle.PolicyAdaptive), 1)
-		resting(r, map[string]time.Duration{"u0": 3 * time.Second, "u1": 2 * time.Second})
-		wait, closed := r.Unavailable(start, "llm")
-		Expect(closed).To(BeTrue())
+		backingOff(r, map[string]time.Duration{"u0": 3 * time.Second, "u1": 2 * time.Second})
+		wait, unavailable := r.Unavailable(start, "llm")
+		Expect(unavailable).To(BeTrue())
 		Expect(wait).To(Equal(2 * time.Second))
 		_, err := r.Pick(start.Add(time.Second), testQuery(), nil)
 		Expect(err).NotTo(BeNil())
@@ -135,8 +135,8 @@
 
 var _ = Describe("an upstream that is temporarily not listed", func() {
 	It("is limited when it is listed again, although calls to it are in flight", func() {
-		gates := intake.NewLimiters()
-		r := New(Config{FailureDomain: "d0", Seed: 1, Gates: gates})
+		limiters := intake.NewLimiters()
+		r := New(Config{FailureDomain: "d0", Seed: 1, Limiters: limiters})
 		b := testBundle(2, 100, bundle.PolicyAdaptive)
 		r.Apply(b)
 		for range 20 {
@@ -144,8 +144,8 @@
 		}
 		less := testBundle(1, 100, bundle.PolicyAdaptive)
 		r.Apply(less)
-		gates.RemoveUnlisted(func(name string) bool { return name == "u0" })
-		gates.SetQuotas(intake.Leaving, map[string]intake.Quota{"u1": {}})
+		limiters.RemoveUnlisted(func(name string) bool { return name == "u0" })
+		limiters.SetQuotas(intake.Leaving, map[string]intake.Quota{"u1": {}})
 		r.Apply(b)
 		for range 50 {
 			Expect(mustPick(r, start, testQuery()).Upstream).To(Equal("u0"))
--- a/core/route/router.go
+++ b/core/route/router.go
@@ -21,8 +21,8 @@
 // Router implements request.Router. It is safe for concurrent use.
 type Router struct {
 	config Config
-	// ownsGates is set if the gates are not shared with other components.
-	ownsGates bool
+	// ownsLimiters is set if the limiters are not shared with other components.
+	ownsLimiters bool
 	// mu serializes Apply and SetLeaving.
 	mu            sync.Mutex
 	markedLeaving map[string]bool
@@ -33,7 +33,7 @@
 
 // New returns a Router without pools. Apply sets them.
 func New(c Config) *Router {
-	r := &Router{config: c.withDefaults(), ownsGates: c.Gates == nil, markedLeaving: map[string]bool{}}
+	r := &Router{config: c.withDefaults(), ownsLimiters: c.Limiters == nil, markedLeaving: map[string]bool{}}
 	r.current.Store(&snapshot{pools: map[string]*poolView{}})
 	return r
 }
@@ -95,29 +95,29 @@
 
 // noUpstreamError returns the error for a pick that no upstream is eligible for.
 func (p *poolView) noUpstreamError(v *View) *problem.Error {
-	saturated, cold, limited, resting := 0, 0, 0, 0
-	var opens shortestWait
+	saturated, cold, limited, backingOff := 0, 0, 0, 0
+	var nextAllowed shortestWait
 	for i := range v.Candidates {
 		switch c := &v.Candidates[i]; {
 		case c.Leaving:
 		case c.Load() >= v.SaturationLimit:
 			saturated++
-			opens.add(saturatedRetryAfter)
+			nextAllowed.add(saturatedRetryAfter)
 		case c.IntakeLimited && c.IntakeLimitSource == intake.Cold:
 			cold++
-			opens.add(saturatedRetryAfter)
+			nextAllowed.add(saturatedRetryAfter)
 		case c.IntakeLimited:
 			if c.IntakeLimitSource == intake.BackingOff {
-				resting++
+				backingOff++
 			} else {
 				limited++
 			}
-			opens.add(p.members[i].state.gate.NextAllowed(v.Now).Sub(v.Now))
+			nextAllowed.add(p.members[i].state.limiter.NextAllowed(v.Now).Sub(v.Now))
 		}
 	}
 	err := problem.New(problem.NoUpstream, "pool %q: of %d upstreams %d are saturated, %d cold, %d limited, %d resting, the others leaving",
-		p.name, len(v.Candidates), saturated, cold, limited, resting)
-	err.RetryAfter = opens.orElse(unavailableRetryAfter)
+		p.name, len(v.Candidates), saturated, cold, limited, backingOff)
+	err.RetryAfter = nextAllowed.orElse(unavailableRetryAfter)
 	return err
 }
 
@@ -141,8 +141,8 @@
 	return s.wait
 }
 
-// Unavailable reports whether all upstreams of a pool are leaving or refused by their gates,
-// and how long this lasts at least. A pool without upstreams is not closed.
+// Unavailable reports whether all upstreams of a pool are leaving or blocked by their
+// limiters, and how long this lasts at least. A pool without upstreams is not unavailable.
 func (r *Router) Unavailable(now time.Time, pool string) (time.Duration, bool) {
 	p := r.current.Load().pools[pool]
 	if p == nil {
@@ -150,19 +150,19 @@
 	}
 	p.shard.mu.Lock()
 	defer p.shard.mu.Unlock()
-	var opens shortestWait
+	var nextAllowed shortestWait
 	for i := range p.members {
 		st := p.members[i].state
 		if st.isLeaving() {
-			opens.add(unavailableRetryAfter)
+			nextAllowed.add(unavailableRetryAfter)
 			continue
 		}
-		if _, refuses := st.gate.Blocked(now); !refuses {
+		if _, blocked := st.limiter.Blocked(now); !blocked {
 			return 0, false
 		}
-		opens.add(st.gate.NextAllowed(now).Sub(now))
+		nextAllowed.add(st.limiter.NextAllowed(now).Sub(now))
 	}
-	return opens.wait, opens.known
+	return nextAllowed.wait, nextAllowed.known
 }
 
 // Done implements request.Router.
@@ -192,13 +192,13 @@
 	})
 }
 
-// CanServeCopies reports whether an upstream can serve calls other than those for which it is
-// picked: it is known, is neither leaving, limited nor ejected, and does not have calls
+// CanServeCopies reports whether an upstream can serve calls other than those for which it
+// is picked: it is known, is neither leaving, limited nor ejected, and does not have calls
 // in flight without any progress.
 func (r *Router) CanServeCopies(now time.Time, pool, upstream, address string) bool {
 	usable := false
 	r.updateState(pool, upstream, address, func(st *memberState) {
-		usable = !st.isLeaving() && !st.gate.HasQuota() && !st.ejection.active(now) && (st.ownCalls == 0 || now.Sub(st.lastProgress) < minStallTimeout)
+		usable = !st.isLeaving() && !st.limiter.HasQuota() && !st.ejection.active(now) && (st.ownCalls == 0 || now.Sub(st.lastProgress) < minStallTimeout)
 	})
 	return usable
 }
--- a/core/route/state.go
+++ b/core/route/state.go
@@ -56,7 +56,7 @@
 	consecutiveFailures        int // consecutive
 
 	prefillQueue prefillQueue
-	gate         *intake.Limiter
+	limiter      *intake.Limiter
 
 	busyUntil           time.Time
 	consecutiveRefusals int // consecutive
@@ -72,7 +72,7 @@
 // isLeaving reports whether the host list, the upstream's load report or one of its
 // responses says that the upstream is leaving.
 func (s *memberState) isLeaving() bool {
-	return s.markedLeaving || s.report.Leaving || s.gate.IsLeaving()
+	return s.markedLeaving || s.report.Leaving || s.limiter.IsLeaving()
 }
 
 // startCall counts a call as in flight.
@@ -81,7 +81,7 @@
 		s.lastProgress = now
 	}
 	s.ownCalls++
-	s.gate.RecordCall(now)
+	s.limiter.RecordCall(now)
 	s.recordOwnCalls(now)
 }
 
--- a/core/route/view.go
+++ b/core/route/view.go
@@ -38,7 +38,7 @@
 	Stalled bool
 	// Busy means that the upstream refused a call a short time ago.
 	Busy bool
-	// IntakeLimited means that the upstream's gate refuses further calls from this
+	// IntakeLimited means that the upstream's limiter blocks further calls from this
 	// daemon for now, because of the limit that IntakeLimitSource identifies.
 	IntakeLimited     bool
 	IntakeLimitSource intake.Source
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -16,7 +16,7 @@
 	return out
 }
 
-// checkSums returns a check that no sum of shares exceeds Full plus allowedExcess,
+// checkSums returns a check that no sum of shares exceeds FullShare plus allowedExcess,
 // and the highest sum that the check has seen.
 func checkSums(f *fleet, allowedExcess func() int64) (func(), *int64) {
 	highestSum := new(int64)
--- a/core/stage/action.go
+++ b/core/stage/action.go
@@ -81,8 +81,8 @@
 // Timing is the time that one stage of a job spent waiting and executing.
 type Timing struct {
 	Stage int
-	// Wait is the time from the last input to the start of the last call, Work the duration
-	// of that call.
+	// Wait is the time from the last input to the start of the last call, and Execution the
+	// time from then until the last piece was completed.
 	Wait, Execution time.Duration
 	// CrossDomain says that some results were computed outside the stage's preferred failure
 	// domain.
@@ -125,8 +125,8 @@
 	// Cause is the outcome of the replica's call, or "overdue" or "lapsed" if the call has
 	// not ended.
 	Cause string
-	// Failures is the number of consecutive failures, For the time for which the replica is
-	// avoided.
+	// Failures is the number of consecutive failures, and Duration the time for which no
+	// calls are made to the replica.
 	Failures int
 	Duration time.Duration
 }
--- a/core/stage/admit.go
+++ b/core/stage/admit.go
@@ -81,7 +81,7 @@
 		if !r.acceptsWork() || !r.closedForLong(now) {
 			continue
 		}
-		if wait := r.gate.NextAllowed(now).Sub(now); least == 0 || wait < least {
+		if wait := r.limiter.NextAllowed(now).Sub(now); least == 0 || wait < least {
 			least = wait
 		}
 	}
@@ -118,7 +118,7 @@
 	for _, r := range s.replicas {
 		if r.usable(now) && full > 0 {
 			calls := float64(s.params.Concurrency) / full
-			if rate, bounded := r.gate.Rate(now); bounded && rate > 0 {
+			if rate, bounded := r.limiter.Rate(now); bounded && rate > 0 {
 				calls = min(calls, rate)
 			}
 			perSecond += r.freeMemoryShare(now) * calls * float64(s.params.Batch)
--- a/core/stage/config.go
+++ b/core/stage/config.go
@@ -48,8 +48,8 @@
 	// until their callers left.
 	LateGrace time.Duration
 	// Limiters limit the calls to replicas, together with the calls of other components of
-	// this host. Default: gates that only this Machine uses.
-	Gates *intake.Limiters
+	// this host. Default: limiters that only this Machine uses.
+	Limiters *intake.Limiters
 	// MinRetryAfter is the shortest retry delay returned to a refused job. Default 300 ms.
 	MinRetryAfter time.Duration
 }
@@ -61,8 +61,8 @@
 }
 
 func (c Config) withDefaults() Config {
-	if c.Gates == nil {
-		c.Gates = intake.NewLimiters()
+	if c.Limiters == nil {
+		c.Limiters = intake.NewLimiters()
 	}
 	orDefault(&c.CrossDomainBytesPerMs, 600)
 	orDefault(&c.DomainWaitSlackShare, 0.8)
--- a/core/stage/dispatch.go
+++ b/core/stage/dispatch.go
@@ -52,7 +52,7 @@
 }
 
 // nextPassTime returns when the next pass is due. After an event that may allow a call it
-// is due at once, subject to the minimum pause between passes.
+// is due at once, subject to the minimum interval between passes.
 func (s *service) nextPassTime() time.Time {
 	if s.dirty {
 		return s.lastPass.Add(passPause(len(s.queue.groups)))
@@ -67,7 +67,7 @@
 	s.dirty, s.lastPass = false, now
 	s.nextPass = now.Add(max(wait, passPause(len(s.queue.groups))))
 	for _, r := range s.replicas {
-		for _, t := range [...]time.Time{r.busyUntil, r.suspectUntil, r.noMemoryUntil, r.gate.NextAllowed(now)} {
+		for _, t := range [...]time.Time{r.busyUntil, r.suspectUntil, r.noMemoryUntil, r.limiter.NextAllowed(now)} {
 			if t.After(now) && t.Before(s.nextPass) {
 				s.nextPass = t
 			}
@@ -326,7 +326,7 @@
 	m.nextOverdue.schedule(c.overdueAt)
 	m.nextTimeout.schedule(c.timeoutAt)
 	r.calls = append(r.calls, c)
-	r.gate.RecordCall(now)
+	r.limiter.RecordCall(now)
 	m.addQueryBudget(now, s)
 	a := Run{Call: c.id, Service: s.name, Replica: r.ID, Address: r.Address, Timeout: c.timeoutAt.Sub(now)}
 	for _, p := range pieces {
--- a/core/stage/event.go
+++ b/core/stage/event.go
@@ -18,9 +18,9 @@
 // Submitted asks for the results of a job. A job whose id is already known is ignored.
 type Submitted struct{ Job Job }
 
-// Cancelled says that a job is no longer needed or, if it is ready, that its results have
-// been read or are no longer needed. For a Shared job it comes from the job's owner, unless
-// Moved is set. It is also due for a job that was refused with Held set.
+// Cancelled says that a job is no longer needed or, if the job is ready, that its results
+// have been read or are no longer needed. For a Transferable job it comes from the job's owner,
+// unless HandedOver is set. It is also due for a job that was refused with ResultsHeld set.
 type Cancelled struct {
 	Job string
 	// HandedOver says that another planner continues the job, or may do so: results reported to
@@ -83,7 +83,7 @@
 	Results []Result
 }
 
-// MemoryReported reports the free memory that a replica had shortly before Asked.
+// MemoryReported reports the free memory that a replica had shortly before QueriedAt.
 type MemoryReported struct {
 	Replica string
 	// QueriedAt is when the query was sent.
--- a/core/stage/handover.go
+++ b/core/stage/handover.go
@@ -1,17 +1,18 @@
 package stage
 
-// A shared job has an owner: the daemon that another daemon plans for. If that planner
-// seems lost, the owner submits the job to the next planner, with the results reported to
-// it. The messages of both sides may be lost, so neither knows what the other does, and if
-// two planners both released a result, one would take it from the other's readers. The rule
-// is therefore: a planner on its own releases only results that were not reported to the
-// owner. Results reported to the owner are released
+// A transferable job has an owner: the daemon that another daemon plans for. If that planner
+// seems lost, the owner submits the job to the next planner, with the results that were
+// reported to the owner. The messages of both planners may be lost, so neither knows what
+// the other does, and if both released a result, one would take it from the other's
+// readers. The rule is therefore: a planner on its own releases only results that were not
+// reported to the owner. Results reported to the owner are released
 //
-//   - once it has acknowledged (Known) all pieces that read them: from then on the owner no longer
-//     names them to another planner as useful, and the next planner does not use them (restore);
-//   - when it cancels the job (Cancelled).
+//   - once the owner has acknowledged (ProgressAcked) all pieces that read them: from then on
+//     it no longer passes them to another planner, and the next planner does not use them
+//     (restore);
+//   - when the owner cancels the job (Cancelled).
 //
-// If neither happens they expire at the replica.
+// If neither happens, the results expire at the replica.
 
 // restore takes over the pieces that an earlier planner completed, if the replicas that
 // hold them are still there.
@@ -41,17 +42,17 @@
 	r.usedBytes += p.resultBytes()
 }
 
-// pieceFor returns the piece that another planner or the job's owner names; nil if there is
-// none.
-func (j *job) pieceFor(made CompletedPiece) *piece {
-	if made.Stage < 0 || made.Stage >= len(j.stages) {
+// pieceFor returns the piece that another planner or the job's owner reports as completed;
+// nil if the job has no such piece.
+func (j *job) pieceFor(completed CompletedPiece) *piece {
+	if completed.Stage < 0 || completed.Stage >= len(j.stages) {
 		return nil
 	}
-	pieces := j.stages[made.Stage].pieces
-	if made.Index < 0 || made.Index >= len(pieces) {
+	pieces := j.stages[completed.Stage].pieces
+	if completed.Index < 0 || completed.Index >= len(pieces) {
 		return nil
 	}
-	return &pieces[made.Index]
+	return &pieces[completed.Index]
 }
 
 // alreadyRead returns, for each stage, whether its results have been read by pieces that
@@ -121,7 +122,8 @@
 	return true
 }
 
-// releaseTransferable releases the results of a stage of a shared job that have been read.
+// releaseTransferable releases the results of a stage of a transferable job that have been
+// read.
 // If some of them need the owner's acknowledgement, the owner is notified.
 func (m *Machine) releaseTransferable(j *job, i int) {
 	st := &j.stages[i]
--- a/core/stage/harness_test.go
+++ b/core/stage/harness_test.go
@@ -23,8 +23,8 @@
 	released        int
 	jobs            map[string]Job
 	completedPieces int
-	// progress holds the reported pieces by job, ownerNotices counts the Inform actions by
-	// job.
+	// progress holds the reported pieces by job, ownerNotices counts the NotifyOwner actions
+	// by job.
 	progress     map[string][]CompletedPiece
 	ownerNotices map[string]int
 }
@@ -68,7 +68,7 @@
 			h.removeCall(a.Call)
 		case Release:
 			for _, handle := range a.Handles {
-				Expect(h.results).To(HaveKey(handle), "released twice or never made: %s", handle)
+				Expect(h.results).To(HaveKey(handle), "released twice or never produced: %s", handle)
 				delete(h.results, handle)
 				h.released++
 			}
--- a/core/stage/intake_test.go
+++ b/core/stage/intake_test.go
@@ -11,7 +11,7 @@
 
 var _ = Describe("replicas with a call limit", func() {
 	setLimit := func(h *harness, replica string, p intake.Quota) {
-		h.m.cfg.Gates.SetQuotas(intake.AnnouncedLimit, map[string]intake.Quota{replica: p})
+		h.m.cfg.Limiters.SetQuotas(intake.AnnouncedLimit, map[string]intake.Quota{replica: p})
 	}
 
 	It("get only this host's share of the calls; other replicas get the rest", func() {
@@ -74,7 +74,7 @@
 		runs := h.submit(h.newChain("j", Stage{Service: "a", Pieces: 4}))
 		Expect(runs).To(HaveLen(1))
 		leaving := runs[0].Replica
-		h.m.cfg.Gates.SetQuotas(intake.Leaving, map[string]intake.Quota{leaving: {}})
+		h.m.cfg.Limiters.SetQuotas(intake.Leaving, map[string]intake.Quota{leaving: {}})
 		for i := range 6 {
 			for _, r := range h.submit(h.newChain(string(rune('k'+i)), Stage{Service: "a", Pieces: 4})) {
 				Expect(r.Replica).NotTo(Equal(leaving))
@@ -86,16 +86,16 @@
 
 	It("are not waited for", func() {
 		h := newHarness(pieceParams(4, 0), "x")
-		h.m.cfg.Gates.SetQuotas(intake.Leaving, map[string]intake.Quota{"a1": {}})
+		h.m.cfg.Limiters.SetQuotas(intake.Leaving, map[string]intake.Quota{"a1": {}})
 		h.submit(h.newChain("j", Stage{Service: "a", Pieces: 1}))
 		Expect(h.refused["j"].Reason).To(Equal(ReasonNoReplica))
 	})
 })
 
-var _ = Describe("replicas that ask for a pause", func() {
-	It("are called again when it is over; others are called meanwhile", func() {
+var _ = Describe("replicas that ask for a backoff", func() {
+	It("are called again when the backoff is over; others are called meanwhile", func() {
 		h := newHarness(pieceParams(4, 0), "x", "y")
-		h.m.cfg.Gates.SetQuotas(intake.BackingOff, map[string]intake.Quota{"a1": {BlockedUntil: h.now.Add(3 * time.Second)}})
+		h.m.cfg.Limiters.SetQuotas(intake.BackingOff, map[string]intake.Quota{"a1": {BlockedUntil: h.now.Add(3 * time.Second)}})
 		start, calledAgain := h.now, false
 		for i := 0; h.now.Sub(start) < 5*time.Second; i++ {
 			for _, r := range h.submit(h.newChain(string(rune('a'+i)), Stage{Service: "a", Pieces: 8})) {
@@ -110,14 +110,14 @@
 		Expect(h.refused).To(BeEmpty())
 	})
 
-	It("are waited for if there is no other and the pause ends soon", func() {
+	It("are waited for if there is no other and the backoff ends soon", func() {
 		h := newHarness(pieceParams(4, 0), "x")
-		h.m.cfg.Gates.SetQuotas(intake.BackingOff, map[string]intake.Quota{"a1": {BlockedUntil: h.now.Add(200 * time.Millisecond)}})
+		h.m.cfg.Limiters.SetQuotas(intake.BackingOff, map[string]intake.Quota{"a1": {BlockedUntil: h.now.Add(200 * time.Millisecond)}})
 		Expect(h.submit(h.newChain("j", Stage{Service: "a", Pieces: 1}))).To(BeEmpty())
 		Expect(h.refused).To(BeEmpty())
 		Expect(h.advance(200 * time.Millisecond)).To(HaveLen(1))
 
-		h.m.cfg.Gates.SetQuotas(intake.BackingOff, map[string]intake.Quota{"a1": {BlockedUntil: h.now.Add(3 * time.Second)}})
+		h.m.cfg.Limiters.SetQuotas(intake.BackingOff, map[string]intake.Quota{"a1": {BlockedUntil: h.now.Add(3 * time.Second)}})
 		h.submit(h.newChain("k", Stage{Service: "a", Pieces: 1}))
 		Expect(h.refused["k"].RetryAfter).To(Equal(3 * time.Second))
 	})
--- a/core/stage/machine.go
+++ b/core/stage/machine.go
@@ -144,7 +144,7 @@
 		r = &replica{service: s, latencyRatio: 1}
 		m.replicas[listed.ID] = r
 	}
-	r.gate = m.cfg.Gates.Get(listed.ID)
+	r.limiter = m.cfg.Limiters.Get(listed.ID)
 	r.Replica, r.listed, r.service = listed, true, s
 }
 
--- a/core/stage/machine_test.go
+++ b/core/stage/machine_test.go
@@ -136,7 +136,7 @@
 		Expect(h.results).To(BeEmpty())
 	})
 
-	It("avoid a slow replica for a while and then try it again", func() {
+	It("avoid a slow replica for a while and then use it again", func() {
 		h := newHarness(pieceParams(4, 0), "x", "x", "x")
 		slow := h.submit(h.newChain("first", Stage{Service: "a", Pieces: 1}))[0]
 		h.now = h.now.Add(1500 * time.Millisecond)
--- a/core/stage/queue.go
+++ b/core/stage/queue.go
@@ -102,7 +102,7 @@
 	// may allow a call, and the number of jobs up to which readerLoad is always counted
 	// anew.
 	unthrottledLength = 32
-	// passPausePerItem is the pause until the next pass for each group above
+	// passPausePerItem is the wait until the next pass for each group above
 	// unthrottledLength. A pass takes about 0.6 µs for each group, so passes take 3% of a
 	// processor for each service however long the queue is. The pause, 10 ms with 500
 	// groups, is short compared with a call of 240 ms or more. With 1,000 waiting jobs, one
--- a/core/stage/replica.go
+++ b/core/stage/replica.go
@@ -63,8 +63,8 @@
 type replica struct {
 	catalog.Replica
 	service *service
-	// gate limits the calls to the replica, together with the other calls of this host.
-	gate *intake.Limiter
+	// limiter limits the calls to the replica, together with the other calls of this host.
+	limiter *intake.Limiter
 	// listed says that the replica is in the configuration in force.
 	listed bool
 	// replaced says that the restarted replica, or another one, has this replica's address.
@@ -122,18 +122,18 @@
 
 // acceptsWork says whether the replica accepts new work, according to itself and the
 // configuration.
-func (r *replica) acceptsWork() bool { return r.listed && !r.Draining && !r.gate.IsLeaving() }
+func (r *replica) acceptsWork() bool { return r.listed && !r.Draining && !r.limiter.IsLeaving() }
 
 // closedForLong says whether the replica accepts no calls of this host for longer than one
 // call takes.
 func (r *replica) closedForLong(now time.Time) bool {
-	rate, bounded := r.gate.Rate(now)
-	return bounded && rate == 0 && now.Add(r.service.callTime(1)).Before(r.gate.NextAllowed(now))
+	rate, bounded := r.limiter.Rate(now)
+	return bounded && rate == 0 && now.Add(r.service.callTime(1)).Before(r.limiter.NextAllowed(now))
 }
 
 // available says whether a call to the replica may start now.
 func (r *replica) available(now time.Time) bool {
-	return r.usable(now) && len(r.calls) < r.service.params.Concurrency && !now.Before(r.busyUntil) && !now.Before(r.gate.NextAllowed(now))
+	return r.usable(now) && len(r.calls) < r.service.params.Concurrency && !now.Before(r.busyUntil) && !now.Before(r.limiter.NextAllowed(now))
 }
 
 // availableAt returns when the replica is expected to accept its next call.
@@ -150,8 +150,8 @@
 	if r.busyUntil.After(at) {
 		at = r.busyUntil
 	}
-	if opens := r.gate.NextAllowed(now); opens.After(at) {
-		at = opens
+	if nextAllowed := r.limiter.NextAllowed(now); nextAllowed.After(at) {
+		at = nextAllowed
 	}
 	if at.Before(now) {
 		return now
@@ -211,7 +211,7 @@
 
 const (
 	// latencyRatioDecay is the time in which the difference between a replica's latency
-	// ratio and its service's decays to 1/e, so that a slow replica is tried again.
+	// ratio and its service's decays to 1/e, so that a slow replica is used again.
 	latencyRatioDecay = 4 * time.Second
 	// slowRatio is the multiple of the service's latency ratio above which a replica is
 	// slow: a call to another replica then ends sooner, even after waiting for that
--- a/core/stall/doc.go
+++ b/core/stall/doc.go
@@ -1,10 +1,10 @@
 // Package stall handles responses in progress whose replica has stopped sending. It decides
-// when the replica is asked for the status of the run, when resources for a run at another
+// when the replica is queried for the status of the run, when resources for a run at another
 // replica are reserved, and when the current run is abandoned in favour of that one. It is
 // deterministic: it does no I/O, reads no clock and starts no goroutine.
 //
-// Silence alone is no evidence of a failure. An engine that reads a long prompt sends
-// nothing to all its other streams meanwhile, and continues them afterwards. Two rules
+// Silence alone is no evidence of a failure. While an engine reads a long prompt, it sends
+// nothing on all its other streams, and continues them afterwards. Two rules
 // follow, which hold for any order of events:
 //
 //   - A run is abandoned only after everything that the next one needs has been reserved: a
@@ -13,9 +13,10 @@
 //     awaited.
 //   - A replica is not suspected if it reports that it works on the run and has produced
 //     nothing beyond what arrived. Its run is abandoned only after a much longer silence,
-//     before the caller gives up on the response.
+//     before the caller stops waiting for the response.
 //
-// A Machine handles one attempt. It is passed events with their times and returns the
-// actions that its owner performs. The owner answers every Secure by Secured or Denied, and
-// every Ask by Told, even if the machine no longer needs the result.
+// A Monitor handles one attempt. It is passed events with their times and returns the
+// actions that its owner performs. The owner answers every Reserve by calling Reserved or
+// ReservationFailed, and every Query by calling RecordStatus, even if the monitor no longer
+// needs the result.
 package stall
--- a/core/stall/machine.go
+++ b/core/stall/monitor.go
@@ -4,8 +4,8 @@
 
 // Config holds the timeouts of an attempt.
 type Config struct {
-	// QueryAfter is the silence after which the replica is first asked for the status of the run,
-	// and AskEvery the interval between further questions.
+	// QueryAfter is the silence after which the replica is first queried for the status of
+	// the run, and QueryInterval the interval between further queries.
 	QueryAfter, QueryInterval time.Duration
 	// SuspectTimeout is the silence after which the run at a suspected replica is abandoned.
 	SuspectTimeout time.Duration
@@ -21,14 +21,15 @@
 
 // The statuses of a run.
 const (
-	// Unknown: the replica has not been asked yet, or its response has no information about
+	// Unknown: the replica has not been queried yet, or its response has no information about
 	// runs.
 	Unknown RunStatus = iota
 	// Running: the replica works on the run and has produced nothing that has not arrived.
 	Running
 	// NoAnswer: the replica does not respond.
 	NoAnswer
-	// OutputLost: the replica has produced more than what arrived. The connection has lost it.
+	// OutputLost: the replica has produced more than what arrived; the connection has lost
+	// the difference.
 	OutputLost
 	// NotListed: the replica responds and does not know the run.
 	NotListed
@@ -49,10 +50,10 @@
 	return "untold"
 }
 
-// Suspect reports whether the status makes the replica suspect.
+// Suspect reports whether the status makes it likely that the run at the replica has failed.
 func (a RunStatus) Suspect() bool { return a == NoAnswer || a == OutputLost || a == NotListed }
 
-// Action is what the owner of a Machine has to do.
+// Action is what the owner of a Monitor has to do.
 type Action uint8
 
 // The actions.
@@ -73,25 +74,25 @@
 type Monitor struct {
 	cfg       Config
 	lastEvent time.Time // arrival of the last event
-	// account is the status reported since lastEvent, as of the time of the report.
-	account   RunStatus
-	lastQuery time.Time // when the replica was last asked; zero if not since lastEvent
+	// status is the status reported since lastEvent, as of the time of the report.
+	status    RunStatus
+	lastQuery time.Time // when the replica was last queried; zero if not since lastEvent
 	querying  bool
-	// reserving says that Secure has not been answered yet, and reservationWanted that its
-	// result is still needed.
+	// reserving says that a Reserve has not been answered yet, and reservationWanted that
+	// its result is still needed.
 	reserving, reservationWanted bool
 	lastDenied                   time.Time // when a reservation last failed; zero if not since lastEvent
 	abandoned                    bool
 }
 
-// New returns a Machine for an attempt whose response began at the given time.
+// New returns a Monitor for an attempt whose response began at the given time.
 func New(now time.Time, c Config) *Monitor { return &Monitor{cfg: c, lastEvent: now} }
 
 // Abandoned reports whether the run has been abandoned.
 func (m *Monitor) Abandoned() bool { return m.abandoned }
 
 // Status returns the status of the run reported since the last event.
-func (m *Monitor) Status() RunStatus { return m.account }
+func (m *Monitor) Status() RunStatus { return m.status }
 
 // Silence returns the time since the last event.
 func (m *Monitor) Silence(now time.Time) time.Duration { return now.Sub(m.lastEvent) }
@@ -102,7 +103,7 @@
 	if m.abandoned {
 		return None
 	}
-	m.lastEvent, m.account = now, Unknown
+	m.lastEvent, m.status = now, Unknown
 	m.lastQuery, m.lastDenied = time.Time{}, time.Time{}
 	if m.reserving && m.reservationWanted {
 		m.reservationWanted = false
@@ -111,21 +112,22 @@
 	return None
 }
 
-// HostResumed records that this host was suspended or got no processor time until now. Events
-// that the replica sent meanwhile may still be unread, so the silence is measured from now.
+// HostResumed records that this host was suspended or got no processor time until now.
+// Events that the replica sent meanwhile may still be unread, so the silence is measured
+// from now.
 func (m *Monitor) HostResumed(now time.Time) Action { return m.Event(now) }
 
-// RecordStatus records the status for which the replica was asked at the given time. A status that
-// was asked for before the last event is outdated and ignored.
-func (m *Monitor) RecordStatus(asked time.Time, a RunStatus) {
+// RecordStatus records the status that a query returned which was sent at queriedAt. The
+// status is ignored as outdated if the query was sent before the last event.
+func (m *Monitor) RecordStatus(queriedAt time.Time, a RunStatus) {
 	m.querying = false
-	if !asked.Before(m.lastEvent) {
-		m.account = a
+	if !queriedAt.Before(m.lastEvent) {
+		m.status = a
 	}
 }
 
-// Reserved records that everything that another run needs is reserved. It returns Leave or
-// GiveBack.
+// Reserved records that everything that another run needs is reserved. It returns Abandon or
+// Release.
 func (m *Monitor) Reserved(now time.Time) Action {
 	m.reserving = false
 	if m.abandoned || !m.reservationWanted || !m.abandonDue(now) {
@@ -135,8 +137,8 @@
 	return Abandon
 }
 
-// ReservationFailed records that the reservation failed, since something that another run needs is not
-// available.
+// ReservationFailed records that the reservation failed because something that another run
+// needs is not available.
 func (m *Monitor) ReservationFailed(now time.Time) {
 	m.reserving = false
 	m.lastDenied = now
@@ -175,7 +177,7 @@
 	return next
 }
 
-// queryDue reports whether the replica is to be asked now.
+// queryDue reports whether a query is due.
 func (m *Monitor) queryDue(now time.Time) bool {
 	if m.querying || m.Silence(now) < m.cfg.QueryAfter {
 		return false
@@ -186,5 +188,5 @@
 // abandonDue reports whether the run is to be abandoned once another one has been reserved.
 func (m *Monitor) abandonDue(now time.Time) bool {
 	silence := m.Silence(now)
-	return silence >= m.cfg.MaxSilence || m.account.Suspect() && silence >= m.cfg.SuspectTimeout
+	return silence >= m.cfg.MaxSilence || m.status.Suspect() && silence >= m.cfg.SuspectTimeout
 }
--- a/core/stall/machine_test.go
+++ b/core/stall/monitor_test.go
@@ -99,7 +99,7 @@
 		Expect(m.Tick(at(9600))).To(Equal(stall.Query))
 	})
 
-	It("ignores a status that was asked for before the last event", func() {
+	It("ignores a status that was queried before the last event", func() {
 		m.Tick(at(600))
 		m.Event(at(610))
 		m.RecordStatus(at(600), stall.NoAnswer)
@@ -121,7 +121,7 @@
 			case 1, 2:
 				if w.querying {
 					w.querying = false
-					w.recordStatus(stall.RunStatus(rapid.IntRange(0, 4).Draw(t, "account")))
+					w.recordStatus(stall.RunStatus(rapid.IntRange(0, 4).Draw(t, "status")))
 				}
 			case 3:
 				if w.reserving {
@@ -145,7 +145,7 @@
 	lastEvent           time.Time
 	lastQuery           time.Time
 	querying, reserving bool
-	// reservationWanted says that no event has arrived since Secure.
+	// reservationWanted says that no event has arrived since Reserve.
 	reservationWanted bool
 	status            stall.RunStatus
 }
@@ -173,7 +173,7 @@
 	switch got := w.m.Reserved(at(w.now)); got {
 	case stall.Abandon:
 		if !w.reservationWanted {
-			t.Fatal("abandoned although an event arrived since Secure")
+			t.Fatal("abandoned although an event arrived since Reserve")
 		}
 		silence := at(w.now).Sub(w.lastEvent)
 		if silence < config.MaxSilence && !(w.status.Suspect() && silence >= config.SuspectTimeout) {
@@ -192,12 +192,12 @@
 			return
 		case stall.Query:
 			if w.querying {
-				t.Fatal("asked while a query is in progress")
+				t.Fatal("Query while a query is in progress")
 			}
 			w.querying, w.lastQuery = true, at(w.now)
 		case stall.Reserve:
 			if w.reserving {
-				t.Fatal("Secure while a reservation is in progress")
+				t.Fatal("Reserve while a reservation is in progress")
 			}
 			w.reserving, w.reservationWanted = true, true
 		default:
@@ -209,7 +209,7 @@
 // checkPermanentSilence checks that the run is abandoned in time if from now on the replica
 // sends nothing and does not respond, and every reservation succeeds at once.
 func (w *modelOwner) checkPermanentSilence(t *rapid.T) {
-	const bound = 4000 // ms: Any, plus the query and reservation in progress
+	const bound = 4000 // ms: MaxSilence, plus the query and reservation in progress
 	for end := w.now + bound; w.now < end; w.now += 10 {
 		if w.m.Abandoned() {
 			return
--- a/discovery/changes.go
+++ b/discovery/changes.go
@@ -27,9 +27,9 @@
 	defer cancel()
 	if err := d.cfg.Caller.Call(call, host, methodChanges, req, reply); err != nil {
 		if clock.Since(sentAt) < d.boundFraction(changesWaitFraction) {
-			d.avoided.Add(host, startupAvoidTime)
+			d.hostBackoff.Add(host, startupAvoidTime)
 		} else {
-			d.avoided.Add(host, failureAvoidTime)
+			d.hostBackoff.Add(host, failureAvoidTime)
 		}
 		d.log.Info("request for changes failed", zap.String("peer", host), zap.Error(err))
 		return false
@@ -45,7 +45,7 @@
 	d.receiveEvacuations(reply.GetEvacuations())
 	d.mu.Unlock()
 	if age := received.Sub(asOf); age < 0 || age > d.boundFraction(staleFraction) {
-		d.avoided.Add(host, failureAvoidTime)
+		d.hostBackoff.Add(host, failureAvoidTime)
 		d.log.Info("peer's view is too old", zap.String("peer", host), zap.Duration("age", age))
 		return false
 	}
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -68,7 +68,7 @@
 	// replicaReadFailed and configReadFailed report that the last read of the replicas, or
 	// of the configuration, failed.
 	replicaReadFailed, configReadFailed bool
-	avoided                             fleet.HostBackoff
+	hostBackoff                         fleet.HostBackoff
 	// source is the host that is asked for changes, or this host while it reads the store.
 	source string
 	// lastPeerRequest is when a peer last asked for changes, as returned by clock.Nanos.
--- a/discovery/evacuations_test.go
+++ b/discovery/evacuations_test.go
@@ -170,16 +170,16 @@
 		return err
 	}
 	startFleet(t, f)
-	inForce, version := map[string]bool{}, 1
+	evacuated, version := map[string]bool{}, 1
 	for range 25 {
 		domain := string(rune('a' + rng.IntN(3)))
 		host := f.names[rng.IntN(len(f.names))]
 		switch rng.IntN(6) {
 		case 0, 1:
-			inForce[domain] = true
+			evacuated[domain] = true
 			f.store.evacuate(domain)
 		case 2:
-			delete(inForce, domain)
+			delete(evacuated, domain)
 			f.store.withdraw(domain)
 		case 3:
 			f.store.update(func(*simulatedStore) { disconnected[host] = !disconnected[host] })
@@ -195,7 +195,7 @@
 		}
 		// The last fault may be more recent than evacuationBound.
 		time.Sleep(evacuationBound)
-		want := slices.Sorted(maps.Keys(inForce))
+		want := slices.Sorted(maps.Keys(evacuated))
 		wrong := slices.DeleteFunc(f.hostsWithOtherEvacuations(want...), func(name string) bool { return disconnected[name] })
 		g.Expect(wrong).To(BeEmpty(), "want %v evacuated", want)
 	}
--- a/discovery/stale_view_test.go
+++ b/discovery/stale_view_test.go
@@ -18,7 +18,7 @@
 		f.run("host-1")
 		Eventually(func() bool { return f.discoveries["host-1"].View().Ready() }, "2s").Should(BeTrue())
 		f.setStoreDown("host-1", true)
-		ask := func() (took, age time.Duration) {
+		request := func() (took, age time.Duration) {
 			v := f.discoveries["host-1"].View()
 			started := time.Now()
 			reply := &wire.NewsReply{}
@@ -30,7 +30,7 @@
 			return time.Since(started), time.Duration(reply.GetAgeMs()) * time.Millisecond
 		}
 		Eventually(func() bool { return time.Since(f.discoveries["host-1"].View().AsOf) > bound }, "5s").Should(BeTrue())
-		took, age := ask()
+		took, age := request()
 		Expect(took).To(BeNumerically("<", bound), "the requested wait is five times that")
 		Expect(age).To(BeNumerically(">", bound/2))
 	})
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -54,8 +54,8 @@
 	Logger *zap.Logger
 	// OnMemberChange is called when a host's membership state changes; it must not block.
 	OnMemberChange func(member.Member)
-	// HeartbeatExtensions are values that heartbeats carry. Heard is called with the values that
-	// other hosts send; it must not block.
+	// HeartbeatExtensions are values that heartbeats carry. OnSlotUpdate is called with the
+	// values that other hosts send; it must not block.
 	HeartbeatExtensions []member.SlotConfig
 	OnSlotUpdate        func(member.SlotReceived)
 }
--- a/fleet/avoided.go
+++ b/fleet/host_backoff.go
@@ -8,14 +8,14 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// HostBackoff is a set of hosts that failed recently and are not called until their wait is
-// over. The zero value is ready to use; it is safe for concurrent use.
+// HostBackoff is a set of hosts that failed recently and are not called until their backoff
+// is over. The zero value is ready to use; it is safe for concurrent use.
 type HostBackoff struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 }
 
-// Add excludes a host from calls for the given wait.
+// Add excludes a host from calls for the given time.
 func (a *HostBackoff) Add(host string, wait time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -38,8 +38,8 @@
 	return now.Before(a.until[host])
 }
 
-// Names returns the hosts that were added last, sorted by name; the wait of some may be
-// over.
+// Names returns the hosts that were added last, sorted by name; the backoff of some may
+// be over.
 func (a *HostBackoff) Names() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/fleet/avoided_test.go
+++ b/fleet/host_backoff_test.go
@@ -9,8 +9,8 @@
 	"github.com/wheatseam/wheatseam/fleet"
 )
 
-var _ = Describe("avoided hosts", func() {
-	It("are excluded for their wait and dropped when another host is added", func() {
+var _ = Describe("hosts in backoff", func() {
+	It("are excluded for their backoff and dropped when another host is added", func() {
 		var a fleet.HostBackoff
 		now := time.Now()
 		Expect(a.Excludes("a", now)).To(BeFalse())
--- a/gateway/cancelledrun_test.go
+++ b/gateway/cancelledrun_test.go
@@ -24,11 +24,11 @@
 	answer := httptest.NewRecorder()
 	x := &exchange{w: answer, ctx: context.Background(), route: &catalog.Route{Streaming: true, Resumable: true, Attempts: 2}}
 	current := &attempt{x: x, ctx: ctx, cancel: cancel, firstAt: clock.Now()}
-	w := &stallWatch{attempt: current, machine: stall.New(clock.Now(), stall.Config{})}
+	w := &stallWatch{attempt: current, monitor: stall.New(clock.Now(), stall.Config{})}
 	current.watch = w
 	now := clock.Now()
-	Expect([]stall.Action{w.machine.Tick(now), w.machine.Tick(now)}).To(Equal([]stall.Action{stall.Query, stall.Reserve}))
-	Expect(w.machine.Reserved(now)).To(Equal(stall.Abandon))
+	Expect([]stall.Action{w.monitor.Tick(now), w.monitor.Tick(now)}).To(Equal([]stall.Action{stall.Query, stall.Reserve}))
+	Expect(w.monitor.Reserved(now)).To(Equal(stall.Abandon))
 	cancel(&stallError{status: stall.NoAnswer})
 	resp := &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader("data: late\n\n"))}
 	end, _ := current.relayEvents(resp)
--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// coldShareFraction is the part of a cold replica's limit that hosts divide among
-	// themselves. The rest is left for requests of hosts that do not know yet that it is
-	// cold.
+	// coldShareFraction is the fraction of a cold replica's limit that hosts divide among
+	// themselves. The rest is left for requests of hosts that do not know yet that the
+	// replica is cold.
 	coldShareFraction = 0.6
 	// limitRefreshInterval is the interval at which this host's shares are recomputed while
 	// replicas are cold or announce limits, since hosts join and leave.
@@ -78,7 +78,7 @@
 	}
 }
 
-// isCold says whether a replica must be treated as cold; mu must be held.
+// isCold reports whether a replica must be treated as cold; mu must be held.
 func (c *coldReplicaTracker) isCold(now time.Time, r catalog.Replica, warmup time.Duration, stale bool) bool {
 	if at, ok := c.restoredAt[r.FailureDomain]; ok && now.Sub(at) < warmup {
 		return true
@@ -129,7 +129,7 @@
 	return max(1, int(coldShareFraction*(s.ColdRate*c.Overage+c.Slack)))
 }
 
-// refreshLimitsPeriodically recomputes the limits on calls to replicas, expires back-offs
+// refreshLimitsPeriodically recomputes the limits on calls to replicas, expires backoffs
 // and resends notices until ctx ends.
 func (g *Gateway) refreshLimitsPeriodically(ctx context.Context) {
 	for periodic.Sleep(ctx, limitRefreshInterval) {
--- a/gateway/disconnect_test.go
+++ b/gateway/disconnect_test.go
@@ -57,8 +57,8 @@
 		conn := g.dialRaw(requestHead(safePath, "gone") + "Content-Length: 0\r\n\r\n")
 		time.Sleep(50 * time.Millisecond)
 		Expect(conn.CloseWrite()).To(Succeed(), "the caller still reads")
-		heard, _ := io.ReadAll(conn) // how the connection ends does not matter
-		Expect(string(heard)).To(BeEmpty())
+		received, _ := io.ReadAll(conn) // how the connection ends does not matter
+		Expect(string(received)).To(BeEmpty())
 	})
 
 	It("gets every answer to its pipelined requests", func() {
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -52,8 +52,8 @@
 // checkReplicasOpen refuses a request at once if no replica of its service takes calls for
 // now, unless its stages take so long that one may do so by then.
 func (x *exchange) checkReplicasOpen() *problem.Error {
-	wait, closed := x.g.router.Unavailable(clock.Now(), x.service)
-	if !closed {
+	wait, unavailable := x.g.router.Unavailable(clock.Now(), x.service)
+	if !unavailable {
 		return nil
 	}
 	if _, staged := x.stageJob(x.arrived); staged {
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -33,11 +33,11 @@
 	req     platform.Request
 	config  *catalog.Config
 	// viewAsOf is when the contents of config were read from the store.
-	viewAsOf time.Time
-	route    *catalog.Route
-	tenant   *catalog.CustomerConfig
-	service  string
-	body     []byte
+	viewAsOf       time.Time
+	route          *catalog.Route
+	customerConfig *catalog.CustomerConfig
+	service        string
+	body           []byte
 	// fingerprint identifies the request by its content, under whatever ID it is sent.
 	fingerprint poison.Fingerprint
 	// trialRun says that the request is quarantined and may nevertheless run once.
@@ -140,7 +140,7 @@
 		x.deadline = x.arrived.Add(x.req.Timeout)
 	}
 	x.service = x.route.PickService(rand.Float64())
-	if v, condemned := x.g.quarantine.Quarantined(x.fingerprint); condemned {
+	if v, quarantined := x.g.quarantine.Quarantined(x.fingerprint); quarantined {
 		x.trialRun = x.g.quarantine.RequestTrial(x.r.Context(), v)
 	}
 	if err := x.checkQuarantine(); err != nil {
@@ -160,8 +160,8 @@
 // checkQuarantine refuses a request that crashes replicas. It has not run under this ID, or
 // fail says so. A retry before the given Retry-After would only be refused again.
 func (x *exchange) checkQuarantine() *problem.Error {
-	v, condemned := x.g.quarantine.Quarantined(x.fingerprint)
-	if !condemned || x.trialRun {
+	v, quarantined := x.g.quarantine.Quarantined(x.fingerprint)
+	if !quarantined || x.trialRun {
 		return nil
 	}
 	return withRetryAfter(problem.New(problem.Quarantined, "replicas crashed under this request"), v.RetryAfter(clock.Now()))
@@ -172,8 +172,8 @@
 	if x.config.Customers == nil {
 		return nil
 	}
-	x.tenant = x.config.Customers[x.req.APIKey]
-	if x.tenant == nil && !x.route.Public {
+	x.customerConfig = x.config.Customers[x.req.APIKey]
+	if x.customerConfig == nil && !x.route.Public {
 		return problem.New(problem.Unauthorized, "unknown key")
 	}
 	return nil
@@ -201,17 +201,17 @@
 
 // customer is the name of the customer; "" on public routes without a key.
 func (x *exchange) customer() string {
-	if x.tenant == nil {
+	if x.customerConfig == nil {
 		return ""
 	}
-	return x.tenant.Name
+	return x.customerConfig.Name
 }
 
 // defaultMaxBodyBytes limits bodies where the configuration does not.
 const defaultMaxBodyBytes = 4 << 20
 
 // priority ranks the request among others.
-func (x *exchange) priority() catalog.Rank { return catalog.RankOf(x.tenant, x.route) }
+func (x *exchange) priority() catalog.Rank { return catalog.RankOf(x.customerConfig, x.route) }
 
 // sharedPrefix is the hash of the part of the prompt that other requests share, and its
 // tokens; zero without any.
@@ -326,8 +326,8 @@
 		fields = append(fields, zap.String("route", x.route.Name), zap.String("service", x.service),
 			zap.Int("customer_priority", x.priority().Customer), zap.Int("route_priority", x.priority().Route))
 	}
-	if x.tenant != nil {
-		fields = append(fields, zap.String("customer", x.tenant.Name))
+	if x.customerConfig != nil {
+		fields = append(fields, zap.String("customer", x.customerConfig.Name))
 	}
 	if x.fingerprint != (poison.Fingerprint{}) {
 		fields = append(fields, zap.Stringer("content", x.fingerprint))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -53,7 +53,7 @@
 	fleet          *fleet.Fleet
 	discovery      *discovery.Discovery
 	stages         *stages.Service
-	retryBudgets   sync.Map // service name to *retry.Shared
+	retryBudgets   sync.Map // service name to *retry.SharedBudget
 	inputRetention inputRetention
 	streamTimes    *streamTimeEstimator
 	// evacuatedServices are the services that are refused; see the function of that name.
@@ -67,23 +67,23 @@
 	refusals *refusalMonitor
 	prompts  promptIndex
 	notices  notices
-	// gates limit the calls to each replica, across all components of this daemon that make
-	// them.
-	gates *intake.Limiters
+	// limiters limit the calls to each replica, across all components of this daemon that
+	// make calls.
+	limiters *intake.Limiters
 	// quarantine keeps requests that crash replicas away from them.
 	quarantine *quarantine.Service
 }
 
 // New returns a gateway that listens for its peers but has not started.
 func New(s *Settings, log *zap.Logger) (*Gateway, error) {
-	g := &Gateway{initialized: make(chan struct{}), log: log, metrics: metrics.NewSet(), streamTimes: newStreamTimeEstimator(), refusals: newRefusalMonitor(), coldTracker: newColdReplicaTracker(), gates: intake.NewLimiters()}
-	g.client = replica.NewClient(g.observeAnswer)
+	g := &Gateway{initialized: make(chan struct{}), log: log, metrics: metrics.NewSet(), streamTimes: newStreamTimeEstimator(), refusals: newRefusalMonitor(), coldTracker: newColdReplicaTracker(), limiters: intake.NewLimiters()}
+	g.client = replica.NewClient(g.observeNotices)
 	g.prepareCtx, g.cancelPrepare = context.WithCancel(context.Background())
 	g.settings.Store(s)
 	g.evacuatedServices.Store(&map[string]bool{})
 	g.router = route.New(route.Config{
-		FailureDomain: s.FailureDomain, Seed: rand.Uint64(), PrefixMinLoad: prefixRoom, PrefixBonus: prefixBonus, BacklogWeight: backlogWeight,
-		OnEjected: g.logEjection, Gates: g.gates,
+		FailureDomain: s.FailureDomain, Seed: rand.Uint64(), PrefixMinLoad: prefixMinLoad, PrefixBonus: prefixBonus, BacklogWeight: backlogWeight,
+		OnEjected: g.logEjection, Limiters: g.limiters,
 	})
 	mux := peer.NewMux()
 	g.registerPromptHandler(mux)
@@ -102,7 +102,7 @@
 	})
 	g.stages = stages.New(stages.Config{
 		Self: s.Host, Incarnation: members.Incarnation(), Replicas: g.client, Members: members, Caller: members.Caller(), Mux: mux, Logger: log,
-		Plan: stage.Config{Gates: g.gates},
+		Plan: stage.Config{Limiters: g.limiters},
 	})
 	g.store = platform.NewStore(s.Store.Address)
 	g.discovery = discovery.New(discovery.Config{
@@ -118,8 +118,8 @@
 // prefix again costs money and delays other prompts, and a batch that is a third full is
 // hardly slower than an empty one.
 const (
-	prefixRoom  = 0.35
-	prefixBonus = 2.0
+	prefixMinLoad = 0.35
+	prefixBonus   = 2.0
 	// With backlogWeight a prompt leaves the engine that holds its prefix when it would
 	// wait there for more than half a second (prefixBonus / backlogWeight); copying the
 	// prefix takes about 30 ms. With prompt announcements from peers and with copies, the
@@ -267,7 +267,7 @@
 }
 
 const (
-	// budgetFraction is the part of the fleet's retry budget that is used: daemons that
+	// budgetFraction is the fraction of the fleet's retry budget that is used: daemons that
 	// restart begin with a full share.
 	budgetFraction = 0.7
 	// minBudgetHosts divides the slack while fewer daemons are known.
--- a/gateway/margin.go
+++ b/gateway/margin.go
@@ -34,12 +34,12 @@
 	return &streamTimeEstimator{firstEvent: map[string]*estimate.LinearModel{}, laterEvents: map[string]*estimate.LinearModel{}, deviations: map[string]*estimate.Deviation{}}
 }
 
-// lineOf returns the regression line of a service; mu must be held.
-func lineOf(lines map[string]*estimate.LinearModel, service string) *estimate.LinearModel {
-	l := lines[service]
+// modelOf returns the linear model of a service; mu must be held.
+func modelOf(models map[string]*estimate.LinearModel, service string) *estimate.LinearModel {
+	l := models[service]
 	if l == nil {
 		l = &estimate.LinearModel{}
-		lines[service] = l
+		models[service] = l
 	}
 	return l
 }
@@ -49,14 +49,14 @@
 func (f *streamTimeEstimator) observeTotal(service string, tokens, events int, first, took time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	toFirst, known := lineOf(f.firstEvent, service).At(float64(tokens))
+	toFirst, known := modelOf(f.firstEvent, service).At(float64(tokens))
 	if events <= 1 {
 		return toFirst
 	}
-	rest := lineOf(f.laterEvents, service)
-	toLast, knownRest := rest.At(float64(events - 1))
-	rest.Observe(float64(events-1), took-first)
-	if !known || !knownRest {
+	laterEvents := modelOf(f.laterEvents, service)
+	toLast, knownLater := laterEvents.At(float64(events - 1))
+	laterEvents.Observe(float64(events-1), took-first)
+	if !known || !knownLater {
 		return 0
 	}
 	return toFirst + toLast
@@ -67,7 +67,7 @@
 func (f *streamTimeEstimator) observeFirstEvent(service, route string, tokens int, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l := lineOf(f.firstEvent, service)
+	l := modelOf(f.firstEvent, service)
 	if expected, ok := l.At(float64(tokens)); ok {
 		d := f.deviations[route]
 		if d == nil {
@@ -85,7 +85,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	expected = defaultFirstEventTime
-	if e, ok := lineOf(f.firstEvent, service).At(float64(tokens)); ok {
+	if e, ok := modelOf(f.firstEvent, service).At(float64(tokens)); ok {
 		expected = e
 	}
 	if d := f.deviations[route]; d != nil {
@@ -99,7 +99,7 @@
 func (f *streamTimeEstimator) readTime(service string, tokens int) (read, first time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l := lineOf(f.firstEvent, service)
+	l := modelOf(f.firstEvent, service)
 	first, known := l.At(float64(tokens))
 	base, _ := l.At(0)
 	if !known {
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -15,28 +15,28 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// notices is what replicas announce about themselves in their answers; mu guards all
+// notices holds what replicas announce about themselves in their answers; mu guards all
 // fields.
 type notices struct {
 	mu              sync.Mutex
-	namedLimits     intake.LimitTable
+	announcedLimits intake.LimitTable
 	leavingReplicas intake.LeavingReplicas
 	backoffs        intake.Backoffs
 	// invalidBackoff are the replicas whose invalid Retry-After value has been logged.
 	invalidBackoff map[string]bool
 	// replicas are the replicas of the newest view.
 	replicas map[string]catalog.Replica
-	// limitsActive says that a limit was in force at the last update.
+	// limitsActive is set if a limit was in force at the last update.
 	limitsActive bool
-	// lastResent is when neighbours were last sent what was learned meanwhile.
+	// lastResent is when resendNotices last sent notices to the neighbours.
 	lastResent time.Time
 }
 
-// observeAnswer processes the notices in an answer of a replica.
-func (g *Gateway) observeAnswer(a intake.ReplicaResponse) {
+// observeNotices processes the notices in an answer of a replica.
+func (g *Gateway) observeNotices(a intake.ReplicaResponse) {
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
-	if l, changed := g.notices.namedLimits.Observe(clock.Now(), a); changed {
+	if l, changed := g.notices.announcedLimits.Observe(clock.Now(), a); changed {
 		g.applyLimits(g.settings.Load().Host, []intake.ReplicaLimit{l})
 	}
 	if l, isNew := g.notices.leavingReplicas.Observe(clock.Now(), a); isNew {
@@ -45,7 +45,7 @@
 	g.observeBackoff(a)
 }
 
-// observeBackoff processes a replica's request for back-off; the notices' lock must be
+// observeBackoff processes a replica's request for a backoff; the notices' lock must be
 // held.
 func (g *Gateway) observeBackoff(a intake.ReplicaResponse) {
 	if a.Notice.Backoff <= 0 && a.Notice.UnparsedBackoff == "" {
@@ -58,54 +58,54 @@
 			n.invalidBackoff = map[string]bool{}
 		}
 		n.invalidBackoff[a.Replica] = true
-		g.log.Warn("replica sent an invalid back-off time", zap.String("service", service), zap.String("replica", a.Replica), zap.String("value", invalid))
+		g.log.Warn("replica sent an invalid backoff time", zap.String("service", service), zap.String("replica", a.Replica), zap.String("value", invalid))
 	}
 	backoff, began, changed := n.backoffs.Observe(now, a, g.settings.Load().Backoff.Max)
 	if changed {
-		g.closeBackedOff()
+		g.applyBackoffs()
 	}
 	if began {
-		g.log.Info("replica asked for back-off", zap.String("service", service), zap.String("replica", a.Replica),
+		g.log.Info("replica asked for a backoff", zap.String("service", service), zap.String("replica", a.Replica),
 			zap.Duration("asked", a.Notice.Backoff), zap.Duration("for", backoff.Until.Sub(now)))
 		g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_rests_asked_total{service=%q}", service)).Inc()
 	}
 }
 
-// closeBackedOff closes the replicas that asked for back-off, and those that are listed
-// meanwhile at the address of one; the notices' lock must be held.
-func (g *Gateway) closeBackedOff() {
+// applyBackoffs blocks calls to the replicas that asked for a backoff, and to replicas that
+// are now listed at the address of one of these; the notices' lock must be held.
+func (g *Gateway) applyBackoffs() {
 	backoffs := g.notices.backoffs.All()
-	parts, addresses := map[string]intake.Quota{}, map[string]intake.Quota{}
+	quotas, addresses := map[string]intake.Quota{}, map[string]intake.Quota{}
 	for _, r := range backoffs {
 		p := intake.Quota{BlockedUntil: r.Until}
-		parts[r.Replica], addresses[r.Address] = p, p
+		quotas[r.Replica], addresses[r.Address] = p, p
 	}
 	if len(backoffs) > 0 {
 		for id, r := range g.notices.replicas {
 			if p, backedOff := addresses[r.Address]; backedOff {
-				parts[id] = p
+				quotas[id] = p
 			}
 		}
 	}
-	g.gates.SetQuotas(intake.BackingOff, parts)
+	g.limiters.SetQuotas(intake.BackingOff, quotas)
 }
 
-// expireBackoffs reopens the replicas whose back-off is over.
+// expireBackoffs allows calls to the replicas whose backoff is over.
 func (g *Gateway) expireBackoffs() {
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
 	if g.notices.backoffs.RemoveExpired(clock.Now()) {
-		g.closeBackedOff()
+		g.applyBackoffs()
 	}
 }
 
-// applyLeaving closes replicas that are leaving, as this or another host has learned, and
-// tells the neighbours; the notices' lock must be held.
+// applyLeaving blocks calls to replicas that are leaving, as observed by the given host, and
+// notifies the neighbours; the notices' lock must be held.
 func (g *Gateway) applyLeaving(host string, leaving []intake.LeavingReplica) {
 	if len(leaving) == 0 {
 		return
 	}
-	g.closeLeaving()
+	g.updateLeavingQuotas()
 	g.sendToNeighbours(host, &wire.NoticesHeard{Leaving: leavingToWire(clock.Now(), leaving)})
 	for _, l := range leaving {
 		service := g.discovery.View().Replicas[l.Replica].Service
@@ -115,7 +115,7 @@
 	}
 }
 
-// applyLimits enforces limits that this or another host has learned, and tells the
+// applyLimits enforces changed limits, as observed by the given host, and notifies the
 // neighbours; the notices' lock must be held.
 func (g *Gateway) applyLimits(host string, changed []intake.ReplicaLimit) {
 	if len(changed) == 0 {
@@ -128,13 +128,14 @@
 	g.sendToNeighbours(host, &wire.NoticesHeard{Limits: limitsToWire(clock.Now(), changed)})
 }
 
-// closeLeaving closes the replicas that are leaving; the notices' lock must be held.
-func (g *Gateway) closeLeaving() {
-	parts := map[string]intake.Quota{}
+// updateLeavingQuotas blocks calls to the replicas that are leaving; the notices' lock must
+// be held.
+func (g *Gateway) updateLeavingQuotas() {
+	quotas := map[string]intake.Quota{}
 	for _, l := range g.notices.leavingReplicas.All() {
-		parts[l.Replica] = intake.Quota{}
+		quotas[l.Replica] = intake.Quota{}
 	}
-	g.gates.SetQuotas(intake.Leaving, parts)
+	g.limiters.SetQuotas(intake.Leaving, quotas)
 }
 
 // refreshLimitShares recomputes this host's shares of the limits in force, since hosts join
@@ -150,20 +151,20 @@
 // updateLimitShares computes this host's shares of the limits; the notices' lock must be
 // held.
 func (g *Gateway) updateLimitShares() {
-	limits := g.notices.namedLimits.Limits()
-	parts := make(map[string]intake.Quota, len(limits))
+	limits := g.notices.announcedLimits.Limits()
+	quotas := make(map[string]intake.Quota, len(limits))
 	if len(limits) > 0 {
 		shares, planner, view := g.liveShares(), g.stages.IsPlanner(), g.discovery.View()
 		for _, l := range limits {
 			if shares == nil {
-				parts[l.Replica] = intake.NoQuota()
+				quotas[l.Replica] = intake.NoQuota()
 				continue
 			}
-			parts[l.Replica] = shares.LimitQuota(l, callRole(view, l.Replica, planner))
+			quotas[l.Replica] = shares.LimitQuota(l, callRole(view, l.Replica, planner))
 		}
 	}
 	g.notices.limitsActive = len(limits) > 0
-	g.gates.SetQuotas(intake.AnnouncedLimit, parts)
+	g.limiters.SetQuotas(intake.AnnouncedLimit, quotas)
 }
 
 // liveShares computes this host's shares among the hosts that are alive; nil while the set
@@ -179,7 +180,7 @@
 	return intake.NewShares(g.settings.Load().Host, names)
 }
 
-// callRole says which kind of calls this host makes to a replica.
+// callRole returns the role in which this host calls a replica.
 func callRole(v *discovery.View, replica string, planner bool) intake.Role {
 	if v.Config == nil {
 		return intake.Requester
@@ -194,7 +195,7 @@
 	return intake.StageRequester
 }
 
-// logLimit logs and counts a changed limit of a replica, as learned by a host.
+// logLimit logs and counts a changed limit of a replica, as observed by the given host.
 func (g *Gateway) logLimit(host string, l intake.ReplicaLimit) {
 	service := g.discovery.View().Replicas[l.Replica].Service
 	fields := []zap.Field{zap.String("service", service), zap.String("replica", l.Replica), zap.String("peer", host), zap.Duration("since", l.LastObserved.Sub(l.Since))}
@@ -209,16 +210,16 @@
 // pruneNotices drops the notices of replicas that a view does not list.
 func (g *Gateway) pruneNotices(replicas map[string]catalog.Replica) {
 	listed := func(replica string) bool { _, ok := replicas[replica]; return ok }
-	g.gates.RemoveUnlisted(listed)
+	g.limiters.RemoveUnlisted(listed)
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
 	g.notices.replicas = replicas
-	g.notices.namedLimits.RemoveExpired(clock.Now(), listed)
+	g.notices.announcedLimits.RemoveExpired(clock.Now(), listed)
 	maps.DeleteFunc(g.notices.invalidBackoff, func(replica string, _ bool) bool { return !listed(replica) })
 	if g.notices.leavingReplicas.RemoveExpired(clock.Now(), listed) {
-		g.closeLeaving()
+		g.updateLeavingQuotas()
 	}
 	if len(g.notices.backoffs.All()) > 0 {
-		g.closeBackedOff()
+		g.applyBackoffs()
 	}
 }
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -325,9 +325,9 @@
 	f.replicas["p1"].Behave(site.Behaviour{Shed: true, RetryAfter: "1000000"})
 	f.Eventually(func() int {
 		g.send(http.MethodPost, safePath, "", nil)
-		return loggedCount(logs, "replica asked for back-off")
+		return loggedCount(logs, "replica asked for a backoff")
 	}, "4s").Should(Equal(1))
-	f.Expect(logs.FilterMessage("replica asked for back-off").All()[0].ContextMap()).To(And(
+	f.Expect(logs.FilterMessage("replica asked for a backoff").All()[0].ContextMap()).To(And(
 		HaveKeyWithValue("replica", "p1"), HaveKeyWithValue("service", "plain"), HaveKeyWithValue("for", 2*time.Second)))
 	f.Expect(g.metricLines(gauge)).To(ConsistOf(gauge + "1"))
 	f.replicas["p1"].Behave(site.Behaviour{Shed: true, RetryAfter: "soon"})
@@ -337,12 +337,12 @@
 	}, "4s").Should(ConsistOf(gauge + "0"))
 	f.Eventually(func() int {
 		g.send(http.MethodPost, safePath, "", nil)
-		return loggedCount(logs, "replica sent an invalid back-off time")
+		return loggedCount(logs, "replica sent an invalid backoff time")
 	}, "4s").Should(Equal(1))
 }
 
 // Guards against requests, streams and calls for pieces that reach a replica which has
-// refused a call of this host and asked for back-off.
+// refused a call of this host and asked for a backoff.
 func TestReplicaGetsNoCallsDuringBackoff(t *testing.T) {
 	t.Parallel()
 	const (
@@ -369,7 +369,7 @@
 			p := sendLoad([]*gatewayProcess{g}, 100*time.Millisecond, 3*backoff, load.path, load.change)
 			f.expectAllServed(p)
 			arrived := refusing.Arrived()
-			f.Expect(len(arrived)).To(BeNumerically(">", 1), "it is called again after its back-off")
+			f.Expect(len(arrived)).To(BeNumerically(">", 1), "it is called again after its backoff")
 			for _, asked := range arrived {
 				during := slices.DeleteFunc(slices.Clone(arrived), func(at time.Time) bool {
 					return at.Before(asked.Add(inFlightTime)) || !at.Before(asked.Add(backoff))
@@ -403,7 +403,7 @@
 	}, "4s").Should(Equal(http.StatusOK))
 }
 
-// Guards against a back-off that is lost when the list of replicas names the instance that
+// Guards against a backoff that is lost when the list of replicas names the instance that
 // asked for it, which had started at its address while the store was unavailable.
 func TestBackoffHoldsForReplicaListedLater(t *testing.T) {
 	t.Parallel()
--- a/gateway/noticestate.go
+++ b/gateway/noticestate.go
@@ -6,9 +6,10 @@
 type LimitState struct {
 	Replica   string  `json:"replica"`
 	PerSecond float64 `json:"per_second"`
-	// Seconds since the limit was first and last announced.
-	SinceS float64 `json:"since_s"`
-	NamedS float64 `json:"named_s"`
+	// SinceS and AnnouncedS are the numbers of seconds since the limit was first and last
+	// announced.
+	SinceS     float64 `json:"since_s"`
+	AnnouncedS float64 `json:"named_s"`
 }
 
 // limitStates lists the limits in force, for operators.
@@ -16,10 +17,10 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := []LimitState{}
-	for _, l := range n.namedLimits.Limits() {
+	for _, l := range n.announcedLimits.Limits() {
 		out = append(out, LimitState{
 			Replica: l.Replica, PerSecond: l.Limit.PerSecond,
-			SinceS: now.Sub(l.Since).Seconds(), NamedS: now.Sub(l.LastObserved).Seconds(),
+			SinceS: now.Sub(l.Since).Seconds(), AnnouncedS: now.Sub(l.LastObserved).Seconds(),
 		})
 	}
 	return out
@@ -28,7 +29,7 @@
 // LeavingState is a replica that announced that it is leaving, as the state dump shows it.
 type LeavingState struct {
 	Replica string `json:"replica"`
-	// Seconds since it was first heard to be leaving.
+	// SinceS is the number of seconds since the announcement was first observed.
 	SinceS float64 `json:"since_s"`
 }
 
@@ -43,15 +44,16 @@
 	return out
 }
 
-// BackoffState is a replica that asked this host for back-off, as the state dump shows it.
+// BackoffState is a replica that asked this host for a backoff, as the state dump shows it.
 type BackoffState struct {
 	Replica string `json:"replica"`
-	// Seconds since it first asked, and until the back-off is over.
+	// SinceS is the number of seconds since the replica first asked, and LeftS until the
+	// backoff is over.
 	SinceS float64 `json:"since_s"`
 	LeftS  float64 `json:"left_s"`
 }
 
-// backoffStates lists the replicas that asked this host for back-off, for operators.
+// backoffStates lists the replicas that asked this host for a backoff, for operators.
 func (n *notices) backoffStates(now time.Time) []BackoffState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/gateway/noticesync.go
+++ b/gateway/noticesync.go
@@ -17,11 +17,12 @@
 	methodNotices = "gateway.notices"
 	// noticeSendTimeout limits sending notices to one peer.
 	noticeSendTimeout = 500 * time.Millisecond
-	// noticeResendInterval is the interval at which neighbours are sent what was learned
-	// since the last time: limits that still hold, and notices whose call failed.
+	// noticeResendInterval is the interval at which neighbours are sent the notices that
+	// were observed since the last time: limits that still hold, and notices whose call
+	// failed.
 	noticeResendInterval = 3 * time.Second
-	// leavingResendPeriod is for how long neighbours are told repeatedly that a replica is
-	// leaving.
+	// leavingResendPeriod is for how long neighbours are notified repeatedly that a replica
+	// is leaving.
 	leavingResendPeriod = 10 * time.Second
 	// maxNoticesPerCall limits the replicas in one call, at about 50 bytes each.
 	maxNoticesPerCall = 1000
@@ -29,7 +30,7 @@
 	maxNoticeAge = time.Hour
 )
 
-// errNotInitialized says that a call came while this daemon was still being constructed.
+// errNotInitialized is returned to calls that arrive before New has constructed the gateway.
 var errNotInitialized = errors.New("gateway: not started yet")
 
 // registerNoticeHandler handles the notices of replicas that peers send.
@@ -45,8 +46,8 @@
 	})
 }
 
-// resendNotices sends neighbours what was learned since they were last told, if that is
-// due.
+// resendNotices sends neighbours the notices that were observed since the last time, if
+// that is due.
 func (g *Gateway) resendNotices(now time.Time) {
 	n := &g.notices
 	n.mu.Lock()
@@ -55,7 +56,7 @@
 		return
 	}
 	g.sendToNeighbours("", &wire.NoticesHeard{
-		Limits: limitsToWire(now, n.namedLimits.ObservedAfter(n.lastResent)), Leaving: leavingToWire(now, n.leavingReplicas.ObservedAfter(n.lastResent.Add(-leavingResendPeriod))),
+		Limits: limitsToWire(now, n.announcedLimits.ObservedAfter(n.lastResent)), Leaving: leavingToWire(now, n.leavingReplicas.ObservedAfter(n.lastResent.Add(-leavingResendPeriod))),
 	})
 	n.lastResent = now
 }
@@ -64,19 +65,19 @@
 // them. It does not wait for the calls.
 func (g *Gateway) sendToNeighbours(except string, m *wire.NoticesHeard) {
 	for len(m.Limits)+len(m.Leaving) > 0 {
-		part := &wire.NoticesHeard{}
-		part.Limits, m.Limits = splitBatch(m.Limits)
-		part.Leaving, m.Leaving = splitBatch(m.Leaving)
+		batch := &wire.NoticesHeard{}
+		batch.Limits, m.Limits = splitBatch(m.Limits)
+		batch.Leaving, m.Leaving = splitBatch(m.Leaving)
 		for _, host := range g.fleet.Neighbours() {
 			if host != except {
-				go g.sendNotices(host, part)
+				go g.sendNotices(host, batch)
 			}
 		}
 	}
 }
 
 // splitBatch returns the notices that fit into one call, and the rest.
-func splitBatch[T any](all []T) (part, rest []T) {
+func splitBatch[T any](all []T) (batch, rest []T) {
 	n := min(len(all), maxNoticesPerCall)
 	return all[:n], all[n:]
 }
@@ -99,7 +100,7 @@
 	limits := limitsFromWire(now, received)
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
-	changed, newer := g.notices.namedLimits.Merge(now, limits)
+	changed, newer := g.notices.announcedLimits.Merge(now, limits)
 	g.applyLimits(host, changed)
 	return limitsToWire(now, newer)
 }
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -94,13 +94,13 @@
 	g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_run_accounts_total{service=%q,account=%q}", service, status)).Inc()
 }
 
-// countReplacement counts the result of reserving a replacement: used, given back, or why
-// it was denied.
+// countReplacement counts the result of reserving a replacement: used, released
+// ("given_back"), or the reason for which it was denied.
 func (g *Gateway) countReplacement(service, result string) {
 	g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_replacements_total{service=%q,result=%q}", service, result)).Inc()
 }
 
-// countReplicaCrash counts a replica that ended under requests.
+// countReplicaCrash counts a replica that crashed while requests were running on it.
 func (g *Gateway) countReplicaCrash(e poison.Crash) {
 	g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_replicas_ended_total{service=%q}", e.Service)).Inc()
 }
@@ -135,8 +135,8 @@
 	Limits []LimitState `json:"limits"`
 	// Leaving are the replicas that announced in an answer that they are leaving.
 	Leaving []LeavingState `json:"leaving"`
-	// Resting are the replicas that asked this host for back-off.
-	Resting []BackoffState `json:"resting"`
+	// Backoffs are the replicas that asked this host for a backoff.
+	Backoffs []BackoffState `json:"resting"`
 }
 
 // State returns a snapshot of the gateway's state.
@@ -144,7 +144,7 @@
 	s := State{
 		Name: g.settings.Load().Name, Draining: g.draining.Load(), InFlight: g.inFlight.Load(), View: g.discovery.Dump(),
 		Hosts: g.fleet.Reachable(), Stages: g.stages.Dump(), Budgets: map[string]retry.Stats{}, Router: g.router.Dump(clock.Now()),
-		Quarantine: g.quarantine.Dump(), Limits: g.notices.limitStates(clock.Now()), Leaving: g.notices.leavingStates(clock.Now()), Resting: g.notices.backoffStates(clock.Now()),
+		Quarantine: g.quarantine.Dump(), Limits: g.notices.limitStates(clock.Now()), Leaving: g.notices.leavingStates(clock.Now()), Backoffs: g.notices.backoffStates(clock.Now()),
 	}
 	g.retryBudgets.Range(func(service, b any) bool {
 		s.Budgets[service.(string)] = b.(*retry.SharedBudget).Stats()
--- a/gateway/refusals.go
+++ b/gateway/refusals.go
@@ -16,15 +16,15 @@
 // refusalMonitor counts the refusals of replicas, and raises an alarm when their load does
 // not explain them. It is safe for concurrent use.
 type refusalMonitor struct {
-	mu    sync.Mutex
-	watch *refusal.Monitor
+	mu      sync.Mutex
+	monitor *refusal.Monitor
 	// counters holds the names of each replica's counters, so that they can be unregistered
 	// with it.
 	counters map[string]map[string]bool
 }
 
 func newRefusalMonitor() *refusalMonitor {
-	return &refusalMonitor{watch: refusal.New(), counters: map[string]map[string]bool{}}
+	return &refusalMonitor{monitor: refusal.New(), counters: map[string]map[string]bool{}}
 }
 
 // refusalReason derives from a replica's answer why it refused.
@@ -46,7 +46,7 @@
 // rate when a service refuses more than its load explains.
 func (g *Gateway) recordRefusal(service, replica string, reason refusal.Reason) {
 	g.refusals.mu.Lock()
-	alarm, raised := g.refusals.watch.Observe(clock.Now(), refusal.Attempt{Service: service, Replica: replica, Reason: reason})
+	alarm, raised := g.refusals.monitor.Observe(clock.Now(), refusal.Attempt{Service: service, Replica: replica, Reason: reason})
 	if reason != "" {
 		name := fmt.Sprintf("wheatseam_refusals_total{service=%q,replica=%q,reason=%q}", service, replica, reason)
 		if g.refusals.counters[replica] == nil {
--- a/gateway/replacement.go
+++ b/gateway/replacement.go
@@ -98,7 +98,7 @@
 // confirmReplacement releases a replacement whose replica has announced meanwhile that it
 // takes no calls.
 func (x *exchange) confirmReplacement(r *replacement) (*replacement, denial) {
-	if !x.g.gates.Get(r.choice.Upstream).RefusedByReplica(clock.Now()) {
+	if !x.g.limiters.Get(r.choice.Upstream).RefusedByReplica(clock.Now()) {
 		return r, ""
 	}
 	x.releaseReplica(r)
@@ -130,7 +130,8 @@
 	return d
 }
 
-// reserveReplica picks a replica that was not tried yet and reserves capacity there.
+// reserveReplica picks a replica that no attempt was sent to yet and reserves capacity
+// there.
 func (x *exchange) reserveReplica(ctx context.Context, r *replacement, suspected bool) bool {
 	q := x.routerQuery()
 	for n := 0; n < maxReservationAttempts && ctx.Err() == nil; n++ {
@@ -154,8 +155,8 @@
 	return false
 }
 
-// releasePick releases the pick of a replica that reserved no capacity. One that refused is
-// avoided for a moment.
+// releasePick releases the pick of a replica that reserved no capacity. The router avoids a
+// replica that refused for a moment.
 func (x *exchange) releasePick(c request.Choice, err error) {
 	if errors.Is(err, replica.ErrNoCapacity) {
 		x.g.router.Done(clock.Now(), request.Outcome{Choice: c, Stage: x.route.Name, Result: request.CallRefused})
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -88,7 +88,7 @@
 	Slack   float64 `yaml:"slack"`
 }
 
-// Backoff limits the back-off that replicas may request from this host as they refuse a
+// Backoff limits the backoffs that replicas may request from this host as they refuse a
 // call.
 type Backoff struct {
 	// Max is the longest time for which one answer keeps this host from calling the
--- a/gateway/stallwatch.go
+++ b/gateway/stallwatch.go
@@ -31,8 +31,8 @@
 	// runQueryTimeout limits querying a replica for its runs. The query is sent that long
 	// before the run would be replaced.
 	runQueryTimeout = 200 * time.Millisecond
-	// replacementRetryInterval is the pause after which reserving a replacement is tried
-	// again: another request of this daemon may have added to the retry budget meanwhile.
+	// replacementRetryInterval is the time after which reserving a replacement is
+	// retried: another request of this daemon may have added to the retry budget meanwhile.
 	replacementRetryInterval = 200 * time.Millisecond
 	// suspendTolerance is the delay of a tick from which this host is taken to have been
 	// suspended.
@@ -56,15 +56,15 @@
 type stallWatch struct {
 	attempt *attempt
 	mu      sync.Mutex
-	machine *stall.Monitor
+	monitor *stall.Monitor
 	// timer calls tick, at nextTick at the latest; nil for streams that cannot resume at
 	// another replica. suspended is for how long this host had been suspended at the last
 	// tick.
 	timer     *clock.Timer
 	nextTick  time.Time
 	suspended time.Duration
-	// relaying says that an event is being relayed: a caller that does not read is no
-	// silence of the replica.
+	// relaying says that an event is being relayed: the time that a caller takes to read
+	// does not count as silence of the replica.
 	relaying bool
 	progress progress
 	stopped  bool
@@ -95,7 +95,7 @@
 	x := t.x
 	objective := float64(x.route.Objective)
 	suspectAfter := max(minSuspectedSilence, time.Duration(suspectedFactor*objective))
-	w := &stallWatch{attempt: t, progress: progress{committed: x.committed, lastEvent: x.lastEvent, events: t.totalEvents()}, machine: stall.New(clock.Now(), stall.Config{
+	w := &stallWatch{attempt: t, progress: progress{committed: x.committed, lastEvent: x.lastEvent, events: t.totalEvents()}, monitor: stall.New(clock.Now(), stall.Config{
 		QueryAfter: suspectAfter - runQueryTimeout, QueryInterval: 2 * runQueryTimeout, SuspectTimeout: suspectAfter,
 		MaxSilence: max(minMaxSilence, time.Duration(maxSilenceFactor*objective)), ReserveRetryInterval: replacementRetryInterval,
 	})}
@@ -115,7 +115,7 @@
 	defer w.mu.Unlock()
 	now := clock.Now()
 	w.progress.started = true
-	w.perform(now, w.machine.Event(now))
+	w.perform(now, w.monitor.Event(now))
 }
 
 // eventArrived records that an event has arrived and is about to be relayed. It says
@@ -126,8 +126,8 @@
 	defer w.mu.Unlock()
 	w.relaying = true
 	now := clock.Now()
-	w.perform(now, w.machine.Event(now))
-	return !w.machine.Abandoned()
+	w.perform(now, w.monitor.Event(now))
+	return !w.monitor.Abandoned()
 }
 
 // eventRelayed records that the event has been relayed.
@@ -135,7 +135,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.relaying, w.progress = false, at
-	w.machine.Event(clock.Now()) // nothing is reserved while an event is relayed
+	w.monitor.Event(clock.Now()) // nothing is reserved while an event is relayed
 }
 
 // stop ends the watch as the run has ended, and returns the reserved replacement; nil if
@@ -163,23 +163,23 @@
 func (w *stallWatch) tick() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.stopped || w.machine.Abandoned() {
+	if w.stopped || w.monitor.Abandoned() {
 		return
 	}
 	now := clock.Now()
 	w.detectSuspend(now)
 	for !w.relaying {
-		a := w.machine.Tick(now)
+		a := w.monitor.Tick(now)
 		if a == stall.None {
 			break
 		}
 		w.perform(now, a)
 	}
-	w.nextTick = w.machine.Next(now)
+	w.nextTick = w.monitor.Next(now)
 	w.timer.Reset(w.nextTick.Sub(now))
 }
 
-// detectSuspend tells the machine if this host was suspended since the last tick was due;
+// detectSuspend notifies the monitor if this host was suspended since the last tick was due;
 // mu must be held.
 func (w *stallWatch) detectSuspend(now time.Time) {
 	suspended := clock.Asleep()
@@ -187,7 +187,7 @@
 		return
 	}
 	w.suspended, w.nextTick = suspended, now
-	w.perform(now, w.machine.HostResumed(now))
+	w.perform(now, w.monitor.HostResumed(now))
 }
 
 // perform performs one action; mu must be held.
@@ -198,7 +198,7 @@
 	case stall.Reserve:
 		ctx, cancel := context.WithCancel(w.attempt.ctx)
 		w.cancelReservation = cancel
-		at, suspected := w.progress, w.machine.Status().Suspect()
+		at, suspected := w.progress, w.monitor.Status().Suspect()
 		w.reserving.Go(func() { w.reserveReplacement(ctx, at, suspected) })
 	case stall.Release:
 		w.cancelReservation()
@@ -210,8 +210,8 @@
 	runs, err := w.attempt.x.g.queryRuns(w.attempt.choice)
 	w.mu.Lock()
 	made, status := classifyRun(runs, err, w.attempt.x.req.ID, w.progress)
-	w.machine.RecordStatus(now, status)
-	silence := w.machine.Silence(clock.Now())
+	w.monitor.RecordStatus(now, status)
+	silence := w.monitor.Silence(clock.Now())
 	w.mu.Unlock()
 	w.attempt.x.g.countRunStatus(w.attempt.x.service, status)
 	w.attempt.x.g.log.Info("replica queried for the status of a run", logging.Request(w.attempt.x.req.ID), zap.String("replica", w.attempt.choice.Upstream),
@@ -263,13 +263,13 @@
 	stillWanted := ctx.Err() == nil
 	w.cancelReservation()
 	if r == nil {
-		w.machine.ReservationFailed(now)
+		w.monitor.ReservationFailed(now)
 		x.g.countReplacement(x.service, string(denied))
 		x.g.log.Info("no replacement for a stalled run", logging.Request(x.req.ID), zap.String("reason", string(denied)),
-			zap.Stringer("account", w.machine.Status()), zap.Duration("silence", w.machine.Silence(now)))
+			zap.Stringer("account", w.monitor.Status()), zap.Duration("silence", w.monitor.Silence(now)))
 		return
 	}
-	if cancels := w.machine.Reserved(now) == stall.Abandon; !stillWanted || !cancels && !w.stopped {
+	if cancels := w.monitor.Reserved(now) == stall.Abandon; !stillWanted || !cancels && !w.stopped {
 		x.releaseReplacement(r)
 		x.g.countReplacement(x.service, "given_back")
 		return
@@ -280,7 +280,7 @@
 	if w.stopped {
 		return
 	}
-	w.attempt.cancel(&stallError{status: w.machine.Status(), silence: w.machine.Silence(now)})
+	w.attempt.cancel(&stallError{status: w.monitor.Status(), silence: w.monitor.Silence(now)})
 }
 
 // totalEvents is the number of events of the stream that have arrived, including those that
--- a/gateway/stallwatch_test.go
+++ b/gateway/stallwatch_test.go
@@ -186,8 +186,8 @@
 func (f *fixture) expectNoReservations() {
 	f.test.Helper()
 	f.Eventually(func() int {
-		holds := f.ledger.Holds()
-		return holds.Taken - holds.Used - holds.Dropped
+		reservations := f.ledger.Holds()
+		return reservations.Taken - reservations.Used - reservations.Dropped
 	}, "1s").Should(BeZero(), "reservations that were neither used nor cancelled")
 }
 
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -26,14 +26,14 @@
 			}}})
 			var messages, steps int
 			for b.Loop() {
-				machines := make([]poison.Detector, hosts)
+				detectors := make([]poison.Detector, hosts)
 				messages, steps = 0, 0
 				for informed := []int{0}; len(informed) > 0; steps++ {
 					var next []int
 					for _, h := range informed {
 						for _, n := range neighbours[h] {
 							messages++
-							if len(machines[n].Merge(time.Now(), []poison.Verdict{v})) > 0 {
+							if len(detectors[n].Merge(time.Now(), []poison.Verdict{v})) > 0 {
 								next = append(next, n)
 							}
 						}
@@ -74,9 +74,9 @@
 	return order
 }
 
-// BenchmarkReplicaExit measures how long a coordinator takes to evaluate one replica exit
-// with the maximum number of suspects, while it retains as many exits as it can.
-func BenchmarkReplicaExit(b *testing.B) {
+// BenchmarkReplicaCrash measures how long a coordinator takes to evaluate one replica crash
+// with the maximum number of suspects, while it retains as many crashes as it can.
+func BenchmarkReplicaCrash(b *testing.B) {
 	var m poison.Detector
 	now := time.Now()
 	n := 0
--- a/quarantine/exits.go
+++ b/quarantine/crashes.go
@@ -20,53 +20,53 @@
 	Began   time.Time
 }
 
-// exitCheckDelay is the time between the first interrupted attempt at a replica and the
-// check whether the replica has exited. When a process exits, all its connections close
+// crashCheckDelay is the time between the first interrupted attempt at a replica and the
+// check whether the replica has crashed. When a process ends, all its connections close
 // within 1 to 2 ms and its port is closed by then, so that one check covers all attempts
 // that ran there.
-const exitCheckDelay = 10 * time.Millisecond
+const crashCheckDelay = 10 * time.Millisecond
 
-// exitCheck is a pending check of a replica at which attempts were interrupted.
-type exitCheck struct {
+// crashCheck is a pending check of a replica at which attempts were interrupted.
+type crashCheck struct {
 	poison.Crash
 	address string
 }
 
-// AttemptInterrupted records an attempt whose connection the replica closed, and schedules a check
-// whether the replica has exited. Attempts at the same replica that are interrupted
+// AttemptInterrupted records an attempt whose connection the replica closed, and schedules a
+// check whether the replica has crashed. Attempts at the same replica that are interrupted
 // before the check are covered by it.
 func (s *Service) AttemptInterrupted(a InterruptedAttempt) {
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	suspect := poison.Suspect{Request: a.Request, RunTime: now.Sub(a.Began), LastSuccess: s.machine.LastSuccess(a.Request)}
-	if known := s.exitChecks[a.Replica]; known != nil {
+	suspect := poison.Suspect{Request: a.Request, RunTime: now.Sub(a.Began), LastSuccess: s.detector.LastSuccess(a.Request)}
+	if known := s.crashChecks[a.Replica]; known != nil {
 		known.Suspects = append(known.Suspects, suspect)
 		return
 	}
-	e := &exitCheck{poison.Crash{Service: a.Service, Replica: a.Replica, At: now, Suspects: []poison.Suspect{suspect}}, a.Address}
-	s.exitChecks[a.Replica] = e
-	clock.AfterFunc(exitCheckDelay, func() { s.checkExit(e) })
+	e := &crashCheck{poison.Crash{Service: a.Service, Replica: a.Replica, At: now, Suspects: []poison.Suspect{suspect}}, a.Address}
+	s.crashChecks[a.Replica] = e
+	clock.AfterFunc(crashCheckDelay, func() { s.checkCrash(e) })
 }
 
-// checkExit checks whether a replica has exited: its address then refuses connections.
+// checkCrash checks whether a replica has crashed: its address then refuses connections.
 // Connections also break for other reasons: after an aborted response or a network reset
 // the port is still open, and a machine that is down does not respond at all.
-func (s *Service) checkExit(e *exitCheck) {
+func (s *Service) checkCrash(e *crashCheck) {
 	refused, err := s.cfg.Replicas.RefusesConnections(context.Background(), e.address)
 	s.mu.Lock()
-	delete(s.exitChecks, e.Replica)
+	delete(s.crashChecks, e.Replica)
 	s.mu.Unlock()
 	switch {
 	case err != nil:
-		s.log.Info("could not check whether a replica has exited", zap.String("replica", e.Replica), zap.Error(err))
+		s.log.Info("could not check whether a replica has crashed", zap.String("replica", e.Replica), zap.Error(err))
 	case refused:
-		s.recordExit(e.Crash)
+		s.recordCrash(e.Crash)
 	}
 }
 
-// recordExit records a confirmed replica exit for reporting.
-func (s *Service) recordExit(e poison.Crash) {
+// recordCrash records a confirmed replica crash for reporting.
+func (s *Service) recordCrash(e poison.Crash) {
 	if s.cfg.OnReplicaCrash != nil {
 		s.cfg.OnReplicaCrash(e)
 	}
@@ -74,10 +74,10 @@
 	for _, suspect := range e.Suspects {
 		contents, ran = append(contents, suspect.Request.String()), append(ran, suspect.RunTime)
 	}
-	s.log.Warn("replica exited while requests were running on it", zap.String("service", e.Service), zap.String("replica", e.Replica),
+	s.log.Warn("replica crashed while requests were running on it", zap.String("service", e.Service), zap.String("replica", e.Replica),
 		zap.Strings("contents", contents), zap.Durations("ran", ran))
 	s.mu.Lock()
-	s.reports = append(s.reports, &report{exit: e, ackedBy: map[string]uint64{}})
+	s.reports = append(s.reports, &report{crash: e, ackedBy: map[string]uint64{}})
 	s.reports = s.reports[max(0, len(s.reports)-maxReports):]
 	s.mu.Unlock()
 	s.wake()
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -50,19 +50,19 @@
 // updateQuarantinedCount recounts the quarantined requests. The caller holds the lock.
 func (s *Service) updateQuarantinedCount(now time.Time) {
 	n := 0
-	for _, v := range s.machine.Verdicts() {
-		if _, quarantined := s.machine.Quarantined(now, v.Request); quarantined {
+	for _, v := range s.detector.Verdicts() {
+		if _, quarantined := s.detector.Quarantined(now, v.Request); quarantined {
 			n++
 		}
 	}
 	s.quarantinedCount.Store(int64(n))
 }
 
-// logVerdict logs a verdict with the replica exits behind it. The caller holds the lock.
+// logVerdict logs a verdict with the replica crashes behind it. The caller holds the lock.
 func (s *Service) logVerdict(now time.Time, from string, v poison.Verdict) {
 	fields := []zap.Field{
 		zap.Stringer("content", v.Request), zap.Uint32("round", v.Round), zap.Uint32("trials", v.Trials), zap.Bool("doubtful", v.Doubtful),
-		zap.String("peer", from), zap.Duration("age", now.Sub(v.QuarantinedAt)), zap.Duration("since", now.Sub(v.FirstCrash)), zap.Strings("ends", s.describeExits(now, v.Request)),
+		zap.String("peer", from), zap.Duration("age", now.Sub(v.QuarantinedAt)), zap.Duration("since", now.Sub(v.FirstCrash)), zap.Strings("ends", s.describeCrashes(now, v.Request)),
 	}
 	switch {
 	case v.Lifted:
@@ -74,11 +74,11 @@
 	}
 }
 
-// describeExits describes the replica exits that this host attributes to a request.
+// describeCrashes describes the replica crashes that this host attributes to a request.
 // The caller holds the lock.
-func (s *Service) describeExits(now time.Time, f poison.Fingerprint) []string {
+func (s *Service) describeCrashes(now time.Time, f poison.Fingerprint) []string {
 	var out []string
-	for _, e := range s.machine.CrashesOf(f) {
+	for _, e := range s.detector.CrashesOf(f) {
 		out = append(out, fmt.Sprintf("%s %.1f s ago, %d requests", e.Replica, now.Sub(e.At).Seconds(), len(e.Suspects)))
 	}
 	return out
@@ -99,7 +99,7 @@
 func (s *Service) mergeVerdicts(from string, verdicts []*wire.Verdict) {
 	now := clock.Now()
 	s.mu.Lock()
-	changed := s.machine.Merge(now, verdictsFromWire(now, verdicts))
+	changed := s.detector.Merge(now, verdictsFromWire(now, verdicts))
 	s.mu.Unlock()
 	s.applyVerdicts(from, changed)
 }
@@ -107,15 +107,15 @@
 func (s *Service) allVerdicts() []*wire.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return verdictsToWire(clock.Now(), s.machine.Verdicts())
+	return verdictsToWire(clock.Now(), s.detector.Verdicts())
 }
 
 // minExchangeInterval limits how often this daemon starts an exchange: while a verdict
 // propagates, the digests of neighbours differ for a moment.
 const minExchangeInterval = 500 * time.Millisecond
 
-// DigestReceived compares a neighbour's digest with the local one and starts an exchange if they
-// differ. It does not block.
+// DigestReceived compares a neighbour's digest with the local one and starts an exchange if
+// they differ. It does not block.
 func (s *Service) DigestReceived(h member.SlotReceived) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/quarantine/messages.go
+++ b/quarantine/messages.go
@@ -9,7 +9,7 @@
 
 // The methods between daemons.
 const (
-	methodExits    = "quarantine.ended"
+	methodCrashes  = "quarantine.ended"
 	methodVerdicts = "quarantine.verdicts"
 	methodTrial    = "quarantine.trial"
 )
@@ -25,26 +25,26 @@
 // maxAgeMS limits the ages accepted from a message to twice the lifetime of a verdict.
 const maxAgeMS = int64(2 * poison.Lifetime / time.Millisecond)
 
-func exitsToWire(now time.Time, exits []poison.Crash) *wire.ReplicasEnded {
+func crashesToWire(now time.Time, crashes []poison.Crash) *wire.ReplicasEnded {
 	out := &wire.ReplicasEnded{}
-	for _, e := range exits {
-		exit := &wire.ReplicaEnd{Service: e.Service, Replica: e.Replica, AgeMs: toAgeMS(now, e.At)}
+	for _, e := range crashes {
+		crash := &wire.ReplicaEnd{Service: e.Service, Replica: e.Replica, AgeMs: toAgeMS(now, e.At)}
 		for _, s := range e.Suspects {
 			suspect := &wire.EndSuspect{Request: s.Request[:], RanMs: uint32(max(0, s.RunTime.Milliseconds()))}
 			if !s.LastSuccess.IsZero() {
 				suspect.ServedMs = max(1, toAgeMS(now, s.LastSuccess))
 			}
-			exit.Suspects = append(exit.Suspects, suspect)
+			crash.Suspects = append(crash.Suspects, suspect)
 		}
-		out.Ends = append(out.Ends, exit)
+		out.Ends = append(out.Ends, crash)
 	}
 	return out
 }
 
-func exitsFromWire(now time.Time, m *wire.ReplicasEnded) []poison.Crash {
-	var exits []poison.Crash
+func crashesFromWire(now time.Time, m *wire.ReplicasEnded) []poison.Crash {
+	var crashes []poison.Crash
 	for _, e := range m.GetEnds() {
-		exit := poison.Crash{Service: e.GetService(), Replica: e.GetReplica(), At: fromAgeMS(now, e.GetAgeMs())}
+		crash := poison.Crash{Service: e.GetService(), Replica: e.GetReplica(), At: fromAgeMS(now, e.GetAgeMs())}
 		for _, s := range e.GetSuspects() {
 			f, ok := parseFingerprint(s.GetRequest())
 			if !ok {
@@ -54,11 +54,11 @@
 			if s.GetServedMs() > 0 {
 				suspect.LastSuccess = fromAgeMS(now, s.GetServedMs())
 			}
-			exit.Suspects = append(exit.Suspects, suspect)
+			crash.Suspects = append(crash.Suspects, suspect)
 		}
-		exits = append(exits, exit)
+		crashes = append(crashes, crash)
 	}
-	return exits
+	return crashes
 }
 
 func verdictsToWire(now time.Time, verdicts []poison.Verdict) []*wire.Verdict {
--- a/quarantine/messages_test.go
+++ b/quarantine/messages_test.go
@@ -28,11 +28,11 @@
 		Expect(got).To(Equal([]poison.Verdict{want}))
 	})
 
-	It("preserve a replica exit", func() {
+	It("preserve a replica crash", func() {
 		e := poison.Crash{Service: "llm", Replica: "e1@7", At: ago(time.Second), Suspects: []poison.Suspect{
 			{Request: f, RunTime: 50 * time.Millisecond}, {Request: f, RunTime: time.Second, LastSuccess: ago(3 * time.Second)},
 		}}
-		Expect(exitsFromWire(now, exitsToWire(now, []poison.Crash{e}))).To(Equal([]poison.Crash{e}))
+		Expect(crashesFromWire(now, crashesToWire(now, []poison.Crash{e}))).To(Equal([]poison.Crash{e}))
 	})
 
 	It("are decoded safely when malformed", func() {
@@ -45,16 +45,16 @@
 		Expect(now.Sub(verdicts[0].FirstCrash)).To(Equal(2 * poison.Lifetime))
 		var m poison.Detector
 		m.Merge(now, verdicts)
-		v, condemned := m.Quarantined(now, f)
-		Expect(condemned).To(BeTrue())
+		v, quarantined := m.Quarantined(now, f)
+		Expect(quarantined).To(BeTrue())
 		Expect(v.RetryAfter(now)).To(BeNumerically("<=", poison.Lifetime))
 
-		exits := exitsFromWire(now, &wire.ReplicasEnded{Ends: []*wire.ReplicaEnd{
+		crashes := crashesFromWire(now, &wire.ReplicasEnded{Ends: []*wire.ReplicaEnd{
 			nil, {Replica: "x", AgeMs: math.MinInt64, Suspects: []*wire.EndSuspect{nil, {Request: f[:], RanMs: math.MaxUint32, ServedMs: math.MaxInt64}}},
 		}})
-		Expect(exits).To(HaveLen(2))
-		Expect(exits[1].Suspects).To(HaveLen(1))
-		for _, e := range exits {
+		Expect(crashes).To(HaveLen(2))
+		Expect(crashes[1].Suspects).To(HaveLen(1))
+		for _, e := range crashes {
 			m.RecordCrash(now, e)
 		}
 	})
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -166,7 +166,7 @@
 		}
 	}
 
-	It("quarantines a request after three replica exits that three daemons observed, one each", func() {
+	It("quarantines a request after three replica crashes that three daemons observed, one each", func() {
 		n := newNetwork(6)
 		hosts := n.all()
 		for i, h := range hosts[3:] {
@@ -177,7 +177,7 @@
 		Expect(hosts[0].isQuarantined("y")).To(BeFalse())
 	})
 
-	It("does not count closed connections as a replica exit while the replica listens", func() {
+	It("does not count closed connections as a replica crash while the replica listens", func() {
 		n := newNetwork(2)
 		n.listening["r0"], n.listening["r1"], n.listening["r2"] = true, true, true
 		for i := range 3 {
@@ -186,7 +186,7 @@
 		Consistently(func() bool { return n.all()[0].isQuarantined("x") || n.all()[1].isQuarantined("x") }, "300ms").Should(BeFalse())
 	})
 
-	It("keeps an exit report when the daemon that observed the exit fails", func() {
+	It("keeps a crash report when the daemon that observed the crash fails", func() {
 		n := newNetwork(5)
 		hosts := n.all()
 		hosts[4].interruptAttempt("r0", "x")
@@ -198,7 +198,7 @@
 		expectQuarantined(hosts[:4]...)
 	})
 
-	It("reports known exits to the new coordinators when both coordinators fail", func() {
+	It("reports known crashes to the new coordinators when both coordinators fail", func() {
 		n := newNetwork(5)
 		hosts := n.all()
 		hosts[4].interruptAttempt("r0", "x")
@@ -264,7 +264,7 @@
 	It("grants one trial at a time, once it is due", func() {
 		n := newNetwork(4)
 		hosts := n.all()
-		By("making the verdict doubtful: other replicas exit at the same time without the request")
+		By("making the verdict doubtful: other replicas crash at the same time without the request")
 		for i := range 3 {
 			hosts[1].interruptAttempt(fmt.Sprint("other", i), fmt.Sprint("bystander", i))
 		}
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// coordinatorCount is the number of hosts that receive exit reports. With two, the
+	// coordinatorCount is the number of hosts that receive crash reports. With two, the
 	// reports survive the loss of either.
 	coordinatorCount = 2
 	// maxReports and reportRetention limit how many reports this daemon keeps and for
@@ -28,13 +28,13 @@
 	// callTimeout limits a call to a peer. A failed call needs no retry of its own: the
 	// next round of reports, or the next exchange with a neighbour, covers it.
 	callTimeout = 400 * time.Millisecond
-	// maxExitsPerMessage limits a message to about 16 kB at 32 suspects per exit.
-	maxExitsPerMessage = 16
+	// maxCrashesPerMessage limits a message to about 16 kB at 32 suspects per crash.
+	maxCrashesPerMessage = 16
 )
 
-// report is a replica exit that this daemon observed, with its delivery state.
+// report is a replica crash that this daemon observed, with its delivery state.
 type report struct {
-	exit poison.Crash
+	crash poison.Crash
 	// ackedBy holds, by host name, the incarnation of each host that has acknowledged
 	// the report. evaluatedLocally is set once this daemon has evaluated the report
 	// itself because no coordinator had acknowledged it.
@@ -42,7 +42,7 @@
 	evaluatedLocally bool
 }
 
-// Run reports replica exits until ctx ends.
+// Run reports replica crashes until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := time.Hour
@@ -70,7 +70,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	s.reports = slices.DeleteFunc(s.reports, func(r *report) bool { return now.Sub(r.exit.At) > reportRetention })
+	s.reports = slices.DeleteFunc(s.reports, func(r *report) bool { return now.Sub(r.crash.At) > reportRetention })
 	return len(s.reports) > 0
 }
 
@@ -91,10 +91,10 @@
 func (s *Service) sendReports(ctx context.Context, h fleet.Host) {
 	due := s.pendingReports(h)
 	for len(due) > 0 {
-		batch := due[:min(maxExitsPerMessage, len(due))]
+		batch := due[:min(maxCrashesPerMessage, len(due))]
 		due = due[len(batch):]
-		if err := s.sendExits(ctx, h.Name, exitsOf(batch)); err != nil {
-			s.log.Info("reporting replica exits failed", zap.String("peer", h.Name), zap.Error(err))
+		if err := s.sendCrashes(ctx, h.Name, crashesOf(batch)); err != nil {
+			s.log.Info("reporting replica crashes failed", zap.String("peer", h.Name), zap.Error(err))
 			return
 		}
 		s.mu.Lock()
@@ -106,14 +106,14 @@
 }
 
 // pendingReports returns the reports that the host's current incarnation has not
-// acknowledged, except exits that look like part of a mass outage (poison.Reportable).
+// acknowledged, except crashes that look like part of a mass outage (poison.Reportable).
 func (s *Service) pendingReports(h fleet.Host) []*report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var recent []poison.Crash
 	for _, r := range s.reports {
-		if clock.Since(r.exit.At) < poison.OutageWindow {
-			recent = append(recent, r.exit)
+		if clock.Since(r.crash.At) < poison.OutageWindow {
+			recent = append(recent, r.crash)
 		}
 	}
 	reportable := poison.Reportable(recent)
@@ -122,35 +122,35 @@
 		if incarnation, acked := r.ackedBy[h.Name]; acked && incarnation == h.Incarnation {
 			continue
 		}
-		if len(reportable) < len(recent) && clock.Since(r.exit.At) < poison.OutageWindow {
-			i := slices.IndexFunc(reportable, func(e poison.Crash) bool { return e.Replica == r.exit.Replica })
+		if len(reportable) < len(recent) && clock.Since(r.crash.At) < poison.OutageWindow {
+			i := slices.IndexFunc(reportable, func(e poison.Crash) bool { return e.Replica == r.crash.Replica })
 			if i < 0 {
 				continue
 			}
-			r.exit.Suspects = reportable[i].Suspects
+			r.crash.Suspects = reportable[i].Suspects
 		}
 		due = append(due, r)
 	}
 	return due
 }
 
-func exitsOf(reports []*report) []poison.Crash {
-	exits := make([]poison.Crash, 0, len(reports))
+func crashesOf(reports []*report) []poison.Crash {
+	crashes := make([]poison.Crash, 0, len(reports))
 	for _, r := range reports {
-		exits = append(exits, r.exit)
+		crashes = append(crashes, r.crash)
 	}
-	return exits
+	return crashes
 }
 
-// sendExits passes replica exits to a host, which may be this one.
-func (s *Service) sendExits(ctx context.Context, host string, exits []poison.Crash) error {
+// sendCrashes passes replica crashes to a host, which may be this one.
+func (s *Service) sendCrashes(ctx context.Context, host string, crashes []poison.Crash) error {
 	if host == s.cfg.Self {
-		s.evaluate(exits)
+		s.evaluate(crashes)
 		return nil
 	}
 	ctx, cancel := clock.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return s.cfg.Caller.Call(ctx, host, methodExits, exitsToWire(clock.Now(), exits), &wire.ReplicasEndedNoted{})
+	return s.cfg.Caller.Call(ctx, host, methodCrashes, crashesToWire(clock.Now(), crashes), &wire.ReplicasEndedNoted{})
 }
 
 // evaluateUnacked evaluates, once, the reports that no coordinator has acknowledged.
@@ -160,18 +160,18 @@
 	for _, r := range s.reports {
 		if len(r.ackedBy) == 0 && !r.evaluatedLocally {
 			r.evaluatedLocally = true
-			unacked = append(unacked, r.exit)
+			unacked = append(unacked, r.crash)
 		}
 	}
 	s.mu.Unlock()
 	s.evaluate(unacked)
 }
 
-// evaluate passes replica exits to the rules and applies the verdicts that follow.
-func (s *Service) evaluate(exits []poison.Crash) {
-	for _, e := range exits {
+// evaluate passes replica crashes to the detector and applies the verdicts that follow.
+func (s *Service) evaluate(crashes []poison.Crash) {
+	for _, e := range crashes {
 		s.mu.Lock()
-		changed := s.machine.RecordCrash(clock.Now(), e)
+		changed := s.detector.RecordCrash(clock.Now(), e)
 		s.mu.Unlock()
 		s.applyVerdicts(s.cfg.Self, changed)
 	}
--- a/quarantine/service.go
+++ b/quarantine/service.go
@@ -27,10 +27,10 @@
 	SetSlot(id member.SlotID, value []byte)
 }
 
-// Replicas checks whether a replica's process has exited.
+// Replicas checks whether a replica's process has crashed.
 type Replicas interface {
-	// RefusesConnections returns whether an address refuses connections, or an error if that could
-	// not be determined.
+	// RefusesConnections returns whether an address refuses connections, or an error if that
+	// could not be determined.
 	RefusesConnections(ctx context.Context, address string) (bool, error)
 }
 
@@ -44,8 +44,8 @@
 	// Mux is where New registers the methods that peers call.
 	Mux    *peer.Mux
 	Logger *zap.Logger
-	// OnReplicaCrash is called for each replica that exited while attempts were running on it. It
-	// may be nil and must not block.
+	// OnReplicaCrash is called for each replica that crashed while attempts were running on
+	// it. It may be nil and must not block.
 	OnReplicaCrash func(poison.Crash)
 }
 
@@ -58,10 +58,10 @@
 	quarantinedCount atomic.Int64
 	wakeup           chan struct{}
 
-	mu         sync.Mutex
-	machine    poison.Detector
-	exitChecks map[string]*exitCheck // by replica
-	reports    []*report
+	mu          sync.Mutex
+	detector    poison.Detector
+	crashChecks map[string]*crashCheck // by replica
+	reports     []*report
 	// watches are notified when their request is quarantined.
 	watches map[poison.Fingerprint]map[*watch]bool
 	// publishedDigest is the digest that the heartbeats carry.
@@ -73,7 +73,7 @@
 // watch is a registration made with Service.Watch.
 type watch struct{ notify func() }
 
-// SlotConfig returns the heartbeat slot that carries the digest of the verdicts.
+// Extension returns the heartbeat slot that carries the digest of the verdicts.
 func Extension() member.SlotConfig {
 	return member.SlotConfig{ID: member.SlotQuarantine, MaxBytes: digestBytes}
 }
@@ -83,11 +83,11 @@
 // New returns a Service and registers its peer methods with cfg.Mux.
 func New(cfg Config) *Service {
 	s := &Service{
-		cfg: cfg, log: cfg.Logger, wakeup: make(chan struct{}, 1), exitChecks: map[string]*exitCheck{},
+		cfg: cfg, log: cfg.Logger, wakeup: make(chan struct{}, 1), crashChecks: map[string]*crashCheck{},
 		watches: map[poison.Fingerprint]map[*watch]bool{},
 	}
-	peer.Handle(cfg.Mux, methodExits, func(_ context.Context, _ peer.Sender, m *wire.ReplicasEnded) (*wire.ReplicasEndedNoted, error) {
-		s.evaluate(exitsFromWire(clock.Now(), m))
+	peer.Handle(cfg.Mux, methodCrashes, func(_ context.Context, _ peer.Sender, m *wire.ReplicasEnded) (*wire.ReplicasEndedNoted, error) {
+		s.evaluate(crashesFromWire(clock.Now(), m))
 		return &wire.ReplicasEndedNoted{}, nil
 	})
 	peer.Handle(cfg.Mux, methodVerdicts, func(_ context.Context, from peer.Sender, m *wire.Verdicts) (*wire.Verdicts, error) {
@@ -112,10 +112,10 @@
 }
 
 // RunSucceeded records a successful run of a request, which lifts any verdict on it: the
-// replica answered and did not exit.
+// replica answered and did not crash.
 func (s *Service) RunSucceeded(f poison.Fingerprint) {
 	s.mu.Lock()
-	changed := s.machine.RecordSuccess(clock.Now(), f)
+	changed := s.detector.RecordSuccess(clock.Now(), f)
 	s.mu.Unlock()
 	s.applyVerdicts(s.cfg.Self, changed)
 }
@@ -128,7 +128,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.machine.Quarantined(clock.Now(), f)
+	return s.detector.Quarantined(clock.Now(), f)
 }
 
 // Watch calls notify once when the request is quarantined. stop cancels the watch.
@@ -150,8 +150,8 @@
 	}
 }
 
-// RequestTrial asks for a trial run of a quarantined request, which checks whether the verdict
-// was wrong. Only the first coordinator grants trials, so that one runs at a time; if it
+// RequestTrial asks for a trial run of a quarantined request, which checks whether the
+// verdict was wrong. Only the first coordinator grants trials, so that one runs at a time; if it
 // does not answer, the trial is denied.
 func (s *Service) RequestTrial(ctx context.Context, v poison.Verdict) bool {
 	if v.RetryAfter(clock.Now()) > 0 {
@@ -160,7 +160,7 @@
 	return s.callFirstCoordinator(ctx, &wire.TrialRequest{Request: v.Request[:]}, s.grantTrial)
 }
 
-// ReturnTrial returns a trial that Try granted but that did not lead to a run.
+// ReturnTrial returns a trial that RequestTrial was granted but that did not lead to a run.
 func (s *Service) ReturnTrial(f poison.Fingerprint) {
 	go s.callFirstCoordinator(context.Background(), &wire.TrialRequest{Request: f[:], Untried: true}, s.returnTrial)
 }
@@ -189,7 +189,7 @@
 // grantTrial grants a trial if one is due, and returns whether it did.
 func (s *Service) grantTrial(f poison.Fingerprint) bool {
 	s.mu.Lock()
-	v, granted := s.machine.GrantTrial(clock.Now(), f)
+	v, granted := s.detector.GrantTrial(clock.Now(), f)
 	s.mu.Unlock()
 	if granted {
 		s.applyVerdicts(s.cfg.Self, []poison.Verdict{v})
@@ -200,7 +200,7 @@
 // returnTrial records that a granted trial did not lead to a run.
 func (s *Service) returnTrial(f poison.Fingerprint) bool {
 	s.mu.Lock()
-	v, changed := s.machine.ReturnTrial(f)
+	v, changed := s.detector.ReturnTrial(f)
 	s.mu.Unlock()
 	if changed {
 		s.applyVerdicts(s.cfg.Self, []poison.Verdict{v})
@@ -211,7 +211,7 @@
 // publishDigest puts the digest of the verdicts on the heartbeats if it has changed. The
 // caller holds the lock.
 func (s *Service) publishDigest(now time.Time) {
-	digest := s.machine.Digest(now)
+	digest := s.detector.Digest(now)
 	if digest == s.publishedDigest {
 		return
 	}
@@ -235,9 +235,9 @@
 	Doubtful bool    `json:"doubtful"`
 	Trials   uint32  `json:"trials"`
 	Age      float64 `json:"age_s"`
-	// Exits are the replica exits attributed to the request that this host knows of;
+	// Crashes are the replica crashes attributed to the request that this host knows of;
 	// coordinators know all of them.
-	Exits []string `json:"ends,omitempty"`
+	Crashes []string `json:"ends,omitempty"`
 }
 
 // Dump returns the state shown to operators.
@@ -249,11 +249,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	d.Stats = s.machine.Stats()
-	for _, v := range s.machine.Verdicts() {
+	d.Stats = s.detector.Stats()
+	for _, v := range s.detector.Verdicts() {
 		d.Verdicts = append(d.Verdicts, DumpedVerdict{
 			Content: v.Request.String(), Round: v.Round, Lifted: v.Lifted, Doubtful: v.Doubtful, Trials: v.Trials,
-			Age: now.Sub(v.QuarantinedAt).Seconds(), Exits: s.describeExits(now, v.Request),
+			Age: now.Sub(v.QuarantinedAt).Seconds(), Crashes: s.describeCrashes(now, v.Request),
 		})
 	}
 	return d
--- a/replica/engine.go
+++ b/replica/engine.go
@@ -26,7 +26,7 @@
 const maxReservationResponseBytes = 4 << 10
 
 // EngineReport fetches an engine's report of its runs. It opens a new connection, since an
-// existing one may itself be what has failed. It returns ErrUnknownCall when the
+// existing one may itself be what has failed. It returns ErrUnsupportedCall when the
 // engine answers with another status than 200 or resets the connection, and
 // platform.ErrMalformed when the report can't be parsed. Any other error means that
 // the engine did not respond.
--- a/replica/run_timer.go
+++ b/replica/run_timer.go
@@ -6,10 +6,10 @@
 	// tickInterval is the interval at which the process's run time is counted.
 	tickInterval = 10 * time.Millisecond
 	// pauseThreshold is the time between two ticks from which the process counts as
-	// having been paused.
+	// having been suspended.
 	pauseThreshold = 2 * tickInterval
-	// resumeGrace is the minimum run time left after a pause, so that data that arrived
-	// during the pause is read before the timer fires.
+	// resumeGrace is the minimum run time left after a suspension, so that data that
+	// arrived during it is read before the timer fires.
 	resumeGrace = 50 * time.Millisecond
 )
 
--- a/stages/doc.go
+++ b/stages/doc.go
@@ -20,6 +20,6 @@
 // number of the last answer received. Results that are never acknowledged expire at the
 // replica.
 //
-// A planner drops jobs that their owner has not named in a poll for a while, and does not
+// A planner drops jobs that their owner has not polled for a while, and does not
 // release the results that it has reported to the owner.
 package stages
--- a/stages/handover_test.go
+++ b/stages/handover_test.go
@@ -42,7 +42,7 @@
 			})
 		}
 		jobs.Wait()
-		time.Sleep(2500 * time.Millisecond) // by then the first planner has dropped the jobs that their owner no longer names
+		time.Sleep(2500 * time.Millisecond) // by then the first planner has dropped the jobs that their owner no longer polls for
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		Expect(r.violations).To(BeEmpty())
@@ -322,7 +322,7 @@
 		})
 	}
 	preparing.Wait()
-	time.Sleep(30 * time.Second) // by then planners have dropped the jobs that their owners no longer name
+	time.Sleep(30 * time.Second) // by then planners have dropped the jobs that their owners no longer poll for
 	f.replicas.mu.Lock()
 	defer f.replicas.mu.Unlock()
 	g.Expect(f.replicas.violations).To(BeEmpty())
--- a/stages/orphans.go
+++ b/stages/orphans.go
@@ -67,9 +67,9 @@
 	return max(time.Millisecond, wait)
 }
 
-// sweep drops the jobs of owners that have not named them for too long. Such an owner may
-// have handed its jobs over to another planner and its message about that may have been
-// lost, so results that were reported to the owner are not released here; they expire at
+// sweep drops the jobs that their owners have not polled for too long. Such an owner may
+// have handed its jobs over to another planner, and the message about the handover may have
+// been lost, so results that were reported to the owner are not released here; they expire at
 // the replica.
 func (p *planner) sweep(now time.Time) {
 	p.mu.Lock()
@@ -100,7 +100,7 @@
 	case e.owner == "":
 		return false
 	case e.outcomeSentAt.IsZero():
-		return now.Sub(e.lastNamed) >= orphanTimeout
+		return now.Sub(e.lastPolled) >= orphanTimeout
 	case e.outcome.Refused != nil:
 		return now.Sub(e.outcomeSentAt) >= orphanTimeout
 	}
@@ -108,7 +108,7 @@
 }
 
 // dropAfterStall drops the unfinished jobs of other daemons if this process was suspended
-// (frozen, or the machine asleep) for so long that their owners have handed them over to
+// (stopped, or the machine suspended) for so long that their owners have handed them over to
 // another planner. It detects this by the time since the last event, since a planner with
 // jobs receives events several times a second. Results that were reported to the owners
 // are not released. The caller holds the lock.
--- a/stages/planner.go
+++ b/stages/planner.go
@@ -38,13 +38,14 @@
 type plannedJob struct {
 	owner string
 	// outcome is set once the job has ended. resultsHeld is set for a refused job whose
-	// owner has been told of results: they are held until the owner drops the job.
+	// owner has received reports of results: the results are held until the owner drops
+	// the job.
 	outcome     *JobOutcome
 	resultsHeld bool
 	// outcomeSentAt is when the outcome was first sent to the owner.
 	outcomeSentAt time.Time
-	// lastNamed is when the owner last submitted or polled for the job.
-	lastNamed time.Time
+	// lastPolled is when the owner last submitted or polled for the job.
+	lastPolled time.Time
 	// unreported are the pieces completed since the last report to the owner. notify is
 	// set if the owner is to receive the next report at once.
 	unreported []stage.CompletedPiece
@@ -89,7 +90,7 @@
 // events to a stage.Machine and performs the actions that the machine returns.
 type planner struct {
 	replicas Replicas
-	gates    *intake.Limiters
+	limiters *intake.Limiters
 	log      *zap.Logger
 	releaser *releaser
 
@@ -109,11 +110,11 @@
 }
 
 func newPlanner(cfg stage.Config, replicas Replicas, log *zap.Logger) *planner {
-	if cfg.Gates == nil {
-		cfg.Gates = intake.NewLimiters()
+	if cfg.Limiters == nil {
+		cfg.Limiters = intake.NewLimiters()
 	}
 	p := &planner{
-		replicas: replicas, gates: cfg.Gates, log: log, machine: stage.New(cfg),
+		replicas: replicas, limiters: cfg.Limiters, log: log, machine: stage.New(cfg),
 		jobs: map[string]*plannedJob{}, owners: map[string]*owner{}, calls: map[uint64]context.CancelFunc{}, wake: make(chan struct{}, 1),
 		lastAnswer: uint64(clock.Now().UnixNano()),
 	}
@@ -151,7 +152,7 @@
 		j.Transferable = from != ""
 		actions = append(actions, p.step(stage.Submitted{Job: j})...)
 	}
-	e.lastNamed = clock.Now()
+	e.lastPolled = clock.Now()
 	if outcome = e.outcome; outcome != nil {
 		if pieces := e.takeUnreported(j.ID); len(pieces) > 0 {
 			actions = append(actions, p.step(stage.ProgressSent{Pieces: pieces})...)
@@ -164,7 +165,7 @@
 }
 
 // owner returns the state of an owner, creating it if needed, and records that the owner
-// was heard from. The caller holds the lock.
+// has sent a message. The caller holds the lock.
 func (p *planner) owner(name string) *owner {
 	o := p.owners[name]
 	if o == nil {
@@ -233,7 +234,7 @@
 			due = true
 			continue
 		}
-		e.lastNamed = now
+		e.lastPolled = now
 		due = due || e.outcome != nil || e.notify
 	}
 	changed = o.changed
@@ -470,7 +471,7 @@
 
 // send makes the call unless the replica has announced meanwhile that it accepts no calls.
 func (p *planner) send(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error) {
-	if p.gates.Get(a.Replica).RefusedByReplica(clock.Now()) {
+	if p.limiters.Get(a.Replica).RefusedByReplica(clock.Now()) {
 		return nil, stage.CallNotExecuted, errReplicaClosed
 	}
 	return p.replicas.RunPieces(ctx, a)
@@ -485,14 +486,14 @@
 func (p *planner) queryMemory(a stage.QueryMemory) {
 	ctx, cancel := clock.WithTimeout(context.Background(), memoryQueryTimeout)
 	defer cancel()
-	asked := clock.Now()
-	room, err := p.replicas.FreeMemory(ctx, a)
+	queriedAt := clock.Now()
+	free, err := p.replicas.FreeMemory(ctx, a)
 	if err != nil {
 		p.log.Info("querying the free memory of a replica failed", zap.String("service", a.Service), zap.String("replica", a.Replica), zap.Error(err))
 		return
 	}
 	p.mu.Lock()
-	actions := p.step(stage.MemoryReported{Replica: a.Replica, QueriedAt: asked, Free: room})
+	actions := p.step(stage.MemoryReported{Replica: a.Replica, QueriedAt: queriedAt, Free: free})
 	p.mu.Unlock()
 	p.perform(actions)
 }
--- a/stages/remote.go
+++ b/stages/remote.go
@@ -125,7 +125,7 @@
 }
 
 const (
-	// probeInterval is the pause between two probes of a host. Another dial to the host
+	// probeInterval is the time between two probes of a host. Another dial to the host
 	// may be in progress, and the next probe can then use its session.
 	probeInterval = 10 * time.Millisecond
 	// probeTimeout limits one probe, so that a session that breaks meanwhile delays the
@@ -155,7 +155,7 @@
 }
 
 // connectionRefused returns whether a call failed because the host refused the
-// connection. The planner process there has then exited and lost all its state, so that
+// connection. The planner process there has then ended and lost all its state, so that
 // further probes are of no use.
 func connectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
@@ -290,7 +290,7 @@
 	return false
 }
 
-// failJobs tells the waiters of jobs that the planner no longer has them.
+// failJobs notifies the waiters of jobs that the planner no longer has the jobs.
 func (s *Service) failJobs(host string, ids []string) {
 	for _, id := range ids {
 		s.deliver(host, id, nil)
--- a/stages/send_test.go
+++ b/stages/send_test.go
@@ -30,20 +30,20 @@
 // for pending releases of results.
 func TestCallToReplicaThatClosedSinceDispatchIsNotSent(t *testing.T) {
 	g := NewWithT(t)
-	replicas, gates := &countingReplicas{}, intake.NewLimiters()
-	p := newPlanner(stage.Config{Gates: gates}, replicas, zap.NewNop())
+	replicas, limiters := &countingReplicas{}, intake.NewLimiters()
+	p := newPlanner(stage.Config{Limiters: limiters}, replicas, zap.NewNop())
 	send := func() stage.CallOutcome {
 		_, outcome, _ := p.send(context.Background(), stage.Run{Replica: "r"})
 		return outcome
 	}
 	g.Expect(send()).To(Equal(stage.CallAnswered))
-	gates.SetQuotas(intake.Leaving, map[string]intake.Quota{"r": {}})
+	limiters.SetQuotas(intake.Leaving, map[string]intake.Quota{"r": {}})
 	g.Expect(send()).To(Equal(stage.CallNotExecuted))
-	gates.SetQuotas(intake.Leaving, nil)
-	gates.SetQuotas(intake.BackingOff, map[string]intake.Quota{"r": {BlockedUntil: clock.Now().Add(time.Hour)}})
+	limiters.SetQuotas(intake.Leaving, nil)
+	limiters.SetQuotas(intake.BackingOff, map[string]intake.Quota{"r": {BlockedUntil: clock.Now().Add(time.Hour)}})
 	g.Expect(send()).To(Equal(stage.CallNotExecuted))
-	gates.SetQuotas(intake.BackingOff, nil)
-	gates.SetQuotas(intake.AnnouncedLimit, map[string]intake.Quota{"r": {Window: time.Hour}})
+	limiters.SetQuotas(intake.BackingOff, nil)
+	limiters.SetQuotas(intake.AnnouncedLimit, map[string]intake.Quota{"r": {Window: time.Hour}})
 	g.Expect(send()).To(Equal(stage.CallAnswered), "the replica accepts this host's share of calls, and dispatch has accounted for the call")
 	g.Expect(replicas.calls).To(Equal(2))
 }
--- a/stages/service.go
+++ b/stages/service.go
@@ -52,7 +52,7 @@
 	log     *zap.Logger
 	planner *planner
 
-	avoided fleet.HostBackoff // planners that failed recently
+	hostBackoff fleet.HostBackoff // planners that failed recently
 	// probes makes concurrent failed calls to a host share one check of the host.
 	probes singleflight.Group
 
@@ -117,7 +117,7 @@
 			j.Completed = mergeCompleted(j.Completed, lost.completed)
 		}
 		n++
-		s.avoided.Add(host.Name, avoidDuration)
+		s.hostBackoff.Add(host.Name, avoidDuration)
 		if host.Name == s.cfg.Self {
 			return &JobOutcome{Refused: &stage.Refused{Job: j.ID, Reason: stage.ReasonNoReplica, RetryAfter: notReadyRetryAfter}}
 		}
@@ -240,7 +240,7 @@
 func (s *Service) firstRanked(now time.Time) *fleet.Host {
 	var best *fleet.Host
 	for _, h := range s.cfg.Members.Reachable() {
-		if !s.avoided.Excludes(h.Name, now) && (best == nil || h.Compare(*best) < 0) {
+		if !s.hostBackoff.Excludes(h.Name, now) && (best == nil || h.Compare(*best) < 0) {
 			best = &h
 		}
 	}
@@ -260,7 +260,7 @@
 // Dump returns the state shown to operators.
 func (s *Service) Dump() Dump {
 	s.mu.Lock()
-	d := Dump{Chosen: s.chosen, Placed: len(s.plannerOf), Avoided: s.avoided.Names()}
+	d := Dump{Chosen: s.chosen, Placed: len(s.plannerOf), Avoided: s.hostBackoff.Names()}
 	s.mu.Unlock()
 	s.planner.mu.Lock()
 	d.Planned = len(s.planner.jobs)
