--- a/core/admit/controller_test.go
+++ b/core/admit/controller_test.go
@@ -59,8 +59,8 @@
 		result, _ := c.Acquire(epoch, t, nil)
 		Expect(result).To(Equal(request.Queued))
 	}
-	// endCall ends call i of those that fillSlots started, and returns the IDs of the requests
-	// that are granted a slot.
+	// endCall ends call i of those that fillSlots started, and returns the IDs of the
+	// requests that are granted a slot.
 	endCall := func(i int, at time.Duration) []string {
 		var granted []string
 		done := ticket(fmt.Sprintf("running-%d", i), "a", time.Second)
@@ -99,7 +99,8 @@
 			Expect(granted).To(Equal(want))
 		},
 		Entry("no allowance with all 24 slots", 1.0, 24),
-		// Half: 12 slots and 2*sqrt(24/4) = 4.9. A twelfth: 2 slots and 2*sqrt(24*11/144) = 2.7.
+		// Half: 12 slots and 2*sqrt(24/4) = 4.9. A twelfth: 2 slots and 2*sqrt(24*11/144) =
+		// 2.7.
 		Entry("with half of the slots", 0.5, 17),
 		Entry("with a twelfth of the slots", 1.0/12, 5),
 	)
--- a/core/catalog/config.go
+++ b/core/catalog/config.go
@@ -21,8 +21,8 @@
 type Config struct {
 	Version  uint64
 	Services map[string]*Service
-	// Customers maps an API key to the customer that holds it. It is nil if the configuration
-	// has no customers; requests then need no key.
+	// Customers maps an API key to the customer that holds it. It is nil if the
+	// configuration has no customers; requests then need no key.
 	Customers map[string]*CustomerConfig
 	Limits    Limits
 	// hosts maps a lower-case host name to its routes, longest prefix first.
@@ -98,7 +98,8 @@
 	StageProfile *StageProfile
 }
 
-// StageProfile describes the capacity and timing of one replica of a service that runs stages.
+// StageProfile describes the capacity and timing of one replica of a service that runs
+// stages.
 type StageProfile struct {
 	// Concurrency is the maximum number of concurrent calls.
 	Concurrency int
--- a/core/catalog/evacuation.go
+++ b/core/catalog/evacuation.go
@@ -37,7 +37,8 @@
 	return found
 }
 
-// SameDomains reports whether the same failure domains are evacuated, regardless of the revisions.
+// SameDomains reports whether the same failure domains are evacuated, regardless of the
+// revisions.
 func (e Evacuations) SameDomains(o Evacuations) bool { return slices.Equal(e.Domains, o.Domains) }
 
 // With returns the orders after applying changes, which may be unordered and contain
--- a/core/catalog/replica.go
+++ b/core/catalog/replica.go
@@ -48,8 +48,8 @@
 // ago.
 func (g *Registry) RetainsLapsed() bool { return g.retainsLapsed }
 
-// ReplaceFromPeer replaces the replicas by those of another host as of the given time. If replicas is
-// nil, the other host has the same replicas.
+// ReplaceFromPeer replaces the replicas by those of another host as of the given time. If
+// replicas is nil, the other host has the same replicas.
 func (g *Registry) ReplaceFromPeer(asOf time.Time, replicas []Replica) {
 	if asOf.After(g.lastUpdate) {
 		g.lastUpdate = asOf
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -296,8 +296,8 @@
 	return actions
 }
 
-// HandleStoreReply handles a holder's reply to a Store. It returns ResultStored once a majority of
-// each quorum has stored the result.
+// HandleStoreReply handles a holder's reply to a Store. It returns ResultStored once a
+// majority of each quorum has stored the result.
 func (c *Claim) HandleStoreReply(r Reply) []Action {
 	s := c.holder(r.Holder)
 	if s == nil || c.phase != sent || r.Verdict != Recorded {
--- a/core/intake/backoff.go
+++ b/core/intake/backoff.go
@@ -21,9 +21,9 @@
 	entries map[string]*Backoff
 }
 
-// Observe processes a response, and reports whether it begins a backoff (began), and whether
-// it begins or extends one (changed). A backoff lasts at most maxBackoff from the response
-// that asks for it; a later response never shortens it.
+// Observe processes a response, and reports whether it begins a backoff (began), and
+// whether it begins or extends one (changed). A backoff lasts at most maxBackoff from the
+// response that asks for it; a later response never shortens it.
 func (r *Backoffs) Observe(now time.Time, response ReplicaResponse, maxBackoff time.Duration) (backoff Backoff, began, changed bool) {
 	if response.Notice.Backoff <= 0 {
 		return Backoff{}, false, false
--- a/core/intake/leaving.go
+++ b/core/intake/leaving.go
@@ -13,9 +13,9 @@
 	AnnouncedAt time.Time
 }
 
-// LeavingReplicas holds the replicas that announced that they are leaving. An announcement is
-// final, since it concerns one start of a replica: after a restart the replica has another
-// ID. The zero value is ready to use.
+// LeavingReplicas holds the replicas that announced that they are leaving. An announcement
+// is final, since it concerns one start of a replica: after a restart the replica has
+// another ID. The zero value is ready to use.
 type LeavingReplicas struct {
 	entries map[string]*leavingEntry
 }
@@ -27,8 +27,8 @@
 	lastListed time.Time
 }
 
-// Observe processes a response, and reports whether it is the first one to announce that its
-// replica is leaving.
+// Observe processes a response, and reports whether it is the first one to announce that
+// its replica is leaving.
 func (l *LeavingReplicas) Observe(now time.Time, response ReplicaResponse) (LeavingReplica, bool) {
 	if !response.Notice.Leaving {
 		return LeavingReplica{}, false
--- a/core/intake/limit_table.go
+++ b/core/intake/limit_table.go
@@ -33,8 +33,8 @@
 	maxReplicas = 1 << 14
 )
 
-// LimitTable holds one host's knowledge of the limits that replicas announce. The zero value
-// is ready to use.
+// LimitTable holds one host's knowledge of the limits that replicas announce. The zero
+// value is ready to use.
 type LimitTable struct {
 	entries map[string]*limitEntry
 }
@@ -45,10 +45,10 @@
 	lastListed time.Time
 }
 
-// Observe processes a response, and returns the replica's limit if the response changed it. A
-// limit is in force until a served response omits it whose request was sent after the limit
-// was last announced; responses to earlier requests are ignored, since responses may be
-// reordered.
+// Observe processes a response, and returns the replica's limit if the response changed it.
+// A limit is in force until a served response omits it whose request was sent after the
+// limit was last announced; responses to earlier requests are ignored, since responses may
+// be reordered.
 func (a *LimitTable) Observe(now time.Time, response ReplicaResponse) (ReplicaLimit, bool) {
 	known := a.entries[response.Replica]
 	limit := response.Notice.Limit
--- a/core/intake/limiter.go
+++ b/core/intake/limiter.go
@@ -18,7 +18,8 @@
 	// Leaving blocks the calls to replicas that announced in a response that they are
 	// leaving.
 	Leaving
-	// BackingOff temporarily blocks the calls to replicas that asked this host for a backoff.
+	// BackingOff temporarily blocks the calls to replicas that asked this host for a
+	// backoff.
 	BackingOff
 	sourceCount
 )
--- a/core/intake/shares.go
+++ b/core/intake/shares.go
@@ -26,7 +26,8 @@
 	return s
 }
 
-// Calls returns how many of the given calls over all hosts this host may begin at a replica.
+// Calls returns how many of the given calls over all hosts this host may begin at a
+// replica.
 func (s *Shares) Calls(replica string, calls int) int {
 	replicaHash := xxhash.Sum64String(replica)
 	own, rank := hostWeight(s.self, replicaHash), 0
--- a/core/poison/crash.go
+++ b/core/poison/crash.go
@@ -11,8 +11,8 @@
 	Request Fingerprint
 	// RunTime is the time from the beginning of the run to the crash.
 	RunTime time.Duration
-	// LastSuccess is when a run of the request last succeeded as far as the reporting daemon
-	// knows; zero if never.
+	// LastSuccess is when a run of the request last succeeded as far as the reporting
+	// daemon knows; zero if never.
 	LastSuccess time.Time
 }
 
@@ -40,10 +40,10 @@
 	sameCrashWindow = 500 * time.Millisecond
 )
 
-// OutageCrashes is the number of replicas that crash within OutageWindow from which a daemon
-// treats the crashes as an outage of a machine or a network. It then reports only requests
-// that were running on more than one of these replicas. Otherwise, 3,000 daemons that lose
-// a third of their replicas would send about 50 MB to two of the daemons.
+// OutageCrashes is the number of replicas that crash within OutageWindow from which a
+// daemon treats the crashes as an outage of a machine or a network. It then reports only
+// requests that were running on more than one of these replicas. Otherwise, 3,000 daemons
+// that lose a third of their replicas would send about 50 MB to two of the daemons.
 const (
 	OutageCrashes = 4
 	OutageWindow  = time.Second
--- a/core/poison/verdict.go
+++ b/core/poison/verdict.go
@@ -20,8 +20,8 @@
 	LastTrial time.Time
 	// UnusedTrials is the number of granted trials that led to no run.
 	UnusedTrials uint32
-	// QuarantinedAt is when the request was quarantined, and FirstCrash when the first crash
-	// occurred that counts against it.
+	// QuarantinedAt is when the request was quarantined, and FirstCrash when the first
+	// crash occurred that counts against it.
 	QuarantinedAt, FirstCrash time.Time
 	// Doubtful says that replicas also crashed without the request at that time, or that
 	// the crashes are attributed to another request.
--- a/core/refusal/monitor_test.go
+++ b/core/refusal/monitor_test.go
@@ -16,7 +16,8 @@
 	RunSpecs(t, "refusal")
 }
 
-// observeAttempts observes n attempts, one per step, of which one in every is refused with reason.
+// observeAttempts observes n attempts, one per step, of which one in every is refused with
+// reason.
 func observeAttempts(w *refusal.Monitor, start time.Time, n, every int, reason refusal.Reason, step time.Duration) []refusal.Alarm {
 	var alarms []refusal.Alarm
 	for i := range n {
--- a/core/request/deadline_test.go
+++ b/core/request/deadline_test.go
@@ -9,9 +9,9 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// TestDeadlineIsNotUpstreamFailure guards against counting a call that ran into its request's
-// deadline as an upstream failure. The call is cancelled at the deadline, and its CallEnded event
-// can arrive before the deadline timer fires.
+// TestDeadlineIsNotUpstreamFailure guards against counting a call that ran into its
+// request's deadline as an upstream failure. The call is cancelled at the deadline, and its
+// CallEnded event can arrive before the deadline timer fires.
 func TestDeadlineIsNotUpstreamFailure(t *testing.T) {
 	g := NewWithT(t)
 	h := newHarness(false)
--- a/core/request/machine_test.go
+++ b/core/request/machine_test.go
@@ -224,7 +224,8 @@
 				h.machine.spec.Bundle.Objective = o
 				h.router.latency = 20 * time.Millisecond
 				h.step(Start{})
-				// The call is sent after 1 ms. The two stages need 40 ms, and the deadline is 1 s.
+				// The call is sent after 1 ms. The two stages need 40 ms, and the deadline
+				// is 1 s.
 				timers := actions[SetTimer](h.actionLog)
 				Expect(timers[len(timers)-1].At).To(Equal(epoch.Add(want)))
 			},
--- a/core/request/rejected_test.go
+++ b/core/request/rejected_test.go
@@ -35,8 +35,8 @@
 	g.Expect(h.machine.Idle()).To(BeTrue())
 }
 
-// TestRejectedRequestIsNotRetried checks that a request with a rejected attempt is refused without
-// a retry once its other attempt has failed too.
+// TestRejectedRequestIsNotRetried checks that a request with a rejected attempt is refused
+// without a retry once its other attempt has failed too.
 func TestRejectedRequestIsNotRetried(t *testing.T) {
 	g := NewWithT(t)
 	h := newHedgedHarness(g)
--- a/core/retry/shared_budget.go
+++ b/core/retry/shared_budget.go
@@ -7,10 +7,10 @@
 	"github.com/wheatseam/wheatseam/core/request"
 )
 
-// SharedBudget is one daemon's share of a budget that covers the whole fleet: in each window
-// the fleet sends at most ratio extra attempts per first attempt, plus slack. The daemons
-// need no coordination, since the slack is divided by their number. A SharedBudget is safe
-// for concurrent use.
+// SharedBudget is one daemon's share of a budget that covers the whole fleet: in each
+// window the fleet sends at most ratio extra attempts per first attempt, plus slack. The
+// daemons need no coordination, since the slack is divided by their number. A SharedBudget
+// is safe for concurrent use.
 //
 // A daemon accumulates at most half of its share of the slack and refills half of it per
 // window, so that no window, wherever it begins, allows more than the whole share.
@@ -29,8 +29,9 @@
 
 var _ request.Budget = (*SharedBudget)(nil)
 
-// NewSharedBudget returns a full share of a budget of ratio extra attempts per first attempt,
-// plus slack extra attempts per window, which is divided among the given number of hosts.
+// NewSharedBudget returns a full share of a budget of ratio extra attempts per first
+// attempt, plus slack extra attempts per window, which is divided among the given number of
+// hosts.
 func NewSharedBudget(ratio, slack float64, window time.Duration, hosts int) *SharedBudget {
 	b := &SharedBudget{ratio: ratio, slack: slack, window: window, hosts: max(1, hosts)}
 	b.tokens = b.capacity()
@@ -73,8 +74,8 @@
 	return true
 }
 
-// ForceWithdraw withdraws an extra attempt even if no token is left. The balance then becomes
-// negative and must be refilled before another extra attempt is allowed.
+// ForceWithdraw withdraws an extra attempt even if no token is left. The balance then
+// becomes negative and must be refilled before another extra attempt is allowed.
 func (b *SharedBudget) ForceWithdraw(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/core/route/router.go
+++ b/core/route/router.go
@@ -73,8 +73,8 @@
 	return request.Choice{Request: q.Request, Pool: p.name, Upstream: m.name, Address: m.address, FailureDomain: m.domain}, nil
 }
 
-// PrefixHomeDomain returns the failure domain of the engine that should hold a prompt prefix,
-// or "" if no engine in the pool qualifies.
+// PrefixHomeDomain returns the failure domain of the engine that should hold a prompt
+// prefix, or "" if no engine in the pool qualifies.
 func (r *Router) PrefixHomeDomain(now time.Time, pool string, prefix uint64) string {
 	snap := r.current.Load()
 	p := snap.pools[pool]
@@ -184,8 +184,8 @@
 	})
 }
 
-// ObservePeerPrompt records that another daemon has sent an upstream a prompt whose prefill takes
-// prefillTime.
+// ObservePeerPrompt records that another daemon has sent an upstream a prompt whose prefill
+// takes prefillTime.
 func (r *Router) ObservePeerPrompt(now time.Time, pool, upstream, address string, prefillTime time.Duration) {
 	r.updateState(pool, upstream, address, func(st *memberState) {
 		st.prefillQueue.add(pendingPrompt{sentAt: now, prefillTime: prefillTime, fromPeer: true})
--- a/core/stage/action.go
+++ b/core/stage/action.go
@@ -41,8 +41,8 @@
 	Handles []string
 }
 
-// QueryMemory asks a replica how much memory it has free for results. The caller reports one
-// Inspected in return, or nothing if the replica does not answer.
+// QueryMemory asks a replica how much memory it has free for results. The caller reports
+// one Inspected in return, or nothing if the replica does not answer.
 type QueryMemory struct {
 	Service string
 	Replica string
@@ -55,9 +55,9 @@
 	Piece CompletedPiece
 }
 
-// NotifyOwner asks the caller to report a job's progress to the job's owner at once: results
-// reported to the owner have been read, and are released once the owner has acknowledged
-// that.
+// NotifyOwner asks the caller to report a job's progress to the job's owner at once:
+// results reported to the owner have been read, and are released once the owner has
+// acknowledged that.
 type NotifyOwner struct{ Job string }
 
 // Ready delivers the results of a job: those of the stages that no other stage reads,
@@ -84,8 +84,8 @@
 	// Wait is the time from the last input to the start of the last call, and Execution the
 	// time from then until the last piece was completed.
 	Wait, Execution time.Duration
-	// CrossDomain says that some results were computed outside the stage's preferred failure
-	// domain.
+	// CrossDomain says that some results were computed outside the stage's preferred
+	// failure domain.
 	CrossDomain bool
 }
 
@@ -114,8 +114,8 @@
 	// Predicted is the predicted time from now until the results; 0 if no prediction was
 	// made.
 	Predicted time.Duration
-	// ResultsHeld says that results reported to the job's owner are kept until the owner has
-	// acknowledged the refusal, which the caller reports with Cancelled.
+	// ResultsHeld says that results reported to the job's owner are kept until the owner
+	// has acknowledged the refusal, which the caller reports with Cancelled.
 	ResultsHeld bool
 }
 
--- a/core/stage/doc.go
+++ b/core/stage/doc.go
@@ -20,9 +20,9 @@
 //
 // Every Run is answered by exactly one CallEnded with the same call number. Every submitted
 // job ends with exactly one Ready or Refused, unless it is cancelled first. After Ready,
-// and after Refused with ResultsHeld set, the caller reports Cancelled once the results have
-// been read or are no longer needed. For transferable jobs, whose owners may hand them to
-// another planner, the caller also reports which progress it is sending to their owners
+// and after Refused with ResultsHeld set, the caller reports Cancelled once the results
+// have been read or are no longer needed. For transferable jobs, whose owners may hand them
+// to another planner, the caller also reports which progress it is sending to their owners
 // (ProgressSent) and which the owners have acknowledged (ProgressAcked).
 //
 // # What it guarantees
--- a/core/stage/event.go
+++ b/core/stage/event.go
@@ -19,17 +19,18 @@
 type Submitted struct{ Job Job }
 
 // Cancelled says that a job is no longer needed or, if the job is ready, that its results
-// have been read or are no longer needed. For a Transferable job it comes from the job's owner,
-// unless HandedOver is set. It is also due for a job that was refused with ResultsHeld set.
+// have been read or are no longer needed. For a Transferable job it comes from the job's
+// owner, unless HandedOver is set. It is also due for a job that was refused with
+// ResultsHeld set.
 type Cancelled struct {
 	Job string
-	// HandedOver says that another planner continues the job, or may do so: results reported to
-	// the owner are not released here.
+	// HandedOver says that another planner continues the job, or may do so: results
+	// reported to the owner are not released here.
 	HandedOver bool
 }
 
-// ProgressSent says that completed pieces are being reported to the owners of their jobs, in a
-// message that may be lost.
+// ProgressSent says that completed pieces are being reported to the owners of their jobs,
+// in a message that may be lost.
 type ProgressSent struct{ Pieces []Progress }
 
 // ProgressAcked says that the owners of jobs have acknowledged completed pieces.
@@ -59,10 +60,11 @@
 	PieceCompleted ResultKind = iota
 	// PieceExpired means that the piece was not executed since its time had passed.
 	PieceExpired
-	// PieceInputMissing means that the piece was not executed since an input no longer exists.
+	// PieceInputMissing means that the piece was not executed since an input no longer
+	// exists.
 	PieceInputMissing
-	// PieceOutOfMemory means that the piece was not executed since the replica had no memory for its
-	// result.
+	// PieceOutOfMemory means that the piece was not executed since the replica had no
+	// memory for its result.
 	PieceOutOfMemory
 	// PieceFailed means that the piece failed.
 	PieceFailed
@@ -91,8 +93,8 @@
 	Free      FreeMemory
 }
 
-// FreeMemory holds the bounds of a replica's free memory in bytes; replicas report it in large
-// units.
+// FreeMemory holds the bounds of a replica's free memory in bytes; replicas report it in
+// large units.
 type FreeMemory struct{ Min, Max int64 }
 
 // Tick passes the time; it is due at the time that Machine.NextTick returns.
@@ -125,7 +127,8 @@
 	// results reported to it from here. Those are released only when the owner acknowledges
 	// or cancels.
 	Transferable bool
-	// Completed are the pieces that an earlier planner completed, as far as the owner knows.
+	// Completed are the pieces that an earlier planner completed, as far as the owner
+	// knows.
 	Completed []CompletedPiece
 }
 
--- a/core/stage/handover.go
+++ b/core/stage/handover.go
@@ -1,9 +1,9 @@
 package stage
 
-// A transferable job has an owner: the daemon that another daemon plans for. If that planner
-// seems lost, the owner submits the job to the next planner, with the results that were
-// reported to the owner. The messages of both planners may be lost, so neither knows what
-// the other does, and if both released a result, one would take it from the other's
+// A transferable job has an owner: the daemon that another daemon plans for. If that
+// planner seems lost, the owner submits the job to the next planner, with the results that
+// were reported to the owner. The messages of both planners may be lost, so neither knows
+// what the other does, and if both released a result, one would take it from the other's
 // readers. The rule is therefore: a planner on its own releases only results that were not
 // reported to the owner. Results reported to the owner are released
 //
--- a/core/stage/harness_test.go
+++ b/core/stage/harness_test.go
@@ -23,8 +23,8 @@
 	released        int
 	jobs            map[string]Job
 	completedPieces int
-	// progress holds the reported pieces by job, ownerNotices counts the NotifyOwner actions
-	// by job.
+	// progress holds the reported pieces by job, ownerNotices counts the NotifyOwner
+	// actions by job.
 	progress     map[string][]CompletedPiece
 	ownerNotices map[string]int
 }
--- a/core/stall/doc.go
+++ b/core/stall/doc.go
@@ -1,7 +1,7 @@
 // Package stall handles responses in progress whose replica has stopped sending. It decides
-// when the replica is queried for the status of the run, when resources for a run at another
-// replica are reserved, and when the current run is abandoned in favour of that one. It is
-// deterministic: it does no I/O, reads no clock and starts no goroutine.
+// when the replica is queried for the status of the run, when resources for a run at
+// another replica are reserved, and when the current run is abandoned in favour of that
+// one. It is deterministic: it does no I/O, reads no clock and starts no goroutine.
 //
 // Silence alone is no evidence of a failure. While an engine reads a long prompt, it sends
 // nothing on all its other streams, and continues them afterwards. Two rules
--- a/core/stall/monitor.go
+++ b/core/stall/monitor.go
@@ -7,7 +7,8 @@
 	// QueryAfter is the silence after which the replica is first queried for the status of
 	// the run, and QueryInterval the interval between further queries.
 	QueryAfter, QueryInterval time.Duration
-	// SuspectTimeout is the silence after which the run at a suspected replica is abandoned.
+	// SuspectTimeout is the silence after which the run at a suspected replica is
+	// abandoned.
 	SuspectTimeout time.Duration
 	// MaxSilence is the silence after which the run is abandoned regardless of the reported
 	// status.
@@ -21,8 +22,8 @@
 
 // The statuses of a run.
 const (
-	// Unknown: the replica has not been queried yet, or its response has no information about
-	// runs.
+	// Unknown: the replica has not been queried yet, or its response has no information
+	// about runs.
 	Unknown RunStatus = iota
 	// Running: the replica works on the run and has produced nothing that has not arrived.
 	Running
@@ -50,7 +51,8 @@
 	return "untold"
 }
 
-// Suspect reports whether the status makes it likely that the run at the replica has failed.
+// Suspect reports whether the status makes it likely that the run at the replica has
+// failed.
 func (a RunStatus) Suspect() bool { return a == NoAnswer || a == OutputLost || a == NotListed }
 
 // Action is what the owner of a Monitor has to do.
@@ -126,8 +128,8 @@
 	}
 }
 
-// Reserved records that everything that another run needs is reserved. It returns Abandon or
-// Release.
+// Reserved records that everything that another run needs is reserved. It returns Abandon
+// or Release.
 func (m *Monitor) Reserved(now time.Time) Action {
 	m.reserving = false
 	if m.abandoned || !m.reservationWanted || !m.abandonDue(now) {
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -46,11 +46,11 @@
 	// Mux is where the Discovery registers the methods that peers may call.
 	Mux    *peer.Mux
 	Logger *zap.Logger
-	// PropagationBound returns the time within which a change that the store acknowledged must be
-	// active here.
+	// PropagationBound returns the time within which a change that the store acknowledged
+	// must be active here.
 	PropagationBound func() time.Duration
-	// OnViewChange is called with every view whose content differs from the previous one, by
-	// one goroutine at a time.
+	// OnViewChange is called with every view whose content differs from the previous one,
+	// by one goroutine at a time.
 	OnViewChange func(*View)
 }
 
--- a/discovery/replicas.go
+++ b/discovery/replicas.go
@@ -151,8 +151,8 @@
 	d.invalidEntries = faults
 }
 
-// InvalidEntryCount returns the number of entries under the replica prefix that are not valid
-// replicas, as of this host's last read of the store.
+// InvalidEntryCount returns the number of entries under the replica prefix that are not
+// valid replicas, as of this host's last read of the store.
 func (d *Discovery) InvalidEntryCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -147,13 +147,13 @@
 	f.loop.Post(member.SetSlot{ID: id, Value: value})
 }
 
-// KnownHostCount returns the number of known hosts, including those that died within the last
-// minutes. The number reported by a seed counts until this host knows their names.
+// KnownHostCount returns the number of known hosts, including those that died within the
+// last minutes. The number reported by a seed counts until this host knows their names.
 func (f *Fleet) KnownHostCount() int { return max(f.roster.size(), int(f.reportedSize.Load())) }
 
-// KnownHosts returns the names of all known hosts, including those that died within the last
-// minutes, and whether the list can be assumed complete: the fleet has formed and no seed
-// knows more hosts.
+// KnownHosts returns the names of all known hosts, including those that died within the
+// last minutes, and whether the list can be assumed complete: the fleet has formed and no
+// seed knows more hosts.
 func (f *Fleet) KnownHosts() (names []string, complete bool) {
 	all := f.roster.all()
 	names = make([]string, 0, len(all))
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// applyLeaving blocks calls to replicas that are leaving, as observed by the given host, and
-// notifies the neighbours; the notices' lock must be held.
+// applyLeaving blocks calls to replicas that are leaving, as observed by the given host,
+// and notifies the neighbours; the notices' lock must be held.
 func (g *Gateway) applyLeaving(host string, leaving []intake.LeavingReplica) {
 	if len(leaving) == 0 {
 		return
--- a/gateway/noticesync.go
+++ b/gateway/noticesync.go
@@ -30,7 +30,8 @@
 	maxNoticeAge = time.Hour
 )
 
-// errNotInitialized is returned to calls that arrive before New has constructed the gateway.
+// errNotInitialized is returned to calls that arrive before New has constructed the
+// gateway.
 var errNotInitialized = errors.New("gateway: not started yet")
 
 // registerNoticeHandler handles the notices of replicas that peers send.
--- a/gateway/stallwatch.go
+++ b/gateway/stallwatch.go
@@ -179,8 +179,8 @@
 	w.timer.Reset(w.nextTick.Sub(now))
 }
 
-// detectSuspend notifies the monitor if this host was suspended since the last tick was due;
-// mu must be held.
+// detectSuspend notifies the monitor if this host was suspended since the last tick was
+// due; mu must be held.
 func (w *stallWatch) detectSuspend(now time.Time) {
 	suspended := clock.Asleep()
 	if suspended == w.suspended && now.Sub(w.nextTick) <= suspendTolerance {
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -53,7 +53,8 @@
 		f := newFixture()
 		f.replicas["e1"].Behave(site.Behaviour{CutAfterEvents: 2})
 		g := f.start().ready()
-		// Engines are chosen at random: of 64 test runs with six requests, one never reaches e1.
+		// Engines are chosen at random: of 64 test runs with six requests, one never
+		// reaches e1.
 		const minRequests, maxRequests = 6, 40
 		resumed := 0
 		for n := 0; n < minRequests || resumed == 0 && n < maxRequests; n++ {
--- a/quarantine/crashes.go
+++ b/quarantine/crashes.go
@@ -10,8 +10,8 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// InterruptedAttempt is an attempt whose connection the replica closed before the response was
-// complete.
+// InterruptedAttempt is an attempt whose connection the replica closed before the response
+// was complete.
 type InterruptedAttempt struct {
 	Service, Replica string
 	// Address is the replica's ip:port.
@@ -32,9 +32,9 @@
 	address string
 }
 
-// AttemptInterrupted records an attempt whose connection the replica closed, and schedules a
-// check whether the replica has crashed. Attempts at the same replica that are interrupted
-// before the check are covered by it.
+// AttemptInterrupted records an attempt whose connection the replica closed, and schedules
+// a check whether the replica has crashed. Attempts at the same replica that are
+// interrupted before the check are covered by it.
 func (s *Service) AttemptInterrupted(a InterruptedAttempt) {
 	now := clock.Now()
 	s.mu.Lock()
--- a/replica/run_timer_test.go
+++ b/replica/run_timer_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against a timer that fires as soon as a suspended process resumes, before the response
-// that arrived in the meantime is read. The results were then released twice.
+// Guards against a timer that fires as soon as a suspended process resumes, before the
+// response that arrived in the meantime is read. The results were then released twice.
 func TestRunTimeExcludesProcessPauses(t *testing.T) {
 	const pause = 400 * time.Millisecond
 	g := NewWithT(t)
--- a/stages/orphans.go
+++ b/stages/orphans.go
@@ -69,8 +69,8 @@
 
 // sweep drops the jobs that their owners have not polled for too long. Such an owner may
 // have handed its jobs over to another planner, and the message about the handover may have
-// been lost, so results that were reported to the owner are not released here; they expire at
-// the replica.
+// been lost, so results that were reported to the owner are not released here; they expire
+// at the replica.
 func (p *planner) sweep(now time.Time) {
 	p.mu.Lock()
 	var actions []stage.Action
@@ -108,10 +108,10 @@
 }
 
 // dropAfterStall drops the unfinished jobs of other daemons if this process was suspended
-// (stopped, or the machine suspended) for so long that their owners have handed them over to
-// another planner. It detects this by the time since the last event, since a planner with
-// jobs receives events several times a second. Results that were reported to the owners
-// are not released. The caller holds the lock.
+// (stopped, or the machine suspended) for so long that their owners have handed them over
+// to another planner. It detects this by the time since the last event, since a planner
+// with jobs receives events several times a second. Results that were reported to the
+// owners are not released. The caller holds the lock.
 func (p *planner) dropAfterStall(now time.Time) []stage.Action {
 	gap := now.Sub(p.lastStep)
 	p.lastStep = now
--- a/stages/service.go
+++ b/stages/service.go
@@ -110,7 +110,8 @@
 		case err == nil:
 			return outcome
 		case errors.As(err, &restarted):
-			// This changes the rank of the host, so that the loop does not repeat the same call.
+			// This changes the rank of the host, so that the loop does not repeat the same
+			// call.
 			s.cfg.Members.RecordRestart(host.Name, restarted.incarnation)
 			continue
 		case errors.As(err, &lost):
