--- a/core/claim/holder.go
+++ b/core/claim/holder.go
@@ -140,7 +140,7 @@
 	})
 }
 
-// Release frees a key whose owner has not sent the request. It is idempotent, and a
+// Release releases a key whose owner has not sent the request. It is idempotent, and a
 // release that arrives before its Acquire has the same effect.
 func (h *Holder) Release(env Env, m Release) {
 	h.evictExpired(env.Now)
--- a/core/claim/void.go
+++ b/core/claim/void.go
@@ -3,13 +3,13 @@
 import "time"
 
 // Void asks a holder to refuse every attempt at the key that arrived up to Until,
-// including attempts of a daemon that was paused and resumes later. An owner sends
+// including attempts of a daemon that is suspended and resumes later. An owner sends
 // it before it reports that the request has not run, so that the report stays true.
 // Attempts that arrive after Until may claim the key.
 type Void struct {
 	Key Key
-	// Owner is the attempt that is refused. The holder frees the key if it was
-	// granted to this attempt.
+	// Owner is the attempt that is refused. The holder releases the key if the
+	// key was granted to this attempt.
 	Owner Owner
 	// Epoch is the epoch of the owner's current host list.
 	Epoch uint64
--- a/core/member/health.go
+++ b/core/member/health.go
@@ -6,7 +6,7 @@
 // plus the score.
 const maxHealthScore = 3
 
-// healthWindow is the number of recent probes used to tell a slow local process
+// healthWindow is the number of recent probes used to distinguish a slow local process
 // from slow targets.
 const healthWindow = 8
 
--- a/core/poison/random_test.go
+++ b/core/poison/random_test.go
@@ -20,9 +20,9 @@
 	simReplicas = 12
 	simLength   = 60 * time.Second
 	// maxReportDelay is the maximum delay of a report to the deciding daemon, and
-	// maxSpreadDelay the maximum delay of its verdict to the other daemons.
-	maxReportDelay = 100 * time.Millisecond
-	maxSpreadDelay = 300 * time.Millisecond
+	// maxPropagationDelay the maximum delay of its verdict to the other daemons.
+	maxReportDelay      = 100 * time.Millisecond
+	maxPropagationDelay = 300 * time.Millisecond
 	// detectionTime is how long a daemon may be unaware of a culprit after its third crash,
 	// and allowedLateRuns the number of runs that the requirement allows after that.
 	detectionTime   = 3 * time.Second
@@ -130,7 +130,7 @@
 	s.after(q.work, func() {
 		s.finishRun(replica, r, func() {
 			s.removeRun(replica, r)
-			s.spread(d, s.detectors[d].RecordSuccess(s.now, q.id))
+			s.propagate(d, s.detectors[d].RecordSuccess(s.now, q.id))
 			if !q.refusedFrom.IsZero() {
 				s.longestRefusal = max(s.longestRefusal, s.now.Sub(q.refusedFrom))
 				q.refusedFrom = time.Time{}
@@ -144,7 +144,7 @@
 func (s *sim) grantTrial(q *simRequest) bool {
 	v, granted := s.detectors[0].GrantTrial(s.now, q.id)
 	if granted {
-		s.spread(0, []poison.Verdict{v})
+		s.propagate(0, []poison.Verdict{v})
 	}
 	return granted
 }
@@ -219,20 +219,20 @@
 	}
 	for d := range crashes {
 		if len(crashes[d].Suspects) > 0 {
-			s.after(s.between(10*time.Millisecond, maxReportDelay), func() { s.spread(0, s.detectors[0].RecordCrash(s.now, crashes[d])) })
+			s.after(s.between(10*time.Millisecond, maxReportDelay), func() { s.propagate(0, s.detectors[0].RecordCrash(s.now, crashes[d])) })
 		}
 	}
 }
 
-// spread sends verdicts to all other daemons, which in turn spread those that changed
+// propagate sends verdicts to all other daemons, which in turn propagate those that changed
 // theirs.
-func (s *sim) spread(from int, verdicts []poison.Verdict) {
+func (s *sim) propagate(from int, verdicts []poison.Verdict) {
 	if len(verdicts) == 0 {
 		return
 	}
 	for d := range s.detectors {
 		if d != from {
-			s.after(s.between(time.Millisecond, maxSpreadDelay), func() { s.spread(d, s.detectors[d].Merge(s.now, verdicts)) })
+			s.after(s.between(time.Millisecond, maxPropagationDelay), func() { s.propagate(d, s.detectors[d].Merge(s.now, verdicts)) })
 		}
 	}
 }
--- a/core/prefix/doc.go
+++ b/core/prefix/doc.go
@@ -4,10 +4,9 @@
 // prefill of those parts. An engine that lacks a prefix can copy it from another engine
 // that has it, in a fifth of the time and at a tenth of the cost of computing it again.
 // Engines report their cache contents late and with gaps, whereas a daemon knows
-// immediately which prompts it sent to which engine, and its peers tell it about
-// theirs.
+// immediately which prompts it sent to which engine, and its peers announce theirs.
 //
-// An Index is told of each prompt that was sent, with the hashes of its prefixes (of the
+// An Index records each prompt that was sent, with the hashes of its prefixes (of the
 // first part, of the first two parts, and so on), and returns an engine that has the
 // longest prefix that another engine lacks. The information may be wrong: an engine may
 // have evicted parts, in which case a copy yields less than the whole prefix. An Index
--- a/core/request/finish.go
+++ b/core/request/finish.go
@@ -95,7 +95,7 @@
 }
 
 // handleRecorded continues the request. The caller gets the result even if it could
-// not be recorded; a retry with the same key is then told MayHaveRun.
+// not be recorded; a retry with the same key then gets MayHaveRun.
 func (m *Machine) handleRecorded(now time.Time, e Recorded) {
 	if m.detached {
 		m.detached = false
--- a/core/request/machine.go
+++ b/core/request/machine.go
@@ -100,7 +100,7 @@
 	key  ClaimKey
 	held bool
 	// refused is set when the holders have refused the claim. Their response
-	// already says whether the stage has run.
+	// already reports whether the stage has run.
 	refused bool
 	// callSent is set before a call is sent under the claim.
 	callSent bool
--- a/core/retry/storm_test.go
+++ b/core/retry/storm_test.go
@@ -17,7 +17,7 @@
 func (unlimited) Withdraw(time.Time) bool { return true }
 
 // stormSim simulates a retry storm. Its pool serves one call per millisecond from a bounded
-// queue and does not notice that callers gave up. Its callers send 0.8 requests per
+// queue and does not notice that callers stopped waiting. Its callers send 0.8 requests per
 // millisecond, time out after 200 ms and make at most three attempts.
 type stormSim struct {
 	budget  request.Budget
--- a/core/route/prefill.go
+++ b/core/route/prefill.go
@@ -28,7 +28,8 @@
 	// prefillTime is the time that the engine needs for the prefill alone.
 	// usualFirstByte is the usual time until the first byte of the response.
 	prefillTime, usualFirstByte time.Duration
-	// fromPeer is set if a peer sent the prompt. This daemon is not told when it ends.
+	// fromPeer is set if a peer sent the prompt. The peer does not report the end of the
+	// call.
 	fromPeer bool
 }
 
--- a/core/share/allocation.go
+++ b/core/share/allocation.go
@@ -141,7 +141,7 @@
 }
 
 // allocate decides the share of one daemon and records it. It leases only the parts
-// of equal shares that daemons have given up to this allocator, so that another
+// of equal shares that daemons have released to this allocator, so that another
 // allocator may lease the resource at the same time.
 func (m *Machine) allocate(now time.Time, res *resourceAllocation, a *hostAllocation, used int64, sent uint64) (int64, bool) {
 	equalShare := m.hostList.equalShare
--- a/core/share/doc.go
+++ b/core/share/doc.go
@@ -14,7 +14,7 @@
 // number of hosts in the bundle, without any communication. For each resource,
 // rendezvous hashing selects one host as its allocator, to which the daemons report
 // their demand. When a daemon wants more than its equal share, the allocator asks
-// the others to give up what they do not use, and leases it to that daemon.
+// the others to release what they do not use, and leases that to the daemon.
 //
 //   - A cap limits a daemon below its equal share for CapDuration after the daemon
 //     last received a message from the allocator. The allocator relies on the cap
--- a/core/share/resource.go
+++ b/core/share/resource.go
@@ -53,7 +53,7 @@
 	minShare   int64
 }
 
-// minShareDivisor defines the part of its equal share that a daemon never gives up,
+// minShareDivisor defines the part of its equal share that a daemon never releases,
 // 1/minShareDivisor, so that the first requests of a burst need not wait for the
 // allocator.
 const minShareDivisor = 4
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -176,7 +176,7 @@
 		Expect(capDuration).To(BeNumerically(">=", cfg.CapDuration*21/20))
 	})
 
-	It("exceed the limit by at most what a restarted allocator itself had given up", func() {
+	It("exceed the limit by at most what a restarted allocator itself had released", func() {
 		f := newFleet(7, customersOf(1), 32)
 		r := f.resources[0]
 		allocator := f.allocator(r)
--- a/core/stage/action.go
+++ b/core/stage/action.go
@@ -33,8 +33,8 @@
 type Abandon struct{ Call uint64 }
 
 // Release releases results at the replica that holds them. Calls to that replica that are
-// issued in the same step or later rely on the memory that this frees, so the caller sends
-// them only after the replica has answered the release.
+// issued in the same step or later rely on the memory that the release frees, so the caller
+// sends them only after the replica has answered the release.
 type Release struct {
 	Replica string
 	Address string
@@ -42,7 +42,7 @@
 }
 
 // QueryMemory asks a replica how much memory it has free for results. The caller reports
-// one Inspected in return, or nothing if the replica does not answer.
+// one MemoryReported in return, or nothing if the replica does not answer.
 type QueryMemory struct {
 	Service string
 	Replica string
@@ -57,7 +57,7 @@
 
 // NotifyOwner asks the caller to report a job's progress to the job's owner at once:
 // results reported to the owner have been read, and are released once the owner has
-// acknowledged that.
+// acknowledged the progress.
 type NotifyOwner struct{ Job string }
 
 // Ready delivers the results of a job: those of the stages that no other stage reads,
--- a/core/stage/admit.go
+++ b/core/stage/admit.go
@@ -12,7 +12,7 @@
 func (m *Machine) admit(now time.Time, j *job) *Refused {
 	for i := range j.stages {
 		if st := &j.stages[i]; st.remaining > 0 && !st.service.anyUsable(now) {
-			return &Refused{Job: j.ID, Reason: ReasonNoReplica, RetryAfter: max(m.cfg.MinRetryAfter, st.service.reopenDelay(now))}
+			return &Refused{Job: j.ID, Reason: ReasonNoReplica, RetryAfter: max(m.cfg.MinRetryAfter, st.service.unblockDelay(now))}
 		}
 	}
 	j.predicted = m.predict(now, j)
@@ -27,8 +27,8 @@
 	}
 }
 
-// resumable says whether an earlier planner admitted and started the job, and the job may
-// still be in time: completed pieces are not discarded because of a prediction.
+// resumable reports whether an earlier planner admitted and started the job, and the job
+// may still be in time: completed pieces are not discarded because of a prediction.
 func (j *job) resumable(now time.Time) bool { return len(j.Completed) > 0 && now.Before(j.refuseAt) }
 
 // allowedTime returns the longest predicted time with which a job is admitted. The more
@@ -63,7 +63,7 @@
 	return min(maxReservedShare, m.cfg.ReservedSharePerRank*float64(ranks))
 }
 
-// anyUsable says whether the service has a usable replica.
+// anyUsable reports whether the service has a usable replica.
 func (s *service) anyUsable(now time.Time) bool {
 	for _, r := range s.replicas {
 		if r.usable(now) {
@@ -73,12 +73,12 @@
 	return false
 }
 
-// reopenDelay returns the shortest time until a replica that currently accepts no calls of
+// unblockDelay returns the shortest time until a replica that currently accepts no calls of
 // this host accepts them again; 0 if there is no such replica.
-func (s *service) reopenDelay(now time.Time) time.Duration {
+func (s *service) unblockDelay(now time.Time) time.Duration {
 	var least time.Duration
 	for _, r := range s.replicas {
-		if !r.acceptsWork() || !r.closedForLong(now) {
+		if !r.acceptsWork() || !r.blockedForLong(now) {
 			continue
 		}
 		if wait := r.limiter.NextAllowed(now).Sub(now); least == 0 || wait < least {
--- a/core/stage/dispatch.go
+++ b/core/stage/dispatch.go
@@ -150,7 +150,7 @@
 	return n
 }
 
-// runs says whether a running call at r contains the piece.
+// runs reports whether a running call at r contains the piece.
 func (r *replica) runs(p *piece) bool {
 	if p.runningCalls == 0 {
 		return false
@@ -305,8 +305,8 @@
 	return pieces
 }
 
-// shouldWaitForDomain says whether a group that could join a call to r should rather wait
-// for its preferred domain.
+// shouldWaitForDomain reports whether a group that could join a call to r should rather
+// wait for its preferred domain.
 func (m *Machine) shouldWaitForDomain(ps *dispatchPass, r *replica, g *group) bool {
 	return g.preferredDomain != "" && g.preferredDomain != r.FailureDomain && ps.service.domainWait(ps.now, g, 0) <= m.maxDomainWait(g)
 }
--- a/core/stage/handover.go
+++ b/core/stage/handover.go
@@ -89,7 +89,7 @@
 	j.addRemaining(i, -st.remaining)
 }
 
-// readersHavePieces says whether any stage that reads stage i has pieces.
+// readersHavePieces reports whether any stage that reads stage i has pieces.
 func (j *job) readersHavePieces(i int) bool {
 	for _, k := range j.stages[i].readers {
 		if len(j.stages[k].pieces) > 0 {
@@ -99,7 +99,7 @@
 	return false
 }
 
-// readersComplete says whether all stages that read stage i are complete.
+// readersComplete reports whether all stages that read stage i are complete.
 func (j *job) readersComplete(i int) bool {
 	for _, k := range j.stages[i].readers {
 		if j.stages[k].remaining > 0 {
@@ -109,7 +109,8 @@
 	return true
 }
 
-// readersAcked says whether the job's owner has acknowledged all pieces that read stage i.
+// readersAcked reports whether the job's owner has acknowledged all pieces that read stage
+// i.
 func (j *job) readersAcked(i int) bool {
 	for _, k := range j.stages[i].readers {
 		st := &j.stages[k]
--- a/core/stage/job.go
+++ b/core/stage/job.go
@@ -163,7 +163,7 @@
 	}
 }
 
-// canStart says whether all stages that stage i depends on are complete.
+// canStart reports whether all stages that stage i depends on are complete.
 func (j *job) canStart(i int) bool {
 	for _, a := range j.Stages[i].DependsOn {
 		if j.stages[a].remaining > 0 {
@@ -179,10 +179,10 @@
 // lower by 0.012 and 0.006.
 const earlyStartCalls = 2
 
-// shouldDefer says whether stage i would complete long before other stages of the job that
-// do not read it. Its results would then take up memory until those stages complete, and
-// with many such jobs the chains beside them would find none. The stage is started when one
-// of the other stages completes and the remaining time is short enough. In 24 days of
+// shouldDefer reports whether stage i would complete long before other stages of the job
+// that do not read it. Its results would then take up memory until those stages complete,
+// and with many such jobs the chains beside them would find none. The stage is started when
+// one of the other stages completes and the remaining time is short enough. In 24 days of
 // load and faults with scarce result memory, the mean attained value was 0.692 without this
 // rule and 0.711 with it.
 func (j *job) shouldDefer(i int) bool {
@@ -194,7 +194,7 @@
 	return rest > time.Duration(earlyStartCalls)*st.service.typicalCallTime(st.remaining)
 }
 
-// resultsRead says whether the results of stage i have all been read, that is, all its
+// resultsRead reports whether the results of stage i have all been read, that is, all its
 // readers are complete.
 func (j *job) resultsRead(i int) bool {
 	st := &j.stages[i]
@@ -209,7 +209,7 @@
 	return true
 }
 
-// complete says whether all stages are complete.
+// complete reports whether all stages are complete.
 func (j *job) complete() bool {
 	for i := range j.stages {
 		if j.stages[i].remaining > 0 {
@@ -219,8 +219,8 @@
 	return true
 }
 
-// allInCalls says whether every piece that is not completed is in a call that is running or
-// has timed out but may still return.
+// allInCalls reports whether every piece that is not completed is in a call that is running
+// or has timed out but may still return.
 func (j *job) allInCalls() bool {
 	for i := range j.stages {
 		for k := range j.stages[i].pieces {
--- a/core/stage/loadsim_test.go
+++ b/core/stage/loadsim_test.go
@@ -260,7 +260,7 @@
 	})
 }
 
-// inputsExist says whether all inputs are held by some replica.
+// inputsExist reports whether all inputs are held by some replica.
 func (s *loadSim) inputsExist(inputs []string) bool {
 	for _, h := range inputs {
 		maker, _, _ := strings.Cut(h, ":")
--- a/core/stage/machine.go
+++ b/core/stage/machine.go
@@ -338,5 +338,5 @@
 	}
 }
 
-// isPlanned says whether a piece belongs to a job that is still planned.
+// isPlanned reports whether a piece belongs to a job that is still planned.
 func (m *Machine) isPlanned(p *piece) bool { return m.jobs[p.job.ID] == p.job }
--- a/core/stage/memory.go
+++ b/core/stage/memory.go
@@ -4,18 +4,19 @@
 
 // Results of other planners, earlier or concurrent ones, take up memory at the replicas
 // that this planner does not know of. Replicas report their free memory, with some delay.
-// They are queried when the first job arrives, since another planner may have worked
-// before, when there was no memory for a result, and for as long as other planners' results
-// are present.
+// Replicas are queried when the first job arrives, since another planner may have used them
+// before, when a replica had no memory for a result, and for as long as other planners'
+// results are present.
 const (
 	// memoryQueryInterval is the interval at which a replica is queried while it holds
 	// other planners' results. Replicas keep results for a few seconds.
 	memoryQueryInterval = 250 * time.Millisecond
 	// memoryQueriesPerCall limits the queries in proportion to the calls made. A host that
-	// is cut off plans for itself beside the fleet's planner, finds other planners' results
-	// at all replicas and has little work of its own: without the limit, a hundred such
-	// hosts of 295 made 877,000 queries in a day, which cost 0.09 of the attained value. A
-	// planner that takes a fleet over makes more than two calls a second to each replica.
+	// is disconnected plans for itself beside the fleet's planner, finds other planners'
+	// results at all replicas and has little work of its own: without the limit, a hundred
+	// such hosts of 295 made 877,000 queries in a day, which cost 0.09 of the attained
+	// value. A planner that takes a fleet over makes more than two calls a second to each
+	// replica.
 	memoryQueriesPerCall = 2
 	// memoryReportLag is how old the free memory that a replica reports may be.
 	memoryReportLag = 300 * time.Millisecond
@@ -79,9 +80,9 @@
 	m.emit(QueryMemory{Service: r.service.name, Replica: r.ID, Address: r.Address})
 }
 
-// memoryReported handles a replica's report of its free memory: what is taken, but not by
-// this planner's results, is taken by other planners'. The previous estimate of those is
-// clamped to the bounds that follow from the report.
+// memoryReported handles a replica's report of its free memory: memory that is used,
+// but not by this planner's results, is used by those of other planners. The previous
+// estimate of the latter is clamped to the bounds that follow from the report.
 func (m *Machine) memoryReported(now time.Time, e MemoryReported) {
 	r := m.replicas[e.Replica]
 	if r == nil || r.replaced {
--- a/core/stage/memory_test.go
+++ b/core/stage/memory_test.go
@@ -47,7 +47,7 @@
 		Expect(countQueries(h, Tick{})).To(BeZero())
 	})
 
-	// A host that is cut off plans for itself, beside a planner whose results fill the
+	// A host that is disconnected plans for itself, beside a planner whose results fill the
 	// memory all the time.
 	It("is not queried more often than memoryQueriesPerCall allows", func() {
 		h := newHarness(pieceParams(20, capacity), "x")
--- a/core/stage/queue.go
+++ b/core/stage/queue.go
@@ -104,14 +104,14 @@
 	unthrottledLength = 32
 	// passPausePerItem is the wait until the next pass for each group above
 	// unthrottledLength. A pass takes about 0.6 µs for each group, so passes take 3% of a
-	// processor for each service however long the queue is. The pause, 10 ms with 500
+	// processor for each service however long the queue is. The wait, 10 ms with 500
 	// groups, is short compared with a call of 240 ms or more. With 1,000 waiting jobs, one
 	// job and one call take 36 µs; with a pass at each event they took 211 µs
 	// (BenchmarkOverload).
 	passPausePerItem = 20 * time.Microsecond
 )
 
-// passPause returns the minimum pause between two passes over n groups or jobs.
+// passPause returns the minimum interval between two passes over n groups or jobs.
 func passPause(n int) time.Duration {
 	return time.Duration(max(0, n-unthrottledLength)) * passPausePerItem
 }
--- a/core/stage/replica.go
+++ b/core/stage/replica.go
@@ -115,23 +115,23 @@
 	laterAnswers int
 }
 
-// usable says whether calls may be made to the replica in general.
+// usable reports whether calls may be made to the replica in general.
 func (r *replica) usable(now time.Time) bool {
-	return r.acceptsWork() && !now.Before(r.suspectUntil) && !r.closedForLong(now)
+	return r.acceptsWork() && !now.Before(r.suspectUntil) && !r.blockedForLong(now)
 }
 
-// acceptsWork says whether the replica accepts new work, according to itself and the
+// acceptsWork reports whether the replica accepts new work, according to itself and the
 // configuration.
 func (r *replica) acceptsWork() bool { return r.listed && !r.Draining && !r.limiter.IsLeaving() }
 
-// closedForLong says whether the replica accepts no calls of this host for longer than one
-// call takes.
-func (r *replica) closedForLong(now time.Time) bool {
+// blockedForLong reports whether the replica accepts no calls of this host for longer than
+// one call takes.
+func (r *replica) blockedForLong(now time.Time) bool {
 	rate, bounded := r.limiter.Rate(now)
 	return bounded && rate == 0 && now.Add(r.service.callTime(1)).Before(r.limiter.NextAllowed(now))
 }
 
-// available says whether a call to the replica may start now.
+// available reports whether a call to the replica may start now.
 func (r *replica) available(now time.Time) bool {
 	return r.usable(now) && len(r.calls) < r.service.params.Concurrency && !now.Before(r.busyUntil) && !now.Before(r.limiter.NextAllowed(now))
 }
@@ -159,8 +159,8 @@
 	return at
 }
 
-// fits says whether results of n bytes fit into the replica's memory beside those that it
-// holds. Results that are larger than the whole memory fit a replica that holds nothing.
+// fits reports whether results of n bytes fit into the replica's memory beside those that
+// it holds. Results that are larger than the whole memory fit a replica that holds nothing.
 func (r *replica) fits(now time.Time, n int64) bool {
 	if now.Before(r.noMemoryUntil) {
 		return false
@@ -225,7 +225,7 @@
 	return r.service.latencyRatio + (r.latencyRatio-r.service.latencyRatio)*decay
 }
 
-// slow says whether calls to the replica take much longer than those to others.
+// slow reports whether calls to the replica take much longer than those to others.
 func (r *replica) slow(now time.Time) bool {
 	return r.currentLatencyRatio(now) > slowRatio*r.service.latencyRatio
 }
--- a/core/stage/timeout.go
+++ b/core/stage/timeout.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// mayBeExecuting says whether the replica may be executing a timed-out call. A replica
+// mayBeExecuting reports whether the replica may be executing a timed-out call. A replica
 // starts calls in order, up to Concurrency at once, so this is the case if fewer calls than
 // that come before this one. A call after which that many later ones were answered has most
 // likely ended, and its answer was lost. Calls of other planners are not known: a call that
@@ -87,7 +87,7 @@
 	return !r.replaced && !c.overtaken() && before < r.service.params.Concurrency
 }
 
-// overtaken says whether so many later calls have been answered that the replica is no
+// overtaken reports whether so many later calls have been answered that the replica is no
 // longer executing this one.
 func (c *call) overtaken() bool { return c.laterAnswers >= c.replica.service.params.Concurrency }
 
@@ -101,7 +101,7 @@
 	}
 }
 
-// needed says whether a job still needs any piece of a call.
+// needed reports whether a job still needs any piece of a call.
 func (m *Machine) needed(c *call) bool {
 	return slices.ContainsFunc(c.pieces, func(p *piece) bool { return m.isPlanned(p) && p.state != completed })
 }
--- a/core/stage/timeout_test.go
+++ b/core/stage/timeout_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestLateCallIsAcceptedBeforeJobDeadline: the results of a replica that pauses and resumes
-// are used for as long as a job of the call can be answered.
+// TestLateCallIsAcceptedBeforeJobDeadline: the results of a replica that is suspended and
+// resumes are used for as long as a job of the call can be answered.
 func TestLateCallIsAcceptedBeforeJobDeadline(t *testing.T) {
 	RegisterTestingT(t)
 	h := newHarness(pieceParams(4, 0), "x")
@@ -74,8 +74,9 @@
 	Expect(h.m.replicas[paused.Replica].usedBytes).To(BeZero())
 }
 
-// TestTimedOutCallThatIsQueuedIsAbandoned: of the calls at a paused replica, those that are
-// not yet executing are abandoned when no job needs them, as the replica then drops them.
+// TestTimedOutCallThatIsQueuedIsAbandoned: of the calls at a suspended replica, those that
+// are not yet executing are abandoned when no job needs them, as the replica then drops
+// them.
 func TestTimedOutCallThatIsQueuedIsAbandoned(t *testing.T) {
 	RegisterTestingT(t)
 	h, paused := newTimedOutCall(4, "x")
--- a/core/stage/timer.go
+++ b/core/stage/timer.go
@@ -13,7 +13,7 @@
 	}
 }
 
-// due says whether the time has come, and resets the timer if so.
+// due reports whether the time has come, and resets the timer if so.
 func (a *timer) due(now time.Time) bool {
 	if a.at.IsZero() || now.Before(a.at) {
 		return false
--- a/discovery/config.go
+++ b/discovery/config.go
@@ -177,8 +177,8 @@
 }
 
 // requestConfigCheck has the store checked for a newer configuration, since no peer has
-// said whether there is one: disconnected peers take 1.2 s each to reply without changes,
-// and up to three are asked one after another.
+// reported whether there is one: disconnected peers take 1.2 s each to reply without
+// changes, and up to three are asked one after another.
 func (d *Discovery) requestConfigCheck() {
 	d.configCheckRequested.Store(true)
 	d.wakeConfigSync()
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -22,7 +22,7 @@
 	// Get reads one item; the error is platform.ErrNotFound if there is none.
 	Get(ctx context.Context, key string) (item platform.Item, revision uint64, err error)
 	// Changes waits for items under a prefix that were written or removed after a
-	// revision; the error is platform.ErrHistoryGone when the store no longer has the
+	// revision; the error is platform.ErrCompacted when the store no longer has the
 	// history since then.
 	Changes(ctx context.Context, prefix string, after uint64, wait time.Duration) (items []platform.Item, revision uint64, err error)
 }
--- a/gateway/attemptend.go
+++ b/gateway/attemptend.go
@@ -41,5 +41,5 @@
 	return "failed"
 }
 
-// needsRetry says whether another run is wanted after this end.
+// needsRetry reports whether another run is wanted after this end.
 func (e attemptEnd) needsRetry() bool { return e != answered && e != abandoned }
--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -78,8 +78,9 @@
 	f.Eventually(func() int { ran, _ := sendSafeRequests(f, g, 500*time.Millisecond); return ran["p1"] }, "6s").Should(BeNumerically(">", 2*coldLimitPerSecond))
 }
 
-// Guards against more calls for pieces than a cold stage replica can take: the planner has
-// most of what all hosts may send it, and the other replica produces the rest.
+// Guards against more calls for pieces than a cold stage replica can serve: the planner has
+// most of the calls that all hosts may send to it, and the other replica produces the
+// remaining pieces.
 func TestColdStageReplicaGetsFewCalls(t *testing.T) {
 	t.Parallel()
 	const perSecond, maxCalls = 4, 7
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -13,9 +13,9 @@
 // Guards against a request that crashes one replica after another. Callers sent requests
 // under which engines crashed about 50 ms after they had started, and retried them under
 // new IDs at any host; 14 to 16 engines crashed under each. The attempts were limited by
-// request ID only, and what one daemon had seen was unknown to the others. In the log, the
-// lines "replica ended under requests" show the same content under different IDs and from
-// different hosts.
+// request ID only, and what one daemon had seen was unknown to the others. The log
+// lines about the crashes showed the same content under different IDs and from different
+// hosts.
 var _ = Describe("a request that crashes its replicas", func() {
 	const (
 		// spreadTime is how long after the third crash a daemon may still not know the
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -27,7 +27,7 @@
 }
 
 // evacuatedRetryAfter is the shortest Retry-After sent to a caller whose request no replica
-// may take: an operator's evacuation lasts for seconds at least.
+// may accept: an operator's evacuation lasts for seconds at least.
 const evacuatedRetryAfter = 5 * time.Second
 
 // checkEvacuation refuses a request at once if all replicas of a service that it needs are
@@ -46,12 +46,12 @@
 			return withRetryAfter(e, x.retryDelay(evacuatedRetryAfter))
 		}
 	}
-	return x.checkReplicasOpen()
+	return x.checkReplicasAvailable()
 }
 
-// checkReplicasOpen refuses a request at once if no replica of its service takes calls for
-// now, unless its stages take so long that one may do so by then.
-func (x *exchange) checkReplicasOpen() *problem.Error {
+// checkReplicasAvailable refuses a request at once if no replica of its service accepts
+// calls for now, unless the stages take so long that a replica may accept calls by then.
+func (x *exchange) checkReplicasAvailable() *problem.Error {
 	wait, unavailable := x.g.router.Unavailable(clock.Now(), x.service)
 	if !unavailable {
 		return nil
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -47,7 +47,7 @@
 	ctx      context.Context
 	deadline time.Time
 
-	// inputsHeld says that stage results are held for this request.
+	// inputsHeld is set while stage results are held for this request.
 	inputsHeld atomic.Bool
 	inputs     []string
 	// inputDomain is the failure domain that holds the inputs; "" when it does not matter.
@@ -149,7 +149,7 @@
 	return x.checkEvacuation()
 }
 
-// releaseUnusedTrial returns a trial that led to no run, so that another caller can have
+// releaseUnusedTrial returns a trial that led to no run, so that another caller can use
 // it.
 func (x *exchange) releaseUnusedTrial() {
 	if x.trialRun && x.runs == 0 {
@@ -157,8 +157,9 @@
 	}
 }
 
-// checkQuarantine refuses a request that crashes replicas. It has not run under this ID, or
-// fail says so. A retry before the given Retry-After would only be refused again.
+// checkQuarantine refuses a quarantined request. The refusal implies that the request has
+// not run under this ID, unless fail states otherwise. A retry before the given Retry-After
+// would only be refused again.
 func (x *exchange) checkQuarantine() *problem.Error {
 	v, quarantined := x.g.quarantine.Quarantined(x.fingerprint)
 	if !quarantined || x.trialRun {
@@ -258,8 +259,8 @@
 
 // runStages runs the stages of the request, if it has any, and holds their results; nil
 // without stages. They are due for a run whose objective counts from began: once an answer
-// has started, what is left of its own objective does not say when the next run needs the
-// results. It changes nothing else of the exchange.
+// has started, the rest of its own objective does not determine when the next run needs the
+// results. runStages changes nothing else of the exchange.
 func (x *exchange) runStages(ctx context.Context, began time.Time) (*stageInputs, *problem.Error) {
 	j, ok := x.stageJob(began)
 	if !ok {
--- a/gateway/inputs.go
+++ b/gateway/inputs.go
@@ -83,7 +83,7 @@
 }
 
 // cancelInputRelease keeps the inputs of an attempt beyond the time by which the engine
-// must have read them. It says whether they are still held.
+// must have read them. It reports whether they are still held.
 func (t *attempt) cancelInputRelease() bool {
 	t.stopInputRelease()
 	return t.x.inputsHeld.Load()
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -247,8 +247,8 @@
 // announced in an answer that it is leaving, while the store still lists it as ready.
 func TestLeavingReplicaGetsNoMoreCalls(t *testing.T) {
 	t.Parallel()
-	// bound is how long a host may still send requests that arrived before it learned of
-	// it.
+	// bound is how long a host may still send requests that arrived before it was notified
+	// that the replica is leaving.
 	const bound = 2 * time.Second
 	for _, load := range []struct {
 		name, replica, path string
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -22,8 +22,8 @@
 	"github.com/wheatseam/wheatseam/stages"
 )
 
-// serveMetrics serves metrics and the state dump if they have an address. If the port is
-// taken, only these are unavailable.
+// serveMetrics serves metrics and the state dump if an address is set for them. If the port
+// is in use, only these are unavailable.
 func (g *Gateway) serveMetrics(ctx context.Context, group *errgroup.Group) {
 	address := g.settings.Load().Listen.Metrics
 	if address == "" {
--- a/gateway/prompts.go
+++ b/gateway/prompts.go
@@ -16,10 +16,11 @@
 
 const (
 	methodPrompt = "gateway.prompt"
-	// announceReadTimePerHost times the number of hosts is the reading time from which
-	// peers are told of a prompt: the time that they save grows with the reading time, and
-	// the cost of telling them with their number. With an engine that reads 38 tokens per
-	// millisecond, these are prompts of 920 tokens with six hosts, and of 9,300 with sixty.
+	// announceReadTimePerHost times the number of hosts is the reading time from which a
+	// prompt is announced to peers: the time that they save grows with the reading time,
+	// and the cost of the announcement with their number. With an engine that reads 38
+	// tokens per millisecond, these are prompts of 920 tokens with six hosts, and of 9,300
+	// with sixty.
 	announceReadTimePerHost = 4 * time.Millisecond
 	// announceTimeout limits the call to one peer; a later announcement is of no use.
 	announceTimeout = 200 * time.Millisecond
@@ -93,8 +94,8 @@
 	}
 }
 
-// announcePrompt announces a prompt to one peer. A peer that misses it may choose an engine
-// less well.
+// announcePrompt announces a prompt to one peer. A peer that misses the announcement
+// may choose a less suitable engine.
 func (g *Gateway) announcePrompt(host string, p *wire.PromptSent) {
 	ctx, cancel := clock.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -31,8 +31,8 @@
 	// minTimeLeft is the time sent to a replica when the request's deadline passes as it is
 	// sent: without a limit the replica would keep working.
 	minTimeLeft = time.Millisecond
-	// refusedRetryAfter is sent to callers whose request was refused by every replica
-	// tried.
+	// refusedRetryAfter is sent to callers whose request was refused by every replica that
+	// it was sent to.
 	refusedRetryAfter = 500 * time.Millisecond
 )
 
@@ -66,7 +66,7 @@
 	}
 }
 
-// nextReplica returns the replica of the next attempt and the reservation held there; ""
+// nextReplica returns the replica of the next attempt and the reservation there; ""
 // for none. A replacement that was reserved when the last attempt was cancelled needs no
 // further check.
 func (x *exchange) nextReplica() (c request.Choice, reservation string, perr *problem.Error) {
@@ -126,7 +126,7 @@
 	x.respondError(e)
 }
 
-// impliesNotExecuted says whether the status of an error implies that nothing has run.
+// impliesNotExecuted reports whether the status of an error implies that nothing has run.
 func impliesNotExecuted(k problem.Kind) bool {
 	return statusImpliesNotExecuted(problem.Lookup(k).Status)
 }
@@ -151,8 +151,8 @@
 	// ctx ends with the exchange's ctx, or by cancel.
 	ctx    context.Context
 	choice request.Choice
-	// copyFrom is the address of the engine from which the chosen one copies a prefix of
-	// the prompt; "" for none.
+	// copyFrom is the address of the engine from which the chosen engine copies a prefix
+	// of the prompt; "" for none.
 	copyFrom string
 	// reservation is the ID of the capacity reserved for the request; "" for none.
 	reservation string
@@ -168,7 +168,8 @@
 	notice intake.Notice
 	// cancel cancels the attempt by this host's own decision, with a cause.
 	cancel context.CancelCauseFunc
-	// stallError is that cause, once the attempt has ended by it; nil otherwise.
+	// stallError is the cause of the cancellation, once the attempt has ended by it; nil
+	// otherwise.
 	stallError *stallError
 	// stopInputRelease cancels the timed release of the inputs.
 	stopInputRelease func() bool
@@ -232,7 +233,7 @@
 		Replica: t.choice.Upstream, TimeLeft: max(clock.Until(x.deadline), minTimeLeft), Priority: -1,
 		Inputs: x.inputs, LastEventID: x.lastEvent, CacheSource: t.copyFrom, ReservationID: t.reservation,
 	}
-	a.Tenant = x.customer()
+	a.Customer = x.customer()
 	if x.route.Streaming {
 		a.Priority = x.priority().Level()
 	}
@@ -257,9 +258,9 @@
 	return failed, problem.New(problem.UpstreamFailed, "the replica broke off: %v", err)
 }
 
-// reportBrokenConnection starts an investigation into whether the replica crashed under the
-// request. A replica that drains, or is no longer listed, is expected to end; while this
-// host was suspended it may have ended for any reason.
+// reportBrokenConnection has the quarantine check whether the replica crashed while it ran
+// the request. A replica that drains, or is no longer listed, is expected to end; while
+// this host was suspended, the replica may have ended for any reason.
 func (t *attempt) reportBrokenConnection() {
 	x := t.x
 	r, listed := x.g.discovery.View().Replicas[t.choice.Upstream]
@@ -302,8 +303,8 @@
 	return answered, nil
 }
 
-// retryFollows says whether another run follows an answer that reports a failure: the one
-// that was reserved, or one that the retry budget allows.
+// retryFollows reports whether another run follows an answer that reports a failure: the
+// one that was reserved, or one that the retry budget allows.
 func (t *attempt) retryFollows() bool {
 	if t.watch != nil && t.watch.stop(true) != nil {
 		return true
@@ -311,7 +312,7 @@
 	return t.x.retryDenied(failed) == ""
 }
 
-// statusImpliesNotExecuted says whether a status implies that nothing has run.
+// statusImpliesNotExecuted reports whether a status implies that nothing has run.
 func statusImpliesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -375,7 +376,7 @@
 	return int(expected.Milliseconds())
 }
 
-// reportOutcome tells the router how the attempt ended.
+// reportOutcome reports the end of the attempt to the router.
 func (t *attempt) reportOutcome(end attemptEnd) {
 	now := clock.Now()
 	o := request.Outcome{Choice: t.choice, Stage: t.x.route.Name, Latency: now.Sub(t.began)}
--- a/gateway/reservation_test.go
+++ b/gateway/reservation_test.go
@@ -14,9 +14,9 @@
 
 // Guards against a caller getting the failure of a silent engine although the host has a
 // retry left and another engine is idle. The failure arrived while a replacement was being
-// reserved, which holds the retry: the failed run was denied one, and the retry was
-// returned to the budget afterwards. A failure during a reservation must be retried, even
-// with a single retry.
+// reserved, which takes the retry from the budget: the failed run was denied one, and the
+// retry was returned to the budget afterwards. A failure during a reservation must be
+// retried, even with a single retry.
 func TestStreamsThatFailDuringReservationAreRetried(t *testing.T) {
 	f := newFixtureOf(t)
 	const (
--- a/gateway/resume_test.go
+++ b/gateway/resume_test.go
@@ -13,8 +13,8 @@
 // Guards against streams with stages that cannot resume at another engine once their
 // objective for the first event has passed. Of 61 streams whose connections were cut, the
 // twelve without stages resumed; the 49 with stages were refused by the stage planner a few
-// milliseconds later, and broken off. The stage results for the next run were due by what
-// was left of the objective of the first event. That has passed when a stream has been
+// milliseconds later, and ended incomplete. The stage results for the next run were due
+// within the objective of the first event. That objective has passed when a stream has been
 // running for long, and the planner refuses a job that is already due, whatever its
 // capacity: its log lines show "overload" with 0.3 s predicted and nine seconds left.
 func TestStreamsWithStagesResumeAfterTheirObjective(t *testing.T) {
--- a/gateway/retry.go
+++ b/gateway/retry.go
@@ -88,7 +88,8 @@
 	return ""
 }
 
-// routeRetryDenied says why the route allows no further run after this many; "" if it does.
+// routeRetryDenied returns why the route allows no further run after this many; "" if the
+// route allows one.
 func (x *exchange) routeRetryDenied(runs int) denial {
 	switch {
 	case !x.route.MayRepeat():
@@ -101,7 +102,7 @@
 	return ""
 }
 
-// resumableFrom says whether a further attempt can resume the answer from this point.
+// resumableFrom reports whether a further attempt can resume the answer from this point.
 func (x *exchange) resumableFrom(at progress) bool {
 	return !at.committed || x.route.Resumable && at.lastEvent != ""
 }
--- a/gateway/stallwatch.go
+++ b/gateway/stallwatch.go
@@ -86,7 +86,7 @@
 	return fmt.Sprintf("stalled for %s, status reported by the replica: %s", e.silence.Round(time.Millisecond), e.status)
 }
 
-// replicaAtFault says whether the replica's own report, or the lack of one, puts the
+// replicaAtFault reports whether the replica's own report, or the lack of one, puts the
 // replica at fault.
 func (e *stallError) replicaAtFault() bool { return e.status.Suspect() }
 
--- a/gateway/stallwatch_test.go
+++ b/gateway/stallwatch_test.go
@@ -17,7 +17,7 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// Guards against streams being broken off about 840 ms after their last event although no
+// Guards against streams being cancelled about 840 ms after their last event although no
 // engine was slow or failing; this happened 59 times on one day with 295 hosts. An engine
 // that reads a long prompt keeps its other streams silent for seconds. The daemon took a
 // silence of 0.6 of the route's objective for a failure of the engine, closed the
@@ -167,7 +167,7 @@
 	return ""
 }
 
-// replaceable says whether a stream could resume elsewhere.
+// replaceable reports whether a stream could resume elsewhere.
 func (c pauseCase) replaceable() bool {
 	return c.settings == nil && c.setup == nil && c.atFirstEvent == nil
 }
@@ -226,7 +226,7 @@
 }
 
 // announceBothLeaving makes the engines announce in their answers from now on that they are
-// leaving: the daemon learns it from the answer to its reservation.
+// leaving: the daemon gets this notice with the answer to its reservation.
 func announceBothLeaving(f *fixture, _ pauseCase) {
 	f.replicas["e1"].SayLeaving()
 	f.replicas["e2"].SayLeaving()
@@ -398,8 +398,8 @@
 // that one and how long it took.
 func (f *fixture) sendUntilFirstEngine(g *gatewayProcess, change func(*http.Request)) (a answer, id string, took time.Duration) {
 	f.test.Helper()
-	const maxTries = 40 // the engine is chosen at random
-	for range maxTries {
+	const maxRequests = 40 // the engine is chosen at random
+	for range maxRequests {
 		began := time.Now()
 		a, id = g.sendLong(change, func() {})
 		if runs := f.ledger.Runs(id); len(runs) > 0 && runs[0].Replica == "e1" {
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -113,7 +113,7 @@
 	return http.NewResponseController(x.w).Flush()
 }
 
-// alreadySent says whether an event of a resumed stream was sent before.
+// alreadySent reports whether an event of a resumed stream was sent before.
 func (x *exchange) alreadySent(id string) bool {
 	if id == "" || x.lastEvent == "" {
 		return false
@@ -176,5 +176,5 @@
 	}
 }
 
-// partial says whether the stream ended inside an event.
+// partial reports whether the stream ended inside an event.
 func (e *eventReader) partial() bool { return len(e.buf) > 0 }
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -40,7 +40,7 @@
 		Expect(a.body).To(Equal(streamEvents(id, 3, 5)))
 	})
 
-	It("do not look complete when they broke off and may not resume elsewhere", func() {
+	It("do not look complete when they are interrupted and may not resume elsewhere", func() {
 		f := newFixture()
 		f.behave("llm", site.Behaviour{CutAfterEvents: 2})
 		a, id := f.start().ready().send(http.MethodPost, streamPath, "prompt", nil)
@@ -102,7 +102,7 @@
 		Expect(f.ledger.Runs(id)).To(BeEmpty())
 	})
 
-	It("survive a stage replica that breaks off during its work", func() {
+	It("survive a stage replica that closes the connection during its work", func() {
 		f := newFixture()
 		f.replicas["s1"].Behave(site.Behaviour{CutBefore: true})
 		g := f.start().ready()
--- a/stages/planner.go
+++ b/stages/planner.go
@@ -465,14 +465,14 @@
 	p.perform(actions)
 }
 
-// errReplicaClosed reports that a replica has announced, after the call was dispatched,
+// errReplicaRefuses reports that a replica has announced, after the call was dispatched,
 // that it accepts no calls.
-var errReplicaClosed = errors.New("the replica accepts no calls")
+var errReplicaRefuses = errors.New("the replica accepts no calls")
 
 // send makes the call unless the replica has announced meanwhile that it accepts no calls.
 func (p *planner) send(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error) {
 	if p.limiters.Get(a.Replica).RefusedByReplica(clock.Now()) {
-		return nil, stage.CallNotExecuted, errReplicaClosed
+		return nil, stage.CallNotExecuted, errReplicaRefuses
 	}
 	return p.replicas.RunPieces(ctx, a)
 }
--- a/stages/remote.go
+++ b/stages/remote.go
@@ -32,7 +32,7 @@
 	submitTimeout = 250 * time.Millisecond
 	// pollWait is how long a planner holds a poll while there is no outcome, and
 	// pollGrace how much later its answer may arrive. Daemons run as batch processes on
-	// a share of a core and may be paused for 100 ms.
+	// a share of a core and may be suspended for 100 ms.
 	pollWait  = 250 * time.Millisecond
 	pollGrace = 250 * time.Millisecond
 	// retryTimeout limits probing an unresponsive planner on a new session, and calling
