--- a/core/member/doc.go
+++ b/core/member/doc.go
@@ -15,7 +15,7 @@
 // goroutine may call a Machine at a time; the slices and messages that it
 // returns belong to the caller and are not modified afterwards.
 //
-// Other packages attach a few bytes to the heartbeats by registering an
-// Extension, which defines a slot: the values of direct slots reach only the
+// Other packages attach a few bytes to the heartbeats by registering a
+// SlotConfig, which defines a slot: the values of direct slots reach only the
 // neighbours, the values of fleet-wide slots reach every host.
 package member
--- a/core/member/machine.go
+++ b/core/member/machine.go
@@ -252,7 +252,7 @@
 }
 
 // allDeadGracePeriod is how long a stale view stays stale when all neighbours
-// are dead and so none can refresh it.
+// are dead, so that none can refresh it.
 const allDeadGracePeriod = 10 * time.Second
 
 // updateFreshness ends the stale period once a majority of the neighbours that
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -232,7 +232,7 @@
 		f.resetCounters()
 		f.step("entry-009", SetSlot{ID: directTestSlot, Value: []byte("near")})
 		f.step("entry-009", SetSlot{ID: fleetTestSlot, Value: []byte("far"), Urgent: true})
-		heard := func(id SlotID) int {
+		receivers := func(id SlotID) int {
 			count := 0
 			for _, name := range f.names {
 				for _, a := range f.nodes[name].actions {
@@ -244,10 +244,10 @@
 			}
 			return count
 		}
-		_, ok := f.runUntil(30*time.Second, func() bool { return heard(fleetTestSlot) == 39 })
+		_, ok := f.runUntil(30*time.Second, func() bool { return receivers(fleetTestSlot) == 39 })
 		Expect(ok).To(BeTrue())
 		f.run(10 * time.Second)
-		Expect(heard(directTestSlot)).To(And(BeNumerically(">", 6), BeNumerically("<=", 25)))
+		Expect(receivers(directTestSlot)).To(And(BeNumerically(">", 6), BeNumerically("<=", 25)))
 	})
 	It("distinguishes values sent before a pause from answers after it", func() {
 		f := newFleet(7, 3, 18, withTestSlots)
--- a/core/request/doc.go
+++ b/core/request/doc.go
@@ -18,9 +18,9 @@
 //
 // # Guarantees
 //
-// A non-repeatable stage is sent only after a Claim action was answered with
+// A non-repeatable stage is sent only after an AcquireClaim action was answered with
 // Won. It is sent again only if the upstream is known not to have executed the
-// earlier call. Its result is recorded by a Record action before the request
+// earlier call. Its result is recorded by a RecordResult action before the request
 // finishes. If a request finishes with an Execution of problem.NotRun, none of
 // the calls it sent can have been executed.
 package request
--- a/core/request/event.go
+++ b/core/request/event.go
@@ -17,7 +17,7 @@
 // if Grant.Err is set.
 type SlotGranted struct{ Grant Grant }
 
-// ClaimDecided answers a Claim action. Exactly one of the fields is set.
+// ClaimDecided answers an AcquireClaim action. Exactly one of the fields is set.
 type ClaimDecided struct {
 	// Won means that this request has the exclusive right to run the stage.
 	Won bool
--- a/core/request/ports.go
+++ b/core/request/ports.go
@@ -189,8 +189,8 @@
 	Failed(now time.Time, pool string)
 }
 
-// Claimer carries out Claim, Release and Record actions. It does I/O and is used
-// by the code that executes actions, never by a Machine. Implementations are safe
+// Claimer carries out AcquireClaim, ReleaseClaim and RecordResult actions. It does I/O and
+// is used by the code that executes actions, never by a Machine. Implementations are safe
 // for concurrent use.
 type Claimer interface {
 	// Acquire claims key for the request, which arrived at the given time, and
@@ -202,7 +202,7 @@
 	Acquire(ctx context.Context, key ClaimKey, request string, arrived time.Time, digest [32]byte) ClaimDecided
 	// Release releases a claim under which no call was sent. From then on the
 	// holders refuse every attempt at key that arrived before the release, so
-	// that a NotRun response stays true even if a paused daemon resumes.
+	// that a NotRun response stays true even if a suspended daemon resumes.
 	Release(ctx context.Context, key ClaimKey, request string) error
 	// Void makes a NotRun response true for a request that is refused before it
 	// claimed the key. Unless the key is claimed or recorded, the holders refuse
--- a/core/rollout/event.go
+++ b/core/rollout/event.go
@@ -61,8 +61,8 @@
 // ServiceFailed reports that a read of the service failed.
 type ServiceFailed struct{ Err error }
 
-// Resumed reports that the process was paused. It is not ready until its peers have
-// answered again.
+// Resumed reports that the process was suspended. The daemon is not ready until its peers
+// have answered again.
 type Resumed struct{}
 
 func (Tick) isEvent()             {}
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -55,13 +55,13 @@
 
 func (c localCaller) Call(ctx context.Context, host, method string, req, resp proto.Message) error {
 	c.hosts.mu.Lock()
-	mux, cut, frozen := c.hosts.muxes[host], c.hosts.disconnected[host], c.hosts.unresponsive[host]
+	mux, disconnected, unresponsive := c.hosts.muxes[host], c.hosts.disconnected[host], c.hosts.unresponsive[host]
 	c.hosts.mu.Unlock()
-	if frozen {
+	if unresponsive {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	if mux == nil || cut {
+	if mux == nil || disconnected {
 		return errDisconnected
 	}
 	return peer.CallLocal(ctx, mux, c.self, method, req, resp)
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -18,9 +18,9 @@
 // hosts.
 var _ = Describe("a request that crashes its replicas", func() {
 	const (
-		// spreadTime is how long after the third crash a daemon may still not know the
-		// request.
-		spreadTime = 3 * time.Second
+		// propagationTime is how long after the third crash a daemon may still be unaware
+		// of the request.
+		propagationTime = 3 * time.Second
 		// crashesToQuarantine are the crashes after which a request is quarantined, and
 		// maxSendsAfter the sends that the users allow after that.
 		crashesToQuarantine = 3
@@ -73,7 +73,7 @@
 			}
 			thirdCrashAt := time.Now()
 			By("retrying when every daemon must know")
-			time.Sleep(time.Until(thirdCrashAt.Add(spreadTime)))
+			time.Sleep(time.Until(thirdCrashAt.Add(propagationTime)))
 			before := len(f.ledger.RunsOf(culprit))
 			for i := range 4 * maxSendsAfter {
 				a, _ := gateways[i%len(gateways)].send(http.MethodPost, path, culprit, change)
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -141,11 +141,11 @@
 			f := newFixtureOf(t)
 			hosts := f.startThreeHosts()
 			f.replicas[load.replica].NameLimit(strconv.Itoa(perSecond))
-			named := time.Now()
+			announcedAt := time.Now()
 			p := sendLoad(hosts, 150*time.Millisecond, settleTime+2*window, load.path, load.change)
 			f.expectAllServed(p)
 			arrived := f.replicas[load.replica].Arrived()
-			f.Expect(maxInWindow(arrived, named.Add(settleTime), window)).To(And(BeNumerically("<=", allowed), BeNumerically(">", 0)))
+			f.Expect(maxInWindow(arrived, announcedAt.Add(settleTime), window)).To(And(BeNumerically("<=", allowed), BeNumerically(">", 0)))
 		})
 	}
 }
--- a/gateway/unanswered_test.go
+++ b/gateway/unanswered_test.go
@@ -17,7 +17,7 @@
 func ampleRetryBudget(s *gateway.Settings) { s.Budget.Ratio, s.Budget.Slack = 1, 500 }
 
 // Guards against callers waiting until their deadline for streams that have not begun: an
-// engine that accepted the connection and then answered nothing was watched only from the
+// engine that accepted the connection and then answered nothing was monitored only from the
 // head of its answer on. The run must be replaced like one whose engine falls silent,
 // before callers disconnect.
 func TestUnansweredStreamsMoveElsewhere(t *testing.T) {
