--- a/core/intake/doc.go
+++ b/core/intake/doc.go
@@ -16,7 +16,7 @@
 // Shares is immutable. The quotas of hosts that know the same hosts add up to the limit. A
 // host that knows more hosts than the others gets the same quota or a smaller one, so hosts
 // that still list dead ones stay within the limit. A host that knows fewer may get more
-// than its quota. A host that does not know its fleet yet must use NoQuota.
+// than its share of the limit. A host that does not know its fleet yet must use NoQuota.
 //
 // A limit does not expire if its replica has not repeated it for a long time. Instead the
 // hosts without a quota may begin single probe calls in turn, and the first response to a
--- a/core/prefix/index.go
+++ b/core/prefix/index.go
@@ -7,7 +7,7 @@
 
 const (
 	// EntryLifetime is how long an engine is assumed to keep a prefix after a prompt
-	// with it was sent there. Engines evict the least recently used parts, usually
+	// with it was sent there. Engines evict the least recently used segments, usually
 	// after minutes. Trying to copy from an engine that has evicted them costs a round
 	// trip.
 	EntryLifetime = 30 * time.Second
--- a/core/prefix/index_test.go
+++ b/core/prefix/index_test.go
@@ -42,9 +42,9 @@
 		Entry("no engine has the prefix", nil, []uint64{1, 2}, "e1", ""),
 		Entry("the target engine has the whole prefix", []sent{{"e1", []uint64{1, 2}}, {"e2", []uint64{1, 2}}}, []uint64{1, 2}, "e1", ""),
 		Entry("another engine has the whole prefix", []sent{{"e2", []uint64{1, 2}}}, []uint64{1, 2}, "e1", "e2"),
-		Entry("the target has the first part, another engine has both", []sent{{"e1", []uint64{1}}, {"e2", []uint64{1, 2}}}, []uint64{1, 2}, "e1", "e2"),
-		Entry("another engine has only the first part", []sent{{"e2", []uint64{1, 3}}}, []uint64{1, 2}, "e1", "e2"),
-		Entry("both engines have only the first part", []sent{{"e1", []uint64{1, 4}}, {"e2", []uint64{1, 3}}}, []uint64{1, 2}, "e1", ""),
+		Entry("the target has the first segment, another engine has both", []sent{{"e1", []uint64{1}}, {"e2", []uint64{1, 2}}}, []uint64{1, 2}, "e1", "e2"),
+		Entry("another engine has only the first segment", []sent{{"e2", []uint64{1, 3}}}, []uint64{1, 2}, "e1", "e2"),
+		Entry("both engines have only the first segment", []sent{{"e1", []uint64{1, 4}}, {"e2", []uint64{1, 3}}}, []uint64{1, 2}, "e1", ""),
 		Entry("the engine that was sent the prefix last", []sent{{"e2", []uint64{1}}, {"e3", []uint64{1}}}, []uint64{1}, "e1", "e3"),
 		Entry("a prompt without prefixes", []sent{{"e2", []uint64{1}}}, nil, "e1", ""),
 	)
--- a/core/stage/timeout.go
+++ b/core/stage/timeout.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// A call that times out is not ended: its replica may have paused, and will go on with the
-// call that it is executing whether or not anyone waits for it. A timed-out call no longer
-// takes a slot at the replica. Its pieces are queued again, possibly for the same replica,
-// and the first result is used. Once no job needs the call it is abandoned, but only if the
-// replica can still drop it: the results of a call that is being executed would take up
-// memory with no planner left to release them.
+// A call that times out is not ended: its replica may have been suspended, and continues
+// the call that it is executing whether or not anyone waits for it. A timed-out call no
+// longer takes a slot at the replica. Its pieces are queued again, possibly for the same
+// replica, and the first result is used. Once no job needs the call it is abandoned, but
+// only if the replica can still drop it: the results of a call that is being executed would
+// take up memory with no planner left to release them.
 
 // timedOutCheckInterval is the interval at which it is checked whether a timed-out call is
 // still needed.
--- a/discovery/changes.go
+++ b/discovery/changes.go
@@ -176,8 +176,8 @@
 }
 
 // cannotRefresh reports whether this host has lost the store and its view is too old for
-// peers or depends on them. There will be no more recent view soon, and a requester that
-// learns this at once loses no time.
+// peers or depends on them. There will be no more recent view soon, so a requester is
+// answered at once and loses no time.
 func (d *Discovery) cannotRefresh(v *View) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/gateway/prompts.go
+++ b/gateway/prompts.go
@@ -33,16 +33,16 @@
 	index prefix.Index
 }
 
-// prefixHashes returns the hash of the first part of the prompt, of the first two and so
-// on, without the last part, which no other prompt shares.
+// prefixHashes returns the hash of the first segment of the prompt, of the first two and so
+// on, without the last segment, which no other prompt shares.
 func (x *exchange) prefixHashes() []uint64 {
-	parts := x.req.Prompt
-	if len(parts) < 2 {
+	segments := x.req.Prompt
+	if len(segments) < 2 {
 		return nil
 	}
 	d := xxhash.New()
-	hashes := make([]uint64, 0, len(parts)-1)
-	for _, p := range parts[:len(parts)-1] {
+	hashes := make([]uint64, 0, len(segments)-1)
+	for _, p := range segments[:len(segments)-1] {
 		_, _ = d.WriteString(p.ID) // never fails
 		hashes = append(hashes, d.Sum64())
 	}
--- a/gateway/prompts_test.go
+++ b/gateway/prompts_test.go
@@ -11,7 +11,7 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// prompt declares a prompt of two shared parts and an unshared one.
+// prompt declares a prompt of two shared segments and an unshared one.
 func prompt(shared string, own int) func(*http.Request) {
 	return func(r *http.Request) {
 		r.Header.Set("Prefix-Hash", fmt.Sprintf("%s1:300,%s2:200,%x:%d", shared, shared, nextID.Add(1), own))
--- a/gateway/stallwatch_test.go
+++ b/gateway/stallwatch_test.go
@@ -388,7 +388,7 @@
 }
 
 // silence makes the first engine silent for good after a number of events. Events are
-// spaced out so that a muted run is still in progress when it is detected.
+// spaced out so that a silenced run is still in progress when the silence is detected.
 func (f *fixture) silence(silence site.Silence, afterEvents int) {
 	const eventInterval = 20 * time.Millisecond
 	f.replicas["e1"].Behave(site.Behaviour{PauseAfterEvents: afterEvents, Silence: silence, EventEvery: eventInterval})
