--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -125,7 +125,7 @@
 }
 
 // Supports says what the upstreams of a pool are able to do.
-type Supports struct {
+type UpstreamFeatures struct {
 	Priority        bool `yaml:"priority"`
 	Cancellation    bool `yaml:"cancellation"`
 	IdempotencyKeys bool `yaml:"idempotency_keys"`
@@ -141,8 +141,8 @@
 	Version  string   `yaml:"model_version,omitempty"`
 	Adapters []string `yaml:"adapters,omitempty"`
 	// Role is the engines' role: "mixed", "prefill" or "decode".
-	Role     string   `yaml:"role,omitempty" validate:"omitempty,oneof=mixed prefill decode"`
-	Supports Supports `yaml:"supports"`
+	Role     string           `yaml:"role,omitempty" validate:"omitempty,oneof=mixed prefill decode"`
+	Supports UpstreamFeatures `yaml:"supports"`
 	// Concurrency is the number of calls one upstream runs well at a time:
 	// the start of the adaptive limit.
 	Concurrency int `yaml:"concurrency" validate:"gte=1"`
--- a/bundle/bundletest/bundletest.go
+++ b/bundle/bundletest/bundletest.go
@@ -24,12 +24,12 @@
 }
 
 // Target is the users' target size.
-var Target = Sizes{
+var TargetSizes = Sizes{
 	Regions: 3, Domains: 8, Hosts: 410, Models: 27, Upstreams: 610, Pipelines: 12, Customers: 410,
 }
 
 // Today is about the size that one deployment has today.
-var Today = Sizes{
+var CurrentSizes = Sizes{
 	Regions: 1, Domains: 4, Hosts: 7, Models: 1, Upstreams: 36, Pipelines: 4, Customers: 5,
 }
 
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -40,7 +40,7 @@
 		return
 	}
 	if first, seen := u[value]; seen {
-		c.Add(path, "%q is already used by %s", value, first)
+		c.AddProblem(path, "%q is already used by %s", value, first)
 		return
 	}
 	u[value] = path
@@ -74,21 +74,21 @@
 	if err == nil && address.Port() != 0 && !address.Addr().IsUnspecified() {
 		return
 	}
-	if !c.Has(path) {
-		c.Add(path, "want an address in the form ip:port")
+	if !c.HasProblemAt(path) {
+		c.AddProblem(path, "want an address in the form ip:port")
 	}
 }
 
 // domain notes a fault when no failure domain has that name.
 func (c *checker) domain(name, path string) {
 	if name != "" && !c.domains[name] {
-		c.Add(path, "there is no failure domain %q", name)
+		c.AddProblem(path, "there is no failure domain %q", name)
 	}
 }
 
 func (c *checker) checkObjective() {
-	if c.b.Objective.Attainment == 0 && c.b.Objective.CostByStage == 0 && !c.Has("objective") {
-		c.Add("objective", "one of attainment and cost_by_stage must be above 0")
+	if c.b.Objective.Attainment == 0 && c.b.Objective.CostByStage == 0 && !c.HasProblemAt("objective") {
+		c.AddProblem("objective", "one of attainment and cost_by_stage must be above 0")
 	}
 }
 
@@ -100,7 +100,7 @@
 		addresses.check(c, h.PeerAddress, path+".peer_address")
 		c.address(h.PeerAddress, path+".peer_address")
 		if !h.EndedAt.IsZero() {
-			c.Add(path+".ended_at", "belongs to hosts in views")
+			c.AddProblem(path+".ended_at", "belongs to hosts in views")
 		}
 		c.domain(h.FailureDomain, path+".failure_domain")
 	}
@@ -113,7 +113,7 @@
 	for i, v := range c.b.Views {
 		path := indexed("views", i)
 		if v.Version >= newer {
-			c.Add(path+".version", "%d is not below %d: views stand newest first, below the bundle's version", v.Version, newer)
+			c.AddProblem(path+".version", "%d is not below %d: views stand newest first, below the bundle's version", v.Version, newer)
 		}
 		newer = v.Version
 		names := unique{}
@@ -127,20 +127,20 @@
 	p := c.b.Claims
 	switch {
 	case p.GroupSize < 1:
-		c.Add("claims.group_size", "must be 1 or more")
+		c.AddProblem("claims.group_size", "must be 1 or more")
 	case p.GroupSize%2 == 0:
-		c.Add("claims.group_size", "%d is even: a majority of it is no safer than of %d", p.GroupSize, p.GroupSize-1)
+		c.AddProblem("claims.group_size", "%d is even: a majority of it is no safer than of %d", p.GroupSize, p.GroupSize-1)
 	case p.GroupSize > len(c.b.Hosts):
-		c.Add("claims.group_size", "%d is more than the %d hosts", p.GroupSize, len(c.b.Hosts))
+		c.AddProblem("claims.group_size", "%d is more than the %d hosts", p.GroupSize, len(c.b.Hosts))
 	}
 	if p.MaxClockSkew <= 0 {
-		c.Add("claims.max_clock_skew", "must be above 0")
+		c.AddProblem("claims.max_clock_skew", "must be above 0")
 	}
 	if p.MaxKeyAhead < 0 {
-		c.Add("claims.max_key_ahead", "must be 0 or more")
+		c.AddProblem("claims.max_key_ahead", "must be 0 or more")
 	}
 	if p.Retention <= p.MaxClockSkew+p.MaxKeyAhead {
-		c.Add("claims.retention", "must be above max_clock_skew + max_key_ahead (%s)", p.MaxClockSkew+p.MaxKeyAhead)
+		c.AddProblem("claims.retention", "must be above max_clock_skew + max_key_ahead (%s)", p.MaxClockSkew+p.MaxKeyAhead)
 	}
 }
 
@@ -167,13 +167,13 @@
 
 func (c *checker) checkPoolKind(p Pool, path string) {
 	if p.Kind == PoolEngine && p.Model == "" {
-		c.Add(path+".model", "an engine pool needs a model")
+		c.AddProblem(path+".model", "an engine pool needs a model")
 	}
 	if p.Kind != PoolService {
 		return
 	}
 	if p.Model != "" || p.Version != "" || len(p.Adapters) > 0 || p.Role != "" {
-		c.Add(path, "model, model_version, adapters and role belong to engine pools")
+		c.AddProblem(path, "model, model_version, adapters and role belong to engine pools")
 	}
 }
 
@@ -200,37 +200,37 @@
 		nonRepeatable = nonRepeatable || s.NonRepeatable
 	}
 	if p.Deadline > 0 && expected > p.Deadline {
-		c.Add(path+".deadline", "%s is impossible: the stages are expected to take %s", p.Deadline, expected)
+		c.AddProblem(path+".deadline", "%s is impossible: the stages are expected to take %s", p.Deadline, expected)
 	}
 	claims := c.b.Claims
 	if nonRepeatable && p.Deadline+claims.MaxClockSkew+claims.MaxKeyAhead >= claims.Retention {
-		c.Add(path+".deadline", "%s with max_clock_skew and max_key_ahead is not below claims.retention (%s), "+
+		c.AddProblem(path+".deadline", "%s with max_clock_skew and max_key_ahead is not below claims.retention (%s), "+
 			"so a claim could be forgotten while its request runs", p.Deadline, claims.Retention)
 	}
 }
 
 func (c *checker) checkStage(s Stage, path string) {
 	if s.NonRepeatable && s.Kind != StageCall {
-		c.Add(path+".non_repeatable", "only a stage of kind call can be non-repeatable, not %s", s.Kind)
+		c.AddProblem(path+".non_repeatable", "only a stage of kind call can be non-repeatable, not %s", s.Kind)
 	}
 	if s.MaxTokens > 0 && s.Kind != StageGenerate {
-		c.Add(path+".max_tokens", "belongs to stages of kind generate")
+		c.AddProblem(path+".max_tokens", "belongs to stages of kind generate")
 	}
 	if s.Path != "" && !strings.HasPrefix(s.Path, "/") {
-		c.Add(path+".path", "must start with /")
+		c.AddProblem(path+".path", "must start with /")
 	}
 	if s.Path != "" && s.Kind == StageGenerate {
-		c.Add(path+".path", "belongs to stages that call services")
+		c.AddProblem(path+".path", "belongs to stages that call services")
 	}
 	pool, known := c.pools[s.Pool]
 	switch {
 	case s.Pool == "":
 	case !known:
-		c.Add(path+".pool", "there is no pool %q", s.Pool)
+		c.AddProblem(path+".pool", "there is no pool %q", s.Pool)
 	case s.Kind == StageGenerate && pool.Kind != PoolEngine:
-		c.Add(path+".pool", "a generate stage needs an engine pool; %q is of kind %s", s.Pool, pool.Kind)
+		c.AddProblem(path+".pool", "a generate stage needs an engine pool; %q is of kind %s", s.Pool, pool.Kind)
 	case s.Kind != StageGenerate && pool.Kind != PoolService:
-		c.Add(path+".pool", "a stage of kind %s needs a service pool; %q is of kind %s", s.Kind, s.Pool, pool.Kind)
+		c.AddProblem(path+".pool", "a stage of kind %s needs a service pool; %q is of kind %s", s.Kind, s.Pool, pool.Kind)
 	}
 }
 
@@ -247,7 +247,7 @@
 			pipeline := indexed(path+".pipelines", j)
 			pipelines.check(c, name, pipeline)
 			if name != "" && !c.pipelines[name] {
-				c.Add(pipeline, "there is no pipeline %q", name)
+				c.AddProblem(pipeline, "there is no pipeline %q", name)
 			}
 		}
 	}
@@ -258,7 +258,7 @@
 func (c *checker) checkKeyHash(seen unique, hash, path string) {
 	hash = strings.ToLower(hash)
 	if first, known := seen[hash]; known {
-		c.Add(path, "key hash %s is already used by %s", shortHash(hash), first)
+		c.AddProblem(path, "key hash %s is already used by %s", shortHash(hash), first)
 		return
 	}
 	seen[hash] = path
--- a/bundle/diff.go
+++ b/bundle/diff.go
@@ -66,7 +66,7 @@
 func (d *differ) structure(path string, a, b reflect.Value) {
 	for i := range a.NumField() {
 		field := a.Type().Field(i)
-		d.value(strictyaml.Join(path, strictyaml.Key(field)), a.Field(i), b.Field(i), isSecret(field))
+		d.value(strictyaml.JoinPath(path, strictyaml.FieldKey(field)), a.Field(i), b.Field(i), isSecret(field))
 	}
 }
 
@@ -191,7 +191,7 @@
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
 		if !v.Field(i).IsZero() {
-			parts = append(parts, strictyaml.Key(field)+": "+flow(v.Field(i), isSecret(field)))
+			parts = append(parts, strictyaml.FieldKey(field)+": "+flow(v.Field(i), isSecret(field)))
 		}
 	}
 	return "{" + strings.Join(parts, ", ") + "}"
--- a/bundle/fields.go
+++ b/bundle/fields.go
@@ -19,7 +19,7 @@
 
 func newFieldChecks() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
-	v.RegisterTagNameFunc(strictyaml.Key)
+	v.RegisterTagNameFunc(strictyaml.FieldKey)
 	must(v.RegisterValidation("name", func(f validator.FieldLevel) bool {
 		return namePattern.MatchString(f.Field().String())
 	}))
@@ -42,10 +42,10 @@
 	found := strictyaml.Report{Problems: r.Problems}
 	for _, fault := range faults {
 		_, path, _ := strings.Cut(fault.Namespace(), ".")
-		if found.Has(path) || found.HasWithin(path) {
+		if found.HasProblemAt(path) || found.HasProblemWithin(path) {
 			continue
 		}
-		r.Add(path, "%s", faultMessage(fault))
+		r.AddProblem(path, "%s", faultMessage(fault))
 	}
 }
 
--- a/bundle/heap_bench_test.go
+++ b/bundle/heap_bench_test.go
@@ -12,7 +12,7 @@
 // BenchmarkHeap reports what a parsed bundle holds, and its text, as all but
 // pipelines and regions grow up to the users' target size.
 func BenchmarkHeap(b *testing.B) {
-	t := bundletest.Target
+	t := bundletest.TargetSizes
 	for _, part := range []int{8, 4, 2, 1} {
 		sizes := bundletest.Sizes{
 			Regions: t.Regions, Domains: t.Domains, Pipelines: t.Pipelines,
--- a/bundle/parse.go
+++ b/bundle/parse.go
@@ -31,7 +31,7 @@
 func Parse(raw []byte) (*Bundle, error) {
 	if len(raw) > MaxSize {
 		r := &strictyaml.Report{}
-		r.Add("", "%d bytes, at most %d are allowed", len(raw), MaxSize)
+		r.AddProblem("", "%d bytes, at most %d are allowed", len(raw), MaxSize)
 		return nil, checkError(r)
 	}
 	b := withDefaults()
--- a/bundle/parts_test.go
+++ b/bundle/parts_test.go
@@ -54,8 +54,8 @@
 	})
 
 	It("leaves all parts alone but those that an edit touches", func() {
-		before := bundle.Sign(bundletest.YAML(bundletest.Target, 7), testKey(1))
-		edited := bytes.Replace(bundletest.YAML(bundletest.Target, 8),
+		before := bundle.Sign(bundletest.YAML(bundletest.TargetSizes, 7), testKey(1))
+		edited := bytes.Replace(bundletest.YAML(bundletest.TargetSizes, 8),
 			[]byte("name: customer-200\n"), []byte("name: renamed-customer-200\n"), 1)
 		after := bundle.Sign(edited, testKey(1))
 		known := store{}
@@ -65,7 +65,7 @@
 	})
 
 	It("says what is missing, and refuses parts that differ from the digest", func() {
-		signed := bundle.Sign(bundletest.YAML(bundletest.Target, 7), testKey(1))
+		signed := bundle.Sign(bundletest.YAML(bundletest.TargetSizes, 7), testKey(1))
 		manifest := bundle.NewManifest(7, signed)
 		parts := store{}
 		parts.add(signed)
@@ -82,7 +82,7 @@
 	})
 
 	It("come from valid bundles of any size", func() {
-		for _, sizes := range []bundletest.Sizes{bundletest.Target, bundletest.Today} {
+		for _, sizes := range []bundletest.Sizes{bundletest.TargetSizes, bundletest.CurrentSizes} {
 			b := bundletest.Bundle(sizes, 3)
 			upstreams := 0
 			for _, p := range b.Pools {
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -77,7 +77,7 @@
 
 // Open verifies a signed bundle and parses it. Nothing of a bundle that does
 // not verify is parsed.
-func Open(signed []byte, keys []ed25519.PublicKey) (*Bundle, error) {
+func VerifyAndParse(signed []byte, keys []ed25519.PublicKey) (*Bundle, error) {
 	if len(signed) > MaxSize {
 		return nil, fmt.Errorf("bundle: %d bytes, at most %d are allowed", len(signed), MaxSize)
 	}
--- a/cluster/members.go
+++ b/cluster/members.go
@@ -21,7 +21,7 @@
 
 // hooks connect membership to the other parts.
 func (c *Cluster) hooks() membership.Hooks {
-	return membership.Hooks{Slot: c.slotHeard, Changed: c.memberChanged, Fresh: c.freshness, View: c.viewChanged}
+	return membership.Hooks{SlotReceived: c.slotHeard, MemberChanged: c.memberChanged, FreshnessChanged: c.freshness, ViewChanged: c.viewChanged}
 }
 
 // slotHeard keeps an extension's value, or hands the bundle's mark over.
@@ -55,8 +55,8 @@
 }
 
 func (c *Cluster) viewChanged(next, old *membership.View) {
-	if next.Living != old.Living || !slices.Equal(next.Neighbours, old.Neighbours) {
-		c.rollouts.post(rollout.PeersChanged{Neighbours: next.Neighbours, LiveHosts: next.Living})
+	if next.LiveCount != old.LiveCount || !slices.Equal(next.Neighbours, old.Neighbours) {
+		c.rollouts.post(rollout.PeersChanged{Neighbours: next.Neighbours, LiveHosts: next.LiveCount})
 		c.slots.retain(next.Members)
 	}
 	if !slices.Equal(next.Leaving, old.Leaving) {
--- a/cluster/rollouts.go
+++ b/cluster/rollouts.go
@@ -28,7 +28,7 @@
 // NewCodec reads the bundles signed by one of the keys.
 func NewCodec(keys []ed25519.PublicKey) rollout.Codec {
 	return rollout.Codec{
-		Open:           func(signed []byte) (*bundle.Bundle, error) { return bundle.Open(signed, keys) },
+		Open:           func(signed []byte) (*bundle.Bundle, error) { return bundle.VerifyAndParse(signed, keys) },
 		Split:          split,
 		CheckSuccessor: bundle.CheckSuccessor,
 	}
@@ -66,7 +66,7 @@
 
 // inspect runs f on the machine, waiting at most until ctx ends.
 func (l *rolloutLoop) inspect(ctx context.Context, f func(*rollout.Machine)) {
-	l.q.Inspect(ctx, func() { f(l.m) })
+	l.q.RunAndWait(ctx, func() { f(l.m) })
 }
 
 // step passes an event and carries out the actions.
--- a/cmd/wheatseam/replay.go
+++ b/cmd/wheatseam/replay.go
@@ -57,7 +57,7 @@
 	f.StringVar(&o.label, "label", "run", "name of what is measured, such as the policy")
 	f.Uint64Var(&o.seed, "seed", 1, "seed of the choice of hosts")
 	f.Float64Var(&o.speed, "speed", 1, "divides the offsets of the trace; deadlines stay")
-	f.DurationVar(&o.config.Grace, "grace", replay.DefaultGrace, "how long after its deadline a request is listened to")
+	f.DurationVar(&o.config.GracePeriod, "grace", replay.DefaultGrace, "how long after its deadline a request is listened to")
 	f.IntVar(&o.config.MaxInFlight, "max-in-flight", replay.DefaultMaxInFlight, "requests in flight at most")
 	f.DurationVar(&o.config.MaxDuration, "max-duration", replay.DefaultMaxDuration, "longest time to send for")
 	f.DurationVar(&o.settle, "settle", 5*time.Second, "how long to wait for executions that still run at the end")
@@ -96,7 +96,7 @@
 	if err = errors.Join(err, cleared); err != nil {
 		return err
 	}
-	entries, err := reader.Settle(ctx, o.settle)
+	entries, err := reader.WaitUntilIdle(ctx, o.settle)
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 	if outcomes == nil {
 		return nil
 	}
-	v := outcomes.Judge(r)
+	v := outcomes.Evaluate(r)
 	if err := v.Write(out); err != nil {
 		return err
 	}
--- a/daemon/call_test.go
+++ b/daemon/call_test.go
@@ -13,7 +13,7 @@
 	soon := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
 	It("is higher for a generation that must start sooner", func() {
-		p := bundle.Pool{Supports: bundle.Supports{Priority: true}}
+		p := bundle.Pool{Supports: bundle.UpstreamFeatures{Priority: true}}
 		Expect(priorityOf(p, soon)).To(BeNumerically(">", priorityOf(p, soon.Add(time.Millisecond))))
 	})
 
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -51,7 +51,7 @@
 
 // expireKept forgets kept results of no more use until ctx ends.
 func (d *Daemon) expireKept(ctx context.Context) {
-	periodic.Do(ctx, expireEvery, func() { d.keptStore.Expire(d.Now()) })
+	periodic.Every(ctx, expireEvery, func() { d.keptStore.Expire(d.Now()) })
 }
 
 // keptRequest names the results of a request: bound to its input and to the
@@ -71,7 +71,7 @@
 		h.Write(sum[:])
 	}
 	return results.Request{
-		Customer: s.sub.Customer.Name, Key: s.sub.Key, Digest: results.Digest(h.Sum(nil)),
+		Customer: s.sub.Customer.Name, Key: s.sub.IdempotencyKey, Digest: results.Digest(h.Sum(nil)),
 	}
 }
 
@@ -101,10 +101,10 @@
 }
 
 func mayResume(sub caller.Submission) bool {
-	if sub.Key == "" {
+	if sub.IdempotencyKey == "" {
 		return false
 	}
-	_, made, err := uuidtime.Parse(sub.Key)
+	_, made, err := uuidtime.Parse(sub.IdempotencyKey)
 	if err != nil || sub.Arrived.Sub(made) < resumeAge {
 		return false
 	}
--- a/daemon/loadexchange.go
+++ b/daemon/loadexchange.go
@@ -25,7 +25,7 @@
 // daemons, until ctx ends.
 func (d *Daemon) exchangeLoads(ctx context.Context) {
 	heard := map[string]time.Time{}
-	periodic.Do(ctx, loadExchangeEvery, func() {
+	periodic.Every(ctx, loadExchangeEvery, func() {
 		d.loads.SetLive(liveHosts(d.cluster.Members(), d.settings.Host, d.settings.FailureDomain))
 		d.cluster.SetSlot(member.SlotLoad, d.loads.Digest(), false)
 		d.takeLoads(heard)
@@ -48,8 +48,8 @@
 	known := make(map[string]bool, len(slots))
 	for _, s := range slots {
 		known[s.Host] = true
-		if s.At.After(heard[s.Host]) {
-			heard[s.Host] = s.At
+		if s.ReceivedAt.After(heard[s.Host]) {
+			heard[s.Host] = s.ReceivedAt
 			news = append(news, s)
 		}
 	}
--- a/internal/doccheck/doccheck.go
+++ b/internal/doccheck/doccheck.go
@@ -44,7 +44,7 @@
 
 // ListedKeys returns the first cells of the table rows in one section of a
 // Markdown file. heading is the section's heading line.
-func ListedKeys(file, heading string) ([]string, error) {
+func DocumentedKeys(file, heading string) ([]string, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fmt.Errorf("doccheck: %w", err)
--- a/internal/faultrelay/relay.go
+++ b/internal/faultrelay/relay.go
@@ -137,7 +137,7 @@
 
 // Silence silences every connection that is open now, for good: only a time-out
 // of either side shows it. It returns how many there were.
-func (r *Relay) Silence() int {
+func (r *Relay) BlackholeOpenConnections() int {
 	var n int
 	r.change(func() {
 		n = len(r.links)
--- a/internal/httpbody/broken.go
+++ b/internal/httpbody/broken.go
@@ -9,7 +9,7 @@
 
 // BrokenOff reports whether err means that the other side ended a connection,
 // and not that time ran out or that the bytes were wrong.
-func BrokenOff(err error) bool {
+func IsConnectionBroken(err error) bool {
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
 		return false
--- a/internal/httpbody/upstream.go
+++ b/internal/httpbody/upstream.go
@@ -28,7 +28,7 @@
 // connections to one upstream; 0 is no bound.
 func NewTransport(maxConns int) *http.Transport {
 	return &http.Transport{
-		DialContext:         Dial(&net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}),
+		DialContext:         NewDialFunc(&net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}),
 		MaxIdleConnsPerHost: max(maxConns, 64),
 		MaxConnsPerHost:     maxConns,
 		IdleConnTimeout:     idleConnTimeout,
@@ -37,7 +37,7 @@
 }
 
 // Dial returns a transport's way to connect whose failures are DialErrors.
-func Dial(d *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
+func NewDialFunc(d *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := d.DialContext(ctx, network, address)
 		if err != nil {
@@ -57,10 +57,10 @@
 func (e *DialError) Unwrap() error { return e.Err }
 
 // NotSent reports whether err means that no byte of a request has left.
-func NotSent(err error) bool {
+func IsNotSent(err error) bool {
 	var d *DialError
-	return errors.As(err, &d) || errors.Is(err, ErrTooLate)
+	return errors.As(err, &d) || errors.Is(err, ErrDeadlinePassed)
 }
 
 // ErrTooLate is returned for a call whose deadline passed before it was sent.
-var ErrTooLate = errors.New("deadline passed before the call was sent")
+var ErrDeadlinePassed = errors.New("deadline passed before the call was sent")
--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -22,7 +22,7 @@
 
 // Await waits until something can be received from a channel, or it is closed; for
 // d at most, or until ctx ends.
-func Await(ctx context.Context, from <-chan struct{}, d time.Duration) {
+func WaitForSignal(ctx context.Context, from <-chan struct{}, d time.Duration) {
 	timer := clock.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -34,7 +34,7 @@
 
 // Do calls f at an interval until ctx ends. Calls never overlap: one that takes
 // longer than the interval delays the next.
-func Do(ctx context.Context, interval time.Duration, f func()) {
+func Every(ctx context.Context, interval time.Duration, f func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -61,10 +61,10 @@
 }
 
 // Freeze stops the process until Thaw.
-func (p *Process) Freeze() error { return p.Signal(syscall.SIGSTOP) }
+func (p *Process) Suspend() error { return p.Signal(syscall.SIGSTOP) }
 
 // Thaw lets a frozen process go on.
-func (p *Process) Thaw() error { return p.Signal(syscall.SIGCONT) }
+func (p *Process) Resume() error { return p.Signal(syscall.SIGCONT) }
 
 // Wait waits for the end of the process and returns how it ended.
 func (p *Process) Wait(timeout time.Duration) error {
--- a/internal/proctest/call.go
+++ b/internal/proctest/call.go
@@ -110,7 +110,7 @@
 const operateTimeout = time.Second
 
 // Operate calls the operators' listener of daemon i and decodes its answer.
-func (f *Fleet) Operate(i int, method, path string, into any) error {
+func (f *Fleet) CallOperatorAPI(i int, method, path string, into any) error {
 	resp, err := f.operate(i, method, path)
 	if err != nil {
 		return err
--- a/internal/proctest/inspect.go
+++ b/internal/proctest/inspect.go
@@ -37,7 +37,7 @@
 // Version returns the version in force at host i, 0 when it does not answer.
 func (f *Fleet) Version(i int) uint64 {
 	var hosts []operator.Status
-	if err := f.Operate(i, http.MethodGet, "/v1/bundle", &hosts); err != nil {
+	if err := f.CallOperatorAPI(i, http.MethodGet, "/v1/bundle", &hosts); err != nil {
 		return 0
 	}
 	for _, h := range hosts {
@@ -66,7 +66,7 @@
 			} `json:"membership"`
 		} `json:"cluster"`
 	}
-	if err := f.Operate(i, http.MethodGet, "/v1/dump?section=cluster", &dump); err != nil {
+	if err := f.CallOperatorAPI(i, http.MethodGet, "/v1/dump?section=cluster", &dump); err != nil {
 		return nil
 	}
 	return dump.Cluster.Membership.Leaving
@@ -78,7 +78,7 @@
 	var dump struct {
 		Kept results.Stats `json:"kept_results"`
 	}
-	if err := f.Operate(i, http.MethodGet, "/v1/dump?section=kept_results", &dump); err != nil {
+	if err := f.CallOperatorAPI(i, http.MethodGet, "/v1/dump?section=kept_results", &dump); err != nil {
 		return -1
 	}
 	return dump.Kept.Requests
--- a/internal/proctest/process.go
+++ b/internal/proctest/process.go
@@ -47,7 +47,7 @@
 }
 
 // Cleanup removes the built binary. Call it once when all tests are over.
-func Cleanup() {
+func RemoveDaemonBinary() {
 	if build.dir != "" {
 		_ = os.RemoveAll(build.dir)
 	}
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -46,12 +46,12 @@
 		return nil
 	}
 	if len(file.Docs) == 0 || file.Docs[0].Body == nil {
-		d.Add("", "want one YAML document, got none")
+		d.AddProblem("", "want one YAML document, got none")
 		return nil
 	}
 	if len(file.Docs) > 1 {
 		d.note("", file.Docs[1])
-		d.Add("", "want one YAML document, got %d", len(file.Docs))
+		d.AddProblem("", "want one YAML document, got %d", len(file.Docs))
 		return nil
 	}
 	return file.Docs[0].Body
@@ -72,10 +72,10 @@
 	d.note(path, node)
 	switch node.(type) {
 	case *ast.NullNode:
-		d.Add(path, "has no value")
+		d.AddProblem(path, "has no value")
 		return
 	case *ast.AnchorNode, *ast.AliasNode, *ast.TagNode:
-		d.Add(path, "anchors, aliases and tags are not allowed")
+		d.AddProblem(path, "anchors, aliases and tags are not allowed")
 		return
 	}
 	switch {
@@ -107,17 +107,17 @@
 	case *ast.MappingValueNode:
 		pairs = []*ast.MappingValueNode{n}
 	default:
-		d.Add(path, "want a mapping, got %s", kindOf(node))
+		d.AddProblem(path, "want a mapping, got %s", kindOf(node))
 		return
 	}
 	fields := fieldsOf(v.Type())
 	for _, pair := range pairs {
 		key := pair.Key.GetToken().Value
-		child := Join(path, key)
+		child := JoinPath(path, key)
 		d.note(child, pair.Key)
 		index, known := fields[key]
 		if !known {
-			d.Add(child, "unknown key")
+			d.AddProblem(child, "unknown key")
 			continue
 		}
 		d.value(pair.Value, v.Field(index), child)
@@ -127,7 +127,7 @@
 func (d *decoder) sequence(node ast.Node, v reflect.Value, path string) {
 	list, ok := node.(*ast.SequenceNode)
 	if !ok {
-		d.Add(path, "want a list, got %s", kindOf(node))
+		d.AddProblem(path, "want a list, got %s", kindOf(node))
 		return
 	}
 	items := reflect.MakeSlice(v.Type(), len(list.Values), len(list.Values))
@@ -151,11 +151,11 @@
 // number or a number into a string, so that the node's kind is checked first.
 func (d *decoder) scalar(node ast.Node, v reflect.Value, path string) {
 	if !fits(node, v.Type()) {
-		d.Add(path, "want %s, got %s", typeName(v.Type()), kindOf(node))
+		d.AddProblem(path, "want %s, got %s", typeName(v.Type()), kindOf(node))
 		return
 	}
 	if err := convert(node, v); err != nil {
-		d.Add(path, "want %s: %s", typeName(v.Type()), oneLine(err))
+		d.AddProblem(path, "want %s: %s", typeName(v.Type()), oneLine(err))
 	}
 }
 
@@ -190,7 +190,7 @@
 func fieldsOf(t reflect.Type) map[string]int {
 	fields := make(map[string]int, t.NumField())
 	for i := range t.NumField() {
-		if key := Key(t.Field(i)); key != "" && key != "-" {
+		if key := FieldKey(t.Field(i)); key != "" && key != "-" {
 			fields[key] = i
 		}
 	}
@@ -198,7 +198,7 @@
 }
 
 // Key returns the YAML key of a struct field; "-" is none.
-func Key(field reflect.StructField) string {
+func FieldKey(field reflect.StructField) string {
 	key, _, _ := strings.Cut(field.Tag.Get("yaml"), ",")
 	return key
 }
@@ -231,7 +231,7 @@
 }
 
 // Join returns the path of a key inside path.
-func Join(path, key string) string {
+func JoinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
--- a/internal/strictyaml/report.go
+++ b/internal/strictyaml/report.go
@@ -45,7 +45,7 @@
 
 // Add notes a fault at path. The line is that of the path or, for a value that
 // is missing, of the nearest value around it.
-func (r *Report) Add(path, format string, args ...any) {
+func (r *Report) AddProblem(path, format string, args ...any) {
 	r.Problems = append(r.Problems, Problem{Path: path, Line: r.Line(path), Message: fmt.Sprintf(format, args...)})
 }
 
@@ -62,7 +62,7 @@
 }
 
 // Has says that a fault was noted at path or at something around it.
-func (r *Report) Has(path string) bool {
+func (r *Report) HasProblemAt(path string) bool {
 	return slices.ContainsFunc(r.Problems, func(p Problem) bool {
 		rest, ok := strings.CutPrefix(path, p.Path)
 		return ok && p.Path != "" && (rest == "" || rest[0] == '.' || rest[0] == '[')
@@ -75,7 +75,7 @@
 }
 
 // HasWithin says that a fault was noted at something inside path.
-func (r *Report) HasWithin(path string) bool {
+func (r *Report) HasProblemWithin(path string) bool {
 	for _, p := range r.Problems {
 		if strings.HasPrefix(p.Path, path+".") || strings.HasPrefix(p.Path, path+"[") {
 			return true
--- a/internal/workqueue/workqueue.go
+++ b/internal/workqueue/workqueue.go
@@ -59,7 +59,7 @@
 
 // Inspect runs f in the queue's goroutine and waits for it, at most until ctx
 // ends.
-func (q *Queue) Inspect(ctx context.Context, f func()) {
+func (q *Queue) RunAndWait(ctx context.Context, f func()) {
 	done := make(chan struct{})
 	q.Add(func() { f(); close(done) })
 	select {
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -34,13 +34,13 @@
 // Hooks are called in the loop's goroutine and must not block. Each may be nil.
 type Hooks struct {
 	// Slot hears the extensions' values.
-	Slot func(member.SlotReceived)
+	SlotReceived func(member.SlotReceived)
 	// Changed hears every change of the belief about a host.
-	Changed func(member.Member)
+	MemberChanged func(member.Member)
 	// Fresh hears whether the views are renewed since the start or last pause.
-	Fresh func(bool)
+	FreshnessChanged func(bool)
 	// View hears every new snapshot and the one before.
-	View func(next, old *View)
+	ViewChanged func(next, old *View)
 }
 
 // View is an immutable snapshot of membership.
@@ -48,7 +48,7 @@
 	// Members are all hosts sorted by name, this one included.
 	Members    []member.Member
 	Neighbours []string
-	Living     int
+	LiveCount  int
 	// Leaving names the upstreams that leave, sorted.
 	Leaving    []string
 	Fresh      bool
@@ -58,7 +58,7 @@
 
 // Loop steps the membership machine.
 type Loop struct {
-	calls *Calls
+	calls *CallPool
 	hooks Hooks
 	log   *zap.Logger
 	m     *member.Machine
@@ -76,7 +76,7 @@
 
 // New returns a loop that has not started and registers its methods in mux.
 // The error names an extension that breaks the bounds.
-func New(cfg member.Config, seed uint64, mux *peer.Mux, calls *Calls, hooks Hooks, log *zap.Logger) (*Loop, error) {
+func New(cfg member.Config, seed uint64, mux *peer.Mux, calls *CallPool, hooks Hooks, log *zap.Logger) (*Loop, error) {
 	m, err := member.New(cfg, clock.Now(), rand.New(rand.NewPCG(seed, 1)))
 	if err != nil {
 		return nil, err
@@ -109,7 +109,7 @@
 
 // Inspect runs f on the machine, waiting at most until ctx ends.
 func (l *Loop) Inspect(ctx context.Context, f func(*member.Machine)) {
-	l.q.Inspect(ctx, func() { f(l.m) })
+	l.q.RunAndWait(ctx, func() { f(l.m) })
 }
 
 // step passes an event and carries out the actions.
@@ -152,21 +152,21 @@
 	case member.Send:
 		l.send(a)
 	case member.SlotReceived:
-		if l.hooks.Slot != nil {
-			l.hooks.Slot(a)
+		if l.hooks.SlotReceived != nil {
+			l.hooks.SlotReceived(a)
 		}
 	case member.MemberChanged:
 		log.Info("member changed", zap.String("peer", a.Member.Host.Name), zap.Stringer("state", a.Member.State),
 			zap.Uint64("incarnation", a.Member.Incarnation))
-		if l.hooks.Changed != nil {
-			l.hooks.Changed(a.Member)
+		if l.hooks.MemberChanged != nil {
+			l.hooks.MemberChanged(a.Member)
 		}
 	case member.UpstreamChanged:
 		log.Info("upstream leaving", zap.String("upstream", a.Name), zap.Bool("leaving", a.Leaving))
 	case member.FreshnessChanged:
 		log.Info("views renewed", zap.Bool("fresh", a.Fresh))
-		if l.hooks.Fresh != nil {
-			l.hooks.Fresh(a.Fresh)
+		if l.hooks.FreshnessChanged != nil {
+			l.hooks.FreshnessChanged(a.Fresh)
 		}
 	case member.SkewChanged:
 		log.Warn("clock against the peers' median", zap.Bool("skewed", a.Skewed), zap.Duration("offset", a.Offset))
@@ -194,12 +194,12 @@
 	l.changed, l.published = false, clock.Now()
 	old := l.view.Load()
 	next := &View{
-		Members: l.m.Members(), Neighbours: l.m.Neighbours(), Living: l.m.LiveHosts(), Leaving: l.m.LeavingUpstreams(),
+		Members: l.m.Members(), Neighbours: l.m.Neighbours(), LiveCount: l.m.LiveHosts(), Leaving: l.m.LeavingUpstreams(),
 		Fresh: l.m.Fresh(), Skewed: l.m.Skewed(), Superseded: l.m.Superseded(),
 	}
 	l.view.Store(next)
-	if l.hooks.View != nil {
-		l.hooks.View(next, old)
+	if l.hooks.ViewChanged != nil {
+		l.hooks.ViewChanged(next, old)
 	}
 }
 
--- a/peer/silent_test.go
+++ b/peer/silent_test.go
@@ -100,7 +100,7 @@
 	h := newHeld(t)
 	_, ended := h.call(context.Background())
 	g.Eventually(h.serving).Should(Receive())
-	g.Expect(h.relay.Silence()).To(Equal(1))
+	g.Expect(h.relay.BlackholeOpenConnections()).To(Equal(1))
 	g.Consistently(ended, 2*silence).ShouldNot(Receive())
 	ctx, cancel := context.WithTimeout(context.Background(), roundTrip)
 	defer cancel()
--- a/proofs/fault_pairs_test.go
+++ b/proofs/fault_pairs_test.go
@@ -25,8 +25,8 @@
 		func(f *proctest.Fleet) { f.Daemons[0].Kill() },
 		func(f *proctest.Fleet) { Expect(f.StartDaemon(0)).To(Succeed()) }},
 	{"a host is frozen and wakes",
-		func(f *proctest.Fleet) { Expect(f.Daemons[1].Freeze()).To(Succeed()) },
-		func(f *proctest.Fleet) { Expect(f.Daemons[1].Thaw()).To(Succeed()) }},
+		func(f *proctest.Fleet) { Expect(f.Daemons[1].Suspend()).To(Succeed()) },
+		func(f *proctest.Fleet) { Expect(f.Daemons[1].Resume()).To(Succeed()) }},
 	{"a host is cut off",
 		func(f *proctest.Fleet) { f.Isolate(2) },
 		func(f *proctest.Fleet) { f.Heal() }},
@@ -39,7 +39,7 @@
 		func(f *proctest.Fleet) { f.Platform.Faults().Set(standin.Faults{Down: true}) },
 		func(f *proctest.Fleet) { f.Platform.Faults().Set(standin.Faults{}) }},
 	{"upstreams lose answers",
-		func(f *proctest.Fleet) { f.Fault("signing", standin.Faults{DropAnswer: true}) },
+		func(f *proctest.Fleet) { f.Fault("signing", standin.Faults{DropResponse: true}) },
 		func(f *proctest.Fleet) { f.Fault("signing", standin.Faults{}) }},
 }
 
--- a/proofs/suite_test.go
+++ b/proofs/suite_test.go
@@ -21,7 +21,7 @@
 	RunSpecs(t, "proofs")
 }
 
-var _ = AfterSuite(proctest.Cleanup)
+var _ = AfterSuite(proctest.RemoveDaemonBinary)
 
 // startFleet starts a fleet that ends with the spec; logs are shown on failure.
 func startFleet(o proctest.Options) *proctest.Fleet {
--- a/proofs/view_change_test.go
+++ b/proofs/view_change_test.go
@@ -44,13 +44,13 @@
 	})
 
 	It("while a host that was frozen and cut off still believes in the old list", func() {
-		Expect(f.Daemons[0].Freeze()).To(Succeed())
+		Expect(f.Daemons[0].Suspend()).To(Succeed())
 		Expect(f.Publish(replaced(f, 2))).To(Succeed())
 		Eventually(func() []uint64 { return []uint64{f.Version(1), f.Version(2), f.Version(3)} }).
 			Should(HaveEach(BeEquivalentTo(2)))
 		f.Isolate(0)
 		f.Platform.Faults().Set(standin.Faults{Down: true})
-		Expect(f.Daemons[0].Thaw()).To(Succeed())
+		Expect(f.Daemons[0].Resume()).To(Succeed())
 		for n := range 10 {
 			key := proctest.NewKey()
 			heard := callAtOnce(f, key, fmt.Sprintf("deed %d", n))
--- a/replay/compare/compare.go
+++ b/replay/compare/compare.go
@@ -29,7 +29,7 @@
 }
 
 // Set is the runs of one deployment, in the order in which they were made.
-type Set struct {
+type RunSet struct {
 	Label   string
 	Reports []*report.Report
 }
@@ -79,7 +79,7 @@
 }
 
 // New compares sets. They must hold equally many runs of the same trace.
-func New(sets []Set) (*Comparison, error) {
+func New(sets []RunSet) (*Comparison, error) {
 	if err := check(sets); err != nil {
 		return nil, err
 	}
@@ -96,7 +96,7 @@
 	return c, nil
 }
 
-func check(sets []Set) error {
+func check(sets []RunSet) error {
 	if len(sets) < 2 {
 		return errors.New("a comparison needs two sets of runs or more")
 	}
@@ -119,7 +119,7 @@
 }
 
 // values returns the figure of each run; NaN where nothing was measured.
-func values(s Set, m verdict.Metric) []float64 {
+func values(s RunSet, m verdict.Metric) []float64 {
 	out := make([]float64, len(s.Reports))
 	for i, r := range s.Reports {
 		v, err := verdict.Outcome{Metric: m}.Value(r)
--- a/replay/faults.go
+++ b/replay/faults.go
@@ -53,14 +53,14 @@
 	}
 	var errs []error
 	for _, a := range addresses {
-		errs = append(errs, PostFault(ctx, r.cfg.Client, a, f.Body))
+		errs = append(errs, ReplaceFaults(ctx, r.cfg.Client, a, f.Body))
 	}
 	return errors.Join(errs...)
 }
 
 // PostFault replaces the faults of the stand-in at address by body, a JSON
 // object; an empty one clears them.
-func PostFault(ctx context.Context, client *http.Client, address string, body []byte) error {
+func ReplaceFaults(ctx context.Context, client *http.Client, address string, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/control/faults", bytes.NewReader(body))
--- a/replay/fleetfiles/fleetfiles_test.go
+++ b/replay/fleetfiles/fleetfiles_test.go
@@ -43,7 +43,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		signed, err := os.ReadFile(filepath.Join(dir, fleetfiles.FileSigned))
 		Expect(err).NotTo(HaveOccurred())
-		moved, err := bundle.Open(signed, s.BundleKeys)
+		moved, err := bundle.VerifyAndParse(signed, s.BundleKeys)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(moved.Policy).To(Equal(bundle.PolicyRoundRobin))
 		Expect(moved.Claims).To(Equal(b.Claims))
--- a/replay/ledger/ledger.go
+++ b/replay/ledger/ledger.go
@@ -66,7 +66,7 @@
 
 // Settle reads all ledgers until no execution runs any more or patience has
 // passed; executions that still run are then among the entries.
-func (r *Reader) Settle(ctx context.Context, patience time.Duration) ([]Entry, error) {
+func (r *Reader) WaitUntilIdle(ctx context.Context, patience time.Duration) ([]Entry, error) {
 	end := time.Now().Add(patience)
 	for {
 		entries, err := r.Read(ctx)
--- a/replay/run.go
+++ b/replay/run.go
@@ -37,7 +37,7 @@
 	// Deadlines stay as they are. 0 stands for 1.
 	Speed float64
 	// Grace is how long after its deadline a request is still listened to.
-	Grace time.Duration
+	GracePeriod time.Duration
 	// MaxInFlight and MaxDuration bound the run; what lies beyond them is not
 	// sent and counts as NotSent.
 	MaxInFlight int
@@ -113,8 +113,8 @@
 	if cfg.Speed == 0 {
 		cfg.Speed = 1
 	}
-	if cfg.Grace == 0 {
-		cfg.Grace = DefaultGrace
+	if cfg.GracePeriod == 0 {
+		cfg.GracePeriod = DefaultGrace
 	}
 	if cfg.MaxInFlight == 0 {
 		cfg.MaxInFlight = DefaultMaxInFlight
@@ -217,7 +217,7 @@
 	}
 	r.pending.Go(func() {
 		defer func() { <-r.slots }()
-		bounded, cancel := context.WithDeadline(ctx, due.Add(q.Deadline()+r.cfg.Grace))
+		bounded, cancel := context.WithDeadline(ctx, due.Add(q.Deadline()+r.cfg.GracePeriod))
 		defer cancel()
 		c.SentAt = time.Now()
 		c.Lag = c.SentAt.Sub(due)
--- a/replay/scenario/builder.go
+++ b/replay/scenario/builder.go
@@ -29,11 +29,11 @@
 	// Patience is the deadline that callers state, as a multiple of what the
 	// pipeline's stages are expected to take; the pipeline's own deadline and
 	// leastDeadline bound it.
-	Patience float64
+	DeadlineFactor float64
 }
 
 // DefaultPatience is a usual Patience.
-const DefaultPatience = 4
+const DefaultDeadlineFactor = 4
 
 // leastDeadline is the shortest deadline that callers state.
 const leastDeadline = time.Second
@@ -48,8 +48,8 @@
 	switch {
 	case o.Load <= 0 || o.Load > maxLoad:
 		return fmt.Errorf("load %g lies outside 0 to %d", o.Load, maxLoad)
-	case o.Patience < 1:
-		return fmt.Errorf("patience %g is less than 1", o.Patience)
+	case o.DeadlineFactor < 1:
+		return fmt.Errorf("patience %g is less than 1", o.DeadlineFactor)
 	case o.Duration < time.Second || o.Duration > maxDuration:
 		return fmt.Errorf("duration %v lies outside 1s to %v", o.Duration, maxDuration)
 	}
@@ -72,7 +72,7 @@
 	b.trace.Header = trace.Header{
 		Version: trace.FormatVersion, Name: name, Seed: o.Seed,
 		Program: fmt.Sprintf("wheatseam trace make %s --seed %d --load %g --duration %s --patience %g (bundle %s version %d)",
-			name, o.Seed, o.Load, o.Duration, o.Patience, o.Bundle.Deployment, o.Bundle.Version),
+			name, o.Seed, o.Load, o.Duration, o.DeadlineFactor, o.Bundle.Deployment, o.Bundle.Version),
 	}
 	for _, p := range o.Bundle.Pipelines {
 		b.mix[p.Name] = 1
@@ -196,7 +196,7 @@
 	for _, s := range p.Stages {
 		expected += s.Expected
 	}
-	stated := max(leastDeadline, time.Duration(b.Patience*float64(expected)))
+	stated := max(leastDeadline, time.Duration(b.DeadlineFactor*float64(expected)))
 	return min(p.Deadline, stated.Round(time.Millisecond))
 }
 
--- a/replay/scenario/scenario.go
+++ b/replay/scenario/scenario.go
@@ -44,7 +44,7 @@
 }
 
 // Make runs the program called name.
-func Make(name string, o Options) (*trace.Trace, error) {
+func Generate(name string, o Options) (*trace.Trace, error) {
 	if err := o.check(); err != nil {
 		return nil, err
 	}
--- a/replay/verdict/verdict.go
+++ b/replay/verdict/verdict.go
@@ -93,7 +93,7 @@
 }
 
 // Judge judges r.
-func (o *Outcomes) Judge(r *report.Report) Verdict {
+func (o *Outcomes) Evaluate(r *report.Report) Verdict {
 	var v Verdict
 	if o.Trace != "" && o.Trace != r.Trace {
 		v.Void = append(v.Void, fmt.Sprintf("the outcomes are for trace %s, not %s", o.Trace, r.Trace))
--- a/upstreamload/poller.go
+++ b/upstreamload/poller.go
@@ -69,7 +69,7 @@
 	defer p.client.Close()
 	var polls sync.WaitGroup
 	defer polls.Wait()
-	periodic.Do(ctx, dueEvery, func() {
+	periodic.Every(ctx, dueEvery, func() {
 		for _, name := range p.table.DuePolls(p.now()) {
 			p.start(ctx, &polls, name)
 		}
