--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -8,29 +8,29 @@
 	"sync"
 )
 
-// Answerer writes whole answers and applies the faults that concern them.
+// Responder writes complete responses and applies the faults that affect them.
 // Its methods are safe for concurrent use.
-type Answerer struct {
+type Responder struct {
 	faults *Injector
 
 	mu       sync.Mutex
 	previous []byte
 }
 
-// NewAnswerer returns an Answerer under the faults of i.
-func NewAnswerer(i *Injector) *Answerer { return &Answerer{faults: i} }
+// NewResponder returns a Responder that applies the faults of i.
+func NewResponder(i *Injector) *Responder { return &Responder{faults: i} }
 
-// Answer writes v with status 200, after the faults between execution and
-// answer were applied.
-func (a *Answerer) Answer(w http.ResponseWriter, r *http.Request, v any) {
-	a.faults.Hold(r.Context())
+// Respond writes v as JSON with status 200, after applying the faults that occur
+// between execution and response.
+func (a *Responder) Respond(w http.ResponseWriter, r *http.Request, v any) {
+	a.faults.ApplyResponseFaults(r.Context())
 	body, err := json.Marshal(v)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	f := a.faults.Get()
-	body = a.swap(body, f.WrongAnswer)
+	body = a.selectBody(body, f.WrongAnswer)
 	if f.DuplicateAnswer {
 		writeTwice(w, body)
 		return
@@ -39,8 +39,9 @@
 	_, _ = w.Write(body)
 }
 
-// swap remembers body and returns the one before it when wrong is set.
-func (a *Answerer) swap(body []byte, wrong bool) []byte {
+// selectBody stores body for the next call. It returns the body of the previous
+// call if wrong is set and there was one, and body otherwise.
+func (a *Responder) selectBody(body []byte, wrong bool) []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	previous := a.previous
@@ -51,11 +52,11 @@
 	return body
 }
 
-// writeTwice writes the whole answer twice to the connection and closes it.
+// writeTwice writes the complete response twice to the connection and closes it.
 func writeTwice(w http.ResponseWriter, body []byte) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		Cut()
+		AbortConnection()
 	}
 	defer conn.Close()
 	var b bytes.Buffer
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,11 +1,11 @@
-// Package standin holds what the stand-ins for the outside systems share: the
-// listener, JSON answers, injected faults and lagging load reports.
+// Package standin holds the code shared by the fakes of external systems: the
+// listener, JSON responses, fault injection and delayed load reports.
 //
-// The stand-ins themselves are in the packages platform, engine, service and
-// fleet below; each is an http.Handler that tests use in-process and that the
-// program cmd/standin serves.
+// The fakes themselves are in the subpackages platform, engine, service and
+// fleet. Each is an http.Handler that tests use in-process and that the program
+// cmd/standin serves.
 //
-// Every stand-in answers GET /control/ledger (see package ledger), and
-// GET, POST /control/faults: a POST replaces all injected faults by those of
-// its body, so that an empty object clears them (see Faults).
+// The fake replicas serve GET /control/ledger (see package ledger). All fakes
+// serve GET and POST /control/faults: a POST replaces all injected faults with
+// those in its body, so an empty object clears them (see Faults).
 package standin
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -7,64 +7,66 @@
 	"github.com/wheatseam/wheatseam/internal/standin"
 )
 
-// rateWeight is the weight of the newest step in the reported token rate.
-const rateWeight = 0.1
+// tokenRateSmoothing is the weight of the latest step in the exponential moving
+// average of the token rate.
+const tokenRateSmoothing = 0.1
 
-// sequence is one request inside the engine. Its fields belong to the batch,
-// but for the channels.
+// sequence is one request in the engine. Its fields are owned by the batch, except
+// for the channel.
 type sequence struct {
 	priority int
-	// prompt is the number of prompt tokens, and blocks the chained hashes of
-	// its full blocks.
-	prompt int
-	blocks []uint64
-	// output is the number of tokens to yield.
-	output int
-
-	prefillLeft int
-	// prefilling is the part of prefillLeft that the present step does.
-	prefilling int
-	produced   int
-	cost       time.Duration
-
-	// progress holds at most one note that there is something new.
+	// promptTokens is the number of prompt tokens, blockHashes the chained hashes
+	// of the full blocks of the prompt.
+	promptTokens int
+	blockHashes  []uint64
+	// outputTokens is the number of tokens to generate.
+	outputTokens int
+
+	prefillRemaining int
+	// prefillInStep is the part of prefillRemaining that the planned step
+	// processes.
+	prefillInStep int
+	generated     int
+	engineTime    time.Duration
+
+	// progress receives a value when new tokens were generated. It buffers one.
 	progress chan struct{}
 }
 
 func newSequence(prompt string, output, priority int) *sequence {
 	return &sequence{
-		priority: priority,
-		prompt:   tokensOf(prompt),
-		blocks:   blocksOf(prompt),
-		output:   output,
-		progress: make(chan struct{}, 1),
+		priority:     priority,
+		promptTokens: countTokens(prompt),
+		blockHashes:  hashBlocks(prompt),
+		outputTokens: output,
+		progress:     make(chan struct{}, 1),
 	}
 }
 
-func (s *sequence) finished() bool { return s.produced >= s.output }
+func (s *sequence) finished() bool { return s.generated >= s.outputTokens }
 
-// reserved is the memory that s takes while it runs, in blocks.
-func (s *sequence) reserved() int {
-	return (s.prompt + s.output + tokensPerBlock - 1) / tokensPerBlock
+// blocksNeeded returns the memory that s uses while it runs, in blocks.
+func (s *sequence) blocksNeeded() int {
+	return (s.promptTokens + s.outputTokens + tokensPerBlock - 1) / tokensPerBlock
 }
 
-// batch is the state of the engine between steps. It is deterministic, reads no
-// clock and is not safe for concurrent use.
+// batch is the state of the engine between steps. It is deterministic, does not
+// read the clock and is not safe for concurrent use.
 type batch struct {
 	cfg     Config
 	cache   *prefixCache
 	running []*sequence
 	queue   []*sequence
-	// reserved is the memory of the running sequences, in blocks.
-	reserved  int
-	tokenRate float64
+	// reservedBlocks is the memory of the running sequences, in blocks.
+	reservedBlocks int
+	tokenRate      float64
 }
 
 func newBatch(cfg Config, cache *prefixCache) *batch {
 	return &batch{cfg: cfg, cache: cache}
 }
 
-// submit queues s; it returns false when the queue is full.
+// submit adds s to the queue. It returns false if the queue is full.
 func (b *batch) submit(s *sequence) bool {
 	if len(b.queue)+len(b.running) >= b.cfg.Queue+b.cfg.Slots {
 		return false
@@ -77,19 +79,19 @@
 	return true
 }
 
-// remove takes s out, wherever it is.
+// remove removes s from the queue or the running sequences, if it is there.
 func (b *batch) remove(s *sequence) {
 	if i := slices.Index(b.queue, s); i >= 0 {
 		b.queue = slices.Delete(b.queue, i, i+1)
 	}
 	if i := slices.Index(b.running, s); i >= 0 {
 		b.running = slices.Delete(b.running, i, i+1)
-		b.reserve(-s.reserved())
+		b.adjustReservation(-s.blocksNeeded())
 	}
 }
 
-// plan admits queued sequences and returns the duration of the next step, or
-// 0 when there is nothing to do.
+// plan admits queued sequences and returns the duration of the next step, or 0 if
+// no sequence is running.
 func (b *batch) plan() time.Duration {
 	b.admit()
 	if len(b.running) == 0 {
@@ -98,12 +100,12 @@
 	}
 	decoding, prefill := 0, b.cfg.PrefillChunk
 	for _, s := range b.running {
-		if s.prefillLeft == 0 {
+		if s.prefillRemaining == 0 {
 			decoding++
 			continue
 		}
-		s.prefilling = min(s.prefillLeft, prefill)
-		prefill -= s.prefilling
+		s.prefillInStep = min(s.prefillRemaining, prefill)
+		prefill -= s.prefillInStep
 	}
 	prefilled := b.cfg.PrefillChunk - prefill
 	return b.cfg.StepBase +
@@ -111,7 +113,7 @@
 		time.Duration(prefilled)*b.cfg.PrefillPerToken
 }
 
-// advance ends the planned step, which took step.
+// advance completes the planned step, which took step.
 func (b *batch) advance(step time.Duration) {
 	if len(b.running) == 0 {
 		return
@@ -119,31 +121,32 @@
 	share := step / time.Duration(len(b.running))
 	tokens := 0
 	for _, s := range b.running {
-		s.cost += share
-		tokens += b.stepOf(s)
+		s.engineTime += share
+		tokens += b.advanceSequence(s)
 	}
 	rate := float64(tokens) / step.Seconds()
-	b.tokenRate += rateWeight * (rate - b.tokenRate)
+	b.tokenRate += tokenRateSmoothing * (rate - b.tokenRate)
 	b.running = slices.DeleteFunc(b.running, func(s *sequence) bool {
 		if s.finished() {
-			b.reserve(-s.reserved())
+			b.adjustReservation(-s.blocksNeeded())
 		}
 		return s.finished()
 	})
 }
 
-// stepOf does one step of s and returns the tokens it yielded, 0 or 1. A
-// sequence that was admitted after the step was planned does nothing.
-func (b *batch) stepOf(s *sequence) int {
-	if s.prefillLeft > 0 {
-		s.prefillLeft -= s.prefilling
-		s.prefilling = 0
-		if s.prefillLeft == 0 {
-			b.cache.store(s.blocks)
+// advanceSequence completes the step for s and returns the number of tokens
+// generated, 0 or 1. It does nothing for a sequence that was admitted after the
+// step was planned.
+func (b *batch) advanceSequence(s *sequence) int {
+	if s.prefillRemaining > 0 {
+		s.prefillRemaining -= s.prefillInStep
+		s.prefillInStep = 0
+		if s.prefillRemaining == 0 {
+			b.cache.store(s.blockHashes)
 		}
 		return 0
 	}
-	s.produced++
+	s.generated++
 	select {
 	case s.progress <- struct{}{}:
 	default:
@@ -151,34 +154,36 @@
 	return 1
 }
 
-// admit moves queued sequences into free slots while memory lasts.
+// admit moves queued sequences into free slots while there is enough memory.
 func (b *batch) admit() {
 	for len(b.queue) > 0 && len(b.running) < b.cfg.Slots {
 		s := b.queue[0]
-		if b.reserved+s.reserved() > b.cfg.KVBlocks {
+		if b.reservedBlocks+s.blocksNeeded() > b.cfg.KVBlocks {
 			return
 		}
 		b.queue = slices.Delete(b.queue, 0, 1)
 		b.running = append(b.running, s)
-		hit := b.cache.match(s.blocks) * tokensPerBlock
+		cachedTokens := b.cache.match(s.blockHashes) * tokensPerBlock
 		// The last prompt token is always computed.
-		s.prefillLeft = max(1, s.prompt-hit)
-		b.reserve(s.reserved())
+		s.prefillRemaining = max(1, s.promptTokens-cachedTokens)
+		b.adjustReservation(s.blocksNeeded())
 	}
 }
 
-func (b *batch) reserve(blocks int) {
-	b.reserved += blocks
-	b.cache.resize(b.cfg.KVBlocks - b.reserved)
+// adjustReservation changes the memory reserved for running sequences by blocks
+// and gives the rest of the memory to the cache.
+func (b *batch) adjustReservation(blocks int) {
+	b.reservedBlocks += blocks
+	b.cache.resize(b.cfg.KVBlocks - b.reservedBlocks)
 }
 
-// load returns the load as it stands, without time and leaving.
+// load returns the current load, without AsOfUnixMS and Leaving.
 func (b *batch) load() standin.Load {
 	return standin.Load{
 		Running:         len(b.running),
 		Queued:          len(b.queue),
 		Slots:           b.cfg.Slots,
-		KVUsed:          b.reserved + b.cache.len(),
+		KVUsed:          b.reservedBlocks + b.cache.len(),
 		KVTotal:         b.cfg.KVBlocks,
 		TokensPerSecond: b.tokenRate,
 	}
--- a/internal/standin/engine/batch_test.go
+++ b/internal/standin/engine/batch_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// stepUntil runs b until s is done and returns the time that took.
+// stepUntil runs b until s is finished and returns the total duration of the steps.
 func stepUntil(b *batch, s *sequence) time.Duration {
 	var total time.Duration
 	for range 100_000 {
@@ -20,7 +20,7 @@
 		b.advance(step)
 		total += step
 	}
-	Fail("the sequence did not end")
+	Fail("the sequence did not finish")
 	return 0
 }
 
@@ -36,7 +36,7 @@
 		}))
 	}
 
-	DescribeTable("token time grows with the batch", func(n int) {
+	DescribeTable("the step time grows with the batch size", func(n int) {
 		b := newTestBatch(Config{Slots: 32, StepBase: 10 * time.Millisecond, StepPerSequence: time.Millisecond})
 		for range n {
 			Expect(b.submit(newSequence("abc", 5, 0))).To(BeTrue())
@@ -49,13 +49,13 @@
 		Entry("a full batch", 32),
 	)
 
-	It("shares the engine's time among the sequences of a batch", func() {
+	It("divides the engine time among the sequences of a batch", func() {
 		b := newTestBatch(Config{})
 		first, second := newSequence("abc", 20, 0), newSequence("abc", 20, 0)
 		b.submit(first)
 		b.submit(second)
 		total := stepUntil(b, second)
-		Expect(first.cost + second.cost).To(BeNumerically("~", total, time.Microsecond))
+		Expect(first.engineTime + second.engineTime).To(BeNumerically("~", total, time.Microsecond))
 	})
 
 	It("runs no more sequences than it has slots", func() {
@@ -69,7 +69,7 @@
 		Expect(b.load().Queued).To(Equal(1))
 	})
 
-	It("gives the slot of a cancelled sequence to the next at once", func() {
+	It("gives the slot of a canceled sequence to the next one immediately", func() {
 		b := newTestBatch(Config{Slots: 1})
 		long, next := newSequence("abc", 1_000, 0), newSequence("abc", 1, 0)
 		b.submit(long)
@@ -82,21 +82,21 @@
 		Expect(b.running).To(ConsistOf(next))
 	})
 
-	It("gives back all memory, whatever the end of a sequence", func() {
+	It("releases the memory of finished and of canceled sequences", func() {
 		b := newTestBatch(Config{})
 		done, cancelled := newSequence("abc", 2, 0), newSequence("abc", 2, 0)
 		b.submit(done)
 		b.submit(cancelled)
 		b.advance(b.plan())
-		Expect(b.reserved).To(Equal(2))
+		Expect(b.reservedBlocks).To(Equal(2))
 		b.remove(cancelled)
 		b.remove(cancelled)
 		stepUntil(b, done)
 		b.remove(done)
-		Expect(b.reserved).To(Equal(0))
+		Expect(b.reservedBlocks).To(Equal(0))
 	})
 
-	It("waits for memory as it waits for slots", func() {
+	It("queues a sequence until there is enough memory", func() {
 		b := newTestBatch(Config{KVBlocks: 10})
 		first, second := newSequence("abc", 90, 0), newSequence("abc", 90, 0)
 		b.submit(first)
@@ -108,7 +108,7 @@
 		Expect(b.running).To(ConsistOf(second))
 	})
 
-	It("prefills a cached prefix no more", func() {
+	It("does not prefill a cached prefix again", func() {
 		prefix := strings.Repeat("a shared contract prefix ", 1000)
 		b := newTestBatch(Config{})
 		cold := newSequence(prefix+"first question", 1, 0)
@@ -123,28 +123,28 @@
 		Expect(stepUntil(b, other)).To(BeNumerically(">", 5*warmTime))
 	})
 
-	It("evicts the least recently used prefix when memory is short", func() {
+	It("evicts the least recently used prefix when memory runs out", func() {
 		text := func(c string) string { return strings.Repeat(c, 4*bytesPerBlock) }
-		// A running sequence takes 5 blocks, which leaves 9 to the cache.
+		// A running sequence uses 5 blocks, which leaves 9 for the cache.
 		b := newTestBatch(Config{KVBlocks: 14})
-		run := func(prompt string) {
+		runPrompt := func(prompt string) {
 			s := newSequence(prompt, 1, 0)
 			b.submit(s)
 			stepUntil(b, s)
 		}
-		run(text("a"))
-		run(text("b"))
-		run(text("a"))
+		runPrompt(text("a"))
+		runPrompt(text("b"))
+		runPrompt(text("a"))
 		Expect(removed).To(BeEmpty())
-		run(text("c"))
-		second := blocksOf(text("b"))
+		runPrompt(text("c"))
+		second := hashBlocks(text("b"))
 		Expect(removed).To(Equal([]uint64{second[3], second[2], second[1]}))
-		Expect(b.cache.match(blocksOf(text("a")))).To(Equal(4))
+		Expect(b.cache.match(hashBlocks(text("a")))).To(Equal(4))
 		Expect(b.load().KVUsed).To(Equal(9))
 	})
 
-	DescribeTable("order of the queue", func(honoured bool, want []int) {
-		b := newTestBatch(Config{Slots: 1, Priority: honoured})
+	DescribeTable("queue order", func(priorityEnabled bool, want []int) {
+		b := newTestBatch(Config{Slots: 1, Priority: priorityEnabled})
 		b.submit(newSequence("abc", 1, 0))
 		b.plan()
 		for _, p := range []int{1, 5, 1, 5} {
@@ -156,11 +156,11 @@
 		}
 		Expect(got).To(Equal(want))
 	},
-		Entry("by priority when honoured", true, []int{5, 5, 1, 1}),
-		Entry("as it came when not", false, []int{1, 5, 1, 5}),
+		Entry("by priority if enabled", true, []int{5, 5, 1, 1}),
+		Entry("first in, first out otherwise", false, []int{1, 5, 1, 5}),
 	)
 
-	It("draws lengths of answers with a heavy tail, the same for the same prompt", func() {
+	It("draws response lengths from a heavy-tailed distribution, deterministically for each prompt", func() {
 		cfg := withDefaults(Config{OutputMedian: 50, OutputSigma: 1})
 		over := 0
 		for i := range 1000 {
@@ -178,7 +178,7 @@
 })
 
 var _ = Describe("eventLog", func() {
-	It("publishes late and shows gaps by their sequence numbers", func() {
+	It("publishes events after the lag, with gaps in the sequence numbers", func() {
 		l := newEventLog(time.Hour, 0.5, 3)
 		for i := range 100 {
 			l.add(EventStored, uint64(i))
@@ -187,6 +187,6 @@
 		events := l.since(time.Now().Add(2*time.Hour), 0)
 		Expect(len(events)).To(And(BeNumerically(">", 20), BeNumerically("<", 80)))
 		Expect(l.since(time.Now().Add(2*time.Hour), events[9].Sequence)).To(Equal(events[10:]))
-		Expect(l.last).To(Equal(uint64(100)))
+		Expect(l.lastSequence).To(Equal(uint64(100)))
 	})
 })
--- a/internal/standin/engine/chat.go
+++ b/internal/standin/engine/chat.go
@@ -32,25 +32,26 @@
 	Stream    bool      `json:"stream"`
 	MaxTokens int       `json:"max_tokens"`
 	Priority  int       `json:"priority"`
-	// User is the customer.
+	// User is the name of the customer.
 	User string `json:"user"`
 }
 
-// Choice is the one choice of an answer; Delta is set in streamed chunks only.
+// Choice is the only choice of a response. Streamed chunks have a Delta instead of
+// a Message.
 type Choice struct {
 	Message      *Message `json:"message,omitempty"`
 	Delta        *Message `json:"delta,omitempty"`
 	FinishReason string   `json:"finish_reason,omitempty"`
 }
 
-// Usage counts tokens.
+// Usage is the number of tokens of a request and its response.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// ChatAnswer is a whole answer, or one chunk of a streamed one.
-type ChatAnswer struct {
+// ChatResponse is a complete response, or one chunk of a streamed response.
+type ChatResponse struct {
 	ID        string   `json:"id"`
 	Choices   []Choice `json:"choices"`
 	Usage     *Usage   `json:"usage,omitempty"`
@@ -58,24 +59,24 @@
 	Attempt   int      `json:"attempt"`
 }
 
-// call is one chat request being served.
+// call is a chat request in progress.
 type call struct {
-	engine  *Engine
-	request string
-	attempt int
-	chat    ChatRequest
-	seq     *sequence
-	answer  answer
-	entry   ledger.ID
+	engine      *Engine
+	requestID   string
+	attempt     int
+	chatRequest ChatRequest
+	seq         *sequence
+	text        generatedText
+	entry       ledger.ID
 }
 
-// serves says whether requests for a model, or for an adapter, can be served.
+// serves reports whether the engine serves requests for a model or adapter.
 func (e *Engine) serves(model string) bool {
 	return e.cfg.Model == "" || model == "" || model == e.cfg.Model || slices.Contains(e.cfg.Adapters, model)
 }
 
 func (e *Engine) chat(w http.ResponseWriter, r *http.Request) {
-	if !e.faults.Gate(w, r) {
+	if !e.faults.ApplyRequestFaults(w, r) {
 		return
 	}
 	var chat ChatRequest
@@ -88,7 +89,7 @@
 		return
 	}
 	c := e.newCall(r, chat)
-	if c.seq.reserved() > e.cfg.KVBlocks {
+	if c.seq.blocksNeeded() > e.cfg.KVBlocks {
 		standin.Refuse(w, http.StatusBadRequest, "prompt is too long")
 		return
 	}
@@ -98,10 +99,10 @@
 	}
 	c.begin(r)
 	if chat.Stream {
-		c.stream(w, r)
+		c.respondStream(w, r)
 		return
 	}
-	c.whole(w, r)
+	c.respond(w, r)
 }
 
 func (e *Engine) newCall(r *http.Request, chat ChatRequest) *call {
@@ -114,125 +115,129 @@
 		prompt.WriteByte('\n')
 	}
 	text := prompt.String()
-	request := r.Header.Get("X-Request-Id")
+	requestID := r.Header.Get("X-Request-Id")
 	attempt, err := strconv.Atoi(r.Header.Get("X-Attempt"))
 	if err != nil {
 		attempt = 1
 	}
 	return &call{
-		engine:  e,
-		request: request,
-		attempt: attempt,
-		chat:    chat,
-		seq:     newSequence(text, outputTokens(e.cfg, text, chat.MaxTokens), chat.Priority),
-		answer:  newAnswer(request, chat.Model, text),
+		engine:      e,
+		requestID:   requestID,
+		attempt:     attempt,
+		chatRequest: chat,
+		seq:         newSequence(text, outputTokens(e.cfg, text, chat.MaxTokens), chat.Priority),
+		text:        newGeneratedText(requestID, chat.Model, text),
 	}
 }
 
 func (c *call) begin(r *http.Request) {
 	c.entry = c.engine.ledger.Begin(ledger.Entry{
 		Key:       r.Header.Get("Idempotency-Key"),
-		RequestID: c.request,
+		RequestID: c.requestID,
 		Attempt:   c.attempt,
 		Stage:     stageGenerate,
-		Customer:  c.chat.User,
+		Customer:  c.chatRequest.User,
 		Upstream:  c.engine.cfg.Name,
 		Leaving:   c.engine.faults.Get().Leaving,
 	})
 }
 
-// end closes the call's ledger entry and takes its sequence out of the batch.
+// end removes the sequence of the call from the batch and records the final state
+// in the ledger.
 func (c *call) end(s ledger.State) {
 	cost, tokens := c.engine.remove(c.seq)
 	c.engine.ledger.End(c.entry, s, float64(cost)/float64(time.Millisecond), tokens)
 }
 
-// await waits for news of the sequence. When there can be none it ends the call
-// and cuts the connection.
-func (c *call) await(r *http.Request) (produced int, finished bool) {
-	gone := r.Context().Done()
+// awaitProgress waits until the sequence makes progress. It returns the number of
+// tokens generated so far and whether the sequence is finished. If the sequence is
+// canceled or fails first, it ends the call and aborts the connection.
+func (c *call) awaitProgress(r *http.Request) (generated int, finished bool) {
+	callerDone := r.Context().Done()
 	if c.engine.cfg.NoCancellation {
-		gone = nil
+		callerDone = nil
 	}
 	select {
 	case <-c.seq.progress:
 		return c.engine.progress(c.seq)
-	case <-gone:
+	case <-callerDone:
 		c.end(ledger.Cancelled)
 	case <-c.engine.faults.Down():
 		c.end(ledger.Failed)
 	case <-c.engine.ctx.Done():
 		c.end(ledger.Cancelled)
 	}
-	standin.Cut()
+	standin.AbortConnection()
 	return 0, false
 }
 
-func (c *call) whole(w http.ResponseWriter, r *http.Request) {
+// respond sends a complete response when all tokens are generated.
+func (c *call) respond(w http.ResponseWriter, r *http.Request) {
 	for finished := false; !finished; {
-		_, finished = c.await(r)
+		_, finished = c.awaitProgress(r)
 	}
-	if c.engine.faults.Fails() {
+	if c.engine.faults.DrawFailure() {
 		c.end(ledger.Failed)
-		standin.WriteJSON(w, http.StatusInternalServerError, standin.Refusal{Error: "failed by an injected fault"})
+		standin.WriteJSON(w, http.StatusInternalServerError, standin.ErrorBody{Error: "failed by an injected fault"})
 		return
 	}
 	c.end(ledger.Done)
-	c.engine.answerer.Answer(w, r, ChatAnswer{
+	c.engine.responder.Respond(w, r, ChatResponse{
 		ID: c.id(),
 		Choices: []Choice{{
-			Message:      &Message{Role: "assistant", Content: c.answer.text(c.seq.output)},
+			Message:      &Message{Role: "assistant", Content: c.text.firstTokens(c.seq.outputTokens)},
 			FinishReason: c.finishReason(),
 		}},
-		Usage:     &Usage{PromptTokens: c.seq.prompt, CompletionTokens: c.seq.output},
-		RequestID: c.request,
+		Usage:     &Usage{PromptTokens: c.seq.promptTokens, CompletionTokens: c.seq.outputTokens},
+		RequestID: c.requestID,
 		Attempt:   c.attempt,
 	})
 }
 
-// stream sends the tokens as they come; a stream is whole only with [DONE].
-func (c *call) stream(w http.ResponseWriter, r *http.Request) {
+// respondStream sends tokens as they are generated. A stream is complete only if it
+// ends with [DONE].
+func (c *call) respondStream(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	flusher := http.NewResponseController(w)
 	sent := 0
 	for finished := false; !finished; {
-		var produced int
-		produced, finished = c.await(r)
-		for ; sent < produced; sent++ {
-			c.event(w, Choice{Delta: &Message{Content: c.answer.token(sent)}})
+		var generated int
+		generated, finished = c.awaitProgress(r)
+		for ; sent < generated; sent++ {
+			c.writeEvent(w, Choice{Delta: &Message{Content: c.text.token(sent)}})
 		}
 		_ = flusher.Flush()
 	}
-	if c.engine.faults.Fails() {
+	if c.engine.faults.DrawFailure() {
 		c.end(ledger.Failed)
-		standin.Cut()
+		standin.AbortConnection()
 	}
 	c.end(ledger.Done)
-	c.engine.faults.Hold(r.Context())
-	c.event(w, Choice{Delta: &Message{}, FinishReason: c.finishReason()})
+	c.engine.faults.ApplyResponseFaults(r.Context())
+	c.writeEvent(w, Choice{Delta: &Message{}, FinishReason: c.finishReason()})
 	_, _ = w.Write([]byte("data: [DONE]\n\n"))
 }
 
-func (c *call) event(w http.ResponseWriter, choice Choice) {
-	body, err := json.Marshal(ChatAnswer{
+func (c *call) writeEvent(w http.ResponseWriter, choice Choice) {
+	body, err := json.Marshal(ChatResponse{
 		ID:        c.id(),
 		Choices:   []Choice{choice},
-		RequestID: c.request,
+		RequestID: c.requestID,
 		Attempt:   c.attempt,
 	})
 	if err != nil {
-		standin.Cut()
+		standin.AbortConnection()
 	}
 	_, _ = w.Write([]byte("data: "))
 	_, _ = w.Write(body)
 	_, _ = w.Write([]byte("\n\n"))
 }
 
-func (c *call) id() string { return "chat-" + c.request + "-" + strconv.Itoa(c.attempt) }
+func (c *call) id() string { return "chat-" + c.requestID + "-" + strconv.Itoa(c.attempt) }
 
 func (c *call) finishReason() string {
-	if c.seq.output >= c.chat.MaxTokens {
+	if c.seq.outputTokens >= c.chatRequest.MaxTokens {
 		return finishLength
 	}
 	return finishStop
@@ -240,8 +245,8 @@
 
 func (e *Engine) load(w http.ResponseWriter, r *http.Request) {
 	if e.faults.IsDown() {
-		standin.Cut()
+		standin.AbortConnection()
 	}
-	e.faults.AwaitThaw(r.Context())
-	standin.WriteJSON(w, http.StatusOK, e.report.Report(time.Now()))
+	e.faults.WaitWhileFrozen(r.Context())
+	standin.WriteJSON(w, http.StatusOK, e.loadReporter.Report(time.Now()))
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,22 +1,22 @@
-// Package engine stands in for a model engine that batches continuously.
+// Package engine implements a fake model engine with continuous batching.
 //
-//	POST /v1/chat/completions   answers whole or as server-sent events
-//	GET /v1/load                the load report, which lags
-//	GET /v1/cache-events?after=N  prefix cache events, late and with gaps
+//	POST /v1/chat/completions   responds with JSON or server-sent events
+//	GET /v1/load                the load report, delayed by Config.LoadLag
+//	GET /v1/cache-events?after=N  prefix cache events, delayed and with gaps
 //	GET, DELETE /control/ledger, GET, POST /control/faults
 //
-// Time advances in steps. A step admits queued sequences into free slots,
-// prefills a bounded number of prompt tokens and yields one token for each
-// sequence that is past its prefill; it lasts
+// The engine runs in steps. A step admits queued sequences into free slots,
+// prefills a bounded number of prompt tokens and generates one token for each
+// sequence that has completed its prefill. Its duration is
 //
 //	StepBase + StepPerSequence*decoding + PrefillPerToken*prefilled
 //
-// Prompt blocks are kept in an LRU cache in the memory that running sequences
-// leave; cached blocks need no prefill. The number of tokens of an answer has a
-// lognormal distribution, drawn from the seed and the prompt, and is bounded by
-// max_tokens. The text of an answer depends only on the request and begins with
-// the request's id in square brackets. A cancelled sequence frees its slot at
-// once. Beyond the bounded queue the answer is 429 with X-Not-Executed.
+// Prompt blocks are kept in an LRU cache that uses the memory not reserved by
+// running sequences. Cached blocks need no prefill. The number of tokens of a
+// response has a lognormal distribution, is derived from the seed and the prompt,
+// and is limited by max_tokens. The text of a response depends only on the request
+// and starts with the request id in square brackets. A canceled sequence frees its
+// slot immediately. If the queue is full, the response is 429 with X-Not-Executed.
 package engine
 
 import (
@@ -29,52 +29,54 @@
 	"github.com/wheatseam/wheatseam/internal/standin/ledger"
 )
 
-// Config configures an Engine; zero fields take the defaults of Defaults.
+// Config configures an Engine. Zero fields get the values of Defaults.
 type Config struct {
-	// Name of the replica, as in the bundle.
+	// Name is the name of the replica in the bundle.
 	Name string
-	// Model and Version are loaded at the start; an empty Model serves any.
+	// Model and Version are the loaded model and its version. An engine with an
+	// empty Model serves requests for any model.
 	Model   string
 	Version string
 	Role    string
-	// Adapters are loaded at the start.
+	// Adapters are the loaded adapters.
 	Adapters []string
-	// Slots is the number of sequences in a batch.
+	// Slots is the maximum number of sequences in a batch.
 	Slots int
-	// Queue is the number of sequences that may wait.
+	// Queue is the maximum number of queued sequences.
 	Queue int
-	// StepBase is the time of a step, to which each decoding sequence adds
+	// StepBase is the base duration of a step. Each decoding sequence adds
 	// StepPerSequence and each prefilled token PrefillPerToken.
 	StepBase        time.Duration
 	StepPerSequence time.Duration
 	PrefillPerToken time.Duration
-	// PrefillChunk bounds the prompt tokens prefilled in one step.
+	// PrefillChunk is the maximum number of prompt tokens prefilled in a step.
 	PrefillChunk int
-	// KVBlocks is the memory in blocks of 16 tokens, for running sequences
-	// and cached prefixes together.
+	// KVBlocks is the memory for running sequences and cached prefixes, in
+	// blocks of 16 tokens.
 	KVBlocks int
-	// OutputMedian is the median number of tokens of an answer, and
-	// OutputSigma the standard deviation of its logarithm.
+	// OutputMedian is the median number of tokens of a response, OutputSigma the
+	// standard deviation of its logarithm.
 	OutputMedian int
 	OutputSigma  float64
-	// Priority honours the priorities of requests in the queue; higher values
-	// go first. Otherwise the queue is first in, first out.
+	// Priority orders the queue by request priority, higher values first.
+	// Otherwise the queue is first in, first out.
 	Priority bool
-	// NoCancellation runs sequences to their end when their caller is gone.
+	// NoCancellation runs sequences to their end even if the client has
+	// disconnected.
 	NoCancellation bool
-	// LoadLag and EventLag are how far load reports and cache events lag;
-	// EventGap is the share of cache events that are never published.
+	// LoadLag and EventLag are the delays of load reports and cache events.
+	// EventGap is the fraction of cache events that are never published.
 	LoadLag  time.Duration
 	EventLag time.Duration
 	EventGap float64
-	// TimeScale multiplies all times but the lags; default 1.
+	// TimeScale multiplies all durations except the lags.
 	TimeScale float64
 	Seed      uint64
-	// Ledger may be shared among replicas; default an own one.
+	// Ledger may be shared among replicas. Default: a new one.
 	Ledger *ledger.Ledger
 }
 
-// Defaults are the values of zero fields of a Config.
+// Defaults has the values used for zero fields of a Config.
 var Defaults = Config{
 	Role:            "mixed",
 	Slots:           16,
@@ -112,47 +114,47 @@
 	}
 }
 
-// Engine is the stand-in for one replica. It is safe for concurrent use.
+// Engine is a fake engine replica. It is safe for concurrent use.
 type Engine struct {
-	cfg      Config
-	mux      *http.ServeMux
-	faults   *standin.Injector
-	answerer *standin.Answerer
-	ledger   *ledger.Ledger
-	report   *standin.LoadReporter
-	events   *eventLog
-	wake     chan struct{}
-	ctx      context.Context
-	cancel   context.CancelFunc
-	stopped  chan struct{}
+	cfg          Config
+	mux          *http.ServeMux
+	faults       *standin.Injector
+	responder    *standin.Responder
+	ledger       *ledger.Ledger
+	loadReporter *standin.LoadReporter
+	events       *eventLog
+	wake         chan struct{}
+	ctx          context.Context
+	cancel       context.CancelFunc
+	stopped      chan struct{}
 
 	mu      sync.Mutex
 	batch   *batch
 	leaving bool
 }
 
-// New returns an Engine, whose one goroutine runs until Close.
+// New returns an Engine and starts its goroutine, which runs until Close.
 func New(cfg Config) *Engine {
 	cfg = withDefaults(cfg)
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &Engine{
-		cfg:     cfg,
-		mux:     http.NewServeMux(),
-		ledger:  cfg.Ledger,
-		events:  newEventLog(cfg.EventLag, cfg.EventGap, cfg.Seed),
-		report:  standin.NewLoadReporter(cfg.LoadLag, standin.Load{Slots: cfg.Slots, KVTotal: cfg.KVBlocks}),
-		wake:    make(chan struct{}, 1),
-		ctx:     ctx,
-		cancel:  cancel,
-		stopped: make(chan struct{}),
+		cfg:          cfg,
+		mux:          http.NewServeMux(),
+		ledger:       cfg.Ledger,
+		events:       newEventLog(cfg.EventLag, cfg.EventGap, cfg.Seed),
+		loadReporter: standin.NewLoadReporter(cfg.LoadLag, standin.Load{Slots: cfg.Slots, KVTotal: cfg.KVBlocks}),
+		wake:         make(chan struct{}, 1),
+		ctx:          ctx,
+		cancel:       cancel,
+		stopped:      make(chan struct{}),
 	}
 	e.batch = newBatch(cfg, newPrefixCache(cfg.KVBlocks, e.events.add))
-	e.faults = standin.NewInjector(cfg.Seed, e.faultsChanged)
-	e.answerer = standin.NewAnswerer(e.faults)
+	e.faults = standin.NewInjector(cfg.Seed, e.onFaultsChanged)
+	e.responder = standin.NewResponder(e.faults)
 	e.mux.HandleFunc("POST /v1/chat/completions", e.chat)
 	e.mux.HandleFunc("GET /v1/load", e.load)
 	e.mux.HandleFunc("GET /v1/cache-events", e.cacheEvents)
-	e.mux.Handle("/control/ledger", e.ledger.Of(cfg.Name))
+	e.mux.Handle("/control/ledger", e.ledger.ForUpstream(cfg.Name))
 	e.mux.Handle("/control/faults", e.faults)
 	go e.run()
 	return e
@@ -161,33 +163,32 @@
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.mux.ServeHTTP(w, r) }
 
-// Close ends running sequences and waits for the engine's goroutines.
+// Close cancels running sequences and waits for the engine's goroutine.
 func (e *Engine) Close() {
 	e.cancel()
 	<-e.stopped
 }
 
-// Faults returns the injected faults.
+// Faults returns the fault injector.
 func (e *Engine) Faults() *standin.Injector { return e.faults }
 
-// Ledger returns the ledger.
 func (e *Engine) Ledger() *ledger.Ledger { return e.ledger }
 
-func (e *Engine) faultsChanged(f standin.Faults) {
+func (e *Engine) onFaultsChanged(f standin.Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = f.Leaving
 	e.updateLoad(time.Now())
 }
 
-// updateLoad tells the reporter the load; the caller holds mu.
+// updateLoad records the current load for load reports. The caller holds mu.
 func (e *Engine) updateLoad(now time.Time) {
 	l := e.batch.load()
 	l.Leaving = e.leaving
-	e.report.Update(now, l)
+	e.loadReporter.Update(now, l)
 }
 
-// submit queues s, or returns false when the queue is full.
+// submit adds s to the queue. It returns false if the queue is full.
 func (e *Engine) submit(s *sequence) bool {
 	e.mu.Lock()
 	ok := e.batch.submit(s)
@@ -200,19 +201,19 @@
 	return ok
 }
 
-// remove takes s out of the batch or the queue. It returns the engine time
-// spent on it and the tokens it yielded.
+// remove removes s from the batch or the queue. It returns the engine time spent
+// on s and the number of tokens generated.
 func (e *Engine) remove(s *sequence) (time.Duration, int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.batch.remove(s)
 	e.updateLoad(time.Now())
-	return s.cost, s.produced
+	return s.engineTime, s.generated
 }
 
-// progress returns the tokens that s yielded so far, and whether it is done.
+// progress returns the number of tokens generated for s and whether s is finished.
 func (e *Engine) progress(s *sequence) (int, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return s.produced, s.finished()
+	return s.generated, s.finished()
 }
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -18,13 +18,13 @@
 	"github.com/wheatseam/wheatseam/internal/standin/ledger"
 )
 
-const endless = 100_000
+const unboundedTokens = 100_000
 
 var _ = Describe("Engine", func() {
 	var e *Engine
 	var server *httptest.Server
 
-	start := func(cfg Config) {
+	startEngine := func(cfg Config) {
 		if cfg.TimeScale == 0 {
 			cfg.TimeScale = 0.02
 		}
@@ -47,7 +47,7 @@
 	chat := func(content string, maxTokens int) ChatRequest {
 		return ChatRequest{Model: "m", Messages: []Message{{Role: "user", Content: content}}, MaxTokens: maxTokens, User: "c"}
 	}
-	ask := func(ctx context.Context, id string, c ChatRequest) (int, []byte, error) {
+	postChat := func(ctx context.Context, id string, c ChatRequest) (int, []byte, error) {
 		resp, err := post(ctx, "/v1/chat/completions", id, c)
 		if err != nil {
 			return 0, nil, err
@@ -56,33 +56,33 @@
 		body, err := io.ReadAll(resp.Body)
 		return resp.StatusCode, body, err
 	}
-	answerOf := func(id string, c ChatRequest) ChatAnswer {
-		status, body, err := ask(context.Background(), id, c)
+	chatResponse := func(id string, c ChatRequest) ChatResponse {
+		status, body, err := postChat(context.Background(), id, c)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status).To(Equal(http.StatusOK), string(body))
-		var a ChatAnswer
+		var a ChatResponse
 		Expect(json.Unmarshal(body, &a)).To(Succeed())
 		return a
 	}
-	inBackground := func(ctx context.Context, id string, c ChatRequest) <-chan error {
+	postChatAsync := func(ctx context.Context, id string, c ChatRequest) <-chan error {
 		ended := make(chan error, 1)
 		go func() {
-			_, _, err := ask(ctx, id, c)
+			_, _, err := postChat(ctx, id, c)
 			ended <- err
 		}()
 		return ended
 	}
-	load := func() standin.Load { return e.report.Report(time.Now()) }
+	load := func() standin.Load { return e.loadReporter.Report(time.Now()) }
 
-	It("answers whole, marked with the request, the same each time", func() {
-		start(Config{})
-		first := answerOf("r1", chat("what is a deed?", 20))
+	It("responds deterministically and includes the request id", func() {
+		startEngine(Config{})
+		first := chatResponse("r1", chat("what is a deed?", 20))
 		Expect(first.RequestID).To(Equal("r1"))
 		Expect(first.Attempt).To(Equal(2))
 		Expect(first.Choices[0].Message.Content).To(HavePrefix("[r1] "))
 		Expect(first.Usage.CompletionTokens).To(Equal(20))
-		Expect(answerOf("r1", chat("what is a deed?", 20))).To(Equal(first))
-		Expect(answerOf("r2", chat("what is a deed?", 20))).NotTo(Equal(first))
+		Expect(chatResponse("r1", chat("what is a deed?", 20))).To(Equal(first))
+		Expect(chatResponse("r2", chat("what is a deed?", 20))).NotTo(Equal(first))
 		s := e.Ledger().Summary()
 		Expect(s.Total.Done).To(Equal(3))
 		Expect(s.Total.Tokens).To(Equal(60))
@@ -90,19 +90,19 @@
 		Expect(s.Total.WastedEngineMS).To(BeZero())
 	})
 
-	It("streams the same text, and ends it with [DONE]", func() {
-		start(Config{})
-		want := answerOf("r1", chat("hello", 10)).Choices[0].Message.Content
+	It("streams the same text and ends the stream with [DONE]", func() {
+		startEngine(Config{})
+		want := chatResponse("r1", chat("hello", 10)).Choices[0].Message.Content
 		c := chat("hello", 10)
 		c.Stream = true
-		status, body, err := ask(context.Background(), "r1", c)
+		status, body, err := postChat(context.Background(), "r1", c)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status).To(Equal(http.StatusOK))
 		var text strings.Builder
 		events := strings.Split(strings.TrimSpace(string(body)), "\n\n")
 		Expect(events[len(events)-1]).To(Equal("data: [DONE]"))
 		for _, line := range events[:len(events)-1] {
-			var chunk ChatAnswer
+			var chunk ChatResponse
 			Expect(json.Unmarshal([]byte(strings.TrimPrefix(line, "data: ")), &chunk)).To(Succeed())
 			Expect(chunk.RequestID).To(Equal("r1"))
 			text.WriteString(chunk.Choices[0].Delta.Content)
@@ -110,10 +110,10 @@
 		Expect(text.String()).To(Equal(want))
 	})
 
-	It("frees the slot of a cancelled stream, and counts it as wasted", func() {
-		start(Config{Slots: 1, OutputMedian: endless, KVBlocks: endless})
+	It("frees the slot of a canceled stream and counts its engine time as wasted", func() {
+		startEngine(Config{Slots: 1, OutputMedian: unboundedTokens, KVBlocks: unboundedTokens})
 		ctx, cancel := context.WithCancel(context.Background())
-		c := chat("hello", endless)
+		c := chat("hello", unboundedTokens)
 		c.Stream = true
 		resp, err := post(ctx, "/v1/chat/completions", "r1", c)
 		Expect(err).NotTo(HaveOccurred())
@@ -121,19 +121,19 @@
 		Expect(err).NotTo(HaveOccurred())
 		cancel()
 		resp.Body.Close()
-		Expect(answerOf("r2", chat("next", 3)).RequestID).To(Equal("r2"))
+		Expect(chatResponse("r2", chat("next", 3)).RequestID).To(Equal("r2"))
 		s := e.Ledger().Summary()
 		Expect(s.Total.Cancelled).To(Equal(1))
 		Expect(s.Total.WastedEngineMS).To(BeNumerically(">", 0))
 	})
 
-	It("refuses what its queue cannot take, without executing it", func() {
-		start(Config{Slots: 1, Queue: 1, OutputMedian: endless, KVBlocks: endless})
+	It("refuses requests without executing them when the queue is full", func() {
+		startEngine(Config{Slots: 1, Queue: 1, OutputMedian: unboundedTokens, KVBlocks: unboundedTokens})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		inBackground(ctx, "r1", chat("a", endless))
+		postChatAsync(ctx, "r1", chat("a", unboundedTokens))
 		Eventually(func() int { return load().Running }).Should(Equal(1))
-		inBackground(ctx, "r2", chat("b", endless))
+		postChatAsync(ctx, "r2", chat("b", unboundedTokens))
 		Eventually(func() int { return load().Queued }).Should(Equal(1))
 		resp, err := post(ctx, "/v1/chat/completions", "r3", chat("c", 1))
 		Expect(err).NotTo(HaveOccurred())
@@ -143,35 +143,35 @@
 		Expect(e.Ledger().Entries()).To(HaveLen(2))
 	})
 
-	It("cuts running requests when it goes down", func() {
-		start(Config{OutputMedian: endless, KVBlocks: endless})
-		ended := inBackground(context.Background(), "r1", chat("a", endless))
+	It("aborts running requests when it goes down", func() {
+		startEngine(Config{OutputMedian: unboundedTokens, KVBlocks: unboundedTokens})
+		ended := postChatAsync(context.Background(), "r1", chat("a", unboundedTokens))
 		Eventually(func() int { return load().Running }).Should(Equal(1))
 		e.Faults().Set(standin.Faults{Down: true})
 		Eventually(ended, 10*time.Second).Should(Receive(HaveOccurred()))
 		Eventually(func() int { return e.Ledger().Summary().Total.Failed }).Should(Equal(1))
 	})
 
-	It("reports its load late", func() {
-		start(Config{LoadLag: time.Hour, OutputMedian: endless, KVBlocks: endless})
+	It("reports its load after the lag", func() {
+		startEngine(Config{LoadLag: time.Hour, OutputMedian: unboundedTokens, KVBlocks: unboundedTokens})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		inBackground(ctx, "r1", chat("a", endless))
+		postChatAsync(ctx, "r1", chat("a", unboundedTokens))
 		Eventually(func() int {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			return e.batch.load().Running
 		}).Should(Equal(1))
 		Expect(load().Running).To(Equal(0))
-		Eventually(func() int { return e.report.Report(time.Now().Add(2 * time.Hour)).Running }).Should(Equal(1))
+		Eventually(func() int { return e.loadReporter.Report(time.Now().Add(2 * time.Hour)).Running }).Should(Equal(1))
 	})
 
-	It("fails a stream without [DONE]", func() {
-		start(Config{})
+	It("ends a failed stream without [DONE]", func() {
+		startEngine(Config{})
 		e.Faults().Set(standin.Faults{FailRate: 1})
 		c := chat("hello", 3)
 		c.Stream = true
-		_, body, err := ask(context.Background(), "r1", c)
+		_, body, err := postChat(context.Background(), "r1", c)
 		Expect(err).To(HaveOccurred())
 		Expect(string(body)).NotTo(ContainSubstring("[DONE]"))
 		Expect(e.Ledger().Entries()[0].State).To(Equal(ledger.Failed))
--- a/internal/standin/engine/loop.go
+++ b/internal/standin/engine/loop.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// maxLate is how far the steps may fall behind real time before the engine
-// stops trying to catch up, as after a pause.
-const maxLate = 20 * time.Millisecond
+// maxStepDelay is the maximum delay of a step behind its scheduled end. Beyond it,
+// for example after a pause of the process, the engine does not catch up but
+// schedules the following steps from the current time.
+const maxStepDelay = 20 * time.Millisecond
 
-// run takes step after step until the engine is closed.
+// run executes steps until the engine is closed.
 func (e *Engine) run() {
 	defer close(e.stopped)
-	due := time.Now()
+	stepEnd := time.Now()
 	for e.ctx.Err() == nil {
 		step := e.plan()
 		if step == 0 {
-			e.idle()
-			due = time.Now()
+			e.waitForWork()
+			stepEnd = time.Now()
 			continue
 		}
-		due = due.Add(time.Duration(float64(step) * e.cfg.TimeScale))
-		e.sleepUntil(due)
-		e.faults.AwaitThaw(e.ctx)
-		if now := time.Now(); now.Sub(due) > maxLate {
-			due = now
+		stepEnd = stepEnd.Add(time.Duration(float64(step) * e.cfg.TimeScale))
+		e.sleepUntil(stepEnd)
+		e.faults.WaitWhileFrozen(e.ctx)
+		if now := time.Now(); now.Sub(stepEnd) > maxStepDelay {
+			stepEnd = now
 		}
 		e.advance(step)
 	}
@@ -34,7 +35,7 @@
 	if step == 0 {
 		e.updateLoad(time.Now())
 	}
-	return e.faults.Slow(step)
+	return e.faults.ScaleServiceTime(step)
 }
 
 func (e *Engine) advance(step time.Duration) {
@@ -44,7 +45,8 @@
 	e.updateLoad(time.Now())
 }
 
-func (e *Engine) idle() {
+// waitForWork waits until a sequence is submitted or the engine is closed.
+func (e *Engine) waitForWork() {
 	select {
 	case <-e.wake:
 	case <-e.ctx.Done():
--- a/internal/standin/engine/prefix.go
+++ b/internal/standin/engine/prefix.go
@@ -7,20 +7,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A token is taken to be four bytes of text.
+// Text is divided into tokens of four bytes each.
 const (
 	bytesPerToken  = 4
 	tokensPerBlock = 16
 	bytesPerBlock  = bytesPerToken * tokensPerBlock
 )
 
-func tokensOf(text string) int {
+func countTokens(text string) int {
 	return (len(text) + bytesPerToken - 1) / bytesPerToken
 }
 
-// blocksOf returns the hashes of the full blocks of text; each hash covers all
-// blocks before it too.
-func blocksOf(text string) []uint64 {
+// hashBlocks returns the hashes of the full blocks of text. Each hash also covers
+// all blocks before its own.
+func hashBlocks(text string) []uint64 {
 	blocks := make([]uint64, 0, len(text)/bytesPerBlock)
 	var chained [8 + bytesPerBlock]byte
 	var previous uint64
@@ -33,66 +33,66 @@
 	return blocks
 }
 
-// prefixCache keeps prompt blocks, the least recently used evicted first. It is
-// not safe for concurrent use.
+// prefixCache is an LRU cache of prompt blocks. It is not safe for concurrent use.
 type prefixCache struct {
 	capacity int
-	recent   *list.List
+	lru      *list.List
 	blocks   map[uint64]*list.Element
-	changed  func(kind EventKind, block uint64)
+	onChange func(kind EventKind, block uint64)
 }
 
-func newPrefixCache(capacity int, changed func(EventKind, uint64)) *prefixCache {
+func newPrefixCache(capacity int, onChange func(EventKind, uint64)) *prefixCache {
 	return &prefixCache{
 		capacity: capacity,
-		recent:   list.New(),
+		lru:      list.New(),
 		blocks:   map[uint64]*list.Element{},
-		changed:  changed,
+		onChange: onChange,
 	}
 }
 
 func (c *prefixCache) len() int { return len(c.blocks) }
 
-// match returns how many of the first blocks are cached, and marks them used.
+// match returns the length of the prefix of blocks that is cached, in blocks, and
+// marks these blocks as used.
 func (c *prefixCache) match(blocks []uint64) int {
 	n := 0
 	for n < len(blocks) && c.blocks[blocks[n]] != nil {
 		n++
 	}
-	c.touch(blocks[:n])
+	c.markUsed(blocks[:n])
 	return n
 }
 
-// store adds blocks and evicts others while the cache is over its capacity.
+// store adds blocks and evicts others while the cache exceeds its capacity.
 func (c *prefixCache) store(blocks []uint64) {
 	for _, b := range blocks {
 		if c.blocks[b] == nil {
-			c.blocks[b] = c.recent.PushFront(b)
-			c.changed(EventStored, b)
+			c.blocks[b] = c.lru.PushFront(b)
+			c.onChange(EventStored, b)
 		}
 	}
-	c.touch(blocks)
+	c.markUsed(blocks)
 	c.evict()
 }
 
-// resize changes the capacity and evicts what is over it.
+// resize changes the capacity and evicts the blocks that exceed it.
 func (c *prefixCache) resize(capacity int) {
 	c.capacity = capacity
 	c.evict()
 }
 
-// touch marks blocks used, the first ones most recently: a block is of no use
-// without those before it.
-func (c *prefixCache) touch(blocks []uint64) {
+// markUsed marks blocks as used, the first block as the most recent one: a block
+// cannot be used without those before it, so it must be evicted before them.
+func (c *prefixCache) markUsed(blocks []uint64) {
 	for i := len(blocks) - 1; i >= 0; i-- {
-		c.recent.MoveToFront(c.blocks[blocks[i]])
+		c.lru.MoveToFront(c.blocks[blocks[i]])
 	}
 }
 
 func (c *prefixCache) evict() {
 	for len(c.blocks) > max(0, c.capacity) {
-		b := c.recent.Remove(c.recent.Back()).(uint64)
+		b := c.lru.Remove(c.lru.Back()).(uint64)
 		delete(c.blocks, b)
-		c.changed(EventRemoved, b)
+		c.onChange(EventRemoved, b)
 	}
 }
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -8,56 +8,61 @@
 	"time"
 )
 
-// Faults are the faults injected into one stand-in. The zero value is none.
+// Faults are the faults injected into one fake. The zero value injects none.
 type Faults struct {
-	// SlowFactor multiplies every service time; 0 and 1 leave it.
+	// SlowFactor multiplies every service time; 0 and 1 have no effect.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
-	// FailRate is the share of executions, 0 to 1, that end with status 500.
+	// FailRate is the fraction of executions, 0 to 1, that end with status 500.
+	// A streamed response ends with a closed connection instead.
 	FailRate float64 `json:"fail_rate,omitempty"`
-	// Down cuts every connection, those of running requests too.
+	// Down closes every connection, including those of running requests.
 	Down bool `json:"down,omitempty"`
-	// FreezeMS stops all progress for so long, like a paused process.
+	// FreezeMS stops all progress for this many milliseconds, like a paused
+	// process.
 	FreezeMS int64 `json:"freeze_ms,omitempty"`
-	// DropAnswer executes, then cuts the connection.
+	// DropAnswer executes the request, then closes the connection without a
+	// response.
 	DropAnswer bool `json:"drop_answer,omitempty"`
-	// DuplicateAnswer writes each whole answer twice on its connection.
+	// DuplicateAnswer writes each complete response twice on its connection.
 	DuplicateAnswer bool `json:"duplicate_answer,omitempty"`
-	// WrongAnswer answers with the whole answer of the request before.
+	// WrongAnswer responds with the complete response to the previous request.
 	WrongAnswer bool `json:"wrong_answer,omitempty"`
-	// LateByMS holds each answer back for so long after its execution.
+	// LateByMS delays each response by this many milliseconds after its
+	// execution.
 	LateByMS int64 `json:"late_by_ms,omitempty"`
-	// Leaving is told in load reports; work that still comes is done and
-	// marked in the ledger.
+	// Leaving is set in load reports. Requests that still arrive are executed
+	// and marked in the ledger.
 	Leaving bool `json:"leaving,omitempty"`
-	// Refuse answers 503 without execution.
+	// Refuse responds with status 503 without executing the request.
 	Refuse bool `json:"refuse,omitempty"`
-	// Stale makes a platform keep serving what it served when this was set.
+	// Stale makes a fake platform keep serving the data that it served when
+	// Stale was set.
 	Stale bool `json:"stale,omitempty"`
-	// DelayMS delays each answer of a platform.
+	// DelayMS delays each response of a fake platform, in milliseconds.
 	DelayMS int64 `json:"delay_ms,omitempty"`
 }
 
-// Injector holds the faults in force. Its methods are safe for concurrent use.
+// Injector holds the active faults. Its methods are safe for concurrent use.
 type Injector struct {
-	mu      sync.Mutex
-	faults  Faults
-	down    chan struct{}
-	thawed  time.Time
-	random  *rand.Rand
-	changed func(Faults)
+	mu          sync.Mutex
+	faults      Faults
+	down        chan struct{}
+	frozenUntil time.Time
+	random      *rand.Rand
+	onChange    func(Faults)
 }
 
-// NewInjector returns an Injector without faults; changed, when not nil, is
-// called with each new set.
-func NewInjector(seed uint64, changed func(Faults)) *Injector {
+// NewInjector returns an Injector without faults. If onChange is not nil, it is
+// called with each new set of faults.
+func NewInjector(seed uint64, onChange func(Faults)) *Injector {
 	return &Injector{
-		down:    make(chan struct{}),
-		random:  rand.New(rand.NewPCG(seed, 0)),
-		changed: changed,
+		down:     make(chan struct{}),
+		random:   rand.New(rand.NewPCG(seed, 0)),
+		onChange: onChange,
 	}
 }
 
-// Set replaces the faults in force.
+// Set replaces the active faults.
 func (i *Injector) Set(f Faults) {
 	i.mu.Lock()
 	if f.Down && !i.faults.Down {
@@ -66,69 +71,71 @@
 	if !f.Down && i.faults.Down {
 		i.down = make(chan struct{})
 	}
-	i.thawed = time.Now().Add(time.Duration(f.FreezeMS) * time.Millisecond)
+	i.frozenUntil = time.Now().Add(time.Duration(f.FreezeMS) * time.Millisecond)
 	i.faults = f
 	i.mu.Unlock()
-	if i.changed != nil {
-		i.changed(f)
+	if i.onChange != nil {
+		i.onChange(f)
 	}
 }
 
-// Get returns the faults in force.
+// Get returns the active faults.
 func (i *Injector) Get() Faults {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.faults
 }
 
-// Down returns a channel that is closed while the stand-in is down.
+// Down returns a channel that is closed while the fake is down.
 func (i *Injector) Down() <-chan struct{} {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.down
 }
 
-// IsDown says whether the stand-in is down.
+// IsDown reports whether the fake is down.
 func (i *Injector) IsDown() bool { return i.Get().Down }
 
-// Slow returns d times the slow factor in force.
-func (i *Injector) Slow(d time.Duration) time.Duration {
+// ScaleServiceTime returns d times the active slow factor.
+func (i *Injector) ScaleServiceTime(d time.Duration) time.Duration {
 	if f := i.Get().SlowFactor; f > 0 {
 		return time.Duration(float64(d) * f)
 	}
 	return d
 }
 
-// Fails draws whether one execution fails.
-func (i *Injector) Fails() bool {
+// DrawFailure decides at random, with probability FailRate, whether an execution
+// fails.
+func (i *Injector) DrawFailure() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.faults.FailRate > 0 && i.random.Float64() < i.faults.FailRate
 }
 
-// Frozen returns how long all progress is still stopped.
-func (i *Injector) Frozen() time.Duration {
+// FreezeRemaining returns for how much longer all progress is stopped.
+func (i *Injector) FreezeRemaining() time.Duration {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return max(0, time.Until(i.thawed))
+	return max(0, time.Until(i.frozenUntil))
 }
 
-// AwaitThaw waits while the stand-in is frozen, until ctx ends.
-func (i *Injector) AwaitThaw(ctx context.Context) {
-	for d := i.Frozen(); d > 0 && ctx.Err() == nil; d = i.Frozen() {
+// WaitWhileFrozen waits until the fake is no longer frozen or ctx is done.
+func (i *Injector) WaitWhileFrozen(ctx context.Context) {
+	for d := i.FreezeRemaining(); d > 0 && ctx.Err() == nil; d = i.FreezeRemaining() {
 		Sleep(ctx, d)
 	}
 }
 
-// Gate applies the faults that come before any execution: it cuts, waits or
-// refuses, and returns false when the request is already answered.
-func (i *Injector) Gate(w http.ResponseWriter, r *http.Request) bool {
+// ApplyRequestFaults applies the faults that occur before execution: it closes
+// the connection, waits or refuses the request. It returns false if it has
+// written a response.
+func (i *Injector) ApplyRequestFaults(w http.ResponseWriter, r *http.Request) bool {
 	if i.IsDown() {
-		Cut()
+		AbortConnection()
 	}
-	i.AwaitThaw(r.Context())
+	i.WaitWhileFrozen(r.Context())
 	if i.IsDown() {
-		Cut()
+		AbortConnection()
 	}
 	if i.Get().Refuse {
 		Refuse(w, http.StatusServiceUnavailable, "refused by an injected fault")
@@ -137,27 +144,28 @@
 	return true
 }
 
-// Hold applies the faults that come between execution and answer.
-func (i *Injector) Hold(ctx context.Context) {
+// ApplyResponseFaults applies the faults that occur between execution and
+// response. It may close the connection instead of returning.
+func (i *Injector) ApplyResponseFaults(ctx context.Context) {
 	f := i.Get()
 	if f.DropAnswer {
-		Cut()
+		AbortConnection()
 	}
 	if f.LateByMS > 0 {
 		Sleep(ctx, time.Duration(f.LateByMS)*time.Millisecond)
 	}
-	i.AwaitThaw(ctx)
+	i.WaitWhileFrozen(ctx)
 	if i.IsDown() {
-		Cut()
+		AbortConnection()
 	}
 }
 
-// ServeHTTP answers GET and POST /control/faults.
+// ServeHTTP serves GET and POST /control/faults.
 func (i *Injector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		var f Faults
 		if err := ReadJSON(w, r, &f); err != nil {
-			WriteJSON(w, http.StatusBadRequest, Refusal{Error: err.Error()})
+			WriteJSON(w, http.StatusBadRequest, ErrorBody{Error: err.Error()})
 			return
 		}
 		i.Set(f)
@@ -165,7 +173,7 @@
 	WriteJSON(w, http.StatusOK, i.Get())
 }
 
-// Sleep waits for d, or returns false when ctx ended before.
+// Sleep waits for d. It returns false if ctx is done first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/standin/fleet/bench_test.go
+++ b/internal/standin/fleet/bench_test.go
@@ -15,9 +15,8 @@
 	"github.com/wheatseam/wheatseam/internal/standin/service"
 )
 
-// The benchmarks drive one stand-in over HTTP with many callers at once; their
-// ns/op is the processor's, not the modelled, time as long as the stand-in has
-// slots enough.
+// The benchmarks send requests to a fake over HTTP from many concurrent clients. As
+// long as the fake has enough slots, ns/op measures CPU time, not the simulated time.
 
 func benchmarkCalls(b *testing.B, h http.Handler, path, body string) {
 	server := httptest.NewServer(h)
@@ -63,7 +62,7 @@
 	benchmarkCalls(b, e, "/v1/chat/completions", body)
 }
 
-func BenchmarkEngineWhole(b *testing.B) { benchmarkEngine(b, false) }
+func BenchmarkEngineNonStreaming(b *testing.B) { benchmarkEngine(b, false) }
 
 func BenchmarkEngineStream(b *testing.B) { benchmarkEngine(b, true) }
 
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -1,11 +1,11 @@
-// Package fleet serves every upstream of a bundle in one process, each on its
-// own listener, with one ledger over all of them and one control listener:
+// Package fleet serves fakes of all upstreams of a bundle in one process. Each
+// upstream has its own listener. All share a ledger and a control listener:
 //
 //	GET, DELETE /control/ledger
 //	GET, POST /control/faults?upstream=NAME   the faults of one upstream
 //	GET /control/upstreams                    names, pools and addresses
 //
-// Replicas of a service pool share what they know of idempotency keys.
+// The replicas of a service pool share their store of idempotency keys.
 package fleet
 
 import (
@@ -28,25 +28,25 @@
 	"github.com/wheatseam/wheatseam/internal/standin/service"
 )
 
-// Config configures a Fleet. Names, pools, models, slots and what replicas
-// support come from the bundle, all else from Engine and Service.
+// Config configures a Fleet. Names, pools, models, slots and the features that
+// replicas support come from the bundle, all other values from Engine and Service.
 type Config struct {
 	Bundle  *bundle.Bundle
 	Engine  engine.Config
 	Service service.Config
-	// Medians are the service times of pools; others take the mean of the
-	// expected durations of the stages that use the pool.
+	// Medians maps pools to their median service time. For other pools it is
+	// the mean of the expected durations of the stages that use the pool.
 	Medians map[string]time.Duration
 }
 
-// replica is one running stand-in.
+// replica is a running fake.
 type replica interface {
 	http.Handler
 	Close()
 	Faults() *standin.Injector
 }
 
-// Upstream is one replica of a Fleet.
+// Upstream is a replica of a Fleet.
 type Upstream struct {
 	Name    string `json:"name"`
 	Pool    string `json:"pool"`
@@ -54,7 +54,7 @@
 	replica replica
 }
 
-// Fleet is all replicas of a bundle. It is safe for concurrent use.
+// Fleet runs all replicas of a bundle. It is safe for concurrent use.
 type Fleet struct {
 	ledger *ledger.Ledger
 	byName map[string]replica
@@ -64,7 +64,7 @@
 	upstreams []Upstream
 }
 
-// New returns a Fleet whose replicas run but do not listen.
+// New returns a Fleet whose replicas are running but do not listen yet.
 func New(cfg Config) *Fleet {
 	f := &Fleet{
 		ledger: ledger.New(0),
@@ -72,7 +72,7 @@
 		mux:    http.NewServeMux(),
 	}
 	for _, p := range cfg.Bundle.Pools {
-		keys := service.NewKeys(0)
+		keys := service.NewKeyStore(0)
 		for _, u := range p.Upstreams {
 			seed := cfg.Engine.Seed + uint64(len(f.upstreams))
 			f.add(p.Name, u, f.newReplica(cfg, p, u, keys, seed))
@@ -80,7 +80,7 @@
 	}
 	f.mux.Handle("/control/ledger", f.ledger)
 	f.mux.HandleFunc("/control/faults", f.faults)
-	f.mux.HandleFunc("GET /control/upstreams", f.list)
+	f.mux.HandleFunc("GET /control/upstreams", f.listUpstreams)
 	return f
 }
 
@@ -89,7 +89,7 @@
 	f.byName[u.Name] = r
 }
 
-func (f *Fleet) newReplica(cfg Config, p bundle.Pool, u bundle.Upstream, keys *service.Keys, seed uint64) replica {
+func (f *Fleet) newReplica(cfg Config, p bundle.Pool, u bundle.Upstream, keys *service.KeyStore, seed uint64) replica {
 	if p.Kind == bundle.PoolEngine {
 		e := cfg.Engine
 		e.Name, e.Model, e.Version, e.Role, e.Adapters = u.Name, p.Model, p.Version, p.Role, p.Adapters
@@ -106,14 +106,15 @@
 	s.Deduplicate = p.Supports.IdempotencyKeys
 	s.NoStatusLookup = !p.Supports.StatusLookup
 	s.Seed, s.Ledger, s.Keys = seed, f.ledger, keys
-	if m := medianOf(cfg, p.Name); m > 0 {
+	if m := medianServiceTime(cfg, p.Name); m > 0 {
 		s.Median = m
 	}
 	return service.New(s)
 }
 
-// medianOf returns the service time of a pool, 0 when nothing tells it.
-func medianOf(cfg Config, pool string) time.Duration {
+// medianServiceTime returns the median service time of a pool, or 0 if it is
+// neither configured nor used by a stage.
+func medianServiceTime(cfg Config, pool string) time.Duration {
 	if m, ok := cfg.Medians[pool]; ok {
 		return m
 	}
@@ -133,17 +134,17 @@
 	return sum / time.Duration(n)
 }
 
-// ServeHTTP serves the control calls.
+// ServeHTTP serves the control endpoints.
 func (f *Fleet) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.mux.ServeHTTP(w, r) }
 
-// Close ends all replicas.
+// Close closes all replicas.
 func (f *Fleet) Close() {
 	for _, u := range f.Upstreams() {
 		u.replica.Close()
 	}
 }
 
-// Ledger returns the ledger over all replicas.
+// Ledger returns the ledger shared by all replicas.
 func (f *Fleet) Ledger() *ledger.Ledger { return f.ledger }
 
 // Upstreams returns all replicas with their addresses.
@@ -153,10 +154,10 @@
 	return slices.Clone(f.upstreams)
 }
 
-// Handler returns the replica of an upstream, nil when there is none.
+// Handler returns the replica of an upstream, or nil if there is none.
 func (f *Fleet) Handler(name string) http.Handler { return f.byName[name] }
 
-// Faults returns the injected faults of an upstream, nil when there is none.
+// Faults returns the fault injector of an upstream, or nil if there is none.
 func (f *Fleet) Faults(name string) *standin.Injector {
 	r, ok := f.byName[name]
 	if !ok {
@@ -165,10 +166,10 @@
 	return r.Faults()
 }
 
-// Serve listens on the address of every upstream and on control, and serves
-// until ctx ends. It prints one line for each listener to out, in the order of
-// the bundle and the control listener last: all listeners are open by then.
-// It may be called once.
+// Serve listens on the addresses of all upstreams and on the address control, and
+// serves until ctx is canceled. For each listener it prints a line to out, in the
+// order of the bundle with the control listener last. When the last line is printed,
+// all listeners are open. Serve must be called at most once.
 func (f *Fleet) Serve(ctx context.Context, control string, out io.Writer) error {
 	listeners, err := f.listen(control, out)
 	if err != nil {
@@ -182,7 +183,8 @@
 	return group.Wait()
 }
 
-// listen opens all listeners, control last, and notes the upstreams' addresses.
+// listen opens all listeners, the control listener last, and records the addresses
+// of the upstreams.
 func (f *Fleet) listen(control string, out io.Writer) ([]net.Listener, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -190,7 +192,7 @@
 	for i, u := range f.upstreams {
 		l, err := standin.Listen(u.Address, out)
 		if err != nil {
-			closeAll(listeners)
+			closeListeners(listeners)
 			return nil, fmt.Errorf("upstream %s: %w", u.Name, err)
 		}
 		listeners = append(listeners, l)
@@ -198,13 +200,13 @@
 	}
 	l, err := standin.Listen(control, out)
 	if err != nil {
-		closeAll(listeners)
-		return nil, fmt.Errorf("control: %w", err)
+		closeListeners(listeners)
+		return nil, fmt.Errorf("control listener: %w", err)
 	}
 	return append(listeners, l), nil
 }
 
-func closeAll(listeners []net.Listener) {
+func closeListeners(listeners []net.Listener) {
 	for _, l := range listeners {
 		_ = l.Close()
 	}
@@ -218,7 +220,7 @@
 		for _, u := range f.Upstreams() {
 			names = append(names, u.Name)
 		}
-		standin.WriteJSON(w, http.StatusNotFound, standin.Refusal{
+		standin.WriteJSON(w, http.StatusNotFound, standin.ErrorBody{
 			Error: fmt.Sprintf("no upstream %q; there are %s", name, strings.Join(names, ", ")),
 		})
 		return
@@ -226,6 +228,6 @@
 	i.ServeHTTP(w, r)
 }
 
-func (f *Fleet) list(w http.ResponseWriter, _ *http.Request) {
+func (f *Fleet) listUpstreams(w http.ResponseWriter, _ *http.Request) {
 	standin.WriteJSON(w, http.StatusOK, f.Upstreams())
 }
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -75,7 +75,7 @@
 		return resp.StatusCode, resp.Body.Close()
 	}
 
-	It("keeps one ledger, and one memory of keys for each pool", func() {
+	It("has one ledger, and one key store for each pool", func() {
 		for _, name := range []string{"s1", "s2"} {
 			Expect(post(address[name]+"/v1/seal", "k", `{"request_id":"r1"}`)).To(Equal(http.StatusOK))
 		}
@@ -87,7 +87,7 @@
 		Expect(f.Ledger().Summary().Deduplicated).To(Equal(1))
 	})
 
-	It("answers what a pool supports, and no more", func() {
+	It("serves only the features that a pool supports", func() {
 		resp, err := http.Get("http://" + address["s1"] + "/v1/status/k")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(resp.Body.Close()).To(Succeed())
@@ -101,9 +101,9 @@
 		Expect(post(address["s2"]+"/v1/seal", "", `{}`)).To(Equal(http.StatusOK))
 	})
 
-	It("takes service times from the stages that use the pool", func() {
-		Expect(medianOf(Config{Bundle: testBundle}, "seal")).To(Equal(40 * time.Millisecond))
-		Expect(medianOf(Config{Bundle: testBundle, Medians: map[string]time.Duration{"seal": time.Second}}, "seal")).To(Equal(time.Second))
-		Expect(medianOf(Config{Bundle: testBundle}, "llm")).To(BeZero())
+	It("derives service times from the stages that use the pool", func() {
+		Expect(medianServiceTime(Config{Bundle: testBundle}, "seal")).To(Equal(40 * time.Millisecond))
+		Expect(medianServiceTime(Config{Bundle: testBundle, Medians: map[string]time.Duration{"seal": time.Second}}, "seal")).To(Equal(time.Second))
+		Expect(medianServiceTime(Config{Bundle: testBundle}, "llm")).To(BeZero())
 	})
 })
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// HeaderNotExecuted marks a refusal under which nothing was executed.
+// HeaderNotExecuted is set on error responses to requests that were not executed.
 const HeaderNotExecuted = "X-Not-Executed"
 
 const (
-	maxBody           = 4 << 20
+	maxBodyBytes      = 4 << 20
 	readHeaderTimeout = 5 * time.Second
 	shutdownTimeout   = 5 * time.Second
 )
 
-// WriteJSON answers with status and v as JSON.
+// WriteJSON writes a response with the given status and v as JSON.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -32,9 +32,9 @@
 	_, _ = w.Write(append(body, '\n'))
 }
 
-// ReadJSON reads the body of r, of 4 MiB at most, into v.
+// ReadJSON decodes the JSON body of r, at most 4 MiB, into v.
 func ReadJSON(w http.ResponseWriter, r *http.Request, v any) error {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		return fmt.Errorf("read body: %w", err)
 	}
@@ -44,20 +44,21 @@
 	return nil
 }
 
-// Refusal is the body of an answer that is not a result.
-type Refusal struct {
+// ErrorBody is the body of an error response.
+type ErrorBody struct {
 	Error string `json:"error"`
 }
 
-// Refuse answers that the request was not executed.
+// Refuse writes an error response that marks the request as not executed.
 func Refuse(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set(HeaderNotExecuted, "true")
-	WriteJSON(w, status, Refusal{Error: reason})
+	WriteJSON(w, status, ErrorBody{Error: reason})
 }
 
-// Cut closes the connection of the request being handled without an answer.
-// It does not return.
-func Cut() {
+// AbortConnection closes the connection of the current request without
+// completing the response. It panics with http.ErrAbortHandler and does not
+// return.
+func AbortConnection() {
 	panic(http.ErrAbortHandler)
 }
 
@@ -74,20 +75,20 @@
 	return l, nil
 }
 
-// Serve serves h on l until ctx ends; running requests then get five seconds
-// before they are cut.
+// Serve serves h on l until ctx is canceled. Requests still running then have
+// five seconds to finish before their connections are closed.
 func Serve(ctx context.Context, l net.Listener, h http.Handler) error {
 	s := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
-	failed := make(chan error, 1)
-	go func() { failed <- s.Serve(l) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- s.Serve(l) }()
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 	}
-	bound, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if err := s.Shutdown(bound); err != nil {
+	if err := s.Shutdown(shutdownCtx); err != nil {
 		return s.Close()
 	}
 	return nil
--- a/internal/standin/ledger/http.go
+++ b/internal/standin/ledger/http.go
@@ -6,30 +6,30 @@
 	"github.com/wheatseam/wheatseam/internal/standin"
 )
 
-// List is the answer to GET /control/ledger.
+// List is the response to GET /control/ledger.
 type List struct {
 	Entries []Entry `json:"entries"`
 }
 
-// ServeHTTP answers GET /control/ledger with a List, narrowed by the query
-// parameters key, request_id and upstream; with summary=1 it answers a Summary
-// over the same entries. DELETE empties the ledger.
+// ServeHTTP responds to GET /control/ledger with a List, filtered by the query
+// parameters key, request_id and upstream. With summary=1 it responds with a
+// Summary of the same entries. DELETE empties the ledger.
 func (l *Ledger) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	l.serve(w, r, filter{
-		key:      q.Get("key"),
-		request:  q.Get("request_id"),
-		upstream: q.Get("upstream"),
+		key:       q.Get("key"),
+		requestID: q.Get("request_id"),
+		upstream:  q.Get("upstream"),
 	})
 }
 
-// Of returns the handler of one replica that shares the ledger with others: it
-// answers with the replica's own entries. Counts that are not of entries, and
-// DELETE, concern the whole ledger.
-func (l *Ledger) Of(upstream string) http.Handler {
+// ForUpstream returns the handler for one replica of a shared ledger. It lists
+// only the entries of that replica. Counts that are not derived from entries, and
+// DELETE, apply to the whole ledger.
+func (l *Ledger) ForUpstream(upstream string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
-		l.serve(w, r, filter{key: q.Get("key"), request: q.Get("request_id"), upstream: upstream})
+		l.serve(w, r, filter{key: q.Get("key"), requestID: q.Get("request_id"), upstream: upstream})
 	})
 }
 
--- a/internal/standin/ledger/ledger.go
+++ b/internal/standin/ledger/ledger.go
@@ -1,5 +1,6 @@
-// Package ledger keeps every execution that a stand-in began, so that tests and
-// replays judge by what was really run and not by what was answered.
+// Package ledger records every execution that a fake replica starts, so that
+// tests and replays can check what was executed rather than what was reported in
+// responses.
 package ledger
 
 import (
@@ -7,13 +8,13 @@
 	"time"
 )
 
-// DefaultLimit is the number of entries that a Ledger keeps.
+// DefaultLimit is the default number of entries that a Ledger keeps.
 const DefaultLimit = 1_000_000
 
-// State says how far an execution came.
+// State is the state of an execution.
 type State string
 
-// The states. An execution that failed may have had its effect.
+// The states. A failed execution may have taken effect.
 const (
 	Running   State = "running"
 	Done      State = "done"
@@ -23,41 +24,43 @@
 
 // Entry is one execution.
 type Entry struct {
-	// Key is the idempotency key that came with the call; may be empty.
+	// Key is the idempotency key of the call; empty if it had none.
 	Key       string `json:"key"`
 	RequestID string `json:"request_id"`
 	Attempt   int    `json:"attempt"`
 	Stage     string `json:"stage"`
 	Customer  string `json:"customer"`
-	// Upstream is the name of the replica that executed.
+	// Upstream is the name of the replica that executed the call.
 	Upstream       string `json:"upstream,omitempty"`
 	StartedUnixMS  int64  `json:"started_unix_ms"`
 	FinishedUnixMS int64  `json:"finished_unix_ms"`
 	State          State  `json:"state"`
-	// EngineMS is the execution's cost in milliseconds of its replica,
-	// before any time scale; for an engine its share of each batch.
+	// EngineMS is the replica time used by the execution in milliseconds,
+	// before any time scale. For an engine it is the share of the batch steps.
 	EngineMS float64 `json:"engine_ms"`
 	Tokens   int     `json:"tokens"`
-	// Leaving says that the replica was leaving when the execution began.
+	// Leaving reports whether the replica was leaving when the execution
+	// started.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// ID names one entry of a Ledger.
+// ID identifies an entry of a Ledger.
 type ID int
 
-// Ledger is a bounded list of executions; beyond its limit the oldest entries
-// are overwritten and counted. Its methods are safe for concurrent use.
+// Ledger is a bounded list of executions. Beyond its limit, new entries overwrite
+// the oldest ones, which are counted. Its methods are safe for concurrent use.
 type Ledger struct {
 	limit int
 
-	mu      sync.Mutex
-	first   ID
-	next    ID
-	entries []Entry
-	repeats int
+	mu           sync.Mutex
+	firstID      ID
+	nextID       ID
+	entries      []Entry
+	deduplicated int
 }
 
-// New returns an empty Ledger of limit entries; 0 stands for DefaultLimit.
+// New returns an empty Ledger that keeps at most limit entries; 0 means
+// DefaultLimit.
 func New(limit int) *Ledger {
 	if limit <= 0 {
 		limit = DefaultLimit
@@ -65,57 +68,59 @@
 	return &Ledger{limit: limit}
 }
 
-// Begin enters an execution that starts now.
+// Begin adds an entry for an execution that starts now.
 func (l *Ledger) Begin(e Entry) ID {
 	e.StartedUnixMS = time.Now().UnixMilli()
 	e.State = Running
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	id := l.next
-	l.next++
+	id := l.nextID
+	l.nextID++
 	if len(l.entries) < l.limit {
 		l.entries = append(l.entries, e)
 		return id
 	}
-	l.entries[l.slot(id)] = e
+	l.entries[l.index(id)] = e
 	return id
 }
 
-// End closes the entry id, unless it was overwritten or reset meanwhile.
+// End records the final state of an execution. It does nothing if the entry was
+// overwritten or reset in the meantime.
 func (l *Ledger) End(id ID, s State, engineMS float64, tokens int) {
 	now := time.Now().UnixMilli()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if id < l.oldest() {
+	if id < l.oldestID() {
 		return
 	}
-	e := &l.entries[l.slot(id)]
+	e := &l.entries[l.index(id)]
 	e.State, e.FinishedUnixMS, e.EngineMS, e.Tokens = s, now, engineMS, tokens
 }
 
-// Deduplicated counts a call that was answered from an earlier execution.
-func (l *Ledger) Deduplicated() {
+// CountDeduplicated counts a call that was answered with the result of an earlier
+// execution.
+func (l *Ledger) CountDeduplicated() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.repeats++
+	l.deduplicated++
 }
 
-// Reset empties the ledger; executions still running are forgotten.
+// Reset empties the ledger, including the entries of executions still running.
 func (l *Ledger) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.first, l.entries, l.repeats = l.next, nil, 0
+	l.firstID, l.entries, l.deduplicated = l.nextID, nil, 0
 }
 
 // Entries returns a copy of all entries, oldest first.
 func (l *Ledger) Entries() []Entry { return l.filtered(filter{}) }
 
-// filter narrows the entries; an empty field matches all.
-type filter struct{ key, request, upstream string }
+// filter selects entries; an empty field matches all of them.
+type filter struct{ key, requestID, upstream string }
 
 func (f filter) matches(e *Entry) bool {
 	return (f.key == "" || f.key == e.Key) &&
-		(f.request == "" || f.request == e.RequestID) &&
+		(f.requestID == "" || f.requestID == e.RequestID) &&
 		(f.upstream == "" || f.upstream == e.Upstream)
 }
 
@@ -124,14 +129,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := []Entry{}
-	for id := l.oldest(); id < l.next; id++ {
-		if e := &l.entries[l.slot(id)]; f.matches(e) {
+	for id := l.oldestID(); id < l.nextID; id++ {
+		if e := &l.entries[l.index(id)]; f.matches(e) {
 			out = append(out, *e)
 		}
 	}
 	return out
 }
 
-func (l *Ledger) slot(id ID) int { return int(id-l.first) % l.limit }
+// index returns the position of an entry in the ring buffer entries.
+func (l *Ledger) index(id ID) int { return int(id-l.firstID) % l.limit }
 
-func (l *Ledger) oldest() ID { return l.next - ID(len(l.entries)) }
+// oldestID returns the id of the oldest entry that is kept.
+func (l *Ledger) oldestID() ID { return l.nextID - ID(len(l.entries)) }
--- a/internal/standin/ledger/ledger_test.go
+++ b/internal/standin/ledger/ledger_test.go
@@ -12,7 +12,7 @@
 )
 
 var _ = Describe("Ledger", func() {
-	It("sums stages, waste, repeats and doubled keys", func() {
+	It("summarizes stages, wasted time, repeated requests and duplicated keys", func() {
 		l := ledger.New(0)
 		seal := ledger.Entry{Key: "k", RequestID: "r1", Stage: "seal", Customer: "a"}
 		l.End(l.Begin(seal), ledger.Done, 5, 0)
@@ -24,24 +24,24 @@
 		l.Begin(ledger.Entry{RequestID: "r2", Stage: "generate", Leaving: true})
 
 		s := l.Summary()
-		Expect(s.Total.Begun).To(Equal(5))
+		Expect(s.Total.Started).To(Equal(5))
 		Expect(s.Total.EngineMS).To(Equal(20.0))
 		Expect(s.Total.WastedEngineMS).To(Equal(10.0))
 		Expect(s.Stages["generate"]).To(Equal(ledger.Totals{
-			Begun: 2, Running: 1, Cancelled: 1, Leaving: 1,
+			Started: 2, Running: 1, Cancelled: 1, Leaving: 1,
 			EngineMS: 7, WastedEngineMS: 7, Tokens: 4, RepeatedRequests: 1,
 		}))
-		Expect(s.Doubles).To(Equal([]ledger.Double{{Customer: "a", Key: "k", Stage: "seal", Executions: 2}}))
+		Expect(s.DuplicatedKeys).To(Equal([]ledger.DuplicatedKey{{Customer: "a", Key: "k", Stage: "seal", Executions: 2}}))
 	})
 
-	It("does not call a cancelled execution a double", func() {
+	It("does not count a canceled execution as a duplicate", func() {
 		l := ledger.New(0)
 		l.End(l.Begin(ledger.Entry{Key: "k", Stage: "seal"}), ledger.Cancelled, 1, 0)
 		l.End(l.Begin(ledger.Entry{Key: "k", Stage: "seal"}), ledger.Done, 1, 0)
-		Expect(l.Summary().DoubledKeys).To(BeZero())
+		Expect(l.Summary().DuplicatedKeyCount).To(BeZero())
 	})
 
-	It("overwrites the oldest entries beyond its limit, and counts them", func() {
+	It("overwrites the oldest entries beyond its limit and counts them", func() {
 		l := ledger.New(3)
 		var ids []ledger.ID
 		for _, r := range []string{"1", "2", "3", "4", "5"} {
@@ -57,7 +57,7 @@
 		Expect(l.Summary().Overwritten).To(Equal(2))
 	})
 
-	It("forgets executions that began before a reset", func() {
+	It("ignores the end of executions that started before a reset", func() {
 		l := ledger.New(3)
 		before := l.Begin(ledger.Entry{RequestID: "before"})
 		l.Reset()
@@ -79,14 +79,14 @@
 		Expect(list.Entries[0].Key).To(Equal("b"))
 	})
 
-	It("answers a replica that shares it with the replica's own entries", func() {
+	It("lists only the entries of one replica in the handler for that replica", func() {
 		l := ledger.New(0)
 		l.Begin(ledger.Entry{Upstream: "a", Stage: "seal"})
 		l.Begin(ledger.Entry{Upstream: "b", Stage: "seal"})
 		w := httptest.NewRecorder()
-		l.Of("b").ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/control/ledger?summary=1", nil))
+		l.ForUpstream("b").ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/control/ledger?summary=1", nil))
 		var s ledger.Summary
 		Expect(json.Unmarshal(w.Body.Bytes(), &s)).To(Succeed())
-		Expect(s.Total.Begun).To(Equal(1))
+		Expect(s.Total.Started).To(Equal(1))
 	})
 })
--- a/internal/standin/ledger/summary.go
+++ b/internal/standin/ledger/summary.go
@@ -1,93 +1,94 @@
 package ledger
 
-// maxListed bounds the doubled keys that a Summary lists.
-const maxListed = 1000
+// maxDuplicatedKeysListed limits the number of keys in Summary.DuplicatedKeys.
+const maxDuplicatedKeysListed = 1000
 
-// Totals are counts and costs over a set of executions.
+// Totals are the counts and costs of a set of executions.
 type Totals struct {
-	Begun     int `json:"begun"`
+	Started   int `json:"begun"`
 	Running   int `json:"running"`
 	Done      int `json:"done"`
 	Cancelled int `json:"cancelled"`
 	Failed    int `json:"failed"`
-	// Leaving counts executions begun while their replica was leaving.
+	// Leaving counts executions started while their replica was leaving.
 	Leaving  int     `json:"leaving"`
 	EngineMS float64 `json:"engine_ms"`
 	// WastedEngineMS is the part of EngineMS spent on executions that were
-	// cancelled or failed.
+	// canceled or failed.
 	WastedEngineMS float64 `json:"wasted_engine_ms"`
 	Tokens         int     `json:"tokens"`
-	// RepeatedRequests counts executions of a request and stage beyond the
-	// first, whatever their state: retries, hedges and doubles.
+	// RepeatedRequests counts the executions of the same request and stage
+	// after the first, in any state: retries, hedges and duplicates.
 	RepeatedRequests int `json:"repeated_requests"`
 }
 
-// Double is a key that was executed more than once at one stage.
-type Double struct {
+// DuplicatedKey is an idempotency key that was executed more than once at a stage.
+type DuplicatedKey struct {
 	Customer   string `json:"customer"`
 	Key        string `json:"key"`
 	Stage      string `json:"stage"`
 	Executions int    `json:"executions"`
 }
 
-// Summary is the whole ledger in figures.
+// Summary summarizes the entries of a ledger.
 type Summary struct {
 	Total  Totals            `json:"total"`
 	Stages map[string]Totals `json:"stages"`
-	// Deduplicated counts calls answered from an earlier execution.
+	// Deduplicated counts calls answered with the result of an earlier
+	// execution.
 	Deduplicated int `json:"deduplicated"`
-	// DoubledKeys counts keys executed more than once at a stage, cancelled
-	// executions left out; Doubles lists the first thousand.
-	DoubledKeys int      `json:"doubled_keys"`
-	Doubles     []Double `json:"doubles"`
-	// Overwritten counts entries lost to the ledger's limit.
+	// DuplicatedKeyCount counts keys executed more than once at a stage, not
+	// counting canceled executions. DuplicatedKeys lists the first 1000 of them.
+	DuplicatedKeyCount int             `json:"doubled_keys"`
+	DuplicatedKeys     []DuplicatedKey `json:"doubles"`
+	// Overwritten counts entries overwritten because of the ledger's limit.
 	Overwritten int `json:"overwritten"`
 }
 
-type doubleKey struct{ customer, key, stage string }
+type executionKey struct{ customer, key, stage string }
 
-type requestStage struct{ request, stage string }
+type requestStage struct{ requestID, stage string }
 
-// Summary counts all entries.
+// Summary returns the summary of all entries.
 func (l *Ledger) Summary() Summary { return l.summary(filter{}) }
 
 func (l *Ledger) summary(f filter) Summary {
 	l.mu.Lock()
 	s := Summary{
-		Stages:       map[string]Totals{},
-		Doubles:      []Double{},
-		Deduplicated: l.repeats,
-		Overwritten:  int(l.oldest() - l.first),
+		Stages:         map[string]Totals{},
+		DuplicatedKeys: []DuplicatedKey{},
+		Deduplicated:   l.deduplicated,
+		Overwritten:    int(l.oldestID() - l.firstID),
 	}
 	l.mu.Unlock()
-	keys := map[doubleKey]int{}
-	var order []doubleKey
-	requests := map[requestStage]bool{}
+	executions := map[executionKey]int{}
+	var duplicated []executionKey
+	seen := map[requestStage]bool{}
 	for _, e := range l.filtered(f) {
 		id := requestStage{e.RequestID, e.Stage}
 		stage := s.Stages[e.Stage]
-		stage.add(e, requests[id])
+		stage.add(e, seen[id])
 		s.Stages[e.Stage] = stage
-		s.Total.add(e, requests[id])
-		requests[id] = true
+		s.Total.add(e, seen[id])
+		seen[id] = true
 		if e.Key == "" || e.State == Cancelled {
 			continue
 		}
-		k := doubleKey{e.Customer, e.Key, e.Stage}
-		keys[k]++
-		if keys[k] == 2 {
-			order = append(order, k)
+		k := executionKey{e.Customer, e.Key, e.Stage}
+		executions[k]++
+		if executions[k] == 2 {
+			duplicated = append(duplicated, k)
 		}
 	}
-	s.DoubledKeys = len(order)
-	for _, k := range order[:min(len(order), maxListed)] {
-		s.Doubles = append(s.Doubles, Double{k.customer, k.key, k.stage, keys[k]})
+	s.DuplicatedKeyCount = len(duplicated)
+	for _, k := range duplicated[:min(len(duplicated), maxDuplicatedKeysListed)] {
+		s.DuplicatedKeys = append(s.DuplicatedKeys, DuplicatedKey{k.customer, k.key, k.stage, executions[k]})
 	}
 	return s
 }
 
 func (t *Totals) add(e Entry, repeated bool) {
-	t.Begun++
+	t.Started++
 	t.EngineMS += e.EngineMS
 	t.Tokens += e.Tokens
 	if e.Leaving {
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Load is the answer to GET /v1/load.
+// Load is the response to GET /v1/load.
 type Load struct {
 	AsOfUnixMS      int64   `json:"as_of_unix_ms"`
 	Running         int     `json:"running"`
@@ -17,36 +17,38 @@
 	Leaving         bool    `json:"leaving"`
 }
 
-// bucketsPerLag is how finely a Reporter remembers the past.
+// bucketsPerLag is the number of samples that a LoadReporter keeps per lag.
 const bucketsPerLag = 8
 
+// loadSample is the last load reported before until.
 type loadSample struct {
 	until time.Time
 	load  Load
 }
 
-// LoadReporter publishes a load as it stood a fixed lag ago. Its methods are safe
-// for concurrent use.
+// LoadReporter reports the load as of a fixed lag ago. Its methods are safe for
+// concurrent use.
 type LoadReporter struct {
 	lag    time.Duration
 	bucket time.Duration
 
-	mu      sync.Mutex
-	samples []loadSample
-	old     Load
+	mu       sync.Mutex
+	samples  []loadSample
+	reported Load
 }
 
-// NewLoadReporter returns a LoadReporter that lags by lag; first is reported until the
-// first update is old enough.
-func NewLoadReporter(lag time.Duration, first Load) *LoadReporter {
-	return &LoadReporter{lag: lag, bucket: max(lag/bucketsPerLag, time.Millisecond), old: first}
+// NewLoadReporter returns a LoadReporter that delays updates by lag. It reports
+// initial until the first update is older than lag.
+func NewLoadReporter(lag time.Duration, initial Load) *LoadReporter {
+	return &LoadReporter{lag: lag, bucket: max(lag/bucketsPerLag, time.Millisecond), reported: initial}
 }
 
-// Update tells the load that stands from now on.
+// Update records the load in effect from now on. Updates within one bucket
+// replace each other, which bounds the number of samples.
 func (r *LoadReporter) Update(now time.Time, l Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.expire(now)
+	r.publishExpired(now)
 	n := len(r.samples)
 	if n > 0 && now.Before(r.samples[n-1].until) {
 		r.samples[n-1].load = l
@@ -55,12 +57,12 @@
 	r.samples = append(r.samples, loadSample{until: now.Add(r.bucket), load: l})
 }
 
-// Report returns the load as it stood one lag ago.
+// Report returns the load as of one lag before now.
 func (r *LoadReporter) Report(now time.Time) Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.expire(now)
-	l := r.old
+	r.publishExpired(now)
+	l := r.reported
 	if r.lag == 0 && len(r.samples) > 0 {
 		l = r.samples[len(r.samples)-1].load
 	}
@@ -68,11 +70,12 @@
 	return l
 }
 
-// expire moves the samples that are older than the lag into old.
-func (r *LoadReporter) expire(now time.Time) {
-	seen := now.Add(-r.lag)
-	for len(r.samples) > 0 && !r.samples[0].until.After(seen) {
-		r.old = r.samples[0].load
+// publishExpired removes the samples that are older than the lag and sets
+// reported to the newest of them. The caller holds mu.
+func (r *LoadReporter) publishExpired(now time.Time) {
+	asOf := now.Add(-r.lag)
+	for len(r.samples) > 0 && !r.samples[0].until.After(asOf) {
+		r.reported = r.samples[0].load
 		r.samples = r.samples[1:]
 	}
 }
--- a/internal/standin/platform/http.go
+++ b/internal/standin/platform/http.go
@@ -10,28 +10,29 @@
 	"github.com/wheatseam/wheatseam/internal/standin"
 )
 
-// admit applies faults and the limit of reads, and counts the call.
+// admit applies the injected faults and the rate limit and counts the call. It
+// returns false if it has written a response.
 func (p *Platform) admit(w http.ResponseWriter, r *http.Request, count *int) bool {
-	if !p.faults.Gate(w, r) {
+	if !p.faults.ApplyRequestFaults(w, r) {
 		return false
 	}
 	delay := time.Duration(p.faults.Get().DelayMS) * time.Millisecond
 	if !standin.Sleep(r.Context(), delay) {
-		standin.Cut()
+		standin.AbortConnection()
 	}
 	allowed := p.limiter.Allow()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !allowed {
 		p.reads.Limited++
-		standin.WriteJSON(w, http.StatusTooManyRequests, standin.Refusal{Error: "too many reads"})
+		standin.WriteJSON(w, http.StatusTooManyRequests, standin.ErrorBody{Error: "too many reads"})
 		return false
 	}
 	*count++
 	return true
 }
 
-// item is an entry as the store writes it.
+// item is an item of the store as encoded in responses.
 type item struct {
 	Key      string `json:"key"`
 	Data     []byte `json:"data"`
@@ -48,9 +49,9 @@
 	if !p.admit(w, r, &p.reads.Values) {
 		return
 	}
-	v, ok, _ := p.look(key)
+	v, ok, _ := p.lookUp(key)
 	if !ok {
-		standin.WriteJSON(w, http.StatusNotFound, standin.Refusal{Error: "no such key"})
+		standin.WriteJSON(w, http.StatusNotFound, standin.ErrorBody{Error: "no such key"})
 		return
 	}
 	standin.WriteJSON(w, http.StatusOK, item{key, v.body, v.revision, v.revision})
@@ -61,7 +62,7 @@
 	after, err := strconv.ParseUint(q.Get("after"), 10, 64)
 	waitMS, waitErr := strconv.ParseInt(q.Get("wait_ms"), 10, 64)
 	if err != nil || waitErr != nil || waitMS < 0 {
-		standin.WriteJSON(w, http.StatusBadRequest, standin.Refusal{Error: "bad after or wait_ms"})
+		standin.WriteJSON(w, http.StatusBadRequest, standin.ErrorBody{Error: "bad after or wait_ms"})
 		return
 	}
 	if p.admit(w, r, &p.reads.Watches) {
@@ -69,21 +70,22 @@
 	}
 }
 
-// events is the answer to a watch.
+// events is the response to a watch.
 type events struct {
 	Events []item `json:"events"`
 	AsOf   uint64 `json:"as_of"`
 }
 
-// watch answers once the revision of the key is over after.
+// watch responds when the revision of the key exceeds after, or without events
+// when the wait ends.
 func (p *Platform) watch(w http.ResponseWriter, r *http.Request, key string, after uint64, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	down := p.faults.Down()
 	for {
-		v, ok, changed := p.look(key)
+		v, ok, changed := p.lookUp(key)
 		if ok && v.revision > after {
-			p.faults.AwaitThaw(r.Context())
+			p.faults.WaitWhileFrozen(r.Context())
 			standin.WriteJSON(w, http.StatusOK, events{[]item{{Key: key, Data: v.body, Revision: v.revision}}, v.revision})
 			return
 		}
@@ -93,7 +95,7 @@
 			standin.WriteJSON(w, http.StatusOK, events{[]item{}, after})
 			return
 		case <-down:
-			standin.Cut()
+			standin.AbortConnection()
 		case <-p.closed:
 			standin.WriteJSON(w, http.StatusOK, events{[]item{}, after})
 			return
@@ -103,7 +105,9 @@
 	}
 }
 
-func (p *Platform) look(key string) (value, bool, <-chan struct{}) {
+// lookUp returns the value that readers see, and a channel that is closed at the
+// next publication.
+func (p *Platform) lookUp(key string) (value, bool, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	v, ok := p.served[key]
@@ -111,9 +115,9 @@
 }
 
 func (p *Platform) putValue(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxValue))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxValueBytes))
 	if err != nil {
-		standin.WriteJSON(w, http.StatusRequestEntityTooLarge, standin.Refusal{Error: err.Error()})
+		standin.WriteJSON(w, http.StatusRequestEntityTooLarge, standin.ErrorBody{Error: err.Error()})
 		return
 	}
 	p.SetValue(r.PathValue("key"), body)
@@ -127,20 +131,20 @@
 	list := p.currentHosts(time.Now())
 	raw, err := json.Marshal(list)
 	if err != nil {
-		standin.WriteJSON(w, http.StatusInternalServerError, standin.Refusal{Error: err.Error()})
+		standin.WriteJSON(w, http.StatusInternalServerError, standin.ErrorBody{Error: err.Error()})
 		return
 	}
 	standin.WriteJSON(w, http.StatusOK, item{hostsKey, raw, list.Revision + 1, list.Revision + 1})
 }
 
-// currentHosts publishes what is due and returns the list as it stands.
+// currentHosts publishes the host lists that are due and returns the current list.
 func (p *Platform) currentHosts(now time.Time) HostList {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.stale {
 		return p.hosts
 	}
-	for len(p.pending) > 0 && !p.pending[0].at.After(now) {
+	for len(p.pending) > 0 && !p.pending[0].publishAt.After(now) {
 		p.hosts.Hosts = p.pending[0].hosts
 		p.hosts.Revision++
 		p.pending = p.pending[1:]
@@ -150,14 +154,14 @@
 }
 
 func (p *Platform) putHosts(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxValue))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxValueBytes))
 	if err != nil {
-		standin.WriteJSON(w, http.StatusRequestEntityTooLarge, standin.Refusal{Error: err.Error()})
+		standin.WriteJSON(w, http.StatusRequestEntityTooLarge, standin.ErrorBody{Error: err.Error()})
 		return
 	}
 	hosts, err := ParseHosts(body)
 	if err != nil {
-		standin.WriteJSON(w, http.StatusBadRequest, standin.Refusal{Error: err.Error()})
+		standin.WriteJSON(w, http.StatusBadRequest, standin.ErrorBody{Error: err.Error()})
 		return
 	}
 	p.SetHosts(hosts)
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,15 +1,15 @@
-// Package platform stands in for the platform's store as the demo and the
-// process proofs use it: it holds the signed bundle and the list of live and
-// leaving hosts, which lags, under the key "hosts".
+// Package platform implements a fake of the platform's store for the demo and the
+// multi-process tests. It holds the signed bundle and, under the key "hosts", the
+// list of live and leaving hosts, which is published with a delay.
 //
 //	GET /-/kv-key?key=K                   the item under a key
-//	GET /-/kv-watch?prefix=K&after=N&wait_ms=M  waits until the revision is over N
+//	GET /-/kv-watch?prefix=K&after=N&wait_ms=M  waits until the revision exceeds N
 //	PUT /control/values/{key}             replaces a value
 //	PUT /control/hosts                    replaces the host list: {"hosts":[...]}
-//	GET /control/reads                    counts of calls, a waiting watch as one
+//	GET /control/reads                    number of calls; a waiting watch counts once
 //	GET, POST /control/faults             the faults down, stale, delay_ms, freeze_ms
 //
-// Calls over the limit of reads are answered 429.
+// Calls beyond the read rate limit get status 429.
 package platform
 
 import (
@@ -23,27 +23,26 @@
 	"github.com/wheatseam/wheatseam/internal/standin"
 )
 
-// Defaults and bounds.
+// Defaults and limits.
 const (
 	DefaultReadsPerSecond        = 2000
-	maxValue                     = 1 << 20
+	maxValueBytes                = 1 << 20
 	maxWait                      = 60 * time.Second
 	initialRevision       uint64 = 1
-	// hostsKey is the key of the host list.
-	hostsKey = "hosts"
+	hostsKey                     = "hosts"
 )
 
-// Config configures a Platform; zero fields take the defaults.
+// Config configures a Platform. Zero fields get the defaults.
 type Config struct {
-	// ReadsPerSecond limits the calls.
+	// ReadsPerSecond limits the rate of calls.
 	ReadsPerSecond float64
-	// HostsLag is how long a changed host list stays unpublished.
+	// HostsLag is the delay before a changed host list is published.
 	HostsLag time.Duration
-	// FirstRevision is the revision before the first value.
+	// FirstRevision is the revision before the first value is set.
 	FirstRevision uint64
 }
 
-// Host is one row of the host list.
+// Host is an entry of the host list.
 type Host struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -53,14 +52,15 @@
 	State string `json:"state"`
 }
 
-// HostList is the value under the key of the host list.
+// HostList is the value stored under hostsKey.
 type HostList struct {
 	Revision   uint64 `json:"revision"`
 	AsOfUnixMS int64  `json:"as_of_unix_ms"`
 	Hosts      []Host `json:"hosts"`
 }
 
-// Reads counts the calls answered.
+// Reads counts the calls by kind. Limited counts those that exceeded the rate
+// limit.
 type Reads struct {
 	Values  int `json:"values"`
 	Watches int `json:"watches"`
@@ -73,23 +73,25 @@
 	body     []byte
 }
 
+// publication is a host list to be published at publishAt.
 type publication struct {
-	at    time.Time
-	hosts []Host
+	publishAt time.Time
+	hosts     []Host
 }
 
-// Platform is the stand-in. It is safe for concurrent use.
+// Platform is the fake. It is safe for concurrent use.
 type Platform struct {
-	cfg     Config
-	mux     *http.ServeMux
-	faults  *standin.Injector
-	limiter *rate.Limiter
-	closed  chan struct{}
-	once    sync.Once
+	cfg       Config
+	mux       *http.ServeMux
+	faults    *standin.Injector
+	limiter   *rate.Limiter
+	closed    chan struct{}
+	closeOnce sync.Once
 
 	mu       sync.Mutex
 	revision uint64
-	// values holds the newest values; served those that readers see.
+	// values holds the newest values, served those visible to readers. They
+	// differ while the platform is stale.
 	values  map[string]value
 	served  map[string]value
 	stale   bool
@@ -99,7 +101,7 @@
 	reads   Reads
 }
 
-// New returns a Platform without values and hosts.
+// New returns a Platform without values or hosts.
 func New(cfg Config) *Platform {
 	if cfg.ReadsPerSecond == 0 {
 		cfg.ReadsPerSecond = DefaultReadsPerSecond
@@ -131,10 +133,10 @@
 // ServeHTTP implements http.Handler.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.mux.ServeHTTP(w, r) }
 
-// Close ends every waiting watch.
-func (p *Platform) Close() { p.once.Do(func() { close(p.closed) }) }
+// Close makes every waiting watch return.
+func (p *Platform) Close() { p.closeOnce.Do(func() { close(p.closed) }) }
 
-// Faults returns the injected faults.
+// Faults returns the fault injector.
 func (p *Platform) Faults() *standin.Injector { return p.faults }
 
 // SetValue replaces the value of key.
@@ -146,22 +148,22 @@
 	p.publish()
 }
 
-// SetHosts replaces the host list, which is published after the lag.
+// SetHosts replaces the host list. The new list is published after HostsLag.
 func (p *Platform) SetHosts(hosts []Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pending = append(p.pending, publication{at: time.Now().Add(p.cfg.HostsLag), hosts: hosts})
+	p.pending = append(p.pending, publication{publishAt: time.Now().Add(p.cfg.HostsLag), hosts: hosts})
 }
 
-// Reads returns the counts of calls so far.
+// Reads returns the number of calls so far.
 func (p *Platform) Reads() Reads {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reads
 }
 
-// publish lets readers see the newest values, unless the service is stale.
-// The caller holds mu.
+// publish makes the newest values visible to readers, unless the platform is
+// stale. The caller holds mu.
 func (p *Platform) publish() {
 	if p.stale {
 		return
@@ -180,7 +182,7 @@
 	p.publish()
 }
 
-// ParseHosts reads a host list, either {"hosts":[...]} or a bare array.
+// ParseHosts parses a host list in JSON, either {"hosts":[...]} or an array.
 func ParseHosts(body []byte) ([]Host, error) {
 	var list HostList
 	if err := json.Unmarshal(body, &list); err == nil {
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -19,7 +19,7 @@
 	var p *Platform
 	var server *httptest.Server
 
-	start := func(cfg Config) {
+	startPlatform := func(cfg Config) {
 		p = New(cfg)
 		server = httptest.NewServer(p)
 		DeferCleanup(func() {
@@ -27,25 +27,25 @@
 			server.Close()
 		})
 	}
-	// get returns the status of a call, the value of the item that it answers
-	// with and its revision; of a watch, those of its one event.
+	// get returns the status of the response and the value and revision of its
+	// item. For a watch, the item is that of its only event.
 	get := func(path string) (int, string, string) {
 		resp, err := http.Get(server.URL + path)
 		Expect(err).NotTo(HaveOccurred())
 		defer resp.Body.Close()
 		body, err := io.ReadAll(resp.Body)
 		Expect(err).NotTo(HaveOccurred())
-		var answer struct {
+		var response struct {
 			item
 			Events []item `json:"events"`
 		}
 		if resp.StatusCode == http.StatusOK {
-			Expect(json.Unmarshal(body, &answer)).To(Succeed())
+			Expect(json.Unmarshal(body, &response)).To(Succeed())
 		}
-		if len(answer.Events) > 0 {
-			answer.item = answer.Events[0]
+		if len(response.Events) > 0 {
+			response.item = response.Events[0]
 		}
-		return resp.StatusCode, string(answer.Data), strconv.FormatUint(answer.Revision, 10)
+		return resp.StatusCode, string(response.Data), strconv.FormatUint(response.Revision, 10)
 	}
 	hosts := func() HostList {
 		_, body, _ := get("/-/kv-key?key=hosts")
@@ -54,19 +54,19 @@
 		return list
 	}
 
-	It("serves values, and wakes a watch when one changes", func() {
-		start(Config{})
+	It("serves values and completes a watch when its value changes", func() {
+		startPlatform(Config{})
 		status, _, _ := get("/-/kv-key?key=bundle")
 		Expect(status).To(Equal(http.StatusNotFound))
 		p.SetValue("bundle", []byte("one"))
 		_, body, revision := get("/-/kv-key?key=bundle")
 		Expect(body).To(Equal("one"))
 
-		woken := make(chan string, 1)
+		watchBody := make(chan string, 1)
 		go func() {
 			defer GinkgoRecover()
 			_, body, _ := get("/-/kv-watch?prefix=bundle&wait_ms=30000&after=" + revision)
-			woken <- body
+			watchBody <- body
 		}()
 		Eventually(func() int { return p.Reads().Watches }).Should(Equal(1))
 		req, err := http.NewRequest(http.MethodPut, server.URL+"/control/values/bundle", strings.NewReader("two"))
@@ -74,11 +74,11 @@
 		resp, err := http.DefaultClient.Do(req)
 		Expect(err).NotTo(HaveOccurred())
 		resp.Body.Close()
-		Eventually(woken, 10*time.Second).Should(Receive(Equal("two")))
+		Eventually(watchBody, 10*time.Second).Should(Receive(Equal("two")))
 	})
 
-	It("answers without events when a watch ends without a change", func() {
-		start(Config{})
+	It("responds without events when a watch ends without a change", func() {
+		startPlatform(Config{})
 		p.SetValue("bundle", []byte("one"))
 		_, _, revision := get("/-/kv-key?key=bundle")
 		status, body, _ := get("/-/kv-watch?prefix=bundle&wait_ms=1&after=" + revision)
@@ -87,7 +87,7 @@
 	})
 
 	It("keeps serving the old value and host list while stale", func() {
-		start(Config{})
+		startPlatform(Config{})
 		p.SetValue("bundle", []byte("old"))
 		p.SetHosts([]Host{{Name: "a"}})
 		Expect(hosts().Hosts).To(HaveLen(1))
@@ -103,15 +103,15 @@
 		Expect(hosts().Hosts).To(BeEmpty())
 	})
 
-	It("publishes a host list after its lag", func() {
-		start(Config{HostsLag: time.Hour})
+	It("publishes a host list after HostsLag", func() {
+		startPlatform(Config{HostsLag: time.Hour})
 		p.SetHosts([]Host{{Name: "a", State: "live"}})
 		Expect(p.currentHosts(time.Now()).Hosts).To(BeEmpty())
 		Expect(p.currentHosts(time.Now().Add(2 * time.Hour)).Hosts).To(HaveLen(1))
 	})
 
-	It("cuts connections while down, waiting watches too", func() {
-		start(Config{})
+	It("closes connections while down, including those of waiting watches", func() {
+		startPlatform(Config{})
 		p.SetValue("bundle", []byte("one"))
 		failed := make(chan error, 1)
 		go func() {
@@ -125,8 +125,8 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("limits reads and counts them", func() {
-		start(Config{ReadsPerSecond: 0.001})
+	It("limits the rate of reads and counts them", func() {
+		startPlatform(Config{ReadsPerSecond: 0.001})
 		p.SetValue("bundle", []byte("one"))
 		status, _, _ := get("/-/kv-key?key=bundle")
 		Expect(status).To(Equal(http.StatusOK))
--- a/internal/standin/service/http.go
+++ b/internal/standin/service/http.go
@@ -18,7 +18,7 @@
 )
 
 func (s *Service) call(w http.ResponseWriter, r *http.Request) {
-	if !s.faults.Gate(w, r) {
+	if !s.faults.ApplyRequestFaults(w, r) {
 		return
 	}
 	var req Request
@@ -34,7 +34,7 @@
 	if key != "" {
 		e, first := s.keys.begin(key)
 		if !first && s.cfg.Deduplicate {
-			s.repeat(w, r, req, e)
+			s.respondFromEntry(w, r, req, e)
 			return
 		}
 		if first {
@@ -47,15 +47,15 @@
 		s.keys.abandon(key, entry)
 		standin.Refuse(w, http.StatusTooManyRequests, "queue is full")
 		return
-	case slotGivenUp:
+	case slotAbandoned:
 		s.keys.abandon(key, entry)
-		standin.Cut()
+		standin.AbortConnection()
 	}
 	defer s.slots.release()
 	s.execute(w, r, req, key, entry)
 }
 
-// execute runs one call that holds a slot, and answers it.
+// execute executes a call that holds a slot, and responds to it.
 func (s *Service) execute(w http.ResponseWriter, r *http.Request, req Request, key string, entry *keyEntry) {
 	id := s.ledger.Begin(ledger.Entry{
 		Key:       key,
@@ -66,75 +66,78 @@
 		Upstream:  s.cfg.Name,
 		Leaving:   s.faults.Get().Leaving,
 	})
-	nominal := s.faults.Slow(s.serviceTime(req))
-	spent, state := s.work(r.Context(), nominal)
+	nominal := s.faults.ScaleServiceTime(s.serviceTime(req))
+	spent, state := s.runFor(r.Context(), nominal)
 	switch {
 	case state == ledger.Cancelled:
 		s.ledger.End(id, state, milliseconds(spent), 0)
 		s.keys.abandon(key, entry)
-		standin.Cut()
+		standin.AbortConnection()
 	case state == ledger.Failed:
 		s.ledger.End(id, state, milliseconds(spent), 0)
 		s.keys.fail(entry)
-		standin.Cut()
-	case s.faults.Fails():
+		standin.AbortConnection()
+	case s.faults.DrawFailure():
 		s.ledger.End(id, ledger.Failed, milliseconds(spent), 0)
 		s.keys.fail(entry)
-		standin.WriteJSON(w, http.StatusInternalServerError, standin.Refusal{Error: "failed by an injected fault"})
+		standin.WriteJSON(w, http.StatusInternalServerError, standin.ErrorBody{Error: "failed by an injected fault"})
 		return
 	}
-	result := resultOf(req)
+	result := newResult(req)
 	if entry != nil {
 		s.keys.finish(entry, result)
 	}
 	s.ledger.End(id, ledger.Done, milliseconds(spent), 0)
-	s.answerer.Answer(w, r, Answer{RequestID: req.RequestID, Attempt: req.Attempt, Result: result})
+	s.responder.Respond(w, r, ResponseBody{RequestID: req.RequestID, Attempt: req.Attempt, Result: result})
 }
 
-// work takes the scaled time of a call. It returns the nominal time spent and
-// how the execution ended: failed when the replica went down.
-func (s *Service) work(caller context.Context, nominal time.Duration) (time.Duration, ledger.State) {
+// runFor simulates an execution by waiting for the scaled service time. It returns
+// the service time spent, before scaling, and the final state of the execution. The
+// execution fails if the replica goes down or is closed.
+func (s *Service) runFor(callerCtx context.Context, nominal time.Duration) (time.Duration, ledger.State) {
 	timer := time.NewTimer(time.Duration(float64(nominal) * s.cfg.TimeScale))
 	defer timer.Stop()
-	gone := caller.Done()
+	callerDone := callerCtx.Done()
 	if !s.cfg.Cancellation {
-		gone = nil
+		callerDone = nil
 	}
 	start := time.Now()
 	select {
 	case <-timer.C:
-		s.faults.AwaitThaw(s.ctx)
+		s.faults.WaitWhileFrozen(s.ctx)
 		return nominal, ledger.Done
-	case <-gone:
-		return s.spent(start, nominal), ledger.Cancelled
+	case <-callerDone:
+		return s.elapsedServiceTime(start, nominal), ledger.Cancelled
 	case <-s.faults.Down():
 	case <-s.ctx.Done():
 	}
-	return s.spent(start, nominal), ledger.Failed
+	return s.elapsedServiceTime(start, nominal), ledger.Failed
 }
 
-// spent returns the nominal time passed since start.
-func (s *Service) spent(start time.Time, nominal time.Duration) time.Duration {
+// elapsedServiceTime returns the service time spent since start, before scaling, at
+// most nominal.
+func (s *Service) elapsedServiceTime(start time.Time, nominal time.Duration) time.Duration {
 	return min(time.Duration(float64(time.Since(start))/s.cfg.TimeScale), nominal)
 }
 
-// repeat answers a call whose key was executed before.
-func (s *Service) repeat(w http.ResponseWriter, r *http.Request, req Request, e *keyEntry) {
+// respondFromEntry waits for the earlier execution of the same idempotency key and
+// responds with its result.
+func (s *Service) respondFromEntry(w http.ResponseWriter, r *http.Request, req Request, e *keyEntry) {
 	select {
 	case <-e.done:
 	case <-r.Context().Done():
 		return
 	case <-s.ctx.Done():
-		standin.Cut()
+		standin.AbortConnection()
 	}
-	st := s.keys.read(e)
+	st := s.keys.entryStatus(e)
 	if st.Result == nil {
 		standin.WriteJSON(w, http.StatusInternalServerError,
-			standin.Refusal{Error: "the execution before failed; its effect is unknown"})
+			standin.ErrorBody{Error: "the execution before failed; its effect is unknown"})
 		return
 	}
-	s.ledger.Deduplicated()
-	s.answerer.Answer(w, r, Answer{RequestID: req.RequestID, Attempt: req.Attempt, Result: *st.Result})
+	s.ledger.CountDeduplicated()
+	s.responder.Respond(w, r, ResponseBody{RequestID: req.RequestID, Attempt: req.Attempt, Result: *st.Result})
 }
 
 func (s *Service) status(w http.ResponseWriter, r *http.Request) {
@@ -142,36 +145,36 @@
 		http.NotFound(w, r)
 		return
 	}
-	if s.faults.Gate(w, r) {
+	if s.faults.ApplyRequestFaults(w, r) {
 		standin.WriteJSON(w, http.StatusOK, s.keys.status(r.PathValue("key")))
 	}
 }
 
 func (s *Service) load(w http.ResponseWriter, r *http.Request) {
 	if s.faults.IsDown() {
-		standin.Cut()
+		standin.AbortConnection()
 	}
-	s.faults.AwaitThaw(r.Context())
-	standin.WriteJSON(w, http.StatusOK, s.slots.report.Report(time.Now()))
+	s.faults.WaitWhileFrozen(r.Context())
+	standin.WriteJSON(w, http.StatusOK, s.slots.loadReporter.Report(time.Now()))
 }
 
-// serviceTime draws the nominal time of a call.
+// serviceTime draws the service time of a call, before scaling.
 func (s *Service) serviceTime(req Request) time.Duration {
 	h := xxhash.Sum64String(req.RequestID + "/" + req.Stage + "/" + strconv.Itoa(req.Attempt))
 	random := rand.New(rand.NewPCG(s.cfg.Seed, h))
 	return time.Duration(float64(s.cfg.Median) * math.Exp(s.cfg.Sigma*random.NormFloat64()))
 }
 
-func resultOf(req Request) Result {
+func newResult(req Request) Result {
 	input, err := json.Marshal(req.Input)
 	if err != nil {
 		input = nil
 	}
 	return Result{
-		Mark:   req.RequestID,
-		Stage:  req.Stage,
-		Digest: fmt.Sprintf("%016x", xxhash.Sum64(input)),
-		Input:  req.Input,
+		RequestID: req.RequestID,
+		Stage:     req.Stage,
+		Digest:    fmt.Sprintf("%016x", xxhash.Sum64(input)),
+		Input:     req.Input,
 	}
 }
 
--- a/internal/standin/service/keys.go
+++ b/internal/standin/service/keys.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// DefaultKeys is the number of idempotency keys that Keys remembers.
-const DefaultKeys = 200_000
+// DefaultKeyLimit is the default number of idempotency keys in a KeyStore.
+const DefaultKeyLimit = 200_000
 
-// KeyState says what became of an idempotency key.
+// KeyState is the state of the execution of an idempotency key.
 type KeyState string
 
 // The key states.
@@ -15,20 +15,22 @@
 	KeyDone    KeyState = "done"
 )
 
-// Status is the answer to GET /v1/status/{key}.
+// Status is the response to GET /v1/status/{key}.
 type Status struct {
 	State  KeyState `json:"state"`
 	Result *Result  `json:"result,omitempty"`
 }
 
+// keyEntry is the entry of an idempotency key. done is closed when its execution
+// has ended.
 type keyEntry struct {
 	status Status
 	done   chan struct{}
 }
 
-// Keys remembers what became of idempotency keys. Beyond its limit the oldest
-// key is forgotten. Its methods are safe for concurrent use.
-type Keys struct {
+// KeyStore stores the status of idempotency keys. Beyond its limit it removes the
+// oldest key. Its methods are safe for concurrent use.
+type KeyStore struct {
 	limit int
 
 	mu      sync.Mutex
@@ -36,17 +38,17 @@
 	entries map[string]*keyEntry
 }
 
-// NewKeys returns an empty Keys of limit keys; 0 stands for DefaultKeys.
-func NewKeys(limit int) *Keys {
+// NewKeyStore returns an empty KeyStore for limit keys; 0 means DefaultKeyLimit.
+func NewKeyStore(limit int) *KeyStore {
 	if limit <= 0 {
-		limit = DefaultKeys
+		limit = DefaultKeyLimit
 	}
-	return &Keys{limit: limit, entries: map[string]*keyEntry{}}
+	return &KeyStore{limit: limit, entries: map[string]*keyEntry{}}
 }
 
-// begin registers an execution of key. It returns false, and the entry of the
-// execution before, when the key is known.
-func (k *Keys) begin(key string) (*keyEntry, bool) {
+// begin registers an execution of key. If the key already has an entry, it returns
+// that entry and false.
+func (k *KeyStore) begin(key string) (*keyEntry, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if e, ok := k.entries[key]; ok {
@@ -62,16 +64,16 @@
 	return e, true
 }
 
-// finish records the result of the execution that began e.
-func (k *Keys) finish(e *keyEntry, r Result) {
+// finish records the result of the execution of e.
+func (k *KeyStore) finish(e *keyEntry, r Result) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	e.status = Status{State: KeyDone, Result: &r}
 	close(e.done)
 }
 
-// status returns what became of key.
-func (k *Keys) status(key string) Status {
+// status returns the status of key.
+func (k *KeyStore) status(key string) Status {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if e, ok := k.entries[key]; ok {
@@ -80,9 +82,10 @@
 	return Status{State: KeyUnknown}
 }
 
-// fail ends an execution whose effect is unknown; its key stays running, so
-// that a look-up does not tell that nothing was executed. e may be nil.
-func (k *Keys) fail(e *keyEntry) {
+// fail ends an execution that may have taken effect. The key remains in state
+// running, so that a status lookup does not report that nothing was executed. e may
+// be nil.
+func (k *KeyStore) fail(e *keyEntry) {
 	if e == nil {
 		return
 	}
@@ -91,8 +94,8 @@
 	close(e.done)
 }
 
-// abandon forgets an execution of key that had no effect; e may be nil.
-func (k *Keys) abandon(key string, e *keyEntry) {
+// abandon removes the entry of an execution that had no effect. e may be nil.
+func (k *KeyStore) abandon(key string, e *keyEntry) {
 	if e == nil {
 		return
 	}
@@ -104,8 +107,8 @@
 	close(e.done)
 }
 
-// read returns the status held by e.
-func (k *Keys) read(e *keyEntry) Status {
+// entryStatus returns the status of e.
+func (k *KeyStore) entryStatus(e *keyEntry) Status {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return e.status
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,16 +1,16 @@
-// Package service stands in for the plain services: encoders, retrievers,
-// rerankers, signature seals and the like.
+// Package service implements a fake of non-engine services such as encoders,
+// retrievers, rerankers and signing services.
 //
 //	POST /v1/...            executes: {"request_id","attempt","customer","stage","input"}
-//	GET /v1/status/{key}    what became of an idempotency key: unknown, running or done
-//	GET /v1/load            the load report, which lags
+//	GET /v1/status/{key}    the state of an idempotency key: unknown, running or done
+//	GET /v1/load            the load report, delayed by Config.LoadLag
 //	GET, DELETE /control/ledger, GET, POST /control/faults
 //
-// A service runs a bounded number of calls at a time and queues a bounded
-// number more; beyond that it answers 429 with X-Not-Executed. The service time
-// has a lognormal distribution, drawn from the seed, the request's id and its
-// attempt. An execution that was begun is seen through when its caller goes
-// away, unless Config.Cancellation is set.
+// A service runs a limited number of calls concurrently and queues a limited number
+// of others. If the queue is full, it responds with 429 and X-Not-Executed. The
+// service time has a lognormal distribution and is derived from the seed, the
+// request id, the stage and the attempt number. An execution that has started runs
+// to its end even if the client disconnects, unless Config.Cancellation is set.
 package service
 
 import (
@@ -28,31 +28,33 @@
 	DefaultMedian = 20 * time.Millisecond
 )
 
-// Config configures a Service; zero fields take the defaults.
+// Config configures a Service. Zero fields get the defaults.
 type Config struct {
-	// Name of the replica, as in the bundle.
+	// Name is the name of the replica in the bundle.
 	Name string
-	// Slots is the number of calls that run at a time.
+	// Slots is the maximum number of calls that run concurrently.
 	Slots int
-	// Queue is the number of calls that may wait; default 4 times Slots.
+	// Queue is the maximum number of queued calls. Default: 4 times Slots.
 	Queue int
-	// Median of the service time, and Sigma of its logarithm.
+	// Median is the median service time, Sigma the standard deviation of its
+	// logarithm.
 	Median time.Duration
 	Sigma  float64
-	// TimeScale multiplies all times; default 1.
+	// TimeScale multiplies all service times. Default: 1.
 	TimeScale float64
-	// LoadLag is how far load reports lag.
+	// LoadLag is the delay of load reports.
 	LoadLag time.Duration
 	Seed    uint64
-	// Deduplicate answers a repeated idempotency key from its execution.
+	// Deduplicate responds to a repeated idempotency key with the result of its
+	// first execution.
 	Deduplicate bool
-	// Cancellation ends an execution when its caller goes away.
+	// Cancellation ends an execution when its client disconnects.
 	Cancellation bool
-	// NoStatusLookup answers 404 to status look-ups.
+	// NoStatusLookup responds to status lookups with 404.
 	NoStatusLookup bool
-	// Ledger and Keys may be shared among replicas; default own ones.
+	// Ledger and Keys may be shared among replicas. Default: new ones.
 	Ledger *ledger.Ledger
-	Keys   *Keys
+	Keys   *KeyStore
 }
 
 // Request is the body of a call.
@@ -64,38 +66,37 @@
 	Input     any    `json:"input"`
 }
 
-// Result is what a call yields. It is the same for the same request.
+// Result is the result of a call. It depends only on the request.
 type Result struct {
-	// Mark is the id of the request that this was executed for.
-	Mark  string `json:"mark"`
-	Stage string `json:"stage"`
-	// Digest is the xxhash of the input's JSON, in hex.
+	// RequestID is the id of the request that was executed.
+	RequestID string `json:"mark"`
+	Stage     string `json:"stage"`
+	// Digest is the xxhash of the input encoded as JSON, in hex.
 	Digest string `json:"digest"`
-	// Input is the input, unchanged.
+	// Input is the unchanged input.
 	Input any `json:"input,omitempty"`
 }
 
-// Answer is the body of an answer.
-type Answer struct {
+// ResponseBody is the body of a successful response.
+type ResponseBody struct {
 	RequestID string `json:"request_id"`
 	Attempt   int    `json:"attempt"`
 	Result    Result `json:"result"`
 }
 
-// Service is the stand-in for one replica. It is safe for concurrent use.
+// Service is a fake service replica. It is safe for concurrent use.
 type Service struct {
-	cfg      Config
-	mux      *http.ServeMux
-	faults   *standin.Injector
-	answerer *standin.Answerer
-	ledger   *ledger.Ledger
-	keys     *Keys
-	slots    *slots
-	ctx      context.Context
-	cancel   context.CancelFunc
+	cfg       Config
+	mux       *http.ServeMux
+	faults    *standin.Injector
+	responder *standin.Responder
+	ledger    *ledger.Ledger
+	keys      *KeyStore
+	slots     *slots
+	ctx       context.Context
+	cancel    context.CancelFunc
 }
 
-// New returns a Service.
 func New(cfg Config) *Service {
 	cfg = withDefaults(cfg)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -109,11 +110,11 @@
 		cancel: cancel,
 	}
 	s.faults = standin.NewInjector(cfg.Seed, func(f standin.Faults) { s.slots.setLeaving(f.Leaving) })
-	s.answerer = standin.NewAnswerer(s.faults)
+	s.responder = standin.NewResponder(s.faults)
 	s.mux.HandleFunc("POST /v1/", s.call)
 	s.mux.HandleFunc("GET /v1/status/{key}", s.status)
 	s.mux.HandleFunc("GET /v1/load", s.load)
-	s.mux.Handle("/control/ledger", s.ledger.Of(cfg.Name))
+	s.mux.Handle("/control/ledger", s.ledger.ForUpstream(cfg.Name))
 	s.mux.Handle("/control/faults", s.faults)
 	return s
 }
@@ -135,7 +136,7 @@
 		cfg.Ledger = ledger.New(0)
 	}
 	if cfg.Keys == nil {
-		cfg.Keys = NewKeys(0)
+		cfg.Keys = NewKeyStore(0)
 	}
 	return cfg
 }
@@ -143,11 +144,10 @@
 // ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Close ends running executions.
+// Close makes running executions fail.
 func (s *Service) Close() { s.cancel() }
 
-// Faults returns the injected faults.
+// Faults returns the fault injector.
 func (s *Service) Faults() *standin.Injector { return s.faults }
 
-// Ledger returns the ledger.
 func (s *Service) Ledger() *ledger.Ledger { return s.ledger }
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -22,7 +22,7 @@
 	var s *Service
 	var server *httptest.Server
 
-	start := func(cfg Config) {
+	startService := func(cfg Config) {
 		if cfg.Median == 0 {
 			cfg.Median = time.Millisecond
 		}
@@ -33,7 +33,7 @@
 			server.Close()
 		})
 	}
-	call := func(ctx context.Context, id, key string) (int, Answer, http.Header, error) {
+	call := func(ctx context.Context, id, key string) (int, ResponseBody, http.Header, error) {
 		body, err := json.Marshal(Request{RequestID: id, Attempt: 1, Customer: "c", Stage: "seal", Input: "deed"})
 		Expect(err).NotTo(HaveOccurred())
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, server.URL+"/v1/seal", bytes.NewReader(body))
@@ -43,18 +43,18 @@
 		}
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
-			return 0, Answer{}, nil, err
+			return 0, ResponseBody{}, nil, err
 		}
 		defer resp.Body.Close()
 		raw, err := io.ReadAll(resp.Body)
 		if err != nil {
-			return 0, Answer{}, nil, err
+			return 0, ResponseBody{}, nil, err
 		}
-		var a Answer
+		var a ResponseBody
 		Expect(json.Unmarshal(raw, &a)).To(Succeed())
 		return resp.StatusCode, a, resp.Header, nil
 	}
-	inBackground := func(ctx context.Context, id, key string) <-chan error {
+	callAsync := func(ctx context.Context, id, key string) <-chan error {
 		ended := make(chan error, 1)
 		go func() {
 			defer GinkgoRecover()
@@ -63,7 +63,7 @@
 		}()
 		return ended
 	}
-	running := func() int { return s.slots.report.Report(time.Now()).Running }
+	running := func() int { return s.slots.loadReporter.Report(time.Now()).Running }
 	states := func() []ledger.State {
 		var out []ledger.State
 		for _, e := range s.Ledger().Entries() {
@@ -73,40 +73,40 @@
 	}
 	bg := context.Background()
 
-	It("executes a repeated key again, which the ledger shows", func() {
-		start(Config{})
+	It("executes a repeated key again and records both executions", func() {
+		startService(Config{})
 		for range 2 {
 			status, a, _, err := call(bg, "r1", "k1")
 			Expect(err).NotTo(HaveOccurred())
 			Expect(status).To(Equal(http.StatusOK))
-			Expect(a.Result.Mark).To(Equal("r1"))
+			Expect(a.Result.RequestID).To(Equal("r1"))
 		}
-		Expect(s.Ledger().Summary().Doubles).To(Equal([]ledger.Double{
+		Expect(s.Ledger().Summary().DuplicatedKeys).To(Equal([]ledger.DuplicatedKey{
 			{Customer: "c", Key: "k1", Stage: "seal", Executions: 2},
 		}))
 	})
 
-	It("answers a repeated key from its execution when it deduplicates", func() {
-		start(Config{Deduplicate: true})
+	It("responds to a repeated key with the earlier result when deduplicating", func() {
+		startService(Config{Deduplicate: true})
 		_, first, _, err := call(bg, "r1", "k1")
 		Expect(err).NotTo(HaveOccurred())
 		_, second, _, err := call(bg, "r2", "k1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(second.Result).To(Equal(first.Result))
 		Expect(second.RequestID).To(Equal("r2"))
-		Expect(s.Ledger().Summary().Total.Begun).To(Equal(1))
+		Expect(s.Ledger().Summary().Total.Started).To(Equal(1))
 		Expect(s.Ledger().Summary().Deduplicated).To(Equal(1))
 	})
 
-	It("tells what became of a key", func() {
-		start(Config{Median: forever})
+	It("reports the status of a key", func() {
+		startService(Config{Median: forever})
 		Expect(s.keys.status("k1").State).To(Equal(KeyUnknown))
-		ended := inBackground(bg, "r1", "k1")
+		ended := callAsync(bg, "r1", "k1")
 		Eventually(func() KeyState { return s.keys.status("k1").State }).Should(Equal(KeyRunning))
 		Eventually(running).Should(Equal(1))
 		s.Faults().Set(standin.Faults{Down: true})
 		Eventually(ended).Should(Receive(HaveOccurred()))
-		Expect(s.keys.status("k1").State).To(Equal(KeyRunning), "a broken execution may have had its effect")
+		Expect(s.keys.status("k1").State).To(Equal(KeyRunning), "an aborted execution may have taken effect")
 		Expect(states()).To(Equal([]ledger.State{ledger.Failed}))
 		s.Faults().Set(standin.Faults{})
 		resp, err := http.Get(server.URL + "/v1/status/k1")
@@ -117,13 +117,13 @@
 		Expect(got.State).To(Equal(KeyRunning))
 	})
 
-	It("refuses what its queue cannot take, without executing it", func() {
-		start(Config{Median: forever, Slots: 1, Queue: 1})
+	It("refuses calls without executing them when the queue is full", func() {
+		startService(Config{Median: forever, Slots: 1, Queue: 1})
 		ctx, cancel := context.WithCancel(bg)
 		defer cancel()
-		inBackground(ctx, "r1", "")
-		inBackground(ctx, "r2", "")
-		Eventually(func() int { return s.slots.report.Report(time.Now()).Queued }).Should(Equal(1))
+		callAsync(ctx, "r1", "")
+		callAsync(ctx, "r2", "")
+		Eventually(func() int { return s.slots.loadReporter.Report(time.Now()).Queued }).Should(Equal(1))
 		status, _, header, err := call(bg, "r3", "k3")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status).To(Equal(http.StatusTooManyRequests))
@@ -132,10 +132,10 @@
 		Expect(s.keys.status("k3").State).To(Equal(KeyUnknown))
 	})
 
-	It("sees an execution through when its caller goes away", func() {
-		start(Config{Median: 200 * time.Millisecond})
+	It("completes an execution after its client disconnects", func() {
+		startService(Config{Median: 200 * time.Millisecond})
 		ctx, cancel := context.WithCancel(bg)
-		ended := inBackground(ctx, "r1", "k1")
+		ended := callAsync(ctx, "r1", "k1")
 		Eventually(running).Should(Equal(1))
 		cancel()
 		Eventually(ended).Should(Receive(HaveOccurred()))
@@ -143,10 +143,10 @@
 		Expect(s.keys.status("k1").State).To(Equal(KeyDone))
 	})
 
-	It("frees the slot of a cancelled execution when it supports that", func() {
-		start(Config{Median: forever, Cancellation: true})
+	It("frees the slot of a canceled execution if it supports cancellation", func() {
+		startService(Config{Median: forever, Cancellation: true})
 		ctx, cancel := context.WithCancel(bg)
-		ended := inBackground(ctx, "r1", "")
+		ended := callAsync(ctx, "r1", "")
 		Eventually(running).Should(Equal(1))
 		cancel()
 		Eventually(ended).Should(Receive(HaveOccurred()))
@@ -155,7 +155,7 @@
 	})
 
 	DescribeTable("injected faults", func(f standin.Faults, status int, failed bool, executed []ledger.State) {
-		start(Config{})
+		startService(Config{})
 		s.Faults().Set(f)
 		got, _, _, err := call(bg, "r1", "k1")
 		if failed {
@@ -175,8 +175,8 @@
 		Entry("duplicate_answer", standin.Faults{DuplicateAnswer: true}, 200, false, []ledger.State{ledger.Done}),
 	)
 
-	It("answers with another request's answer when told to", func() {
-		start(Config{})
+	It("responds with the response to another request under wrong_answer", func() {
+		startService(Config{})
 		_, _, _, err := call(bg, "r1", "")
 		Expect(err).NotTo(HaveOccurred())
 		s.Faults().Set(standin.Faults{WrongAnswer: true})
@@ -185,16 +185,16 @@
 		Expect(a.RequestID).To(Equal("r1"))
 	})
 
-	It("reports that it is leaving and marks work that still comes", func() {
-		start(Config{})
+	It("reports that it is leaving and marks calls that still arrive", func() {
+		startService(Config{})
 		s.Faults().Set(standin.Faults{Leaving: true})
-		Expect(s.slots.report.Report(time.Now()).Leaving).To(BeTrue())
+		Expect(s.slots.loadReporter.Report(time.Now()).Leaving).To(BeTrue())
 		_, _, _, err := call(bg, "r1", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Ledger().Summary().Total.Leaving).To(Equal(1))
 	})
 
-	It("draws service times with a heavy tail, the same for the same seed", func() {
+	It("draws service times from a heavy-tailed distribution, deterministically for each seed", func() {
 		a := New(Config{Median: time.Second, Sigma: 1, Seed: 7})
 		b := New(Config{Median: time.Second, Sigma: 1, Seed: 7})
 		over := 0
--- a/internal/standin/service/slots.go
+++ b/internal/standin/service/slots.go
@@ -8,60 +8,60 @@
 	"github.com/wheatseam/wheatseam/internal/standin"
 )
 
-// slots bounds the calls that run and those that wait, and reports both.
+// slots limits the numbers of running and queued calls and reports both.
 type slots struct {
-	free chan struct{}
+	occupied chan struct{}
 
-	mu      sync.Mutex
-	running int
-	queued  int
-	limit   int
-	leaving bool
-	report  *standin.LoadReporter
+	mu           sync.Mutex
+	running      int
+	queued       int
+	queueLimit   int
+	leaving      bool
+	loadReporter *standin.LoadReporter
 }
 
 func newSlots(n, queue int, lag time.Duration) *slots {
 	return &slots{
-		free:   make(chan struct{}, n),
-		limit:  queue,
-		report: standin.NewLoadReporter(lag, standin.Load{Slots: n}),
+		occupied:     make(chan struct{}, n),
+		queueLimit:   queue,
+		loadReporter: standin.NewLoadReporter(lag, standin.Load{Slots: n}),
 	}
 }
 
-// slotResult says how the wait for a slot ended.
+// slotResult is the outcome of waiting for a slot.
 type slotResult uint8
 
 const (
 	slotGranted slotResult = iota
 	slotQueueFull
-	slotGivenUp
+	slotAbandoned
 )
 
-// acquire waits for a slot until ctx ends or the replica is down.
+// acquire waits for a slot until ctx is done or the replica goes down.
 func (s *slots) acquire(ctx context.Context, down <-chan struct{}) slotResult {
 	if !s.enqueue() {
 		return slotQueueFull
 	}
 	select {
-	case s.free <- struct{}{}:
-		s.count(1, -1)
+	case s.occupied <- struct{}{}:
+		s.adjust(1, -1)
 		return slotGranted
 	case <-ctx.Done():
 	case <-down:
 	}
-	s.count(0, -1)
-	return slotGivenUp
+	s.adjust(0, -1)
+	return slotAbandoned
 }
 
 func (s *slots) release() {
-	<-s.free
-	s.count(-1, 0)
+	<-s.occupied
+	s.adjust(-1, 0)
 }
 
 func (s *slots) enqueue() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.running+s.queued >= cap(s.free)+s.limit {
+	if s.running+s.queued >= cap(s.occupied)+s.queueLimit {
 		return false
 	}
 	s.queued++
@@ -69,7 +69,7 @@
 	return true
 }
 
-func (s *slots) count(running, queued int) {
+func (s *slots) adjust(running, queued int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running += running
@@ -84,12 +84,12 @@
 	s.update()
 }
 
-// update tells the reporter the load; the caller holds mu.
+// update records the current load for load reports. The caller holds mu.
 func (s *slots) update() {
-	s.report.Update(time.Now(), standin.Load{
+	s.loadReporter.Update(time.Now(), standin.Load{
 		Running: s.running,
 		Queued:  s.queued,
-		Slots:   cap(s.free),
+		Slots:   cap(s.occupied),
 		Leaving: s.leaving,
 	})
 }
--- a/internal/standin/site/answer.go
+++ b/internal/standin/site/answer.go
@@ -11,7 +11,7 @@
 // Body is the body that a plain replica answers a request with.
 func Body(replica, request string) string { return "answer of " + replica + " to " + request + "\n" }
 
-func (r *Replica) whole(w http.ResponseWriter, id string, b Behaviour) {
+func (r *Replica) respond(w http.ResponseWriter, id string, b Behaviour) {
 	body := Body(r.ID, id)
 	status := http.StatusOK
 	if b.Status != 0 {
@@ -21,7 +21,7 @@
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	if b.Extra || b.Unframed {
-		r.raw(w, status, body, b)
+		r.respondRaw(w, status, body, b)
 		return
 	}
 	w.WriteHeader(status)
@@ -34,10 +34,10 @@
 
 // raw writes an answer by hand: without a length, or with a second answer
 // behind it.
-func (r *Replica) raw(w http.ResponseWriter, status int, body string, b Behaviour) {
+func (r *Replica) respondRaw(w http.ResponseWriter, status int, body string, b Behaviour) {
 	conn, buf, err := w.(http.Hijacker).Hijack()
 	if err != nil {
-		r.ledger.fault("%s: %v", r.ID, err)
+		r.ledger.recordViolation("%s: %v", r.ID, err)
 		return
 	}
 	defer conn.Close()
--- a/internal/standin/site/behaviour.go
+++ b/internal/standin/site/behaviour.go
@@ -35,7 +35,7 @@
 	// Hang answers nothing until the connection closes.
 	Hang bool
 	// Early answers before the body was read.
-	Early bool
+	RespondBeforeBody bool
 	// EventEvery is the time from one event of an engine's stream to the next;
 	// 0 is eventEvery.
 	EventEvery time.Duration
@@ -63,7 +63,7 @@
 // The ways to fall silent for good.
 const (
 	// Speaking goes on.
-	Speaking Silence = iota
+	NoStall Silence = iota
 	// StandsStill makes no more events in this run; the process answers other calls.
 	StandsStill
 	// Muted makes the events and ends the run, but nothing arrives any more; the
--- a/internal/standin/site/caller.go
+++ b/internal/standin/site/caller.go
@@ -30,12 +30,12 @@
 // Configuration is a configuration of all kinds of routes for the services
 // "plain", "llm" and "encode".
 func Configuration(version int, keys []string) map[string]any {
-	route := func(name, prefix, kind, service string, attempts int, more map[string]any) map[string]any {
+	route := func(name, prefix, routeType, service string, attempts int, extra map[string]any) map[string]any {
 		r := map[string]any{
-			"name": name, "hostname": Hostname, "prefix": prefix, "route_type": kind, "service": service, "attempts": attempts,
+			"name": name, "hostname": Hostname, "prefix": prefix, "route_type": routeType, "service": service, "attempts": attempts,
 			"timeout_ms": 3000, "goal_ms": 1000, "priority": 1,
 		}
-		for k, v := range more {
+		for k, v := range extra {
 			r[k] = v
 		}
 		return r
@@ -61,12 +61,12 @@
 }
 
 // DefaultDomain is where replicas stand that name no failure domain.
-const DefaultDomain = "x"
+const DefaultFailureDomain = "x"
 
 // Entry is a replica's entry in the store.
 func Entry(r *Replica, phase string) map[string]any {
 	entry := map[string]any{
-		"service": r.Service, "address": r.Address(), "zone": cmp.Or(r.FailureDomain, DefaultDomain), "concurrency": 8, "phase": phase, "seq": 1,
+		"service": r.Service, "address": r.Address(), "zone": cmp.Or(r.FailureDomain, DefaultFailureDomain), "concurrency": 8, "phase": phase, "seq": 1,
 	}
 	if r.Born > 0 {
 		entry["born"] = r.Born
--- a/internal/standin/site/hold.go
+++ b/internal/standin/site/hold.go
@@ -8,16 +8,16 @@
 )
 
 // hold is a place that an engine keeps.
-type hold struct {
+type reservation struct {
 	until time.Time
 	state string
 }
 
 // The states of holds.
 const (
-	holdKept    = "kept"
-	holdUsed    = "used"
-	holdDropped = "dropped"
+	reservationHeld     = "kept"
+	reservationUsed     = "used"
+	reservationReleased = "dropped"
 )
 
 // Holds counts what became of holds. What is neither used nor dropped is kept or
@@ -28,37 +28,37 @@
 func (l *Ledger) Holds() Holds {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.holds
+	return l.reservations
 }
 
 // counted changes the counts of holds.
-func (l *Ledger) counted(change func(*Holds)) {
+func (l *Ledger) countReservations(change func(*Holds)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	change(&l.holds)
+	change(&l.reservations)
 }
 
 // takeHold keeps a place.
-func (r *Replica) takeHold(w http.ResponseWriter, req *http.Request, b Behaviour) {
+func (r *Replica) grantReservation(w http.ResponseWriter, req *http.Request, b Behaviour) {
 	var call struct {
 		Tokens int `json:"token_count"`
 		TTL    int `json:"ttl_ms"`
 	}
 	if err := json.NewDecoder(req.Body).Decode(&call); err != nil || call.Tokens < 0 || call.TTL <= 0 {
-		r.ledger.fault("%s: hold of %d tokens for %d ms not understood: %v", r.ID, call.Tokens, call.TTL, err)
+		r.ledger.recordViolation("%s: hold of %d tokens for %d ms not understood: %v", r.ID, call.Tokens, call.TTL, err)
 		refuse(w, http.StatusBadRequest)
 		return
 	}
 	if b.NoHolds || b.Shed || b.ShedFree {
-		r.ledger.counted(func(h *Holds) { h.Refused++ })
+		r.ledger.countReservations(func(h *Holds) { h.Refused++ })
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
 	r.mu.Lock()
-	name := fmt.Sprintf("%s-hold-%d", r.ID, len(r.holds)+1)
-	r.holds[name] = &hold{until: time.Now().Add(time.Duration(call.TTL) * time.Millisecond), state: holdKept}
+	name := fmt.Sprintf("%s-hold-%d", r.ID, len(r.reservations)+1)
+	r.reservations[name] = &reservation{until: time.Now().Add(time.Duration(call.TTL) * time.Millisecond), state: reservationHeld}
 	r.mu.Unlock()
-	r.ledger.counted(func(h *Holds) { h.Taken++ })
+	r.ledger.countReservations(func(h *Holds) { h.Taken++ })
 	select {
 	case <-time.After(b.HoldWork):
 	case <-req.Context().Done():
@@ -67,42 +67,42 @@
 }
 
 // dropHold gives a place up.
-func (r *Replica) dropHold(w http.ResponseWriter, name string) {
+func (r *Replica) releaseReservation(w http.ResponseWriter, name string) {
 	r.mu.Lock()
-	h := r.holds[name]
-	kept := h != nil && h.state == holdKept
-	if kept {
-		h.state = holdDropped
+	h := r.reservations[name]
+	held := h != nil && h.state == reservationHeld
+	if held {
+		h.state = reservationReleased
 	}
 	r.mu.Unlock()
-	if !kept {
+	if !held {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	r.ledger.counted(func(h *Holds) { h.Dropped++ })
+	r.ledger.countReservations(func(h *Holds) { h.Dropped++ })
 	w.WriteHeader(http.StatusOK)
 }
 
 // useHold uses the place that a request names, and says whether it was kept.
-func (r *Replica) useHold(req *http.Request) bool {
+func (r *Replica) useReservation(req *http.Request) bool {
 	name := req.Header.Get("Kv-Hold")
 	if name == "" || name == ForgedValue {
 		return false // serve notes a caller's
 	}
 	r.mu.Lock()
-	h := r.holds[name]
+	h := r.reservations[name]
 	state := "never given"
 	if h != nil {
 		state = h.state
 	}
-	if state == holdKept {
-		h.state = holdUsed
+	if state == reservationHeld {
+		h.state = reservationUsed
 	}
 	r.mu.Unlock()
-	if state != holdKept {
-		r.ledger.fault("%s: request %s has hold %s, which was %s", r.ID, req.Header.Get("Attempt-Id"), name, state)
+	if state != reservationHeld {
+		r.ledger.recordViolation("%s: request %s has hold %s, which was %s", r.ID, req.Header.Get("Attempt-Id"), name, state)
 		return false
 	}
-	r.ledger.counted(func(h *Holds) { h.Used++ })
+	r.ledger.countReservations(func(h *Holds) { h.Used++ })
 	return time.Now().Before(h.until)
 }
--- a/internal/standin/site/ledger.go
+++ b/internal/standin/site/ledger.go
@@ -40,7 +40,7 @@
 	// Cancelled runs ended since the host closed the connection.
 	Cancelled
 	// Cut runs ended by the replica's behaviour, or with its process.
-	Cut
+	Aborted
 )
 
 // String names the end.
@@ -51,61 +51,61 @@
 // Ledger holds what ran, over all replicas of a site, and what they found
 // wrong. It is safe for concurrent use.
 type Ledger struct {
-	mu     sync.Mutex
-	runs   []*Run
-	faults []string
-	holds  Holds
+	mu           sync.Mutex
+	runs         []*Run
+	violations   []string
+	reservations Holds
 	// results maps the handles that exist to what made them.
-	results map[string]result
-	made    int
-	freed   int
+	results         map[string]stageResult
+	resultsCreated  int
+	resultsReleased int
 }
 
 // result is the result of one piece.
-type result struct {
-	request string
-	stage   int
-	piece   int
+type stageResult struct {
+	requestID string
+	stage     int
+	piece     int
 }
 
 // NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{results: map[string]result{}} }
+func NewLedger() *Ledger { return &Ledger{results: map[string]stageResult{}} }
 
-func (l *Ledger) ran(r *Run) {
+func (l *Ledger) recordRun(r *Run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs = append(l.runs, r)
 }
 
 // ended notes the end of a run.
-func (l *Ledger) ended(r *Run, end End) {
+func (l *Ledger) recordEnd(r *Run, end End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r.End, r.Ended = end, time.Now()
 }
 
-func (l *Ledger) fault(format string, args ...any) {
+func (l *Ledger) recordViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.faults = append(l.faults, fmt.Sprintf(format, args...))
+	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
 // Runs returns the executions of a request.
 func (l *Ledger) Runs(request string) []Run {
-	return l.which(func(r Run) bool { return r.Request == request })
+	return l.runsWhere(func(r Run) bool { return r.Request == request })
 }
 
 // RunsOf returns the executions of requests with a body.
 func (l *Ledger) RunsOf(body string) []Run {
-	return l.which(func(r Run) bool { return r.Body == body })
+	return l.runsWhere(func(r Run) bool { return r.Body == body })
 }
 
-func (l *Ledger) which(counts func(Run) bool) []Run {
+func (l *Ledger) runsWhere(matches func(Run) bool) []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var runs []Run
 	for _, r := range l.runs {
-		if counts(*r) {
+		if matches(*r) {
 			runs = append(runs, *r)
 		}
 	}
@@ -116,12 +116,12 @@
 func (l *Ledger) Faults() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]string(nil), l.faults...)
+	return append([]string(nil), l.violations...)
 }
 
 // Results returns how many results of stages were made, freed and are held.
-func (l *Ledger) Results() (made, freed, held int) {
+func (l *Ledger) Results() (created, released, live int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.made, l.freed, len(l.results)
+	return l.resultsCreated, l.resultsReleased, len(l.results)
 }
--- a/internal/standin/site/replica.go
+++ b/internal/standin/site/replica.go
@@ -35,7 +35,7 @@
 	// FailureDomain is where it stands. Default DefaultDomain.
 	FailureDomain string
 	// Events is the number of events of a stream. Default 5.
-	Events int
+	EventsPerStream int
 	// Returned is called when the process has started again; nil for nothing. Born
 	// is that of the new start by then.
 	Returned func(*Replica)
@@ -50,31 +50,31 @@
 	mu        sync.Mutex
 	behaviour Behaviour
 	// pauseAfter and pause are those of PauseStreams.
-	pauseAfter int
-	pause      time.Duration
+	pauseAfterEvents int
+	pause            time.Duration
 	// frozen says that the process has stopped.
 	frozen bool
 	// runs are those under way, and the ended ones that reports may still list.
 	runs []*execution
 	// holds are those that were ever given.
-	holds map[string]*hold
+	reservations map[string]*reservation
 	// closed says that Close was called, down that the process has crashed and is
 	// not back.
 	closed, down bool
 	crashes      int
 	poison       Poison
 	// spells are the times during which it behaved other than well, in order.
-	spells    []spell
-	handles   int
-	cancelled int
+	unhealthyPeriods []unhealthyPeriod
+	resultsCreated   int
+	cancelled        int
 	// limit is the rate of requests that every answer names; "" for none.
-	limit string
+	rateLimit string
 	// leaving says that every answer tells so.
 	leaving bool
 	// refusing has the replica turn all work away, and ask for so much rest, in seconds; ""
 	// does not.
-	refusing string
-	arrived  []Arrival
+	refusalRetryAfter string
+	arrivals          []Arrival
 }
 
 // Arrival is a request, or a call for pieces, that came to a replica.
@@ -88,7 +88,7 @@
 }
 
 // spell is a time of behaviour other than well; until is zero while it lasts.
-type spell struct{ from, until time.Time }
+type unhealthyPeriod struct{ start, end time.Time }
 
 // StartReplica starts a replica at address; port 0 leaves the choice to the
 // kernel.
@@ -97,13 +97,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("replica %s: %w", id, err)
 	}
-	r := &Replica{ID: id, Service: service, Kind: kind, Events: 5, ledger: ledger, address: l.Addr().String(), holds: map[string]*hold{}}
-	r.serveOn(l)
+	r := &Replica{ID: id, Service: service, Kind: kind, EventsPerStream: 5, ledger: ledger, address: l.Addr().String(), reservations: map[string]*reservation{}}
+	r.startServer(l)
 	return r, nil
 }
 
 // serveOn starts the process.
-func (r *Replica) serveOn(l net.Listener) {
+func (r *Replica) startServer(l net.Listener) {
 	r.server = &http.Server{Handler: r, ReadHeaderTimeout: time.Minute}
 	r.listener = l
 	server := r.server
@@ -139,10 +139,10 @@
 	}
 	r.down = true
 	r.crashes++
-	r.noteSpell()
+	r.recordHealth()
 	_ = r.server.Close() // as above
 	if down > 0 {
-		time.AfterFunc(down, r.start)
+		time.AfterFunc(down, r.restart)
 	}
 	return true
 }
@@ -155,7 +155,7 @@
 }
 
 // start starts the process again after a crash.
-func (r *Replica) start() {
+func (r *Replica) restart() {
 	r.mu.Lock()
 	if r.closed {
 		r.mu.Unlock()
@@ -164,12 +164,12 @@
 	l, err := net.Listen("tcp", r.address)
 	if err != nil {
 		r.mu.Unlock()
-		r.ledger.fault("%s: does not start again: %v", r.ID, err)
+		r.ledger.recordViolation("%s: does not start again: %v", r.ID, err)
 		return
 	}
 	r.down, r.Born = false, time.Now().UnixMilli()
-	r.noteSpell()
-	r.serveOn(l)
+	r.recordHealth()
+	r.startServer(l)
 	r.mu.Unlock()
 	if r.Returned != nil {
 		r.Returned(r)
@@ -181,22 +181,22 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.behaviour = b
-	r.noteSpell()
+	r.recordHealth()
 }
 
 // noteSpell notes whether the replica is other than well from now on; the caller
 // holds mu.
-func (r *Replica) noteSpell() {
+func (r *Replica) recordHealth() {
 	b := r.behaviour
 	b.PauseAfterEvents, b.Pause, b.EventEvery = 0, 0, 0
-	ill := r.down || r.frozen || b != (Behaviour{})
-	last := len(r.spells) - 1
-	lasts := last >= 0 && r.spells[last].until.IsZero()
+	unhealthy := r.down || r.frozen || b != (Behaviour{})
+	last := len(r.unhealthyPeriods) - 1
+	ongoing := last >= 0 && r.unhealthyPeriods[last].end.IsZero()
 	switch {
-	case ill && !lasts:
-		r.spells = append(r.spells, spell{from: time.Now()})
-	case !ill && lasts:
-		r.spells[last].until = time.Now()
+	case unhealthy && !ongoing:
+		r.unhealthyPeriods = append(r.unhealthyPeriods, unhealthyPeriod{start: time.Now()})
+	case !unhealthy && ongoing:
+		r.unhealthyPeriods[last].end = time.Now()
 	}
 }
 
@@ -205,7 +205,7 @@
 func (r *Replica) PauseStreams(afterEvents int, pause time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.pauseAfter, r.pause = afterEvents, pause
+	r.pauseAfterEvents, r.pause = afterEvents, pause
 }
 
 // Freeze stops the process for good: what it has open is silent, and it takes
@@ -214,11 +214,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.frozen = true
-	r.noteSpell()
+	r.recordHealth()
 }
 
 // Vanish stops the process as Freeze does, and the port takes no connections.
-func (r *Replica) Vanish() {
+func (r *Replica) FreezeUnreachable() {
 	r.Freeze()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -236,7 +236,7 @@
 func (r *Replica) Misbehaved() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.spells) > 0
+	return len(r.unhealthyPeriods) > 0
 }
 
 // WellThrough says whether the replica behaved well all the time from one moment to
@@ -244,8 +244,8 @@
 func (r *Replica) WellThrough(from, to time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !slices.ContainsFunc(r.spells, func(s spell) bool {
-		return s.from.Before(to) && (s.until.IsZero() || s.until.After(from))
+	return !slices.ContainsFunc(r.unhealthyPeriods, func(s unhealthyPeriod) bool {
+		return s.start.Before(to) && (s.end.IsZero() || s.end.After(from))
 	})
 }
 
@@ -254,7 +254,7 @@
 func (r *Replica) NameLimit(perSecond string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.limit = perSecond
+	r.rateLimit = perSecond
 }
 
 // SayLeaving has every answer tell that the replica leaves. It serves what it gets all the
@@ -270,7 +270,7 @@
 func (r *Replica) RefuseForRest(seconds string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.refusing = seconds
+	r.refusalRetryAfter = seconds
 }
 
 // Arrived returns when requests and calls for pieces came, in order.
@@ -286,24 +286,24 @@
 func (r *Replica) Arrivals() []Arrival {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.arrived)
+	return slices.Clone(r.arrivals)
 }
 
 // arrive notes a request or a call for pieces, and returns the rest with which it is turned
 // away; "" if it is not.
-func (r *Replica) arrive(request string) (rest string) {
+func (r *Replica) recordArrival(requestID string) (retryAfter string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.arrived = append(r.arrived, Arrival{At: time.Now(), Request: request, Rest: r.refusing})
-	return r.refusing
+	r.arrivals = append(r.arrivals, Arrival{At: time.Now(), Request: requestID, Rest: r.refusalRetryAfter})
+	return r.refusalRetryAfter
 }
 
 // sayOfItself adds what the replica says of itself to the head of an answer.
-func (r *Replica) sayOfItself(h http.Header) {
+func (r *Replica) setNoticeHeaders(h http.Header) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.limit != "" {
-		h.Set("Server-Limit", r.limit)
+	if r.rateLimit != "" {
+		h.Set("Server-Limit", r.rateLimit)
 	}
 	if r.leaving {
 		h.Set("Server-Leaving", "1")
@@ -314,7 +314,7 @@
 func (r *Replica) Made() int {
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
-	return r.handles
+	return r.resultsCreated
 }
 
 // Cancelled returns the number of requests whose connection closed while they
@@ -325,19 +325,19 @@
 	return r.cancelled
 }
 
-func (r *Replica) current() Behaviour {
+func (r *Replica) currentBehaviour() Behaviour {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.behaviour
-	if b.Pause == 0 && b.Silence == Speaking {
-		b.PauseAfterEvents, b.Pause = r.pauseAfter, r.pause
+	if b.Pause == 0 && b.Silence == NoStall {
+		b.PauseAfterEvents, b.Pause = r.pauseAfterEvents, r.pause
 	}
 	return b
 }
 
 // ServeHTTP implements http.Handler.
 func (r *Replica) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	b := r.current()
+	b := r.currentBehaviour()
 	if r.isFrozen() {
 		hang(req)
 		return
@@ -347,32 +347,32 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	rest := ""
+	retryAfter := ""
 	if !strings.HasPrefix(req.URL.Path, "/-/") || req.URL.Path == "/-/stage-run" {
-		rest = r.arrive(req.Header.Get("Attempt-Id"))
+		retryAfter = r.recordArrival(req.Header.Get("Attempt-Id"))
 	}
 	if b.Hang {
 		hang(req)
 		return
 	}
-	r.sayOfItself(w.Header())
-	if rest != "" {
-		w.Header().Set("Retry-After", rest)
+	r.setNoticeHeaders(w.Header())
+	if retryAfter != "" {
+		w.Header().Set("Retry-After", retryAfter)
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
-	if r.Kind == Engine && r.order(w, req, b) {
+	if r.Kind == Engine && r.serveEngineCall(w, req, b) {
 		return
 	}
-	held := r.useHold(req)
-	if b.RetryAfter != "" && (b.Shed || b.ShedFree) && !held {
+	reserved := r.useReservation(req)
+	if b.RetryAfter != "" && (b.Shed || b.ShedFree) && !reserved {
 		w.Header().Set("Retry-After", b.RetryAfter)
 	}
-	if b.Shed && !held {
+	if b.Shed && !reserved {
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
-	if b.ShedFree && !held {
+	if b.ShedFree && !reserved {
 		w.Header().Set("Replica-Load", "1,0,8")
 		refuse(w, http.StatusServiceUnavailable)
 		return
@@ -381,9 +381,9 @@
 	case req.URL.Path == "/-/stage-run":
 		r.runPieces(w, req, b)
 	case req.URL.Path == "/-/report":
-		r.report(w)
+		r.writeStageReport(w)
 	case req.URL.Path == "/-/stage-free":
-		r.freePieces(w, req)
+		r.releaseResults(w, req)
 	default:
 		r.serve(w, req, b)
 	}
@@ -396,22 +396,22 @@
 }
 
 // order answers the orders that engines know; it says whether it was one.
-func (r *Replica) order(w http.ResponseWriter, req *http.Request, b Behaviour) bool {
-	name, dropped := strings.CutPrefix(req.URL.Path, "/-/hold-drop/")
-	reported, taken := req.URL.Path == "/-/report", req.URL.Path == "/-/hold-take"
+func (r *Replica) serveEngineCall(w http.ResponseWriter, req *http.Request, b Behaviour) bool {
+	name, isRelease := strings.CutPrefix(req.URL.Path, "/-/hold-drop/")
+	isReport, isReserve := req.URL.Path == "/-/report", req.URL.Path == "/-/hold-take"
 	switch {
-	case !dropped && !reported && !taken:
+	case !isRelease && !isReport && !isReserve:
 		return false
 	case b.NoOrders:
 		w.WriteHeader(http.StatusNotFound)
-	case reported && b.HangReports:
+	case isReport && b.HangReports:
 		hang(req)
-	case reported:
-		r.reportRuns(w)
-	case taken:
-		r.takeHold(w, req, b)
+	case isReport:
+		r.writeEngineReport(w)
+	case isReserve:
+		r.grantReservation(w, req, b)
 	default:
-		r.dropHold(w, name)
+		r.releaseReservation(w, name)
 	}
 	return true
 }
@@ -428,29 +428,29 @@
 		refuse(w, http.StatusBadRequest)
 		return
 	}
-	if b.Early {
+	if b.RespondBeforeBody {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	body, err := io.ReadAll(req.Body)
 	if err != nil {
-		r.ledger.fault("%s: body of %s not read: %v", r.ID, id, err)
+		r.ledger.recordViolation("%s: body of %s not read: %v", r.ID, id, err)
 		return
 	}
-	if !r.inputsHeld(w, req, id) {
+	if !r.checkInputs(w, req, id) {
 		return
 	}
 	if ms, err := strconv.Atoi(req.Header.Get("Deadline-Ms")); err != nil || ms <= 0 {
-		r.ledger.fault("%s: request %s has deadline %q", r.ID, id, req.Header.Get("Deadline-Ms"))
+		r.ledger.recordViolation("%s: request %s has deadline %q", r.ID, id, req.Header.Get("Deadline-Ms"))
 	}
 	for _, name := range Forgeable {
 		if req.Header.Get(name) == ForgedValue {
-			r.ledger.fault("%s: request %s has a caller's %s", r.ID, id, name)
+			r.ledger.recordViolation("%s: request %s has a caller's %s", r.ID, id, name)
 		}
 	}
-	e := r.begin(req, id, string(body))
-	defer e.finish()
-	if r.crashesUnder(string(body)) {
+	e := r.beginRun(req, id, string(body))
+	defer e.recordEnd()
+	if r.crashOnPoison(string(body)) {
 		return
 	}
 	if !e.wait(req.Context(), b.Work+time.Duration(promptTokens(req))*b.ReadToken) {
@@ -472,12 +472,12 @@
 		r.stream(w, req, e, b)
 		return
 	}
-	r.whole(w, id, b)
+	r.respond(w, id, b)
 	e.complete()
 }
 
 // crashesUnder ends the process if a body is its poison, and says whether it is.
-func (r *Replica) crashesUnder(body string) bool {
+func (r *Replica) crashOnPoison(body string) bool {
 	r.mu.Lock()
 	poison := r.poison
 	r.mu.Unlock()
--- a/internal/standin/site/report.go
+++ b/internal/standin/site/report.go
@@ -8,28 +8,28 @@
 
 // reportRuns tells the runs of an engine as they were ReportLag ago: the request,
 // the tokens in memory, the number of the newest event made, and the priority.
-func (r *Replica) reportRuns(w http.ResponseWriter) {
+func (r *Replica) writeEngineReport(w http.ResponseWriter) {
 	asOf := time.Now().Add(-r.ReportLag)
 	runs := [][]any{}
 	r.mu.Lock()
-	r.forget(asOf)
+	r.pruneRuns(asOf)
 	for _, e := range r.runs {
 		if e.run.At.After(asOf) {
 			continue
 		}
-		made := e.after
-		for _, at := range e.made {
+		eventID := e.lastEventID
+		for _, at := range e.eventTimes {
 			if !at.After(asOf) {
-				made++
+				eventID++
 			}
 		}
-		runs = append(runs, []any{e.run.Request, e.tokens + made, made, e.priority})
+		runs = append(runs, []any{e.run.Request, e.promptTokens + eventID, eventID, e.priority})
 	}
 	r.mu.Unlock()
 	writeJSON(w, map[string]any{"stage": "colocated", "queued": 0, "active": len(runs), "runs": runs})
 }
 
 // forget drops the runs that no report lists any more; the caller holds mu.
-func (r *Replica) forget(asOf time.Time) {
-	r.runs = slices.DeleteFunc(r.runs, func(e *execution) bool { return !e.ended.IsZero() && e.ended.Before(asOf) })
+func (r *Replica) pruneRuns(asOf time.Time) {
+	r.runs = slices.DeleteFunc(r.runs, func(e *execution) bool { return !e.endedAt.IsZero() && e.endedAt.Before(asOf) })
 }
--- a/internal/standin/site/site_test.go
+++ b/internal/standin/site/site_test.go
@@ -24,7 +24,7 @@
 }
 
 // engine starts an engine that behaves so.
-func engine(b site.Behaviour) (*site.Replica, *site.Ledger) {
+func startEngine(b site.Behaviour) (*site.Replica, *site.Ledger) {
 	ledger := site.NewLedger()
 	r, err := site.StartReplica(ledger, "e1", "llm", site.Engine, "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -54,11 +54,11 @@
 }
 
 // events reads so many events.
-func events(r *bufio.Reader, n int) string {
+func readEvents(r *bufio.Reader, n int) string {
 	GinkgoHelper()
 	var b strings.Builder
-	const linesOfEvent = 3
-	for range n * linesOfEvent {
+	const linesPerEvent = 3
+	for range n * linesPerEvent {
 		line, err := r.ReadString('\n')
 		Expect(err).NotTo(HaveOccurred())
 		b.WriteString(line)
@@ -67,7 +67,7 @@
 }
 
 // whole is a complete stream.
-func whole(id string) string {
+func fullStream(id string) string {
 	var b strings.Builder
 	for n := 1; n <= 5; n++ {
 		b.WriteString(site.Event(id, n))
@@ -77,7 +77,7 @@
 
 // report is an engine's report. The error is that of the context when the engine
 // answers nothing for a while.
-func report(r *site.Replica) (map[string]any, error) {
+func fetchReport(r *site.Replica) (map[string]any, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	resp, err := call(ctx, r, http.MethodGet, "/-/report", "")
@@ -85,21 +85,23 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	var answer map[string]any
-	return answer, json.NewDecoder(resp.Body).Decode(&answer)
+	var response map[string]any
+	return response, json.NewDecoder(resp.Body).Decode(&response)
 }
 
 // listing matches a report that lists these runs.
-func listing(runs ...any) OmegaMatcher {
+func reportRuns(runs ...any) OmegaMatcher {
 	return And(HaveKeyWithValue("stage", "colocated"), HaveKeyWithValue("queued", 0.0),
 		HaveKeyWithValue("active", float64(len(runs))), HaveKeyWithValue("runs", append([]any{}, runs...)))
 }
 
 // running is the entry of a run with a prompt of 10 tokens.
-func running(id string, made int) any { return []any{id, float64(10 + made), float64(made), 3.0} }
+func runEntry(id string, eventID int) any {
+	return []any{id, float64(10 + eventID), float64(eventID), 3.0}
+}
 
 // end is how the run of a request ended.
-func end(l *site.Ledger, id string) func() site.End {
+func runEnd(l *site.Ledger, id string) func() site.End {
 	return func() site.End { return l.Runs(id)[0].End }
 }
 
@@ -107,19 +109,19 @@
 	const pause = 200 * time.Millisecond
 
 	DescribeTable("pauses and goes on", func(after int) {
-		e, ledger := engine(site.Behaviour{PauseAfterEvents: after, Pause: pause})
+		e, ledger := startEngine(site.Behaviour{PauseAfterEvents: after, Pause: pause})
 		began := time.Now()
 		body := bufio.NewReader(generate(context.Background(), e, "a").Body)
-		first := events(body, after)
+		first := readEvents(body, after)
 		Expect(time.Since(began)).To(BeNumerically("<", pause))
-		Expect(report(e)).To(listing(running("a", after)))
+		Expect(fetchReport(e)).To(reportRuns(runEntry("a", after)))
 		rest, err := io.ReadAll(body)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(first + string(rest)).To(Equal(whole("a")))
+		Expect(first + string(rest)).To(Equal(fullStream("a")))
 		run := ledger.Runs("a")[0]
 		Expect(run.End).To(Equal(site.Complete))
 		Expect(run.Ended.Sub(run.At)).To(BeNumerically(">=", pause))
-		Expect(report(e)).To(listing())
+		Expect(fetchReport(e)).To(reportRuns())
 		Expect(e.Misbehaved()).To(BeFalse())
 	},
 		Entry("before the first event, with the head of the answer sent", 0),
@@ -127,7 +129,7 @@
 	)
 
 	It("pauses so however it behaves else", func() {
-		e, ledger := engine(site.Behaviour{})
+		e, ledger := startEngine(site.Behaviour{})
 		e.PauseStreams(1, pause)
 		_, err := io.ReadAll(generate(context.Background(), e, "a").Body)
 		Expect(err).NotTo(HaveOccurred())
@@ -136,84 +138,84 @@
 		Expect(e.Misbehaved()).To(BeFalse())
 	})
 
-	DescribeTable("falls silent for good", func(silence site.Silence, reports OmegaMatcher, ends site.End) {
-		e, ledger := engine(site.Behaviour{PauseAfterEvents: 2, Silence: silence, EventEvery: 10 * time.Millisecond})
+	DescribeTable("falls silent for good", func(silence site.Silence, wantReport OmegaMatcher, wantEnd site.End) {
+		e, ledger := startEngine(site.Behaviour{PauseAfterEvents: 2, Silence: silence, EventEvery: 10 * time.Millisecond})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		body := bufio.NewReader(generate(ctx, e, "a").Body)
-		events(body, 2)
+		readEvents(body, 2)
 		time.Sleep(100 * time.Millisecond)
-		told, err := report(e)
-		Expect([]any{told, err}).To(reports)
+		reported, err := fetchReport(e)
+		Expect([]any{reported, err}).To(wantReport)
 		Expect(e.Misbehaved()).To(BeTrue())
 		time.AfterFunc(50*time.Millisecond, cancel)
 		_, err = body.ReadByte()
 		Expect(err).To(MatchError(context.Canceled), "silent until its caller left")
-		Eventually(end(ledger, "a"), "1s").Should(Equal(ends))
+		Eventually(runEnd(ledger, "a"), "1s").Should(Equal(wantEnd))
 	},
-		Entry("in one run", site.StandsStill, HaveExactElements(listing(running("a", 2)), BeNil()), site.Cancelled),
-		Entry("on the connection", site.Muted, HaveExactElements(listing(), BeNil()), site.Complete),
+		Entry("in one run", site.StandsStill, HaveExactElements(reportRuns(runEntry("a", 2)), BeNil()), site.Cancelled),
+		Entry("on the connection", site.Muted, HaveExactElements(reportRuns(), BeNil()), site.Complete),
 		Entry("as a process that hangs", site.Frozen, HaveExactElements(BeEmpty(), MatchError(context.DeadlineExceeded)), site.Cancelled),
 		Entry("as a process that is gone", site.Vanished, HaveExactElements(BeEmpty(), MatchError(syscall.ECONNREFUSED)), site.Cancelled),
 	)
 
 	It("goes on making the events of a run that is silent on its connection", func() {
-		e, _ := engine(site.Behaviour{Silence: site.Muted, EventEvery: pause})
+		e, _ := startEngine(site.Behaviour{Silence: site.Muted, EventEvery: pause})
 		generate(context.Background(), e, "a")
-		Eventually(func() (map[string]any, error) { return report(e) }, "1s").Should(listing(running("a", 3)))
+		Eventually(func() (map[string]any, error) { return fetchReport(e) }, "1s").Should(reportRuns(runEntry("a", 3)))
 	})
 
 	It("reports what was a while ago", func() {
-		e, _ := engine(site.Behaviour{PauseAfterEvents: 2, Pause: 2 * pause})
+		e, _ := startEngine(site.Behaviour{PauseAfterEvents: 2, Pause: 2 * pause})
 		e.ReportLag = pause
 		generate(context.Background(), e, "a")
-		Expect(report(e)).To(listing())
-		Eventually(func() (map[string]any, error) { return report(e) }, "1s").Should(listing(running("a", 2)))
+		Expect(fetchReport(e)).To(reportRuns())
+		Eventually(func() (map[string]any, error) { return fetchReport(e) }, "1s").Should(reportRuns(runEntry("a", 2)))
 	})
 
 	It("counts the events before the one after which a stream goes on", func() {
-		e, _ := engine(site.Behaviour{PauseAfterEvents: 1, Pause: pause})
-		events(bufio.NewReader(generate(context.Background(), e, "a", "Last-Event-Id", "2").Body), 1)
-		Expect(report(e)).To(listing(running("a", 3)))
+		e, _ := startEngine(site.Behaviour{PauseAfterEvents: 1, Pause: pause})
+		readEvents(bufio.NewReader(generate(context.Background(), e, "a", "Last-Event-Id", "2").Body), 1)
+		Expect(fetchReport(e)).To(reportRuns(runEntry("a", 3)))
 	})
 
 	It("tells how runs ended", func() {
-		e, ledger := engine(site.Behaviour{CutAfterEvents: 1})
+		e, ledger := startEngine(site.Behaviour{CutAfterEvents: 1})
 		_, err := io.ReadAll(generate(context.Background(), e, "cut").Body)
 		Expect(err).To(HaveOccurred())
-		Eventually(end(ledger, "cut"), "1s").Should(Equal(site.Cut))
+		Eventually(runEnd(ledger, "cut"), "1s").Should(Equal(site.Aborted))
 		e.Behave(site.Behaviour{Pause: time.Minute})
 		generate(context.Background(), e, "crashed")
-		Expect(end(ledger, "crashed")()).To(Equal(site.UnderWay))
+		Expect(runEnd(ledger, "crashed")()).To(Equal(site.UnderWay))
 		Expect(e.Crash(0)).To(BeTrue())
-		Eventually(end(ledger, "crashed"), "1s").Should(Equal(site.Cut))
+		Eventually(runEnd(ledger, "crashed"), "1s").Should(Equal(site.Aborted))
 	})
 
 	It("answers nothing to asks for the report, and serves, where it is told so", func() {
-		e, _ := engine(site.Behaviour{HangReports: true})
-		_, err := report(e)
+		e, _ := startEngine(site.Behaviour{HangReports: true})
+		_, err := fetchReport(e)
 		Expect(err).To(MatchError(context.DeadlineExceeded))
-		Expect(generate(context.Background(), e, "a")).To(HaveHTTPBody(whole("a")))
+		Expect(generate(context.Background(), e, "a")).To(HaveHTTPBody(fullStream("a")))
 	})
 
 	It("tells when it behaved well", func() {
-		e, _ := engine(site.Behaviour{})
+		e, _ := startEngine(site.Behaviour{})
 		began := time.Now()
 		e.PauseStreams(1, pause)
 		Expect(e.WellThrough(began, time.Now())).To(BeTrue())
 		e.Behave(site.Behaviour{Shed: true})
 		Expect(e.WellThrough(began, time.Now())).To(BeFalse())
 		e.Behave(site.Behaviour{})
-		again := time.Now()
-		Expect(e.WellThrough(again, time.Now())).To(BeTrue())
+		recovered := time.Now()
+		Expect(e.WellThrough(recovered, time.Now())).To(BeTrue())
 		Expect(e.WellThrough(began, time.Now())).To(BeFalse())
 		Expect(e.Crash(0)).To(BeTrue())
-		Expect(e.WellThrough(again, time.Now())).To(BeFalse())
+		Expect(e.WellThrough(recovered, time.Now())).To(BeFalse())
 		Expect(e.Misbehaved()).To(BeTrue())
 	})
 
 	It("does not know reports and holds where it is told so", func() {
-		e, _ := engine(site.Behaviour{NoOrders: true})
+		e, _ := startEngine(site.Behaviour{NoOrders: true})
 		for method, path := range map[string]string{http.MethodGet: "/-/report", http.MethodPost: "/-/hold-take", http.MethodDelete: "/-/hold-drop/x"} {
 			Expect(call(context.Background(), e, method, path, "{}")).To(HaveHTTPStatus(http.StatusNotFound))
 		}
@@ -221,34 +223,34 @@
 })
 
 var _ = Describe("places that an engine holds", func() {
-	take := func(e *site.Replica, ttl int) string {
+	reserve := func(e *site.Replica, ttl int) string {
 		GinkgoHelper()
 		resp, err := call(context.Background(), e, http.MethodPost, "/-/hold-take", fmt.Sprintf(`{"token_count":10,"ttl_ms":%d}`, ttl))
 		Expect(err).NotTo(HaveOccurred())
 		defer resp.Body.Close()
 		Expect(resp).To(HaveHTTPStatus(http.StatusOK))
-		var answer struct{ Hold string }
-		Expect(json.NewDecoder(resp.Body).Decode(&answer)).To(Succeed())
-		return answer.Hold
+		var response struct{ Hold string }
+		Expect(json.NewDecoder(resp.Body).Decode(&response)).To(Succeed())
+		return response.Hold
 	}
-	drop := func(e *site.Replica, name string) (*http.Response, error) {
+	release := func(e *site.Replica, name string) (*http.Response, error) {
 		return call(context.Background(), e, http.MethodDelete, "/-/hold-drop/"+name, "")
 	}
 
 	It("are used once, also while it sheds, or given up", func() {
-		e, ledger := engine(site.Behaviour{})
-		used, dropped := take(e, 1000), take(e, 1000)
+		e, ledger := startEngine(site.Behaviour{})
+		used, released := reserve(e, 1000), reserve(e, 1000)
 		e.Behave(site.Behaviour{Shed: true})
-		Expect(generate(context.Background(), e, "a", "Kv-Hold", used)).To(HaveHTTPBody(whole("a")))
-		Expect(drop(e, dropped)).To(HaveHTTPStatus(http.StatusOK))
-		Expect(drop(e, dropped)).To(HaveHTTPStatus(http.StatusNotFound))
-		Expect(drop(e, used)).To(HaveHTTPStatus(http.StatusNotFound))
+		Expect(generate(context.Background(), e, "a", "Kv-Hold", used)).To(HaveHTTPBody(fullStream("a")))
+		Expect(release(e, released)).To(HaveHTTPStatus(http.StatusOK))
+		Expect(release(e, released)).To(HaveHTTPStatus(http.StatusNotFound))
+		Expect(release(e, used)).To(HaveHTTPStatus(http.StatusNotFound))
 		Expect(ledger.Holds()).To(Equal(site.Holds{Taken: 2, Used: 1, Dropped: 1}))
 		Expect(ledger.Faults()).To(BeEmpty())
 	})
 
 	It("are kept before it answers", func() {
-		e, ledger := engine(site.Behaviour{HoldWork: time.Minute})
+		e, ledger := startEngine(site.Behaviour{HoldWork: time.Minute})
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		_, err := call(ctx, e, http.MethodPost, "/-/hold-take", `{"token_count":10,"ttl_ms":1000}`)
@@ -257,8 +259,8 @@
 	})
 
 	It("lapse", func() {
-		e, ledger := engine(site.Behaviour{})
-		name := take(e, 1)
+		e, ledger := startEngine(site.Behaviour{})
+		name := reserve(e, 1)
 		time.Sleep(20 * time.Millisecond)
 		e.Behave(site.Behaviour{Shed: true})
 		Expect(generate(context.Background(), e, "a", "Kv-Hold", name)).To(HaveHTTPStatus(http.StatusServiceUnavailable))
@@ -266,7 +268,7 @@
 	})
 
 	DescribeTable("are refused", func(b site.Behaviour) {
-		e, ledger := engine(b)
+		e, ledger := startEngine(b)
 		Expect(call(context.Background(), e, http.MethodPost, "/-/hold-take", `{"token_count":10,"ttl_ms":1000}`)).To(HaveHTTPStatus(http.StatusServiceUnavailable))
 		Expect(ledger.Holds()).To(Equal(site.Holds{Refused: 1}))
 	},
@@ -274,21 +276,21 @@
 		Entry("where it sheds", site.Behaviour{Shed: true}),
 	)
 
-	DescribeTable("are a fault", func(name func(*site.Replica) string, fault string) {
-		e, ledger := engine(site.Behaviour{})
+	DescribeTable("are a fault", func(name func(*site.Replica) string, violation string) {
+		e, ledger := startEngine(site.Behaviour{})
 		_, _ = io.ReadAll(generate(context.Background(), e, "a", "Kv-Hold", name(e)).Body)
-		Expect(ledger.Faults()).To(ConsistOf(ContainSubstring(fault)))
+		Expect(ledger.Faults()).To(ConsistOf(ContainSubstring(violation)))
 	},
 		Entry("that were never given", func(*site.Replica) string { return "x" }, "never given"),
 		Entry("that a caller forged", func(*site.Replica) string { return site.ForgedValue }, "a caller's Kv-Hold"),
 		Entry("that were used before", func(e *site.Replica) string {
-			name := take(e, 1000)
+			name := reserve(e, 1000)
 			generate(context.Background(), e, "b", "Kv-Hold", name)
 			return name
 		}, "used"),
 		Entry("that were given up", func(e *site.Replica) string {
-			name := take(e, 1000)
-			Expect(drop(e, name)).To(HaveHTTPStatus(http.StatusOK))
+			name := reserve(e, 1000)
+			Expect(release(e, name)).To(HaveHTTPStatus(http.StatusOK))
 			return name
 		}, "dropped"),
 	)
--- a/internal/standin/site/stage.go
+++ b/internal/standin/site/stage.go
@@ -12,7 +12,7 @@
 const ResultBytes = 100
 
 // entry is a piece as it is asked for.
-type entry struct {
+type pieceRequest struct {
 	ID     string   `json:"id"`
 	Stage  int      `json:"stage"`
 	Piece  int      `json:"piece"`
@@ -21,7 +21,7 @@
 }
 
 // outcome is what became of a piece.
-type outcome struct {
+type pieceResult struct {
 	Handle string `json:"handle,omitempty"`
 	Reason string `json:"reason,omitempty"`
 }
@@ -29,10 +29,10 @@
 // runPieces makes the pieces of a call.
 func (r *Replica) runPieces(w http.ResponseWriter, req *http.Request, b Behaviour) {
 	var call struct {
-		Entries []entry `json:"entries"`
+		Entries []pieceRequest `json:"entries"`
 	}
 	if err := json.NewDecoder(req.Body).Decode(&call); err != nil {
-		r.ledger.fault("%s: call not read: %v", r.ID, err)
+		r.ledger.recordViolation("%s: call not read: %v", r.ID, err)
 		refuse(w, http.StatusBadRequest)
 		return
 	}
@@ -44,21 +44,21 @@
 	if b.CutBefore {
 		panic(http.ErrAbortHandler)
 	}
-	var answer struct {
-		Entries []outcome `json:"entries"`
+	var response struct {
+		Entries []pieceResult `json:"entries"`
 	}
 	for _, e := range call.Entries {
-		answer.Entries = append(answer.Entries, r.make(e))
+		response.Entries = append(response.Entries, r.runPiece(e))
 	}
 	w.Header().Set("Replica-Load", "0,0,1")
-	writeJSON(w, answer)
+	writeJSON(w, response)
 }
 
 // make makes one piece if its inputs exist.
-func (r *Replica) make(e entry) outcome {
+func (r *Replica) runPiece(e pieceRequest) pieceResult {
 	l := r.ledger
 	if (e.Key == "") == (len(e.Inputs) == 0) {
-		l.fault("%s: piece %d of stage %d of %s has key %q and %d inputs", r.ID, e.Piece, e.Stage, e.ID, e.Key, len(e.Inputs))
+		l.recordViolation("%s: piece %d of stage %d of %s has key %q and %d inputs", r.ID, e.Piece, e.Stage, e.ID, e.Key, len(e.Inputs))
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,23 +67,23 @@
 		in, ok := l.results[h]
 		switch {
 		case !ok:
-			return outcome{Reason: "gone"}
-		case in.request != e.ID || in.stage >= e.Stage:
-			l.faults = append(l.faults, fmt.Sprintf("%s: piece of %s was given a result of %s, stage %d", r.ID, e.ID, in.request, in.stage))
+			return pieceResult{Reason: "gone"}
+		case in.requestID != e.ID || in.stage >= e.Stage:
+			l.violations = append(l.violations, fmt.Sprintf("%s: piece of %s was given a result of %s, stage %d", r.ID, e.ID, in.requestID, in.stage))
 		case seen[h]:
-			l.faults = append(l.faults, fmt.Sprintf("%s: piece of %s was given %s twice", r.ID, e.ID, h))
+			l.violations = append(l.violations, fmt.Sprintf("%s: piece of %s was given %s twice", r.ID, e.ID, h))
 		}
 		seen[h] = true
 	}
-	r.handles++
-	l.made++
-	handle := fmt.Sprintf("%s/%s-%d", r.Address(), r.ID, r.handles)
-	l.results[handle] = result{e.ID, e.Stage, e.Piece}
-	return outcome{Handle: handle}
+	r.resultsCreated++
+	l.resultsCreated++
+	handle := fmt.Sprintf("%s/%s-%d", r.Address(), r.ID, r.resultsCreated)
+	l.results[handle] = stageResult{e.ID, e.Stage, e.Piece}
+	return pieceResult{Handle: handle}
 }
 
 // freePieces gives results up.
-func (r *Replica) freePieces(w http.ResponseWriter, req *http.Request) {
+func (r *Replica) releaseResults(w http.ResponseWriter, req *http.Request) {
 	var call struct {
 		Handles []string `json:"handles"`
 	}
@@ -96,11 +96,11 @@
 	defer l.mu.Unlock()
 	for _, h := range call.Handles {
 		if _, ok := l.results[h]; !ok {
-			l.faults = append(l.faults, fmt.Sprintf("%s: %s freed twice or never made", r.ID, h))
+			l.violations = append(l.violations, fmt.Sprintf("%s: %s freed twice or never made", r.ID, h))
 			continue
 		}
 		delete(l.results, h)
-		l.freed++
+		l.resultsReleased++
 	}
 	w.WriteHeader(http.StatusOK)
 }
@@ -109,22 +109,22 @@
 const headroomBytes = 1_000_000
 
 // report tells the room for results.
-func (r *Replica) report(w http.ResponseWriter) {
+func (r *Replica) writeStageReport(w http.ResponseWriter) {
 	l := r.ledger
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held := 0
+	live := 0
 	for handle := range l.results {
 		if strings.HasPrefix(handle, r.Address()+"/") {
-			held++
+			live++
 		}
 	}
-	writeJSON(w, map[string]any{"queued": 0, "busy": 0, "free_mb": (headroomBytes - held*ResultBytes) / 1_000_000})
+	writeJSON(w, map[string]any{"queued": 0, "busy": 0, "free_mb": (headroomBytes - live*ResultBytes) / 1_000_000})
 }
 
 // inputsHeld checks the results that a request was given; without them it
 // refuses.
-func (r *Replica) inputsHeld(w http.ResponseWriter, req *http.Request, id string) bool {
+func (r *Replica) checkInputs(w http.ResponseWriter, req *http.Request, id string) bool {
 	list := req.Header.Get("Input-Count")
 	if list == "" {
 		return true
@@ -138,8 +138,8 @@
 			refuse(w, http.StatusConflict)
 			return false
 		}
-		if in.request != id {
-			l.faults = append(l.faults, fmt.Sprintf("%s: request %s was given a result of %s", r.ID, id, in.request))
+		if in.requestID != id {
+			l.violations = append(l.violations, fmt.Sprintf("%s: request %s was given a result of %s", r.ID, id, in.requestID))
 		}
 	}
 	return true
--- a/internal/standin/site/store.go
+++ b/internal/standin/site/store.go
@@ -25,22 +25,22 @@
 	// PageSize bounds the entries of one answer. Default 50.
 	PageSize int
 
-	mu       sync.Mutex
-	items    map[string]item
-	revision uint64
-	status   int
-	delay    time.Duration
-	calls    int
+	mu         sync.Mutex
+	items      map[string]item
+	revision   uint64
+	failStatus int
+	delay      time.Duration
+	calls      int
 	// removed are the tombstones; changed is closed with every write.
-	removed map[string]item
-	changed chan struct{}
+	tombstones map[string]item
+	changed    chan struct{}
 	// forgotten is the revision up to which changes are not known any more.
-	forgotten uint64
+	compactedRevision uint64
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{PageSize: 50, items: map[string]item{}, removed: map[string]item{}, changed: make(chan struct{})}
+	return &Store{PageSize: 50, items: map[string]item{}, tombstones: map[string]item{}, changed: make(chan struct{})}
 }
 
 // Put writes a value; v is encoded as JSON unless it is bytes.
@@ -75,10 +75,10 @@
 	i.Revision = s.revision
 	if i.Tombstone {
 		delete(s.items, i.Key)
-		s.removed[i.Key] = i
+		s.tombstones[i.Key] = i
 	} else {
 		s.items[i.Key] = i
-		delete(s.removed, i.Key)
+		delete(s.tombstones, i.Key)
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -88,14 +88,14 @@
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = s.revision
+	s.compactedRevision = s.revision
 }
 
 // Fail answers every call with a status until it is called with 0.
 func (s *Store) Fail(status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.status = status
+	s.failStatus = status
 }
 
 // Delay makes every call take that long.
@@ -116,7 +116,7 @@
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.calls++
-	status, delay := s.status, s.delay
+	status, delay := s.failStatus, s.delay
 	s.mu.Unlock()
 	time.Sleep(delay)
 	if status != 0 {
@@ -140,16 +140,16 @@
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
-	wait, err2 := strconv.Atoi(query.Get("wait_ms"))
-	if errors.Join(err, err2) != nil {
+	wait, waitErr := strconv.Atoi(query.Get("wait_ms"))
+	if errors.Join(err, waitErr) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
 	for waiting := true; ; {
-		events, revision, changed, known := s.since(query.Get("prefix"), after)
-		if !known {
+		events, revision, changed, retained := s.changesSince(query.Get("prefix"), after)
+		if !retained {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
@@ -169,19 +169,19 @@
 
 // since returns the changes under a prefix after a revision, what is closed with
 // the next change, and whether the history reaches back that far.
-func (s *Store) since(prefix string, after uint64) (events []item, revision uint64, changed chan struct{}, known bool) {
+func (s *Store) changesSince(prefix string, after uint64) (events []item, revision uint64, changed chan struct{}, retained bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	events = []item{}
-	for _, of := range []map[string]item{s.items, s.removed} {
-		for key, i := range of {
+	for _, items := range []map[string]item{s.items, s.tombstones} {
+		for key, i := range items {
 			if strings.HasPrefix(key, prefix) && i.Revision > after {
 				events = append(events, i)
 			}
 		}
 	}
 	slices.SortFunc(events, func(a, b item) int { return cmp.Compare(a.Revision, b.Revision) })
-	return events, s.revision, s.changed, after >= s.forgotten
+	return events, s.revision, s.changed, after >= s.compactedRevision
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
@@ -213,13 +213,13 @@
 		}
 	}
 	slices.Sort(keys)
-	answer := struct {
+	response := struct {
 		Entries []item `json:"entries"`
 		HasMore bool   `json:"has_more"`
 		AsOf    uint64 `json:"as_of"`
 	}{Entries: []item{}, HasMore: len(keys) > s.PageSize, AsOf: s.revision}
 	for _, k := range keys[:min(len(keys), s.PageSize)] {
-		answer.Entries = append(answer.Entries, s.items[k])
+		response.Entries = append(response.Entries, s.items[k])
 	}
-	writeJSON(w, answer)
+	writeJSON(w, response)
 }
--- a/internal/standin/site/stream.go
+++ b/internal/standin/site/stream.go
@@ -14,7 +14,7 @@
 }
 
 // eventEvery is the time from one event to the next.
-const eventEvery = 2 * time.Millisecond
+const defaultEventInterval = 2 * time.Millisecond
 
 // stream answers with the events of a run.
 func (r *Replica) stream(w http.ResponseWriter, req *http.Request, e *execution, b Behaviour) {
@@ -23,31 +23,31 @@
 	w.WriteHeader(http.StatusOK)
 	flusher := http.NewResponseController(w)
 	_ = flusher.Flush() // a client that is gone needs no head
-	every := eventEvery
+	interval := defaultEventInterval
 	if b.EventEvery > 0 {
-		every = b.EventEvery
+		interval = b.EventEvery
 	}
-	for n := e.after + 1; n <= r.Events; n++ {
-		if n-e.after-1 == b.PauseAfterEvents && !r.fallSilent(ctx, e, b, every) {
+	for n := e.lastEventID + 1; n <= r.EventsPerStream; n++ {
+		if n-e.lastEventID-1 == b.PauseAfterEvents && !r.applyStall(ctx, e, b, interval) {
 			return
 		}
 		if r.isFrozen() {
-			e.standStill(ctx)
+			e.stall(ctx)
 			return
 		}
 		text := Event(e.run.Request, n)
-		if b.CutAfterEvents > 0 && n-e.after > b.CutAfterEvents {
+		if b.CutAfterEvents > 0 && n-e.lastEventID > b.CutAfterEvents {
 			_, _ = io.WriteString(w, text[:len(text)/2])
 			_ = flusher.Flush()
 			panic(http.ErrAbortHandler)
 		}
-		e.makes()
+		e.recordEvent()
 		if _, err := io.WriteString(w, text); err != nil {
-			e.cancelled()
+			e.cancel()
 			return
 		}
 		_ = flusher.Flush()
-		if !e.wait(ctx, every) {
+		if !e.wait(ctx, interval) {
 			return
 		}
 	}
@@ -55,38 +55,38 @@
 }
 
 // fallSilent pauses, and says whether the stream goes on.
-func (r *Replica) fallSilent(ctx context.Context, e *execution, b Behaviour, every time.Duration) bool {
+func (r *Replica) applyStall(ctx context.Context, e *execution, b Behaviour, interval time.Duration) bool {
 	if b.Pause > 0 && !e.wait(ctx, b.Pause) {
 		return false
 	}
 	switch b.Silence {
-	case Speaking:
+	case NoStall:
 		return true
 	case StandsStill:
-		e.standStill(ctx)
+		e.stall(ctx)
 	case Muted:
-		e.mute(ctx, every)
+		e.completeUnsent(ctx, interval)
 	case Frozen:
 		r.Freeze()
-		e.standStill(ctx)
+		e.stall(ctx)
 	case Vanished:
-		r.Vanish()
-		e.standStill(ctx)
+		r.FreezeUnreachable()
+		e.stall(ctx)
 	}
 	return false
 }
 
 // standStill makes no more events until the connection closes.
-func (e *execution) standStill(ctx context.Context) {
+func (e *execution) stall(ctx context.Context) {
 	<-ctx.Done()
-	e.cancelled()
+	e.cancel()
 }
 
 // mute makes the events that are left, sends none and keeps the connection open.
-func (e *execution) mute(ctx context.Context, every time.Duration) {
-	for n := e.after + len(e.made) + 1; n <= e.replica.Events; n++ {
-		e.makes()
-		if !e.wait(ctx, every) {
+func (e *execution) completeUnsent(ctx context.Context, interval time.Duration) {
+	for n := e.lastEventID + len(e.eventTimes) + 1; n <= e.replica.EventsPerStream; n++ {
+		e.recordEvent()
+		if !e.wait(ctx, interval) {
 			return
 		}
 	}
