--- a/internal/standin/site/behaviour.go
+++ b/internal/standin/site/behaviour.go
@@ -2,87 +2,91 @@
 
 import "time"
 
-// Behaviour is what a replica does to the requests that it gets. The zero value
-// serves well.
+// Behaviour determines how a replica handles requests. A replica with the zero value
+// is healthy.
 type Behaviour struct {
-	// Work is how long a request, or a call for pieces, takes.
+	// Work is the service time of a request or a piece call.
 	Work time.Duration
-	// ReadToken is how long an engine reads one token of the prompt.
+	// ReadToken is the prefill time of an engine for each prompt token.
 	ReadToken time.Duration
-	// Status is answered in place of 200, after the run.
+	// Status replaces the response status 200 after the run, unless 0.
 	Status int
-	// Shed refuses requests with a word that they were not run.
+	// Shed refuses requests and marks the refusal as not executed.
 	Shed bool
-	// ShedFree refuses likewise, and tells that it has free places.
+	// ShedFree refuses like Shed and reports a load with free slots.
 	ShedFree bool
-	// RetryAfter is what a refusal says of when to come back; "" for nothing.
+	// RetryAfter is the Retry-After header of refusals; "" for none.
 	RetryAfter string
-	// ShedSilently answers 503 without that word, after the run.
+	// ShedSilently responds with 503 after the run, without marking the response
+	// as not executed.
 	ShedSilently bool
-	// CutBefore closes the connection after the run and before any answer.
+	// CutBefore closes the connection after the run, before any response.
 	CutBefore bool
-	// CutAfterEvents closes the connection inside the event after so many; 0
-	// never does.
+	// CutAfterEvents closes the connection in the middle of the event after this
+	// many events; 0 means never.
 	CutAfterEvents int
-	// Truncate breaks the body of an answer off.
+	// Truncate closes the connection in the middle of the response body.
 	Truncate bool
-	// Unframed sends no length.
+	// Unframed omits the Content-Length.
 	Unframed bool
-	// Extra sends a second answer after the first.
+	// Extra sends a second response after the first on the same connection.
 	Extra bool
-	// Unsigned leaves the signature out.
+	// Unsigned omits the response signature.
 	Unsigned bool
-	// Hang answers nothing until the connection closes.
+	// Hang sends no response until the connection closes.
 	Hang bool
-	// Early answers before the body was read.
+	// RespondBeforeBody responds with 400 before reading the request body.
 	RespondBeforeBody bool
-	// EventEvery is the time from one event of an engine's stream to the next;
-	// 0 is eventEvery.
+	// EventEvery is the interval between the events of an engine's stream; 0
+	// means defaultEventInterval.
 	EventEvery time.Duration
-	// PauseAfterEvents is the number of events after which an engine's stream falls
-	// silent; 0 is before the first, with the head of the answer sent.
+	// PauseAfterEvents is the number of events after which an engine's stream
+	// pauses; 0 means after the response headers, before the first event.
 	PauseAfterEvents int
-	// Pause is for how long it is silent before it goes on.
+	// Pause is the duration of that pause.
 	Pause time.Duration
-	// Silence is how it is silent for good, after Pause.
+	// Silence is how the stream stalls permanently after Pause.
 	Silence Silence
-	// HoldWork is how long an engine takes to answer with a hold that it keeps already.
+	// HoldWork is the delay of the response to a reservation call, after the engine
+	// has made the reservation.
 	HoldWork time.Duration
-	// HangReports answers nothing to asks for the report.
+	// HangReports sends no response to engine report calls.
 	HangReports bool
-	// NoHolds refuses to hold a place.
+	// NoHolds refuses all reservations.
 	NoHolds bool
-	// NoOrders answers 404 to asks for the report and for holds, as an engine that
-	// does not know them.
+	// NoOrders responds with 404 to engine report and reservation calls, like an
+	// engine that does not support them.
 	NoOrders bool
 }
 
-// Silence is how a stream falls silent for good.
+// Silence is how a stream stalls permanently.
 type Silence uint8
 
-// The ways to fall silent for good.
+// The kinds of permanent stalls.
 const (
-	// Speaking goes on.
+	// NoStall means that the stream continues.
 	NoStall Silence = iota
-	// StandsStill makes no more events in this run; the process answers other calls.
+	// StandsStill stops generating events in this run. The process still serves
+	// other calls.
 	StandsStill
-	// Muted makes the events and ends the run, but nothing arrives any more; the
-	// connection stays open.
+	// Muted generates the remaining events and ends the run, but sends nothing.
+	// The connection stays open.
 	Muted
-	// Frozen stops the process: all its streams are silent, and it takes connections
-	// on which nothing is answered.
+	// Frozen freezes the process: all its streams stall, and it accepts connections
+	// but sends no responses.
 	Frozen
-	// Vanished is as Frozen, but the port takes no connections.
+	// Vanished is like Frozen, but the port refuses connections.
 	Vanished
 )
 
-// Poison is a body under which a replica's process ends.
+// Poison is a request body that crashes a replica's process.
 type Poison struct {
-	// Body is "" for none.
+	// Body is the request body that causes the crash; "" for none.
 	Body string
-	// After is how long it runs until the process ends, with all its connections,
-	// and Down how long until it starts again under its id; 0 leaves it down.
+	// After is the time from the start of the run until the process ends and all
+	// its connections close. Down is the time until the process restarts with the
+	// same id; 0 means that it does not restart.
 	After, Down time.Duration
-	// Crashed is told of each crash under the body; nil for nobody.
+	// Crashed, if not nil, is called after each crash caused by the body.
 	Crashed func(body string)
 }
--- a/internal/standin/site/caller.go
+++ b/internal/standin/site/caller.go
@@ -13,22 +13,22 @@
 	"time"
 )
 
-// The kinds of routes that Configuration has, by their prefix.
+// The path prefixes of the routes in Configuration.
 const (
-	// SealPath requests may run once, SafePath ones again.
+	// SealPath requests must run at most once; SafePath requests may be retried.
 	SealPath = "/seal/"
 	SafePath = "/safe/"
-	// StreamPath streams may run once, ResumePath ones may go on elsewhere and
-	// need stages.
+	// StreamPath streams must run at most once; ResumePath streams may resume on
+	// another replica and have stages.
 	StreamPath = "/stream/"
 	ResumePath = "/resume/"
 )
 
-// Hostname is the host of all routes.
+// Hostname is the hostname of all routes.
 const Hostname = "api.example"
 
-// Configuration is a configuration of all kinds of routes for the services
-// "plain", "llm" and "encode".
+// Configuration returns a gateway configuration with routes of all types for the
+// services "plain", "llm" and "encode".
 func Configuration(version int, keys []string) map[string]any {
 	route := func(name, prefix, routeType, service string, attempts int, extra map[string]any) map[string]any {
 		r := map[string]any{
@@ -60,10 +60,10 @@
 	}
 }
 
-// DefaultDomain is where replicas stand that name no failure domain.
+// DefaultFailureDomain is the failure domain of replicas that do not set one.
 const DefaultFailureDomain = "x"
 
-// Entry is a replica's entry in the store.
+// Entry returns the store entry of a replica.
 func Entry(r *Replica, phase string) map[string]any {
 	entry := map[string]any{
 		"service": r.Service, "address": r.Address(), "zone": cmp.Or(r.FailureDomain, DefaultFailureDomain), "concurrency": 8, "phase": phase, "seq": 1,
@@ -74,21 +74,22 @@
 	return entry
 }
 
-// Call is one attempt of a caller.
+// Call is a request attempt of a client.
 type Call struct {
 	ID, Path, Key string
 	Deadline      time.Duration
-	// Pieces asks for stages.
+	// Pieces are the piece counts of the stages that the request needs; empty for
+	// none.
 	Pieces []int
-	// Forge names a header that is not the caller's to set, sent all the same;
-	// "" for none.
+	// Forge is the name of a header that clients must not set, to be sent with
+	// ForgedValue; "" for none.
 	Forge string
-	// Content is the end of the path and the body; "" for the id. Requests with the
-	// same content are the same but for their ids.
+	// Content is used as the last path element and as the body; "" means the id.
+	// Requests with the same content differ only in their ids.
 	Content string
 }
 
-// Carries is the content of the request.
+// Carries returns the content of the request.
 func (c Call) Carries() string {
 	if c.Content != "" {
 		return c.Content
@@ -96,24 +97,26 @@
 	return c.ID
 }
 
-// Forgeable are headers that only the system may set, and ForgedValue what
-// callers set them to: a replica that gets it got it from a caller.
+// Forgeable lists headers that only the gateway may set. Clients forge them with
+// the value ForgedValue, so a replica that receives this value knows that the
+// gateway has passed on a client's header.
 var Forgeable = []string{"Kv-Hold", "Kv-From", "Kv-Backup", "Kv-Fetch", "Pin-Ms", "Expected-Version"}
 
 // ForgedValue is the value of forged headers.
 const ForgedValue = "forged"
 
-// Heard is what a caller heard.
+// Heard is the response that a client received.
 type Heard struct {
 	Status int
 	Body   string
-	// Replica is who signed the answer; "" for answers of the system's own.
+	// Replica is the id of the replica that signed the response; "" for responses
+	// of the gateway itself.
 	Replica string
-	// Err is set when no answer came or it was not complete.
+	// Err is set if there was no response or it was incomplete.
 	Err error
 }
 
-// NotRun says whether the answer promises that nothing has run.
+// NotRun reports whether the response guarantees that the request was not executed.
 func (h Heard) NotRun() bool {
 	switch h.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -122,7 +125,7 @@
 	return false
 }
 
-// Do sends an attempt to a daemon.
+// Do sends an attempt to the gateway daemon at address.
 func Do(ctx context.Context, client *http.Client, address string, c Call) Heard {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+c.Path+c.Carries(), bytes.NewReader([]byte(c.Carries())))
 	if err != nil {
@@ -149,19 +152,20 @@
 	if parts := strings.SplitN(resp.Header.Get("Response-Signature"), ".", 3); len(parts) == 3 {
 		h.Replica = parts[1]
 		if parts[2] != c.ID && err == nil {
-			h.Err = errors.New("signed for " + parts[2])
+			h.Err = errors.New("response signature is for attempt " + parts[2])
 		}
 	}
 	return h
 }
 
-// Check returns what is wrong with a complete success; "" for nothing.
+// Check returns what is wrong with a complete successful response, or "" if nothing
+// is. Streams must have the given number of events.
 func (c Call) Check(h Heard, events int) string {
 	if h.Err != nil || h.Status != http.StatusOK {
 		return ""
 	}
 	if h.Replica == "" {
-		return "success without a signature"
+		return "successful response has no signature"
 	}
 	want := Body(h.Replica, c.ID)
 	if c.Path == StreamPath || c.Path == ResumePath {
--- a/internal/standin/site/doc.go
+++ b/internal/standin/site/doc.go
@@ -1,5 +1,6 @@
-// Package site stands in for the users' platform around a gateway: its
-// metadata store, and replicas of plain services, engines and stage services.
-// It speaks their published protocol as far as a gateway uses it, and keeps a
-// ledger of what ran, so that tests can check promises from the outside.
+// Package site implements a fake of the users' platform around a gateway: the
+// metadata store, and replicas of plain services, engines and stage services. It
+// implements the parts of the platform protocol that a gateway uses. A ledger
+// records all executions, so that tests can check guarantees of the gateway from
+// the outside.
 package site
--- a/internal/standin/site/execution.go
+++ b/internal/standin/site/execution.go
@@ -7,28 +7,29 @@
 	"time"
 )
 
-// execution is a run at a replica, with what only the replica knows of it.
+// execution is a run on a replica, with the state that is private to the replica.
 type execution struct {
 	replica *Replica
 	run     *Run
-	// process numbers the process that runs it.
+	// processGeneration is the number of crashes before the process that executes
+	// the run started.
 	processGeneration int
-	// tokens is the length of the prompt, priority that of the request and after the
-	// event after which the stream goes on.
+	// promptTokens is the number of prompt tokens, priority the request priority,
+	// and lastEventID the event after which the stream resumes.
 	promptTokens, priority, lastEventID int
-	// end is what the run comes to unless something else happens.
+	// finalEnd is the end that recordEnd records.
 	finalEnd End
 
-	// made has the time of each event, ended that of the end; the replica's mutex
-	// guards them.
+	// eventTimes has the time of each generated event, endedAt the end of the run.
+	// Both are guarded by the mutex of the replica.
 	eventTimes []time.Time
 	endedAt    time.Time
 }
 
-// defaultPriority is that of requests that name none.
+// defaultPriority is the priority of requests without a Request-Priority header.
 const defaultPriority = 5
 
-// begin notes a run.
+// beginRun records the start of a run.
 func (r *Replica) beginRun(req *http.Request, id, body string) *execution {
 	run := &Run{
 		Request: id, Replica: r.ID, Service: r.Service, Tenant: req.Header.Get("Tenant"), Method: req.Method,
@@ -39,7 +40,7 @@
 	if p, err := strconv.Atoi(req.Header.Get("Request-Priority")); err == nil {
 		e.priority = p
 	}
-	e.lastEventID, _ = strconv.Atoi(run.After) // 0 from the start
+	e.lastEventID, _ = strconv.Atoi(run.After) // 0 if the stream starts at the beginning
 	r.ledger.recordRun(run)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -49,7 +50,7 @@
 	return e
 }
 
-// finish notes the end of a run, if it is not noted.
+// recordEnd records the end of the run, unless it is already recorded.
 func (e *execution) recordEnd() {
 	r := e.replica
 	r.mu.Lock()
@@ -63,13 +64,14 @@
 	}
 }
 
-// complete notes that a run came to its end.
+// complete records that the run is complete.
 func (e *execution) complete() {
 	e.finalEnd = Complete
 	e.recordEnd()
 }
 
-// wait works for a while; it says whether the host still wants the answer by then.
+// wait waits for d. If ctx is done first, it records the cancellation and returns
+// false.
 func (e *execution) wait(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -82,8 +84,8 @@
 	}
 }
 
-// cancelled notes that the connection has closed; the host did that unless the
-// process has ended.
+// cancel records that the connection has closed. The run is canceled by the host,
+// unless the process of the replica has ended.
 func (e *execution) cancel() {
 	r := e.replica
 	r.mu.Lock()
@@ -95,7 +97,7 @@
 	e.recordEnd()
 }
 
-// makes notes that an event was made.
+// recordEvent records that an event was generated.
 func (e *execution) recordEvent() {
 	e.replica.mu.Lock()
 	defer e.replica.mu.Unlock()
--- a/internal/standin/site/ledger.go
+++ b/internal/standin/site/ledger.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Run is one execution of a request at a replica.
+// Run is an execution of a request on a replica.
 type Run struct {
 	Request string
 	Replica string
@@ -15,15 +15,16 @@
 	Method  string
 	Target  string
 	Body    string
-	// Key says that the caller's API key was passed on.
+	// Key reports whether the API key of the client was passed on to the replica.
 	Key bool
-	// After is the event after which a stream went on.
+	// After is the id of the event after which a stream resumed.
 	After string
-	// At is when it began.
+	// At is the start time.
 	At time.Time
-	// CopyFrom is the engine from which the replica was told to copy.
+	// CopyFrom is the engine from which the replica was told to copy the KV cache.
 	CopyFrom string
-	// End is how it ended and Ended when; zero while it is under way.
+	// End is how the run ended and Ended when; both are zero while it is in
+	// progress.
 	End   End
 	Ended time.Time
 }
@@ -33,35 +34,34 @@
 
 // The ends of runs.
 const (
-	// UnderWay runs have not ended.
+	// UnderWay runs are in progress.
 	UnderWay End = iota
-	// Complete runs came to their end, whether the answer arrived or not.
+	// Complete runs have finished, whether or not the response was delivered.
 	Complete
-	// Cancelled runs ended since the host closed the connection.
+	// Cancelled runs ended because the host closed the connection.
 	Cancelled
-	// Cut runs ended by the replica's behaviour, or with its process.
+	// Aborted runs were ended by the behaviour of the replica or with its process.
 	Aborted
 )
 
-// String names the end.
 func (e End) String() string {
 	return [...]string{"under way", "complete", "cancelled", "cut"}[e]
 }
 
-// Ledger holds what ran, over all replicas of a site, and what they found
-// wrong. It is safe for concurrent use.
+// Ledger records the runs of all replicas of a site and the protocol violations
+// that the replicas detected. It is safe for concurrent use.
 type Ledger struct {
 	mu           sync.Mutex
 	runs         []*Run
 	violations   []string
 	reservations Holds
-	// results maps the handles that exist to what made them.
+	// results maps the handles of results that are not released to the results.
 	results         map[string]stageResult
 	resultsCreated  int
 	resultsReleased int
 }
 
-// result is the result of one piece.
+// stageResult identifies the piece that produced a result.
 type stageResult struct {
 	requestID string
 	stage     int
@@ -77,7 +77,7 @@
 	l.runs = append(l.runs, r)
 }
 
-// ended notes the end of a run.
+// recordEnd records the end of a run.
 func (l *Ledger) recordEnd(r *Run, end End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,12 +90,12 @@
 	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
-// Runs returns the executions of a request.
+// Runs returns the runs of a request.
 func (l *Ledger) Runs(request string) []Run {
 	return l.runsWhere(func(r Run) bool { return r.Request == request })
 }
 
-// RunsOf returns the executions of requests with a body.
+// RunsOf returns the runs of all requests with the given body.
 func (l *Ledger) RunsOf(body string) []Run {
 	return l.runsWhere(func(r Run) bool { return r.Body == body })
 }
@@ -112,14 +112,16 @@
 	return runs
 }
 
-// Faults returns what replicas found wrong with what they were sent.
+// Faults returns the protocol violations that replicas detected in requests, and
+// failures of the fake itself.
 func (l *Ledger) Faults() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.violations...)
 }
 
-// Results returns how many results of stages were made, freed and are held.
+// Results returns the numbers of stage results that were created, were released and
+// still exist.
 func (l *Ledger) Results() (created, released, live int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/site/replica.go
+++ b/internal/standin/site/replica.go
@@ -12,34 +12,36 @@
 	"time"
 )
 
-// Kind says what a replica does.
+// Kind is the kind of a replica.
 type Kind uint8
 
 // The kinds of replicas.
 const (
-	// Plain replicas answer with a body of their own.
+	// Plain replicas respond with a short body; see Body.
 	Plain Kind = iota
-	// Engine replicas answer with a stream of events.
+	// Engine replicas respond with a stream of events.
 	Engine
-	// Stage replicas make pieces.
+	// Stage replicas execute pieces of stages.
 	Stage
 )
 
-// Replica is one replica of a service.
+// Replica is a fake replica of a service.
 type Replica struct {
 	ID      string
 	Service string
 	Kind    Kind
-	// Born is the start of the process in Unix milliseconds; 0 is not told.
+	// Born is the start time of the process in Unix milliseconds, for the store
+	// entry; 0 means that the entry has none.
 	Born int64
-	// FailureDomain is where it stands. Default DefaultDomain.
+	// FailureDomain is the failure domain of the replica. Default:
+	// DefaultFailureDomain.
 	FailureDomain string
-	// Events is the number of events of a stream. Default 5.
+	// EventsPerStream is the number of events of a stream. Default: 5.
 	EventsPerStream int
-	// Returned is called when the process has started again; nil for nothing. Born
-	// is that of the new start by then.
+	// Returned, if not nil, is called when the process has restarted, after Born
+	// was updated.
 	Returned func(*Replica)
-	// ReportLag is how old the reports of an engine are.
+	// ReportLag is the age of the data in engine reports.
 	ReportLag time.Duration
 
 	ledger   *Ledger
@@ -49,49 +51,51 @@
 
 	mu        sync.Mutex
 	behaviour Behaviour
-	// pauseAfter and pause are those of PauseStreams.
+	// pauseAfterEvents and pause are the arguments of PauseStreams.
 	pauseAfterEvents int
 	pause            time.Duration
-	// frozen says that the process has stopped.
+	// frozen is set while the process is frozen.
 	frozen bool
-	// runs are those under way, and the ended ones that reports may still list.
+	// runs are the runs in progress and the ended runs that reports may still list.
 	runs []*execution
-	// holds are those that were ever given.
+	// reservations has all reservations ever granted.
 	reservations map[string]*reservation
-	// closed says that Close was called, down that the process has crashed and is
-	// not back.
+	// closed is set after Close, down while the process has crashed and not
+	// restarted.
 	closed, down bool
 	crashes      int
 	poison       Poison
-	// spells are the times during which it behaved other than well, in order.
+	// unhealthyPeriods are the periods during which the replica was not healthy,
+	// in order.
 	unhealthyPeriods []unhealthyPeriod
 	resultsCreated   int
 	cancelled        int
-	// limit is the rate of requests that every answer names; "" for none.
+	// rateLimit is the request rate limit advertised in every response; "" for none.
 	rateLimit string
-	// leaving says that every answer tells so.
+	// leaving is set if every response advertises that the replica is leaving.
 	leaving bool
-	// refusing has the replica turn all work away, and ask for so much rest, in seconds; ""
-	// does not.
+	// refusalRetryAfter is the Retry-After value, in seconds, with which the replica
+	// refuses all work; "" if it does not.
 	refusalRetryAfter string
 	arrivals          []Arrival
 }
 
-// Arrival is a request, or a call for pieces, that came to a replica.
+// Arrival is a request or piece call that a replica received.
 type Arrival struct {
 	At time.Time
-	// Request is the caller's id; "" for a call for pieces.
+	// Request is the request id; "" for a piece call.
 	Request string
-	// Rest is the rest that the replica asked for as it turned the request away, in
-	// seconds as it said it; "" for none.
+	// Rest is the Retry-After value, in seconds, with which the replica refused the
+	// request; "" if it did not.
 	Rest string
 }
 
-// spell is a time of behaviour other than well; until is zero while it lasts.
+// unhealthyPeriod is a period during which a replica is not healthy; end is zero
+// while it lasts.
 type unhealthyPeriod struct{ start, end time.Time }
 
-// StartReplica starts a replica at address; port 0 leaves the choice to the
-// kernel.
+// StartReplica starts a replica that listens on address. With port 0 the kernel
+// chooses the port.
 func StartReplica(ledger *Ledger, id, service string, kind Kind, address string) (*Replica, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -102,35 +106,36 @@
 	return r, nil
 }
 
-// serveOn starts the process.
+// startServer starts the server that represents the process of the replica.
 func (r *Replica) startServer(l net.Listener) {
 	r.server = &http.Server{Handler: r, ReadHeaderTimeout: time.Minute}
 	r.listener = l
 	server := r.server
-	go func() { _ = server.Serve(l) }() // ends with Close or a crash
+	go func() { _ = server.Serve(l) }() // returns after Close or a crash
 }
 
-// Address returns ip:port.
+// Address returns the listen address as ip:port.
 func (r *Replica) Address() string { return r.address }
 
-// Close ends the replica and its connections.
+// Close stops the replica and closes its connections.
 func (r *Replica) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
-	_ = r.server.Close() // a stand-in's connections have nothing to lose
+	_ = r.server.Close() // errors on closing the connections of a fake do not matter
 }
 
-// CrashUnder has the process end under a body; how it behaves else does not change
-// that.
+// CrashUnder makes the process crash on a request body, independently of its
+// Behaviour.
 func (r *Replica) CrashUnder(p Poison) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.poison = p
 }
 
-// Crash ends the process with its connections at once; it starts again after a
-// while, unless that is 0. It says whether the process ran.
+// Crash ends the process and closes its connections immediately. The process
+// restarts after down, unless that is 0. Crash reports whether the process was
+// running.
 func (r *Replica) Crash(down time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,7 +145,7 @@
 	r.down = true
 	r.crashes++
 	r.recordHealth()
-	_ = r.server.Close() // as above
+	_ = r.server.Close() // see Close
 	if down > 0 {
 		time.AfterFunc(down, r.restart)
 	}
@@ -154,7 +159,7 @@
 	return r.crashes
 }
 
-// start starts the process again after a crash.
+// restart starts the process again after a crash.
 func (r *Replica) restart() {
 	r.mu.Lock()
 	if r.closed {
@@ -164,7 +169,7 @@
 	l, err := net.Listen("tcp", r.address)
 	if err != nil {
 		r.mu.Unlock()
-		r.ledger.recordViolation("%s: does not start again: %v", r.ID, err)
+		r.ledger.recordViolation("%s: restart after a crash failed: %v", r.ID, err)
 		return
 	}
 	r.down, r.Born = false, time.Now().UnixMilli()
@@ -176,7 +181,7 @@
 	}
 }
 
-// Behave changes the behaviour.
+// Behave sets the behaviour.
 func (r *Replica) Behave(b Behaviour) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -184,8 +189,8 @@
 	r.recordHealth()
 }
 
-// noteSpell notes whether the replica is other than well from now on; the caller
-// holds mu.
+// recordHealth records whether the replica is healthy from now on. Pauses and slow
+// events do not make it unhealthy. The caller holds mu.
 func (r *Replica) recordHealth() {
 	b := r.behaviour
 	b.PauseAfterEvents, b.Pause, b.EventEvery = 0, 0, 0
@@ -200,16 +205,17 @@
 	}
 }
 
-// PauseStreams has all streams pause after so many events, however the engine
-// behaves else; a pause of 0 ends that. An engine that pauses does not misbehave.
+// PauseStreams makes all streams pause after afterEvents events, unless the Behaviour
+// has a Pause or Silence of its own. A pause of 0 ends that. An engine that pauses
+// counts as healthy.
 func (r *Replica) PauseStreams(afterEvents int, pause time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pauseAfterEvents, r.pause = afterEvents, pause
 }
 
-// Freeze stops the process for good: what it has open is silent, and it takes
-// connections on which nothing is answered.
+// Freeze freezes the process permanently: its open connections stall, and it accepts
+// new ones but sends no responses.
 func (r *Replica) Freeze() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -217,12 +223,13 @@
 	r.recordHealth()
 }
 
-// Vanish stops the process as Freeze does, and the port takes no connections.
+// FreezeUnreachable freezes the process like Freeze and makes the port refuse new
+// connections.
 func (r *Replica) FreezeUnreachable() {
 	r.Freeze()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_ = r.listener.Close() // what it has open stays open
+	_ = r.listener.Close() // open connections stay open
 }
 
 func (r *Replica) isFrozen() bool {
@@ -231,16 +238,16 @@
 	return r.frozen
 }
 
-// Misbehaved says whether the replica ever was made to behave other than well. To
-// pause and to make events slowly is well.
+// Misbehaved reports whether the replica was ever unhealthy. Pauses and slow events
+// do not count.
 func (r *Replica) Misbehaved() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.unhealthyPeriods) > 0
 }
 
-// WellThrough says whether the replica behaved well all the time from one moment to
-// another.
+// WellThrough reports whether the replica was healthy for the whole time between from
+// and to.
 func (r *Replica) WellThrough(from, to time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -249,31 +256,31 @@
 	})
 }
 
-// NameLimit has every answer name a limit, as it is given; "" ends that. A replica that
-// names one serves what it gets all the same.
+// NameLimit makes every response advertise the given rate limit verbatim; "" ends
+// that. The replica does not enforce the limit.
 func (r *Replica) NameLimit(perSecond string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rateLimit = perSecond
 }
 
-// SayLeaving has every answer tell that the replica leaves. It serves what it gets all the
-// same, and its entry says what it is registered as.
+// SayLeaving makes every response advertise that the replica is leaving. The replica
+// still serves requests, and its store entry does not change.
 func (r *Replica) SayLeaving() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = true
 }
 
-// RefuseForRest has the replica turn all work away and ask for so much rest, in seconds as
-// it says it; "" ends that. A replica that does so does not misbehave.
+// RefuseForRest makes the replica refuse all work with the given Retry-After value in
+// seconds, sent verbatim; "" ends that. The replica counts as healthy.
 func (r *Replica) RefuseForRest(seconds string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refusalRetryAfter = seconds
 }
 
-// Arrived returns when requests and calls for pieces came, in order.
+// Arrived returns the times at which requests and piece calls arrived, in order.
 func (r *Replica) Arrived() []time.Time {
 	var times []time.Time
 	for _, a := range r.Arrivals() {
@@ -282,15 +289,15 @@
 	return times
 }
 
-// Arrivals returns the requests and calls for pieces that came, in order.
+// Arrivals returns the requests and piece calls received, in order.
 func (r *Replica) Arrivals() []Arrival {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.arrivals)
 }
 
-// arrive notes a request or a call for pieces, and returns the rest with which it is turned
-// away; "" if it is not.
+// recordArrival records a request or piece call. It returns the Retry-After value to
+// refuse it with, or "" if the replica does not refuse all work.
 func (r *Replica) recordArrival(requestID string) (retryAfter string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -298,7 +305,8 @@
 	return r.refusalRetryAfter
 }
 
-// sayOfItself adds what the replica says of itself to the head of an answer.
+// setNoticeHeaders sets the response headers that advertise the rate limit and that
+// the replica is leaving.
 func (r *Replica) setNoticeHeaders(h http.Header) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -310,21 +318,22 @@
 	}
 }
 
-// Made is the number of pieces that were made here.
+// Made returns the number of pieces that the replica has executed.
 func (r *Replica) Made() int {
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
 	return r.resultsCreated
 }
 
-// Cancelled returns the number of requests whose connection closed while they
-// were worked on.
+// Cancelled returns the number of requests whose connection closed while they were
+// in progress.
 func (r *Replica) Cancelled() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.cancelled
 }
 
+// currentBehaviour returns the behaviour with the pause of PauseStreams applied.
 func (r *Replica) currentBehaviour() Behaviour {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -389,13 +398,14 @@
 	}
 }
 
-// hang answers nothing until the connection closes.
+// hang waits until the connection closes, without sending a response.
 func hang(req *http.Request) {
-	_, _ = io.Copy(io.Discard, req.Body) // a connection is only seen to close behind the body
+	_, _ = io.Copy(io.Discard, req.Body) // the server detects a closed connection only after it has read the body
 	<-req.Context().Done()
 }
 
-// order answers the orders that engines know; it says whether it was one.
+// serveEngineCall serves engine report and reservation calls. It reports whether the
+// request was one.
 func (r *Replica) serveEngineCall(w http.ResponseWriter, req *http.Request, b Behaviour) bool {
 	name, isRelease := strings.CutPrefix(req.URL.Path, "/-/hold-drop/")
 	isReport, isReserve := req.URL.Path == "/-/report", req.URL.Path == "/-/hold-take"
@@ -416,12 +426,13 @@
 	return true
 }
 
+// refuse responds with status and marks the request as not executed.
 func refuse(w http.ResponseWriter, status int) {
 	w.Header().Set("Not-Executed", "1")
 	w.WriteHeader(status)
 }
 
-// serve runs a caller's request.
+// serve executes a client request.
 func (r *Replica) serve(w http.ResponseWriter, req *http.Request, b Behaviour) {
 	id := req.Header.Get("Attempt-Id")
 	if id == "" {
@@ -434,18 +445,18 @@
 	}
 	body, err := io.ReadAll(req.Body)
 	if err != nil {
-		r.ledger.recordViolation("%s: body of %s not read: %v", r.ID, id, err)
+		r.ledger.recordViolation("%s: reading the body of request %s failed: %v", r.ID, id, err)
 		return
 	}
 	if !r.checkInputs(w, req, id) {
 		return
 	}
 	if ms, err := strconv.Atoi(req.Header.Get("Deadline-Ms")); err != nil || ms <= 0 {
-		r.ledger.recordViolation("%s: request %s has deadline %q", r.ID, id, req.Header.Get("Deadline-Ms"))
+		r.ledger.recordViolation("%s: request %s has invalid deadline %q", r.ID, id, req.Header.Get("Deadline-Ms"))
 	}
 	for _, name := range Forgeable {
 		if req.Header.Get(name) == ForgedValue {
-			r.ledger.recordViolation("%s: request %s has a caller's %s", r.ID, id, name)
+			r.ledger.recordViolation("%s: request %s has a forged %s header", r.ID, id, name)
 		}
 	}
 	e := r.beginRun(req, id, string(body))
@@ -476,7 +487,8 @@
 	e.complete()
 }
 
-// crashesUnder ends the process if a body is its poison, and says whether it is.
+// crashOnPoison crashes the process if body is the poison body, and reports whether it
+// is.
 func (r *Replica) crashOnPoison(body string) bool {
 	r.mu.Lock()
 	poison := r.poison
@@ -491,7 +503,8 @@
 	return true
 }
 
-// promptTokens is the length of the prompt that a request declares; 0 without.
+// promptTokens returns the number of prompt tokens that a request declares, or 0 if
+// it declares none.
 func promptTokens(req *http.Request) int {
 	prompt, _, _ := strings.Cut(req.Header.Get("Token-Usage"), ",")
 	n, err := strconv.Atoi(prompt)
--- a/internal/standin/site/report.go
+++ b/internal/standin/site/report.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// reportRuns tells the runs of an engine as they were ReportLag ago: the request,
-// the tokens in memory, the number of the newest event made, and the priority.
+// writeEngineReport responds with the runs of the engine as of ReportLag ago. For
+// each run it lists the request id, the number of tokens in memory, the id of the
+// newest event and the priority.
 func (r *Replica) writeEngineReport(w http.ResponseWriter) {
 	asOf := time.Now().Add(-r.ReportLag)
 	runs := [][]any{}
@@ -29,7 +30,8 @@
 	writeJSON(w, map[string]any{"stage": "colocated", "queued": 0, "active": len(runs), "runs": runs})
 }
 
-// forget drops the runs that no report lists any more; the caller holds mu.
+// pruneRuns removes the runs that ended before asOf, which no report lists any more.
+// The caller holds mu.
 func (r *Replica) pruneRuns(asOf time.Time) {
 	r.runs = slices.DeleteFunc(r.runs, func(e *execution) bool { return !e.endedAt.IsZero() && e.endedAt.Before(asOf) })
 }
--- a/internal/standin/site/hold.go
+++ b/internal/standin/site/reservation.go
@@ -7,45 +7,45 @@
 	"time"
 )
 
-// hold is a place that an engine keeps.
+// reservation is a slot that an engine reserves for a request.
 type reservation struct {
 	until time.Time
 	state string
 }
 
-// The states of holds.
+// The states of reservations.
 const (
 	reservationHeld     = "kept"
 	reservationUsed     = "used"
 	reservationReleased = "dropped"
 )
 
-// Holds counts what became of holds. What is neither used nor dropped is kept or
-// has lapsed.
+// Holds counts reservations by outcome. Reservations that are taken but neither
+// used nor dropped are still held or have expired.
 type Holds struct{ Taken, Used, Dropped, Refused int }
 
-// Holds returns what became of holds, over all replicas.
+// Holds returns the counts of reservations of all replicas.
 func (l *Ledger) Holds() Holds {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reservations
 }
 
-// counted changes the counts of holds.
+// countReservations updates the counts of reservations.
 func (l *Ledger) countReservations(change func(*Holds)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.reservations)
 }
 
-// takeHold keeps a place.
+// grantReservation makes a reservation, unless the behaviour refuses it.
 func (r *Replica) grantReservation(w http.ResponseWriter, req *http.Request, b Behaviour) {
 	var call struct {
 		Tokens int `json:"token_count"`
 		TTL    int `json:"ttl_ms"`
 	}
 	if err := json.NewDecoder(req.Body).Decode(&call); err != nil || call.Tokens < 0 || call.TTL <= 0 {
-		r.ledger.recordViolation("%s: hold of %d tokens for %d ms not understood: %v", r.ID, call.Tokens, call.TTL, err)
+		r.ledger.recordViolation("%s: invalid reservation of %d tokens for %d ms: %v", r.ID, call.Tokens, call.TTL, err)
 		refuse(w, http.StatusBadRequest)
 		return
 	}
@@ -66,7 +66,7 @@
 	writeJSON(w, map[string]any{"hold": name})
 }
 
-// dropHold gives a place up.
+// releaseReservation releases a reservation that was not used.
 func (r *Replica) releaseReservation(w http.ResponseWriter, name string) {
 	r.mu.Lock()
 	h := r.reservations[name]
@@ -83,15 +83,16 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// useHold uses the place that a request names, and says whether it was kept.
+// useReservation marks the reservation that a request names as used. It reports
+// whether the reservation was held and has not expired.
 func (r *Replica) useReservation(req *http.Request) bool {
 	name := req.Header.Get("Kv-Hold")
 	if name == "" || name == ForgedValue {
-		return false // serve notes a caller's
+		return false // serve records forged values
 	}
 	r.mu.Lock()
 	h := r.reservations[name]
-	state := "never given"
+	state := "never granted"
 	if h != nil {
 		state = h.state
 	}
@@ -100,7 +101,7 @@
 	}
 	r.mu.Unlock()
 	if state != reservationHeld {
-		r.ledger.recordViolation("%s: request %s has hold %s, which was %s", r.ID, req.Header.Get("Attempt-Id"), name, state)
+		r.ledger.recordViolation("%s: request %s uses reservation %s, which was %s", r.ID, req.Header.Get("Attempt-Id"), name, state)
 		return false
 	}
 	r.ledger.countReservations(func(h *Holds) { h.Used++ })
--- a/internal/standin/site/answer.go
+++ b/internal/standin/site/response.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Body is the body that a plain replica answers a request with.
+// Body returns the response body of a plain replica for a request.
 func Body(replica, request string) string { return "answer of " + replica + " to " + request + "\n" }
 
 func (r *Replica) respond(w http.ResponseWriter, id string, b Behaviour) {
@@ -32,8 +32,8 @@
 	_, _ = io.WriteString(w, body)
 }
 
-// raw writes an answer by hand: without a length, or with a second answer
-// behind it.
+// respondRaw writes a response directly to the connection: without a
+// Content-Length, or followed by a second response.
 func (r *Replica) respondRaw(w http.ResponseWriter, status int, body string, b Behaviour) {
 	conn, buf, err := w.(http.Hijacker).Hijack()
 	if err != nil {
--- a/internal/standin/site/site_test.go
+++ b/internal/standin/site/site_test.go
@@ -23,7 +23,7 @@
 	RunSpecs(t, "site")
 }
 
-// engine starts an engine that behaves so.
+// startEngine starts an engine with the given behaviour.
 func startEngine(b site.Behaviour) (*site.Replica, *site.Ledger) {
 	ledger := site.NewLedger()
 	r, err := site.StartReplica(ledger, "e1", "llm", site.Engine, "127.0.0.1:0")
@@ -33,7 +33,7 @@
 	return r, ledger
 }
 
-// call calls a replica; the context's end closes the connection.
+// call sends a request to a replica. Canceling ctx closes the connection.
 func call(ctx context.Context, r *site.Replica, method, path, body string, header ...string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+r.Address()+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -44,7 +44,7 @@
 	return http.DefaultClient.Do(req)
 }
 
-// generate sends a request for a stream.
+// generate sends a streaming request.
 func generate(ctx context.Context, r *site.Replica, id string, header ...string) *http.Response {
 	GinkgoHelper()
 	resp, err := call(ctx, r, http.MethodPost, "/", "prompt", append(header, "Attempt-Id", id, "Token-Usage", "10,5", "Request-Priority", "3")...)
@@ -53,7 +53,7 @@
 	return resp
 }
 
-// events reads so many events.
+// readEvents reads n events.
 func readEvents(r *bufio.Reader, n int) string {
 	GinkgoHelper()
 	var b strings.Builder
@@ -66,7 +66,7 @@
 	return b.String()
 }
 
-// whole is a complete stream.
+// fullStream returns the complete stream for a request.
 func fullStream(id string) string {
 	var b strings.Builder
 	for n := 1; n <= 5; n++ {
@@ -75,8 +75,8 @@
 	return b.String()
 }
 
-// report is an engine's report. The error is that of the context when the engine
-// answers nothing for a while.
+// fetchReport fetches an engine report. It returns the error of the context if the
+// engine does not respond within 100 ms.
 func fetchReport(r *site.Replica) (map[string]any, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
@@ -89,18 +89,18 @@
 	return response, json.NewDecoder(resp.Body).Decode(&response)
 }
 
-// listing matches a report that lists these runs.
+// reportRuns matches a report that lists exactly these runs.
 func reportRuns(runs ...any) OmegaMatcher {
 	return And(HaveKeyWithValue("stage", "colocated"), HaveKeyWithValue("queued", 0.0),
 		HaveKeyWithValue("active", float64(len(runs))), HaveKeyWithValue("runs", append([]any{}, runs...)))
 }
 
-// running is the entry of a run with a prompt of 10 tokens.
+// runEntry is the report entry of a run with 10 prompt tokens.
 func runEntry(id string, eventID int) any {
 	return []any{id, float64(10 + eventID), float64(eventID), 3.0}
 }
 
-// end is how the run of a request ended.
+// runEnd returns a function that returns how the run of a request ended.
 func runEnd(l *site.Ledger, id string) func() site.End {
 	return func() site.End { return l.Runs(id)[0].End }
 }
@@ -108,7 +108,7 @@
 var _ = Describe("an engine", func() {
 	const pause = 200 * time.Millisecond
 
-	DescribeTable("pauses and goes on", func(after int) {
+	DescribeTable("pauses and resumes", func(after int) {
 		e, ledger := startEngine(site.Behaviour{PauseAfterEvents: after, Pause: pause})
 		began := time.Now()
 		body := bufio.NewReader(generate(context.Background(), e, "a").Body)
@@ -124,11 +124,11 @@
 		Expect(fetchReport(e)).To(reportRuns())
 		Expect(e.Misbehaved()).To(BeFalse())
 	},
-		Entry("before the first event, with the head of the answer sent", 0),
-		Entry("after two", 2),
+		Entry("after the response headers, before the first event", 0),
+		Entry("after two events", 2),
 	)
 
-	It("pauses so however it behaves else", func() {
+	It("pauses under PauseStreams without a pause in its behaviour", func() {
 		e, ledger := startEngine(site.Behaviour{})
 		e.PauseStreams(1, pause)
 		_, err := io.ReadAll(generate(context.Background(), e, "a").Body)
@@ -138,7 +138,7 @@
 		Expect(e.Misbehaved()).To(BeFalse())
 	})
 
-	DescribeTable("falls silent for good", func(silence site.Silence, wantReport OmegaMatcher, wantEnd site.End) {
+	DescribeTable("stalls permanently", func(silence site.Silence, wantReport OmegaMatcher, wantEnd site.End) {
 		e, ledger := startEngine(site.Behaviour{PauseAfterEvents: 2, Silence: silence, EventEvery: 10 * time.Millisecond})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -150,22 +150,22 @@
 		Expect(e.Misbehaved()).To(BeTrue())
 		time.AfterFunc(50*time.Millisecond, cancel)
 		_, err = body.ReadByte()
-		Expect(err).To(MatchError(context.Canceled), "silent until its caller left")
+		Expect(err).To(MatchError(context.Canceled), "no event must arrive until the client disconnects")
 		Eventually(runEnd(ledger, "a"), "1s").Should(Equal(wantEnd))
 	},
-		Entry("in one run", site.StandsStill, HaveExactElements(reportRuns(runEntry("a", 2)), BeNil()), site.Cancelled),
-		Entry("on the connection", site.Muted, HaveExactElements(reportRuns(), BeNil()), site.Complete),
-		Entry("as a process that hangs", site.Frozen, HaveExactElements(BeEmpty(), MatchError(context.DeadlineExceeded)), site.Cancelled),
-		Entry("as a process that is gone", site.Vanished, HaveExactElements(BeEmpty(), MatchError(syscall.ECONNREFUSED)), site.Cancelled),
+		Entry("in one run, with the process alive", site.StandsStill, HaveExactElements(reportRuns(runEntry("a", 2)), BeNil()), site.Cancelled),
+		Entry("on the connection, with the run completed", site.Muted, HaveExactElements(reportRuns(), BeNil()), site.Complete),
+		Entry("as a frozen process", site.Frozen, HaveExactElements(BeEmpty(), MatchError(context.DeadlineExceeded)), site.Cancelled),
+		Entry("as a frozen process that refuses connections", site.Vanished, HaveExactElements(BeEmpty(), MatchError(syscall.ECONNREFUSED)), site.Cancelled),
 	)
 
-	It("goes on making the events of a run that is silent on its connection", func() {
+	It("continues to generate events while the connection is stalled", func() {
 		e, _ := startEngine(site.Behaviour{Silence: site.Muted, EventEvery: pause})
 		generate(context.Background(), e, "a")
 		Eventually(func() (map[string]any, error) { return fetchReport(e) }, "1s").Should(reportRuns(runEntry("a", 3)))
 	})
 
-	It("reports what was a while ago", func() {
+	It("reports runs as of ReportLag ago", func() {
 		e, _ := startEngine(site.Behaviour{PauseAfterEvents: 2, Pause: 2 * pause})
 		e.ReportLag = pause
 		generate(context.Background(), e, "a")
@@ -173,13 +173,13 @@
 		Eventually(func() (map[string]any, error) { return fetchReport(e) }, "1s").Should(reportRuns(runEntry("a", 2)))
 	})
 
-	It("counts the events before the one after which a stream goes on", func() {
+	It("counts the events before the resume point of a stream", func() {
 		e, _ := startEngine(site.Behaviour{PauseAfterEvents: 1, Pause: pause})
 		readEvents(bufio.NewReader(generate(context.Background(), e, "a", "Last-Event-Id", "2").Body), 1)
 		Expect(fetchReport(e)).To(reportRuns(runEntry("a", 3)))
 	})
 
-	It("tells how runs ended", func() {
+	It("records how runs ended", func() {
 		e, ledger := startEngine(site.Behaviour{CutAfterEvents: 1})
 		_, err := io.ReadAll(generate(context.Background(), e, "cut").Body)
 		Expect(err).To(HaveOccurred())
@@ -191,14 +191,14 @@
 		Eventually(runEnd(ledger, "crashed"), "1s").Should(Equal(site.Aborted))
 	})
 
-	It("answers nothing to asks for the report, and serves, where it is told so", func() {
+	It("serves requests but does not respond to report calls with HangReports", func() {
 		e, _ := startEngine(site.Behaviour{HangReports: true})
 		_, err := fetchReport(e)
 		Expect(err).To(MatchError(context.DeadlineExceeded))
 		Expect(generate(context.Background(), e, "a")).To(HaveHTTPBody(fullStream("a")))
 	})
 
-	It("tells when it behaved well", func() {
+	It("reports when it was healthy", func() {
 		e, _ := startEngine(site.Behaviour{})
 		began := time.Now()
 		e.PauseStreams(1, pause)
@@ -214,7 +214,7 @@
 		Expect(e.Misbehaved()).To(BeTrue())
 	})
 
-	It("does not know reports and holds where it is told so", func() {
+	It("responds with 404 to report and reservation calls if it does not support them", func() {
 		e, _ := startEngine(site.Behaviour{NoOrders: true})
 		for method, path := range map[string]string{http.MethodGet: "/-/report", http.MethodPost: "/-/hold-take", http.MethodDelete: "/-/hold-drop/x"} {
 			Expect(call(context.Background(), e, method, path, "{}")).To(HaveHTTPStatus(http.StatusNotFound))
@@ -222,7 +222,7 @@
 	})
 })
 
-var _ = Describe("places that an engine holds", func() {
+var _ = Describe("engine reservations", func() {
 	reserve := func(e *site.Replica, ttl int) string {
 		GinkgoHelper()
 		resp, err := call(context.Background(), e, http.MethodPost, "/-/hold-take", fmt.Sprintf(`{"token_count":10,"ttl_ms":%d}`, ttl))
@@ -237,7 +237,7 @@
 		return call(context.Background(), e, http.MethodDelete, "/-/hold-drop/"+name, "")
 	}
 
-	It("are used once, also while it sheds, or given up", func() {
+	It("are used once, even while the engine sheds load, or released", func() {
 		e, ledger := startEngine(site.Behaviour{})
 		used, released := reserve(e, 1000), reserve(e, 1000)
 		e.Behave(site.Behaviour{Shed: true})
@@ -249,7 +249,7 @@
 		Expect(ledger.Faults()).To(BeEmpty())
 	})
 
-	It("are kept before it answers", func() {
+	It("are held before the engine responds", func() {
 		e, ledger := startEngine(site.Behaviour{HoldWork: time.Minute})
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
@@ -258,7 +258,7 @@
 		Expect(ledger.Holds()).To(Equal(site.Holds{Taken: 1}))
 	})
 
-	It("lapse", func() {
+	It("expire", func() {
 		e, ledger := startEngine(site.Behaviour{})
 		name := reserve(e, 1)
 		time.Sleep(20 * time.Millisecond)
@@ -272,23 +272,23 @@
 		Expect(call(context.Background(), e, http.MethodPost, "/-/hold-take", `{"token_count":10,"ttl_ms":1000}`)).To(HaveHTTPStatus(http.StatusServiceUnavailable))
 		Expect(ledger.Holds()).To(Equal(site.Holds{Refused: 1}))
 	},
-		Entry("where the engine is told so", site.Behaviour{NoHolds: true}),
-		Entry("where it sheds", site.Behaviour{Shed: true}),
+		Entry("if the engine refuses reservations", site.Behaviour{NoHolds: true}),
+		Entry("if the engine sheds load", site.Behaviour{Shed: true}),
 	)
 
-	DescribeTable("are a fault", func(name func(*site.Replica) string, violation string) {
+	DescribeTable("are a protocol violation", func(name func(*site.Replica) string, violation string) {
 		e, ledger := startEngine(site.Behaviour{})
 		_, _ = io.ReadAll(generate(context.Background(), e, "a", "Kv-Hold", name(e)).Body)
 		Expect(ledger.Faults()).To(ConsistOf(ContainSubstring(violation)))
 	},
-		Entry("that were never given", func(*site.Replica) string { return "x" }, "never given"),
-		Entry("that a caller forged", func(*site.Replica) string { return site.ForgedValue }, "a caller's Kv-Hold"),
+		Entry("that were never granted", func(*site.Replica) string { return "x" }, "never granted"),
+		Entry("that a client forged", func(*site.Replica) string { return site.ForgedValue }, "a forged Kv-Hold"),
 		Entry("that were used before", func(e *site.Replica) string {
 			name := reserve(e, 1000)
 			generate(context.Background(), e, "b", "Kv-Hold", name)
 			return name
 		}, "used"),
-		Entry("that were given up", func(e *site.Replica) string {
+		Entry("that were released", func(e *site.Replica) string {
 			name := reserve(e, 1000)
 			Expect(release(e, name)).To(HaveHTTPStatus(http.StatusOK))
 			return name
--- a/internal/standin/site/stage.go
+++ b/internal/standin/site/stage.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// ResultBytes is the size of a result, as Configuration tells it.
+// ResultBytes is the size of a stage result in bytes, as set in Configuration.
 const ResultBytes = 100
 
-// entry is a piece as it is asked for.
+// pieceRequest is a piece to execute.
 type pieceRequest struct {
 	ID     string   `json:"id"`
 	Stage  int      `json:"stage"`
@@ -20,19 +20,20 @@
 	Inputs []string `json:"inputs"`
 }
 
-// outcome is what became of a piece.
+// pieceResult is the outcome of a piece: the handle of its result, or the reason why
+// it was not executed.
 type pieceResult struct {
 	Handle string `json:"handle,omitempty"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// runPieces makes the pieces of a call.
+// runPieces executes the pieces of a piece call.
 func (r *Replica) runPieces(w http.ResponseWriter, req *http.Request, b Behaviour) {
 	var call struct {
 		Entries []pieceRequest `json:"entries"`
 	}
 	if err := json.NewDecoder(req.Body).Decode(&call); err != nil {
-		r.ledger.recordViolation("%s: call not read: %v", r.ID, err)
+		r.ledger.recordViolation("%s: decoding a piece call failed: %v", r.ID, err)
 		refuse(w, http.StatusBadRequest)
 		return
 	}
@@ -54,11 +55,11 @@
 	writeJSON(w, response)
 }
 
-// make makes one piece if its inputs exist.
+// runPiece executes a piece if its inputs exist.
 func (r *Replica) runPiece(e pieceRequest) pieceResult {
 	l := r.ledger
 	if (e.Key == "") == (len(e.Inputs) == 0) {
-		l.recordViolation("%s: piece %d of stage %d of %s has key %q and %d inputs", r.ID, e.Piece, e.Stage, e.ID, e.Key, len(e.Inputs))
+		l.recordViolation("%s: piece %d of stage %d of request %s has key %q and %d inputs, want either a key or inputs", r.ID, e.Piece, e.Stage, e.ID, e.Key, len(e.Inputs))
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,9 +70,9 @@
 		case !ok:
 			return pieceResult{Reason: "gone"}
 		case in.requestID != e.ID || in.stage >= e.Stage:
-			l.violations = append(l.violations, fmt.Sprintf("%s: piece of %s was given a result of %s, stage %d", r.ID, e.ID, in.requestID, in.stage))
+			l.violations = append(l.violations, fmt.Sprintf("%s: piece of request %s has a result of request %s, stage %d, as input", r.ID, e.ID, in.requestID, in.stage))
 		case seen[h]:
-			l.violations = append(l.violations, fmt.Sprintf("%s: piece of %s was given %s twice", r.ID, e.ID, h))
+			l.violations = append(l.violations, fmt.Sprintf("%s: piece of request %s has input %s twice", r.ID, e.ID, h))
 		}
 		seen[h] = true
 	}
@@ -82,7 +83,7 @@
 	return pieceResult{Handle: handle}
 }
 
-// freePieces gives results up.
+// releaseResults releases results by their handles.
 func (r *Replica) releaseResults(w http.ResponseWriter, req *http.Request) {
 	var call struct {
 		Handles []string `json:"handles"`
@@ -96,7 +97,7 @@
 	defer l.mu.Unlock()
 	for _, h := range call.Handles {
 		if _, ok := l.results[h]; !ok {
-			l.violations = append(l.violations, fmt.Sprintf("%s: %s freed twice or never made", r.ID, h))
+			l.violations = append(l.violations, fmt.Sprintf("%s: result %s was released twice or never created", r.ID, h))
 			continue
 		}
 		delete(l.results, h)
@@ -105,10 +106,10 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// headroomBytes is the memory for results that Configuration gives each replica.
+// headroomBytes is the memory for results of each replica in Configuration.
 const headroomBytes = 1_000_000
 
-// report tells the room for results.
+// writeStageReport responds with the free memory for results.
 func (r *Replica) writeStageReport(w http.ResponseWriter) {
 	l := r.ledger
 	l.mu.Lock()
@@ -122,8 +123,8 @@
 	writeJSON(w, map[string]any{"queued": 0, "busy": 0, "free_mb": (headroomBytes - live*ResultBytes) / 1_000_000})
 }
 
-// inputsHeld checks the results that a request was given; without them it
-// refuses.
+// checkInputs checks the stage results that a request refers to. If one does not
+// exist, it refuses the request with 409 and returns false.
 func (r *Replica) checkInputs(w http.ResponseWriter, req *http.Request, id string) bool {
 	list := req.Header.Get("Input-Count")
 	if list == "" {
@@ -139,7 +140,7 @@
 			return false
 		}
 		if in.requestID != id {
-			l.violations = append(l.violations, fmt.Sprintf("%s: request %s was given a result of %s", r.ID, id, in.requestID))
+			l.violations = append(l.violations, fmt.Sprintf("%s: request %s has a result of request %s as input", r.ID, id, in.requestID))
 		}
 	}
 	return true
--- a/internal/standin/site/store.go
+++ b/internal/standin/site/store.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// item is an entry of the store as it is written on the wire.
+// item is an entry of the store as encoded on the wire.
 type item struct {
 	Key       string `json:"key"`
 	Data      []byte `json:"data,omitempty"`
@@ -20,9 +20,9 @@
 	Tombstone bool   `json:"tombstone,omitempty"`
 }
 
-// Store is the platform's metadata store. It is safe for concurrent use.
+// Store is a fake of the platform's metadata store. It is safe for concurrent use.
 type Store struct {
-	// PageSize bounds the entries of one answer. Default 50.
+	// PageSize limits the number of entries in a list response. Default: 50.
 	PageSize int
 
 	mu         sync.Mutex
@@ -31,10 +31,10 @@
 	failStatus int
 	delay      time.Duration
 	calls      int
-	// removed are the tombstones; changed is closed with every write.
+	// tombstones has the deleted keys. changed is closed by every write.
 	tombstones map[string]item
 	changed    chan struct{}
-	// forgotten is the revision up to which changes are not known any more.
+	// compactedRevision is the revision up to which changes are no longer retained.
 	compactedRevision uint64
 }
 
@@ -43,7 +43,7 @@
 	return &Store{PageSize: 50, items: map[string]item{}, tombstones: map[string]item{}, changed: make(chan struct{})}
 }
 
-// Put writes a value; v is encoded as JSON unless it is bytes.
+// Put writes a value. v is encoded as JSON unless it is a []byte.
 func (s *Store) Put(key string, v any) {
 	data, ok := v.([]byte)
 	if !ok {
@@ -55,17 +55,17 @@
 	s.write(item{Key: key, Data: data})
 }
 
-// evacuatePrefix is the prefix of the orders to evacuate a failure domain.
+// evacuatePrefix is the key prefix of evacuation orders for failure domains.
 const evacuatePrefix = "op/evacuate/"
 
-// Evacuate orders that the replicas of a failure domain get no new work, and TakeBack
-// withdraws the order.
+// Evacuate writes the order to evacuate a failure domain: its replicas get no new
+// work until TakeBack withdraws the order.
 func (s *Store) Evacuate(domain string) { s.Put(evacuatePrefix+domain, map[string]any{}) }
 
-// TakeBack withdraws the order of Evacuate.
+// TakeBack withdraws the evacuation order for a failure domain.
 func (s *Store) TakeBack(domain string) { s.Delete(evacuatePrefix + domain) }
 
-// Delete removes a key.
+// Delete deletes a key and leaves a tombstone for watches.
 func (s *Store) Delete(key string) { s.write(item{Key: key, Tombstone: true}) }
 
 func (s *Store) write(i item) {
@@ -84,21 +84,22 @@
 	s.changed = make(chan struct{})
 }
 
-// Compact forgets all changes so far: watches from before get 410.
+// Compact discards the history of changes so far. Watches from an earlier revision
+// get status 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compactedRevision = s.revision
 }
 
-// Fail answers every call with a status until it is called with 0.
+// Fail makes every call fail with the given status; 0 ends that.
 func (s *Store) Fail(status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failStatus = status
 }
 
-// Delay makes every call take that long.
+// Delay delays every call by d.
 func (s *Store) Delay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,8 +136,8 @@
 	}
 }
 
-// watch answers with the changes under a prefix after a revision, at once or
-// when there are some.
+// watch responds with the changes under a prefix after a revision as soon as there
+// are any, or without changes after wait_ms.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
@@ -167,8 +168,9 @@
 	}
 }
 
-// since returns the changes under a prefix after a revision, what is closed with
-// the next change, and whether the history reaches back that far.
+// changesSince returns the changes under a prefix after a revision, the current
+// revision, a channel that is closed by the next write, and whether the changes since
+// that revision are still retained.
 func (s *Store) changesSince(prefix string, after uint64) (events []item, revision uint64, changed chan struct{}, retained bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,7 +188,7 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // a client that is gone needs no answer
+	_ = json.NewEncoder(w).Encode(v) // the client may have disconnected
 }
 
 func (s *Store) get(w http.ResponseWriter, key string) {
--- a/internal/standin/site/stream.go
+++ b/internal/standin/site/stream.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Event is event n of the stream that answers a request.
+// Event returns event n of the stream for a request.
 func Event(request string, n int) string {
 	return fmt.Sprintf("id: %d\ndata: token %d of %s\n\n", n, n, request)
 }
 
-// eventEvery is the time from one event to the next.
+// defaultEventInterval is the default interval between events.
 const defaultEventInterval = 2 * time.Millisecond
 
-// stream answers with the events of a run.
+// stream responds with the events of a run.
 func (r *Replica) stream(w http.ResponseWriter, req *http.Request, e *execution, b Behaviour) {
 	ctx := req.Context()
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	flusher := http.NewResponseController(w)
-	_ = flusher.Flush() // a client that is gone needs no head
+	_ = flusher.Flush() // the client may have disconnected
 	interval := defaultEventInterval
 	if b.EventEvery > 0 {
 		interval = b.EventEvery
@@ -54,7 +54,8 @@
 	e.complete()
 }
 
-// fallSilent pauses, and says whether the stream goes on.
+// applyStall applies the pause and the permanent stall of the behaviour. It reports
+// whether the stream continues.
 func (r *Replica) applyStall(ctx context.Context, e *execution, b Behaviour, interval time.Duration) bool {
 	if b.Pause > 0 && !e.wait(ctx, b.Pause) {
 		return false
@@ -76,13 +77,14 @@
 	return false
 }
 
-// standStill makes no more events until the connection closes.
+// stall waits until the connection closes, without generating events.
 func (e *execution) stall(ctx context.Context) {
 	<-ctx.Done()
 	e.cancel()
 }
 
-// mute makes the events that are left, sends none and keeps the connection open.
+// completeUnsent generates the remaining events without sending them, and keeps the
+// connection open.
 func (e *execution) completeUnsent(ctx context.Context, interval time.Duration) {
 	for n := e.lastEventID + len(e.eventTimes) + 1; n <= e.replica.EventsPerStream; n++ {
 		e.recordEvent()
