--- a/internal/standin/engine/chat.go
+++ b/internal/standin/engine/chat.go
@@ -145,22 +145,22 @@
 // end removes the sequence of the call from the batch and records the final state
 // in the ledger.
 func (c *call) end(s ledger.State) {
-	cost, tokens := c.engine.remove(c.seq)
-	c.engine.ledger.End(c.entry, s, float64(cost)/float64(time.Millisecond), tokens)
+	engineTime, tokens := c.engine.remove(c.seq)
+	c.engine.ledger.End(c.entry, s, float64(engineTime)/float64(time.Millisecond), tokens)
 }
 
 // awaitProgress waits until the sequence makes progress. It returns the number of
 // tokens generated so far and whether the sequence is finished. If the sequence is
 // canceled or fails first, it ends the call and aborts the connection.
 func (c *call) awaitProgress(r *http.Request) (generated int, finished bool) {
-	callerDone := r.Context().Done()
+	clientDone := r.Context().Done()
 	if c.engine.cfg.NoCancellation {
-		callerDone = nil
+		clientDone = nil
 	}
 	select {
 	case <-c.seq.progress:
 		return c.engine.progress(c.seq)
-	case <-callerDone:
+	case <-clientDone:
 		c.end(ledger.Cancelled)
 	case <-c.engine.faults.Down():
 		c.end(ledger.Failed)
--- a/internal/standin/service/http.go
+++ b/internal/standin/service/http.go
@@ -94,19 +94,19 @@
 // runFor simulates an execution by waiting for the scaled service time. It returns
 // the service time spent, before scaling, and the final state of the execution. The
 // execution fails if the replica goes down or is closed.
-func (s *Service) runFor(callerCtx context.Context, nominal time.Duration) (time.Duration, ledger.State) {
+func (s *Service) runFor(clientCtx context.Context, nominal time.Duration) (time.Duration, ledger.State) {
 	timer := time.NewTimer(time.Duration(float64(nominal) * s.cfg.TimeScale))
 	defer timer.Stop()
-	callerDone := callerCtx.Done()
+	clientDone := clientCtx.Done()
 	if !s.cfg.Cancellation {
-		callerDone = nil
+		clientDone = nil
 	}
 	start := time.Now()
 	select {
 	case <-timer.C:
 		s.faults.WaitWhileFrozen(s.ctx)
 		return nominal, ledger.Done
-	case <-callerDone:
+	case <-clientDone:
 		return s.elapsedServiceTime(start, nominal), ledger.Cancelled
 	case <-s.faults.Down():
 	case <-s.ctx.Done():
--- a/internal/standin/site/execution.go
+++ b/internal/standin/site/execution.go
@@ -11,8 +11,8 @@
 type execution struct {
 	replica *Replica
 	run     *Run
-	// processGeneration is the number of crashes before the process that executes
-	// the run started.
+	// processGeneration is the value of Replica.crashes at the start of the run. It
+	// identifies the process that executes the run.
 	processGeneration int
 	// promptTokens is the number of prompt tokens, priority the request priority,
 	// and lastEventID the event after which the stream resumes.
