--- a/claims/acquire.go
+++ b/claims/acquire.go
@@ -14,10 +14,10 @@
 
 const (
 	// backoffMin and backoffMax bound the wait between two rounds of asking.
-	backoffMin = 5 * time.Millisecond
-	backoffMax = 200 * time.Millisecond
+	retryBackoffMin = 5 * time.Millisecond
+	retryBackoffMax = 200 * time.Millisecond
 	// askTimeout bounds the wait for one holder in one round.
-	askTimeout = 500 * time.Millisecond
+	holderCallTimeout = 500 * time.Millisecond
 	// releaseTimeout bounds the sending of a release.
 	releaseTimeout = 2 * time.Second
 	// retryAfter is told to callers that may come back with the same key.
@@ -31,45 +31,45 @@
 	epoch   uint64
 }
 
-func ownedName(key request.ClaimKey, id string) string { return id + scopeSeparator + key.Stage }
+func ownedClaimID(key request.ClaimKey, id string) string { return id + scopeSeparator + key.Stage }
 
 // Acquire implements request.Claimer.
 func (s *Service) Acquire(ctx context.Context, key request.ClaimKey, id string, arrived time.Time, digest [32]byte) request.ClaimDecided {
-	k, err := claim.ParseKey(scope(key.Customer, key.Stage), key.Key)
+	k, err := claim.ParseKey(scopedCustomer(key.Customer, key.Stage), key.Key)
 	if err != nil {
-		return refuse(problem.New(problem.KeyInvalid, "%v", err))
+		return refusedDecision(problem.New(problem.KeyInvalid, "%v", err))
 	}
-	cfg, err := s.configOf(ctx, k, id, arrived, digest)
+	cfg, err := s.claimConfig(ctx, k, id, arrived, digest)
 	if err != nil {
 		e := problem.New(problem.NotReady, "%v", err)
 		e.Execution, e.RetryAfter = problem.MayHaveRun, retryAfter
-		return refuse(e)
+		return refusedDecision(e)
 	}
 	s.mu.Lock()
 	seed := s.rng.Uint64()
 	s.mu.Unlock()
-	r := newRun(s, cfg, seed)
-	return s.conclude(ctx, ownedName(key, id), r, r.ask(ctx))
+	r := newAcquisition(s, cfg, seed)
+	return s.decisionFor(ctx, ownedClaimID(key, id), r, r.runToEnd(ctx))
 }
 
-func refuse(e *problem.Error) request.ClaimDecided { return request.ClaimDecided{Err: e} }
+func refusedDecision(e *problem.Error) request.ClaimDecided { return request.ClaimDecided{Err: e} }
 
-var errNotCaughtUp = errors.New("this host has not caught up with its fellows, or its clock is off")
+var errNotReadyToClaim = errors.New("this host has not caught up with its fellows, or its clock is off")
 
-func (s *Service) configOf(ctx context.Context, k claim.Key, id string, arrived time.Time, digest [32]byte) (claim.Config, error) {
+func (s *Service) claimConfig(ctx context.Context, k claim.Key, id string, arrived time.Time, digest [32]byte) (claim.Config, error) {
 	deadline, ok := clock.DeadlineOf(ctx)
 	if !ok {
 		return claim.Config{}, errors.New("a claim needs a deadline")
 	}
 	s.viewsMu.RLock()
 	defer s.viewsMu.RUnlock()
-	if s.views == nil || !s.views.Ready() || !s.cfg.Trusted() {
-		return claim.Config{}, errNotCaughtUp
+	if s.views == nil || !s.views.Ready() || !s.cfg.ClockAndViewsTrusted() {
+		return claim.Config{}, errNotReadyToClaim
 	}
 	return claim.Config{
 		Key: k, Owner: s.owner(id), Digest: digest, Arrived: arrived,
 		Epoch: s.views.Epoch(), Quorums: s.views.Quorums(k),
-		Deadline: deadline, BackoffMin: backoffMin, BackoffMax: backoffMax,
+		Deadline: deadline, BackoffMin: retryBackoffMin, BackoffMax: retryBackoffMax,
 	}, nil
 }
 
@@ -78,7 +78,7 @@
 }
 
 // conclude turns the end of a claim into the answer to the request machine.
-func (s *Service) conclude(ctx context.Context, name string, r *run, end claim.Action) request.ClaimDecided {
+func (s *Service) decisionFor(ctx context.Context, name string, r *acquisition, end claim.Action) request.ClaimDecided {
 	switch a := end.(type) {
 	case claim.Won:
 		// From here on the request counts as sent, until Release says that it
@@ -89,39 +89,39 @@
 			s.mu.Unlock()
 			return request.ClaimDecided{Won: true}
 		}
-		r.sendAll(r.claim.GiveUp(problem.DeadlineExceeded))
-		return s.refusal(ctx, r, claim.Refuse{Kind: problem.DeadlineExceeded, Execution: problem.NotRun})
+		r.sendReleases(r.claim.GiveUp(problem.DeadlineExceeded))
+		return s.refusalDecision(ctx, r, claim.Refuse{Kind: problem.DeadlineExceeded, Execution: problem.NotRun})
 	case claim.Lost:
 		if a.Record.Truncated {
 			e := problem.New(problem.OutcomeUnknown, "it has run; its result was too large to be kept")
 			e.Execution = problem.Ran
-			return refuse(e)
+			return refusedDecision(e)
 		}
 		return request.ClaimDecided{Result: a.Record.Result}
 	case claim.Refuse:
-		return s.refusal(ctx, r, a)
+		return s.refusalDecision(ctx, r, a)
 	default:
-		return refuse(problem.Of(fmt.Errorf("claim ended with %T", end)))
+		return refusedDecision(problem.Of(fmt.Errorf("claim ended with %T", end)))
 	}
 }
 
 // refusal makes the error of a refused claim. NotRun is told only once no
 // earlier attempt can run any more.
-func (s *Service) refusal(ctx context.Context, r *run, a claim.Refuse) request.ClaimDecided {
-	e := problem.New(a.Kind, "%s", describe(a))
+func (s *Service) refusalDecision(ctx context.Context, r *acquisition, a claim.Refuse) request.ClaimDecided {
+	e := problem.New(a.Kind, "%s", refusalDetail(a))
 	e.Execution = a.Execution
 	if problem.Lookup(a.Kind).Retry {
 		e.RetryAfter = retryAfter
 	}
 	if a.Execution == problem.NotRun && a.Kind != problem.KeyReused {
-		if s.void(ctx, r.cfg.Key, r.cfg.Owner, r.cfg.Epoch, r.cfg.Quorums) != nil {
+		if s.voidKey(ctx, r.cfg.Key, r.cfg.Owner, r.cfg.Epoch, r.cfg.Quorums) != nil {
 			e.Execution = problem.MayHaveRun
 		}
 	}
-	return refuse(e)
+	return refusedDecision(e)
 }
 
-func describe(a claim.Refuse) string {
+func refusalDetail(a claim.Refuse) string {
 	switch {
 	case a.Owner != (claim.Owner{}):
 		return fmt.Sprintf("the key is claimed by request %s at host %s", a.Owner.Request, a.Owner.Host)
@@ -133,7 +133,7 @@
 }
 
 // take removes a claim from those owned.
-func (s *Service) take(name string) *ownedClaim {
+func (s *Service) removeOwned(name string) *ownedClaim {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o := s.owned[name]
@@ -143,33 +143,33 @@
 
 // Release implements request.Claimer.
 func (s *Service) Release(ctx context.Context, key request.ClaimKey, id string) error {
-	o := s.take(ownedName(key, id))
+	o := s.removeOwned(ownedClaimID(key, id))
 	if o == nil {
 		return errors.New("no such claim")
 	}
-	k, err := claim.ParseKey(scope(key.Customer, key.Stage), key.Key)
+	k, err := claim.ParseKey(scopedCustomer(key.Customer, key.Stage), key.Key)
 	if err != nil {
 		return err
 	}
 	o.claim.NotExecuted()
 	s.sendReleases(o.claim.GiveUp(problem.DeadlineExceeded))
-	return s.void(ctx, k, s.owner(id), o.epoch, o.quorums)
+	return s.voidKey(ctx, k, s.owner(id), o.epoch, o.quorums)
 }
 
 // Void implements request.Claimer.
 func (s *Service) Void(ctx context.Context, key request.ClaimKey) (bool, error) {
-	k, err := claim.ParseKey(scope(key.Customer, key.Stage), key.Key)
+	k, err := claim.ParseKey(scopedCustomer(key.Customer, key.Stage), key.Key)
 	if err != nil {
 		return false, err
 	}
 	s.viewsMu.RLock()
 	if s.views == nil || !s.views.Ready() {
 		s.viewsMu.RUnlock()
-		return false, errNotCaughtUp
+		return false, errNotReadyToClaim
 	}
 	epoch, quorums := s.views.Epoch(), s.views.Quorums(k)
 	s.viewsMu.RUnlock()
-	if err := s.void(ctx, k, s.owner(""), epoch, quorums); err != nil {
+	if err := s.voidKey(ctx, k, s.owner(""), epoch, quorums); err != nil {
 		return false, err
 	}
 	return true, nil
@@ -177,9 +177,9 @@
 
 // Record implements request.Claimer.
 func (s *Service) Record(ctx context.Context, key request.ClaimKey, id string, result []byte) error {
-	o := s.take(ownedName(key, id))
+	o := s.removeOwned(ownedClaimID(key, id))
 	if o == nil {
 		return errors.New("no such claim")
 	}
-	return s.store(ctx, o, claim.Record{Result: result})
+	return s.storeResult(ctx, o, claim.Record{Result: result})
 }
--- a/claims/bench_test.go
+++ b/claims/bench_test.go
@@ -36,7 +36,7 @@
 		return a, ok
 	}
 	bun := &bundle.Bundle{Version: 1, Claims: bundle.ClaimPolicy{
-		GroupSize: 3, Retention: time.Hour, MaxClockSkew: testSkew, MaxKeyAhead: testAhead,
+		GroupSize: 3, Retention: time.Hour, MaxClockSkew: testMaxClockSkew, MaxKeyAhead: testMaxKeyAhead,
 	}}
 	for i := range benchHosts {
 		bun.Hosts = append(bun.Hosts, bundle.Host{Name: fmt.Sprintf("host-%d", i), FailureDomain: fmt.Sprintf("domain-%d", i%4)})
@@ -66,7 +66,7 @@
 		mu.Unlock()
 		s := New(Config{
 			Host: h.Name, Incarnation: uint64(now.UnixMilli()), Started: now, Caller: transport, Now: time.Now,
-			Trusted: func() bool { return true }, Gone: func(string, uint64) bool { return false },
+			ClockAndViewsTrusted: func() bool { return true }, OwnerUnavailable: func(string, uint64) bool { return false },
 			Log: zap.NewNop(), Seed: 1,
 		}, mux)
 		s.Apply(bun)
@@ -76,7 +76,7 @@
 		services = append(services, s)
 	}
 	for _, s := range services {
-		for deadline := time.Now().Add(20 * time.Second); !s.Settled(); time.Sleep(5 * time.Millisecond) {
+		for deadline := time.Now().Add(20 * time.Second); !s.FullyReady(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(deadline) {
 				b.Fatal("the fleet did not settle")
 			}
@@ -106,13 +106,13 @@
 		_ = claimed.RecordValue(won.Sub(begin).Microseconds())
 		_ = recorded.RecordValue(time.Since(won).Microseconds())
 	}
-	report(b, claimed, "claim")
-	report(b, recorded, "record")
+	reportPercentiles(b, claimed, "claim")
+	reportPercentiles(b, recorded, "record")
 }
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
 
-func report(b *testing.B, h *hdrhistogram.Histogram, name string) {
+func reportPercentiles(b *testing.B, h *hdrhistogram.Histogram, name string) {
 	b.ReportMetric(float64(h.ValueAtQuantile(50)), name+"-p50-us")
 	b.ReportMetric(float64(h.ValueAtQuantile(99)), name+"-p99-us")
 }
--- a/claims/codec.go
+++ b/claims/codec.go
@@ -16,7 +16,7 @@
 // scopeSeparator joins customer and stage: a key is claimed for each stage.
 const scopeSeparator = "\x00"
 
-func scope(customer, stage string) string { return customer + scopeSeparator + stage }
+func scopedCustomer(customer, stage string) string { return customer + scopeSeparator + stage }
 
 func encodeKey(k claim.Key) *wire.ClaimKey {
 	return &wire.ClaimKey{Customer: k.Customer, Id: k.ID[:]}
--- a/claims/fleet_test.go
+++ b/claims/fleet_test.go
@@ -27,47 +27,47 @@
 }
 
 // fleet is a set of services joined by a network that loses messages.
-type fleet struct {
-	mu       sync.Mutex
-	rng      *rand.Rand
-	services map[string]*Service
-	cut      map[string]bool
-	loss     float64
-	bundle   *bundle.Bundle
-	cancels  map[string]context.CancelFunc
+type testFleet struct {
+	mu          sync.Mutex
+	rng         *rand.Rand
+	services    map[string]*Service
+	partitioned map[string]bool
+	lossRate    float64
+	bundle      *bundle.Bundle
+	cancels     map[string]context.CancelFunc
 }
 
 // testSkew and testAhead are short, so that keys made after a restart are
 // granted soon.
 const (
-	testSkew  = 20 * time.Millisecond
-	testAhead = 20 * time.Millisecond
+	testMaxClockSkew = 20 * time.Millisecond
+	testMaxKeyAhead  = 20 * time.Millisecond
 )
 
-func newFleet(names ...string) *fleet {
-	f := &fleet{
-		rng: rand.New(rand.NewPCG(4, 4)), services: map[string]*Service{}, cut: map[string]bool{},
+func newTestFleet(names ...string) *testFleet {
+	f := &testFleet{
+		rng: rand.New(rand.NewPCG(4, 4)), services: map[string]*Service{}, partitioned: map[string]bool{},
 		cancels: map[string]context.CancelFunc{},
 		bundle: &bundle.Bundle{Version: 1, Claims: bundle.ClaimPolicy{
-			GroupSize: 3, Retention: time.Hour, MaxClockSkew: testSkew, MaxKeyAhead: testAhead,
+			GroupSize: 3, Retention: time.Hour, MaxClockSkew: testMaxClockSkew, MaxKeyAhead: testMaxKeyAhead,
 		}},
 	}
 	for _, n := range names {
 		f.bundle.Hosts = append(f.bundle.Hosts, bundle.Host{Name: n, FailureDomain: n})
 	}
 	for _, n := range names {
-		f.boot(n)
+		f.startHost(n)
 	}
-	f.settle(names...)
+	f.waitFullyReady(names...)
 	return f
 }
 
 // boot starts the next process of a host; the one before is gone.
-func (f *fleet) boot(name string) {
+func (f *testFleet) startHost(name string) {
 	now := time.Now()
 	s := New(Config{
-		Host: name, Incarnation: uint64(now.UnixNano()), Started: now, Caller: &link{f, name, uint64(now.UnixNano())}, Now: time.Now,
-		Trusted: func() bool { return true }, Gone: f.gone, Log: zap.NewNop(), Seed: 1,
+		Host: name, Incarnation: uint64(now.UnixNano()), Started: now, Caller: &hostCaller{f, name, uint64(now.UnixNano())}, Now: time.Now,
+		ClockAndViewsTrusted: func() bool { return true }, OwnerUnavailable: f.ownerUnavailable, Log: zap.NewNop(), Seed: 1,
 	}, peer.NewMux())
 	s.Apply(f.bundle)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -81,61 +81,61 @@
 	go s.Run(ctx)
 }
 
-func (f *fleet) gone(host string, incarnation uint64) bool {
+func (f *testFleet) ownerUnavailable(host string, incarnation uint64) bool {
 	return f.service(host).cfg.Incarnation != incarnation
 }
 
-func (f *fleet) service(name string) *Service {
+func (f *testFleet) service(name string) *Service {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.services[name]
 }
 
-func (f *fleet) settle(names ...string) {
+func (f *testFleet) waitFullyReady(names ...string) {
 	for _, n := range names {
-		Eventually(f.service(n).Settled).WithTimeout(10*time.Second).Should(BeTrue(), n)
+		Eventually(f.service(n).FullyReady).WithTimeout(10*time.Second).Should(BeTrue(), n)
 	}
 }
 
-func (f *fleet) setCut(cut bool, names ...string) {
+func (f *testFleet) setPartitioned(cut bool, names ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range names {
-		f.cut[n] = cut
+		f.partitioned[n] = cut
 	}
 }
 
-func (f *fleet) setLoss(share float64) {
+func (f *testFleet) setLossRate(share float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.loss = share
+	f.lossRate = share
 }
 
-var errLost = errors.New("lost")
+var errMessageLost = errors.New("lost")
 
 // lost decides about one message.
-func (f *fleet) lost(from, to string) bool {
+func (f *testFleet) messageLost(from, to string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return from != to && (f.cut[from] || f.cut[to] || f.rng.Float64() < f.loss)
+	return from != to && (f.partitioned[from] || f.partitioned[to] || f.rng.Float64() < f.lossRate)
 }
 
 // link is a host's access to the network.
-type link struct {
-	fleet       *fleet
+type hostCaller struct {
+	fleet       *testFleet
 	from        string
 	incarnation uint64
 }
 
 // Call hands a request over, unless it or its answer is lost.
-func (l *link) Call(ctx context.Context, host, method string, req, resp proto.Message) error {
+func (l *hostCaller) Call(ctx context.Context, host, method string, req, resp proto.Message) error {
 	sender := peer.Sender{Host: l.from, Incarnation: l.incarnation}
-	if l.fleet.lost(l.from, host) {
-		return errLost
+	if l.fleet.messageLost(l.from, host) {
+		return errMessageLost
 	}
 	out, err := l.fleet.service(host).dispatch(ctx, sender, req)
-	if err != nil || l.fleet.lost(host, l.from) {
-		return errors.Join(err, errLost)
+	if err != nil || l.fleet.messageLost(host, l.from) {
+		return errors.Join(err, errMessageLost)
 	}
 	proto.Merge(resp, out)
 	return ctx.Err()
@@ -164,7 +164,7 @@
 }
 
 // acquire claims a key at a host within a time.
-func (f *fleet) acquire(host string, key request.ClaimKey, id string, within time.Duration) request.ClaimDecided {
+func (f *testFleet) acquire(host string, key request.ClaimKey, id string, within time.Duration) request.ClaimDecided {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	return f.service(host).Acquire(ctx, key, id, time.Now(), [32]byte{1})
--- a/claims/run.go
+++ b/claims/run.go
@@ -14,18 +14,18 @@
 
 // run drives one claim.Claim to its end. Only the goroutine that calls ask
 // touches the claim; calls to holders report back through answers.
-type run struct {
-	service *Service
-	cfg     claim.Config
-	claim   *claim.Claim
-	answers chan answer
-	wait    <-chan time.Time
+type acquisition struct {
+	service    *Service
+	cfg        claim.Config
+	claim      *claim.Claim
+	answers    chan holderAnswer
+	retryTimer <-chan time.Time
 	// blocking is the owner that a holder named last.
-	blocking claim.Owner
+	blockingOwner claim.Owner
 }
 
 // answer is what one call to a holder brought.
-type answer struct {
+type holderAnswer struct {
 	holder string
 	round  uint32
 	reply  claim.Reply
@@ -33,66 +33,66 @@
 }
 
 // maxAnswers bounds the answers on their way: each holder answers a round once.
-const maxAnswers = 64
+const maxPendingAnswers = 64
 
-func newRun(s *Service, cfg claim.Config, seed uint64) *run {
-	return &run{
-		service: s, cfg: cfg, answers: make(chan answer, maxAnswers),
+func newAcquisition(s *Service, cfg claim.Config, seed uint64) *acquisition {
+	return &acquisition{
+		service: s, cfg: cfg, answers: make(chan holderAnswer, maxPendingAnswers),
 		claim: claim.New(cfg, rand.New(rand.NewPCG(seed, 0))),
 	}
 }
 
 // ask runs the claim until it is won, lost or refused.
-func (r *run) ask(ctx context.Context) claim.Action {
+func (r *acquisition) runToEnd(ctx context.Context) claim.Action {
 	// Answers that nobody reads any more must not block their senders.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	end := r.perform(ctx, r.claim.Start())
+	end := r.performActions(ctx, r.claim.Start())
 	for end == nil {
 		select {
 		case a := <-r.answers:
-			end = r.perform(ctx, r.take(a))
-		case <-r.wait:
-			r.wait = nil
-			end = r.perform(ctx, r.again())
+			end = r.performActions(ctx, r.handleAnswer(a))
+		case <-r.retryTimer:
+			r.retryTimer = nil
+			end = r.performActions(ctx, r.startNextRound())
 		case <-ctx.Done():
-			end = r.perform(ctx, r.claim.GiveUp(problem.DeadlineExceeded))
+			end = r.performActions(ctx, r.claim.GiveUp(problem.DeadlineExceeded))
 		}
 	}
 	return end
 }
 
-func (r *run) take(a answer) []claim.Action {
+func (r *acquisition) handleAnswer(a holderAnswer) []claim.Action {
 	now := r.service.cfg.Now()
 	if a.err != nil {
 		return r.claim.Unreachable(now, a.holder, a.round)
 	}
 	if a.reply.Verdict == claim.Taken {
-		r.blocking = a.reply.Owner
+		r.blockingOwner = a.reply.Owner
 	}
 	return r.claim.Reply(now, a.reply)
 }
 
 // again starts the next round, unless the owner that stands in the way has
 // ended: then nobody will release the key or record a result.
-func (r *run) again() []claim.Action {
-	if r.blocking.Host != "" && r.service.cfg.Gone(r.blocking.Host, r.blocking.Incarnation) {
+func (r *acquisition) startNextRound() []claim.Action {
+	if r.blockingOwner.Host != "" && r.service.cfg.OwnerUnavailable(r.blockingOwner.Host, r.blockingOwner.Incarnation) {
 		return r.claim.GiveUp(problem.OutcomeUnknown)
 	}
 	return r.claim.Timer()
 }
 
 // perform carries out actions and returns the one that ends the claim, if any.
-func (r *run) perform(ctx context.Context, actions []claim.Action) claim.Action {
+func (r *acquisition) performActions(ctx context.Context, actions []claim.Action) claim.Action {
 	var end claim.Action
 	for _, action := range actions {
 		switch a := action.(type) {
 		case claim.SendAsk:
-			go r.sendAsk(ctx, a)
+			go r.callHolder(ctx, a)
 		case claim.SendRelease:
 			go r.service.sendRelease(a)
 		case claim.Wait:
-			r.wait = clock.After(a.Until.Sub(r.service.cfg.Now()))
+			r.retryTimer = clock.After(a.Until.Sub(r.service.cfg.Now()))
 		default:
 			end = action
 		}
@@ -101,12 +101,12 @@
 }
 
 // sendAll carries out the releases among actions.
-func (r *run) sendAll(actions []claim.Action) { r.service.sendReleases(actions) }
+func (r *acquisition) sendReleases(actions []claim.Action) { r.service.sendReleases(actions) }
 
-func (r *run) sendAsk(ctx context.Context, a claim.SendAsk) {
-	callCtx, cancel := clock.WithTimeout(ctx, askTimeout)
+func (r *acquisition) callHolder(ctx context.Context, a claim.SendAsk) {
+	callCtx, cancel := clock.WithTimeout(ctx, holderCallTimeout)
 	defer cancel()
-	out := answer{holder: a.Holder, round: a.Ask.Round}
+	out := holderAnswer{holder: a.Holder, round: a.Ask.Round}
 	var resp wire.ClaimReply
 	out.err = r.service.cfg.Caller.Call(callCtx, a.Holder, methodAsk, encodeAsk(a.Ask), &resp)
 	if out.err == nil {
@@ -132,7 +132,7 @@
 	ctx, cancel := clock.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	m := &wire.ClaimRelease{Key: encodeKey(a.Release.Key), Owner: encodeOwner(a.Release.Owner), Round: a.Release.Round}
-	for wait := backoffMin; ctx.Err() == nil; wait = min(2*wait, backoffMax) {
+	for wait := retryBackoffMin; ctx.Err() == nil; wait = min(2*wait, retryBackoffMax) {
 		var resp wire.ClaimReleased
 		if s.cfg.Caller.Call(ctx, a.Holder, methodRelease, m, &resp) == nil {
 			return
@@ -148,14 +148,14 @@
 var errNotVoided = errors.New("no majority of the key's holders has voided it")
 
 // void places the mark under which a NotRun answer stays true.
-func (s *Service) void(ctx context.Context, k claim.Key, owner claim.Owner, epoch uint64, quorums []claim.Quorum) error {
+func (s *Service) voidKey(ctx context.Context, k claim.Key, owner claim.Owner, epoch uint64, quorums []claim.Quorum) error {
 	m := &wire.ClaimVoid{
 		Key: encodeKey(k), Owner: encodeOwner(owner), Epoch: epoch,
 		UntilUnixUs: encodeTime(s.cfg.Now().Add(s.policy.MaxClockSkew)),
 	}
-	ctx, cancel := clock.WithTimeout(ctx, askTimeout)
+	ctx, cancel := clock.WithTimeout(ctx, holderCallTimeout)
 	defer cancel()
-	ok := s.majority(ctx, quorums, func(holder string) bool {
+	ok := s.callMajority(ctx, quorums, func(holder string) bool {
 		var resp wire.ClaimReply
 		err := s.cfg.Caller.Call(ctx, holder, methodVoid, m, &resp)
 		return err == nil && claim.Verdict(resp.Verdict) == claim.Voided
@@ -168,7 +168,7 @@
 
 // majority calls every holder at once and returns as soon as a majority of each
 // quorum has said yes, or false once that is out of reach.
-func (s *Service) majority(ctx context.Context, quorums []claim.Quorum, call func(holder string) bool) bool {
+func (s *Service) callMajority(ctx context.Context, quorums []claim.Quorum, call func(holder string) bool) bool {
 	tally := claim.NewTally(quorums)
 	holders := tally.Holders()
 	type vote struct {
@@ -194,8 +194,8 @@
 }
 
 // store records a result at the holders.
-func (s *Service) store(ctx context.Context, o *ownedClaim, record claim.Record) error {
-	replies := make(chan claim.Reply, maxAnswers)
+func (s *Service) storeResult(ctx context.Context, o *ownedClaim, record claim.Record) error {
+	replies := make(chan claim.Reply, maxPendingAnswers)
 	pending := 0
 	for _, action := range o.claim.Store(record) {
 		a, ok := action.(claim.SendStore)
@@ -225,7 +225,7 @@
 	m := &wire.ClaimStore{
 		Key: encodeKey(a.Store.Key), Owner: encodeOwner(a.Store.Owner), Record: encodeRecord(&a.Store.Record),
 	}
-	for wait := backoffMin; ctx.Err() == nil; wait = min(2*wait, backoffMax) {
+	for wait := retryBackoffMin; ctx.Err() == nil; wait = min(2*wait, retryBackoffMax) {
 		var resp wire.ClaimReply
 		if s.cfg.Caller.Call(ctx, a.Holder, methodStore, m, &resp) == nil {
 			if r, err := decodeReply(a.Holder, &resp); err == nil {
--- a/claims/serve.go
+++ b/claims/serve.go
@@ -19,7 +19,7 @@
 )
 
 // errNoBundle answers while this host has no bundle yet.
-var errNoBundle = errors.New("no host list is in force yet")
+var errNoHostList = errors.New("no host list is in force yet")
 
 func (s *Service) register(mux *peer.Mux) {
 	peer.Handle(mux, methodAsk, s.serveAsk)
@@ -31,14 +31,14 @@
 
 // withHolder runs f on the holder of a key. The host lists cannot change
 // meanwhile.
-func (s *Service) withHolder(key claim.Key, f func(*claim.Holder, claim.Env) claim.Reply) (*wire.ClaimReply, error) {
+func (s *Service) withKeyHolder(key claim.Key, f func(*claim.Holder, claim.Env) claim.Reply) (*wire.ClaimReply, error) {
 	s.viewsMu.RLock()
 	defer s.viewsMu.RUnlock()
 	if s.views == nil {
-		return nil, errNoBundle
+		return nil, errNoHostList
 	}
 	env := claim.Env{
-		Now: s.cfg.Now(), Epoch: s.views.Epoch(), Ready: s.views.Serves() && s.cfg.Trusted(),
+		Now: s.cfg.Now(), Epoch: s.views.Epoch(), Ready: s.views.Serves() && s.cfg.ClockAndViewsTrusted(),
 	}
 	shard := &s.holders[key.Hash()%holderShards]
 	shard.mu.Lock()
@@ -47,7 +47,7 @@
 }
 
 // sentBy says whether a message comes from the process that it speaks for.
-func sentBy(from peer.Sender, o claim.Owner) bool {
+func sentByOwner(from peer.Sender, o claim.Owner) bool {
 	return o.Host == from.Host && o.Incarnation == from.Incarnation
 }
 
@@ -56,10 +56,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if !sentBy(from, ask.Owner) {
+	if !sentByOwner(from, ask.Owner) {
 		return nil, errMalformed
 	}
-	return s.withHolder(ask.Key, func(h *claim.Holder, env claim.Env) claim.Reply {
+	return s.withKeyHolder(ask.Key, func(h *claim.Holder, env claim.Env) claim.Reply {
 		return h.Ask(env, ask)
 	})
 }
@@ -70,10 +70,10 @@
 		return nil, err
 	}
 	release := claim.Release{Key: key, Owner: decodeOwner(m.Owner), Round: m.Round}
-	if !sentBy(from, release.Owner) {
+	if !sentByOwner(from, release.Owner) {
 		return nil, errMalformed
 	}
-	_, err = s.withHolder(key, func(h *claim.Holder, env claim.Env) claim.Reply {
+	_, err = s.withKeyHolder(key, func(h *claim.Holder, env claim.Env) claim.Reply {
 		h.Release(env, release)
 		return claim.Reply{}
 	})
@@ -86,10 +86,10 @@
 		return nil, err
 	}
 	void := claim.Void{Key: key, Owner: decodeOwner(m.Owner), Epoch: m.Epoch, Until: decodeTime(m.UntilUnixUs)}
-	if !sentBy(from, void.Owner) {
+	if !sentByOwner(from, void.Owner) {
 		return nil, errMalformed
 	}
-	return s.withHolder(key, func(h *claim.Holder, env claim.Env) claim.Reply {
+	return s.withKeyHolder(key, func(h *claim.Holder, env claim.Env) claim.Reply {
 		return h.Void(env, void)
 	})
 }
@@ -104,10 +104,10 @@
 		return nil, errMalformed
 	}
 	store := claim.Store{Key: key, Owner: decodeOwner(m.Owner), Record: *record}
-	if !sentBy(from, store.Owner) {
+	if !sentByOwner(from, store.Owner) {
 		return nil, errMalformed
 	}
-	return s.withHolder(key, func(h *claim.Holder, env claim.Env) claim.Reply {
+	return s.withKeyHolder(key, func(h *claim.Holder, env claim.Env) claim.Reply {
 		return h.Store(env, store)
 	})
 }
--- a/claims/service.go
+++ b/claims/service.go
@@ -42,12 +42,12 @@
 	Now     func() time.Time
 	// Trusted says whether this host's clock agrees with its peers' and its
 	// views are renewed since the last pause.
-	Trusted func() bool
+	ClockAndViewsTrusted func() bool
 	// Gone says whether a process of a host has ended or does not answer. Then
 	// requests no longer wait for what it has claimed.
-	Gone func(host string, incarnation uint64) bool
-	Log  *zap.Logger
-	Seed uint64
+	OwnerUnavailable func(host string, incarnation uint64) bool
+	Log              *zap.Logger
+	Seed             uint64
 }
 
 // Service holds keys for the fleet and claims keys for this host.
@@ -55,11 +55,11 @@
 	cfg Config
 
 	// viewsMu guards views; grants hold it for reading.
-	viewsMu sync.RWMutex
-	views   *claim.Views
-	policy  claim.Policy
-	current claim.Lineage
-	refused atomic.Pointer[string]
+	viewsMu       sync.RWMutex
+	views         *claim.Views
+	policy        claim.Policy
+	lineage       claim.Lineage
+	refusalReason atomic.Pointer[string]
 
 	holders [holderShards]holderShard
 
@@ -93,15 +93,15 @@
 func (s *Service) Apply(b *bundle.Bundle) {
 	lineage, err := claim.FromBundle(b)
 	if err == nil {
-		err = s.adopt(lineage, policyOf(b))
+		err = s.adoptHostLists(lineage, policyOf(b))
 	}
 	if err != nil {
 		text := fmt.Sprintf("bundle %d: %v", b.Version, err)
-		s.refused.Store(&text)
+		s.refusalReason.Store(&text)
 		s.cfg.Log.Error("host lists refused", zap.Uint64("version", b.Version), zap.Error(err))
 		return
 	}
-	s.refused.Store(nil)
+	s.refusalReason.Store(nil)
 }
 
 func policyOf(b *bundle.Bundle) claim.Policy {
@@ -112,7 +112,7 @@
 	}
 }
 
-func (s *Service) adopt(l claim.Lineage, p claim.Policy) error {
+func (s *Service) adoptHostLists(l claim.Lineage, p claim.Policy) error {
 	s.viewsMu.Lock()
 	defer s.viewsMu.Unlock()
 	if s.views != nil {
@@ -122,10 +122,10 @@
 		if err := s.views.Adopt(s.cfg.Now(), l); err != nil {
 			return err
 		}
-		s.current = l
+		s.lineage = l
 		return nil
 	}
-	s.policy, s.current = p, l
+	s.policy, s.lineage = p, l
 	s.views = claim.NewViews(s.cfg.Host, s.cfg.Incarnation, s.cfg.Now(), l, p)
 	for i := range s.holders {
 		s.holders[i].holder = claim.NewHolder(s.cfg.Host, s.cfg.Incarnation, s.cfg.Started, p)
@@ -137,13 +137,13 @@
 func (s *Service) Ready() bool {
 	s.viewsMu.RLock()
 	defer s.viewsMu.RUnlock()
-	return s.views != nil && s.views.Ready() && s.cfg.Trusted()
+	return s.views != nil && s.views.Ready() && s.cfg.ClockAndViewsTrusted()
 }
 
 // Settled reports whether this host may claim and grants every fresh key: keys
 // made up to shortly after its start may have been granted by the process
 // before, so that it abstains from them.
-func (s *Service) Settled() bool {
+func (s *Service) FullyReady() bool {
 	if !s.Ready() {
 		return false
 	}
@@ -153,22 +153,22 @@
 }
 
 // Place names the hosts that hold a key of a customer, in order of preference.
-func (s *Service) Place(customer, id string) []string {
+func (s *Service) HolderHosts(customer, id string) []string {
 	key, err := claim.ParseKey(customer, id)
 	if err != nil {
 		return nil
 	}
 	s.viewsMu.RLock()
 	defer s.viewsMu.RUnlock()
-	return claim.Group(s.current.Current.Hosts, key, s.policy.GroupSize)
+	return claim.Group(s.lineage.Current.Hosts, key, s.policy.GroupSize)
 }
 
 // Dump is the state of claims for operators.
 type Dump struct {
-	Ready   bool   `json:"ready"`
-	Epoch   uint64 `json:"epoch"`
-	Synced  bool   `json:"synced"`
-	Trusted bool   `json:"clock_and_views_trusted"`
+	Ready                bool   `json:"ready"`
+	Epoch                uint64 `json:"epoch"`
+	Synced               bool   `json:"synced"`
+	ClockAndViewsTrusted bool   `json:"clock_and_views_trusted"`
 	// Refused is why the newest bundle's host lists are not in force.
 	Refused string `json:"refused,omitempty"`
 	// Earlier are the epochs of earlier host lists in the bundle.
@@ -180,8 +180,8 @@
 
 // Dump returns the state for operators.
 func (s *Service) Dump() Dump {
-	d := Dump{Ready: s.Ready(), Trusted: s.cfg.Trusted()}
-	if text := s.refused.Load(); text != nil {
+	d := Dump{Ready: s.Ready(), ClockAndViewsTrusted: s.cfg.ClockAndViewsTrusted()}
+	if text := s.refusalReason.Load(); text != nil {
 		d.Refused = *text
 	}
 	s.viewsMu.RLock()
@@ -190,7 +190,7 @@
 		return d
 	}
 	d.Epoch, d.Synced = s.views.Epoch(), s.views.Status().Synced
-	for _, v := range s.current.Earlier {
+	for _, v := range s.lineage.Earlier {
 		d.Earlier = append(d.Earlier, v.Epoch)
 	}
 	for i := range s.holders {
--- a/claims/service_test.go
+++ b/claims/service_test.go
@@ -17,8 +17,8 @@
 var _ = Describe("Service", func() {
 	const within = 2 * time.Second
 	ctx := context.Background()
-	var f *fleet
-	BeforeEach(func() { f = newFleet("a", "b", "c") })
+	var f *testFleet
+	BeforeEach(func() { f = newTestFleet("a", "b", "c") })
 
 	It("gives a retry at another host the result, and another request none", func() {
 		key := newKey()
@@ -39,8 +39,8 @@
 	It("does not hand a key on whose owner has ended", func() {
 		key := newKey()
 		Expect(f.acquire("a", key, "r1", within).Won).To(BeTrue())
-		f.boot("a")
-		f.settle("a")
+		f.startHost("a")
+		f.waitFullyReady("a")
 		d := f.acquire("b", key, "r2", within)
 		Expect(d.Won).To(BeFalse())
 		Expect(d.Err.Kind).To(Equal(problem.OutcomeUnknown))
@@ -60,7 +60,7 @@
 
 	It("refuses at once without a majority, and does not say not_run", func() {
 		key := newKey()
-		f.setCut(true, "b", "c")
+		f.setPartitioned(true, "b", "c")
 		d := f.acquire("a", key, "r1", within)
 		Expect(d.Err.Kind).To(Equal(problem.NoMajority))
 		Expect(d.Err.Execution).To(Equal(problem.MayHaveRun))
@@ -79,7 +79,7 @@
 		hosts := []string{"a", "b", "c"}
 		won := 0
 		for wave := range waves {
-			f.setLoss(0.1)
+			f.setLossRate(0.1)
 			var wins [keys]atomic.Int32
 			var group sync.WaitGroup
 			for k := range keys {
@@ -96,15 +96,15 @@
 			}
 			group.Go(func() {
 				time.Sleep(45 * time.Millisecond)
-				f.boot(hosts[wave])
+				f.startHost(hosts[wave])
 			})
 			group.Wait()
 			for k := range wins {
 				Expect(wins[k].Load()).To(BeNumerically("<=", 1))
 				won += int(wins[k].Load())
 			}
-			f.setLoss(0)
-			f.settle(hosts...)
+			f.setLossRate(0)
+			f.waitFullyReady(hosts...)
 		}
 		Expect(won).To(BeNumerically(">", waves*keys/2))
 	})
--- a/claims/status.go
+++ b/claims/status.go
@@ -19,63 +19,63 @@
 
 const (
 	// syncEvery is how often a host that has not caught up asks all others.
-	syncEvery = 250 * time.Millisecond
+	syncInterval = 250 * time.Millisecond
 	// compareEvery is how often a host that has caught up compares what it
 	// knows with one other.
-	compareEvery = time.Second
+	compareInterval = time.Second
 	// statusTimeout bounds one exchange.
 	statusTimeout = time.Second
 	// maxExchanges bounds the exchanges at the same time.
-	maxExchanges = 16
+	maxConcurrentExchanges = 16
 )
 
 // Run keeps the knowledge of host lists in step with the other hosts' until
 // ctx ends.
 func (s *Service) Run(ctx context.Context) {
-	timer := clock.NewTimer(syncEvery)
+	timer := clock.NewTimer(syncInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-			timer.Reset(s.keepInStep(ctx))
+			timer.Reset(s.syncStatus(ctx))
 		}
 	}
 }
 
 // keepInStep exchanges statuses once and returns when to do so again.
-func (s *Service) keepInStep(ctx context.Context) time.Duration {
-	hosts, synced := s.others()
+func (s *Service) syncStatus(ctx context.Context) time.Duration {
+	hosts, synced := s.peerHosts()
 	if synced {
 		if len(hosts) > 0 {
 			s.mu.Lock()
 			host := hosts[s.rng.IntN(len(hosts))]
 			s.mu.Unlock()
-			s.exchange(ctx, host, false)
+			s.exchangeStatus(ctx, host, false)
 		}
-		return compareEvery
+		return compareInterval
 	}
 	var group errgroup.Group
-	group.SetLimit(maxExchanges)
+	group.SetLimit(maxConcurrentExchanges)
 	for _, h := range hosts {
 		group.Go(func() error {
-			s.exchange(ctx, h, true)
+			s.exchangeStatus(ctx, h, true)
 			return nil
 		})
 	}
 	_ = group.Wait()
-	return syncEvery
+	return syncInterval
 }
 
 // others returns the other hosts of the list in force and of the earlier ones.
-func (s *Service) others() (hosts []string, synced bool) {
+func (s *Service) peerHosts() (hosts []string, synced bool) {
 	s.viewsMu.RLock()
 	defer s.viewsMu.RUnlock()
 	if s.views == nil {
 		return nil, false
 	}
-	for _, v := range append([]claim.View{s.current.Current}, s.current.Earlier...) {
+	for _, v := range append([]claim.View{s.lineage.Current}, s.lineage.Earlier...) {
 		for _, h := range v.Hosts {
 			if h.Name != s.cfg.Host && !slices.Contains(hosts, h.Name) {
 				hosts = append(hosts, h.Name)
@@ -87,10 +87,10 @@
 
 // exchange tells a host what this one knows and takes what it knows. Complete
 // statuses travel only when the two differ, or when this host must catch up.
-func (s *Service) exchange(ctx context.Context, host string, complete bool) {
+func (s *Service) exchangeStatus(ctx context.Context, host string, complete bool) {
 	ctx, cancel := clock.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	mine, ok := s.status(complete)
+	mine, ok := s.ownStatus(complete)
 	if !ok {
 		return
 	}
@@ -99,14 +99,14 @@
 		return
 	}
 	if theirs.Complete {
-		s.hear(host, &theirs)
+		s.mergeStatus(host, &theirs)
 	}
 	if !mine.Complete && theirs.Fingerprint != mine.Fingerprint {
-		s.exchange(ctx, host, true)
+		s.exchangeStatus(ctx, host, true)
 	}
 }
 
-func (s *Service) status(complete bool) (*wire.ClaimStatus, bool) {
+func (s *Service) ownStatus(complete bool) (*wire.ClaimStatus, bool) {
 	s.viewsMu.RLock()
 	defer s.viewsMu.RUnlock()
 	if s.views == nil {
@@ -115,7 +115,7 @@
 	return encodeStatus(s.views.Status(), complete), true
 }
 
-func (s *Service) hear(host string, m *wire.ClaimStatus) {
+func (s *Service) mergeStatus(host string, m *wire.ClaimStatus) {
 	s.viewsMu.Lock()
 	defer s.viewsMu.Unlock()
 	if s.views != nil {
@@ -125,11 +125,11 @@
 
 func (s *Service) serveStatus(_ context.Context, from peer.Sender, m *wire.ClaimStatus) (*wire.ClaimStatus, error) {
 	if m.Complete {
-		s.hear(from.Host, m)
+		s.mergeStatus(from.Host, m)
 	}
-	mine, ok := s.status(m.Complete)
+	mine, ok := s.ownStatus(m.Complete)
 	if !ok {
-		return nil, errNoBundle
+		return nil, errNoHostList
 	}
 	return mine, nil
 }
--- a/daemon/admission.go
+++ b/daemon/admission.go
@@ -13,14 +13,14 @@
 	d.admitter = admit.New(admit.Config{})
 	d.shares = shares.New(shares.Config{
 		Host: d.settings.Host, Incarnation: d.incarnation, Admitter: d.admitter,
-		Live: d.liveHosts, Mux: d.peerMux, Seed: xxhash.Sum64String(d.settings.Host),
+		LiveHosts: d.liveHostNames, Mux: d.peerMux, Seed: xxhash.Sum64String(d.settings.Host),
 	})
-	d.appliers = append(d.appliers, d.admitter, d.shares)
-	d.sections.Register("shares", func() any { return d.shares.States() })
+	d.bundleAppliers = append(d.bundleAppliers, d.admitter, d.shares)
+	d.dumpSections.Register("shares", func() any { return d.shares.ResourceShares() })
 }
 
 // liveHosts names the entry hosts believed to be alive, this one included.
-func (d *Daemon) liveHosts() []string {
+func (d *Daemon) liveHostNames() []string {
 	out := []string{d.settings.Host}
 	for _, m := range d.cluster.Members() {
 		if m.Living() && m.Host.Name != d.settings.Host {
--- a/daemon/call.go
+++ b/daemon/call.go
@@ -14,10 +14,10 @@
 )
 
 // call runs one attempt and reports its end.
-func (d *Daemon) call(ctx context.Context, s *session, c request.Call) {
+func (d *Daemon) runCall(ctx context.Context, s *session, c request.Call) {
 	defer s.cancel(c.Attempt)
-	if !d.mayCall(s, c) {
-		d.deliver(s, condemnedCall(c))
+	if !d.callAllowed(s, c) {
+		d.deliver(s, quarantinedCall(c))
 		return
 	}
 	if c.Stage.Kind == bundle.StageGenerate {
@@ -28,7 +28,7 @@
 }
 
 // pathOf is the URL path of a stage at a plain service.
-func pathOf(stage bundle.Stage) string {
+func servicePath(stage bundle.Stage) string {
 	if stage.Path != "" {
 		return stage.Path
 	}
@@ -38,21 +38,21 @@
 func (d *Daemon) callService(ctx context.Context, s *session, c request.Call) request.CallEnded {
 	client := s.clients.services[c.Stage.Pool]
 	if client == nil {
-		return unserved(c)
+		return callWithoutClient(c)
 	}
-	began := startCall()
+	start := startCall()
 	output, err := client.Do(ctx, service.Call{
-		Address: c.Choice.Address, Path: pathOf(c.Stage), RequestID: s.id, Attempt: c.Attempt,
+		Address: c.Choice.Address, Path: servicePath(c.Stage), RequestID: s.id, Attempt: c.Attempt,
 		Customer: s.sub.Customer.Name, Stage: c.Stage.Name, Key: c.Key, Input: c.Input, NotAfter: c.NotAfter,
 	})
-	d.noteCall(s, c, began, err)
+	d.reportCall(s, c, start, err)
 	ended := callEnded(ctx, c.Attempt, err)
-	ended.Output, ended.FirstByte = output, d.Now().Sub(began.at)
+	ended.Output, ended.FirstByte = output, d.Now().Sub(start.at)
 	return ended
 }
 
 // unserved ends a call that cannot be sent at all.
-func unserved(c request.Call) request.CallEnded {
+func callWithoutClient(c request.Call) request.CallEnded {
 	return request.CallEnded{
 		Attempt: c.Attempt, Result: request.CallFailed, NotExecuted: true, Rejected: true,
 		Detail: errNoClient.Error(),
@@ -62,20 +62,20 @@
 func (d *Daemon) generate(ctx context.Context, s *session, c request.Call) request.CallEnded {
 	client := s.clients.engines[c.Stage.Pool]
 	if client == nil {
-		return unserved(c)
+		return callWithoutClient(c)
 	}
-	began := startCall()
+	start := startCall()
 	var first time.Duration
-	out, err := client.Generate(ctx, d.generation(s, c), func(text string) {
+	out, err := client.Generate(ctx, d.newGeneration(s, c), func(text string) {
 		if first == 0 {
-			first = d.Now().Sub(began.at)
+			first = d.Now().Sub(start.at)
 			d.deliver(s, request.FirstToken{Attempt: c.Attempt})
 		}
-		if s.forward.Load() == int64(c.Attempt) {
-			s.pass(ctx, outputPart{text: text})
+		if s.forwardedAttempt.Load() == int64(c.Attempt) {
+			s.sendOutput(ctx, outputPart{text: text})
 		}
 	})
-	d.noteCall(s, c, began, err)
+	d.reportCall(s, c, start, err)
 	ended := callEnded(ctx, c.Attempt, err)
 	ended.FirstByte, ended.Tokens = first, out.Tokens
 	if err == nil {
@@ -94,7 +94,7 @@
 	return raw
 }
 
-func (d *Daemon) generation(s *session, c request.Call) engine.Generation {
+func (d *Daemon) newGeneration(s *session, c request.Call) engine.Generation {
 	var messages []engine.Message
 	if s.sub.Prefix != "" {
 		messages = append(messages, engine.Message{Role: "system", Content: s.sub.Prefix})
@@ -102,7 +102,7 @@
 	messages = append(messages, engine.Message{Role: "user", Content: textOf(c.Input)})
 	pool := s.clients.pools[c.Stage.Pool]
 	return engine.Generation{
-		Address: c.Choice.Address, Model: pool.Model, Priority: priorityOf(pool, c.StartBy),
+		Address: c.Choice.Address, Model: pool.Model, Priority: enginePriority(pool, c.StartBy),
 		RequestID: s.id, Attempt: c.Attempt, Customer: s.sub.Customer.Name,
 		Messages: messages, MaxTokens: c.Stage.MaxTokens, NotAfter: c.NotAfter,
 	}
@@ -113,7 +113,7 @@
 // milliseconds, so that calls of all daemons compare whenever they were sent;
 // clocks that differ shift a call by as much. Engines that do not honour
 // priorities get 0, which is left out.
-func priorityOf(p bundle.Pool, startBy time.Time) int {
+func enginePriority(p bundle.Pool, startBy time.Time) int {
 	if !p.Supports.Priority {
 		return 0
 	}
@@ -141,18 +141,18 @@
 
 const (
 	// lookUpTimeout bounds one question to one upstream.
-	lookUpTimeout = 500 * time.Millisecond
+	statusQueryTimeout = 500 * time.Millisecond
 	// lookUpEvery is how often upstreams are asked while the call still runs.
-	lookUpEvery = 50 * time.Millisecond
+	statusQueryInterval = 50 * time.Millisecond
 )
 
 // lookUp asks all upstreams of a pool until one has the result, none knows of
 // the call, or the request's deadline comes.
-func (d *Daemon) lookUp(s *session, a request.LookUp) {
+func (d *Daemon) pollCallStatus(s *session, a request.LookUp) {
 	ctx, cancel := clock.WithDeadline(context.Background(), s.sub.Deadline)
 	defer cancel()
 	for {
-		status := d.askStatus(ctx, s, a)
+		status := d.queryStatus(ctx, s, a)
 		if status.State != service.StatusRunning {
 			d.deliver(s, request.StatusAnswered{Known: status.State == service.StatusDone, Output: status.Result})
 			return
@@ -161,15 +161,15 @@
 		case <-ctx.Done():
 			d.deliver(s, request.StatusAnswered{})
 			return
-		case <-clock.After(lookUpEvery):
+		case <-clock.After(statusQueryInterval):
 		}
 	}
 }
 
 // askStatus asks every upstream of the pool once. One that has the result wins
 // over one that runs the call, and that over those that know nothing.
-func (d *Daemon) askStatus(ctx context.Context, s *session, a request.LookUp) service.Status {
-	ctx, cancel := clock.WithTimeout(ctx, lookUpTimeout)
+func (d *Daemon) queryStatus(ctx context.Context, s *session, a request.LookUp) service.Status {
+	ctx, cancel := clock.WithTimeout(ctx, statusQueryTimeout)
 	defer cancel()
 	upstreams := s.clients.pools[a.Pool].Upstreams
 	answers := make(chan service.Status, len(upstreams))
--- a/daemon/call_test.go
+++ b/daemon/call_test.go
@@ -14,10 +14,10 @@
 
 	It("is higher for a generation that must start sooner", func() {
 		p := bundle.Pool{Supports: bundle.Supports{Priority: true}}
-		Expect(priorityOf(p, soon)).To(BeNumerically(">", priorityOf(p, soon.Add(time.Millisecond))))
+		Expect(enginePriority(p, soon)).To(BeNumerically(">", enginePriority(p, soon.Add(time.Millisecond))))
 	})
 
 	It("is left out for engines that do not honour it", func() {
-		Expect(priorityOf(bundle.Pool{}, soon)).To(BeZero())
+		Expect(enginePriority(bundle.Pool{}, soon)).To(BeZero())
 	})
 })
--- a/daemon/claims_test.go
+++ b/daemon/claims_test.go
@@ -14,13 +14,13 @@
 	g := NewWithT(t)
 	const started = 7
 	in := func(s member.State, incarnation uint64) bool {
-		return goneOf([]member.Member{{Host: member.Host{Name: "entry-1"}, State: s, Incarnation: incarnation}}, "entry-1", started)
+		return processUnavailable([]member.Member{{Host: member.Host{Name: "entry-1"}, State: s, Incarnation: incarnation}}, "entry-1", started)
 	}
 	g.Expect(in(member.Alive, started)).To(BeFalse())
 	g.Expect(in(member.Dead, started)).To(BeTrue())
 	g.Expect(in(member.Alive, started+1)).To(BeTrue(), "another process of the host")
 	g.Expect(in(member.Leaving, started+1)).To(BeTrue(), "another process of the host")
-	g.Expect(goneOf(nil, "entry-1", started)).To(BeTrue(), "no longer a host")
+	g.Expect(processUnavailable(nil, "entry-1", started)).To(BeTrue(), "no longer a host")
 	g.Expect(in(member.Suspect, started)).To(BeTrue(), "it does not answer")
 	g.Expect(in(member.Leaving, started)).To(BeFalse(), "it sees its requests through")
 }
--- a/daemon/clients.go
+++ b/daemon/clients.go
@@ -31,11 +31,11 @@
 		c.pools[p.Name] = p
 		switch p.Kind {
 		case bundle.PoolEngine:
-			if c.engines[p.Name] = old.engine(p); c.engines[p.Name] == nil {
+			if c.engines[p.Name] = old.reusableEngine(p); c.engines[p.Name] == nil {
 				c.engines[p.Name] = engine.NewClient(p.MaxConnections, now)
 			}
 		case bundle.PoolService:
-			if c.services[p.Name] = old.service(p); c.services[p.Name] == nil {
+			if c.services[p.Name] = old.reusableService(p); c.services[p.Name] == nil {
 				c.services[p.Name] = service.NewClient(p.MaxConnections, now)
 			}
 		}
@@ -44,7 +44,7 @@
 }
 
 // engine returns the client of an engine pool that fits p, or nil.
-func (c *clients) engine(p bundle.Pool) *engine.Client {
+func (c *clients) reusableEngine(p bundle.Pool) *engine.Client {
 	if c == nil || c.pools[p.Name].MaxConnections != p.MaxConnections {
 		return nil
 	}
@@ -52,7 +52,7 @@
 }
 
 // service returns the client of a service pool that fits p, or nil.
-func (c *clients) service(p bundle.Pool) *service.Client {
+func (c *clients) reusableService(p bundle.Pool) *service.Client {
 	if c == nil || c.pools[p.Name].MaxConnections != p.MaxConnections {
 		return nil
 	}
--- a/daemon/cluster.go
+++ b/daemon/cluster.go
@@ -30,9 +30,9 @@
 	if err != nil {
 		return err
 	}
-	c.OnBundle(d.bundleInForce)
+	c.OnBundle(d.handleBundle)
 	c.OnLeaving(func(names []string) { d.router.SetLeaving(names, d.Now()) })
-	d.loads.onLeaving = c.ReportUpstream
+	d.loads.reportLeaving = c.ReportUpstream
 	d.cluster = c
 	return nil
 }
@@ -40,11 +40,11 @@
 // bundleInForce applies a bundle. One that this host cannot run under is
 // applied too, since it may end what an older one allowed; the daemon is not
 // ready under a bundle that does not name its host.
-func (d *Daemon) bundleInForce(b *bundle.Bundle) {
+func (d *Daemon) handleBundle(b *bundle.Bundle) {
 	if err := d.settings.CheckBundle(b); err != nil {
 		d.log.Error("bundle and settings disagree", zap.Uint64("version", b.Version), zap.Error(err))
 	}
 	now := d.Now()
-	d.inForceFrom.Store(&now)
+	d.bundleAppliedAt.Store(&now)
 	d.apply(b)
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -39,121 +39,121 @@
 )
 
 // tickEvery is how often waits that can no longer succeed are ended.
-const tickEvery = 10 * time.Millisecond
+const admissionTickInterval = 10 * time.Millisecond
 
 // recordBytes bounds the memory of the decision records.
-const recordBytes = 32 << 20
+const maxRecordBytes = 32 << 20
 
 // Daemon is one entry daemon.
 type Daemon struct {
-	settings *settings.Settings
-	log      *zap.Logger
-	bundle   atomic.Pointer[bundle.Bundle]
-	upstream atomic.Pointer[clients]
-	draining atomic.Bool
-	serving  atomic.Int64 // requests of callers
+	settings             *settings.Settings
+	log                  *zap.Logger
+	bundle               atomic.Pointer[bundle.Bundle]
+	upstreamClients      atomic.Pointer[clients]
+	draining             atomic.Bool
+	activeCallerRequests atomic.Int64 // requests of callers
 
-	table         *request.Table
-	sessions      sessions
-	deps          request.Deps
-	router        *route.Router
-	loads         *loadView
-	admitter      *admit.Controller
-	shares        *shares.Service
-	budgets       retry.Budgets
-	health        *breaker.Set
-	records       *record.Store
-	kept          *results.Service
-	keptStore     *results.Store
-	claims        *claims.Service
-	claimsSettled atomic.Bool
+	table           *request.Table
+	sessions        sessionTable
+	decisionDeps    request.Deps
+	router          *route.Router
+	loads           *loadView
+	admitter        *admit.Controller
+	shares          *shares.Service
+	budgets         retry.Budgets
+	health          *breaker.Set
+	records         *record.Store
+	keptResults     *results.Service
+	keptResultStore *results.Store
+	claims          *claims.Service
+	claimsReady     atomic.Bool
 
-	incarnation uint64 // start of the process in Unix milliseconds
-	cluster     *cluster.Cluster
-	quarantine  *quarantine.Service
-	inForceFrom atomic.Pointer[time.Time]
-	metrics     *metrics.Set
-	peerMux     *peer.Mux
-	peers       *peer.Transport
-	sections    *operator.Sections
-	operators   *operator.Server
+	incarnation     uint64 // start of the process in Unix milliseconds
+	cluster         *cluster.Cluster
+	quarantine      *quarantine.Service
+	bundleAppliedAt atomic.Pointer[time.Time]
+	metrics         *metrics.Set
+	peerMux         *peer.Mux
+	peerTransport   *peer.Transport
+	dumpSections    *operator.Sections
+	operatorServer  *operator.Server
 	// leave starts the way out; Run sets it.
-	leave context.CancelFunc
+	startDrain context.CancelFunc
 	// appliers get every bundle that comes into force.
-	appliers []applier
+	bundleAppliers []bundleApplier
 }
 
 // applier takes a new bundle. Apply is called by one goroutine at a time.
-type applier interface{ Apply(b *bundle.Bundle) }
+type bundleApplier interface{ Apply(b *bundle.Bundle) }
 
 // New returns a daemon that has not started.
 func New(s *settings.Settings, log *zap.Logger) (*Daemon, error) {
 	d := &Daemon{
-		settings: s, log: log, table: request.NewTable(), records: record.NewStore(recordBytes),
-		metrics: metrics.NewSet(), peerMux: peer.NewMux(), sections: operator.NewSections(),
+		settings: s, log: log, table: request.NewTable(), records: record.NewStore(maxRecordBytes),
+		metrics: metrics.NewSet(), peerMux: peer.NewMux(), dumpSections: operator.NewSections(),
 	}
 	d.incarnation = uint64(d.Now().UnixMilli())
 	d.sessions.init()
-	d.addDecisionParts()
+	d.addDecisionComponents()
 	if err := d.addCluster(); err != nil {
 		return nil, err
 	}
 	d.addQuarantine()
 	d.addClaims()
-	d.addKept()
+	d.addKeptResults()
 	return d, nil
 }
 
 // Run serves until ctx ends, then drains: requests in flight are finished, at
 // the longest for the drain bound of the settings or until cut ends.
-func (d *Daemon) Run(ctx, cut context.Context) error {
-	ctx, d.leave = context.WithCancel(ctx)
-	defer d.leave()
-	listener, err := d.open()
+func (d *Daemon) Run(ctx, abort context.Context) error {
+	ctx, d.startDrain = context.WithCancel(ctx)
+	defer d.startDrain()
+	listener, err := d.openListeners()
 	if err != nil {
 		return err
 	}
-	server := d.callerServer(caller.NewServer(caller.Config{Backend: d, MaxBodyBytes: d.settings.Limits.MaxBodyBytes}))
+	server := d.newCallerServer(caller.NewServer(caller.Config{Backend: d, MaxBodyBytes: d.settings.Limits.MaxBodyBytes}))
 	d.log.Info("listening", zap.String("callers", listener.Addr().String()),
-		zap.String("peers", d.peers.Addr()), zap.String("operators", d.operators.Addr()))
-	running, stop := context.WithCancel(context.Background())
-	defer stop()
+		zap.String("peers", d.peerTransport.Addr()), zap.String("operators", d.operatorServer.Addr()))
+	backgroundCtx, stopBackground := context.WithCancel(context.Background())
+	defer stopBackground()
 	var group errgroup.Group
 	group.Go(func() error { return ignoreClosed(server.Serve(listener)) })
-	group.Go(d.operators.Serve)
-	group.Go(func() error { return d.cluster.Run(running, d.peers) })
-	group.Go(func() error { d.shares.Run(running, d.peers); return nil })
-	group.Go(func() error { d.tick(running); return nil })
-	group.Go(func() error { clock.Watch(running); return nil })
-	group.Go(func() error { d.quarantine.Run(running); return nil })
-	group.Go(func() error { d.claims.Run(running); return nil })
-	group.Go(func() error { d.expireKept(running); return nil })
-	group.Go(func() error { d.loads.Run(running); return nil })
-	group.Go(func() error { d.exchangeLoads(running); return nil })
+	group.Go(d.operatorServer.Serve)
+	group.Go(func() error { return d.cluster.Run(backgroundCtx, d.peerTransport) })
+	group.Go(func() error { d.shares.Run(backgroundCtx, d.peerTransport); return nil })
+	group.Go(func() error { d.tickAdmission(backgroundCtx); return nil })
+	group.Go(func() error { clock.Watch(backgroundCtx); return nil })
+	group.Go(func() error { d.quarantine.Run(backgroundCtx); return nil })
+	group.Go(func() error { d.claims.Run(backgroundCtx); return nil })
+	group.Go(func() error { d.expireKeptResults(backgroundCtx); return nil })
+	group.Go(func() error { d.loads.Run(backgroundCtx); return nil })
+	group.Go(func() error { d.exchangeLoads(backgroundCtx); return nil })
 	<-ctx.Done()
-	d.drain(cut)
-	shutdown, cancel := clock.WithTimeout(context.Background(), time.Second)
+	d.drain(abort)
+	shutdownCtx, cancel := clock.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if err := server.Shutdown(shutdown); err != nil {
+	if err := server.Shutdown(shutdownCtx); err != nil {
 		_ = server.Close()
 	}
-	stop()
-	d.closeListeners(shutdown)
+	stopBackground()
+	d.closeListeners(shutdownCtx)
 	return group.Wait()
 }
 
 // open opens the three listeners, all or none.
-func (d *Daemon) open() (net.Listener, error) {
+func (d *Daemon) openListeners() (net.Listener, error) {
 	if err := d.openPeers(); err != nil {
 		return nil, err
 	}
 	if err := d.openOperators(); err != nil {
-		return nil, errors.Join(err, d.peers.Close())
+		return nil, errors.Join(err, d.peerTransport.Close())
 	}
 	listener, err := net.Listen("tcp", d.settings.Listen.Callers)
 	if err != nil {
 		err = fmt.Errorf("listen for callers: %w", err)
-		return nil, errors.Join(err, d.operators.Shutdown(context.Background()), d.peers.Close())
+		return nil, errors.Join(err, d.operatorServer.Shutdown(context.Background()), d.peerTransport.Close())
 	}
 	return listener, nil
 }
@@ -161,10 +161,10 @@
 // closeListeners ends the sessions with fellow daemons, then the operators'
 // listener, so that a waiting operator sees the end.
 func (d *Daemon) closeListeners(ctx context.Context) {
-	if err := d.peers.Shutdown(ctx); err != nil {
+	if err := d.peerTransport.Shutdown(ctx); err != nil {
 		d.log.Warn("peers cut", zap.Error(err))
 	}
-	if err := d.operators.Shutdown(ctx); err != nil {
+	if err := d.operatorServer.Shutdown(ctx); err != nil {
 		d.log.Warn("operators cut", zap.Error(err))
 	}
 }
@@ -177,10 +177,10 @@
 }
 
 // callerServer has the requests of callers served by a handler, and counts them.
-func (d *Daemon) callerServer(handler http.Handler) *http.Server {
+func (d *Daemon) newCallerServer(handler http.Handler) *http.Server {
 	limits := d.settings.Limits
 	return &http.Server{
-		Handler:           d.counted(handler),
+		Handler:           d.countActive(handler),
 		MaxHeaderBytes:    limits.MaxHeaderBytes,
 		ReadHeaderTimeout: limits.ReadHeaderTimeout,
 		ReadTimeout:       limits.ReadTimeout,
@@ -190,29 +190,29 @@
 
 // counted counts the requests that a handler serves, from their head to the last byte
 // of their answer.
-func (d *Daemon) counted(handler http.Handler) http.Handler {
+func (d *Daemon) countActive(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.serving.Add(1)
-		defer d.serving.Add(-1)
+		d.activeCallerRequests.Add(1)
+		defer d.activeCallerRequests.Add(-1)
 		handler.ServeHTTP(w, r)
 	})
 }
 
 // drainPoll is how often a draining daemon looks whether it is done.
-const drainPoll = 10 * time.Millisecond
+const drainPollInterval = 10 * time.Millisecond
 
-func (d *Daemon) drain(cut context.Context) {
+func (d *Daemon) drain(abort context.Context) {
 	d.draining.Store(true)
 	d.cluster.Leave()
 	d.log.Info("draining", zap.Int("in_flight", d.table.Len()))
-	bound, cancel := clock.WithTimeout(cut, d.settings.Drain.Bound)
+	drainCtx, cancel := clock.WithTimeout(abort, d.settings.Drain.Bound)
 	defer cancel()
-	poll := time.NewTicker(drainPoll)
+	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
 	for !d.idle() {
 		select {
-		case <-bound.Done():
-			d.logCut()
+		case <-drainCtx.Done():
+			d.logAborted()
 			return
 		case <-poll.C:
 		}
@@ -222,30 +222,30 @@
 
 // idle says whether no request of a caller is in flight: none is being served, and no
 // call outlives the answer of one that was.
-func (d *Daemon) idle() bool { return d.serving.Load() == 0 && d.table.Len() == 0 }
+func (d *Daemon) idle() bool { return d.activeCallerRequests.Load() == 0 && d.table.Len() == 0 }
 
 // maxCutLogged bounds the requests named in the log when a drain is cut.
-const maxCutLogged = 100
+const maxAbortedLogged = 100
 
-func (d *Daemon) logCut() {
-	for _, o := range d.table.Overviews(maxCutLogged) {
+func (d *Daemon) logAborted() {
+	for _, o := range d.table.Overviews(maxAbortedLogged) {
 		d.log.Warn("cut", logging.Request(o.ID), zap.String("pipeline", o.Pipeline), zap.String("stage", o.Stage))
 	}
 }
 
 // tick ends waits that can no longer succeed.
-func (d *Daemon) tick(ctx context.Context) {
-	periodic.Do(ctx, tickEvery, func() {
-		for _, g := range d.deps.Admitter.Tick(d.Now()) {
-			d.notify(g)
+func (d *Daemon) tickAdmission(ctx context.Context) {
+	periodic.Do(ctx, admissionTickInterval, func() {
+		for _, g := range d.decisionDeps.Admitter.Tick(d.Now()) {
+			d.deliverGrant(g)
 		}
 	})
 }
 
 // apply puts a bundle into force. Requests in flight keep theirs.
 func (d *Daemon) apply(b *bundle.Bundle) {
-	d.upstream.Store(newClients(b, d.upstream.Load(), d.Now))
-	for _, a := range d.appliers {
+	d.upstreamClients.Store(newClients(b, d.upstreamClients.Load(), d.Now))
+	for _, a := range d.bundleAppliers {
 		a.Apply(b)
 	}
 	d.bundle.Store(b)
@@ -265,7 +265,7 @@
 }
 
 // retryElsewhere is told to callers that should go to another host.
-const retryElsewhere = time.Second
+const retryElsewhereAfter = time.Second
 
 // Admittable implements caller.Backend.
 func (d *Daemon) Admittable() *problem.Error {
@@ -277,12 +277,12 @@
 		e = problem.New(problem.NotReady, "no configuration is in force yet")
 	case !d.cluster.Ready():
 		e = problem.New(problem.NotReady, "host %s has not heard enough of its fellows yet", d.settings.Host)
-	case !d.settled():
+	case !d.claimsReadyOrTimedOut():
 		e = problem.New(problem.NotReady, "host %s has not caught up with the claims of its fellows yet", d.settings.Host)
 	default:
 		return nil
 	}
-	e.RetryAfter = retryElsewhere
+	e.RetryAfter = retryElsewhereAfter
 	return e
 }
 
@@ -293,7 +293,7 @@
 )
 
 // refusedEntry says why a request was not served at all.
-func refusedEntry(now time.Time, e *problem.Error) record.Entry {
+func refusalEntry(now time.Time, e *problem.Error) record.Entry {
 	return record.Entry{At: now, Step: stepRefuse, Outcome: string(e.Kind), Fields: []record.Field{
 		{Key: "execution", Value: string(e.Execution)}, {Key: "detail", Value: e.Detail},
 	}}
@@ -304,7 +304,7 @@
 func (d *Daemon) Refused(id string, e *problem.Error) {
 	d.countRefused(e)
 	if e.Kind != problem.Unauthorized && e.Kind != problem.NotFound {
-		d.records.Begin(id).Add(refusedEntry(d.Now(), e))
+		d.records.Begin(id).Add(refusalEntry(d.Now(), e))
 	}
 	d.log.Info("refused", logging.Request(id), zap.String("kind", string(e.Kind)), zap.String("detail", e.Detail))
 }
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -17,7 +17,7 @@
 	g := NewWithT(t)
 	d := &Daemon{settings: &settings.Settings{}, table: request.NewTable()}
 	serving, write := make(chan struct{}), make(chan struct{})
-	server := d.callerServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+	server := d.newCallerServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		close(serving)
 		<-write
 	}))
--- a/daemon/loadexchange.go
+++ b/daemon/loadexchange.go
@@ -14,28 +14,28 @@
 
 // loadExchangeEvery is how often the load digest of the heartbeats is renewed
 // and those of fellow daemons are taken: twice for each probe.
-const loadExchangeEvery = 500 * time.Millisecond
+const loadExchangeInterval = 500 * time.Millisecond
 
 // loadExtension is the place of load digests on the heartbeats.
 func loadExtension() member.Extension {
-	return member.Extension{ID: member.SlotLoad, MaxBytes: loadDigestBytes}
+	return member.Extension{ID: member.SlotLoad, MaxBytes: maxLoadDigestBytes}
 }
 
 // exchangeLoads puts load digests on the heartbeats and takes those of fellow
 // daemons, until ctx ends.
 func (d *Daemon) exchangeLoads(ctx context.Context) {
-	heard := map[string]time.Time{}
-	periodic.Do(ctx, loadExchangeEvery, func() {
-		d.loads.SetLive(liveHosts(d.cluster.Members(), d.settings.Host, d.settings.FailureDomain))
+	lastReceived := map[string]time.Time{}
+	periodic.Do(ctx, loadExchangeInterval, func() {
+		d.loads.SetLiveHosts(liveMembers(d.cluster.Members(), d.settings.Host, d.settings.FailureDomain))
 		d.cluster.SetSlot(member.SlotLoad, d.loads.Digest(), false)
-		d.takeLoads(heard)
+		d.mergeLoadDigests(lastReceived)
 	})
 }
 
 // takeLoads merges the digests that arrived since the last call.
-func (d *Daemon) takeLoads(heard map[string]time.Time) {
-	for _, s := range newSlots(d.cluster.Slots(member.SlotLoad), heard) {
-		if err := d.loads.Heard(s.Value); err != nil {
+func (d *Daemon) mergeLoadDigests(lastReceived map[string]time.Time) {
+	for _, s := range newerSlotValues(d.cluster.Slots(member.SlotLoad), lastReceived) {
+		if err := d.loads.MergeDigest(s.Value); err != nil {
 			d.log.Warn("load digest refused", zap.String("peer", s.Host), zap.Error(err))
 		}
 	}
@@ -43,27 +43,27 @@
 
 // newSlots returns the values that arrived since those in heard, and notes them
 // there; it forgets hosts that have no value any more.
-func newSlots(slots []cluster.SlotValue, heard map[string]time.Time) []cluster.SlotValue {
-	var news []cluster.SlotValue
-	known := make(map[string]bool, len(slots))
+func newerSlotValues(slots []cluster.SlotValue, lastReceived map[string]time.Time) []cluster.SlotValue {
+	var newer []cluster.SlotValue
+	present := make(map[string]bool, len(slots))
 	for _, s := range slots {
-		known[s.Host] = true
-		if s.At.After(heard[s.Host]) {
-			heard[s.Host] = s.At
-			news = append(news, s)
+		present[s.Host] = true
+		if s.At.After(lastReceived[s.Host]) {
+			lastReceived[s.Host] = s.At
+			newer = append(newer, s)
 		}
 	}
-	for host := range heard {
-		if !known[host] {
-			delete(heard, host)
+	for host := range lastReceived {
+		if !present[host] {
+			delete(lastReceived, host)
 		}
 	}
-	return news
+	return newer
 }
 
 // liveHosts returns the living members and this host, by name. Suspects count:
 // most of them are only slow.
-func liveHosts(members []member.Member, self, domain string) []load.Host {
+func liveMembers(members []member.Member, self, domain string) []load.Host {
 	hosts := make([]load.Host, 0, len(members)+1)
 	found := false
 	for _, m := range members {
--- a/daemon/loadview.go
+++ b/daemon/loadview.go
@@ -17,7 +17,7 @@
 
 // loadDigestBytes bounds the load digest on one heartbeat; docs/capacity/routing.md
 // measures what that costs and how old the reports get.
-const loadDigestBytes = 512
+const maxLoadDigestBytes = 512
 
 // loadView is what this daemon knows of the load of upstreams: its own polls
 // and the digests of fellow daemons. Its methods may be called concurrently.
@@ -34,7 +34,7 @@
 	// leaving names the upstreams whose last poll said that they leave.
 	leaving map[string]bool
 	// onLeaving is told when a poll changes that. It is set before Run.
-	onLeaving func(name string, leaving bool, asOf time.Time)
+	reportLeaving func(name string, leaving bool, asOf time.Time)
 }
 
 // newLoadView returns a view that tells router what is news. Until SetLive,
@@ -42,9 +42,9 @@
 func newLoadView(s *settings.Settings, router *route.Router, log *zap.Logger, now func() time.Time) *loadView {
 	v := &loadView{
 		table: load.NewTable(load.Config{Self: s.Host}), router: router, now: now,
-		hosts:     []load.Host{{Name: s.Host, FailureDomain: s.FailureDomain}},
-		leaving:   map[string]bool{},
-		onLeaving: func(string, bool, time.Time) {},
+		hosts:         []load.Host{{Name: s.Host, FailureDomain: s.FailureDomain}},
+		leaving:       map[string]bool{},
+		reportLeaving: func(string, bool, time.Time) {},
 	}
 	v.poller = upstreamload.NewPoller(v.table, v, log, now)
 	return v
@@ -56,13 +56,13 @@
 func (v *loadView) Observe(reports ...load.Report) {
 	v.router.Observe(reports...)
 	for _, r := range reports {
-		if v.leavingChanged(r) {
-			v.onLeaving(r.Upstream, r.Leaving, r.AsOf)
+		if v.updateLeaving(r) {
+			v.reportLeaving(r.Upstream, r.Leaving, r.AsOf)
 		}
 	}
 }
 
-func (v *loadView) leavingChanged(r load.Report) bool {
+func (v *loadView) updateLeaving(r load.Report) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.leaving[r.Upstream] == r.Leaving {
@@ -100,7 +100,7 @@
 
 // SetLive says which hosts live and exchange digests, this one among them, in
 // order; they share the polls.
-func (v *loadView) SetLive(hosts []load.Host) {
+func (v *loadView) SetLiveHosts(hosts []load.Host) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if slices.Equal(hosts, v.hosts) {
@@ -112,10 +112,10 @@
 
 // Digest returns what the next heartbeat carries. It should be renewed for
 // each heartbeat, twice a second or so.
-func (v *loadView) Digest() []byte { return v.table.Digest(v.now(), loadDigestBytes) }
+func (v *loadView) Digest() []byte { return v.table.Digest(v.now(), maxLoadDigestBytes) }
 
 // Heard takes the digest that a fellow daemon's heartbeat carried.
-func (v *loadView) Heard(digest []byte) error {
+func (v *loadView) MergeDigest(digest []byte) error {
 	news, err := v.table.Merge(v.now(), digest)
 	if err != nil {
 		return err
--- a/daemon/loadview_test.go
+++ b/daemon/loadview_test.go
@@ -26,7 +26,7 @@
 	g := NewWithT(t)
 	v := newLoadView(&settings.Settings{Host: "entry-1"}, route.New(route.Config{}), zap.NewNop(), time.Now)
 	var said []bool
-	v.onLeaving = func(_ string, leaving bool, _ time.Time) { said = append(said, leaving) }
+	v.reportLeaving = func(_ string, leaving bool, _ time.Time) { said = append(said, leaving) }
 	for _, leaving := range []bool{false, false, true, true, false, false} {
 		v.Observe(load.Report{Upstream: "seal-1", Leaving: leaving})
 	}
@@ -42,7 +42,7 @@
 		members = append(members, member.Member{Host: member.Host{Name: fmt.Sprintf("entry-%d", i), FailureDomain: "a"}, State: s})
 	}
 	names := func(self string) (names []string) {
-		for _, h := range liveHosts(members, self, "a") {
+		for _, h := range liveMembers(members, self, "a") {
 			names = append(names, h.Name)
 		}
 		return names
@@ -56,13 +56,13 @@
 func TestNewSlots(t *testing.T) {
 	g := NewWithT(t)
 	at := time.Unix(1000, 0)
-	heard := map[string]time.Time{"entry-9": at}
+	lastReceived := map[string]time.Time{"entry-9": at}
 	slots := []cluster.SlotValue{{Host: "entry-1", At: at}, {Host: "entry-2", At: at}}
-	g.Expect(newSlots(slots, heard)).To(HaveLen(2))
-	g.Expect(newSlots(slots, heard)).To(BeEmpty())
+	g.Expect(newerSlotValues(slots, lastReceived)).To(HaveLen(2))
+	g.Expect(newerSlotValues(slots, lastReceived)).To(BeEmpty())
 	slots[1].At = at.Add(time.Second)
-	g.Expect(newSlots(slots, heard)).To(Equal(slots[1:]))
-	g.Expect(heard).NotTo(HaveKey("entry-9"))
+	g.Expect(newerSlotValues(slots, lastReceived)).To(Equal(slots[1:]))
+	g.Expect(lastReceived).NotTo(HaveKey("entry-9"))
 }
 
 // TestLoadViewLeaving: an upstream that says by its load report that it leaves
@@ -106,7 +106,7 @@
 	cancel()
 	<-ended
 	g.Expect(picks(views[0])).NotTo(HaveKey("seal-1"))
-	g.Expect(views[1].Heard(views[0].Digest())).To(Succeed())
+	g.Expect(views[1].MergeDigest(views[0].Digest())).To(Succeed())
 	g.Expect(picks(views[1])).NotTo(HaveKey("seal-1"))
-	g.Expect(views[1].Heard([]byte{1})).NotTo(Succeed())
+	g.Expect(views[1].MergeDigest([]byte{1})).NotTo(Succeed())
 }
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -12,12 +12,12 @@
 )
 
 // kindOK is the label of requests that were answered.
-const kindOK = "ok"
+const outcomeKindOK = "ok"
 
 // countRequest counts a request that was served to its end. Pipelines and
 // customers are the bundle's, so that callers can't name series.
 func (d *Daemon) countRequest(customer, pipeline string, e *problem.Error, took time.Duration) {
-	kind := kindOK
+	kind := outcomeKindOK
 	if e != nil {
 		kind = string(problem.Lookup(e.Kind).Kind)
 	}
@@ -54,7 +54,7 @@
 }
 
 // writeStates writes the series whose labels come and go with the bundle.
-func (d *Daemon) writeStates(w io.Writer) {
+func (d *Daemon) writeDynamicMetrics(w io.Writer) {
 	for _, p := range d.admitter.State(d.Now()) {
 		gauge := func(name string, v float64) {
 			metrics.WriteGaugeFloat64(w, fmt.Sprintf("wheatseam_pool_%s{pool=%q}", name, p.Pool), v)
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -21,11 +21,11 @@
 const maxDumpRequests = 1000
 
 // inspectTimeout bounds the wait for the cluster's loops.
-const inspectTimeout = 200 * time.Millisecond
+const clusterDumpTimeout = 200 * time.Millisecond
 
 // clusterDump is the state of membership and configuration.
 func (d *Daemon) clusterDump() cluster.Dump {
-	ctx, cancel := clock.WithTimeout(context.Background(), inspectTimeout)
+	ctx, cancel := clock.WithTimeout(context.Background(), clusterDumpTimeout)
 	defer cancel()
 	return d.cluster.Dump(ctx)
 }
@@ -42,14 +42,14 @@
 			TokenFile: o.TokenFile, ClientCA: o.ClientCA, Cert: o.Cert, Key: o.Key,
 		},
 		Local:   local,
-		Fleet:   operator.NewFleet(local, d.records, d.sections, d.peers, d.peerMux),
-		Metrics: []*metrics.Set{d.metrics}, WriteMetrics: d.writeStates,
+		Fleet:   operator.NewFleet(local, d.records, d.dumpSections, d.peerTransport, d.peerMux),
+		Metrics: []*metrics.Set{d.metrics}, WriteMetrics: d.writeDynamicMetrics,
 		Logger: d.log,
 	})
 	if err != nil {
 		return err
 	}
-	d.operators = server
+	d.operatorServer = server
 	return nil
 }
 
@@ -69,15 +69,15 @@
 	st.Ready = st.Reason == ""
 	if b := d.bundle.Load(); b != nil {
 		st.BundleVersion = b.Version
-		st.BundleDigest, st.BundleSource, st.BundleSince = d.origin()
+		st.BundleDigest, st.BundleSource, st.BundleSince = d.bundleOrigin()
 	}
 	return st
 }
 
 // origin says where the bundle in force came from and since when it is.
-func (d *Daemon) origin() (digest, source string, since time.Time) {
+func (d *Daemon) bundleOrigin() (digest, source string, since time.Time) {
 	r := d.clusterDump().Rollout
-	if t := d.inForceFrom.Load(); t != nil {
+	if t := d.bundleAppliedAt.Load(); t != nil {
 		since = *t
 	}
 	return fmt.Sprintf("%016x", r.Digest), r.Source, since
@@ -86,7 +86,7 @@
 // Drain implements operator.Local.
 func (l operatorLocal) Drain() {
 	l.d.draining.Store(true)
-	l.d.leave()
+	l.d.startDrain()
 }
 
 // Host implements operator.Local.
@@ -114,7 +114,7 @@
 	Incarnation uint64          `json:"incarnation"`
 	Now         time.Time       `json:"now"`
 	// Dropped counts events for requests that were over.
-	Dropped uint64 `json:"dropped_events"`
+	DroppedEvents uint64 `json:"dropped_events"`
 }
 
 // bundleDump is the dump's section about the bundle.
@@ -131,26 +131,26 @@
 // registerSections registers what this package knows; the parts of the daemon
 // register their own.
 func (d *Daemon) registerSections() {
-	d.sections.Register("process", func() any {
+	d.dumpSections.Register("process", func() any {
 		return processDump{
 			Status: operatorLocal{d}.Status(), Incarnation: d.incarnation,
-			Now: d.Now(), Dropped: d.table.Dropped(),
+			Now: d.Now(), DroppedEvents: d.table.Dropped(),
 		}
 	})
-	d.sections.Register("bundle", func() any { return d.dumpBundle() })
-	d.sections.Register("cluster", func() any { return d.clusterDump() })
-	d.sections.Register("requests", func() any { return append([]request.Overview{}, d.table.Overviews(maxDumpRequests)...) })
-	d.sections.Register("records", func() any { return d.records.Stats() })
-	d.sections.Register("quarantine", func() any { return d.quarantine.Dump() })
-	d.sections.Register("peers", func() any { return d.peers.Sessions() })
-	d.sections.Register("pools", func() any { return d.admitter.State(d.Now()) })
-	d.sections.Register("upstreams", func() any { return d.router.Dump(d.Now()) })
-	d.sections.Register("load", func() any { return d.loads.dump() })
-	d.sections.Register("failing_pools", func() any { return d.health.Open() })
-	d.sections.Register("claims", func() any { return d.claims.Dump() })
-	d.sections.Register("kept_results", func() any { return d.keptStore.Stats() })
-	d.sections.Register("retries", func() any { return d.budgets.Retry.Stats() })
-	d.sections.Register("hedges", func() any { return d.budgets.Hedge.Stats() })
+	d.dumpSections.Register("bundle", func() any { return d.dumpBundle() })
+	d.dumpSections.Register("cluster", func() any { return d.clusterDump() })
+	d.dumpSections.Register("requests", func() any { return append([]request.Overview{}, d.table.Overviews(maxDumpRequests)...) })
+	d.dumpSections.Register("records", func() any { return d.records.Stats() })
+	d.dumpSections.Register("quarantine", func() any { return d.quarantine.Dump() })
+	d.dumpSections.Register("peers", func() any { return d.peerTransport.Sessions() })
+	d.dumpSections.Register("pools", func() any { return d.admitter.State(d.Now()) })
+	d.dumpSections.Register("upstreams", func() any { return d.router.Dump(d.Now()) })
+	d.dumpSections.Register("load", func() any { return d.loads.dump() })
+	d.dumpSections.Register("failing_pools", func() any { return d.health.Open() })
+	d.dumpSections.Register("claims", func() any { return d.claims.Dump() })
+	d.dumpSections.Register("kept_results", func() any { return d.keptResultStore.Stats() })
+	d.dumpSections.Register("retries", func() any { return d.budgets.Retry.Stats() })
+	d.dumpSections.Register("hedges", func() any { return d.budgets.Hedge.Stats() })
 }
 
 func (d *Daemon) dumpBundle() bundleDump {
@@ -160,7 +160,7 @@
 		return dump
 	}
 	dump.Version = b.Version
-	dump.Digest, dump.Source, dump.Since = d.origin()
+	dump.Digest, dump.Source, dump.Since = d.bundleOrigin()
 	content, err := bundleJSON(b)
 	if err != nil {
 		dump.Error = err.Error()
@@ -172,12 +172,12 @@
 // bundleJSON writes a bundle with the keys and units of its YAML form, less
 // the hashes of the customers' keys.
 func bundleJSON(b *bundle.Bundle) (json.RawMessage, error) {
-	shown := *b
-	shown.Customers = slices.Clone(b.Customers)
-	for i := range shown.Customers {
-		shown.Customers[i].KeyHashes = nil
+	redacted := *b
+	redacted.Customers = slices.Clone(b.Customers)
+	for i := range redacted.Customers {
+		redacted.Customers[i].KeyHashes = nil
 	}
-	raw, err := yaml.Marshal(&shown)
+	raw, err := yaml.Marshal(&redacted)
 	if err != nil {
 		return nil, err
 	}
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -23,6 +23,6 @@
 	if err != nil {
 		return fmt.Errorf("listen for peers: %w", err)
 	}
-	d.peers = transport
+	d.peerTransport = transport
 	return nil
 }
--- a/daemon/perform.go
+++ b/daemon/perform.go
@@ -16,71 +16,71 @@
 const (
 	// settleTimeout bounds the time that a refusal waits for its claim to be
 	// settled.
-	settleTimeout = 250 * time.Millisecond
+	confirmNotRunTimeout = 250 * time.Millisecond
 	// detachedTimeout is how long a sent non-repeatable call is seen through
 	// after the deadline of its request.
-	detachedTimeout = 30 * time.Second
+	nonRepeatableGrace = 30 * time.Second
 	// recordTimeout bounds the wait for the holders to record a result.
-	recordTimeout = time.Second
+	recordResultTimeout = time.Second
 )
 
 // deliver passes an event to the request's machine and carries out its
 // actions.
 func (d *Daemon) deliver(s *session, ev request.Event) {
 	actions, _ := d.table.Deliver(d.Now(), s.id, ev)
-	d.performAll(s, actions)
+	d.performActions(s, actions)
 }
 
-func (d *Daemon) performAll(s *session, actions []request.Action) {
+func (d *Daemon) performActions(s *session, actions []request.Action) {
 	for _, a := range actions {
-		d.perform(s, a)
+		d.performAction(s, a)
 	}
 }
 
 // notify carries a grant to the request that waits for it. A slot granted to a
 // request that is gone is returned, which may grant it to the next one.
-func (d *Daemon) notify(g request.Grant) {
+func (d *Daemon) deliverGrant(g request.Grant) {
 	if s := d.sessions.get(g.Ticket.Request); s != nil {
 		actions, ok := d.table.Deliver(d.Now(), s.id, request.SlotGranted{Grant: g})
 		if ok {
-			d.performAll(s, actions)
+			d.performActions(s, actions)
 			return
 		}
 	}
 	if g.Err != nil {
 		return
 	}
-	for _, next := range d.deps.Admitter.Release(d.Now(), g.Ticket, request.CallCancelled, 0) {
-		go d.notify(next)
+	for _, next := range d.decisionDeps.Admitter.Release(d.Now(), g.Ticket, request.CallCancelled, 0) {
+		go d.deliverGrant(next)
 	}
 }
 
-func (d *Daemon) perform(s *session, action request.Action) {
+func (d *Daemon) performAction(s *session, action request.Action) {
 	switch a := action.(type) {
 	case request.Call:
 		ctx := d.callContext(s, a)
-		go d.call(ctx, s, a)
+		go d.runCall(ctx, s, a)
 	case request.Cancel:
 		s.cancel(a.Attempt)
 	case request.Claim:
-		go d.claim(s, a)
+		go d.acquireClaim(s, a)
 	case request.Release:
-		go d.release(s, a.Key)
+		go d.releaseClaim(s, a.Key)
 	case request.Record:
-		go d.record(s, a)
+		go d.recordResult(s, a)
 	case request.LookUp:
-		go d.lookUp(s, a)
+		go d.pollCallStatus(s, a)
 	case request.Keep:
-		go d.keep(s, a)
+		go d.keepResult(s, a)
 	case request.Forward:
-		s.forward.Store(int64(a.Attempt))
+		s.forwardedAttempt.Store(int64(a.Attempt))
 	case request.Reset:
-		s.forward.Store(0)
-		s.pass(context.Background(), outputPart{reset: true})
+		s.forwardedAttempt.Store(0)
+		s.sendOutput(context.Background(), outputPart{reset: true})
 	case request.SetTimer:
 		d.setTimer(s, a)
 	case request.Notify:
-		go d.notify(a.Grant)
+		go d.deliverGrant(a.Grant)
 	case request.Finish:
 		d.finish(s, a)
 	default:
@@ -99,29 +99,29 @@
 func (d *Daemon) callContext(s *session, c request.Call) context.Context {
 	end := c.NotAfter
 	if c.Stage.NonRepeatable {
-		end = end.Add(detachedTimeout)
+		end = end.Add(nonRepeatableGrace)
 	}
 	ctx, cancel := clock.WithDeadline(context.Background(), end)
 	s.addCancel(c.Attempt, cancel)
 	return ctx
 }
 
-func (d *Daemon) claim(s *session, a request.Claim) {
+func (d *Daemon) acquireClaim(s *session, a request.Claim) {
 	ctx, cancel := clock.WithDeadline(context.Background(), s.sub.Deadline)
 	defer cancel()
 	d.deliver(s, d.claims.Acquire(ctx, a.Key, s.id, s.sub.Arrived, s.digest))
 }
 
-func (d *Daemon) release(s *session, key request.ClaimKey) {
-	ctx, cancel := clock.WithTimeout(context.Background(), settleTimeout)
+func (d *Daemon) releaseClaim(s *session, key request.ClaimKey) {
+	ctx, cancel := clock.WithTimeout(context.Background(), confirmNotRunTimeout)
 	defer cancel()
 	if err := d.claims.Release(ctx, key, s.id); err != nil {
 		d.log.Warn("claim not released", logging.Request(s.id), zap.Error(err))
 	}
 }
 
-func (d *Daemon) record(s *session, a request.Record) {
-	ctx, cancel := clock.WithTimeout(context.Background(), recordTimeout)
+func (d *Daemon) recordResult(s *session, a request.Record) {
+	ctx, cancel := clock.WithTimeout(context.Background(), recordResultTimeout)
 	defer cancel()
 	err := d.claims.Record(ctx, a.Key, s.id, a.Result)
 	if err != nil {
@@ -133,20 +133,20 @@
 // finish answers the caller, once what makes the answer true is done.
 func (d *Daemon) finish(s *session, f request.Finish) {
 	if f.Settle == request.SettleNone {
-		s.final <- finalAnswer{answer: f.Answer, err: f.Err}
+		s.finalAnswers <- finalAnswer{answer: f.Answer, err: f.Err}
 		return
 	}
 	go func() {
-		if !d.settle(s, f) {
+		if !d.confirmNotRun(s, f) {
 			f.Err.Execution = problem.MayHaveRun
 		}
-		s.final <- finalAnswer{err: f.Err}
+		s.finalAnswers <- finalAnswer{err: f.Err}
 	}()
 }
 
 // settle reports whether a refusal may say that the request has not run.
-func (d *Daemon) settle(s *session, f request.Finish) bool {
-	ctx, cancel := clock.WithTimeout(context.Background(), settleTimeout)
+func (d *Daemon) confirmNotRun(s *session, f request.Finish) bool {
+	ctx, cancel := clock.WithTimeout(context.Background(), confirmNotRunTimeout)
 	defer cancel()
 	if f.Settle == request.SettleRelease {
 		return d.claims.Release(ctx, f.Key, s.id) == nil
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -23,16 +23,16 @@
 // away from them.
 func (d *Daemon) addQuarantine() {
 	d.quarantine = quarantine.New(quarantine.Config{
-		Self: d.settings.Host, Members: fellows{d}, Replicas: replica.NewClient(nil), Caller: lateCaller{d}, Mux: d.peerMux, Logger: d.log,
+		Self: d.settings.Host, Members: quarantineMembers{d}, Replicas: replica.NewClient(nil), Caller: deferredCaller{d}, Mux: d.peerMux, Logger: d.log,
 	})
 	d.cluster.OnSlot(member.SlotQuarantine, d.quarantine.Heard)
 }
 
 // fellows are this daemon's fellows as the quarantine takes them.
-type fellows struct{ d *Daemon }
+type quarantineMembers struct{ d *Daemon }
 
 // Reachable implements quarantine.Members.
-func (f fellows) Reachable() []fleet.Host {
+func (f quarantineMembers) Reachable() []fleet.Host {
 	var hosts []fleet.Host
 	for _, m := range f.d.cluster.Members() {
 		if m.Living() {
@@ -43,34 +43,36 @@
 }
 
 // Neighbours implements quarantine.Members.
-func (f fellows) Neighbours() []string { return f.d.cluster.Neighbours() }
+func (f quarantineMembers) Neighbours() []string { return f.d.cluster.Neighbours() }
 
 // SetSlot implements quarantine.Members.
-func (f fellows) SetSlot(id member.SlotID, value []byte) { f.d.cluster.SetSlot(id, value, false) }
+func (f quarantineMembers) SetSlot(id member.SlotID, value []byte) {
+	f.d.cluster.SetSlot(id, value, false)
+}
 
 // contentOf names what a stage of a request works on, whatever the request's id and
 // key: one stage may crash its upstreams, and the others end well.
-func contentOf(customer, pipeline, stage string, digest [32]byte) poison.Fingerprint {
+func stageFingerprint(customer, pipeline, stage string, digest [32]byte) poison.Fingerprint {
 	h := poison.NewHasher(customer, pipeline, stage, "")
 	_, _ = h.Write(digest[:]) // never fails
 	return h.Sum()
 }
 
-func (s *session) content(stage string) poison.Fingerprint {
-	return contentOf(s.sub.Customer.Name, s.sub.Pipeline.Name, stage, s.digest)
+func (s *session) stageFingerprint(stage string) poison.Fingerprint {
+	return stageFingerprint(s.sub.Customer.Name, s.sub.Pipeline.Name, stage, s.digest)
 }
 
 // quarantined refuses a request one of whose stages crashes upstreams, before
 // anything of it runs; a trial that is granted is for one call of that stage. Under a
 // key an earlier try may have run.
-func (d *Daemon) quarantined(ctx context.Context, s *session) *problem.Error {
+func (d *Daemon) checkQuarantine(ctx context.Context, s *session) *problem.Error {
 	for _, stage := range s.sub.Pipeline.Stages {
-		v, condemned := d.quarantine.Condemned(s.content(stage.Name))
+		v, condemned := d.quarantine.Condemned(s.stageFingerprint(stage.Name))
 		if !condemned {
 			continue
 		}
 		if d.quarantine.Try(ctx, v) {
-			s.trial.Store(&v.Request)
+			s.trialFingerprint.Store(&v.Request)
 			continue
 		}
 		e := problem.New(problem.Quarantined, "upstreams ended under its stage %s", stage.Name)
@@ -85,45 +87,45 @@
 
 // mayCall asks whether a call may reach an upstream: also a retry or a hedge of a
 // request that was condemned meanwhile.
-func (d *Daemon) mayCall(s *session, c request.Call) bool {
-	_, condemned := d.quarantine.Condemned(s.content(c.Stage.Name))
-	return !condemned || s.trial.Swap(nil) != nil
+func (d *Daemon) callAllowed(s *session, c request.Call) bool {
+	_, condemned := d.quarantine.Condemned(s.stageFingerprint(c.Stage.Name))
+	return !condemned || s.trialFingerprint.Swap(nil) != nil
 }
 
 // returnTrial gives a trial back that came to no call.
-func (d *Daemon) returnTrial(s *session) {
-	if content := s.trial.Swap(nil); content != nil {
+func (d *Daemon) returnUnusedTrial(s *session) {
+	if content := s.trialFingerprint.Swap(nil); content != nil {
 		d.quarantine.Untried(*content)
 	}
 }
 
 // callStart is when a call began, and for how long this host had slept by then.
 type callStart struct {
-	at     time.Time
-	asleep time.Duration
+	at          time.Time
+	sleptBefore time.Duration
 }
 
 func startCall() callStart { return callStart{clock.Now(), clock.Asleep()} }
 
 // noteCall passes on what the end of a call says of its upstream: that it lives, or
 // that it broke off and may have ended.
-func (d *Daemon) noteCall(s *session, c request.Call, began callStart, err error) {
-	content := s.content(c.Stage.Name)
+func (d *Daemon) reportCall(s *session, c request.Call, start callStart, err error) {
+	content := s.stageFingerprint(c.Stage.Name)
 	switch {
-	case ranWell(err):
+	case upstreamAnswered(err):
 		d.quarantine.Served(content)
-	case !httpbody.BrokenOff(err) || clock.Asleep() > began.asleep || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
+	case !httpbody.BrokenOff(err) || clock.Asleep() > start.sleptBefore || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
 		// It says nothing of the upstream, or has its reason.
 	default:
 		d.quarantine.BrokeOff(quarantine.Attempt{
-			Service: c.Stage.Pool, Replica: c.Choice.Upstream, Address: c.Choice.Address, Request: content, Began: began.at,
+			Service: c.Stage.Pool, Replica: c.Choice.Upstream, Address: c.Choice.Address, Request: content, Began: start.at,
 		})
 	}
 }
 
 // ranWell says whether a call ran and its upstream lives: it answered, if only with
 // an error.
-func ranWell(err error) bool {
+func upstreamAnswered(err error) bool {
 	if err == nil {
 		return true
 	}
@@ -132,7 +134,7 @@
 }
 
 // condemnedCall ends a call that must not reach an upstream.
-func condemnedCall(c request.Call) request.CallEnded {
+func quarantinedCall(c request.Call) request.CallEnded {
 	return request.CallEnded{
 		Attempt: c.Attempt, Result: request.CallFailed, NotExecuted: true, Rejected: true, Detail: string(problem.Quarantined),
 	}
--- a/daemon/routing.go
+++ b/daemon/routing.go
@@ -11,16 +11,16 @@
 )
 
 // budgetApplier sets the budgets' ratios by the bundle.
-type budgetApplier struct{ budgets retry.Budgets }
+type budgetRatioApplier struct{ budgets retry.Budgets }
 
 // Apply implements applier.
-func (a budgetApplier) Apply(b *bundle.Bundle) {
+func (a budgetRatioApplier) Apply(b *bundle.Bundle) {
 	a.budgets.Retry.SetRatio(b.Retry.BudgetRatio)
 	a.budgets.Hedge.SetRatio(b.Hedge.BudgetRatio)
 }
 
 // addDecisionParts makes the parts that the request machines decide with.
-func (d *Daemon) addDecisionParts() {
+func (d *Daemon) addDecisionComponents() {
 	router := route.New(route.Config{
 		FailureDomain: d.settings.FailureDomain,
 		Seed:          xxhash.Sum64String(d.settings.Host) ^ uint64(d.Now().UnixNano()),
@@ -29,7 +29,7 @@
 	budgets := retry.NewBudgets(0, 0)
 	d.router, d.budgets = router, budgets
 	d.loads = newLoadView(d.settings, router, d.log, d.Now)
-	d.appliers = append(d.appliers, router, budgetApplier{budgets}, d.loads)
+	d.bundleAppliers = append(d.bundleAppliers, router, budgetRatioApplier{budgets}, d.loads)
 	d.health = breaker.New(breaker.Config{})
-	d.deps = request.Deps{Router: router, Admitter: d.admitter, Retries: budgets.Retry, Hedges: budgets.Hedge, Health: d.health}
+	d.decisionDeps = request.Deps{Router: router, Admitter: d.admitter, Retries: budgets.Retry, Hedges: budgets.Hedge, Health: d.health}
 }
--- a/daemon/serve.go
+++ b/daemon/serve.go
@@ -18,30 +18,30 @@
 
 // Serve implements caller.Backend.
 func (d *Daemon) Serve(ctx context.Context, sub caller.Submission, sink caller.Sink) (*request.Answer, *problem.Error) {
-	s := newSession(sub, digestOf(sub), d.upstream.Load())
-	if e := d.quarantined(ctx, s); e != nil {
+	s := newSession(sub, requestDigest(sub), d.upstreamClients.Load())
+	if e := d.checkQuarantine(ctx, s); e != nil {
 		d.Refused(sub.RequestID, e)
 		return nil, e
 	}
-	defer d.returnTrial(s)
+	defer d.returnUnusedTrial(s)
 	d.sessions.insert(s)
 	log := d.records.Begin(sub.RequestID)
-	log.Add(receivedEntry(sub))
-	spec := specOf(sub)
-	spec.Kept = d.resume(s)
-	m := request.New(spec, d.deps, log)
+	log.Add(receiptEntry(sub))
+	spec := requestSpec(sub)
+	spec.Kept = d.fetchKeptResults(s)
+	m := request.New(spec, d.decisionDeps, log)
 	d.table.Insert(m)
 	d.deliver(s, request.Start{})
-	f := d.await(ctx, s, sink)
-	close(s.closed)
+	f := d.awaitAnswer(ctx, s, sink)
+	close(s.done)
 	s.stopTimers()
 	d.sessions.remove(s.id)
-	d.logEnd(s, f)
+	d.logOutcome(s, f)
 	return f.answer, f.err
 }
 
 // receivedEntry says what a request is and under which bundle it is served.
-func receivedEntry(sub caller.Submission) record.Entry {
+func receiptEntry(sub caller.Submission) record.Entry {
 	return record.Entry{At: sub.Arrived, Step: stepReceive, Outcome: "accepted", Fields: []record.Field{
 		{Key: "bundle", Value: strconv.FormatUint(sub.Bundle.Version, 10)},
 		{Key: "customer", Value: sub.Customer.Name},
@@ -52,7 +52,7 @@
 	}}
 }
 
-func specOf(sub caller.Submission) request.Spec {
+func requestSpec(sub caller.Submission) request.Spec {
 	spec := request.Spec{
 		ID: sub.RequestID, Customer: sub.Customer.Name, Bundle: sub.Bundle, Pipeline: sub.Pipeline,
 		Arrived: sub.Arrived, Deadline: sub.Deadline, Key: sub.Key, Stream: sub.Stream, Input: sub.Input,
@@ -65,7 +65,7 @@
 
 // digestOf identifies what a request asks for: the same key must not be used
 // for anything else.
-func digestOf(sub caller.Submission) [32]byte {
+func requestDigest(sub caller.Submission) [32]byte {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(sub.Pipeline.Name), []byte(sub.Prefix), sub.Input} {
 		sum := sha256.Sum256(part)
@@ -75,38 +75,38 @@
 }
 
 // await passes the stream on until the request has its end.
-func (d *Daemon) await(ctx context.Context, s *session, sink caller.Sink) finalAnswer {
-	gone := ctx.Done()
+func (d *Daemon) awaitAnswer(ctx context.Context, s *session, sink caller.Sink) finalAnswer {
+	callerGone := ctx.Done()
 	for {
 		select {
 		case part := <-s.output:
-			writePart(sink, part)
+			writeOutput(sink, part)
 			// What has come meanwhile goes out in the same packet.
-			drainOutput(s, sink)
+			writeQueuedOutput(s, sink)
 			sink.Flush()
-		case f := <-s.final:
-			drainOutput(s, sink)
+		case f := <-s.finalAnswers:
+			writeQueuedOutput(s, sink)
 			return f
-		case <-gone:
-			gone = nil
+		case <-callerGone:
+			callerGone = nil
 			d.deliver(s, request.CallerGone{})
 		}
 	}
 }
 
 // drainOutput writes the parts that wait, at most one queue full.
-func drainOutput(s *session, sink caller.Sink) {
-	for range outputQueue {
+func writeQueuedOutput(s *session, sink caller.Sink) {
+	for range maxQueuedOutput {
 		select {
 		case part := <-s.output:
-			writePart(sink, part)
+			writeOutput(sink, part)
 		default:
 			return
 		}
 	}
 }
 
-func writePart(sink caller.Sink, part outputPart) {
+func writeOutput(sink caller.Sink, part outputPart) {
 	if part.reset {
 		sink.Reset()
 		return
@@ -114,7 +114,7 @@
 	sink.Token(part.text)
 }
 
-func (d *Daemon) logEnd(s *session, f finalAnswer) {
+func (d *Daemon) logOutcome(s *session, f finalAnswer) {
 	took := d.Now().Sub(s.sub.Arrived).Round(time.Microsecond)
 	d.countRequest(s.sub.Customer.Name, s.sub.Pipeline.Name, f.err, took)
 	fields := []zap.Field{
--- a/daemon/session.go
+++ b/daemon/session.go
@@ -15,7 +15,7 @@
 )
 
 // outputQueue bounds the parts of a stream that wait for a slow caller.
-const outputQueue = 64
+const maxQueuedOutput = 64
 
 // session is the I/O side of one request: its running calls, its timers and
 // the way to its caller.
@@ -26,15 +26,15 @@
 	clients *clients
 
 	// forward is the attempt whose stream the caller gets.
-	forward atomic.Int64
-	output  chan outputPart
-	final   chan finalAnswer
+	forwardedAttempt atomic.Int64
+	output           chan outputPart
+	finalAnswers     chan finalAnswer
 	// closed ends when the caller has its answer.
-	closed chan struct{}
+	done chan struct{}
 
 	// trial allows one call of the stage with that content, which is condemned; nil
 	// for none.
-	trial atomic.Pointer[poison.Fingerprint]
+	trialFingerprint atomic.Pointer[poison.Fingerprint]
 
 	mu      sync.Mutex
 	cancels map[int]context.CancelFunc
@@ -57,20 +57,20 @@
 	// Only a stream needs room for its parts: 1.5 kB a request.
 	queue := 0
 	if sub.Stream {
-		queue = outputQueue
+		queue = maxQueuedOutput
 	}
 	return &session{
 		id: sub.RequestID, sub: sub, digest: digest, clients: c,
-		output: make(chan outputPart, queue), final: make(chan finalAnswer, 1),
-		closed: make(chan struct{}), cancels: make(map[int]context.CancelFunc),
+		output: make(chan outputPart, queue), finalAnswers: make(chan finalAnswer, 1),
+		done: make(chan struct{}), cancels: make(map[int]context.CancelFunc),
 	}
 }
 
 // pass delivers a part to the caller, waiting while the caller is slow.
-func (s *session) pass(ctx context.Context, part outputPart) {
+func (s *session) sendOutput(ctx context.Context, part outputPart) {
 	select {
 	case s.output <- part:
-	case <-s.closed:
+	case <-s.done:
 	case <-ctx.Done():
 	}
 }
@@ -111,42 +111,42 @@
 const sessionShards = 64
 
 // sessions finds sessions by request id.
-type sessions struct {
+type sessionTable struct {
 	shards [sessionShards]sessionShard
 }
 
 type sessionShard struct {
-	mu  sync.Mutex
-	all map[string]*session
+	mu   sync.Mutex
+	byID map[string]*session
 }
 
-func (t *sessions) init() {
+func (t *sessionTable) init() {
 	for i := range t.shards {
-		t.shards[i].all = make(map[string]*session)
+		t.shards[i].byID = make(map[string]*session)
 	}
 }
 
-func (t *sessions) shard(id string) *sessionShard {
+func (t *sessionTable) shard(id string) *sessionShard {
 	return &t.shards[xxhash.Sum64String(id)%sessionShards]
 }
 
-func (t *sessions) insert(s *session) {
+func (t *sessionTable) insert(s *session) {
 	shard := t.shard(s.id)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	shard.all[s.id] = s
+	shard.byID[s.id] = s
 }
 
-func (t *sessions) get(id string) *session {
+func (t *sessionTable) get(id string) *session {
 	shard := t.shard(id)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	return shard.all[id]
+	return shard.byID[id]
 }
 
-func (t *sessions) remove(id string) {
+func (t *sessionTable) remove(id string) {
 	shard := t.shard(id)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	delete(shard.all, id)
+	delete(shard.byID, id)
 }
--- a/results/memory_bench_test.go
+++ b/results/memory_bench_test.go
@@ -14,13 +14,13 @@
 		for _, n := range []int{250, 500, 1000, 2000} {
 			b.Run(fmt.Sprintf("bytes=%d/results=%d", size, n), func(b *testing.B) {
 				for b.Loop() {
-					before := heap()
+					before := heapBytes()
 					store := NewStore(1 << 30)
 					for i := range n {
 						r := Request{Customer: "customer", Key: fmt.Sprintf("0190b8a0-0000-7000-8000-%012d", i), Digest: Digest{1}}
-						store.Put(epoch, r, "generate", make([]byte, size), epoch.Add(time.Minute))
+						store.Put(startTime, r, "generate", make([]byte, size), startTime.Add(time.Minute))
 					}
-					b.ReportMetric(float64(heap()-before)/float64(n), "heap-B/result")
+					b.ReportMetric(float64(heapBytes()-before)/float64(n), "heap-B/result")
 					b.ReportMetric(float64(store.Stats().Bytes)/float64(n), "counted-B/result")
 					b.ReportMetric(0, "ns/op")
 					runtime.KeepAlive(store)
@@ -30,7 +30,7 @@
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/results/results_test.go
+++ b/results/results_test.go
@@ -20,16 +20,16 @@
 	RunSpecs(t, "results")
 }
 
-var epoch = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
 // network connects services in one process.
-type network struct {
+type fakeNetwork struct {
 	services map[string]*Service
 	down     map[string]bool
 	now      time.Time
 }
 
-func (n *network) Call(ctx context.Context, host, _ string, req, resp proto.Message) error {
+func (n *fakeNetwork) Call(ctx context.Context, host, _ string, req, resp proto.Message) error {
 	if n.down[host] {
 		return errors.New("unreachable")
 	}
@@ -48,13 +48,13 @@
 	return nil
 }
 
-func newNetwork() *network {
-	n := &network{services: make(map[string]*Service), down: make(map[string]bool), now: epoch}
+func newFakeNetwork() *fakeNetwork {
+	n := &fakeNetwork{services: make(map[string]*Service), down: make(map[string]bool), now: startTime}
 	for i := range 3 {
 		name := fmt.Sprintf("h%d", i)
 		n.services[name] = NewService(Config{
 			Host: name, Caller: n, Store: NewStore(1 << 20), Now: func() time.Time { return n.now },
-			Place: func(string, string) []string { return []string{"h0", "h1", "h2"} },
+			HostsFor: func(string, string) []string { return []string{"h0", "h1", "h2"} },
 		}, peer.NewMux())
 	}
 	return n
@@ -63,11 +63,11 @@
 var _ = Describe("Service", func() {
 	request := Request{Customer: "c", Key: "k", Digest: Digest{1}}
 	ctx := context.Background()
-	var n *network
+	var n *fakeNetwork
 
 	BeforeEach(func() {
-		n = newNetwork()
-		kept, err := n.services["h0"].Keep(ctx, request, "generate", []byte("draft"), epoch.Add(time.Minute))
+		n = newFakeNetwork()
+		kept, err := n.services["h0"].Keep(ctx, request, "generate", []byte("draft"), startTime.Add(time.Minute))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(kept).To(Equal(2))
 	})
@@ -88,7 +88,7 @@
 	)
 
 	It("forgets at the deadline", func() {
-		n.now = epoch.Add(time.Minute)
+		n.now = startTime.Add(time.Minute)
 		Expect(n.services["h1"].Fetch(ctx, request)).To(BeEmpty())
 		n.services["h1"].cfg.Store.Expire(n.now)
 		Expect(n.services["h1"].cfg.Store.Stats()).To(Equal(Stats{}))
@@ -96,18 +96,18 @@
 
 	It("reports hosts that it could not reach", func() {
 		n.down["h1"] = true
-		kept, err := n.services["h0"].Keep(ctx, request, "x", []byte("y"), epoch.Add(time.Minute))
+		kept, err := n.services["h0"].Keep(ctx, request, "x", []byte("y"), startTime.Add(time.Minute))
 		Expect(kept).To(Equal(1))
 		Expect(err).To(HaveOccurred())
 	})
 
 	It("refuses what is too large, and keeps within its memory", func() {
-		_, err := n.services["h0"].Keep(ctx, request, "x", make([]byte, MaxResultBytes+1), epoch.Add(time.Minute))
+		_, err := n.services["h0"].Keep(ctx, request, "x", make([]byte, MaxResultBytes+1), startTime.Add(time.Minute))
 		Expect(err).To(MatchError(ErrTooLarge))
-		store := NewStore(storeShards * 1400) // room for one result of 500 bytes, not for two
-		Expect(store.Put(epoch, request, "a", make([]byte, 500), epoch.Add(time.Second))).To(BeTrue())
-		Expect(store.Put(epoch, request, "b", make([]byte, 500), epoch.Add(time.Second))).To(BeFalse())
-		Expect(store.Put(epoch.Add(2*time.Second), request, "b", make([]byte, 500), epoch.Add(3*time.Second))).To(BeTrue())
+		store := NewStore(shardCount * 1400) // room for one result of 500 bytes, not for two
+		Expect(store.Put(startTime, request, "a", make([]byte, 500), startTime.Add(time.Second))).To(BeTrue())
+		Expect(store.Put(startTime, request, "b", make([]byte, 500), startTime.Add(time.Second))).To(BeFalse())
+		Expect(store.Put(startTime.Add(2*time.Second), request, "b", make([]byte, 500), startTime.Add(3*time.Second))).To(BeTrue())
 		Expect(store.Stats().Full).To(BeEquivalentTo(1))
 	})
 })
@@ -117,7 +117,7 @@
 	result := make([]byte, 2<<10)
 	for i := range b.N {
 		r := Request{Customer: "c", Key: fmt.Sprint(i % 4096), Digest: Digest{1}}
-		store.Put(epoch, r, "generate", result, epoch.Add(time.Minute))
-		store.Get(epoch, r)
+		store.Put(startTime, r, "generate", result, startTime.Add(time.Minute))
+		store.Get(startTime, r)
 	}
 }
--- a/results/service.go
+++ b/results/service.go
@@ -23,7 +23,7 @@
 	// MaxResultBytes bounds one result; larger ones are not kept.
 	MaxResultBytes = 256 << 10
 	// copies is the number of fellow daemons that keep a result.
-	copies = 2
+	maxCopies = 2
 	// maxTTL bounds how long a sender may have a result kept.
 	maxTTL = 5 * time.Minute
 )
@@ -36,16 +36,16 @@
 // Placer says which hosts keep the results of a key: the same at every host
 // that has the same bundle, in order of preference and spread over failure
 // domains.
-type Placer func(customer, key string) []string
+type HostsFor func(customer, key string) []string
 
 // Config configures a Service.
 type Config struct {
 	// Host is the name of this host.
-	Host   string
-	Caller Caller
-	Place  Placer
-	Store  *Store
-	Now    func() time.Time
+	Host     string
+	Caller   Caller
+	HostsFor HostsFor
+	Store    *Store
+	Now      func() time.Time
 }
 
 // Service keeps results at fellow daemons and for them. It is safe for
@@ -77,22 +77,22 @@
 		Customer: r.Customer, Key: r.Key, Digest: r.Digest[:], Stage: stage,
 		Result: result, TtlMs: uint32(min(ttl, maxTTL).Milliseconds()),
 	}
-	return s.send(ctx, s.others(r), req)
+	return s.storeCopies(ctx, s.copyHosts(r), req)
 }
 
 // others returns the hosts that keep a copy: not this one, which dies with the
 // request.
-func (s *Service) others(r Request) []string {
+func (s *Service) copyHosts(r Request) []string {
 	var hosts []string
-	for _, h := range s.cfg.Place(r.Customer, r.Key) {
-		if h != s.cfg.Host && len(hosts) < copies {
+	for _, h := range s.cfg.HostsFor(r.Customer, r.Key) {
+		if h != s.cfg.Host && len(hosts) < maxCopies {
 			hosts = append(hosts, h)
 		}
 	}
 	return hosts
 }
 
-func (s *Service) send(ctx context.Context, hosts []string, req *wire.KeepRequest) (int, error) {
+func (s *Service) storeCopies(ctx context.Context, hosts []string, req *wire.KeepRequest) (int, error) {
 	var (
 		wg   sync.WaitGroup
 		mu   sync.Mutex
@@ -121,7 +121,7 @@
 // Fetch asks the hosts that may keep results of r and returns what it has by
 // the end of ctx. Hosts that do not answer cost work, so errors are not told.
 func (s *Service) Fetch(ctx context.Context, r Request) map[string][]byte {
-	hosts := s.cfg.Place(r.Customer, r.Key)
+	hosts := s.cfg.HostsFor(r.Customer, r.Key)
 	answers := make(chan map[string][]byte, len(hosts))
 	for _, h := range hosts {
 		go func() { answers <- s.fetchFrom(ctx, h, r) }()
@@ -157,11 +157,11 @@
 }
 
 // errDigest is answered to a request whose digest has a wrong length.
-var errDigest = errors.New("digest must have 32 bytes")
+var errDigestLength = errors.New("digest must have 32 bytes")
 
 func (s *Service) serveKeep(_ context.Context, _ peer.Sender, req *wire.KeepRequest) (*wire.KeepResponse, error) {
 	if len(req.Digest) != len(Digest{}) {
-		return nil, errDigest
+		return nil, errDigestLength
 	}
 	if len(req.Result) > MaxResultBytes {
 		return nil, ErrTooLarge
@@ -174,7 +174,7 @@
 
 func (s *Service) serveFetch(_ context.Context, _ peer.Sender, req *wire.FetchRequest) (*wire.FetchResponse, error) {
 	if len(req.Digest) != len(Digest{}) {
-		return nil, errDigest
+		return nil, errDigestLength
 	}
 	r := Request{Customer: req.Customer, Key: req.Key, Digest: Digest(req.Digest)}
 	resp := &wire.FetchResponse{}
--- a/results/store.go
+++ b/results/store.go
@@ -26,87 +26,87 @@
 }
 
 // storeShards is the number of shards; a power of two.
-const storeShards = 16
+const shardCount = 16
 
 // Store holds results in bounded memory, in shards under their own locks. It
 // is safe for concurrent use.
 type Store struct {
-	shards   [storeShards]storeShard
-	maxBytes int
+	shards        [shardCount]shard
+	maxShardBytes int
 }
 
-type storeShard struct {
-	mu       sync.Mutex
-	requests map[Request]*kept
-	bytes    int
-	full     uint64
+type shard struct {
+	mu           sync.Mutex
+	entries      map[Request]*entry
+	bytes        int
+	rejectedFull uint64
 }
 
-type kept struct {
-	stages map[string][]byte
-	bytes  int
-	until  time.Time
+type entry struct {
+	results map[string][]byte
+	bytes   int
+	expires time.Time
 }
 
 // requestOverhead is what a result takes beside its own bytes, rounded up from
 // what BenchmarkMemory measures.
-const requestOverhead = 656
+const resultOverheadBytes = 656
 
 // NewStore returns a store that holds about maxBytes.
 func NewStore(maxBytes int) *Store {
-	s := &Store{maxBytes: maxBytes / storeShards}
+	s := &Store{maxShardBytes: maxBytes / shardCount}
 	for i := range s.shards {
-		s.shards[i].requests = make(map[Request]*kept)
+		s.shards[i].entries = make(map[Request]*entry)
 	}
 	return s
 }
 
-func (s *Store) shard(r Request) *storeShard {
-	return &s.shards[xxhash.Sum64String(r.Customer+"\x00"+r.Key)%storeShards]
+func (s *Store) shardOf(r Request) *shard {
+	return &s.shards[xxhash.Sum64String(r.Customer+"\x00"+r.Key)%shardCount]
 }
 
 // Put keeps a result until the given time. It returns false when there is no
 // room. The result must not be changed afterwards.
 func (s *Store) Put(now time.Time, r Request, stage string, result []byte, until time.Time) bool {
-	sh := s.shard(r)
+	sh := s.shardOf(r)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	need := len(result) + requestOverhead
-	if sh.bytes+need > s.maxBytes {
+	need := len(result) + resultOverheadBytes
+	if sh.bytes+need > s.maxShardBytes {
 		sh.expire(now)
 	}
-	if sh.bytes+need > s.maxBytes {
-		sh.full++
+	if sh.bytes+need > s.maxShardBytes {
+		sh.rejectedFull++
 		return false
 	}
-	k, ok := sh.requests[r]
+	k, ok := sh.entries[r]
 	if !ok {
-		k = &kept{stages: make(map[string][]byte)}
-		sh.requests[r] = k
+		k = &entry{results: make(map[string][]byte)}
+		sh.entries[r] = k
 	}
-	if old, ok := k.stages[stage]; ok {
-		need -= len(old) + requestOverhead
+	if old, ok := k.results[stage]; ok {
+		need -= len(old) + resultOverheadBytes
 	}
-	k.stages[stage] = result
+	k.results[stage] = result
 	k.bytes += need
 	sh.bytes += need
-	if until.After(k.until) {
-		k.until = until
+	if until.After(k.expires) {
+		k.expires = until
 	}
 	return true
 }
 
 // Get returns the results kept for r by stage. They must not be changed.
 func (s *Store) Get(now time.Time, r Request) map[string][]byte {
-	sh := s.shard(r)
+	sh := s.shardOf(r)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	k, ok := sh.requests[r]
-	if !ok || !now.Before(k.until) {
+	k, ok := sh.entries[r]
+	if !ok || !now.Before(k.expires) {
 		return nil
 	}
-	out := make(map[string][]byte, len(k.stages))
-	for stage, result := range k.stages {
+	out := make(map[string][]byte, len(k.results))
+	for stage, result := range k.results {
 		out[stage] = result
 	}
 	return out
@@ -122,11 +122,11 @@
 	}
 }
 
-func (sh *storeShard) expire(now time.Time) {
-	for r, k := range sh.requests {
-		if !now.Before(k.until) {
+func (sh *shard) expire(now time.Time) {
+	for r, k := range sh.entries {
+		if !now.Before(k.expires) {
 			sh.bytes -= k.bytes
-			delete(sh.requests, r)
+			delete(sh.entries, r)
 		}
 	}
 }
@@ -145,9 +145,9 @@
 	for i := range s.shards {
 		sh := &s.shards[i]
 		sh.mu.Lock()
-		st.Requests += len(sh.requests)
+		st.Requests += len(sh.entries)
 		st.Bytes += sh.bytes
-		st.Full += sh.full
+		st.Full += sh.rejectedFull
 		sh.mu.Unlock()
 	}
 	return st
--- a/shares/service.go
+++ b/shares/service.go
@@ -24,12 +24,12 @@
 )
 
 const (
-	tickEvery    = 50 * time.Millisecond
-	measureEvery = 250 * time.Millisecond
-	callTimeout  = 2 * time.Second
+	tickInterval    = 50 * time.Millisecond
+	measureInterval = 250 * time.Millisecond
+	callTimeout     = 2 * time.Second
 	// maxCalls bounds the calls in flight. A message beyond is not sent: the
 	// machine repeats what matters.
-	maxCalls = 64
+	maxCallsInFlight = 64
 )
 
 // Admitter measures demand and is given the shares in force.
@@ -45,30 +45,30 @@
 	Incarnation uint64
 	Admitter    Admitter
 	// Live names the hosts believed to be alive; nil means all.
-	Live func() []string
-	Mux  *peer.Mux
+	LiveHosts func() []string
+	Mux       *peer.Mux
 	// Seed of the random choices.
 	Seed uint64
 }
 
 // Service is safe for concurrent use.
 type Service struct {
-	cfg   Config
-	calls chan struct{}
+	cfg       Config
+	callSlots chan struct{}
 
 	mu        sync.Mutex
 	machine   *share.Machine
 	resources []share.Resource
 	view      *share.View
 	// caller is nil until Run.
-	caller peer.Caller
+	peerCaller peer.Caller
 }
 
 // New returns a service that has not started and registers its methods.
 func New(cfg Config) *Service {
 	now := clock.Now()
 	machine := share.New(now, share.NewConfig(cfg.Host, cfg.Incarnation, 1), rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)))
-	s := &Service{cfg: cfg, calls: make(chan struct{}, maxCalls), machine: machine}
+	s := &Service{cfg: cfg, callSlots: make(chan struct{}, maxCallsInFlight), machine: machine}
 	peer.Handle(cfg.Mux, methodReport, s.serveReport)
 	peer.Handle(cfg.Mux, methodReply, s.serveReply)
 	return s
@@ -92,15 +92,15 @@
 	s.mu.Lock()
 	s.resources, s.view = e.Resources, nil
 	s.mu.Unlock()
-	s.step(e)
+	s.stepMachine(e)
 }
 
 // Run drives the machine until ctx ends.
 func (s *Service) Run(ctx context.Context, caller peer.Caller) {
 	s.mu.Lock()
-	s.caller = caller
+	s.peerCaller = caller
 	s.mu.Unlock()
-	tick, measure := time.NewTicker(tickEvery), time.NewTicker(measureEvery)
+	tick, measure := time.NewTicker(tickInterval), time.NewTicker(measureInterval)
 	defer tick.Stop()
 	defer measure.Stop()
 	for {
@@ -108,17 +108,17 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			s.send(ctx, s.step(share.TimerFired{}))
+			s.sendActions(ctx, s.stepMachine(share.TimerFired{}))
 		case <-measure.C:
-			if s.cfg.Live != nil {
-				s.step(share.LiveChanged{Hosts: s.cfg.Live()})
+			if s.cfg.LiveHosts != nil {
+				s.stepMachine(share.LiveChanged{Hosts: s.cfg.LiveHosts()})
 			}
-			s.send(ctx, s.step(s.demand()))
+			s.sendActions(ctx, s.stepMachine(s.measuredDemand()))
 		}
 	}
 }
 
-func (s *Service) demand() share.DemandMeasured {
+func (s *Service) measuredDemand() share.DemandMeasured {
 	d := s.cfg.Admitter.Demand(clock.Now())
 	out := make(map[share.Resource]float64, len(d.Pools)+len(d.Customers))
 	for name, x := range d.Pools {
@@ -131,7 +131,7 @@
 }
 
 // step feeds the machine and gives admission the shares when they changed.
-func (s *Service) step(e share.Event) []share.Action {
+func (s *Service) stepMachine(e share.Event) []share.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
@@ -144,49 +144,49 @@
 }
 
 // send carries messages out without waiting for them.
-func (s *Service) send(ctx context.Context, actions []share.Action) {
+func (s *Service) sendActions(ctx context.Context, actions []share.Action) {
 	s.mu.Lock()
-	caller := s.caller
+	caller := s.peerCaller
 	s.mu.Unlock()
 	if caller == nil {
 		return
 	}
 	for _, a := range actions {
 		select {
-		case s.calls <- struct{}{}:
+		case s.callSlots <- struct{}{}:
 		default:
 			continue
 		}
 		go func() {
-			defer func() { <-s.calls }()
-			s.sendOne(ctx, caller, a)
+			defer func() { <-s.callSlots }()
+			s.sendAction(ctx, caller, a)
 		}()
 	}
 }
 
 // sendOne sends a message and handles the one that comes back. A call that
 // fails is a lost message.
-func (s *Service) sendOne(ctx context.Context, caller peer.Caller, a share.Action) {
+func (s *Service) sendAction(ctx context.Context, caller peer.Caller, a share.Action) {
 	ctx, cancel := clock.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	switch a := a.(type) {
 	case share.SendReport:
 		reply := &wire.ShareReply{}
-		if caller.Call(ctx, a.To, methodReport, a.Report, reply) == nil && !empty(reply) {
-			s.send(ctx, s.step(share.ReplyReceived{From: a.To, Reply: reply}))
+		if caller.Call(ctx, a.To, methodReport, a.Report, reply) == nil && !isEmpty(reply) {
+			s.sendActions(ctx, s.stepMachine(share.ReplyReceived{From: a.To, Reply: reply}))
 		}
 	case share.SendReply:
 		report := &wire.ShareReport{}
-		if caller.Call(ctx, a.To, methodReply, a.Reply, report) == nil && !empty(report) {
-			s.send(ctx, s.step(share.ReportReceived{From: a.To, Report: report}))
+		if caller.Call(ctx, a.To, methodReply, a.Reply, report) == nil && !isEmpty(report) {
+			s.sendActions(ctx, s.stepMachine(share.ReportReceived{From: a.To, Report: report}))
 		}
 	}
 }
 
-func empty(m proto.Message) bool { return proto.Size(m) == 0 }
+func isEmpty(m proto.Message) bool { return proto.Size(m) == 0 }
 
 func (s *Service) serveReport(_ context.Context, from peer.Sender, r *wire.ShareReport) (*wire.ShareReply, error) {
-	reply, ok := s.answer(share.ReportReceived{From: from.Host, Report: r}, func(a share.Action) bool {
+	reply, ok := s.stepForAnswer(share.ReportReceived{From: from.Host, Report: r}, func(a share.Action) bool {
 		reply, ok := a.(share.SendReply)
 		return ok && reply.To == from.Host
 	}).(share.SendReply)
@@ -197,7 +197,7 @@
 }
 
 func (s *Service) serveReply(_ context.Context, from peer.Sender, r *wire.ShareReply) (*wire.ShareReport, error) {
-	report, ok := s.answer(share.ReplyReceived{From: from.Host, Reply: r}, func(a share.Action) bool {
+	report, ok := s.stepForAnswer(share.ReplyReceived{From: from.Host, Reply: r}, func(a share.Action) bool {
 		report, ok := a.(share.SendReport)
 		return ok && report.To == from.Host
 	}).(share.SendReport)
@@ -209,22 +209,22 @@
 
 // answer passes what a host has sent to the machine. It returns the action that
 // is the answer to that host, nil without one, and carries out all others.
-func (s *Service) answer(e share.Event, isAnswer func(share.Action) bool) share.Action {
+func (s *Service) stepForAnswer(e share.Event, isAnswer func(share.Action) bool) share.Action {
 	var answer share.Action
 	var rest []share.Action
-	for _, a := range s.step(e) {
+	for _, a := range s.stepMachine(e) {
 		if isAnswer(a) {
 			answer = a
 			continue
 		}
 		rest = append(rest, a)
 	}
-	s.send(context.Background(), rest)
+	s.sendActions(context.Background(), rest)
 	return answer
 }
 
 // State is what a dump shows of one resource.
-type State struct {
+type ResourceShare struct {
 	Kind share.Kind `json:"kind"`
 	Name string     `json:"name"`
 	// Share is this daemon's fraction of the limit.
@@ -232,14 +232,14 @@
 }
 
 // States returns the shares in force.
-func (s *Service) States() []State {
+func (s *Service) ResourceShares() []ResourceShare {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
 	v := s.machine.View(now)
-	out := make([]State, 0, len(s.resources))
+	out := make([]ResourceShare, 0, len(s.resources))
 	for _, r := range s.resources {
-		out = append(out, State{r.Kind, r.Name, float64(v.Millionths(now, r)) / share.Full})
+		out = append(out, ResourceShare{r.Kind, r.Name, float64(v.Millionths(now, r)) / share.Full})
 	}
 	return out
 }
--- a/shares/service_test.go
+++ b/shares/service_test.go
@@ -24,48 +24,48 @@
 }
 
 // admitter has a demand that tests set.
-type admitter struct {
+type fakeAdmitter struct {
 	mu     sync.Mutex
 	demand float64
 	shares admit.Shares
 }
 
-func (a *admitter) Demand(time.Time) admit.Demand {
+func (a *fakeAdmitter) Demand(time.Time) admit.Demand {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return admit.Demand{Customers: map[string]float64{"clinic": a.demand}}
 }
 
-func (a *admitter) SetShares(s admit.Shares) {
+func (a *fakeAdmitter) SetShares(s admit.Shares) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.shares = s
 }
 
-func (a *admitter) set(demand float64) {
+func (a *fakeAdmitter) setDemand(demand float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.demand = demand
 }
 
-func (a *admitter) fraction() float64 {
+func (a *fakeAdmitter) customerShare() float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.shares.Customer(time.Now(), "clinic")
 }
 
 // network carries calls between services in one process.
-type network struct {
-	services map[string]*Service
-	admits   map[string]*admitter
+type fakeNetwork struct {
+	services  map[string]*Service
+	admitters map[string]*fakeAdmitter
 }
 
-type endpoint struct {
-	network *network
+type fakeCaller struct {
+	network *fakeNetwork
 	host    string
 }
 
-func (e endpoint) Call(ctx context.Context, host, _ string, req, resp proto.Message) error {
+func (e fakeCaller) Call(ctx context.Context, host, _ string, req, resp proto.Message) error {
 	s, ok := e.network.services[host]
 	if !ok {
 		return errors.New("unreachable")
@@ -86,7 +86,7 @@
 	return nil
 }
 
-func bundleOf(hosts int) *bundle.Bundle {
+func bundleWithHosts(hosts int) *bundle.Bundle {
 	b := &bundle.Bundle{Customers: []bundle.Customer{{Name: "clinic", RequestsPerSecond: 30}}}
 	for i := range hosts {
 		b.Hosts = append(b.Hosts, bundle.Host{Name: fmt.Sprintf("host-%d", i)})
@@ -94,20 +94,20 @@
 	return b
 }
 
-func newNetwork(ctx context.Context, hosts int) *network {
-	n := &network{services: map[string]*Service{}, admits: map[string]*admitter{}}
-	b := bundleOf(hosts)
+func newFakeNetwork(ctx context.Context, hosts int) *fakeNetwork {
+	n := &fakeNetwork{services: map[string]*Service{}, admitters: map[string]*fakeAdmitter{}}
+	b := bundleWithHosts(hosts)
 	for i, h := range b.Hosts {
-		n.admits[h.Name] = &admitter{}
+		n.admitters[h.Name] = &fakeAdmitter{}
 		n.services[h.Name] = New(Config{
-			Host: h.Name, Incarnation: 1, Admitter: n.admits[h.Name], Mux: peer.NewMux(), Seed: uint64(i),
+			Host: h.Name, Incarnation: 1, Admitter: n.admitters[h.Name], Mux: peer.NewMux(), Seed: uint64(i),
 		})
 	}
 	for _, s := range n.services {
 		s.Apply(b)
 	}
 	for host, s := range n.services {
-		go s.Run(ctx, endpoint{n, host})
+		go s.Run(ctx, fakeCaller{n, host})
 	}
 	return n
 }
@@ -116,21 +116,21 @@
 	It("gives admission the equal share, then what is lent, and takes it back", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
-		n := newNetwork(ctx, 3)
-		greedy, other := n.admits["host-0"], n.admits["host-1"]
-		Expect(greedy.fraction()).To(BeNumerically("~", 1.0/3, 0.001))
-		greedy.set(2)
+		n := newFakeNetwork(ctx, 3)
+		greedy, other := n.admitters["host-0"], n.admitters["host-1"]
+		Expect(greedy.customerShare()).To(BeNumerically("~", 1.0/3, 0.001))
+		greedy.setDemand(2)
 		// An allocator lends nothing until a cession after its start.
-		Eventually(greedy.fraction).WithTimeout(15 * time.Second).Should(BeNumerically(">", 0.7))
-		Expect(n.services["host-0"].States()).To(ConsistOf(HaveField("Share", BeNumerically(">", 0.7))))
-		other.set(0.3)
-		Eventually(other.fraction).WithTimeout(10 * time.Second).Should(BeNumerically(">", 0.3))
+		Eventually(greedy.customerShare).WithTimeout(15 * time.Second).Should(BeNumerically(">", 0.7))
+		Expect(n.services["host-0"].ResourceShares()).To(ConsistOf(HaveField("Share", BeNumerically(">", 0.7))))
+		other.setDemand(0.3)
+		Eventually(other.customerShare).WithTimeout(10 * time.Second).Should(BeNumerically(">", 0.3))
 	})
 
 	It("speaks over sessions between daemons", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
-		b := bundleOf(3)
+		b := bundleWithHosts(3)
 		var mu sync.Mutex
 		addresses := map[string]string{}
 		resolve := func(host string) (string, bool) {
@@ -139,10 +139,10 @@
 			address, ok := addresses[host]
 			return address, ok
 		}
-		admits := map[string]*admitter{}
+		admits := map[string]*fakeAdmitter{}
 		for i, h := range b.Hosts {
 			mux := peer.NewMux()
-			admits[h.Name] = &admitter{}
+			admits[h.Name] = &fakeAdmitter{}
 			s := New(Config{Host: h.Name, Incarnation: 1, Admitter: admits[h.Name], Mux: mux, Seed: uint64(i)})
 			s.Apply(b)
 			transport, err := peer.NewTransport(peer.Config{
@@ -155,7 +155,7 @@
 			mu.Unlock()
 			go s.Run(ctx, transport)
 		}
-		admits["host-2"].set(2)
-		Eventually(admits["host-2"].fraction).WithTimeout(15 * time.Second).Should(BeNumerically(">", 0.7))
+		admits["host-2"].setDemand(2)
+		Eventually(admits["host-2"].customerShare).WithTimeout(15 * time.Second).Should(BeNumerically(">", 0.7))
 	})
 })
