--- a/claims/acquire.go
+++ b/claims/acquire.go
@@ -13,18 +13,20 @@
 )
 
 const (
-	// backoffMin and backoffMax bound the wait between two rounds of asking.
+	// retryBackoffMin and retryBackoffMax bound the wait between two rounds of
+	// an acquisition, and between two tries of a release or a store.
 	retryBackoffMin = 5 * time.Millisecond
 	retryBackoffMax = 200 * time.Millisecond
-	// askTimeout bounds the wait for one holder in one round.
+	// holderCallTimeout bounds the wait for one holder's reply in one round.
 	holderCallTimeout = 500 * time.Millisecond
-	// releaseTimeout bounds the sending of a release.
+	// releaseTimeout bounds the sending of a release, retries included.
 	releaseTimeout = 2 * time.Second
-	// retryAfter is told to callers that may come back with the same key.
+	// retryAfter is the retry delay returned to callers that may retry with the
+	// same key.
 	retryAfter = time.Second
 )
 
-// ownedClaim is a claim of a request of this host.
+// ownedClaim is a claim that a request of this host has won.
 type ownedClaim struct {
 	claim   *claim.Claim
 	quorums []claim.Quorum
@@ -77,12 +79,14 @@
 	return claim.Owner{Host: s.cfg.Host, Incarnation: s.cfg.Incarnation, Request: id}
 }
 
-// conclude turns the end of a claim into the answer to the request machine.
+// decisionFor converts the final action of a claim into the decision for the
+// request's state machine.
 func (s *Service) decisionFor(ctx context.Context, name string, r *acquisition, end claim.Action) request.ClaimDecided {
 	switch a := end.(type) {
 	case claim.Won:
-		// From here on the request counts as sent, until Release says that it
-		// was not: the machine checks the deadline right before it sends.
+		// The request counts as sent from here on, unless Release reports that
+		// it was not: the state machine checks the deadline right before it
+		// sends the call.
 		if r.claim.Send(s.cfg.Now()) {
 			s.mu.Lock()
 			s.owned[name] = &ownedClaim{claim: r.claim, quorums: r.cfg.Quorums, epoch: r.cfg.Epoch}
@@ -105,8 +109,8 @@
 	}
 }
 
-// refusal makes the error of a refused claim. NotRun is told only once no
-// earlier attempt can run any more.
+// refusalDecision returns the error for a refused claim. It reports NotRun only
+// after the key has been voided, so that no earlier attempt can run any more.
 func (s *Service) refusalDecision(ctx context.Context, r *acquisition, a claim.Refuse) request.ClaimDecided {
 	e := problem.New(a.Kind, "%s", refusalDetail(a))
 	e.Execution = a.Execution
@@ -132,7 +136,7 @@
 	}
 }
 
-// take removes a claim from those owned.
+// removeOwned removes an owned claim and returns it, or nil if there is none.
 func (s *Service) removeOwned(name string) *ownedClaim {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/claims/bench_test.go
+++ b/claims/bench_test.go
@@ -17,10 +17,10 @@
 	"github.com/wheatseam/wheatseam/peer"
 )
 
-// benchHosts is the number of hosts; each key is held by three of them.
+// benchHosts is the number of hosts. Three of them hold each key.
 const benchHosts = 7
 
-// newLoopbackFleet returns services joined by TLS sessions over loopback.
+// newLoopbackFleet returns services connected by TLS sessions over loopback.
 func newLoopbackFleet(b *testing.B) []*Service {
 	dir := b.TempDir()
 	authority, err := certs.OpenAuthority(dir, time.Now(), time.Hour)
@@ -78,15 +78,15 @@
 	for _, s := range services {
 		for deadline := time.Now().Add(20 * time.Second); !s.FullyReady(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(deadline) {
-				b.Fatal("the fleet did not settle")
+				b.Fatal("the hosts did not become fully ready in time")
 			}
 		}
 	}
 	return services
 }
 
-// BenchmarkClaim is what a claim and the recording of a result of 1 KiB add to
-// a request, one after the other, over TLS on loopback.
+// BenchmarkClaim measures the latency that acquiring a claim and then recording
+// a result of 1 KiB add to a request, over TLS on loopback.
 func BenchmarkClaim(b *testing.B) {
 	services := newLoopbackFleet(b)
 	claimed, recorded := newHistogram(), newHistogram()
--- a/claims/codec.go
+++ b/claims/codec.go
@@ -10,10 +10,12 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// errMalformed answers a message with a field of a wrong length.
+// errMalformed is returned for a message that has a field of a wrong length, no
+// record, or an owner that is not the sender.
 var errMalformed = errors.New("malformed claim message")
 
-// scopeSeparator joins customer and stage: a key is claimed for each stage.
+// scopeSeparator separates customer and stage in the customer field of a claim
+// key, since a key is claimed separately for each stage.
 const scopeSeparator = "\x00"
 
 func scopedCustomer(customer, stage string) string { return customer + scopeSeparator + stage }
@@ -38,7 +40,7 @@
 	return claim.Owner{Host: o.GetHost(), Incarnation: o.GetIncarnation(), Request: o.GetRequest()}
 }
 
-// decodeDigest accepts no digest at all, for answers that carry none.
+// decodeDigest accepts an empty digest, since some replies carry none.
 func decodeDigest(b []byte) (claim.Digest, error) {
 	if len(b) == 0 {
 		return claim.Digest{}, nil
@@ -110,7 +112,8 @@
 	}
 }
 
-// decodeReply names the holder by the host that was asked, which TLS verified.
+// decodeReply takes the holder's name from the host that was called, which TLS
+// has verified, and not from the message.
 func decodeReply(holder string, m *wire.ClaimReply) (claim.Reply, error) {
 	digest, err := decodeDigest(m.Digest)
 	if err != nil {
--- a/claims/fleet_test.go
+++ b/claims/fleet_test.go
@@ -26,7 +26,8 @@
 	RunSpecs(t, "claims")
 }
 
-// fleet is a set of services joined by a network that loses messages.
+// testFleet is a set of services connected by an in-process network that can
+// drop messages.
 type testFleet struct {
 	mu          sync.Mutex
 	rng         *rand.Rand
@@ -37,8 +38,8 @@
 	cancels     map[string]context.CancelFunc
 }
 
-// testSkew and testAhead are short, so that keys made after a restart are
-// granted soon.
+// testMaxClockSkew and testMaxKeyAhead are short, so that a restarted host soon
+// grants keys again.
 const (
 	testMaxClockSkew = 20 * time.Millisecond
 	testMaxKeyAhead  = 20 * time.Millisecond
@@ -62,7 +63,7 @@
 	return f
 }
 
-// boot starts the next process of a host; the one before is gone.
+// startHost starts a new process of a host and ends the previous one.
 func (f *testFleet) startHost(name string) {
 	now := time.Now()
 	s := New(Config{
@@ -105,29 +106,29 @@
 	}
 }
 
-func (f *testFleet) setLossRate(share float64) {
+func (f *testFleet) setLossRate(rate float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lossRate = share
+	f.lossRate = rate
 }
 
-var errMessageLost = errors.New("lost")
+var errMessageLost = errors.New("message lost")
 
-// lost decides about one message.
+// messageLost decides whether one message is dropped.
 func (f *testFleet) messageLost(from, to string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return from != to && (f.partitioned[from] || f.partitioned[to] || f.rng.Float64() < f.lossRate)
 }
 
-// link is a host's access to the network.
+// hostCaller sends the calls of one process of a host over the network.
 type hostCaller struct {
 	fleet       *testFleet
 	from        string
 	incarnation uint64
 }
 
-// Call hands a request over, unless it or its answer is lost.
+// Call delivers a request to a host, unless the request or its reply is dropped.
 func (l *hostCaller) Call(ctx context.Context, host, method string, req, resp proto.Message) error {
 	sender := peer.Sender{Host: l.from, Incarnation: l.incarnation}
 	if l.fleet.messageLost(l.from, host) {
@@ -158,12 +159,12 @@
 	}
 }
 
-// newKey returns the key of a new request.
+// newKey returns a fresh key.
 func newKey() request.ClaimKey {
 	return request.ClaimKey{Customer: "customer", Key: uuid.Must(uuid.NewV7()).String(), Stage: "seal"}
 }
 
-// acquire claims a key at a host within a time.
+// acquire claims a key at a host with the given timeout.
 func (f *testFleet) acquire(host string, key request.ClaimKey, id string, within time.Duration) request.ClaimDecided {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
--- a/claims/run.go
+++ b/claims/run.go
@@ -12,19 +12,19 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// run drives one claim.Claim to its end. Only the goroutine that calls ask
-// touches the claim; calls to holders report back through answers.
+// acquisition drives one claim.Claim to its end. Only the goroutine that calls
+// runToEnd accesses the claim; calls to holders report back through answers.
 type acquisition struct {
 	service    *Service
 	cfg        claim.Config
 	claim      *claim.Claim
 	answers    chan holderAnswer
 	retryTimer <-chan time.Time
-	// blocking is the owner that a holder named last.
+	// blockingOwner is the owner that a holder last named as having the key.
 	blockingOwner claim.Owner
 }
 
-// answer is what one call to a holder brought.
+// holderAnswer is the result of one call to a holder.
 type holderAnswer struct {
 	holder string
 	round  uint32
@@ -32,7 +32,8 @@
 	err    error
 }
 
-// maxAnswers bounds the answers on their way: each holder answers a round once.
+// maxPendingAnswers bounds the answers that are queued: each holder answers
+// once per round.
 const maxPendingAnswers = 64
 
 func newAcquisition(s *Service, cfg claim.Config, seed uint64) *acquisition {
@@ -42,9 +43,11 @@
 	}
 }
 
-// ask runs the claim until it is won, lost or refused.
+// runToEnd runs the claim until it is won, lost or refused, and returns the
+// action that says so.
 func (r *acquisition) runToEnd(ctx context.Context) claim.Action {
-	// Answers that nobody reads any more must not block their senders.
+	// Cancelling ctx releases the goroutines that would otherwise block on
+	// sending an answer that is no longer read.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	end := r.performActions(ctx, r.claim.Start())
@@ -73,8 +76,8 @@
 	return r.claim.Reply(now, a.reply)
 }
 
-// again starts the next round, unless the owner that stands in the way has
-// ended: then nobody will release the key or record a result.
+// startNextRound starts the next round, unless the process of the blocking owner
+// has ended: then nobody will release the key or record a result.
 func (r *acquisition) startNextRound() []claim.Action {
 	if r.blockingOwner.Host != "" && r.service.cfg.OwnerUnavailable(r.blockingOwner.Host, r.blockingOwner.Incarnation) {
 		return r.claim.GiveUp(problem.OutcomeUnknown)
@@ -82,7 +85,8 @@
 	return r.claim.Timer()
 }
 
-// perform carries out actions and returns the one that ends the claim, if any.
+// performActions carries out actions and returns the one that ends the claim, if
+// any.
 func (r *acquisition) performActions(ctx context.Context, actions []claim.Action) claim.Action {
 	var end claim.Action
 	for _, action := range actions {
@@ -100,7 +104,7 @@
 	return end
 }
 
-// sendAll carries out the releases among actions.
+// sendReleases sends the releases among actions.
 func (r *acquisition) sendReleases(actions []claim.Action) { r.service.sendReleases(actions) }
 
 func (r *acquisition) callHolder(ctx context.Context, a claim.SendAsk) {
@@ -126,8 +130,9 @@
 	}
 }
 
-// sendRelease tells a holder until it hears or the time is up. A release that
-// is lost leaves the key taken, which costs an answer but never a double run.
+// sendRelease retries a release until the holder confirms it or releaseTimeout
+// has passed. A lost release leaves the key claimed: a later request with the
+// key then gets no answer, but the stage never runs twice.
 func (s *Service) sendRelease(a claim.SendRelease) {
 	ctx, cancel := clock.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
@@ -144,10 +149,12 @@
 	}
 }
 
-// errNotVoided means that NotRun must not be told.
+// errNotVoided means that the request must not be reported as NotRun.
 var errNotVoided = errors.New("no majority of the key's holders has voided it")
 
-// void places the mark under which a NotRun answer stays true.
+// voidKey marks the key as void at a majority of its holders. They then refuse
+// every attempt that arrived before now plus MaxClockSkew, so that a NotRun answer
+// stays true.
 func (s *Service) voidKey(ctx context.Context, k claim.Key, owner claim.Owner, epoch uint64, quorums []claim.Quorum) error {
 	m := &wire.ClaimVoid{
 		Key: encodeKey(k), Owner: encodeOwner(owner), Epoch: epoch,
@@ -166,8 +173,9 @@
 	return nil
 }
 
-// majority calls every holder at once and returns as soon as a majority of each
-// quorum has said yes, or false once that is out of reach.
+// callMajority calls every holder concurrently. It returns true as soon as a
+// majority of each quorum has answered yes, and false once all holders have
+// answered without one or ctx ends.
 func (s *Service) callMajority(ctx context.Context, quorums []claim.Quorum, call func(holder string) bool) bool {
 	tally := claim.NewTally(quorums)
 	holders := tally.Holders()
@@ -193,7 +201,7 @@
 	return false
 }
 
-// store records a result at the holders.
+// storeResult records a result at a majority of the key's holders.
 func (s *Service) storeResult(ctx context.Context, o *ownedClaim, record claim.Record) error {
 	replies := make(chan claim.Reply, maxPendingAnswers)
 	pending := 0
@@ -220,7 +228,8 @@
 	return errors.New("no majority of the key's holders has the result")
 }
 
-// sendStore tells a holder until it hears or ctx ends.
+// sendStore retries a store until the holder replies or ctx ends. In the latter
+// case the reply holds only the holder's name.
 func (s *Service) sendStore(ctx context.Context, a claim.SendStore) claim.Reply {
 	m := &wire.ClaimStore{
 		Key: encodeKey(a.Store.Key), Owner: encodeOwner(a.Store.Owner), Record: encodeRecord(&a.Store.Record),
--- a/claims/serve.go
+++ b/claims/serve.go
@@ -9,7 +9,7 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// Methods between daemons.
+// RPC methods between daemons.
 const (
 	methodAsk     = "claim.ask"
 	methodRelease = "claim.release"
@@ -18,7 +18,7 @@
 	methodStatus  = "claim.status"
 )
 
-// errNoBundle answers while this host has no bundle yet.
+// errNoHostList is returned to peers while this host has no bundle yet.
 var errNoHostList = errors.New("no host list is in force yet")
 
 func (s *Service) register(mux *peer.Mux) {
@@ -29,8 +29,8 @@
 	peer.Handle(mux, methodStatus, s.serveStatus)
 }
 
-// withHolder runs f on the holder of a key. The host lists cannot change
-// meanwhile.
+// withKeyHolder runs f on the shard that holds a key. The host lists cannot
+// change while f runs.
 func (s *Service) withKeyHolder(key claim.Key, f func(*claim.Holder, claim.Env) claim.Reply) (*wire.ClaimReply, error) {
 	s.viewsMu.RLock()
 	defer s.viewsMu.RUnlock()
@@ -46,7 +46,8 @@
 	return encodeReply(f(shard.holder, env)), nil
 }
 
-// sentBy says whether a message comes from the process that it speaks for.
+// sentByOwner reports whether a message comes from the process that owns the
+// claim.
 func sentByOwner(from peer.Sender, o claim.Owner) bool {
 	return o.Host == from.Host && o.Incarnation == from.Incarnation
 }
--- a/claims/service.go
+++ b/claims/service.go
@@ -17,17 +17,18 @@
 	"github.com/wheatseam/wheatseam/peer"
 )
 
-// holderShards is the number of shards of the keys held; a power of two.
+// holderShards is the number of shards of the held keys, a power of two.
 const holderShards = 16
 
-// Bounds of the memory for held keys, over all shards.
+// Limits of the memory for held keys. maxKeys and maxResultBytes are totals over
+// all shards; maxResult is the size limit of one result in bytes.
 const (
 	maxKeys        = 400_000
 	maxResultBytes = 64 << 20
 	maxResult      = 64 << 10
 )
 
-// Caller sends a request to a fellow daemon.
+// Caller sends a request to a peer daemon.
 type Caller interface {
 	Call(ctx context.Context, host, method string, req, resp proto.Message) error
 }
@@ -36,21 +37,23 @@
 type Config struct {
 	Host        string
 	Incarnation uint64
-	// Started is when the process started, by its wall clock.
+	// Started is the wall-clock time at which the process started.
 	Started time.Time
 	Caller  Caller
 	Now     func() time.Time
-	// Trusted says whether this host's clock agrees with its peers' and its
-	// views are renewed since the last pause.
+	// ClockAndViewsTrusted reports whether this host's clock agrees with its
+	// peers' clocks and its views have been renewed since the process was last
+	// paused.
 	ClockAndViewsTrusted func() bool
-	// Gone says whether a process of a host has ended or does not answer. Then
-	// requests no longer wait for what it has claimed.
+	// OwnerUnavailable reports whether a process of a host has ended or does not
+	// answer. Requests then no longer wait for the keys that it has claimed.
 	OwnerUnavailable func(host string, incarnation uint64) bool
 	Log              *zap.Logger
 	Seed             uint64
 }
 
-// Service holds keys for the fleet and claims keys for this host.
+// Service holds keys for all daemons and acquires claims for the requests of
+// this host.
 type Service struct {
 	cfg Config
 
@@ -76,8 +79,9 @@
 	holder *claim.Holder
 }
 
-// New returns a service and registers its methods. It claims and grants
-// nothing until Apply was called and Run has caught up with the other hosts.
+// New returns a service and registers its methods. The service neither acquires
+// nor grants claims until Apply has been called and Run has synchronized with
+// the other hosts.
 func New(cfg Config, mux *peer.Mux) *Service {
 	s := &Service{
 		cfg: cfg, owned: make(map[string]*ownedClaim),
@@ -87,9 +91,10 @@
 	return s
 }
 
-// Apply takes the host lists and the policy of a bundle. A bundle whose lineage
-// lacks the host list in force is refused loudly: this host then goes on under
-// the old list, which can no longer win a majority against the new one.
+// Apply adopts the host lists and the policy of a bundle. If the bundle's lineage
+// lacks the host list that is active here, Apply logs an error and keeps the
+// active list, which can no longer win a majority against the new one. The
+// refusal also shows in Dump.
 func (s *Service) Apply(b *bundle.Bundle) {
 	lineage, err := claim.FromBundle(b)
 	if err == nil {
@@ -98,7 +103,7 @@
 	if err != nil {
 		text := fmt.Sprintf("bundle %d: %v", b.Version, err)
 		s.refusalReason.Store(&text)
-		s.cfg.Log.Error("host lists refused", zap.Uint64("version", b.Version), zap.Error(err))
+		s.cfg.Log.Error("rejected the host lists of a bundle; keeping the active ones", zap.Uint64("version", b.Version), zap.Error(err))
 		return
 	}
 	s.refusalReason.Store(nil)
@@ -117,7 +122,7 @@
 	defer s.viewsMu.Unlock()
 	if s.views != nil {
 		if p != s.policy {
-			s.cfg.Log.Warn("changed claim policy takes effect after a restart")
+			s.cfg.Log.Warn("claim policy changed; the change takes effect after a restart")
 		}
 		if err := s.views.Adopt(s.cfg.Now(), l); err != nil {
 			return err
@@ -133,16 +138,17 @@
 	return nil
 }
 
-// Ready reports whether this host may claim.
+// Ready reports whether this host may acquire claims.
 func (s *Service) Ready() bool {
 	s.viewsMu.RLock()
 	defer s.viewsMu.RUnlock()
 	return s.views != nil && s.views.Ready() && s.cfg.ClockAndViewsTrusted()
 }
 
-// Settled reports whether this host may claim and grants every fresh key: keys
-// made up to shortly after its start may have been granted by the process
-// before, so that it abstains from them.
+// FullyReady reports whether this host may acquire claims and also grants every
+// fresh key. After a start it abstains from keys created up to MaxClockSkew plus
+// MaxKeyAhead after the start, since the previous process of the host may have
+// granted them.
 func (s *Service) FullyReady() bool {
 	if !s.Ready() {
 		return false
@@ -152,7 +158,8 @@
 	return s.cfg.Now().After(s.cfg.Started.Add(s.policy.MaxClockSkew + s.policy.MaxKeyAhead))
 }
 
-// Place names the hosts that hold a key of a customer, in order of preference.
+// HolderHosts returns the names of the hosts that hold a key of a customer, in
+// order of preference. It returns nil for an invalid key.
 func (s *Service) HolderHosts(customer, id string) []string {
 	key, err := claim.ParseKey(customer, id)
 	if err != nil {
@@ -163,22 +170,22 @@
 	return claim.Group(s.lineage.Current.Hosts, key, s.policy.GroupSize)
 }
 
-// Dump is the state of claims for operators.
+// Dump is the diagnostic state of a Service for operators.
 type Dump struct {
 	Ready                bool   `json:"ready"`
 	Epoch                uint64 `json:"epoch"`
 	Synced               bool   `json:"synced"`
 	ClockAndViewsTrusted bool   `json:"clock_and_views_trusted"`
-	// Refused is why the newest bundle's host lists are not in force.
+	// Refused is the reason why the newest bundle's host lists were rejected.
 	Refused string `json:"refused,omitempty"`
-	// Earlier are the epochs of earlier host lists in the bundle.
+	// Earlier holds the epochs of the earlier host lists in the bundle.
 	Earlier []uint64    `json:"earlier_epochs"`
 	Held    claim.Stats `json:"held"`
-	// Owned counts the claims of this host's requests.
+	// Owned is the number of claims that requests of this host own.
 	Owned int `json:"owned"`
 }
 
-// Dump returns the state for operators.
+// Dump returns the diagnostic state for operators.
 func (s *Service) Dump() Dump {
 	d := Dump{Ready: s.Ready(), ClockAndViewsTrusted: s.cfg.ClockAndViewsTrusted()}
 	if text := s.refusalReason.Load(); text != nil {
--- a/claims/service_test.go
+++ b/claims/service_test.go
@@ -20,7 +20,7 @@
 	var f *testFleet
 	BeforeEach(func() { f = newTestFleet("a", "b", "c") })
 
-	It("gives a retry at another host the result, and another request none", func() {
+	It("returns the recorded result to a retry at another host, but not to a different request", func() {
 		key := newKey()
 		Expect(f.acquire("a", key, "r1", within).Won).To(BeTrue())
 		waiting := make(chan []byte, 1)
@@ -36,7 +36,7 @@
 		Expect(f.service("a").Dump().Owned).To(BeZero())
 	})
 
-	It("does not hand a key on whose owner has ended", func() {
+	It("does not grant a key again after its owner's process has ended", func() {
 		key := newKey()
 		Expect(f.acquire("a", key, "r1", within).Won).To(BeTrue())
 		f.startHost("a")
@@ -47,7 +47,7 @@
 		Expect(d.Err.Execution).To(Equal(problem.MayHaveRun))
 	})
 
-	It("lets a later attempt have a released key, but no earlier one", func() {
+	It("grants a released key to a later attempt, but not to an earlier one", func() {
 		key := newKey()
 		before := time.Now()
 		Expect(f.acquire("a", key, "r1", within).Won).To(BeTrue())
@@ -58,7 +58,7 @@
 		Eventually(func() bool { return f.acquire("b", key, "r2", within).Won }, within).Should(BeTrue())
 	})
 
-	It("refuses at once without a majority, and does not say not_run", func() {
+	It("refuses at once without a majority, and does not report not_run", func() {
 		key := newKey()
 		f.setPartitioned(true, "b", "c")
 		d := f.acquire("a", key, "r1", within)
@@ -67,14 +67,14 @@
 		Expect(d.Err.RetryAfter).NotTo(BeZero())
 	})
 
-	It("refuses a bundle whose lineage lacks the host list in force", func() {
+	It("rejects a bundle whose lineage lacks the active host list", func() {
 		s := f.service("a")
 		s.Apply(&bundle.Bundle{Version: 2, Claims: f.bundle.Claims, Hosts: f.bundle.Hosts[1:]})
 		Expect(s.Dump().Refused).To(ContainSubstring("bundle 2"))
 		Expect(s.Dump().Epoch).To(Equal(uint64(1)))
 	})
 
-	It("lets one attempt win each key under loss and restarts", func() {
+	It("lets at most one attempt win each key despite message loss and restarts", func() {
 		const waves, keys, attempts = 3, 20, 4
 		hosts := []string{"a", "b", "c"}
 		won := 0
@@ -86,7 +86,7 @@
 				key := newKey()
 				for i := range attempts {
 					group.Go(func() {
-						// The later attempts are retries, after the restart.
+						// Attempts 2 and 3 start after the restart at 45 ms.
 						time.Sleep(time.Duration(i) * 30 * time.Millisecond)
 						if f.acquire(hosts[(k+i)%len(hosts)], key, fmt.Sprintf("r%d", i), 300*time.Millisecond).Won {
 							wins[k].Add(1)
--- a/claims/status.go
+++ b/claims/status.go
@@ -18,19 +18,20 @@
 )
 
 const (
-	// syncEvery is how often a host that has not caught up asks all others.
+	// syncInterval is how often a host that is not synchronized queries all
+	// other hosts.
 	syncInterval = 250 * time.Millisecond
-	// compareEvery is how often a host that has caught up compares what it
-	// knows with one other.
+	// compareInterval is how often a synchronized host compares its status with
+	// that of one random host.
 	compareInterval = time.Second
-	// statusTimeout bounds one exchange.
+	// statusTimeout bounds one status exchange.
 	statusTimeout = time.Second
-	// maxExchanges bounds the exchanges at the same time.
+	// maxConcurrentExchanges bounds the status exchanges in flight.
 	maxConcurrentExchanges = 16
 )
 
-// Run keeps the knowledge of host lists in step with the other hosts' until
-// ctx ends.
+// Run synchronizes the status of the host lists with the other hosts until ctx
+// ends.
 func (s *Service) Run(ctx context.Context) {
 	timer := clock.NewTimer(syncInterval)
 	defer timer.Stop()
@@ -44,7 +45,8 @@
 	}
 }
 
-// keepInStep exchanges statuses once and returns when to do so again.
+// syncStatus exchanges statuses once and returns the delay until the next
+// exchange.
 func (s *Service) syncStatus(ctx context.Context) time.Duration {
 	hosts, synced := s.peerHosts()
 	if synced {
@@ -68,7 +70,7 @@
 	return syncInterval
 }
 
-// others returns the other hosts of the list in force and of the earlier ones.
+// peerHosts returns the other hosts of the active and the earlier host lists.
 func (s *Service) peerHosts() (hosts []string, synced bool) {
 	s.viewsMu.RLock()
 	defer s.viewsMu.RUnlock()
@@ -85,8 +87,9 @@
 	return hosts, s.views.Status().Synced
 }
 
-// exchange tells a host what this one knows and takes what it knows. Complete
-// statuses travel only when the two differ, or when this host must catch up.
+// exchangeStatus sends this host's status to a host and merges that host's
+// status. Complete statuses are sent only if the fingerprints differ or if this
+// host is not synchronized.
 func (s *Service) exchangeStatus(ctx context.Context, host string, complete bool) {
 	ctx, cancel := clock.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -134,8 +137,8 @@
 	return mine, nil
 }
 
-// fingerprint is equal for two hosts that know the same incarnations and
-// acknowledgements.
+// fingerprint is equal for two hosts that know the same incarnations of hosts
+// and the same acknowledgements of host lists.
 func fingerprint(s claim.Status) uint64 {
 	acks := maps.Clone(s.Relayed)
 	if s.Synced {
