--- a/results/memory_bench_test.go
+++ b/results/memory_bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkMemory reports the heap of one kept result by its size, over several
-// numbers of results, and what the store counts for it.
+// BenchmarkMemory reports the heap bytes per kept result and the bytes that the
+// store accounts for it, for several result sizes and numbers of results.
 func BenchmarkMemory(b *testing.B) {
 	for _, size := range []int{200, 2 << 10, 8 << 10, 32 << 10} {
 		for _, n := range []int{250, 500, 1000, 2000} {
--- a/results/results_test.go
+++ b/results/results_test.go
@@ -22,7 +22,7 @@
 
 var startTime = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// network connects services in one process.
+// fakeNetwork delivers calls between services in one process.
 type fakeNetwork struct {
 	services map[string]*Service
 	down     map[string]bool
@@ -72,12 +72,12 @@
 		Expect(kept).To(Equal(2))
 	})
 
-	It("survives the host that kept it and one more", func() {
+	It("fetches a result although the host that stored it and another one are down", func() {
 		n.down["h0"], n.down["h1"] = true, true
 		Expect(n.services["h2"].Fetch(ctx, request)).To(HaveKeyWithValue("generate", []byte("draft")))
 	})
 
-	DescribeTable("never gives a result to another request", func(other Request) {
+	DescribeTable("never returns a result for a different request", func(other Request) {
 		for _, s := range n.services {
 			Expect(s.Fetch(ctx, other)).To(BeEmpty())
 		}
@@ -87,21 +87,21 @@
 		Entry("for another input or stages", Request{Customer: "c", Key: "k", Digest: Digest{2}}),
 	)
 
-	It("forgets at the deadline", func() {
+	It("drops results once they have expired", func() {
 		n.now = startTime.Add(time.Minute)
 		Expect(n.services["h1"].Fetch(ctx, request)).To(BeEmpty())
 		n.services["h1"].cfg.Store.Expire(n.now)
 		Expect(n.services["h1"].cfg.Store.Stats()).To(Equal(Stats{}))
 	})
 
-	It("reports hosts that it could not reach", func() {
+	It("reports an error for a host that it could not reach", func() {
 		n.down["h1"] = true
 		kept, err := n.services["h0"].Keep(ctx, request, "x", []byte("y"), startTime.Add(time.Minute))
 		Expect(kept).To(Equal(1))
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("refuses what is too large, and keeps within its memory", func() {
+	It("rejects a result that is too large, and stays within its memory bound", func() {
 		_, err := n.services["h0"].Keep(ctx, request, "x", make([]byte, MaxResultBytes+1), startTime.Add(time.Minute))
 		Expect(err).To(MatchError(ErrTooLarge))
 		store := NewStore(shardCount * 1400) // room for one result of 500 bytes, not for two
--- a/results/service.go
+++ b/results/service.go
@@ -12,35 +12,34 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// Methods between daemons.
+// RPC methods between daemons.
 const (
 	methodKeep  = "results.keep"
 	methodFetch = "results.fetch"
 )
 
-// Bounds of what is kept.
 const (
-	// MaxResultBytes bounds one result; larger ones are not kept.
+	// MaxResultBytes is the size limit of one result. Larger ones are not kept.
 	MaxResultBytes = 256 << 10
-	// copies is the number of fellow daemons that keep a result.
+	// maxCopies is the number of peer daemons that keep a result.
 	maxCopies = 2
-	// maxTTL bounds how long a sender may have a result kept.
+	// maxTTL bounds the time for which a sender may have a result kept.
 	maxTTL = 5 * time.Minute
 )
 
-// Caller sends a request to a fellow daemon.
+// Caller sends a request to a peer daemon.
 type Caller interface {
 	Call(ctx context.Context, host, method string, req, resp proto.Message) error
 }
 
-// Placer says which hosts keep the results of a key: the same at every host
-// that has the same bundle, in order of preference and spread over failure
-// domains.
+// HostsFor returns the names of the hosts that keep the results of a key, in
+// order of preference and spread over failure domains. It returns the same hosts
+// at every daemon that has the same bundle.
 type HostsFor func(customer, key string) []string
 
 // Config configures a Service.
 type Config struct {
-	// Host is the name of this host.
+	// Host is this host's name.
 	Host     string
 	Caller   Caller
 	HostsFor HostsFor
@@ -48,11 +47,11 @@
 	Now      func() time.Time
 }
 
-// Service keeps results at fellow daemons and for them. It is safe for
+// Service keeps results at peer daemons and on their behalf. It is safe for
 // concurrent use.
 type Service struct{ cfg Config }
 
-// NewService returns a service and registers its methods.
+// NewService returns a service and registers its RPC methods.
 func NewService(cfg Config, mux *peer.Mux) *Service {
 	s := &Service{cfg: cfg}
 	peer.Handle(mux, methodKeep, s.serveKeep)
@@ -63,8 +62,10 @@
 // ErrTooLarge is returned for a result over MaxResultBytes.
 var ErrTooLarge = errors.New("result too large to keep")
 
-// Keep stores a stage's result at other hosts until the given time and returns
-// the number of hosts that have it.
+// Keep stores a stage's result at other hosts until the given time, for at most 5
+// minutes, and returns the number of hosts that have stored it. It returns
+// ErrTooLarge for a result over MaxResultBytes, and else the joined errors of the
+// hosts that failed.
 func (s *Service) Keep(ctx context.Context, r Request, stage string, result []byte, until time.Time) (int, error) {
 	if len(result) > MaxResultBytes {
 		return 0, ErrTooLarge
@@ -80,8 +81,8 @@
 	return s.storeCopies(ctx, s.copyHosts(r), req)
 }
 
-// others returns the hosts that keep a copy: not this one, which dies with the
-// request.
+// copyHosts returns the hosts that keep a copy. This host isn't one of them: if it
+// fails, the request and the copy would be lost together.
 func (s *Service) copyHosts(r Request) []string {
 	var hosts []string
 	for _, h := range s.cfg.HostsFor(r.Customer, r.Key) {
@@ -118,8 +119,9 @@
 	return kept, errors.Join(errs...)
 }
 
-// Fetch asks the hosts that may keep results of r and returns what it has by
-// the end of ctx. Hosts that do not answer cost work, so errors are not told.
+// Fetch asks the hosts that may keep results of r and returns the results by
+// stage that have arrived by the end of ctx. It reports no errors, since a host
+// that doesn't answer only means that a stage has to run again.
 func (s *Service) Fetch(ctx context.Context, r Request) map[string][]byte {
 	hosts := s.cfg.HostsFor(r.Customer, r.Key)
 	answers := make(chan map[string][]byte, len(hosts))
@@ -156,7 +158,7 @@
 	return out
 }
 
-// errDigest is answered to a request whose digest has a wrong length.
+// errDigestLength is returned for a request whose digest has a wrong length.
 var errDigestLength = errors.New("digest must have 32 bytes")
 
 func (s *Service) serveKeep(_ context.Context, _ peer.Sender, req *wire.KeepRequest) (*wire.KeepResponse, error) {
--- a/results/store.go
+++ b/results/store.go
@@ -1,10 +1,10 @@
-// Package results keeps completed stages of requests at fellow daemons in
-// other failure domains for as long as the requests' deadlines, so that a retry
-// after a host's death resumes instead of doing the work again.
+// Package results keeps the results of completed stages at peer daemons in other
+// failure domains for as long as the requests' deadlines allow, so that a retry
+// after a host failure resumes instead of running the stages again.
 //
-// A lost kept result costs work, never correctness: a retry then runs the
-// repeatable stage again. Stages that may not be repeated are recorded by the
-// claim holders instead (package claims).
+// Losing a kept result costs work but never correctness: a retry then runs the
+// repeatable stage again. The results of non-repeatable stages are recorded by
+// the claim holders instead (package claims).
 package results
 
 import (
@@ -14,8 +14,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest identifies what a request asks for and how its stages are defined. A
-// result is only ever given out for the same digest.
+// Digest identifies the input of a request and the definitions of its stages. A
+// result is only returned for the same digest.
 type Digest [32]byte
 
 // Request identifies the request that results belong to.
@@ -25,11 +25,11 @@
 	Digest   Digest
 }
 
-// storeShards is the number of shards; a power of two.
+// shardCount is the number of shards, a power of two.
 const shardCount = 16
 
-// Store holds results in bounded memory, in shards under their own locks. It
-// is safe for concurrent use.
+// Store holds results in bounded memory. It is sharded, with one lock per shard,
+// and safe for concurrent use.
 type Store struct {
 	shards        [shardCount]shard
 	maxShardBytes int
@@ -48,11 +48,11 @@
 	expires time.Time
 }
 
-// requestOverhead is what a result takes beside its own bytes, rounded up from
-// what BenchmarkMemory measures.
+// resultOverheadBytes is the memory that a stored result takes beyond its own bytes
+// (key, map entries and slice header), rounded up.
 const resultOverheadBytes = 656
 
-// NewStore returns a store that holds about maxBytes.
+// NewStore returns a store that holds up to about maxBytes, overhead included.
 func NewStore(maxBytes int) *Store {
 	s := &Store{maxShardBytes: maxBytes / shardCount}
 	for i := range s.shards {
@@ -65,8 +65,8 @@
 	return &s.shards[xxhash.Sum64String(r.Customer+"\x00"+r.Key)%shardCount]
 }
 
-// Put keeps a result until the given time. It returns false when there is no
-// room. The result must not be changed afterwards.
+// Put stores a result until the given time. It returns false if there is no room.
+// The caller must not modify the result afterwards.
 func (s *Store) Put(now time.Time, r Request, stage string, result []byte, until time.Time) bool {
 	sh := s.shardOf(r)
 	sh.mu.Lock()
@@ -96,7 +96,7 @@
 	return true
 }
 
-// Get returns the results kept for r by stage. They must not be changed.
+// Get returns the results stored for r by stage. The caller must not modify them.
 func (s *Store) Get(now time.Time, r Request) map[string][]byte {
 	sh := s.shardOf(r)
 	sh.mu.Lock()
@@ -112,7 +112,7 @@
 	return out
 }
 
-// Expire forgets what is of no use any more. It is called every second or so.
+// Expire removes the expired results. It should be called about once a second.
 func (s *Store) Expire(now time.Time) {
 	for i := range s.shards {
 		sh := &s.shards[i]
@@ -131,15 +131,15 @@
 	}
 }
 
-// Stats are the figures of a Store.
+// Stats holds the counters of a Store. Bytes includes the overhead per result.
 type Stats struct {
 	Requests int `json:"requests"`
 	Bytes    int `json:"bytes"`
-	// Full counts results that were not kept for want of room.
+	// Full is the number of results that were rejected because there was no room.
 	Full uint64 `json:"full"`
 }
 
-// Stats returns the store's figures.
+// Stats returns the sum of the shards' counters.
 func (s *Store) Stats() Stats {
 	var st Stats
 	for i := range s.shards {
--- a/shares/doc.go
+++ b/shares/doc.go
@@ -1,4 +1,4 @@
-// Package shares runs the division of fleet-wide limits in a daemon: it drives
-// a share.Machine by the clock, carries its messages to fellow daemons and
-// gives admission the shares in force.
+// Package shares divides fleet-wide limits among the daemons. It drives a
+// share.Machine by timers, sends its messages to peer daemons and gives the
+// admission controller the current shares.
 package shares
--- a/shares/service.go
+++ b/shares/service.go
@@ -16,8 +16,8 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// Methods between daemons. Each may answer with the message that it gives rise
-// to, or with an empty one.
+// RPC methods between daemons. The response holds the machine's answer to the
+// sender, or is empty if there is none.
 const (
 	methodReport = "share.report"
 	methodReply  = "share.reply"
@@ -27,12 +27,12 @@
 	tickInterval    = 50 * time.Millisecond
 	measureInterval = 250 * time.Millisecond
 	callTimeout     = 2 * time.Second
-	// maxCalls bounds the calls in flight. A message beyond is not sent: the
-	// machine repeats what matters.
+	// maxCallsInFlight bounds the calls in flight. Further messages are dropped,
+	// since the machine repeats those that matter.
 	maxCallsInFlight = 64
 )
 
-// Admitter measures demand and is given the shares in force.
+// Admitter measures demand and enforces the current shares.
 type Admitter interface {
 	Demand(now time.Time) admit.Demand
 	SetShares(s admit.Shares)
@@ -41,17 +41,18 @@
 // Config configures a Service.
 type Config struct {
 	Host string
-	// Incarnation is the start of this process in Unix milliseconds.
+	// Incarnation is the start time of this process in Unix milliseconds.
 	Incarnation uint64
 	Admitter    Admitter
-	// Live names the hosts believed to be alive; nil means all.
+	// LiveHosts returns the names of the hosts believed to be alive; nil means
+	// that all are.
 	LiveHosts func() []string
 	Mux       *peer.Mux
-	// Seed of the random choices.
+	// Seed seeds the random choices.
 	Seed uint64
 }
 
-// Service is safe for concurrent use.
+// Service computes this daemon's shares. It is safe for concurrent use.
 type Service struct {
 	cfg       Config
 	callSlots chan struct{}
@@ -60,11 +61,11 @@
 	machine   *share.Machine
 	resources []share.Resource
 	view      *share.View
-	// caller is nil until Run.
+	// peerCaller is nil until Run is called.
 	peerCaller peer.Caller
 }
 
-// New returns a service that has not started and registers its methods.
+// New returns a service and registers its methods. Run starts it.
 func New(cfg Config) *Service {
 	now := clock.Now()
 	machine := share.New(now, share.NewConfig(cfg.Host, cfg.Incarnation, 1), rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)))
@@ -74,7 +75,7 @@
 	return s
 }
 
-// Apply puts a bundle's hosts, pools and limited customers in force. It must
+// Apply sets the hosts, pools and rate-limited customers from a bundle. It must
 // be called after the Admitter's Apply.
 func (s *Service) Apply(b *bundle.Bundle) {
 	e := share.HostsChanged{}
@@ -95,7 +96,7 @@
 	s.stepMachine(e)
 }
 
-// Run drives the machine until ctx ends.
+// Run drives the machine and sends its messages through caller until ctx ends.
 func (s *Service) Run(ctx context.Context, caller peer.Caller) {
 	s.mu.Lock()
 	s.peerCaller = caller
@@ -130,7 +131,8 @@
 	return share.DemandMeasured{Demand: out}
 }
 
-// step feeds the machine and gives admission the shares when they changed.
+// stepMachine passes an event to the machine and gives the Admitter the shares if
+// they have changed.
 func (s *Service) stepMachine(e share.Event) []share.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +145,7 @@
 	return actions
 }
 
-// send carries messages out without waiting for them.
+// sendActions sends messages without waiting for their responses.
 func (s *Service) sendActions(ctx context.Context, actions []share.Action) {
 	s.mu.Lock()
 	caller := s.peerCaller
@@ -164,8 +166,8 @@
 	}
 }
 
-// sendOne sends a message and handles the one that comes back. A call that
-// fails is a lost message.
+// sendAction sends a message and handles the response. A failed call counts as a
+// lost message.
 func (s *Service) sendAction(ctx context.Context, caller peer.Caller, a share.Action) {
 	ctx, cancel := clock.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -207,8 +209,8 @@
 	return report.Report, nil
 }
 
-// answer passes what a host has sent to the machine. It returns the action that
-// is the answer to that host, nil without one, and carries out all others.
+// stepForAnswer passes an event from a host to the machine. It returns the action
+// that answers that host, or nil if there is none, and carries out all others.
 func (s *Service) stepForAnswer(e share.Event, isAnswer func(share.Action) bool) share.Action {
 	var answer share.Action
 	var rest []share.Action
@@ -223,15 +225,15 @@
 	return answer
 }
 
-// State is what a dump shows of one resource.
+// ResourceShare is the entry of one resource in the operators' dump.
 type ResourceShare struct {
 	Kind share.Kind `json:"kind"`
 	Name string     `json:"name"`
-	// Share is this daemon's fraction of the limit.
+	// Share is this daemon's fraction of the limit, from 0 to 1.
 	Share float64 `json:"share"`
 }
 
-// States returns the shares in force.
+// ResourceShares returns the current share of each resource.
 func (s *Service) ResourceShares() []ResourceShare {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/shares/service_test.go
+++ b/shares/service_test.go
@@ -23,7 +23,7 @@
 	RunSpecs(t, "Shares Suite")
 }
 
-// admitter has a demand that tests set.
+// fakeAdmitter reports the demand that a test sets.
 type fakeAdmitter struct {
 	mu     sync.Mutex
 	demand float64
@@ -54,7 +54,7 @@
 	return a.shares.Customer(time.Now(), "clinic")
 }
 
-// network carries calls between services in one process.
+// fakeNetwork delivers calls between services in one process.
 type fakeNetwork struct {
 	services  map[string]*Service
 	admitters map[string]*fakeAdmitter
@@ -113,21 +113,22 @@
 }
 
 var _ = Describe("Service", func() {
-	It("gives admission the equal share, then what is lent, and takes it back", func() {
+	It("gives admission the equal share, then lent shares, and reclaims them", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		n := newFakeNetwork(ctx, 3)
 		greedy, other := n.admitters["host-0"], n.admitters["host-1"]
 		Expect(greedy.customerShare()).To(BeNumerically("~", 1.0/3, 0.001))
 		greedy.setDemand(2)
-		// An allocator lends nothing until a cession after its start.
+		// An allocator lends nothing for the duration of one cession after its
+		// start.
 		Eventually(greedy.customerShare).WithTimeout(15 * time.Second).Should(BeNumerically(">", 0.7))
 		Expect(n.services["host-0"].ResourceShares()).To(ConsistOf(HaveField("Share", BeNumerically(">", 0.7))))
 		other.setDemand(0.3)
 		Eventually(other.customerShare).WithTimeout(10 * time.Second).Should(BeNumerically(">", 0.3))
 	})
 
-	It("speaks over sessions between daemons", func() {
+	It("lends shares over TCP sessions between daemons", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		b := bundleWithHosts(3)
