--- a/daemon/admission.go
+++ b/daemon/admission.go
@@ -7,8 +7,8 @@
 	"github.com/wheatseam/wheatseam/shares"
 )
 
-// addAdmission makes the admission controller and the division of fleet-wide
-// limits that it follows.
+// addAdmission creates the admission controller and the service that divides
+// fleet-wide limits among the daemons.
 func (d *Daemon) addAdmission() {
 	d.admitter = admit.New(admit.Config{})
 	d.shares = shares.New(shares.Config{
@@ -19,7 +19,8 @@
 	d.dumpSections.Register("shares", func() any { return d.shares.ResourceShares() })
 }
 
-// liveHosts names the entry hosts believed to be alive, this one included.
+// liveHostNames returns the names of the entry hosts believed to be alive,
+// including this one.
 func (d *Daemon) liveHostNames() []string {
 	out := []string{d.settings.Host}
 	for _, m := range d.cluster.Members() {
--- a/daemon/call.go
+++ b/daemon/call.go
@@ -13,7 +13,7 @@
 	"github.com/wheatseam/wheatseam/service"
 )
 
-// call runs one attempt and reports its end.
+// runCall runs one attempt of a stage and delivers its result to the request.
 func (d *Daemon) runCall(ctx context.Context, s *session, c request.Call) {
 	defer s.cancel(c.Attempt)
 	if !d.callAllowed(s, c) {
@@ -27,7 +27,7 @@
 	d.deliver(s, d.callService(ctx, s, c))
 }
 
-// pathOf is the URL path of a stage at a plain service.
+// servicePath returns the URL path of a stage at a service upstream.
 func servicePath(stage bundle.Stage) string {
 	if stage.Path != "" {
 		return stage.Path
@@ -51,7 +51,8 @@
 	return ended
 }
 
-// unserved ends a call that cannot be sent at all.
+// callWithoutClient returns the failure of a call whose pool has no client of the
+// stage's kind.
 func callWithoutClient(c request.Call) request.CallEnded {
 	return request.CallEnded{
 		Attempt: c.Attempt, Result: request.CallFailed, NotExecuted: true, Rejected: true,
@@ -108,11 +109,12 @@
 	}
 }
 
-// priorityOf orders the queue of an engine by the earliest feasible deadline:
-// the sooner a generation must start, the higher. It is an absolute time, in
-// milliseconds, so that calls of all daemons compare whenever they were sent;
-// clocks that differ shift a call by as much. Engines that do not honour
-// priorities get 0, which is left out.
+// enginePriority returns the priority that has an engine order its queue by
+// earliest deadline first: the sooner a generation must start, the higher. The
+// priority is the negated latest start time in Unix milliseconds, so that calls of
+// all daemons are comparable, whenever they were sent; a clock difference between
+// daemons shifts a call by as much. The priority is 0, which is left out of the
+// call, for engines that do not support priorities.
 func enginePriority(p bundle.Pool, startBy time.Time) int {
 	if !p.Supports.Priority {
 		return 0
@@ -120,7 +122,7 @@
 	return -int(startBy.UnixMilli())
 }
 
-// callEnded translates the error of a client.
+// callEnded converts the error of a client to the result of a call.
 func callEnded(ctx context.Context, attempt int, err error) request.CallEnded {
 	if err == nil {
 		return request.CallEnded{Attempt: attempt, Result: request.CallOK}
@@ -140,14 +142,14 @@
 }
 
 const (
-	// lookUpTimeout bounds one question to one upstream.
+	// statusQueryTimeout bounds one round of status queries to a pool's upstreams.
 	statusQueryTimeout = 500 * time.Millisecond
-	// lookUpEvery is how often upstreams are asked while the call still runs.
+	// statusQueryInterval is the time between two rounds while the call still runs.
 	statusQueryInterval = 50 * time.Millisecond
 )
 
-// lookUp asks all upstreams of a pool until one has the result, none knows of
-// the call, or the request's deadline comes.
+// pollCallStatus queries all upstreams of a pool until one has the result, none
+// runs the call, or the request's deadline has passed.
 func (d *Daemon) pollCallStatus(s *session, a request.LookUp) {
 	ctx, cancel := clock.WithDeadline(context.Background(), s.sub.Deadline)
 	defer cancel()
@@ -166,8 +168,9 @@
 	}
 }
 
-// askStatus asks every upstream of the pool once. One that has the result wins
-// over one that runs the call, and that over those that know nothing.
+// queryStatus queries every upstream of the pool once. An upstream that has the
+// result takes precedence over one that runs the call, and that one over those
+// that don't know the call or don't answer.
 func (d *Daemon) queryStatus(ctx context.Context, s *session, a request.LookUp) service.Status {
 	ctx, cancel := clock.WithTimeout(ctx, statusQueryTimeout)
 	defer cancel()
--- a/daemon/call_test.go
+++ b/daemon/call_test.go
@@ -17,7 +17,7 @@
 		Expect(enginePriority(p, soon)).To(BeNumerically(">", enginePriority(p, soon.Add(time.Millisecond))))
 	})
 
-	It("is left out for engines that do not honour it", func() {
+	It("is 0 for engines that do not support it", func() {
 		Expect(enginePriority(bundle.Pool{}, soon)).To(BeZero())
 	})
 })
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -13,8 +13,8 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// addClaims makes the part that claims keys of requests that may not be
-// repeated, and holds keys for the fleet.
+// addClaims creates the service that acquires claims for requests with a
+// non-repeatable stage and holds claimed keys for all daemons.
 func (d *Daemon) addClaims() {
 	s := claims.New(claims.Config{
 		Host: d.settings.Host, Incarnation: d.incarnation,
@@ -39,11 +39,13 @@
 	return err == nil && notRun
 }
 
-// settleGrace is how long a starting host waits for its claims to settle. After
-// that it serves what may be repeated, since a majority may be out of reach.
+// claimsReadyTimeout bounds the time for which a starting host refuses requests
+// because its claims are not ready. A majority may be unreachable for longer, but
+// repeatable requests need no claims, so the host serves those from then on.
 const claimsReadyTimeout = 5 * time.Second
 
-// settled says whether claims have settled, or no longer hold the host back.
+// claimsReadyOrTimedOut reports whether claims have been fully ready once since
+// the start or claimsReadyTimeout has passed.
 func (d *Daemon) claimsReadyOrTimedOut() bool {
 	if d.claimsReady.Load() {
 		return true
@@ -56,18 +58,19 @@
 	return false
 }
 
-// trusted says whether this host's clock agrees with its peers' and its views
-// are renewed since the last pause.
+// clockAndViewsTrusted reports whether this host's clock agrees with its peers'
+// clocks and its views have been renewed since the process was last paused.
 func (d *Daemon) clockAndViewsTrusted() bool { return d.cluster.Fresh() && !d.cluster.Skewed() }
 
-// gone says whether a process of a host has ended, or does not answer probes: a
-// request that waits for it is better told now than at its deadline. One that leaves
-// sees its requests through.
+// ownerUnavailable reports whether a process of a host has ended or does not answer
+// probes. A request that waits for such a process is refused now instead of at its
+// deadline. A leaving process is available, since it completes its requests.
 func (d *Daemon) ownerUnavailable(host string, incarnation uint64) bool {
 	return processUnavailable(d.cluster.Members(), host, incarnation)
 }
 
-// goneOf is gone by what is known of the hosts.
+// processUnavailable implements ownerUnavailable for a list of members. A process
+// of a host that is not in the list is unavailable.
 func processUnavailable(members []member.Member, host string, incarnation uint64) bool {
 	for _, m := range members {
 		if m.Host.Name == host {
--- a/daemon/claims_test.go
+++ b/daemon/claims_test.go
@@ -8,19 +8,20 @@
 	"github.com/wheatseam/wheatseam/core/member"
 )
 
-// TestOwnerThatIsGone: a request waits for the result of one with the same key as long
-// as the host of that one answers, also while it leaves.
-func TestOwnerThatIsGone(t *testing.T) {
+// TestProcessUnavailable guards against giving up too early or too late on the owner
+// of a key: a request waits for the result of another request with the same key as
+// long as the other's process answers, also while that process is leaving.
+func TestProcessUnavailable(t *testing.T) {
 	g := NewWithT(t)
 	const started = 7
-	in := func(s member.State, incarnation uint64) bool {
+	unavailable := func(s member.State, incarnation uint64) bool {
 		return processUnavailable([]member.Member{{Host: member.Host{Name: "entry-1"}, State: s, Incarnation: incarnation}}, "entry-1", started)
 	}
-	g.Expect(in(member.Alive, started)).To(BeFalse())
-	g.Expect(in(member.Dead, started)).To(BeTrue())
-	g.Expect(in(member.Alive, started+1)).To(BeTrue(), "another process of the host")
-	g.Expect(in(member.Leaving, started+1)).To(BeTrue(), "another process of the host")
-	g.Expect(processUnavailable(nil, "entry-1", started)).To(BeTrue(), "no longer a host")
-	g.Expect(in(member.Suspect, started)).To(BeTrue(), "it does not answer")
-	g.Expect(in(member.Leaving, started)).To(BeFalse(), "it sees its requests through")
+	g.Expect(unavailable(member.Alive, started)).To(BeFalse())
+	g.Expect(unavailable(member.Dead, started)).To(BeTrue())
+	g.Expect(unavailable(member.Alive, started+1)).To(BeTrue(), "the host runs a later process")
+	g.Expect(unavailable(member.Leaving, started+1)).To(BeTrue(), "the host runs a later process")
+	g.Expect(processUnavailable(nil, "entry-1", started)).To(BeTrue(), "the host was removed")
+	g.Expect(unavailable(member.Suspect, started)).To(BeTrue(), "the process does not answer probes")
+	g.Expect(unavailable(member.Leaving, started)).To(BeFalse(), "a leaving process completes its requests")
 }
--- a/daemon/clients.go
+++ b/daemon/clients.go
@@ -9,18 +9,20 @@
 	"github.com/wheatseam/wheatseam/service"
 )
 
-// clients holds a client for each pool of a bundle. It does not change.
+// clients holds a client for each pool of a bundle. It is immutable.
 type clients struct {
 	pools    map[string]bundle.Pool
 	engines  map[string]*engine.Client
 	services map[string]*service.Client
 }
 
-// errNoClient is a stage whose pool does not speak the stage's protocol.
+// errNoClient is the failure of a call whose pool doesn't serve the stage's
+// protocol.
 var errNoClient = errors.New("the pool does not serve stages of this kind")
 
-// newClients returns the clients of a bundle. Those of the bundle before are
-// used on, with their open connections, where they fit; old may be nil.
+// newClients returns the clients of a bundle. It reuses the clients of the previous
+// bundle, with their open connections, for pools whose kind and connection limit
+// are unchanged; old may be nil.
 func newClients(b *bundle.Bundle, old *clients, now func() time.Time) *clients {
 	c := &clients{
 		pools:    make(map[string]bundle.Pool),
@@ -43,7 +45,7 @@
 	return c
 }
 
-// engine returns the client of an engine pool that fits p, or nil.
+// reusableEngine returns the client of engine pool p if it can be reused, else nil.
 func (c *clients) reusableEngine(p bundle.Pool) *engine.Client {
 	if c == nil || c.pools[p.Name].MaxConnections != p.MaxConnections {
 		return nil
@@ -51,7 +53,8 @@
 	return c.engines[p.Name]
 }
 
-// service returns the client of a service pool that fits p, or nil.
+// reusableService returns the client of service pool p if it can be reused, else
+// nil.
 func (c *clients) reusableService(p bundle.Pool) *service.Client {
 	if c == nil || c.pools[p.Name].MaxConnections != p.MaxConnections {
 		return nil
--- a/daemon/clients_test.go
+++ b/daemon/clients_test.go
@@ -15,7 +15,7 @@
 	lm := bundle.Pool{Name: "lm", Kind: bundle.PoolEngine, MaxConnections: 8}
 	seals := bundle.Pool{Name: "seals", Kind: bundle.PoolService}
 
-	It("are used on in the next bundle, with their connections", func() {
+	It("are reused for the next bundle unless the connection limit changes", func() {
 		first := newClients(bundleOf(lm, seals), nil, time.Now)
 		grown := lm
 		grown.MaxConnections = 16
@@ -27,7 +27,7 @@
 		Expect(third.services).To(BeEmpty())
 	})
 
-	It("end a call to a pool of another kind unexecuted", func() {
+	It("fail a call to a pool of another kind as not executed", func() {
 		s := &session{clients: newClients(bundleOf(lm), nil, time.Now)}
 		ended := (&Daemon{}).callService(GinkgoT().Context(), s, request.Call{
 			Attempt: 3, Stage: bundle.Stage{Pool: "lm", Kind: bundle.StageCall},
--- a/daemon/cluster.go
+++ b/daemon/cluster.go
@@ -11,8 +11,8 @@
 	"github.com/wheatseam/wheatseam/quarantine"
 )
 
-// addCluster makes this daemon's part in the fleet: membership and
-// configuration.
+// addCluster creates the services for cluster membership and configuration
+// rollout.
 func (d *Daemon) addCluster() error {
 	s := d.settings
 	host := member.Host{Name: s.Host, FailureDomain: s.FailureDomain}
@@ -37,12 +37,12 @@
 	return nil
 }
 
-// bundleInForce applies a bundle. One that this host cannot run under is
-// applied too, since it may end what an older one allowed; the daemon is not
-// ready under a bundle that does not name its host.
+// handleBundle applies a new bundle. It also applies a bundle that conflicts with
+// the settings of this host, since the bundle may revoke what an older one allowed.
+// The daemon is not ready under a bundle that does not list its host.
 func (d *Daemon) handleBundle(b *bundle.Bundle) {
 	if err := d.settings.CheckBundle(b); err != nil {
-		d.log.Error("bundle and settings disagree", zap.Uint64("version", b.Version), zap.Error(err))
+		d.log.Error("bundle conflicts with the settings of this host", zap.Uint64("version", b.Version), zap.Error(err))
 	}
 	now := d.Now()
 	d.bundleAppliedAt.Store(&now)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon wires the parts of an entry daemon together: it carries out
-// the actions of the request machines and feeds their events back.
+// Package daemon connects the components of an entry daemon. It performs the
+// actions that the requests' state machines return and delivers the resulting
+// events to them.
 package daemon
 
 import (
@@ -38,10 +39,11 @@
 	"github.com/wheatseam/wheatseam/shares"
 )
 
-// tickEvery is how often waits that can no longer succeed are ended.
+// admissionTickInterval is the interval at which admission ends waits that can no
+// longer succeed.
 const admissionTickInterval = 10 * time.Millisecond
 
-// recordBytes bounds the memory of the decision records.
+// maxRecordBytes bounds the memory of the decision records.
 const maxRecordBytes = 32 << 20
 
 // Daemon is one entry daemon.
@@ -51,7 +53,7 @@
 	bundle               atomic.Pointer[bundle.Bundle]
 	upstreamClients      atomic.Pointer[clients]
 	draining             atomic.Bool
-	activeCallerRequests atomic.Int64 // requests of callers
+	activeCallerRequests atomic.Int64 // requests of callers being served
 
 	table           *request.Table
 	sessions        sessionTable
@@ -68,7 +70,7 @@
 	claims          *claims.Service
 	claimsReady     atomic.Bool
 
-	incarnation     uint64 // start of the process in Unix milliseconds
+	incarnation     uint64 // start time of the process in Unix milliseconds
 	cluster         *cluster.Cluster
 	quarantine      *quarantine.Service
 	bundleAppliedAt atomic.Pointer[time.Time]
@@ -77,16 +79,16 @@
 	peerTransport   *peer.Transport
 	dumpSections    *operator.Sections
 	operatorServer  *operator.Server
-	// leave starts the way out; Run sets it.
+	// startDrain makes Run drain and return. Run sets it.
 	startDrain context.CancelFunc
-	// appliers get every bundle that comes into force.
+	// bundleAppliers are given every bundle that becomes active, in this order.
 	bundleAppliers []bundleApplier
 }
 
-// applier takes a new bundle. Apply is called by one goroutine at a time.
+// bundleApplier applies a new bundle. Apply is called by one goroutine at a time.
 type bundleApplier interface{ Apply(b *bundle.Bundle) }
 
-// New returns a daemon that has not started.
+// New returns a daemon. Run starts it.
 func New(s *settings.Settings, log *zap.Logger) (*Daemon, error) {
 	d := &Daemon{
 		settings: s, log: log, table: request.NewTable(), records: record.NewStore(maxRecordBytes),
@@ -104,8 +106,8 @@
 	return d, nil
 }
 
-// Run serves until ctx ends, then drains: requests in flight are finished, at
-// the longest for the drain bound of the settings or until cut ends.
+// Run serves until ctx ends and then drains: it waits for the requests in flight
+// until the drain bound of the settings has passed or abort ends.
 func (d *Daemon) Run(ctx, abort context.Context) error {
 	ctx, d.startDrain = context.WithCancel(ctx)
 	defer d.startDrain()
@@ -142,7 +144,7 @@
 	return group.Wait()
 }
 
-// open opens the three listeners, all or none.
+// openListeners opens the listeners for peers, operators and callers, all or none.
 func (d *Daemon) openListeners() (net.Listener, error) {
 	if err := d.openPeers(); err != nil {
 		return nil, err
@@ -158,14 +160,14 @@
 	return listener, nil
 }
 
-// closeListeners ends the sessions with fellow daemons, then the operators'
-// listener, so that a waiting operator sees the end.
+// closeListeners closes the sessions with peer daemons first and the operators'
+// listener last, so that a waiting operator sees the end of the drain.
 func (d *Daemon) closeListeners(ctx context.Context) {
 	if err := d.peerTransport.Shutdown(ctx); err != nil {
-		d.log.Warn("peers cut", zap.Error(err))
+		d.log.Warn("shutdown of the peer sessions was not graceful", zap.Error(err))
 	}
 	if err := d.operatorServer.Shutdown(ctx); err != nil {
-		d.log.Warn("operators cut", zap.Error(err))
+		d.log.Warn("shutdown of the operator listener was not graceful", zap.Error(err))
 	}
 }
 
@@ -176,7 +178,8 @@
 	return err
 }
 
-// callerServer has the requests of callers served by a handler, and counts them.
+// newCallerServer returns the HTTP server for callers, which counts the requests
+// that its handler is serving.
 func (d *Daemon) newCallerServer(handler http.Handler) *http.Server {
 	limits := d.settings.Limits
 	return &http.Server{
@@ -188,8 +191,8 @@
 	}
 }
 
-// counted counts the requests that a handler serves, from their head to the last byte
-// of their answer.
+// countActive wraps a handler to count the requests that it is serving, from the end
+// of the request header to the last byte of the response.
 func (d *Daemon) countActive(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.activeCallerRequests.Add(1)
@@ -198,7 +201,8 @@
 	})
 }
 
-// drainPoll is how often a draining daemon looks whether it is done.
+// drainPollInterval is the interval at which a draining daemon checks whether it is
+// idle.
 const drainPollInterval = 10 * time.Millisecond
 
 func (d *Daemon) drain(abort context.Context) {
@@ -220,11 +224,12 @@
 	d.log.Info("drained")
 }
 
-// idle says whether no request of a caller is in flight: none is being served, and no
-// call outlives the answer of one that was.
+// idle reports whether no request of a caller is in flight: none is being served,
+// and no upstream call is still running for a request that has been answered.
 func (d *Daemon) idle() bool { return d.activeCallerRequests.Load() == 0 && d.table.Len() == 0 }
 
-// maxCutLogged bounds the requests named in the log when a drain is cut.
+// maxAbortedLogged bounds the requests that are logged when a drain ends before all
+// requests have finished.
 const maxAbortedLogged = 100
 
 func (d *Daemon) logAborted() {
@@ -233,7 +238,7 @@
 	}
 }
 
-// tick ends waits that can no longer succeed.
+// tickAdmission ends waits that can no longer succeed, until ctx ends.
 func (d *Daemon) tickAdmission(ctx context.Context) {
 	periodic.Do(ctx, admissionTickInterval, func() {
 		for _, g := range d.decisionDeps.Admitter.Tick(d.Now()) {
@@ -242,7 +247,8 @@
 	})
 }
 
-// apply puts a bundle into force. Requests in flight keep theirs.
+// apply makes a bundle the active one. Requests in flight keep the bundle under
+// which they arrived.
 func (d *Daemon) apply(b *bundle.Bundle) {
 	d.upstreamClients.Store(newClients(b, d.upstreamClients.Load(), d.Now))
 	for _, a := range d.bundleAppliers {
@@ -258,13 +264,14 @@
 // Now implements caller.Backend.
 func (d *Daemon) Now() time.Time { return clock.Now() }
 
-// NewRequestID implements caller.Backend. The id names the host, so that any
-// host knows whom to ask about it.
+// NewRequestID implements caller.Backend. The id starts with the name of this host,
+// so that any host knows which host has the request's records.
 func (d *Daemon) NewRequestID() string {
 	return d.settings.Host + "." + uuid.Must(uuid.NewV7()).String()
 }
 
-// retryElsewhere is told to callers that should go to another host.
+// retryElsewhereAfter is the retry delay returned to callers that should retry at
+// another host.
 const retryElsewhereAfter = time.Second
 
 // Admittable implements caller.Backend.
@@ -286,21 +293,23 @@
 	return e
 }
 
-// The steps that this package records.
+// The steps that this package adds to decision records.
 const (
 	stepReceive record.Step = "receive"
 	stepRefuse  record.Step = "refuse"
 )
 
-// refusedEntry says why a request was not served at all.
+// refusalEntry returns the record entry of a request that was refused before it was
+// served.
 func refusalEntry(now time.Time, e *problem.Error) record.Entry {
 	return record.Entry{At: now, Step: stepRefuse, Outcome: string(e.Kind), Fields: []record.Field{
 		{Key: "execution", Value: string(e.Execution)}, {Key: "detail", Value: e.Detail},
 	}}
 }
 
-// Refused implements caller.Backend. What anybody can send without an API key
-// is logged and counted only: it must not push other requests' records out.
+// Refused implements caller.Backend. Refusals that a client can cause without an
+// API key are only logged and counted, since recording them would let such clients
+// evict the records of other requests.
 func (d *Daemon) Refused(id string, e *problem.Error) {
 	d.countRefused(e)
 	if e.Kind != problem.Unauthorized && e.Kind != problem.NotFound {
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -11,8 +11,9 @@
 	"github.com/wheatseam/wheatseam/settings"
 )
 
-// TestDrainWaitsForCallers: a request is in flight until its answer is written, also
-// when it has been decided on.
+// TestDrainWaitsForCallers guards against a drain that ends while a response is still
+// being written: a request is in flight until then, even if it is no longer in the
+// request table.
 func TestDrainWaitsForCallers(t *testing.T) {
 	g := NewWithT(t)
 	d := &Daemon{settings: &settings.Settings{}, table: request.NewTable()}
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	// keptBytes bounds the memory of results kept for fellow daemons.
+	// maxKeptBytes bounds the memory of the results kept for peer daemons.
 	maxKeptBytes = 32 << 20
-	// keepTimeout bounds the storing of a result at fellow daemons.
+	// keepTimeout bounds the storing of a result at peer daemons.
 	keepTimeout = time.Second
-	// resumeAge is the age of an idempotency key from which an earlier try
-	// may have left results.
+	// resumeMinKeyAge is the age of an idempotency key from which an earlier
+	// request with the key may have left results.
 	resumeMinKeyAge = 20 * time.Millisecond
 	// resumeTimeout bounds the wait for kept results.
 	resumeTimeout = 50 * time.Millisecond
-	// expireEvery is how often results of no more use are forgotten.
+	// expireInterval is the interval at which expired results are removed.
 	expireInterval = time.Second
 )
 
-// addKept makes the service that keeps stage results at fellow daemons.
+// addKeptResults creates the service that keeps stage results at peer daemons.
 func (d *Daemon) addKeptResults() {
 	d.keptResultStore = results.NewStore(maxKeptBytes)
 	d.keptResults = results.NewService(results.Config{
@@ -40,8 +40,8 @@
 	}, d.peerMux)
 }
 
-// lateCaller calls fellow daemons through the transport, which is opened after
-// the parts that use it are made.
+// deferredCaller calls peer daemons through the daemon's transport, which is opened
+// only after the components that use it are created.
 type deferredCaller struct{ d *Daemon }
 
 // Call implements results.Caller.
@@ -49,13 +49,13 @@
 	return c.d.peerTransport.Call(ctx, host, method, req, resp)
 }
 
-// expireKept forgets kept results of no more use until ctx ends.
+// expireKeptResults removes expired results until ctx ends.
 func (d *Daemon) expireKeptResults(ctx context.Context) {
 	periodic.Do(ctx, expireInterval, func() { d.keptResultStore.Expire(d.Now()) })
 }
 
-// keptRequest names the results of a request: bound to its input and to the
-// definitions of its stages and their models.
+// keptResultsKey returns the key of a request's kept results. Its digest covers the
+// request's input and the definitions of its stages and their models.
 func keptResultsKey(s *session) results.Request {
 	h := sha256.New()
 	h.Write(s.digest[:])
@@ -75,18 +75,19 @@
 	}
 }
 
-// keep stores a stage's result at fellow daemons. What is lost costs work only.
+// keepResult stores a stage's result at peer daemons. A failure is only logged:
+// without the result, a retry runs the stage again.
 func (d *Daemon) keepResult(s *session, a request.Keep) {
 	ctx, cancel := clock.WithTimeout(context.Background(), keepTimeout)
 	defer cancel()
 	n, err := d.keptResults.Keep(ctx, keptResultsKey(s), a.Stage, a.Result, s.sub.Deadline.Add(s.sub.Pipeline.Deadline))
 	if err != nil {
-		d.log.Debug("result kept at fewer hosts", zap.String("request", s.id), zap.Int("copies", n), zap.Error(err))
+		d.log.Debug("result stored at fewer peers than intended", zap.String("request", s.id), zap.Int("copies", n), zap.Error(err))
 	}
 }
 
-// resume fetches what earlier tries at the same key have left. A fresh key has
-// none, so only older ones ask.
+// fetchKeptResults fetches the results that earlier requests with the same key have
+// left. It skips keys younger than resumeMinKeyAge, which have none.
 func (d *Daemon) fetchKeptResults(s *session) map[string]json.RawMessage {
 	if !mayHaveKeptResults(s.sub) {
 		return nil
--- a/daemon/loadexchange.go
+++ b/daemon/loadexchange.go
@@ -12,17 +12,17 @@
 	"github.com/wheatseam/wheatseam/internal/periodic"
 )
 
-// loadExchangeEvery is how often the load digest of the heartbeats is renewed
-// and those of fellow daemons are taken: twice for each probe.
+// loadExchangeInterval is the interval at which the load digest on the heartbeats is
+// updated and the received digests are merged: twice per probe.
 const loadExchangeInterval = 500 * time.Millisecond
 
-// loadExtension is the place of load digests on the heartbeats.
+// loadExtension reserves space for load digests on the heartbeats.
 func loadExtension() member.Extension {
 	return member.Extension{ID: member.SlotLoad, MaxBytes: maxLoadDigestBytes}
 }
 
-// exchangeLoads puts load digests on the heartbeats and takes those of fellow
-// daemons, until ctx ends.
+// exchangeLoads puts load digests on the heartbeats and merges the digests of peer
+// daemons until ctx ends.
 func (d *Daemon) exchangeLoads(ctx context.Context) {
 	lastReceived := map[string]time.Time{}
 	periodic.Do(ctx, loadExchangeInterval, func() {
@@ -32,17 +32,18 @@
 	})
 }
 
-// takeLoads merges the digests that arrived since the last call.
+// mergeLoadDigests merges the digests that have arrived since the last call.
 func (d *Daemon) mergeLoadDigests(lastReceived map[string]time.Time) {
 	for _, s := range newerSlotValues(d.cluster.Slots(member.SlotLoad), lastReceived) {
 		if err := d.loads.MergeDigest(s.Value); err != nil {
-			d.log.Warn("load digest refused", zap.String("peer", s.Host), zap.Error(err))
+			d.log.Warn("rejected the load digest of a peer", zap.String("peer", s.Host), zap.Error(err))
 		}
 	}
 }
 
-// newSlots returns the values that arrived since those in heard, and notes them
-// there; it forgets hosts that have no value any more.
+// newerSlotValues returns the values that arrived after the times in lastReceived and
+// updates lastReceived. It also removes the hosts from it that no longer have a
+// value.
 func newerSlotValues(slots []cluster.SlotValue, lastReceived map[string]time.Time) []cluster.SlotValue {
 	var newer []cluster.SlotValue
 	present := make(map[string]bool, len(slots))
@@ -61,8 +62,8 @@
 	return newer
 }
 
-// liveHosts returns the living members and this host, by name. Suspects count:
-// most of them are only slow.
+// liveMembers returns the living members and this host. Suspected members count as
+// living, since most of them are only slow.
 func liveMembers(members []member.Member, self, domain string) []load.Host {
 	hosts := make([]load.Host, 0, len(members)+1)
 	found := false
--- a/daemon/loadview.go
+++ b/daemon/loadview.go
@@ -15,30 +15,32 @@
 	"github.com/wheatseam/wheatseam/upstreamload"
 )
 
-// loadDigestBytes bounds the load digest on one heartbeat; docs/capacity/routing.md
-// measures what that costs and how old the reports get.
+// maxLoadDigestBytes bounds the load digest on one heartbeat. See
+// docs/capacity/routing.md for its cost and the resulting age of load reports.
 const maxLoadDigestBytes = 512
 
-// loadView is what this daemon knows of the load of upstreams: its own polls
-// and the digests of fellow daemons. Its methods may be called concurrently.
+// loadView holds the load of the upstreams as known from this daemon's polls and
+// from the digests of peer daemons. Its methods may be called concurrently.
 type loadView struct {
 	table  *load.Table
 	poller *upstreamload.Poller
 	router *route.Router
 	now    func() time.Time
 
-	// mu guards what the table is configured by, and leaving.
+	// mu guards upstreams and hosts, with which the table is configured, and
+	// leaving.
 	mu        sync.Mutex
 	upstreams []string
 	hosts     []load.Host
-	// leaving names the upstreams whose last poll said that they leave.
+	// leaving holds the upstreams that reported in their last poll that they are
+	// leaving.
 	leaving map[string]bool
-	// onLeaving is told when a poll changes that. It is set before Run.
+	// reportLeaving is called when a poll changes leaving. It is set before Run.
 	reportLeaving func(name string, leaving bool, asOf time.Time)
 }
 
-// newLoadView returns a view that tells router what is news. Until SetLive,
-// this host counts as alone and polls all upstreams.
+// newLoadView returns a view that passes new reports to router. Until SetLiveHosts
+// is called, it treats this host as the only one, which polls all upstreams.
 func newLoadView(s *settings.Settings, router *route.Router, log *zap.Logger, now func() time.Time) *loadView {
 	v := &loadView{
 		table: load.NewTable(load.Config{Self: s.Host}), router: router, now: now,
@@ -50,9 +52,9 @@
 	return v
 }
 
-// Observe implements upstreamload.Observer for this daemon's own polls. An
-// upstream's word that it stays is passed on only if it said otherwise before:
-// it must not undo what the host list says.
+// Observe implements upstreamload.Observer for this daemon's own polls. A report
+// that an upstream is not leaving is passed on only if the upstream reported before
+// that it was: it must not override the host list.
 func (v *loadView) Observe(reports ...load.Report) {
 	v.router.Observe(reports...)
 	for _, r := range reports {
@@ -62,6 +64,8 @@
 	}
 }
 
+// updateLeaving records whether an upstream is leaving and reports whether that has
+// changed.
 func (v *loadView) updateLeaving(r load.Report) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -76,7 +80,7 @@
 	return true
 }
 
-// Apply implements applier.
+// Apply implements bundleApplier.
 func (v *loadView) Apply(b *bundle.Bundle) {
 	addresses := map[string]string{}
 	var names []string
@@ -98,8 +102,8 @@
 	}
 }
 
-// SetLive says which hosts live and exchange digests, this one among them, in
-// order; they share the polls.
+// SetLiveHosts sets the live hosts, including this one, in a fixed order. They
+// exchange digests and divide the polls of upstreams among them.
 func (v *loadView) SetLiveHosts(hosts []load.Host) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -110,11 +114,11 @@
 	v.table.Configure(v.now(), v.upstreams, v.hosts)
 }
 
-// Digest returns what the next heartbeat carries. It should be renewed for
-// each heartbeat, twice a second or so.
+// Digest returns the load digest for the next heartbeat. It should be called for
+// each heartbeat, about twice a second.
 func (v *loadView) Digest() []byte { return v.table.Digest(v.now(), maxLoadDigestBytes) }
 
-// Heard takes the digest that a fellow daemon's heartbeat carried.
+// MergeDigest merges the digest from a peer daemon's heartbeat.
 func (v *loadView) MergeDigest(digest []byte) error {
 	news, err := v.table.Merge(v.now(), digest)
 	if err != nil {
@@ -127,13 +131,13 @@
 // Run polls until ctx ends.
 func (v *loadView) Run(ctx context.Context) { v.poller.Run(ctx) }
 
-// loadDump is the dump's section about load reports.
+// loadDump is the section of the dump for load reports.
 type loadDump struct {
-	// Polling names the upstreams that this daemon polls, each every Interval.
+	// Polling holds the upstreams that this daemon polls, each once per Interval.
 	Polling  []string           `json:"polling"`
 	Interval time.Duration      `json:"interval_ns"`
 	Polls    upstreamload.Stats `json:"polls"`
-	// Reports holds the newest report of each upstream, whoever polled it.
+	// Reports holds the newest report of each upstream from any daemon.
 	Reports []load.Report `json:"reports"`
 }
 
--- a/daemon/loadview_test.go
+++ b/daemon/loadview_test.go
@@ -20,9 +20,10 @@
 	"github.com/wheatseam/wheatseam/settings"
 )
 
-// TestLoadViewPassesLeavingOn: only a change of an upstream's own word is passed
-// on, so that an upstream that never said it leaves cannot undo the host list.
-func TestLoadViewPassesLeavingOn(t *testing.T) {
+// TestLoadViewReportsLeavingChanges guards against an upstream overriding the host
+// list: only a change in what an upstream reports is passed on, so that one which has
+// never reported that it is leaving can't cancel its leaving in the host list.
+func TestLoadViewReportsLeavingChanges(t *testing.T) {
 	g := NewWithT(t)
 	v := newLoadView(&settings.Settings{Host: "entry-1"}, route.New(route.Config{}), zap.NewNop(), time.Now)
 	var said []bool
@@ -33,9 +34,9 @@
 	g.Expect(said).To(Equal([]bool{true, false}))
 }
 
-// TestLiveHosts: the living and the suspected share the polls, and this host
-// always does.
-func TestLiveHosts(t *testing.T) {
+// TestLiveMembers checks that living and suspected members divide the polls among
+// them, and that this host always takes part.
+func TestLiveMembers(t *testing.T) {
 	g := NewWithT(t)
 	var members []member.Member
 	for i, s := range []member.State{member.Unknown, member.Alive, member.Suspect, member.Dead, member.Leaving} {
@@ -52,8 +53,8 @@
 	g.Expect(names("entry-9")).To(Equal([]string{"entry-1", "entry-2", "entry-9"}))
 }
 
-// TestNewSlots: a value counts once.
-func TestNewSlots(t *testing.T) {
+// TestNewerSlotValues checks that each value is returned once.
+func TestNewerSlotValues(t *testing.T) {
 	g := NewWithT(t)
 	at := time.Unix(1000, 0)
 	lastReceived := map[string]time.Time{"entry-9": at}
@@ -65,9 +66,9 @@
 	g.Expect(lastReceived).NotTo(HaveKey("entry-9"))
 }
 
-// TestLoadViewLeaving: an upstream that says by its load report that it leaves
-// gets no new work, neither from the daemon that polls it nor from a fellow
-// that hears of it by digest.
+// TestLoadViewLeaving checks that an upstream whose load report says that it is
+// leaving gets no new calls, neither from the daemon that polls it nor from a peer
+// that receives the report in a digest.
 func TestLoadViewLeaving(t *testing.T) {
 	g := NewWithT(t)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -11,11 +11,11 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// kindOK is the label of requests that were answered.
+// outcomeKindOK is the kind label of requests that were answered.
 const outcomeKindOK = "ok"
 
-// countRequest counts a request that was served to its end. Pipelines and
-// customers are the bundle's, so that callers can't name series.
+// countRequest counts a request that was served to its end. The pipeline and
+// customer labels come from the bundle, so that callers can't create series.
 func (d *Daemon) countRequest(customer, pipeline string, e *problem.Error, took time.Duration) {
 	kind := outcomeKindOK
 	if e != nil {
@@ -33,7 +33,7 @@
 		"wheatseam_refused_early_total{kind=%q}", problem.Lookup(e.Kind).Kind)).Inc()
 }
 
-// registerGauges registers the gauges of what this package knows.
+// registerGauges registers the gauges of this package.
 func (d *Daemon) registerGauges() {
 	gauge := func(name string, f func() float64) { d.metrics.GetOrCreateGauge(name, f) }
 	gauge("wheatseam_requests_in_flight", func() float64 { return float64(d.table.Len()) })
@@ -53,7 +53,8 @@
 	})
 }
 
-// writeStates writes the series whose labels come and go with the bundle.
+// writeDynamicMetrics writes the series whose labels change with the bundle, the
+// budgets and the members.
 func (d *Daemon) writeDynamicMetrics(w io.Writer) {
 	for _, p := range d.admitter.State(d.Now()) {
 		gauge := func(name string, v float64) {
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -20,17 +20,17 @@
 // maxDumpRequests bounds the requests in flight that a dump lists.
 const maxDumpRequests = 1000
 
-// inspectTimeout bounds the wait for the cluster's loops.
+// clusterDumpTimeout bounds the wait for the cluster's event loops.
 const clusterDumpTimeout = 200 * time.Millisecond
 
-// clusterDump is the state of membership and configuration.
+// clusterDump returns the state of membership and configuration rollout.
 func (d *Daemon) clusterDump() cluster.Dump {
 	ctx, cancel := clock.WithTimeout(context.Background(), clusterDumpTimeout)
 	defer cancel()
 	return d.cluster.Dump(ctx)
 }
 
-// openOperators listens for operators. The peers must be open.
+// openOperators opens the operators' listener. The peers' listener must be open.
 func (d *Daemon) openOperators() error {
 	d.registerSections()
 	d.registerGauges()
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// operatorLocal shows a daemon to its operators' listener.
+// operatorLocal implements operator.Local for a daemon.
 type operatorLocal struct{ d *Daemon }
 
 // Status implements operator.Local.
@@ -74,7 +74,8 @@
 	return st
 }
 
-// origin says where the bundle in force came from and since when it is.
+// bundleOrigin returns the digest and source of the active bundle and the time since
+// which it is active.
 func (d *Daemon) bundleOrigin() (digest, source string, since time.Time) {
 	r := d.clusterDump().Rollout
 	if t := d.bundleAppliedAt.Load(); t != nil {
@@ -92,8 +93,8 @@
 // Host implements operator.Local.
 func (l operatorLocal) Host() string { return l.d.settings.Host }
 
-// Hosts implements operator.Local: the hosts of the bundle in force, also those
-// that are gone; before there is one, the members heard of.
+// Hosts implements operator.Local. It returns the hosts of the active bundle,
+// whether they are alive or not, or the known members if there is no bundle yet.
 func (l operatorLocal) Hosts() []string {
 	var names []string
 	if b := l.d.bundle.Load(); b != nil {
@@ -108,28 +109,28 @@
 	return names
 }
 
-// processDump is the dump's section about the process.
+// processDump is the section of the dump for the process.
 type processDump struct {
 	Status      operator.Status `json:"status"`
 	Incarnation uint64          `json:"incarnation"`
 	Now         time.Time       `json:"now"`
-	// Dropped counts events for requests that were over.
+	// DroppedEvents is the number of events for requests that had already ended.
 	DroppedEvents uint64 `json:"dropped_events"`
 }
 
-// bundleDump is the dump's section about the bundle.
+// bundleDump is the section of the dump for the active bundle.
 type bundleDump struct {
 	Version uint64    `json:"version"`
 	Digest  string    `json:"digest"`
 	Source  string    `json:"source"`
 	Since   time.Time `json:"since"`
-	// Content is the bundle without the hashes of the customers' keys.
+	// Content is the bundle without the hashes of the customers' API keys.
 	Content json.RawMessage `json:"content,omitempty"`
 	Error   string          `json:"error,omitempty"`
 }
 
-// registerSections registers what this package knows; the parts of the daemon
-// register their own.
+// registerSections registers the dump sections of this package. Some components of
+// the daemon register their own.
 func (d *Daemon) registerSections() {
 	d.dumpSections.Register("process", func() any {
 		return processDump{
@@ -169,8 +170,8 @@
 	return dump
 }
 
-// bundleJSON writes a bundle with the keys and units of its YAML form, less
-// the hashes of the customers' keys.
+// bundleJSON encodes a bundle with the field names and units of its YAML form,
+// without the hashes of the customers' API keys.
 func bundleJSON(b *bundle.Bundle) (json.RawMessage, error) {
 	redacted := *b
 	redacted.Customers = slices.Clone(b.Customers)
--- a/daemon/operators_test.go
+++ b/daemon/operators_test.go
@@ -25,7 +25,7 @@
 
 var _ = AfterSuite(proctest.Cleanup)
 
-var _ = Describe("the operators' side of three daemons", Ordered, func() {
+var _ = Describe("the operator API of three daemons", Ordered, func() {
 	var f *proctest.Fleet
 	BeforeAll(func() {
 		var err error
@@ -59,7 +59,7 @@
 		Expect(e.Entries[0].Outcome).To(Equal("key_required"))
 	})
 
-	It("dumps every section of another host, without secrets", func() {
+	It("returns every dump section of another host, without secrets", func() {
 		var raw json.RawMessage
 		get(0, "/v1/dump?host=entry-2", &raw)
 		for _, c := range f.Bundle.Customers {
@@ -78,7 +78,7 @@
 		Expect(dump["bundle"]).To(HaveKeyWithValue("content", HaveKeyWithValue("deployment", f.Bundle.Deployment)))
 	})
 
-	It("says that the bundle in force is the same everywhere", func() {
+	It("reports the same active bundle at every host", func() {
 		var all []operator.Status
 		get(1, "/v1/bundle", &all)
 		Expect(all).To(HaveLen(3))
@@ -89,7 +89,7 @@
 		}
 	})
 
-	It("shows no metric that docs/OPERATIONS.md does not list", func() {
+	It("exports no metric that docs/OPERATIONS.md does not list", func() {
 		text, err := f.Metrics(0)
 		Expect(err).NotTo(HaveOccurred())
 		listed, err := doccheck.ListedKeys("../docs/OPERATIONS.md", "## Metrics")
@@ -102,7 +102,7 @@
 		}
 	})
 
-	It("leaves on an operator's word as on SIGTERM", func() {
+	It("drains and exits on an operator's request as on SIGTERM", func() {
 		var st operator.Status
 		Expect(f.Operate(2, http.MethodPost, "/v1/drain", &st)).To(Succeed())
 		Expect(st.Draining).To(BeTrue())
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -6,7 +6,7 @@
 	"github.com/wheatseam/wheatseam/peer"
 )
 
-// openPeers listens for fellow daemons.
+// openPeers opens the transport to and the listener for peer daemons.
 func (d *Daemon) openPeers() error {
 	s := d.settings
 	transport, err := peer.NewTransport(peer.Config{
--- a/daemon/perform.go
+++ b/daemon/perform.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// settleTimeout bounds the time that a refusal waits for its claim to be
-	// settled.
+	// confirmNotRunTimeout bounds the time for which a refusal waits for the
+	// confirmation that the request has not run.
 	confirmNotRunTimeout = 250 * time.Millisecond
-	// detachedTimeout is how long a sent non-repeatable call is seen through
-	// after the deadline of its request.
+	// nonRepeatableGrace is the time after the deadline of its request for which
+	// a sent non-repeatable call may go on.
 	nonRepeatableGrace = 30 * time.Second
-	// recordTimeout bounds the wait for the holders to record a result.
+	// recordResultTimeout bounds the wait for the claim holders to record a result.
 	recordResultTimeout = time.Second
 )
 
-// deliver passes an event to the request's machine and carries out its
-// actions.
+// deliver passes an event to the request's state machine and performs the actions
+// that the machine returns.
 func (d *Daemon) deliver(s *session, ev request.Event) {
 	actions, _ := d.table.Deliver(d.Now(), s.id, ev)
 	d.performActions(s, actions)
@@ -37,8 +37,8 @@
 	}
 }
 
-// notify carries a grant to the request that waits for it. A slot granted to a
-// request that is gone is returned, which may grant it to the next one.
+// deliverGrant delivers a grant to the request that waits for it. If that request has
+// ended, deliverGrant releases the slot, which may grant it to the next request.
 func (d *Daemon) deliverGrant(g request.Grant) {
 	if s := d.sessions.get(g.Ticket.Request); s != nil {
 		actions, ok := d.table.Deliver(d.Now(), s.id, request.SlotGranted{Grant: g})
@@ -84,7 +84,7 @@
 	case request.Finish:
 		d.finish(s, a)
 	default:
-		d.log.Error("unknown action", logging.Request(s.id))
+		d.log.Error("request returned an unknown action", logging.Request(s.id))
 	}
 }
 
@@ -94,8 +94,8 @@
 	}))
 }
 
-// callContext makes the context of a call before the call starts, so that a
-// Cancel that follows at once finds it.
+// callContext creates the context of a call before the call's goroutine starts, so
+// that a Cancel action that follows immediately finds it.
 func (d *Daemon) callContext(s *session, c request.Call) context.Context {
 	end := c.NotAfter
 	if c.Stage.NonRepeatable {
@@ -116,7 +116,7 @@
 	ctx, cancel := clock.WithTimeout(context.Background(), confirmNotRunTimeout)
 	defer cancel()
 	if err := d.claims.Release(ctx, key, s.id); err != nil {
-		d.log.Warn("claim not released", logging.Request(s.id), zap.Error(err))
+		d.log.Warn("failed to release the claim", logging.Request(s.id), zap.Error(err))
 	}
 }
 
@@ -125,12 +125,14 @@
 	defer cancel()
 	err := d.claims.Record(ctx, a.Key, s.id, a.Result)
 	if err != nil {
-		d.log.Warn("result not recorded", logging.Request(s.id), zap.Error(err))
+		d.log.Warn("failed to record the result", logging.Request(s.id), zap.Error(err))
 	}
 	d.deliver(s, request.Recorded{Err: err})
 }
 
-// finish answers the caller, once what makes the answer true is done.
+// finish sends the final answer to the caller. A refusal that says that the request
+// has not run first waits for the confirmation by the claim holders, and without it
+// says that the request may have run.
 func (d *Daemon) finish(s *session, f request.Finish) {
 	if f.Settle == request.SettleNone {
 		s.finalAnswers <- finalAnswer{answer: f.Answer, err: f.Err}
@@ -144,7 +146,8 @@
 	}()
 }
 
-// settle reports whether a refusal may say that the request has not run.
+// confirmNotRun releases or voids the request's claim and reports whether the refusal
+// may say that the request has not run.
 func (d *Daemon) confirmNotRun(s *session, f request.Finish) bool {
 	ctx, cancel := clock.WithTimeout(context.Background(), confirmNotRunTimeout)
 	defer cancel()
@@ -155,8 +158,8 @@
 	return err == nil && notRun
 }
 
-// textOf returns the text of a JSON string or of a "text" field, or the JSON
-// itself.
+// textOf returns the value of a JSON string or of the "text" field of a JSON object,
+// or else the JSON itself.
 func textOf(raw json.RawMessage) string {
 	var text string
 	if json.Unmarshal(raw, &text) == nil {
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -19,8 +19,8 @@
 	"github.com/wheatseam/wheatseam/service"
 )
 
-// addQuarantine makes this daemon's part in keeping requests that crash upstreams
-// away from them.
+// addQuarantine creates the service that keeps requests that crash upstreams from
+// reaching them.
 func (d *Daemon) addQuarantine() {
 	d.quarantine = quarantine.New(quarantine.Config{
 		Self: d.settings.Host, Members: quarantineMembers{d}, Replicas: replica.NewClient(nil), Caller: deferredCaller{d}, Mux: d.peerMux, Logger: d.log,
@@ -28,7 +28,7 @@
 	d.cluster.OnSlot(member.SlotQuarantine, d.quarantine.Heard)
 }
 
-// fellows are this daemon's fellows as the quarantine takes them.
+// quarantineMembers gives the quarantine service access to the cluster membership.
 type quarantineMembers struct{ d *Daemon }
 
 // Reachable implements quarantine.Members.
@@ -50,8 +50,9 @@
 	f.d.cluster.SetSlot(id, value, false)
 }
 
-// contentOf names what a stage of a request works on, whatever the request's id and
-// key: one stage may crash its upstreams, and the others end well.
+// stageFingerprint identifies what one stage of a request processes, independent of
+// the request's id and key. It is per stage, since one stage may crash its upstreams
+// while the others succeed.
 func stageFingerprint(customer, pipeline, stage string, digest [32]byte) poison.Fingerprint {
 	h := poison.NewHasher(customer, pipeline, stage, "")
 	_, _ = h.Write(digest[:]) // never fails
@@ -62,9 +63,10 @@
 	return stageFingerprint(s.sub.Customer.Name, s.sub.Pipeline.Name, stage, s.digest)
 }
 
-// quarantined refuses a request one of whose stages crashes upstreams, before
-// anything of it runs; a trial that is granted is for one call of that stage. Under a
-// key an earlier try may have run.
+// checkQuarantine refuses a request if one of its stages crashes upstreams, before any
+// stage runs. If the quarantine grants a trial, the trial allows one call of that
+// stage. A refusal of a request with a key says that it may have run, since an earlier
+// request with the key may have.
 func (d *Daemon) checkQuarantine(ctx context.Context, s *session) *problem.Error {
 	for _, stage := range s.sub.Pipeline.Stages {
 		v, condemned := d.quarantine.Condemned(s.stageFingerprint(stage.Name))
@@ -85,21 +87,22 @@
 	return nil
 }
 
-// mayCall asks whether a call may reach an upstream: also a retry or a hedge of a
-// request that was condemned meanwhile.
+// callAllowed reports whether a call may be sent to an upstream. It is asked for each
+// attempt, since the request may be quarantined before a retry or a hedge.
 func (d *Daemon) callAllowed(s *session, c request.Call) bool {
 	_, condemned := d.quarantine.Condemned(s.stageFingerprint(c.Stage.Name))
 	return !condemned || s.trialFingerprint.Swap(nil) != nil
 }
 
-// returnTrial gives a trial back that came to no call.
+// returnUnusedTrial returns a granted trial that no call has used.
 func (d *Daemon) returnUnusedTrial(s *session) {
 	if content := s.trialFingerprint.Swap(nil); content != nil {
 		d.quarantine.Untried(*content)
 	}
 }
 
-// callStart is when a call began, and for how long this host had slept by then.
+// callStart holds the start time of a call and for how long in total this host had
+// been asleep by then.
 type callStart struct {
 	at          time.Time
 	sleptBefore time.Duration
@@ -107,15 +110,16 @@
 
 func startCall() callStart { return callStart{clock.Now(), clock.Asleep()} }
 
-// noteCall passes on what the end of a call says of its upstream: that it lives, or
-// that it broke off and may have ended.
+// reportCall tells the quarantine service what the end of a call implies about its
+// upstream: that it is alive, or that it broke off the response and may have crashed.
 func (d *Daemon) reportCall(s *session, c request.Call, start callStart, err error) {
 	content := s.stageFingerprint(c.Stage.Name)
 	switch {
 	case upstreamAnswered(err):
 		d.quarantine.Served(content)
 	case !httpbody.BrokenOff(err) || clock.Asleep() > start.sleptBefore || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
-		// It says nothing of the upstream, or has its reason.
+		// The call ended without its connection breaking off, or the break has
+		// another cause: this host was asleep, or the upstream is leaving.
 	default:
 		d.quarantine.BrokeOff(quarantine.Attempt{
 			Service: c.Stage.Pool, Replica: c.Choice.Upstream, Address: c.Choice.Address, Request: content, Began: start.at,
@@ -123,8 +127,8 @@
 	}
 }
 
-// ranWell says whether a call ran and its upstream lives: it answered, if only with
-// an error.
+// upstreamAnswered reports whether a call ran and its upstream is alive, since the
+// upstream answered completely, be it with an error.
 func upstreamAnswered(err error) bool {
 	if err == nil {
 		return true
@@ -133,7 +137,7 @@
 	return errors.As(err, &e) && e.Status >= http.StatusBadRequest && !e.NotExecuted && !httpbody.BrokenOff(err)
 }
 
-// condemnedCall ends a call that must not reach an upstream.
+// quarantinedCall returns the failure of a call that must not be sent to an upstream.
 func quarantinedCall(c request.Call) request.CallEnded {
 	return request.CallEnded{
 		Attempt: c.Attempt, Result: request.CallFailed, NotExecuted: true, Rejected: true, Detail: string(problem.Quarantined),
--- a/daemon/routing.go
+++ b/daemon/routing.go
@@ -10,16 +10,17 @@
 	"github.com/wheatseam/wheatseam/core/route"
 )
 
-// budgetApplier sets the budgets' ratios by the bundle.
+// budgetRatioApplier sets the ratios of the retry and hedge budgets from the bundle.
 type budgetRatioApplier struct{ budgets retry.Budgets }
 
-// Apply implements applier.
+// Apply implements bundleApplier.
 func (a budgetRatioApplier) Apply(b *bundle.Bundle) {
 	a.budgets.Retry.SetRatio(b.Retry.BudgetRatio)
 	a.budgets.Hedge.SetRatio(b.Hedge.BudgetRatio)
 }
 
-// addDecisionParts makes the parts that the request machines decide with.
+// addDecisionComponents creates the components that the requests' state machines
+// consult: routing, admission, budgets and circuit breakers.
 func (d *Daemon) addDecisionComponents() {
 	router := route.New(route.Config{
 		FailureDomain: d.settings.FailureDomain,
--- a/daemon/serve.go
+++ b/daemon/serve.go
@@ -40,7 +40,8 @@
 	return f.answer, f.err
 }
 
-// receivedEntry says what a request is and under which bundle it is served.
+// receiptEntry returns the record entry that describes a request and the bundle under
+// which it is served.
 func receiptEntry(sub caller.Submission) record.Entry {
 	return record.Entry{At: sub.Arrived, Step: stepReceive, Outcome: "accepted", Fields: []record.Field{
 		{Key: "bundle", Value: strconv.FormatUint(sub.Bundle.Version, 10)},
@@ -63,8 +64,8 @@
 	return spec
 }
 
-// digestOf identifies what a request asks for: the same key must not be used
-// for anything else.
+// requestDigest returns the digest of the request's pipeline, prefix and input. The
+// same key must not be used with another digest.
 func requestDigest(sub caller.Submission) [32]byte {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(sub.Pipeline.Name), []byte(sub.Prefix), sub.Input} {
@@ -74,14 +75,15 @@
 	return [32]byte(h.Sum(nil))
 }
 
-// await passes the stream on until the request has its end.
+// awaitAnswer writes the request's output to the caller until the request has ended,
+// and returns its final answer.
 func (d *Daemon) awaitAnswer(ctx context.Context, s *session, sink caller.Sink) finalAnswer {
 	callerGone := ctx.Done()
 	for {
 		select {
 		case part := <-s.output:
 			writeOutput(sink, part)
-			// What has come meanwhile goes out in the same packet.
+			// Output that is already queued is flushed along with this part.
 			writeQueuedOutput(s, sink)
 			sink.Flush()
 		case f := <-s.finalAnswers:
@@ -94,7 +96,7 @@
 	}
 }
 
-// drainOutput writes the parts that wait, at most one queue full.
+// writeQueuedOutput writes the queued parts, at most as many as the queue holds.
 func writeQueuedOutput(s *session, sink caller.Sink) {
 	for range maxQueuedOutput {
 		select {
--- a/daemon/session.go
+++ b/daemon/session.go
@@ -14,26 +14,26 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// outputQueue bounds the parts of a stream that wait for a slow caller.
+// maxQueuedOutput bounds the parts of a stream that are queued for a slow caller.
 const maxQueuedOutput = 64
 
-// session is the I/O side of one request: its running calls, its timers and
-// the way to its caller.
+// session holds the I/O state of one request: its running calls, its timers and the
+// output to its caller.
 type session struct {
 	id      string
 	sub     caller.Submission
 	digest  [32]byte
 	clients *clients
 
-	// forward is the attempt whose stream the caller gets.
+	// forwardedAttempt is the attempt whose stream is sent to the caller, or 0.
 	forwardedAttempt atomic.Int64
 	output           chan outputPart
 	finalAnswers     chan finalAnswer
-	// closed ends when the caller has its answer.
+	// done is closed when the request has its final answer.
 	done chan struct{}
 
-	// trial allows one call of the stage with that content, which is condemned; nil
-	// for none.
+	// trialFingerprint allows one call of the quarantined stage with that
+	// fingerprint; nil if no trial was granted.
 	trialFingerprint atomic.Pointer[poison.Fingerprint]
 
 	mu      sync.Mutex
@@ -41,20 +41,20 @@
 	timers  []*clock.Timer
 }
 
-// outputPart is a part of a stream, or a reset.
+// outputPart is a part of a stream, or a reset of the stream.
 type outputPart struct {
 	text  string
 	reset bool
 }
 
-// finalAnswer is what ends a request; one field is set.
+// finalAnswer is the outcome of a request. Exactly one field is set.
 type finalAnswer struct {
 	answer *request.Answer
 	err    *problem.Error
 }
 
 func newSession(sub caller.Submission, digest [32]byte, c *clients) *session {
-	// Only a stream needs room for its parts: 1.5 kB a request.
+	// Only a streaming request needs the queue, which takes 1.5 kB.
 	queue := 0
 	if sub.Stream {
 		queue = maxQueuedOutput
@@ -66,7 +66,7 @@
 	}
 }
 
-// pass delivers a part to the caller, waiting while the caller is slow.
+// sendOutput queues a part for the caller and blocks while the queue is full.
 func (s *session) sendOutput(ctx context.Context, part outputPart) {
 	select {
 	case s.output <- part:
@@ -81,7 +81,7 @@
 	s.cancels[attempt] = cancel
 }
 
-// cancel gives up a call; one that is over is left alone.
+// cancel cancels a call. It does nothing if the call has already ended.
 func (s *session) cancel(attempt int) {
 	s.mu.Lock()
 	cancel := s.cancels[attempt]
@@ -107,10 +107,10 @@
 	s.timers = nil
 }
 
-// sessionShards is the number of shards of the sessions.
+// sessionShards is the number of shards of the session table.
 const sessionShards = 64
 
-// sessions finds sessions by request id.
+// sessionTable maps request ids to sessions.
 type sessionTable struct {
 	shards [sessionShards]sessionShard
 }
