--- a/claims/acquire.go
+++ b/claims/acquire.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return refusedDecision(problem.New(problem.KeyInvalid, "%v", err))
 	}
-	cfg, err := s.claimConfig(ctx, k, id, arrived, digest)
+	cfg, err := s.newClaimConfig(ctx, k, id, arrived, digest)
 	if err != nil {
 		e := problem.New(problem.NotReady, "%v", err)
 		e.Execution, e.RetryAfter = problem.MayHaveRun, retryAfter
@@ -58,7 +58,7 @@
 
 var errNotReadyToClaim = errors.New("this host has not caught up with its fellows, or its clock is off")
 
-func (s *Service) claimConfig(ctx context.Context, k claim.Key, id string, arrived time.Time, digest [32]byte) (claim.Config, error) {
+func (s *Service) newClaimConfig(ctx context.Context, k claim.Key, id string, arrived time.Time, digest [32]byte) (claim.Config, error) {
 	deadline, ok := clock.DeadlineOf(ctx)
 	if !ok {
 		return claim.Config{}, errors.New("a claim needs a deadline")
@@ -89,7 +89,7 @@
 		// sends the call.
 		if r.claim.Send(s.cfg.Now()) {
 			s.mu.Lock()
-			s.owned[name] = &ownedClaim{claim: r.claim, quorums: r.cfg.Quorums, epoch: r.cfg.Epoch}
+			s.ownedClaims[name] = &ownedClaim{claim: r.claim, quorums: r.cfg.Quorums, epoch: r.cfg.Epoch}
 			s.mu.Unlock()
 			return request.ClaimDecided{Won: true}
 		}
@@ -140,8 +140,8 @@
 func (s *Service) removeOwned(name string) *ownedClaim {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o := s.owned[name]
-	delete(s.owned, name)
+	o := s.ownedClaims[name]
+	delete(s.ownedClaims, name)
 	return o
 }
 
--- a/claims/service.go
+++ b/claims/service.go
@@ -66,10 +66,10 @@
 
 	holders [holderShards]holderShard
 
-	// mu guards owned and rng.
-	mu    sync.Mutex
-	owned map[string]*ownedClaim
-	rng   *rand.Rand
+	// mu guards ownedClaims and rng.
+	mu          sync.Mutex
+	ownedClaims map[string]*ownedClaim
+	rng         *rand.Rand
 }
 
 var _ request.Claimer = (*Service)(nil)
@@ -84,7 +84,7 @@
 // the other hosts.
 func New(cfg Config, mux *peer.Mux) *Service {
 	s := &Service{
-		cfg: cfg, owned: make(map[string]*ownedClaim),
+		cfg: cfg, ownedClaims: make(map[string]*ownedClaim),
 		rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)),
 	}
 	s.register(mux)
@@ -205,7 +205,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d.Owned = len(s.owned)
+	d.Owned = len(s.ownedClaims)
 	return d
 }
 
--- a/claims/service_test.go
+++ b/claims/service_test.go
@@ -29,9 +29,9 @@
 		Expect(f.service("a").Record(ctx, key, "r1", []byte(`"seal"`))).To(Succeed())
 		Eventually(waiting, within).Should(Receive(Equal([]byte(`"seal"`))))
 
-		other, cancel := context.WithTimeout(ctx, within)
+		otherCtx, cancel := context.WithTimeout(ctx, within)
 		defer cancel()
-		d := f.service("c").Acquire(other, key, "r3", time.Now(), [32]byte{2})
+		d := f.service("c").Acquire(otherCtx, key, "r3", time.Now(), [32]byte{2})
 		Expect(d.Err.Kind).To(Equal(problem.KeyReused))
 		Expect(f.service("a").Dump().Owned).To(BeZero())
 	})
@@ -52,9 +52,9 @@
 		before := time.Now()
 		Expect(f.acquire("a", key, "r1", within).Won).To(BeTrue())
 		Expect(f.service("a").Release(ctx, key, "r1")).To(Succeed())
-		early, cancel := context.WithTimeout(ctx, within)
+		earlyCtx, cancel := context.WithTimeout(ctx, within)
 		defer cancel()
-		Expect(f.service("b").Acquire(early, key, "r0", before, [32]byte{1}).Won).To(BeFalse())
+		Expect(f.service("b").Acquire(earlyCtx, key, "r0", before, [32]byte{1}).Won).To(BeFalse())
 		Eventually(func() bool { return f.acquire("b", key, "r2", within).Won }, within).Should(BeTrue())
 	})
 
@@ -75,10 +75,10 @@
 	})
 
 	It("lets at most one attempt win each key despite message loss and restarts", func() {
-		const waves, keys, attempts = 3, 20, 4
+		const rounds, keys, attempts = 3, 20, 4
 		hosts := []string{"a", "b", "c"}
 		won := 0
-		for wave := range waves {
+		for round := range rounds {
 			f.setLossRate(0.1)
 			var wins [keys]atomic.Int32
 			var group sync.WaitGroup
@@ -96,7 +96,7 @@
 			}
 			group.Go(func() {
 				time.Sleep(45 * time.Millisecond)
-				f.startHost(hosts[wave])
+				f.startHost(hosts[round])
 			})
 			group.Wait()
 			for k := range wins {
@@ -106,6 +106,6 @@
 			f.setLossRate(0)
 			f.waitFullyReady(hosts...)
 		}
-		Expect(won).To(BeNumerically(">", waves*keys/2))
+		Expect(won).To(BeNumerically(">", rounds*keys/2))
 	})
 })
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -55,7 +55,7 @@
 	draining             atomic.Bool
 	activeCallerRequests atomic.Int64 // requests of callers being served
 
-	table           *request.Table
+	requestTable    *request.Table
 	sessions        sessionTable
 	decisionDeps    request.Deps
 	router          *route.Router
@@ -63,7 +63,7 @@
 	admitter        *admit.Controller
 	shares          *shares.Service
 	budgets         retry.Budgets
-	health          *breaker.Set
+	breakers        *breaker.Set
 	records         *record.Store
 	keptResults     *results.Service
 	keptResultStore *results.Store
@@ -91,7 +91,7 @@
 // New returns a daemon. Run starts it.
 func New(s *settings.Settings, log *zap.Logger) (*Daemon, error) {
 	d := &Daemon{
-		settings: s, log: log, table: request.NewTable(), records: record.NewStore(maxRecordBytes),
+		settings: s, log: log, requestTable: request.NewTable(), records: record.NewStore(maxRecordBytes),
 		metrics: metrics.NewSet(), peerMux: peer.NewMux(), dumpSections: operator.NewSections(),
 	}
 	d.incarnation = uint64(d.Now().UnixMilli())
@@ -208,7 +208,7 @@
 func (d *Daemon) drain(abort context.Context) {
 	d.draining.Store(true)
 	d.cluster.Leave()
-	d.log.Info("draining", zap.Int("in_flight", d.table.Len()))
+	d.log.Info("draining", zap.Int("in_flight", d.requestTable.Len()))
 	drainCtx, cancel := clock.WithTimeout(abort, d.settings.Drain.Bound)
 	defer cancel()
 	poll := time.NewTicker(drainPollInterval)
@@ -226,14 +226,14 @@
 
 // idle reports whether no request of a caller is in flight: none is being served,
 // and no upstream call is still running for a request that has been answered.
-func (d *Daemon) idle() bool { return d.activeCallerRequests.Load() == 0 && d.table.Len() == 0 }
+func (d *Daemon) idle() bool { return d.activeCallerRequests.Load() == 0 && d.requestTable.Len() == 0 }
 
 // maxAbortedLogged bounds the requests that are logged when a drain ends before all
 // requests have finished.
 const maxAbortedLogged = 100
 
 func (d *Daemon) logAborted() {
-	for _, o := range d.table.Overviews(maxAbortedLogged) {
+	for _, o := range d.requestTable.Overviews(maxAbortedLogged) {
 		d.log.Warn("cut", logging.Request(o.ID), zap.String("pipeline", o.Pipeline), zap.String("stage", o.Stage))
 	}
 }
@@ -255,7 +255,7 @@
 		a.Apply(b)
 	}
 	d.bundle.Store(b)
-	d.log.Info("bundle in force", zap.Uint64("version", b.Version))
+	d.log.Info("bundle applied", zap.Uint64("version", b.Version))
 }
 
 // Bundle implements caller.Backend.
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -16,7 +16,7 @@
 // request table.
 func TestDrainWaitsForCallers(t *testing.T) {
 	g := NewWithT(t)
-	d := &Daemon{settings: &settings.Settings{}, table: request.NewTable()}
+	d := &Daemon{settings: &settings.Settings{}, requestTable: request.NewTable()}
 	serving, write := make(chan struct{}), make(chan struct{})
 	server := d.newCallerServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		close(serving)
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -42,11 +42,11 @@
 
 // deferredCaller calls peer daemons through the daemon's transport, which is opened
 // only after the components that use it are created.
-type deferredCaller struct{ d *Daemon }
+type deferredCaller struct{ daemon *Daemon }
 
 // Call implements results.Caller.
 func (c deferredCaller) Call(ctx context.Context, host, method string, req, resp proto.Message) error {
-	return c.d.peerTransport.Call(ctx, host, method, req, resp)
+	return c.daemon.peerTransport.Call(ctx, host, method, req, resp)
 }
 
 // expireKeptResults removes expired results until ctx ends.
@@ -105,8 +105,8 @@
 	if sub.Key == "" {
 		return false
 	}
-	_, made, err := uuidtime.Parse(sub.Key)
-	if err != nil || sub.Arrived.Sub(made) < resumeMinKeyAge {
+	_, createdAt, err := uuidtime.Parse(sub.Key)
+	if err != nil || sub.Arrived.Sub(createdAt) < resumeMinKeyAge {
 		return false
 	}
 	for _, s := range sub.Pipeline.Stages {
--- a/daemon/loadview.go
+++ b/daemon/loadview.go
@@ -120,11 +120,11 @@
 
 // MergeDigest merges the digest from a peer daemon's heartbeat.
 func (v *loadView) MergeDigest(digest []byte) error {
-	news, err := v.table.Merge(v.now(), digest)
+	updated, err := v.table.Merge(v.now(), digest)
 	if err != nil {
 		return err
 	}
-	v.router.Observe(news...)
+	v.router.Observe(updated...)
 	return nil
 }
 
--- a/daemon/loadview_test.go
+++ b/daemon/loadview_test.go
@@ -88,15 +88,15 @@
 		views[i].Apply(b)
 	}
 	picks := func(v *loadView) map[string]bool {
-		seen := map[string]bool{}
+		picked := map[string]bool{}
 		for range 30 {
 			c, err := v.router.Pick(time.Now(), request.Query{Pool: "seals", Stage: "seal"}, nil)
 			if err == nil {
-				seen[c.Upstream] = true
+				picked[c.Upstream] = true
 				v.router.Done(time.Now(), request.Outcome{Choice: c, Stage: "seal"})
 			}
 		}
-		return seen
+		return picked
 	}
 	g.Expect(picks(views[1])).To(HaveKey("seal-1"))
 
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -36,8 +36,8 @@
 // registerGauges registers the gauges of this package.
 func (d *Daemon) registerGauges() {
 	gauge := func(name string, f func() float64) { d.metrics.GetOrCreateGauge(name, f) }
-	gauge("wheatseam_requests_in_flight", func() float64 { return float64(d.table.Len()) })
-	gauge("wheatseam_dropped_events", func() float64 { return float64(d.table.Dropped()) })
+	gauge("wheatseam_requests_in_flight", func() float64 { return float64(d.requestTable.Len()) })
+	gauge("wheatseam_dropped_events", func() float64 { return float64(d.requestTable.Dropped()) })
 	gauge("wheatseam_record_bytes", func() float64 { return float64(d.records.Stats().Bytes) })
 	gauge("wheatseam_ready", func() float64 {
 		if d.Admittable() != nil {
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -54,14 +54,14 @@
 }
 
 // operatorLocal implements operator.Local for a daemon.
-type operatorLocal struct{ d *Daemon }
+type operatorLocal struct{ daemon *Daemon }
 
 // Status implements operator.Local.
 func (l operatorLocal) Status() operator.Status {
-	d := l.d
+	d := l.daemon
 	st := operator.Status{
 		Host: d.settings.Host, FailureDomain: d.settings.FailureDomain,
-		Draining: d.draining.Load(), RequestsInFlight: d.table.Len(),
+		Draining: d.draining.Load(), RequestsInFlight: d.requestTable.Len(),
 	}
 	if err := d.Admittable(); err != nil {
 		st.Reason = err.Detail
@@ -86,24 +86,24 @@
 
 // Drain implements operator.Local.
 func (l operatorLocal) Drain() {
-	l.d.draining.Store(true)
-	l.d.startDrain()
+	l.daemon.draining.Store(true)
+	l.daemon.startDrain()
 }
 
 // Host implements operator.Local.
-func (l operatorLocal) Host() string { return l.d.settings.Host }
+func (l operatorLocal) Host() string { return l.daemon.settings.Host }
 
 // Hosts implements operator.Local. It returns the hosts of the active bundle,
 // whether they are alive or not, or the known members if there is no bundle yet.
 func (l operatorLocal) Hosts() []string {
 	var names []string
-	if b := l.d.bundle.Load(); b != nil {
+	if b := l.daemon.bundle.Load(); b != nil {
 		for _, h := range b.Hosts {
 			names = append(names, h.Name)
 		}
 		return names
 	}
-	for _, m := range l.d.cluster.Members() {
+	for _, m := range l.daemon.cluster.Members() {
 		names = append(names, m.Host.Name)
 	}
 	return names
@@ -135,19 +135,19 @@
 	d.dumpSections.Register("process", func() any {
 		return processDump{
 			Status: operatorLocal{d}.Status(), Incarnation: d.incarnation,
-			Now: d.Now(), DroppedEvents: d.table.Dropped(),
+			Now: d.Now(), DroppedEvents: d.requestTable.Dropped(),
 		}
 	})
 	d.dumpSections.Register("bundle", func() any { return d.dumpBundle() })
 	d.dumpSections.Register("cluster", func() any { return d.clusterDump() })
-	d.dumpSections.Register("requests", func() any { return append([]request.Overview{}, d.table.Overviews(maxDumpRequests)...) })
+	d.dumpSections.Register("requests", func() any { return append([]request.Overview{}, d.requestTable.Overviews(maxDumpRequests)...) })
 	d.dumpSections.Register("records", func() any { return d.records.Stats() })
 	d.dumpSections.Register("quarantine", func() any { return d.quarantine.Dump() })
 	d.dumpSections.Register("peers", func() any { return d.peerTransport.Sessions() })
 	d.dumpSections.Register("pools", func() any { return d.admitter.State(d.Now()) })
 	d.dumpSections.Register("upstreams", func() any { return d.router.Dump(d.Now()) })
 	d.dumpSections.Register("load", func() any { return d.loads.dump() })
-	d.dumpSections.Register("failing_pools", func() any { return d.health.Open() })
+	d.dumpSections.Register("failing_pools", func() any { return d.breakers.Open() })
 	d.dumpSections.Register("claims", func() any { return d.claims.Dump() })
 	d.dumpSections.Register("kept_results", func() any { return d.keptResultStore.Stats() })
 	d.dumpSections.Register("retries", func() any { return d.budgets.Retry.Stats() })
--- a/daemon/perform.go
+++ b/daemon/perform.go
@@ -27,7 +27,7 @@
 // deliver passes an event to the request's state machine and performs the actions
 // that the machine returns.
 func (d *Daemon) deliver(s *session, ev request.Event) {
-	actions, _ := d.table.Deliver(d.Now(), s.id, ev)
+	actions, _ := d.requestTable.Deliver(d.Now(), s.id, ev)
 	d.performActions(s, actions)
 }
 
@@ -41,7 +41,7 @@
 // ended, deliverGrant releases the slot, which may grant it to the next request.
 func (d *Daemon) deliverGrant(g request.Grant) {
 	if s := d.sessions.get(g.Ticket.Request); s != nil {
-		actions, ok := d.table.Deliver(d.Now(), s.id, request.SlotGranted{Grant: g})
+		actions, ok := d.requestTable.Deliver(d.Now(), s.id, request.SlotGranted{Grant: g})
 		if ok {
 			d.performActions(s, actions)
 			return
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -29,12 +29,12 @@
 }
 
 // quarantineMembers gives the quarantine service access to the cluster membership.
-type quarantineMembers struct{ d *Daemon }
+type quarantineMembers struct{ daemon *Daemon }
 
 // Reachable implements quarantine.Members.
 func (f quarantineMembers) Reachable() []fleet.Host {
 	var hosts []fleet.Host
-	for _, m := range f.d.cluster.Members() {
+	for _, m := range f.daemon.cluster.Members() {
 		if m.Living() {
 			hosts = append(hosts, fleet.Host{Host: m.Host, Incarnation: m.Incarnation})
 		}
@@ -43,11 +43,11 @@
 }
 
 // Neighbours implements quarantine.Members.
-func (f quarantineMembers) Neighbours() []string { return f.d.cluster.Neighbours() }
+func (f quarantineMembers) Neighbours() []string { return f.daemon.cluster.Neighbours() }
 
 // SetSlot implements quarantine.Members.
 func (f quarantineMembers) SetSlot(id member.SlotID, value []byte) {
-	f.d.cluster.SetSlot(id, value, false)
+	f.daemon.cluster.SetSlot(id, value, false)
 }
 
 // stageFingerprint identifies what one stage of a request processes, independent of
--- a/daemon/routing.go
+++ b/daemon/routing.go
@@ -31,6 +31,6 @@
 	d.router, d.budgets = router, budgets
 	d.loads = newLoadView(d.settings, router, d.log, d.Now)
 	d.bundleAppliers = append(d.bundleAppliers, router, budgetRatioApplier{budgets}, d.loads)
-	d.health = breaker.New(breaker.Config{})
-	d.decisionDeps = request.Deps{Router: router, Admitter: d.admitter, Retries: budgets.Retry, Hedges: budgets.Hedge, Health: d.health}
+	d.breakers = breaker.New(breaker.Config{})
+	d.decisionDeps = request.Deps{Router: router, Admitter: d.admitter, Retries: budgets.Retry, Hedges: budgets.Hedge, Health: d.breakers}
 }
--- a/daemon/serve.go
+++ b/daemon/serve.go
@@ -30,7 +30,7 @@
 	spec := requestSpec(sub)
 	spec.Kept = d.fetchKeptResults(s)
 	m := request.New(spec, d.decisionDeps, log)
-	d.table.Insert(m)
+	d.requestTable.Insert(m)
 	d.deliver(s, request.Start{})
 	f := d.awaitAnswer(ctx, s, sink)
 	close(s.done)
--- a/daemon/session.go
+++ b/daemon/session.go
@@ -36,9 +36,9 @@
 	// fingerprint; nil if no trial was granted.
 	trialFingerprint atomic.Pointer[poison.Fingerprint]
 
-	mu      sync.Mutex
-	cancels map[int]context.CancelFunc
-	timers  []*clock.Timer
+	mu          sync.Mutex
+	cancelFuncs map[int]context.CancelFunc
+	timers      []*clock.Timer
 }
 
 // outputPart is a part of a stream, or a reset of the stream.
@@ -62,7 +62,7 @@
 	return &session{
 		id: sub.RequestID, sub: sub, digest: digest, clients: c,
 		output: make(chan outputPart, queue), finalAnswers: make(chan finalAnswer, 1),
-		done: make(chan struct{}), cancels: make(map[int]context.CancelFunc),
+		done: make(chan struct{}), cancelFuncs: make(map[int]context.CancelFunc),
 	}
 }
 
@@ -78,14 +78,14 @@
 func (s *session) addCancel(attempt int, cancel context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cancels[attempt] = cancel
+	s.cancelFuncs[attempt] = cancel
 }
 
 // cancel cancels a call. It does nothing if the call has already ended.
 func (s *session) cancel(attempt int) {
 	s.mu.Lock()
-	cancel := s.cancels[attempt]
-	delete(s.cancels, attempt)
+	cancel := s.cancelFuncs[attempt]
+	delete(s.cancelFuncs, attempt)
 	s.mu.Unlock()
 	if cancel != nil {
 		cancel()
