--- a/claims/run.go
+++ b/claims/run.go
@@ -76,8 +76,9 @@
 	return r.claim.Reply(now, a.reply)
 }
 
-// startNextRound starts the next round, unless the process of the blocking owner
-// has ended: then nobody will release the key or record a result.
+// startNextRound starts the next round, unless the process of the blocking owner is
+// unavailable: then nobody is expected to release the key or record a result, and the
+// claim ends with an unknown outcome.
 func (r *acquisition) startNextRound() []claim.Action {
 	if r.blockingOwner.Host != "" && r.service.cfg.OwnerUnavailable(r.blockingOwner.Host, r.blockingOwner.Incarnation) {
 		return r.claim.GiveUp(problem.OutcomeUnknown)
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -69,8 +69,8 @@
 // request with the key may have.
 func (d *Daemon) checkQuarantine(ctx context.Context, s *session) *problem.Error {
 	for _, stage := range s.sub.Pipeline.Stages {
-		v, condemned := d.quarantine.Condemned(s.stageFingerprint(stage.Name))
-		if !condemned {
+		v, quarantined := d.quarantine.Condemned(s.stageFingerprint(stage.Name))
+		if !quarantined {
 			continue
 		}
 		if d.quarantine.Try(ctx, v) {
@@ -90,14 +90,14 @@
 // callAllowed reports whether a call may be sent to an upstream. It is asked for each
 // attempt, since the request may be quarantined before a retry or a hedge.
 func (d *Daemon) callAllowed(s *session, c request.Call) bool {
-	_, condemned := d.quarantine.Condemned(s.stageFingerprint(c.Stage.Name))
-	return !condemned || s.trialFingerprint.Swap(nil) != nil
+	_, quarantined := d.quarantine.Condemned(s.stageFingerprint(c.Stage.Name))
+	return !quarantined || s.trialFingerprint.Swap(nil) != nil
 }
 
 // returnUnusedTrial returns a granted trial that no call has used.
 func (d *Daemon) returnUnusedTrial(s *session) {
-	if content := s.trialFingerprint.Swap(nil); content != nil {
-		d.quarantine.Untried(*content)
+	if fingerprint := s.trialFingerprint.Swap(nil); fingerprint != nil {
+		d.quarantine.Untried(*fingerprint)
 	}
 }
 
@@ -113,16 +113,16 @@
 // reportCall tells the quarantine service what the end of a call implies about its
 // upstream: that it is alive, or that it broke off the response and may have crashed.
 func (d *Daemon) reportCall(s *session, c request.Call, start callStart, err error) {
-	content := s.stageFingerprint(c.Stage.Name)
+	fingerprint := s.stageFingerprint(c.Stage.Name)
 	switch {
 	case upstreamAnswered(err):
-		d.quarantine.Served(content)
+		d.quarantine.Served(fingerprint)
 	case !httpbody.BrokenOff(err) || clock.Asleep() > start.sleptBefore || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
 		// The call ended without its connection breaking off, or the break has
 		// another cause: this host was asleep, or the upstream is leaving.
 	default:
 		d.quarantine.BrokeOff(quarantine.Attempt{
-			Service: c.Stage.Pool, Replica: c.Choice.Upstream, Address: c.Choice.Address, Request: content, Began: start.at,
+			Service: c.Stage.Pool, Replica: c.Choice.Upstream, Address: c.Choice.Address, Request: fingerprint, Began: start.at,
 		})
 	}
 }
--- a/results/results_test.go
+++ b/results/results_test.go
@@ -108,7 +108,7 @@
 		Expect(store.Put(startTime, request, "a", make([]byte, 500), startTime.Add(time.Second))).To(BeTrue())
 		Expect(store.Put(startTime, request, "b", make([]byte, 500), startTime.Add(time.Second))).To(BeFalse())
 		Expect(store.Put(startTime.Add(2*time.Second), request, "b", make([]byte, 500), startTime.Add(3*time.Second))).To(BeTrue())
-		Expect(store.Stats().Full).To(BeEquivalentTo(1))
+		Expect(store.Stats().Rejected).To(BeEquivalentTo(1))
 	})
 })
 
--- a/results/store.go
+++ b/results/store.go
@@ -135,8 +135,8 @@
 type Stats struct {
 	Requests int `json:"requests"`
 	Bytes    int `json:"bytes"`
-	// Full is the number of results that were rejected because there was no room.
-	Full uint64 `json:"full"`
+	// Rejected is the number of results that were not stored because there was no room.
+	Rejected uint64 `json:"full"`
 }
 
 // Stats returns the sum of the shards' counters.
@@ -147,7 +147,7 @@
 		sh.mu.Lock()
 		st.Requests += len(sh.entries)
 		st.Bytes += sh.bytes
-		st.Full += sh.rejectedFull
+		st.Rejected += sh.rejectedFull
 		sh.mu.Unlock()
 	}
 	return st
