--- a/claims/acquire.go
+++ b/claims/acquire.go
@@ -93,9 +93,9 @@
 			s.mu.Unlock()
 			return request.ClaimDecided{Won: true}
 		}
-		r.sendReleases(r.claim.GiveUp(problem.DeadlineExceeded))
+		r.sendReleases(r.claim.Abort(problem.DeadlineExceeded))
 		return s.refusalDecision(ctx, r, claim.Refuse{Kind: problem.DeadlineExceeded, Execution: problem.NotRun})
-	case claim.Lost:
+	case claim.AlreadyExecuted:
 		if a.Record.Truncated {
 			e := problem.New(problem.OutcomeUnknown, "it has run; its result was too large to be kept")
 			e.Execution = problem.Ran
@@ -156,7 +156,7 @@
 		return err
 	}
 	o.claim.NotExecuted()
-	s.sendReleases(o.claim.GiveUp(problem.DeadlineExceeded))
+	s.sendReleases(o.claim.Abort(problem.DeadlineExceeded))
 	return s.voidKey(ctx, k, s.owner(id), o.epoch, o.quorums)
 }
 
--- a/claims/run.go
+++ b/claims/run.go
@@ -59,7 +59,7 @@
 			r.retryTimer = nil
 			end = r.performActions(ctx, r.startNextRound())
 		case <-ctx.Done():
-			end = r.performActions(ctx, r.claim.GiveUp(problem.DeadlineExceeded))
+			end = r.performActions(ctx, r.claim.Abort(problem.DeadlineExceeded))
 		}
 	}
 	return end
@@ -68,12 +68,12 @@
 func (r *acquisition) handleAnswer(a holderAnswer) []claim.Action {
 	now := r.service.cfg.Now()
 	if a.err != nil {
-		return r.claim.Unreachable(now, a.holder, a.round)
+		return r.claim.HandleUnreachable(now, a.holder, a.round)
 	}
 	if a.reply.Verdict == claim.Taken {
 		r.blockingOwner = a.reply.Owner
 	}
-	return r.claim.Reply(now, a.reply)
+	return r.claim.HandleReply(now, a.reply)
 }
 
 // startNextRound starts the next round, unless the process of the blocking owner is
@@ -81,9 +81,9 @@
 // claim ends with an unknown outcome.
 func (r *acquisition) startNextRound() []claim.Action {
 	if r.blockingOwner.Host != "" && r.service.cfg.OwnerUnavailable(r.blockingOwner.Host, r.blockingOwner.Incarnation) {
-		return r.claim.GiveUp(problem.OutcomeUnknown)
+		return r.claim.Abort(problem.OutcomeUnknown)
 	}
-	return r.claim.Timer()
+	return r.claim.HandleTimer()
 }
 
 // performActions carries out actions and returns the one that ends the claim, if
@@ -92,7 +92,7 @@
 	var end claim.Action
 	for _, action := range actions {
 		switch a := action.(type) {
-		case claim.SendAsk:
+		case claim.SendAcquire:
 			go r.callHolder(ctx, a)
 		case claim.SendRelease:
 			go r.service.sendRelease(a)
@@ -108,12 +108,12 @@
 // sendReleases sends the releases among actions.
 func (r *acquisition) sendReleases(actions []claim.Action) { r.service.sendReleases(actions) }
 
-func (r *acquisition) callHolder(ctx context.Context, a claim.SendAsk) {
+func (r *acquisition) callHolder(ctx context.Context, a claim.SendAcquire) {
 	callCtx, cancel := clock.WithTimeout(ctx, holderCallTimeout)
 	defer cancel()
-	out := holderAnswer{holder: a.Holder, round: a.Ask.Round}
+	out := holderAnswer{holder: a.Holder, round: a.Acquire.Round}
 	var resp wire.ClaimReply
-	out.err = r.service.cfg.Caller.Call(callCtx, a.Holder, methodAsk, encodeAsk(a.Ask), &resp)
+	out.err = r.service.cfg.Caller.Call(callCtx, a.Holder, methodAsk, encodeAsk(a.Acquire), &resp)
 	if out.err == nil {
 		out.reply, out.err = decodeReply(a.Holder, &resp)
 	}
@@ -217,8 +217,8 @@
 	for ; pending > 0; pending-- {
 		select {
 		case r := <-replies:
-			for _, action := range o.claim.Stored(r) {
-				if _, kept := action.(claim.Kept); kept {
+			for _, action := range o.claim.HandleStoreReply(r) {
+				if _, kept := action.(claim.ResultStored); kept {
 					return nil
 				}
 			}
--- a/claims/serve.go
+++ b/claims/serve.go
@@ -38,7 +38,7 @@
 		return nil, errNoHostList
 	}
 	env := claim.Env{
-		Now: s.cfg.Now(), Epoch: s.views.Epoch(), Ready: s.views.Serves() && s.cfg.ClockAndViewsTrusted(),
+		Now: s.cfg.Now(), Epoch: s.views.Epoch(), Ready: s.views.CanGrant() && s.cfg.ClockAndViewsTrusted(),
 	}
 	shard := &s.holders[key.Hash()%holderShards]
 	shard.mu.Lock()
@@ -61,7 +61,7 @@
 		return nil, errMalformed
 	}
 	return s.withKeyHolder(ask.Key, func(h *claim.Holder, env claim.Env) claim.Reply {
-		return h.Ask(env, ask)
+		return h.Acquire(env, ask)
 	})
 }
 
--- a/daemon/call.go
+++ b/daemon/call.go
@@ -103,7 +103,7 @@
 	messages = append(messages, engine.Message{Role: "user", Content: textOf(c.Input)})
 	pool := s.clients.pools[c.Stage.Pool]
 	return engine.Generation{
-		Address: c.Choice.Address, Model: pool.Model, Priority: enginePriority(pool, c.StartBy),
+		Address: c.Choice.Address, Model: pool.Model, Priority: enginePriority(pool, c.LatestStart),
 		RequestID: s.id, Attempt: c.Attempt, Customer: s.sub.Customer.Name,
 		Messages: messages, MaxTokens: c.Stage.MaxTokens, NotAfter: c.NotAfter,
 	}
@@ -150,7 +150,7 @@
 
 // pollCallStatus queries all upstreams of a pool until one has the result, none
 // runs the call, or the request's deadline has passed.
-func (d *Daemon) pollCallStatus(s *session, a request.LookUp) {
+func (d *Daemon) pollCallStatus(s *session, a request.LookUpStatus) {
 	ctx, cancel := clock.WithDeadline(context.Background(), s.sub.Deadline)
 	defer cancel()
 	for {
@@ -171,7 +171,7 @@
 // queryStatus queries every upstream of the pool once. An upstream that has the
 // result takes precedence over one that runs the call, and that one over those
 // that don't know the call or don't answer.
-func (d *Daemon) queryStatus(ctx context.Context, s *session, a request.LookUp) service.Status {
+func (d *Daemon) queryStatus(ctx context.Context, s *session, a request.LookUpStatus) service.Status {
 	ctx, cancel := clock.WithTimeout(ctx, statusQueryTimeout)
 	defer cancel()
 	upstreams := s.clients.pools[a.Pool].Upstreams
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -77,7 +77,7 @@
 
 // keepResult stores a stage's result at peer daemons. A failure is only logged:
 // without the result, a retry runs the stage again.
-func (d *Daemon) keepResult(s *session, a request.Keep) {
+func (d *Daemon) keepResult(s *session, a request.StoreResult) {
 	ctx, cancel := clock.WithTimeout(context.Background(), keepTimeout)
 	defer cancel()
 	n, err := d.keptResults.Keep(ctx, keptResultsKey(s), a.Stage, a.Result, s.sub.Deadline.Add(s.sub.Pipeline.Deadline))
--- a/daemon/loadexchange.go
+++ b/daemon/loadexchange.go
@@ -17,8 +17,8 @@
 const loadExchangeInterval = 500 * time.Millisecond
 
 // loadExtension reserves space for load digests on the heartbeats.
-func loadExtension() member.Extension {
-	return member.Extension{ID: member.SlotLoad, MaxBytes: maxLoadDigestBytes}
+func loadExtension() member.SlotConfig {
+	return member.SlotConfig{ID: member.SlotLoad, MaxBytes: maxLoadDigestBytes}
 }
 
 // exchangeLoads puts load digests on the heartbeats and merges the digests of peer
@@ -68,7 +68,7 @@
 	hosts := make([]load.Host, 0, len(members)+1)
 	found := false
 	for _, m := range members {
-		if m.Host.Name != self && !m.Living() {
+		if m.Host.Name != self && !m.Live() {
 			continue
 		}
 		found = found || m.Host.Name == self
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -147,7 +147,7 @@
 	d.dumpSections.Register("pools", func() any { return d.admitter.State(d.Now()) })
 	d.dumpSections.Register("upstreams", func() any { return d.router.Dump(d.Now()) })
 	d.dumpSections.Register("load", func() any { return d.loads.dump() })
-	d.dumpSections.Register("failing_pools", func() any { return d.breakers.Open() })
+	d.dumpSections.Register("failing_pools", func() any { return d.breakers.OpenPools() })
 	d.dumpSections.Register("claims", func() any { return d.claims.Dump() })
 	d.dumpSections.Register("kept_results", func() any { return d.keptResultStore.Stats() })
 	d.dumpSections.Register("retries", func() any { return d.budgets.Retry.Stats() })
--- a/daemon/perform.go
+++ b/daemon/perform.go
@@ -62,24 +62,24 @@
 		go d.runCall(ctx, s, a)
 	case request.Cancel:
 		s.cancel(a.Attempt)
-	case request.Claim:
+	case request.AcquireClaim:
 		go d.acquireClaim(s, a)
-	case request.Release:
+	case request.ReleaseClaim:
 		go d.releaseClaim(s, a.Key)
-	case request.Record:
+	case request.RecordResult:
 		go d.recordResult(s, a)
-	case request.LookUp:
+	case request.LookUpStatus:
 		go d.pollCallStatus(s, a)
-	case request.Keep:
+	case request.StoreResult:
 		go d.keepResult(s, a)
 	case request.Forward:
 		s.forwardedAttempt.Store(int64(a.Attempt))
-	case request.Reset:
+	case request.ResetStream:
 		s.forwardedAttempt.Store(0)
 		s.sendOutput(context.Background(), outputPart{reset: true})
 	case request.SetTimer:
 		d.setTimer(s, a)
-	case request.Notify:
+	case request.DeliverGrant:
 		go d.deliverGrant(a.Grant)
 	case request.Finish:
 		d.finish(s, a)
@@ -106,7 +106,7 @@
 	return ctx
 }
 
-func (d *Daemon) acquireClaim(s *session, a request.Claim) {
+func (d *Daemon) acquireClaim(s *session, a request.AcquireClaim) {
 	ctx, cancel := clock.WithDeadline(context.Background(), s.sub.Deadline)
 	defer cancel()
 	d.deliver(s, d.claims.Acquire(ctx, a.Key, s.id, s.sub.Arrived, s.digest))
@@ -120,7 +120,7 @@
 	}
 }
 
-func (d *Daemon) recordResult(s *session, a request.Record) {
+func (d *Daemon) recordResult(s *session, a request.RecordResult) {
 	ctx, cancel := clock.WithTimeout(context.Background(), recordResultTimeout)
 	defer cancel()
 	err := d.claims.Record(ctx, a.Key, s.id, a.Result)
@@ -134,7 +134,7 @@
 // has not run first waits for the confirmation by the claim holders, and without it
 // says that the request may have run.
 func (d *Daemon) finish(s *session, f request.Finish) {
-	if f.Settle == request.SettleNone {
+	if f.ClaimCleanup == request.ClaimCleanupNone {
 		s.finalAnswers <- finalAnswer{answer: f.Answer, err: f.Err}
 		return
 	}
@@ -151,7 +151,7 @@
 func (d *Daemon) confirmNotRun(s *session, f request.Finish) bool {
 	ctx, cancel := clock.WithTimeout(context.Background(), confirmNotRunTimeout)
 	defer cancel()
-	if f.Settle == request.SettleRelease {
+	if f.ClaimCleanup == request.ClaimCleanupRelease {
 		return d.claims.Release(ctx, f.Key, s.id) == nil
 	}
 	notRun, err := d.claims.Void(ctx, f.Key)
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -25,7 +25,7 @@
 	d.quarantine = quarantine.New(quarantine.Config{
 		Self: d.settings.Host, Members: quarantineMembers{d}, Replicas: replica.NewClient(nil), Caller: deferredCaller{d}, Mux: d.peerMux, Logger: d.log,
 	})
-	d.cluster.OnSlot(member.SlotQuarantine, d.quarantine.Heard)
+	d.cluster.OnSlot(member.SlotQuarantine, d.quarantine.DigestReceived)
 }
 
 // quarantineMembers gives the quarantine service access to the cluster membership.
@@ -35,7 +35,7 @@
 func (f quarantineMembers) Reachable() []fleet.Host {
 	var hosts []fleet.Host
 	for _, m := range f.daemon.cluster.Members() {
-		if m.Living() {
+		if m.Live() {
 			hosts = append(hosts, fleet.Host{Host: m.Host, Incarnation: m.Incarnation})
 		}
 	}
@@ -69,11 +69,11 @@
 // request with the key may have.
 func (d *Daemon) checkQuarantine(ctx context.Context, s *session) *problem.Error {
 	for _, stage := range s.sub.Pipeline.Stages {
-		v, quarantined := d.quarantine.Condemned(s.stageFingerprint(stage.Name))
+		v, quarantined := d.quarantine.Quarantined(s.stageFingerprint(stage.Name))
 		if !quarantined {
 			continue
 		}
-		if d.quarantine.Try(ctx, v) {
+		if d.quarantine.RequestTrial(ctx, v) {
 			s.trialFingerprint.Store(&v.Request)
 			continue
 		}
@@ -90,14 +90,14 @@
 // callAllowed reports whether a call may be sent to an upstream. It is asked for each
 // attempt, since the request may be quarantined before a retry or a hedge.
 func (d *Daemon) callAllowed(s *session, c request.Call) bool {
-	_, quarantined := d.quarantine.Condemned(s.stageFingerprint(c.Stage.Name))
+	_, quarantined := d.quarantine.Quarantined(s.stageFingerprint(c.Stage.Name))
 	return !quarantined || s.trialFingerprint.Swap(nil) != nil
 }
 
 // returnUnusedTrial returns a granted trial that no call has used.
 func (d *Daemon) returnUnusedTrial(s *session) {
 	if fingerprint := s.trialFingerprint.Swap(nil); fingerprint != nil {
-		d.quarantine.Untried(*fingerprint)
+		d.quarantine.ReturnTrial(*fingerprint)
 	}
 }
 
@@ -116,12 +116,12 @@
 	fingerprint := s.stageFingerprint(c.Stage.Name)
 	switch {
 	case upstreamAnswered(err):
-		d.quarantine.Served(fingerprint)
+		d.quarantine.RunSucceeded(fingerprint)
 	case !httpbody.BrokenOff(err) || clock.Asleep() > start.sleptBefore || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
 		// The call ended without its connection breaking off, or the break has
 		// another cause: this host was asleep, or the upstream is leaving.
 	default:
-		d.quarantine.BrokeOff(quarantine.Attempt{
+		d.quarantine.AttemptInterrupted(quarantine.InterruptedAttempt{
 			Service: c.Stage.Pool, Replica: c.Choice.Upstream, Address: c.Choice.Address, Request: fingerprint, Began: start.at,
 		})
 	}
--- a/daemon/routing.go
+++ b/daemon/routing.go
@@ -32,5 +32,5 @@
 	d.loads = newLoadView(d.settings, router, d.log, d.Now)
 	d.bundleAppliers = append(d.bundleAppliers, router, budgetRatioApplier{budgets}, d.loads)
 	d.breakers = breaker.New(breaker.Config{})
-	d.decisionDeps = request.Deps{Router: router, Admitter: d.admitter, Retries: budgets.Retry, Hedges: budgets.Hedge, Health: d.breakers}
+	d.decisionDeps = request.Deps{Router: router, Admitter: d.admitter, RetryBudget: budgets.Retry, HedgeBudget: budgets.Hedge, Health: d.breakers}
 }
--- a/shares/service.go
+++ b/shares/service.go
@@ -112,7 +112,7 @@
 			s.sendActions(ctx, s.stepMachine(share.TimerFired{}))
 		case <-measure.C:
 			if s.cfg.LiveHosts != nil {
-				s.stepMachine(share.LiveChanged{Hosts: s.cfg.LiveHosts()})
+				s.stepMachine(share.LiveHostsChanged{Hosts: s.cfg.LiveHosts()})
 			}
 			s.sendActions(ctx, s.stepMachine(s.measuredDemand()))
 		}
@@ -241,7 +241,7 @@
 	v := s.machine.View(now)
 	out := make([]ResourceShare, 0, len(s.resources))
 	for _, r := range s.resources {
-		out = append(out, ResourceShare{r.Kind, r.Name, float64(v.Millionths(now, r)) / share.Full})
+		out = append(out, ResourceShare{r.Kind, r.Name, float64(v.Millionths(now, r)) / share.FullShare})
 	}
 	return out
 }
