--- a/caller/customers.go
+++ b/caller/customers.go
@@ -11,71 +11,75 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// keyHash is the SHA-256 of an API key.
+// keyHash is the SHA-256 hash of an API key.
 type keyHash [sha256.Size]byte
 
-// keyIndex finds a bundle's customers by the hashes of their API keys. It does
-// not change.
+// keyIndex maps the hashes of API keys to the customers of one bundle. It is
+// immutable.
 type keyIndex struct {
-	bundle    *bundle.Bundle
-	customers map[keyHash]keyHolder
+	bundle  *bundle.Bundle
+	entries map[keyHash]keyEntry
 }
 
-type keyHolder struct {
+type keyEntry struct {
 	hash     keyHash
 	customer *bundle.Customer
 }
 
-// newKeyIndex leaves out what is no hash: no key has it.
+// newKeyIndex skips entries that are not a hexadecimal SHA-256 hash, since no
+// API key can match them.
 func newKeyIndex(b *bundle.Bundle) *keyIndex {
-	x := &keyIndex{bundle: b, customers: make(map[keyHash]keyHolder, len(b.Customers))}
+	index := &keyIndex{bundle: b, entries: make(map[keyHash]keyEntry, len(b.Customers))}
 	for i := range b.Customers {
-		for _, text := range b.Customers[i].KeyHashes {
-			raw, err := hex.DecodeString(text)
+		for _, encoded := range b.Customers[i].KeyHashes {
+			raw, err := hex.DecodeString(encoded)
 			if err != nil || len(raw) != sha256.Size {
 				continue
 			}
 			hash := keyHash(raw)
-			x.customers[hash] = keyHolder{hash, &b.Customers[i]}
+			index.entries[hash] = keyEntry{hash, &b.Customers[i]}
 		}
 	}
-	return x
+	return index
 }
 
-// find returns the customer that holds key, or nil. How long it takes depends on
-// the hash of key, which says nothing about a key that is not known already.
-func (x *keyIndex) find(key string) *bundle.Customer {
-	got := keyHash(sha256.Sum256([]byte(key)))
-	holder := x.customers[got]
-	if subtle.ConstantTimeCompare(got[:], holder.hash[:]) != 1 {
+// lookup returns the customer that owns the API key, or nil. The time that the
+// map lookup takes depends only on the hash of the presented key, so that it
+// reveals nothing about other keys.
+func (x *keyIndex) lookup(key string) *bundle.Customer {
+	hash := keyHash(sha256.Sum256([]byte(key)))
+	entry := x.entries[hash]
+	if subtle.ConstantTimeCompare(hash[:], entry.hash[:]) != 1 {
 		return nil
 	}
-	return holder.customer
+	return entry.customer
 }
 
-// customers holds the index of the bundle that the last request came under. It
-// is safe for concurrent use.
-type customers struct{ current atomic.Pointer[keyIndex] }
+// customerAuthenticator identifies customers by their API keys. It caches the
+// key index of the bundle that the last request used. It is safe for concurrent
+// use.
+type customerAuthenticator struct{ current atomic.Pointer[keyIndex] }
 
-// of returns the index of b.
-func (c *customers) of(b *bundle.Bundle) *keyIndex {
-	if x := c.current.Load(); x != nil && x.bundle == b {
-		return x
+// index returns the key index of b and builds it if b is not the cached bundle.
+func (c *customerAuthenticator) index(b *bundle.Bundle) *keyIndex {
+	if index := c.current.Load(); index != nil && index.bundle == b {
+		return index
 	}
-	x := newKeyIndex(b)
-	c.current.Store(x)
-	return x
+	index := newKeyIndex(b)
+	c.current.Store(index)
+	return index
 }
 
-// customer returns the customer whose API key the Authorization header bears.
-func (c *customers) customer(b *bundle.Bundle, header string) (*bundle.Customer, *problem.Error) {
+// authenticate returns the customer whose API key the Authorization header
+// contains. The error is of kind problem.Unauthorized.
+func (c *customerAuthenticator) authenticate(b *bundle.Bundle, header string) (*bundle.Customer, *problem.Error) {
 	const scheme = "Bearer "
 	if len(header) <= len(scheme) || !strings.EqualFold(header[:len(scheme)], scheme) {
 		return nil, problem.New(problem.Unauthorized, "the Authorization header bears no API key")
 	}
-	found := c.of(b).find(header[len(scheme):])
-	if found == nil {
+	customer := c.index(b).lookup(header[len(scheme):])
+	if customer == nil {
 		return nil, problem.New(problem.Unauthorized, "the API key is unknown")
 	}
-	return found, nil
+	return customer, nil
 }
--- a/caller/customers_test.go
+++ b/caller/customers_test.go
@@ -11,42 +11,42 @@
 	"github.com/wheatseam/wheatseam/bundle"
 )
 
-var _ = Describe("customers", func() {
-	hashOf := func(key string) string {
+var _ = Describe("customerAuthenticator", func() {
+	hexHash := func(key string) string {
 		sum := sha256.Sum256([]byte(key))
 		return hex.EncodeToString(sum[:])
 	}
-	bundleOf := func(keys ...string) *bundle.Bundle {
+	bundleWithKeys := func(keys ...string) *bundle.Bundle {
 		b := &bundle.Bundle{}
 		for _, key := range keys {
-			b.Customers = append(b.Customers, bundle.Customer{Name: key, KeyHashes: []string{hashOf(key + "-old"), strings.ToUpper(hashOf(key))}})
+			b.Customers = append(b.Customers, bundle.Customer{Name: key, KeyHashes: []string{hexHash(key + "-old"), strings.ToUpper(hexHash(key))}})
 		}
 		return b
 	}
-	var all customers
+	var auth customerAuthenticator
 
-	It("finds each customer by each of its keys, however the hash is written", func() {
-		b := bundleOf("a", "b", "c")
+	It("authenticates each customer by each of its keys, with hashes in upper or lower case", func() {
+		b := bundleWithKeys("a", "b", "c")
 		for _, key := range []string{"a", "b", "c"} {
 			for _, suffix := range []string{"", "-old"} {
-				got, err := all.customer(b, "bearer "+key+suffix)
+				got, err := auth.authenticate(b, "bearer "+key+suffix)
 				Expect(err).To(BeNil())
 				Expect(got.Name).To(Equal(key))
 			}
 		}
 	})
 
-	It("forgets a key with the bundle that named it", func() {
-		_, err := all.customer(bundleOf("a"), "Bearer a")
+	It("rejects a key that the current bundle does not list", func() {
+		_, err := auth.authenticate(bundleWithKeys("a"), "Bearer a")
 		Expect(err).To(BeNil())
-		_, err = all.customer(bundleOf("b"), "Bearer a")
+		_, err = auth.authenticate(bundleWithKeys("b"), "Bearer a")
 		Expect(err).NotTo(BeNil())
 	})
 
-	It("knows no key whose hash is no hash", func() {
+	It("ignores listed hashes that are not SHA-256 hashes", func() {
 		b := &bundle.Bundle{Customers: []bundle.Customer{{KeyHashes: []string{"", "zz", "00"}}}}
 		for _, key := range []string{"x", "\x00"} {
-			_, err := all.customer(b, "Bearer "+key)
+			_, err := auth.authenticate(b, "Bearer "+key)
 			Expect(err).NotTo(BeNil())
 		}
 	})
--- a/caller/decode.go
+++ b/caller/decode.go
@@ -13,11 +13,11 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// Bounds of a request's fields.
+// Limits on the fields of a request.
 const (
-	maxKeyBytes    = 64
-	maxPrefixBytes = 256 << 10
-	// idempotencyHeader names the header that bears a caller's key.
+	maxIdempotencyKeyBytes = 64
+	maxPrefixBytes         = 256 << 10
+	// idempotencyHeader is the header that carries the caller's idempotency key.
 	idempotencyHeader = "Idempotency-Key"
 )
 
@@ -29,14 +29,15 @@
 	Prefix     string          `json:"prefix"`
 }
 
-// decode authenticates and checks a request.
+// decode authenticates the caller, then parses and validates the request. id
+// becomes the request ID.
 func (s *Server) decode(r *http.Request, id string) (Submission, *problem.Error) {
 	var sub Submission
 	b := s.cfg.Backend.Bundle()
 	if b == nil {
 		return sub, notReady()
 	}
-	customer, err := s.customers.customer(b, r.Header.Get("Authorization"))
+	customer, err := s.authenticator.authenticate(b, r.Header.Get("Authorization"))
 	if err != nil {
 		return sub, err
 	}
@@ -53,7 +54,7 @@
 		Arrived: s.cfg.Backend.Now(), Stream: parsed.Stream, Prefix: parsed.Prefix,
 		Input: parsed.Input,
 	}
-	if sub.Deadline, err = deadline(sub, parsed.DeadlineMs); err != nil {
+	if sub.Deadline, err = requestDeadline(sub, parsed.DeadlineMs); err != nil {
 		return sub, err
 	}
 	sub.Key, err = idempotencyKey(r, sub)
@@ -100,36 +101,39 @@
 	return parsed, nil
 }
 
-// deadline works out the request's deadline; the pipeline's bounds it.
-func deadline(sub Submission, millis int64) (time.Time, *problem.Error) {
-	if millis < 0 {
+// requestDeadline returns the absolute deadline of a request. The deadline of
+// the pipeline is the upper limit, and the default if deadlineMs is 0.
+func requestDeadline(sub Submission, deadlineMs int64) (time.Time, *problem.Error) {
+	if deadlineMs < 0 {
 		return time.Time{}, problem.New(problem.BadRequest, "deadline_ms is negative")
 	}
 	limit := sub.Pipeline.Deadline
-	if millis == 0 || millis > limit.Milliseconds() {
+	if deadlineMs == 0 || deadlineMs > limit.Milliseconds() {
 		return sub.Arrived.Add(limit), nil
 	}
-	return sub.Arrived.Add(time.Duration(millis) * time.Millisecond), nil
+	return sub.Arrived.Add(time.Duration(deadlineMs) * time.Millisecond), nil
 }
 
-// idempotencyKey checks the caller's key: a UUIDv7 whose time lies within the
-// retention of claims.
+// idempotencyKey validates and returns the caller's idempotency key, or "" if
+// there is none and the pipeline does not require one. The key must be a UUIDv7
+// whose timestamp lies within the retention period of claims and not further in
+// the future than the bundle allows.
 func idempotencyKey(r *http.Request, sub Submission) (string, *problem.Error) {
-	text := r.Header.Get(idempotencyHeader)
-	if text == "" {
-		if needsKey(sub.Pipeline) {
+	header := r.Header.Get(idempotencyHeader)
+	if header == "" {
+		if requiresKey(sub.Pipeline) {
 			return "", problem.New(problem.KeyRequired, "pipeline %s has a stage that may not be repeated", sub.Pipeline.Name)
 		}
 		return "", nil
 	}
-	if len(text) > maxKeyBytes {
-		return "", problem.New(problem.KeyInvalid, "the key is over %d bytes", maxKeyBytes)
+	if len(header) > maxIdempotencyKeyBytes {
+		return "", problem.New(problem.KeyInvalid, "the key is over %d bytes", maxIdempotencyKeyBytes)
 	}
-	key, made, err := uuidtime.Parse(text)
+	key, createdAt, err := uuidtime.Parse(header)
 	if err != nil {
 		return "", problem.New(problem.KeyInvalid, "the key is %v", err)
 	}
-	age := sub.Arrived.Sub(made)
+	age := sub.Arrived.Sub(createdAt)
 	if age < -sub.Bundle.Claims.MaxKeyAhead {
 		return "", problem.New(problem.KeyInvalid, "the key lies %v in the future", -age)
 	}
@@ -141,7 +145,7 @@
 	return key, nil
 }
 
-func needsKey(p *bundle.Pipeline) bool {
+func requiresKey(p *bundle.Pipeline) bool {
 	_, ok := p.FirstNonRepeatable()
 	return ok
 }
--- a/caller/server.go
+++ b/caller/server.go
@@ -1,5 +1,6 @@
-// Package caller is the HTTP/JSON API towards callers. It authenticates,
-// bounds and decodes requests, and writes answers, streams and refusals.
+// Package caller implements the HTTP/JSON API for callers. It authenticates
+// callers, enforces size limits, decodes requests, and writes JSON responses,
+// event streams and problem documents.
 package caller
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// Submission is an authenticated request.
+// Submission is an authenticated and validated request.
 type Submission struct {
 	RequestID string
 	Bundle    *bundle.Bundle
@@ -27,72 +28,74 @@
 	Input     json.RawMessage
 }
 
-// Sink takes what a streaming caller gets before its answer. It is called by
-// one goroutine at a time.
+// Sink receives the partial output that a streaming caller gets before the final
+// answer. Its methods are called by one goroutine at a time.
 type Sink interface {
-	// Token delivers the next part of the text.
+	// Token writes the next part of the text.
 	Token(text string)
-	// Reset tells the caller to discard the text delivered so far.
+	// Reset tells the caller to discard the text that it received so far.
 	Reset()
-	// Flush sends what was delivered; until then it may wait here.
+	// Flush sends the buffered events to the caller.
 	Flush()
 }
 
-// Backend serves submissions.
+// Backend processes submissions.
 type Backend interface {
-	// Bundle returns the configuration in force, or nil.
+	// Bundle returns the active configuration, or nil if there is none yet.
 	Bundle() *bundle.Bundle
-	// Admittable returns why the host takes no requests, or nil.
+	// Admittable returns nil if the host accepts requests, else the reason why
+	// it does not.
 	Admittable() *problem.Error
-	// VoidKey makes sure that no try at the submission's key which arrived
-	// before has run or will, and reports whether that succeeded.
+	// VoidKey voids the idempotency key of the submission. It returns true only
+	// if no earlier request with that key has run or can still run.
 	VoidKey(ctx context.Context, s Submission) bool
-	// NewRequestID returns an id that no other request has.
+	// NewRequestID returns a unique request ID.
 	NewRequestID() string
-	// Now is the clock.
+	// Now returns the current time.
 	Now() time.Time
-	// Serve runs a request to its end. The end of ctx means that the caller
-	// went away.
+	// Serve runs a request to completion. ctx is cancelled when the caller
+	// disconnects.
 	Serve(ctx context.Context, s Submission, sink Sink) (*request.Answer, *problem.Error)
-	// Refused takes note of a request that was refused before it was served.
+	// Refused is called for each request that is refused before it is passed to
+	// Serve.
 	Refused(requestID string, e *problem.Error)
 }
 
-// Config configures a Server.
+// Config holds the parameters of a Server.
 type Config struct {
 	Backend Backend
-	// MaxBodyBytes bounds the body of a request.
+	// MaxBodyBytes limits the size of a request body.
 	MaxBodyBytes int64
-	// WriteGrace is how long after its deadline a caller may take to read its
-	// answer. Default 1 s.
+	// WriteGrace is how long after the deadline of its request a caller may take
+	// to read the response. The default is 1 s.
 	WriteGrace time.Duration
 }
 
 // defaultWriteGrace is the default of Config.WriteGrace.
 const defaultWriteGrace = time.Second
 
-// Server is the http.Handler of the callers' listener.
+// Server is the http.Handler of the listener for callers.
 type Server struct {
-	cfg       Config
-	mux       *http.ServeMux
-	customers customers
+	cfg           Config
+	mux           *http.ServeMux
+	authenticator customerAuthenticator
 }
 
-// NewServer returns a server.
+// NewServer returns a Server and applies the defaults of cfg.
 func NewServer(cfg Config) *Server {
 	if cfg.WriteGrace == 0 {
 		cfg.WriteGrace = defaultWriteGrace
 	}
 	s := &Server{cfg: cfg, mux: http.NewServeMux()}
 	s.mux.HandleFunc("POST /v1/pipelines/{name}", s.servePipeline)
-	s.mux.HandleFunc("/", s.serveUnknown)
+	s.mux.HandleFunc("/", s.serveNotFound)
 	return s
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-func (s *Server) serveUnknown(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveNotFound(w http.ResponseWriter, r *http.Request) {
 	s.refuse(w, s.cfg.Backend.NewRequestID(), problem.New(problem.NotFound, "there is no %s %s", r.Method, r.URL.Path))
 }
 
@@ -100,42 +103,44 @@
 	id := s.cfg.Backend.NewRequestID()
 	sub, err := s.decode(r, id)
 	if err == nil {
-		err = s.admit(r.Context(), sub)
+		err = s.checkAdmission(r.Context(), sub)
 	} else if r.Header.Get(idempotencyHeader) != "" && err.Kind != problem.KeyInvalid {
-		// An earlier try with the same key may have run. An invalid key
-		// cannot have.
+		// An earlier request with the same idempotency key may have run. No
+		// request with an invalid key can have run.
 		err.Execution = problem.MayHaveRun
 	}
 	if err != nil {
 		s.refuse(w, id, err)
 		return
 	}
-	boundWrites(w, sub.Deadline.Add(s.cfg.WriteGrace))
+	setWriteDeadline(w, sub.Deadline.Add(s.cfg.WriteGrace))
 	if sub.Stream {
 		s.serveStream(w, r, sub)
 		return
 	}
-	answer, perr := s.cfg.Backend.Serve(r.Context(), sub, discard{})
-	if perr != nil {
-		writeProblem(w, id, perr)
+	answer, problemErr := s.cfg.Backend.Serve(r.Context(), sub, discardSink{})
+	if problemErr != nil {
+		writeProblem(w, id, problemErr)
 		return
 	}
 	writeJSON(w, answer)
 }
 
-// boundWrites keeps a caller that does not read from holding its request's
-// goroutine for good. net/http ends the bound with the request.
-func boundWrites(w http.ResponseWriter, until time.Time) {
-	// The error says that w cannot be bounded, as in tests without a
+// setWriteDeadline prevents a caller that does not read its response from
+// blocking the goroutine of its request forever. net/http clears the deadline
+// when the request ends.
+func setWriteDeadline(w http.ResponseWriter, until time.Time) {
+	// The error means that w supports no write deadline, as in tests without a
 	// connection.
 	_ = http.NewResponseController(w).SetWriteDeadline(until)
 }
 
-// admit returns why the host takes no requests, or nil. It says not_run of a
-// request that may not be repeated only if no earlier try has run or will.
-func (s *Server) admit(ctx context.Context, sub Submission) *problem.Error {
+// checkAdmission returns nil if the host accepts requests, else the reason why
+// it does not. For a pipeline with a non-repeatable stage it reports not_run only
+// if no earlier request with the same idempotency key has run or can still run.
+func (s *Server) checkAdmission(ctx context.Context, sub Submission) *problem.Error {
 	err := s.cfg.Backend.Admittable()
-	if err != nil && needsKey(sub.Pipeline) && !s.cfg.Backend.VoidKey(ctx, sub) {
+	if err != nil && requiresKey(sub.Pipeline) && !s.cfg.Backend.VoidKey(ctx, sub) {
 		err.Execution = problem.MayHaveRun
 	}
 	return err
@@ -146,9 +151,9 @@
 	writeProblem(w, id, err)
 }
 
-// discard is the sink of callers that do not stream.
-type discard struct{}
+// discardSink is the Sink of requests without streaming.
+type discardSink struct{}
 
-func (discard) Token(string) {}
-func (discard) Reset()       {}
-func (discard) Flush()       {}
+func (discardSink) Token(string) {}
+func (discardSink) Reset()       {}
+func (discardSink) Flush()       {}
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -6,14 +6,15 @@
 	"net/http"
 )
 
-// Names of the server-sent events.
+// Names of the server-sent events of a stream.
 const (
 	eventToken = "token"
 	// eventReset tells the caller to discard the text received so far.
 	eventReset = "reset"
-	// eventDone is the last event of a whole answer.
+	// eventDone is the last event of a successful request and holds its answer.
 	eventDone = "done"
-	// eventError is the last event of a refused request.
+	// eventError is the last event of a failed request and holds its problem
+	// document.
 	eventError = "error"
 )
 
@@ -21,20 +22,21 @@
 	Text string `json:"text"`
 }
 
-// eventSink writes server-sent events. The headers go out with the first
-// event, so that a refusal before it is a plain problem document.
+// eventSink writes server-sent events. It sets the response headers with the
+// first event, so that a request that fails before that gets an ordinary problem
+// document with its own HTTP status.
 type eventSink struct {
 	w       http.ResponseWriter
 	started bool
 }
 
 // Token implements Sink.
-func (s *eventSink) Token(text string) { s.event(eventToken, tokenData{Text: text}) }
+func (s *eventSink) Token(text string) { s.writeEvent(eventToken, tokenData{Text: text}) }
 
 // Reset implements Sink.
-func (s *eventSink) Reset() { s.event(eventReset, struct{}{}) }
+func (s *eventSink) Reset() { s.writeEvent(eventReset, struct{}{}) }
 
-func (s *eventSink) event(name string, v any) {
+func (s *eventSink) writeEvent(name string, v any) {
 	if !s.started {
 		s.started = true
 		s.w.Header().Set("Content-Type", "text/event-stream")
@@ -44,7 +46,8 @@
 	if err != nil {
 		return
 	}
-	// A failed write shows as the end of the request's context.
+	// A failed write is ignored: the request's context is cancelled when the
+	// connection is lost.
 	_, _ = fmt.Fprintf(s.w, "event: %s\ndata: %s\n\n", name, data)
 }
 
@@ -60,9 +63,9 @@
 	answer, err := s.cfg.Backend.Serve(r.Context(), sub, sink)
 	switch {
 	case err == nil:
-		sink.event(eventDone, answer)
+		sink.writeEvent(eventDone, answer)
 	case sink.started:
-		sink.event(eventError, newDocument(sub.RequestID, err))
+		sink.writeEvent(eventError, newProblemDocument(sub.RequestID, err))
 	default:
 		writeProblem(w, sub.RequestID, err)
 	}
--- a/caller/write.go
+++ b/caller/write.go
@@ -10,8 +10,8 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// document is an RFC 9457 problem document.
-type document struct {
+// problemDocument is an RFC 9457 problem document.
+type problemDocument struct {
 	Type      string            `json:"type"`
 	Title     string            `json:"title"`
 	Status    int               `json:"status"`
@@ -20,13 +20,13 @@
 	Execution problem.Execution `json:"execution"`
 	StagesRun []string          `json:"stages_run,omitempty"`
 	RequestID string            `json:"request_id"`
-	// RetryAfterMs is Retry-After in milliseconds; 0 when it does not help.
+	// RetryAfterMs is Retry-After in milliseconds, or 0 if a retry does not help.
 	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
 }
 
-func newDocument(id string, e *problem.Error) document {
+func newProblemDocument(id string, e *problem.Error) problemDocument {
 	row := problem.Lookup(e.Kind)
-	d := document{
+	d := problemDocument{
 		Type: "urn:wheatseam:problem:" + string(row.Kind), Title: row.Title, Status: row.Status,
 		Detail: e.Detail, Kind: row.Kind, Execution: e.Execution, StagesRun: e.StagesRun, RequestID: id,
 	}
@@ -37,18 +37,19 @@
 }
 
 func writeProblem(w http.ResponseWriter, id string, e *problem.Error) {
-	d := newDocument(id, e)
+	d := newProblemDocument(id, e)
 	w.Header().Set("Content-Type", "application/problem+json")
 	w.Header().Set("X-Request-Id", id)
 	if d.RetryAfterMs > 0 {
 		w.Header().Set("Retry-After", retryAfterSeconds(e.RetryAfter))
 	}
 	w.WriteHeader(d.Status)
-	// A failed write means that the caller is gone; there is nobody to tell.
+	// A failed write means that the caller has disconnected, so that the error
+	// cannot be reported to it.
 	_ = json.NewEncoder(w).Encode(d)
 }
 
-// retryAfterSeconds rounds up: the header counts whole seconds.
+// retryAfterSeconds rounds up, since the Retry-After header takes whole seconds.
 func retryAfterSeconds(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
--- a/certs/certs.go
+++ b/certs/certs.go
@@ -1,7 +1,8 @@
-// Package certs makes the keys for mutual TLS between daemons: an authority and
-// one key pair per host, each certificate valid for the host's name as server
-// and as client. It serves demos, tests and small installations; an
-// installation with an authority of its own does not need it.
+// Package certs creates the keys for mutual TLS between daemons: a certificate
+// authority and one key pair per host. Each certificate is valid for the host's name
+// as a server and as a client. The package is meant for demos, tests and small
+// installations. An installation with its own certificate authority does not need
+// it.
 package certs
 
 import (
@@ -20,34 +21,36 @@
 	"time"
 )
 
-// The names of the authority's files in a directory of keys.
+// The names of the files of the certificate authority in a directory of keys.
 const (
 	AuthorityCert = "ca.pem"
 	AuthorityKey  = "ca-key.pem"
 )
 
 const (
-	typeCertificate = "CERTIFICATE"
-	typeKey         = "PRIVATE KEY"
-	// backdate covers hosts whose clocks are behind.
-	backdate = time.Hour
+	pemTypeCertificate = "CERTIFICATE"
+	pemTypeKey         = "PRIVATE KEY"
+	// clockSkewAllowance is how long before its creation a certificate is already
+	// valid, so that hosts whose clocks are behind accept it.
+	clockSkewAllowance = time.Hour
 )
 
-// Pair is a certificate with its private key, both in PEM.
+// Pair is a certificate and its private key, both in PEM encoding.
 type Pair struct {
 	Cert []byte
 	Key  []byte
 }
 
-// Authority signs the certificates of hosts. It is safe for concurrent use.
+// Authority is a certificate authority that signs the certificates of hosts and
+// operators. It is safe for concurrent use.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	pair Pair
 }
 
-// NewAuthority makes an authority whose certificate is valid for lifetime from
-// now on.
+// NewAuthority creates a certificate authority whose certificate is valid until
+// now plus lifetime.
 func NewAuthority(now time.Time, lifetime time.Duration) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -79,11 +82,11 @@
 	return &Authority{cert: cert, key: key, pair: pair}, nil
 }
 
-// Pair returns the authority's own certificate and key.
+// Pair returns the certificate and key of the authority itself.
 func (a *Authority) Pair() Pair { return a.pair }
 
-// Issue makes a key pair for a host or an operator's client, valid for the
-// name and the given IP addresses.
+// Issue creates a key pair for a host or an operator's client. The certificate is
+// valid for the name and the given IP addresses until now plus lifetime.
 func (a *Authority) Issue(name string, now time.Time, lifetime time.Duration, ips ...net.IP) (Pair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -99,7 +102,7 @@
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	if err != nil {
-		return Pair{}, fmt.Errorf("certs: certificate of %s: %w", name, err)
+		return Pair{}, fmt.Errorf("certs: sign certificate for %s: %w", name, err)
 	}
 	return encodePair(der, key)
 }
@@ -107,12 +110,12 @@
 func newTemplate(name string, now time.Time, lifetime time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	if err != nil {
-		return nil, fmt.Errorf("certs: serial: %w", err)
+		return nil, fmt.Errorf("certs: generate serial number: %w", err)
 	}
 	return &x509.Certificate{
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
-		NotBefore:    now.Add(-backdate),
+		NotBefore:    now.Add(-clockSkewAllowance),
 		NotAfter:     now.Add(lifetime),
 	}, nil
 }
@@ -123,17 +126,17 @@
 		return Pair{}, fmt.Errorf("certs: key: %w", err)
 	}
 	return Pair{
-		Cert: pem.EncodeToMemory(&pem.Block{Type: typeCertificate, Bytes: der}),
-		Key:  pem.EncodeToMemory(&pem.Block{Type: typeKey, Bytes: keyDER}),
+		Cert: pem.EncodeToMemory(&pem.Block{Type: pemTypeCertificate, Bytes: der}),
+		Key:  pem.EncodeToMemory(&pem.Block{Type: pemTypeKey, Bytes: keyDER}),
 	}, nil
 }
 
-// Files returns the paths of a host's certificate and key in dir.
+// Files returns the paths of the certificate and the key of a host in dir.
 func Files(dir, name string) (cert, key string) {
 	return filepath.Join(dir, name+".pem"), filepath.Join(dir, name+"-key.pem")
 }
 
-// Write writes a pair to two files; the key is readable by its owner only.
+// Write writes the pair to two files. The key file is readable by its owner only.
 func (p Pair) Write(certFile, keyFile string) error {
 	if err := os.WriteFile(certFile, p.Cert, 0o644); err != nil {
 		return fmt.Errorf("certs: %w", err)
@@ -144,8 +147,8 @@
 	return nil
 }
 
-// OpenAuthority reads the authority in dir, or makes one there if there is
-// none.
+// OpenAuthority reads the certificate authority in dir, or creates one there if dir
+// has none. lifetime applies to a new one only.
 func OpenAuthority(dir string, now time.Time, lifetime time.Duration) (*Authority, error) {
 	certFile, keyFile := filepath.Join(dir, AuthorityCert), filepath.Join(dir, AuthorityKey)
 	a, err := readAuthority(certFile, keyFile)
@@ -159,11 +162,11 @@
 }
 
 func readAuthority(certFile, keyFile string) (*Authority, error) {
-	cert, err := readBlock(certFile, typeCertificate)
+	cert, err := readPEMBlock(certFile, pemTypeCertificate)
 	if err != nil {
 		return nil, err
 	}
-	keyDER, err := readBlock(keyFile, typeKey)
+	keyDER, err := readPEMBlock(keyFile, pemTypeKey)
 	if err != nil {
 		return nil, err
 	}
@@ -171,21 +174,21 @@
 	if err != nil {
 		return nil, fmt.Errorf("certs: %s: %w", keyFile, err)
 	}
-	ec, ok := key.(*ecdsa.PrivateKey)
+	ecKey, ok := key.(*ecdsa.PrivateKey)
 	if !ok {
 		return nil, fmt.Errorf("certs: %s: want an ECDSA key, have %T", keyFile, key)
 	}
-	return newAuthority(cert, ec)
+	return newAuthority(cert, ecKey)
 }
 
-func readBlock(file, kind string) ([]byte, error) {
+func readPEMBlock(file, blockType string) ([]byte, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fmt.Errorf("certs: %w", err)
 	}
 	block, _ := pem.Decode(data)
-	if block == nil || block.Type != kind {
-		return nil, fmt.Errorf("certs: %s: no PEM block %q", file, kind)
+	if block == nil || block.Type != blockType {
+		return nil, fmt.Errorf("certs: %s: no PEM block %q", file, blockType)
 	}
 	return block.Bytes, nil
 }
--- a/engine/client.go
+++ b/engine/client.go
@@ -1,5 +1,5 @@
-// Package engine calls model engines over the HTTP chat/completions form, whole
-// or streamed.
+// Package engine is the client for model engines with the HTTP chat/completions
+// API. It always requests a streamed response.
 package engine
 
 import (
@@ -21,8 +21,8 @@
 	now  func() time.Time
 }
 
-// NewClient returns a client that holds at most maxConns connections to one
-// engine. now is the clock that NotAfter is checked against.
+// NewClient returns a client with at most maxConns connections to each engine.
+// now is the clock that Generation.NotAfter is checked against.
 func NewClient(maxConns int, now func() time.Time) *Client {
 	return &Client{http: &http.Client{Transport: httpbody.NewTransport(maxConns)}, now: now}
 }
@@ -33,7 +33,7 @@
 	Content string `json:"content"`
 }
 
-// Generation is one attempt at a generate stage.
+// Generation is one attempt to run a generate stage at an engine.
 type Generation struct {
 	Address   string
 	Model     string
@@ -42,18 +42,22 @@
 	Customer  string
 	Messages  []Message
 	MaxTokens int
-	// Priority is passed on to engines that honour it; higher runs first.
+	// Priority is passed to the engine. Engines that support it run higher values
+	// first.
 	Priority int
+	// NotAfter is the time from which the call must no longer be sent. It is
+	// checked right before the call is sent.
 	NotAfter time.Time
 }
 
-// Output is a whole generation.
+// Output is the text that an engine generated. Tokens is its number of streamed
+// parts.
 type Output struct {
 	Text   string
 	Tokens int
 }
 
-type chatBody struct {
+type chatRequest struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
 	Stream    bool      `json:"stream"`
@@ -62,10 +66,10 @@
 	User      string    `json:"user"`
 }
 
-// Generate runs a generation and calls token for each part as it comes. The
-// output is whole only if the error is nil; a stream that ends without its
-// last mark is an error. The error is a *service.Error.
-func (c *Client) Generate(ctx context.Context, g Generation, token func(string)) (Output, error) {
+// Generate runs a generation and calls onToken for each part of the text as it
+// arrives. The output is complete only if the error is nil. A stream that ends
+// without the [DONE] marker is an error. The error is a *service.Error.
+func (c *Client) Generate(ctx context.Context, g Generation, onToken func(string)) (Output, error) {
 	req, err := newRequest(ctx, g)
 	if err != nil {
 		return Output{}, &service.Error{NotExecuted: true, Err: err}
@@ -87,7 +91,7 @@
 			Err:         fmt.Errorf("%s answered %d", g.Address, resp.StatusCode),
 		}
 	}
-	out, err := readStream(resp.Body, g, token)
+	out, err := readStream(resp.Body, g, onToken)
 	if err != nil {
 		return out, &service.Error{Status: http.StatusOK, Err: fmt.Errorf("stream of %s: %w", g.Address, err)}
 	}
@@ -95,7 +99,7 @@
 }
 
 func newRequest(ctx context.Context, g Generation) (*http.Request, error) {
-	body, err := json.Marshal(chatBody{
+	body, err := json.Marshal(chatRequest{
 		Model: g.Model, Messages: g.Messages, Stream: true,
 		MaxTokens: g.MaxTokens, Priority: g.Priority, User: g.Customer,
 	})
@@ -107,6 +111,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("build generation: %w", err)
 	}
+	// Without GetBody the HTTP transport cannot resend the call on its own.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(httpbody.HeaderRequestID, g.RequestID)
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -12,16 +12,17 @@
 	"github.com/wheatseam/wheatseam/service"
 )
 
-// Bounds of a stream.
+// Limits of a stream.
 const (
 	maxLineBytes = 256 << 10
 	maxTextBytes = 4 << 20
 )
 
-// Errors of a stream.
+// Errors of a stream: it ended before the [DONE] marker, or its text is longer than
+// maxTextBytes.
 var (
-	ErrCutStream  = errors.New("the stream ended before its last mark")
-	ErrLongStream = errors.New("the stream is over its limit")
+	ErrTruncatedStream = errors.New("the stream ended before its last mark")
+	ErrStreamTooLong   = errors.New("the stream is over its limit")
 )
 
 type chunk struct {
@@ -36,11 +37,14 @@
 
 const (
 	dataPrefix = "data: "
-	doneMark   = "[DONE]"
+	doneMarker = "[DONE]"
 )
 
-// readStream reads server-sent events up to the last mark.
-func readStream(r io.Reader, g Generation, token func(string)) (Output, error) {
+// readStream reads server-sent events up to the [DONE] marker and calls onToken for
+// each non-empty part of the text. The error wraps ErrTruncatedStream,
+// ErrStreamTooLong or service.ErrMismatchedResponse, or says that a chunk is not
+// valid JSON. The output then holds only the number of tokens.
+func readStream(r io.Reader, g Generation, onToken func(string)) (Output, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 4<<10), maxLineBytes)
 	var text strings.Builder
@@ -50,7 +54,7 @@
 		if !ok {
 			continue
 		}
-		if string(data) == doneMark {
+		if string(data) == doneMarker {
 			out.Text = text.String()
 			return out, nil
 		}
@@ -64,26 +68,26 @@
 		out.Tokens++
 		text.WriteString(part)
 		if text.Len() > maxTextBytes {
-			return out, ErrLongStream
+			return out, ErrStreamTooLong
 		}
-		token(part)
+		onToken(part)
 	}
 	if err := scanner.Err(); err != nil {
-		return out, fmt.Errorf("%w: %w", ErrCutStream, err)
+		return out, fmt.Errorf("%w: %w", ErrTruncatedStream, err)
 	}
-	return out, ErrCutStream
+	return out, ErrTruncatedStream
 }
 
 func decodeChunk(data []byte, g Generation) (string, error) {
-	var c chunk
-	if err := json.Unmarshal(data, &c); err != nil {
+	var part chunk
+	if err := json.Unmarshal(data, &part); err != nil {
 		return "", fmt.Errorf("decode chunk: %w", err)
 	}
-	if c.RequestID != g.RequestID || c.Attempt != g.Attempt {
-		return "", service.ErrForeignAnswer
+	if part.RequestID != g.RequestID || part.Attempt != g.Attempt {
+		return "", service.ErrMismatchedResponse
 	}
-	if len(c.Choices) == 0 {
+	if len(part.Choices) == 0 {
 		return "", nil
 	}
-	return c.Choices[0].Delta.Content, nil
+	return part.Choices[0].Delta.Content, nil
 }
--- a/engine/stream_test.go
+++ b/engine/stream_test.go
@@ -19,8 +19,8 @@
 
 var _ = DescribeTable("readStream",
 	func(stream, text string, want error) {
-		var seen strings.Builder
-		out, err := readStream(strings.NewReader(stream), Generation{RequestID: "r", Attempt: 2}, func(s string) { seen.WriteString(s) })
+		var delivered strings.Builder
+		out, err := readStream(strings.NewReader(stream), Generation{RequestID: "r", Attempt: 2}, func(s string) { delivered.WriteString(s) })
 		if want == nil {
 			Expect(err).NotTo(HaveOccurred())
 			Expect(out.Text).To(Equal(text))
@@ -28,12 +28,12 @@
 		} else {
 			Expect(err).To(MatchError(want))
 		}
-		Expect(seen.String()).To(Equal(text))
+		Expect(delivered.String()).To(Equal(text))
 	},
-	Entry("whole", part+": comment\n\n"+part+"data: [DONE]\n\n", "aa", nil),
-	Entry("cut", part, "a", ErrCutStream),
-	Entry("empty", "", "", ErrCutStream),
-	Entry("of another request", strings.Replace(part, `"r"`, `"x"`, 1)+"data: [DONE]\n\n", "", service.ErrForeignAnswer),
-	Entry("of another attempt", strings.Replace(part, `:2`, `:1`, 1)+"data: [DONE]\n\n", "", service.ErrForeignAnswer),
-	Entry("with a line over its limit", "data: "+strings.Repeat("x", maxLineBytes+1), "", ErrCutStream),
+	Entry("complete", part+": comment\n\n"+part+"data: [DONE]\n\n", "aa", nil),
+	Entry("truncated", part, "a", ErrTruncatedStream),
+	Entry("empty", "", "", ErrTruncatedStream),
+	Entry("of another request", strings.Replace(part, `"r"`, `"x"`, 1)+"data: [DONE]\n\n", "", service.ErrMismatchedResponse),
+	Entry("of another attempt", strings.Replace(part, `:2`, `:1`, 1)+"data: [DONE]\n\n", "", service.ErrMismatchedResponse),
+	Entry("with a line over the size limit", "data: "+strings.Repeat("x", maxLineBytes+1), "", ErrTruncatedStream),
 )
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -14,107 +14,110 @@
 	"golang.org/x/time/rate"
 )
 
-// The bounds of a bounded log.
+// Limits of a Bounded log.
 const (
-	// linesPerSecond and linesBurst bound what is written: a daemon writes some
-	// three lines a request, and 200 requests a second are several times what
-	// one of the largest deployment serves.
-	linesPerSecond = 600
-	linesBurst     = 3000
-	// queuedLines is the number of lines that wait for a reader who does not
-	// read; at some 300 bytes a line they take 300 kB.
-	queuedLines = 1024
-	// tellEvery is the least time between two lines that tell how many were
-	// left out.
-	tellEvery = 5 * time.Second
+	// maxLinesPerSecond and maxLineBurst limit the rate of lines. A daemon writes
+	// about three lines per request, so that this covers 200 requests per second,
+	// several times what a daemon of the largest deployment serves.
+	maxLinesPerSecond = 600
+	maxLineBurst      = 3000
+	// queueCapacity is the maximum number of lines that are queued while the reader
+	// of the log does not read. At about 300 bytes per line they take 300 kB.
+	queueCapacity = 1024
+	// dropReportInterval is the minimum time between two lines that report the
+	// number of dropped lines.
+	dropReportInterval = 5 * time.Second
 )
 
-// Bounded is a log that never blocks its writers and bounds its volume. Lines
-// beyond the bound, and lines that nobody reads in time, are left out and
-// counted; a line with the count follows.
+// Bounded is a log that never blocks its writers and limits its volume. Lines over
+// the rate limit, and lines that find the queue full, are dropped and counted. A
+// later line reports the count.
 type Bounded struct {
 	// Logger writes to the log.
 	Logger *zap.Logger
-	// Level may be changed at any time.
+	// Level is the minimum level of the lines written. It may be changed at any
+	// time.
 	Level zap.AtomicLevel
 
-	out     io.Writer
-	lines   chan []byte
-	limiter *rate.Limiter
-	leftOut atomic.Uint64
-	told    uint64
-	toldAt  time.Time
-	done    chan struct{}
-	once    sync.Once
-	stop    chan struct{}
+	writer          io.Writer
+	queue           chan []byte
+	limiter         *rate.Limiter
+	dropped         atomic.Uint64
+	reportedDropped uint64
+	lastReport      time.Time
+	done            chan struct{}
+	once            sync.Once
+	stop            chan struct{}
 }
 
-// NewBounded returns a bounded log of at least level that writes to w until
-// Close.
+// NewBounded returns a Bounded log that writes lines of at least level ("debug",
+// "info", "warn" or "error") to w until Close. It returns an error for an unknown
+// level.
 func NewBounded(w io.Writer, level string) (*Bounded, error) {
-	l, err := zapcore.ParseLevel(level)
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, fmt.Errorf("log level: %w", err)
 	}
 	b := &Bounded{
-		Level: zap.NewAtomicLevelAt(l), out: w, lines: make(chan []byte, queuedLines),
-		limiter: rate.NewLimiter(linesPerSecond, linesBurst), done: make(chan struct{}), stop: make(chan struct{}),
+		Level: zap.NewAtomicLevelAt(minLevel), writer: w, queue: make(chan []byte, queueCapacity),
+		limiter: rate.NewLimiter(maxLinesPerSecond, maxLineBurst), done: make(chan struct{}), stop: make(chan struct{}),
 	}
-	b.Logger = zap.New(zapcore.NewCore(zaplogfmt.NewEncoder(encoding()), zapcore.AddSync(queueWriter{b}), b.Level))
-	go b.run()
+	b.Logger = zap.New(zapcore.NewCore(zaplogfmt.NewEncoder(encoderConfig()), zapcore.AddSync(queueWriter{b}), b.Level))
+	go b.writeLoop()
 	return b, nil
 }
 
-// LeftOut returns the number of lines left out since the start.
-func (b *Bounded) LeftOut() uint64 { return b.leftOut.Load() }
+// LeftOut returns the number of lines dropped since the log was created.
+func (b *Bounded) LeftOut() uint64 { return b.dropped.Load() }
 
-// Close writes what waits and ends the log.
+// Close writes the queued lines and stops the log.
 func (b *Bounded) Close() {
 	b.once.Do(func() { close(b.stop) })
 	<-b.done
 }
 
-// queueWriter is the log's writer: it queues lines or leaves them out.
-type queueWriter struct{ b *Bounded }
+// queueWriter is the io.Writer of the logger. It queues each line or drops it.
+type queueWriter struct{ log *Bounded }
 
 // Write implements io.Writer. It never blocks and never fails.
 func (q queueWriter) Write(line []byte) (int, error) {
-	if !q.b.limiter.Allow() {
-		q.b.leftOut.Add(1)
+	if !q.log.limiter.Allow() {
+		q.log.dropped.Add(1)
 		return len(line), nil
 	}
 	select {
-	case q.b.lines <- bytes.Clone(line):
+	case q.log.queue <- bytes.Clone(line):
 	default:
-		q.b.leftOut.Add(1)
+		q.log.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// run writes the queued lines, those that wait together in one write.
-func (b *Bounded) run() {
+// writeLoop writes the queued lines. Lines that are queued at the same time go out
+// in one write.
+func (b *Bounded) writeLoop() {
 	defer close(b.done)
 	var buf bytes.Buffer
 	for {
 		select {
-		case line := <-b.lines:
+		case line := <-b.queue:
 			buf.Write(line)
 		case <-b.stop:
-			b.drain(&buf)
+			b.drainQueue(&buf)
 			b.write(&buf)
 			return
 		}
-		b.drain(&buf)
-		b.tell(&buf)
+		b.drainQueue(&buf)
+		b.reportDropped(&buf)
 		b.write(&buf)
 	}
 }
 
-// drain takes the lines that wait.
-func (b *Bounded) drain(buf *bytes.Buffer) {
+// drainQueue moves the queued lines to buf.
+func (b *Bounded) drainQueue(buf *bytes.Buffer) {
 	for {
 		select {
-		case line := <-b.lines:
+		case line := <-b.queue:
 			buf.Write(line)
 		default:
 			return
@@ -122,21 +125,23 @@
 	}
 }
 
-// tell adds a line with the number of lines left out since the last one.
-func (b *Bounded) tell(buf *bytes.Buffer) {
-	n := b.leftOut.Load()
+// reportDropped appends a line with the number of lines dropped since the last such
+// line.
+func (b *Bounded) reportDropped(buf *bytes.Buffer) {
+	dropped := b.dropped.Load()
 	now := time.Now()
-	if n == b.told || now.Sub(b.toldAt) < tellEvery {
+	if dropped == b.reportedDropped || now.Sub(b.lastReport) < dropReportInterval {
 		return
 	}
-	fmt.Fprintf(buf, "ts=%s level=warn msg=\"log lines left out\" lines=%d total=%d\n", now.UTC().Format(time.RFC3339Nano), n-b.told, n)
-	b.told, b.toldAt = n, now
+	fmt.Fprintf(buf, "ts=%s level=warn msg=\"log lines dropped\" lines=%d total=%d\n", now.UTC().Format(time.RFC3339Nano), dropped-b.reportedDropped, dropped)
+	b.reportedDropped, b.lastReport = dropped, now
 }
 
-// write writes the buffer; a reader that is gone costs the lines only.
+// write writes the buffer. A failed write counts as one dropped line and is not
+// retried.
 func (b *Bounded) write(buf *bytes.Buffer) {
-	if _, err := b.out.Write(buf.Bytes()); err != nil {
-		b.leftOut.Add(1)
+	if _, err := b.writer.Write(buf.Bytes()); err != nil {
+		b.dropped.Add(1)
 	}
 	buf.Reset()
 }
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -19,7 +19,7 @@
 }
 
 var _ = Describe("New", func() {
-	It("writes one line of key=value pairs per event, also of hostile text", func() {
+	It("writes one line of key=value pairs per event, even if a value has line breaks", func() {
 		var out bytes.Buffer
 		log, err := logging.New(&out, "info")
 		Expect(err).NotTo(HaveOccurred())
--- a/operator/auth.go
+++ b/operator/auth.go
@@ -11,90 +11,95 @@
 	"strings"
 )
 
-// minToken is the least length of a token in bytes.
-const minToken = 16
+// minTokenBytes is the minimum length of a token.
+const minTokenBytes = 16
 
-// Credentials says how operators prove who they are: by token, by client
-// certificate, or by either.
+// Credentials configures how operators authenticate: by bearer token, by client
+// certificate, or by either of them.
 type Credentials struct {
-	// TokenFile holds the bearer token on its first line; at least 16 bytes.
+	// TokenFile is a file with the bearer token, at least 16 bytes, on its first
+	// line.
 	TokenFile string
-	// ClientCA is the PEM file of the authority of operators' certificates.
+	// ClientCA is the PEM file of the certificate authority that signs the client
+	// certificates of operators. It requires Cert and Key.
 	ClientCA string
-	// Cert and Key are the listener's own PEM files; without them it speaks
-	// plain HTTP.
+	// Cert and Key are the PEM files of the listener's own certificate and key.
+	// Without them the listener serves plain HTTP.
 	Cert string
 	Key  string
 }
 
-// guard decides which requests are an operator's.
-type guard struct {
-	token    [sha256.Size]byte
-	hasToken bool
-	tls      *tls.Config // nil for plain HTTP
+// authenticator decides which requests come from an operator.
+type authenticator struct {
+	tokenHash [sha256.Size]byte
+	hasToken  bool
+	tls       *tls.Config // nil for plain HTTP
 }
 
-// newGuard reads the files. Without token and authority it refuses.
-func newGuard(c Credentials) (*guard, error) {
-	g := &guard{}
+// newAuthenticator reads the credential files. It returns an error if there is
+// neither a token nor a client CA.
+func newAuthenticator(c Credentials) (*authenticator, error) {
+	auth := &authenticator{}
 	if c.TokenFile != "" {
 		token, err := ReadToken(c.TokenFile)
 		if err != nil {
 			return nil, err
 		}
-		g.token, g.hasToken = sha256.Sum256([]byte(token)), true
+		auth.tokenHash, auth.hasToken = sha256.Sum256([]byte(token)), true
 	}
 	if c.Cert != "" {
 		pair, err := tls.LoadX509KeyPair(c.Cert, c.Key)
 		if err != nil {
-			return nil, fmt.Errorf("operator: key pair: %w", err)
+			return nil, fmt.Errorf("operator: load certificate and key: %w", err)
 		}
-		g.tls = &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13}
+		auth.tls = &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13}
 	}
 	if c.ClientCA != "" {
-		if g.tls == nil {
-			return nil, fmt.Errorf("operator: client certificates need cert and key")
+		if auth.tls == nil {
+			return nil, fmt.Errorf("operator: a client CA requires a certificate and key of the listener")
 		}
 		pem, err := os.ReadFile(c.ClientCA)
 		if err != nil {
-			return nil, fmt.Errorf("operator: authority: %w", err)
+			return nil, fmt.Errorf("operator: read client CA: %w", err)
 		}
-		g.tls.ClientCAs = x509.NewCertPool()
-		if !g.tls.ClientCAs.AppendCertsFromPEM(pem) {
-			return nil, fmt.Errorf("operator: authority: no certificate in %s", c.ClientCA)
+		auth.tls.ClientCAs = x509.NewCertPool()
+		if !auth.tls.ClientCAs.AppendCertsFromPEM(pem) {
+			return nil, fmt.Errorf("operator: no certificate in client CA file %s", c.ClientCA)
 		}
-		g.tls.ClientAuth = tls.VerifyClientCertIfGiven
+		auth.tls.ClientAuth = tls.VerifyClientCertIfGiven
 	}
-	if !g.hasToken && c.ClientCA == "" {
-		return nil, fmt.Errorf("operator: neither a token nor an authority of client certificates")
+	if !auth.hasToken && c.ClientCA == "" {
+		return nil, fmt.Errorf("operator: neither a token file nor a client CA is configured")
 	}
-	return g, nil
+	return auth, nil
 }
 
-// ReadToken returns the first line of a token file.
+// ReadToken returns the token on the first line of a file, without surrounding
+// white space. It returns an error if the token is shorter than 16 bytes.
 func ReadToken(file string) (string, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return "", fmt.Errorf("operator: token: %w", err)
+		return "", fmt.Errorf("operator: read token: %w", err)
 	}
 	line, _, _ := strings.Cut(string(data), "\n")
 	token := strings.TrimSpace(line)
-	if len(token) < minToken {
-		return "", fmt.Errorf("operator: token in %s is shorter than %d bytes", file, minToken)
+	if len(token) < minTokenBytes {
+		return "", fmt.Errorf("operator: token in %s is shorter than %d bytes", file, minTokenBytes)
 	}
 	return token, nil
 }
 
-// allows says whether r is an operator's: it has a verified client certificate
-// or bears the token. Tokens are compared in constant time by their hashes.
-func (g *guard) allows(r *http.Request) bool {
+// authenticate reports whether r comes from an operator: it has a verified client
+// certificate or the bearer token. Tokens are compared by their hashes in constant
+// time.
+func (auth *authenticator) authenticate(r *http.Request) bool {
 	if r.TLS != nil && len(r.TLS.VerifiedChains) > 0 {
 		return true
 	}
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-	if !ok || !g.hasToken {
+	if !ok || !auth.hasToken {
 		return false
 	}
 	sum := sha256.Sum256([]byte(token))
-	return subtle.ConstantTimeCompare(sum[:], g.token[:]) == 1
+	return subtle.ConstantTimeCompare(sum[:], auth.tokenHash[:]) == 1
 }
--- a/operator/doc.go
+++ b/operator/doc.go
@@ -1,7 +1,7 @@
-// Package operator is the operators' listener of a daemon: health, metrics,
-// state dump, explanation of requests, bundle status and drain, over HTTP/JSON
-// with a bearer token or a client certificate.
+// Package operator implements the HTTP/JSON API of a daemon for operators:
+// health, metrics, state dump, decision records of requests, bundle status and
+// drain. Operators authenticate with a bearer token or a client certificate.
 //
-// Any host answers for any other: it asks its fellow daemons by the peer
-// methods "operator.explain", "operator.status" and "operator.dump".
+// Each host can answer queries about any other host: it calls the peer methods
+// "operator.explain", "operator.status" and "operator.dump" of the other daemons.
 package operator
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -19,23 +19,23 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// The peer methods that daemons ask each other on behalf of operators.
+// The peer methods by which daemons forward operators' queries to each other.
 const (
 	methodExplain = "operator.explain"
 	methodStatus  = "operator.status"
 	methodDump    = "operator.dump"
 )
 
-// The bounds of asking the whole fleet.
+// Limits on queries to other hosts.
 const (
-	fleetParallel = 16
-	hostTimeout   = time.Second
-	// maxDump bounds a dump from another host after decompression, in bytes.
-	maxDump = 64 << 20
+	maxConcurrentQueries = 16
+	hostQueryTimeout     = time.Second
+	// maxDumpBytes limits the decompressed size of a dump from another host.
+	maxDumpBytes = 64 << 20
 )
 
-// Fleet answers operators' questions about any host. Its methods are safe for
-// concurrent use.
+// Fleet answers operators' queries about this host and any other host. Its
+// methods are safe for concurrent use.
 type Fleet struct {
 	local    Local
 	records  *record.Store
@@ -43,7 +43,8 @@
 	peers    peer.Caller
 }
 
-// NewFleet returns a Fleet for the daemon local and registers its peer methods.
+// NewFleet returns a Fleet for the daemon local and registers its peer methods
+// with mux.
 func NewFleet(local Local, records *record.Store, sections *Sections, peers peer.Caller, mux *peer.Mux) *Fleet {
 	f := &Fleet{local: local, records: records, sections: sections, peers: peers}
 	peer.Handle(mux, methodExplain, f.serveExplain)
@@ -63,44 +64,44 @@
 
 func (f *Fleet) serveDump(_ context.Context, _ peer.Sender, req *wire.DumpRequest) (*wire.DumpResponse, error) {
 	var buf bytes.Buffer
-	zipped := gzip.NewWriter(&buf)
-	if err := json.NewEncoder(zipped).Encode(f.sections.Dump(req.Section)); err != nil {
+	compressor := gzip.NewWriter(&buf)
+	if err := json.NewEncoder(compressor).Encode(f.sections.Dump(req.Section)); err != nil {
 		return nil, fmt.Errorf("dump: %w", err)
 	}
-	if err := zipped.Close(); err != nil {
+	if err := compressor.Close(); err != nil {
 		return nil, fmt.Errorf("dump: %w", err)
 	}
 	return &wire.DumpResponse{GzipJson: buf.Bytes()}, nil
 }
 
-// HostOf returns the host that a request id names before its last dot, or ""
-// if it names none.
-func HostOf(requestID string) string {
+// hostOfRequestID returns the host name that precedes the last dot of a request
+// ID, or "" if there is none.
+func hostOfRequestID(requestID string) string {
 	i := strings.LastIndexByte(requestID, '.')
 	return requestID[:max(i, 0)]
 }
 
-// Explain returns the decisions about a request, from here or from the host
-// that its id names; an id without a known host is asked for at all hosts. The
-// error is ErrUnknownRequest, or that of the call.
+// Explain returns the decisions about a request, from the local records or from
+// the host that the request ID names. If the ID names no known host, all other
+// hosts are queried. The error wraps ErrUnknownRequest or is that of the call.
 func (f *Fleet) Explain(ctx context.Context, requestID string) (Explanation, error) {
 	self := f.local.Host()
 	if entries, ok := f.records.Get(requestID); ok {
 		return Explanation{RequestID: requestID, Host: self, Entries: entries}, nil
 	}
-	host := HostOf(requestID)
+	host := hostOfRequestID(requestID)
 	switch {
 	case host == self:
 		return Explanation{}, fmt.Errorf("%w: %s is of this host, which has forgotten it or never had it", ErrUnknownRequest, requestID)
 	case slices.Contains(f.local.Hosts(), host):
-		return f.explainAt(ctx, host, requestID)
+		return f.queryExplain(ctx, host, requestID)
 	default:
-		return f.explainAnywhere(ctx, requestID)
+		return f.queryExplainAnyHost(ctx, requestID)
 	}
 }
 
-func (f *Fleet) explainAt(ctx context.Context, host, requestID string) (Explanation, error) {
-	ctx, cancel := context.WithTimeout(ctx, hostTimeout)
+func (f *Fleet) queryExplain(ctx context.Context, host, requestID string) (Explanation, error) {
+	ctx, cancel := context.WithTimeout(ctx, hostQueryTimeout)
 	defer cancel()
 	var resp wire.ExplainResponse
 	if err := f.peers.Call(ctx, host, methodExplain, &wire.ExplainRequest{RequestId: requestID}, &resp); err != nil {
@@ -112,49 +113,50 @@
 	return Explanation{RequestID: requestID, Host: host, Entries: entriesFromWire(resp.Entries)}, nil
 }
 
-// explainAnywhere asks all hosts and takes the first that knows the request.
-func (f *Fleet) explainAnywhere(ctx context.Context, requestID string) (Explanation, error) {
+// queryExplainAnyHost queries all other hosts and returns the first explanation
+// that it receives.
+func (f *Fleet) queryExplainAnyHost(ctx context.Context, requestID string) (Explanation, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var mu sync.Mutex
 	var found *Explanation
-	asked, failed := 0, 0
-	f.eachOther(func(host string) {
-		e, err := f.explainAt(ctx, host, requestID)
+	queried, failed := 0, 0
+	f.forEachOtherHost(func(host string) {
+		e, err := f.queryExplain(ctx, host, requestID)
 		mu.Lock()
 		defer mu.Unlock()
-		asked++
+		queried++
 		switch {
 		case err == nil && found == nil:
 			found = &e
 			cancel()
-		case err != nil && found == nil && !isUnknown(err):
+		case err != nil && found == nil && !isUnknownRequest(err):
 			failed++
 		}
 	})
 	if found == nil {
-		return Explanation{}, fmt.Errorf("%w: %s at any of %d other hosts (%d did not answer)", ErrUnknownRequest, requestID, asked, failed)
+		return Explanation{}, fmt.Errorf("%w: %s at any of %d other hosts (%d did not answer)", ErrUnknownRequest, requestID, queried, failed)
 	}
 	return *found, nil
 }
 
-// Statuses returns the status of every host, sorted by name. A host that does
-// not answer has its Error set.
+// Statuses returns the status of every host, sorted by host name. For a host
+// that does not respond, only Host and Error are set.
 func (f *Fleet) Statuses(ctx context.Context) []Status {
 	var mu sync.Mutex
-	all := []Status{f.local.Status()}
-	f.eachOther(func(host string) {
-		s := f.statusAt(ctx, host)
+	statuses := []Status{f.local.Status()}
+	f.forEachOtherHost(func(host string) {
+		s := f.queryStatus(ctx, host)
 		mu.Lock()
 		defer mu.Unlock()
-		all = append(all, s)
+		statuses = append(statuses, s)
 	})
-	slices.SortFunc(all, func(a, b Status) int { return strings.Compare(a.Host, b.Host) })
-	return all
+	slices.SortFunc(statuses, func(a, b Status) int { return strings.Compare(a.Host, b.Host) })
+	return statuses
 }
 
-func (f *Fleet) statusAt(ctx context.Context, host string) Status {
-	ctx, cancel := context.WithTimeout(ctx, hostTimeout)
+func (f *Fleet) queryStatus(ctx context.Context, host string) Status {
+	ctx, cancel := context.WithTimeout(ctx, hostQueryTimeout)
 	defer cancel()
 	var resp wire.StatusResponse
 	if err := f.peers.Call(ctx, host, methodStatus, &wire.StatusRequest{}, &resp); err != nil {
@@ -163,8 +165,9 @@
 	return statusFromWire(host, &resp)
 }
 
-// Dump returns the state dump of a host as JSON; section "" means all. The
-// error is ErrUnknownHost or that of the call.
+// Dump returns the state dump of a host as JSON. An empty host means this host
+// and an empty section means all sections. The error wraps ErrUnknownHost or is
+// that of the call.
 func (f *Fleet) Dump(ctx context.Context, host, section string) (json.RawMessage, error) {
 	if host == "" || host == f.local.Host() {
 		return json.Marshal(f.sections.Dump(section))
@@ -172,32 +175,33 @@
 	if !slices.Contains(f.local.Hosts(), host) {
 		return nil, fmt.Errorf("%w: %q", ErrUnknownHost, host)
 	}
-	ctx, cancel := context.WithTimeout(ctx, hostTimeout)
+	ctx, cancel := context.WithTimeout(ctx, hostQueryTimeout)
 	defer cancel()
 	var resp wire.DumpResponse
 	if err := f.peers.Call(ctx, host, methodDump, &wire.DumpRequest{Section: section}, &resp); err != nil {
 		return nil, err
 	}
-	unzipped, err := gzip.NewReader(bytes.NewReader(resp.GzipJson))
+	decompressor, err := gzip.NewReader(bytes.NewReader(resp.GzipJson))
 	if err != nil {
 		return nil, fmt.Errorf("dump of %s: %w", host, err)
 	}
-	raw, err := io.ReadAll(io.LimitReader(unzipped, maxDump))
+	raw, err := io.ReadAll(io.LimitReader(decompressor, maxDumpBytes))
 	if err != nil {
 		return nil, fmt.Errorf("dump of %s: %w", host, err)
 	}
 	return raw, nil
 }
 
-// eachOther runs ask for every other host, a bounded number at a time.
-func (f *Fleet) eachOther(ask func(host string)) {
+// forEachOtherHost runs query for every other host, for at most
+// maxConcurrentQueries hosts at a time.
+func (f *Fleet) forEachOtherHost(query func(host string)) {
 	self := f.local.Host()
 	var group errgroup.Group
-	group.SetLimit(fleetParallel)
+	group.SetLimit(maxConcurrentQueries)
 	for _, host := range f.local.Hosts() {
 		if host != self {
-			group.Go(func() error { ask(host); return nil })
+			group.Go(func() error { query(host); return nil })
 		}
 	}
-	_ = group.Wait() // the functions return no errors
+	_ = group.Wait() // always nil, since the functions return no errors
 }
--- a/operator/operator_suite_test.go
+++ b/operator/operator_suite_test.go
@@ -28,7 +28,8 @@
 
 const token = "an operator's token"
 
-// fleet runs daemons of which only the operators' side is real.
+// fleet runs daemons that consist of a peer transport and an operators' server
+// only.
 type fleet struct {
 	mu        sync.Mutex
 	addresses map[string]string
@@ -99,11 +100,11 @@
 		Fleet: operator.NewFleet(d, d.records, d.sections, d.transport, mux),
 	})
 	Expect(err).NotTo(HaveOccurred())
-	served := make(chan error, 1)
-	go func() { served <- d.server.Serve() }()
+	serveResult := make(chan error, 1)
+	go func() { serveResult <- d.server.Serve() }()
 	DeferCleanup(func(ctx SpecContext) {
 		Expect(d.server.Shutdown(ctx)).To(Succeed())
-		Expect(<-served).To(Succeed())
+		Expect(<-serveResult).To(Succeed())
 	})
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,9 +113,9 @@
 	return d
 }
 
-// ask sends a request with the given token and decodes the answer into v,
-// which may be a *string for the text.
-func (d *daemon) ask(method, path, token string, v any) int {
+// request sends an HTTP request with the given token, decodes the JSON response
+// into v and returns the HTTP status. If v is a *string, it receives the body.
+func (d *daemon) request(method, path, token string, v any) int {
 	req, err := http.NewRequest(method, "http://"+d.server.Addr()+path, nil)
 	Expect(err).NotTo(HaveOccurred())
 	if token != "" {
--- a/operator/sections.go
+++ b/operator/sections.go
@@ -6,63 +6,64 @@
 	"sync"
 )
 
-// Sections are the parts of a daemon's state dump. Any number of goroutines
-// may use one.
+// Sections holds the sections of a daemon's state dump. It is safe for concurrent
+// use.
 type Sections struct {
-	mu       sync.Mutex
-	sections map[string]func() any
+	mu     sync.Mutex
+	byName map[string]func() any
 }
 
-// NewSections returns a dump without sections.
-func NewSections() *Sections { return &Sections{sections: make(map[string]func() any)} }
+// NewSections returns an empty set of sections.
+func NewSections() *Sections { return &Sections{byName: make(map[string]func() any)} }
 
-// Register adds a section: state returns a value that encoding/json can write
-// and that nobody changes afterwards. It is called for each dump, from any
-// goroutine, and must not block. A section of the same name is replaced.
+// Register adds a section or replaces the one of the same name. state returns a
+// value that encoding/json can encode and that is not modified afterwards. It is
+// called for each dump, from any goroutine, and must not block.
 func (s *Sections) Register(name string, state func() any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sections[name] = state
+	s.byName[name] = state
 }
 
-// Dump returns the named section, or all if name is empty; an unknown name
-// gives an empty dump.
+// Dump returns the JSON of the named section, or of all sections if name is
+// empty. For an unknown name the result is empty.
 func (s *Sections) Dump(name string) map[string]json.RawMessage {
 	s.mu.Lock()
-	wanted := make(map[string]func() any)
-	for n, state := range s.sections {
+	selected := make(map[string]func() any)
+	for n, state := range s.byName {
 		if name == "" || n == name {
-			wanted[n] = state
+			selected[n] = state
 		}
 	}
 	s.mu.Unlock()
-	dump := make(map[string]json.RawMessage, len(wanted))
-	for n, state := range wanted {
-		dump[n] = callSection(state)
+	dump := make(map[string]json.RawMessage, len(selected))
+	for n, state := range selected {
+		dump[n] = encodeSection(state)
 	}
 	return dump
 }
 
-// failedSection stands for a section that can't be written.
-type failedSection struct {
+// sectionError replaces a section that cannot be encoded.
+type sectionError struct {
 	Error string `json:"error"`
 }
 
-// callSection keeps a fault in one section from costing the others.
-func callSection(state func() any) (raw json.RawMessage) {
+// encodeSection encodes the state of one section. It turns a panic or an encoding
+// error into a sectionError, so that the other sections are still returned.
+func encodeSection(state func() any) (raw json.RawMessage) {
 	defer func() {
 		if r := recover(); r != nil {
-			raw = failed(fmt.Sprint(r))
+			raw = encodeSectionError(fmt.Sprint(r))
 		}
 	}()
 	raw, err := json.Marshal(state())
 	if err != nil {
-		return failed(err.Error())
+		return encodeSectionError(err.Error())
 	}
 	return raw
 }
 
-func failed(reason string) json.RawMessage {
-	raw, _ := json.Marshal(failedSection{Error: reason}) // a string always marshals
+func encodeSectionError(reason string) json.RawMessage {
+	raw, _ := json.Marshal(sectionError{Error: reason}) // encoding a string cannot fail
 	return raw
 }
--- a/operator/server.go
+++ b/operator/server.go
@@ -15,49 +15,52 @@
 	"go.uber.org/zap"
 )
 
-// The bounds of the listener.
+// Limits of the operators' listener.
 const (
-	maxHeaderBytes = 16 << 10
-	readTimeout    = 5 * time.Second
-	writeTimeout   = 30 * time.Second
-	idleTimeout    = 2 * time.Minute
-	maxRequestID   = 256
+	maxHeaderBytes    = 16 << 10
+	readTimeout       = 5 * time.Second
+	writeTimeout      = 30 * time.Second
+	idleTimeout       = 2 * time.Minute
+	maxRequestIDBytes = 256
 )
 
-// Config is what a Server needs.
+// Config holds the parameters of a Server.
 type Config struct {
-	// Listen is the listener's ip:port.
+	// Listen is the ip:port that the server listens on.
 	Listen      string
 	Credentials Credentials
 	Local       Local
 	Fleet       *Fleet
-	// Metrics are the sets that /metrics shows, besides the process's own.
+	// Metrics are the sets that /metrics returns in addition to the process
+	// metrics.
 	Metrics []*metrics.Set
-	// WriteMetrics, if set, writes the series of state that is read when asked.
+	// WriteMetrics, if set, writes further metrics whose values are computed at
+	// the time of the request.
 	WriteMetrics func(w io.Writer)
 	Logger       *zap.Logger
 }
 
-// Server is the operators' listener.
+// Server serves the HTTP API for operators.
 type Server struct {
-	cfg      Config
-	guard    *guard
-	listener net.Listener
-	http     *http.Server
+	cfg           Config
+	authenticator *authenticator
+	listener      net.Listener
+	http          *http.Server
 }
 
-// NewServer reads the credentials and listens; Serve answers.
+// NewServer reads the credentials and opens the listener. Serve handles the
+// requests.
 func NewServer(cfg Config) (*Server, error) {
-	g, err := newGuard(cfg.Credentials)
+	auth, err := newAuthenticator(cfg.Credentials)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{cfg: cfg, guard: g}
+	s := &Server{cfg: cfg, authenticator: auth}
 	if s.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("listen for operators: %w", err)
 	}
-	if g.tls != nil {
-		s.listener = tls.NewListener(s.listener, g.tls)
+	if auth.tls != nil {
+		s.listener = tls.NewListener(s.listener, auth.tls)
 	}
 	s.http = &http.Server{
 		Handler:           s.routes(),
@@ -70,18 +73,19 @@
 	return s, nil
 }
 
-// Addr returns the listener's address.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Serve answers until Shutdown.
+// Serve handles requests until Shutdown is called.
 func (s *Server) Serve() error {
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("operators' listener: %w", err)
+		return fmt.Errorf("serve operators: %w", err)
 	}
 	return nil
 }
 
-// Shutdown finishes the requests being answered until ctx ends.
+// Shutdown stops the listener and waits for the requests in progress. If ctx ends
+// first, it closes their connections and returns an error.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if err := s.http.Shutdown(ctx); err != nil {
 		return errors.Join(err, s.http.Close())
@@ -89,15 +93,16 @@
 	return nil
 }
 
-// routes returns the handler. Health and readiness are open, since balancers
-// have no token; without one they say no more than yes or no.
+// routes returns the HTTP handler. /healthz and /readyz need no credentials, since
+// load balancers have no token. To an unauthenticated client they return only the
+// status, without the reason.
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", s.serveHealth)
 	mux.HandleFunc("GET /readyz", s.serveReady)
-	guarded := func(pattern string, h http.HandlerFunc) {
+	authenticated := func(pattern string, h http.HandlerFunc) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
-			if !s.guard.allows(r) {
+			if !s.authenticator.authenticate(r) {
 				w.Header().Set("WWW-Authenticate", "Bearer")
 				writeError(w, http.StatusUnauthorized, errors.New("token or client certificate needed"))
 				return
@@ -105,24 +110,24 @@
 			h(w, r)
 		})
 	}
-	guarded("GET /metrics", s.serveMetrics)
-	guarded("GET /v1/status", s.serveStatus)
-	guarded("GET /v1/dump", s.serveDump)
-	guarded("GET /v1/explain/{id}", s.serveExplain)
-	guarded("GET /v1/bundle", s.serveBundle)
-	guarded("POST /v1/drain", s.serveDrain)
+	authenticated("GET /metrics", s.serveMetrics)
+	authenticated("GET /v1/status", s.serveStatus)
+	authenticated("GET /v1/dump", s.serveDump)
+	authenticated("GET /v1/explain/{id}", s.serveExplain)
+	authenticated("GET /v1/bundle", s.serveBundle)
+	authenticated("POST /v1/drain", s.serveDrain)
 	return mux
 }
 
-// Health is the answer of /healthz and /readyz.
+// Health is the response body of /healthz and /readyz.
 type Health struct {
 	// Status is "ok" or "not ready".
 	Status string `json:"status"`
-	// Reason says why a host is not ready; only operators see it.
+	// Reason says why a host is not ready. It is sent to operators only.
 	Reason string `json:"reason,omitempty"`
 }
 
-// The states in a Health.
+// The values of Health.Status.
 const (
 	statusOK       = "ok"
 	statusNotReady = "not ready"
@@ -133,14 +138,14 @@
 }
 
 func (s *Server) serveReady(w http.ResponseWriter, r *http.Request) {
-	st := s.cfg.Local.Status()
-	if st.Ready {
+	status := s.cfg.Local.Status()
+	if status.Ready {
 		writeJSON(w, http.StatusOK, Health{Status: statusOK})
 		return
 	}
 	h := Health{Status: statusNotReady}
-	if s.guard.allows(r) {
-		h.Reason = st.Reason
+	if s.authenticator.authenticate(r) {
+		h.Reason = status.Reason
 	}
 	writeJSON(w, http.StatusServiceUnavailable, h)
 }
@@ -160,13 +165,13 @@
 	writeJSON(w, http.StatusOK, s.cfg.Local.Status())
 }
 
-// serveDump takes the queries host (default: this one) and section (default:
-// all).
+// serveDump accepts the query parameters host (default: this host) and section
+// (default: all sections).
 func (s *Server) serveDump(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	dump, err := s.cfg.Fleet.Dump(r.Context(), q.Get("host"), q.Get("section"))
 	if err != nil {
-		writeError(w, statusOf(err), err)
+		writeError(w, httpStatus(err), err)
 		return
 	}
 	writeJSON(w, http.StatusOK, dump)
@@ -174,44 +179,45 @@
 
 func (s *Server) serveExplain(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	if len(id) > maxRequestID {
-		writeError(w, http.StatusBadRequest, fmt.Errorf("a request id has at most %d bytes", maxRequestID))
+	if len(id) > maxRequestIDBytes {
+		writeError(w, http.StatusBadRequest, fmt.Errorf("a request id has at most %d bytes", maxRequestIDBytes))
 		return
 	}
 	e, err := s.cfg.Fleet.Explain(r.Context(), id)
 	if err != nil {
-		writeError(w, statusOf(err), err)
+		writeError(w, httpStatus(err), err)
 		return
 	}
 	writeJSON(w, http.StatusOK, e)
 }
 
-// serveBundle answers the status of every host.
+// serveBundle returns the status of every host.
 func (s *Server) serveBundle(w http.ResponseWriter, r *http.Request) {
 	writeJSON(w, http.StatusOK, s.cfg.Fleet.Statuses(r.Context()))
 }
 
 func (s *Server) serveDrain(w http.ResponseWriter, r *http.Request) {
-	s.cfg.Logger.Info("drain asked for by an operator", zap.String("address", r.RemoteAddr))
+	s.cfg.Logger.Info("operator requested a drain", zap.String("address", r.RemoteAddr))
 	s.cfg.Local.Drain()
 	writeJSON(w, http.StatusOK, s.cfg.Local.Status())
 }
 
-// ErrorBody is the answer of a request that failed.
+// ErrorBody is the response body of a failed request.
 type ErrorBody struct {
 	Error string `json:"error"`
 }
 
-// statusOf returns the HTTP status for an error of Fleet: what the fleet could
-// not answer is a bad gateway.
-func statusOf(err error) int {
-	if isUnknown(err) || errors.Is(err, ErrUnknownHost) {
+// httpStatus returns the HTTP status for an error of Fleet: 404 for an unknown
+// request or host, else 502, since the queried host could not be reached or
+// failed.
+func httpStatus(err error) int {
+	if isUnknownRequest(err) || errors.Is(err, ErrUnknownHost) {
 		return http.StatusNotFound
 	}
 	return http.StatusBadGateway
 }
 
-func isUnknown(err error) bool { return errors.Is(err, ErrUnknownRequest) }
+func isUnknownRequest(err error) bool { return errors.Is(err, ErrUnknownRequest) }
 
 func writeError(w http.ResponseWriter, status int, err error) {
 	writeJSON(w, status, ErrorBody{Error: err.Error()})
@@ -224,5 +230,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(raw) // an operator that went away needs no answer
+	_, _ = w.Write(raw) // fails only if the operator has disconnected
 }
--- a/operator/status.go
+++ b/operator/status.go
@@ -8,21 +8,22 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// ErrUnknownRequest is a request of which no asked host holds a record: there
-// was none, or it is forgotten.
+// ErrUnknownRequest means that no queried host has a record of the request:
+// there was no such request, or its record was evicted.
 var ErrUnknownRequest = errors.New("operator: no record of the request")
 
-// ErrUnknownHost is a host that is not in the bundle.
+// ErrUnknownHost means that the host is not in the bundle.
 var ErrUnknownHost = errors.New("operator: unknown host")
 
-// Explanation holds every decision about one request, in order.
+// Explanation holds every decision about one request, in the order in which they
+// were recorded.
 type Explanation struct {
 	RequestID string         `json:"request_id"`
 	Host      string         `json:"host"`
 	Entries   []record.Entry `json:"entries"`
 }
 
-// Status says how one host is and which bundle it has in force.
+// Status is the state of one host and of its active bundle.
 type Status struct {
 	Host             string    `json:"host"`
 	FailureDomain    string    `json:"failure_domain"`
@@ -34,21 +35,23 @@
 	BundleSource     string    `json:"bundle_source,omitempty"`
 	BundleSince      time.Time `json:"bundle_since"`
 	RequestsInFlight int       `json:"requests_in_flight"`
-	// Error says why the host could not be asked; the rest is then empty.
+	// Error says why the host could not be queried. All fields except Host are
+	// empty then.
 	Error string `json:"error,omitempty"`
 }
 
-// Local is the daemon that a listener belongs to. Its methods are called from
-// any goroutine.
+// Local is the daemon that the operators' listener belongs to. Its methods must
+// be safe for concurrent use.
 type Local interface {
-	// Host returns the daemon's name.
+	// Host returns the name of the host.
 	Host() string
-	// Status returns the daemon's own status. It may wait a moment for the
-	// parts of the daemon.
+	// Status returns the status of the host. It may block briefly while it queries
+	// the components of the daemon.
 	Status() Status
-	// Drain starts the way out, as SIGTERM does. Later calls do nothing.
+	// Drain starts a graceful shutdown, as SIGTERM does. Later calls have no
+	// effect.
 	Drain()
-	// Hosts lists the names of all entry hosts of the bundle, this one included.
+	// Hosts returns the names of all entry hosts of the bundle, including this one.
 	Hosts() []string
 }
 
@@ -68,7 +71,7 @@
 	}
 }
 
-// unixMs keeps the zero time zero.
+// unixMs returns t in Unix milliseconds, and 0 for the zero time.
 func unixMs(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
--- a/problem/problem.go
+++ b/problem/problem.go
@@ -1,5 +1,6 @@
-// Package problem is the closed list of error kinds and the one table from a
-// kind to the answer that a caller gets (RFC 9457 problem documents).
+// Package problem defines the fixed set of error kinds that a caller can receive,
+// and the table that maps each kind to its HTTP response. Callers receive errors as
+// RFC 9457 problem documents.
 package problem
 
 import (
@@ -9,7 +10,7 @@
 	"time"
 )
 
-// Kind is one entry of the closed list of error kinds.
+// Kind identifies an error to callers.
 type Kind string
 
 // The error kinds.
@@ -41,27 +42,27 @@
 	Internal         Kind = "internal"
 )
 
-// Execution says whether any non-repeatable stage of the request was run.
+// Execution says whether any non-repeatable stage of the request has run.
 type Execution string
 
-// The executions.
+// The values of Execution.
 const (
 	NotRun     Execution = "not_run"
 	MayHaveRun Execution = "may_have_run"
 	Ran        Execution = "ran"
 )
 
-// Row is what the table holds for a kind.
+// Row describes the HTTP response for one kind.
 type Row struct {
 	Kind   Kind
 	Status int
 	Title  string
-	// Retry says that coming back later may help; the answer then carries
-	// Retry-After.
+	// Retry says that a later retry may succeed. The response then has a
+	// Retry-After header if the error sets RetryAfter.
 	Retry bool
 }
 
-// Table has one row for each kind, in the order of the documentation.
+// Table has one row for each kind, in the order of the table in docs/API.md.
 var Table = []Row{
 	{BadRequest, http.StatusBadRequest, "The request is malformed", false},
 	{NotFound, http.StatusNotFound, "There is no such resource", false},
@@ -90,7 +91,7 @@
 	{Internal, http.StatusInternalServerError, "An internal error", true},
 }
 
-// Lookup returns the row of k; an unknown kind gets the row of Internal.
+// Lookup returns the row of k, or that of Internal if k is unknown.
 func Lookup(k Kind) Row {
 	for _, r := range Table {
 		if r.Kind == k {
@@ -100,19 +101,20 @@
 	return Lookup(Internal)
 }
 
-// Error is the one typed error that reaches a caller.
+// Error is the error type that is returned to callers.
 type Error struct {
 	Kind      Kind
 	Execution Execution
-	// RetryAfter is when coming back may help; zero leaves it out.
+	// RetryAfter is the delay after which a retry may succeed. If it is zero, it is
+	// omitted from the response.
 	RetryAfter time.Duration
 	Detail     string
-	// StagesRun names the stages known to have run.
+	// StagesRun holds the names of the stages that are known to have run.
 	StagesRun []string
 	Err       error
 }
 
-// New returns an error of kind k under which nothing was run.
+// New returns an error of kind k with Execution NotRun.
 func New(k Kind, format string, args ...any) *Error {
 	return &Error{Kind: k, Execution: NotRun, Detail: fmt.Sprintf(format, args...)}
 }
@@ -128,8 +130,9 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Of returns err as an *Error; any other error becomes Internal, under which
-// it is unknown whether something ran.
+// Of returns the *Error in the chain of err. If there is none, it returns an error
+// of kind Internal with Execution MayHaveRun, since it is unknown whether a stage
+// has run.
 func Of(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/problem/problem_test.go
+++ b/problem/problem_test.go
@@ -24,7 +24,7 @@
 		kinds = append(kinds, string(r.Kind))
 	}
 
-	It("has each kind once and no status that says success", func() {
+	It("has each kind once, always with a status of 400 or above", func() {
 		seen := map[problem.Kind]bool{}
 		for _, r := range problem.Table {
 			Expect(seen).NotTo(HaveKey(r.Kind))
@@ -34,7 +34,7 @@
 		}
 	})
 
-	It("is the table in docs/API.md, row for row", func() {
+	It("is equal to the table in docs/API.md", func() {
 		table := "| kind | status | retry | title |\n|---|---|---|---|\n"
 		for _, r := range problem.Table {
 			retry := "no"
@@ -48,7 +48,7 @@
 		Expect(string(raw)).To(ContainSubstring("\n" + table + "\n"))
 	})
 
-	It("has advice for each kind in docs/OPERATIONS.md", func() {
+	It("lists the kinds that docs/OPERATIONS.md gives advice for", func() {
 		listed, err := doccheck.ListedKeys("../docs/OPERATIONS.md", "### What each refusal means, and what to do")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(listed).To(Equal(kinds))
@@ -56,7 +56,7 @@
 })
 
 var _ = Describe("Error", func() {
-	It("is found in a chain; any other error is internal and may have run", func() {
+	It("is found in an error chain, and any other error becomes Internal with MayHaveRun", func() {
 		e := problem.New(problem.Overloaded, "no room")
 		Expect(problem.Of(fmt.Errorf("stage: %w", e))).To(BeIdenticalTo(e))
 		Expect(e.Execution).To(Equal(problem.NotRun))
--- a/record/record.go
+++ b/record/record.go
@@ -1,5 +1,5 @@
-// Package record keeps, for each request, every decision taken about it and the
-// inputs that decided it, so that the decision can be explained afterwards.
+// Package record keeps the decisions about each request together with their inputs,
+// so that operators can find out afterwards why a decision was made.
 package record
 
 import "time"
@@ -7,21 +7,24 @@
 // Step names a decision step, such as "admit", "route.filter" or "retry".
 type Step string
 
-// Field is one named input of a decision, kept in the order it was added.
+// Field is one named input of a decision. The fields of an Entry keep the order in
+// which they were added.
 type Field struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
 }
 
-// Candidate is one upstream that was weighed by a routing decision.
+// Candidate is one upstream that a routing decision considered.
 type Candidate struct {
 	Upstream string  `json:"upstream"`
 	Score    float64 `json:"score"`
-	// Refused says which filter refused the candidate and why; else empty.
+	// Refused says which filter excluded the candidate and why. It is empty if no
+	// filter did.
 	Refused string `json:"refused,omitempty"`
 }
 
-// Entry is one decision.
+// Entry is one decision about a request. Choices are the candidates of a routing
+// decision.
 type Entry struct {
 	At      time.Time   `json:"at"`
 	Step    Step        `json:"step"`
@@ -32,8 +35,8 @@
 	Choices []Candidate `json:"candidates,omitempty"`
 }
 
-// Recorder takes the entries of one request. Implementations belong to one
-// request and are called by one goroutine at a time.
+// Recorder receives the decisions about one request. Its callers must not call it
+// concurrently.
 type Recorder interface {
 	Add(Entry)
 }
--- a/record/store_test.go
+++ b/record/store_test.go
@@ -12,7 +12,7 @@
 )
 
 var _ = Describe("Store", func() {
-	It("returns the entries of a request in order", func() {
+	It("returns the entries of a request in the order in which they were added", func() {
 		s := record.NewStore(1 << 20)
 		l := s.Begin("a")
 		l.Add(record.Entry{Step: "admit", Outcome: "admitted"})
@@ -28,7 +28,7 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("stays within its bytes and forgets the oldest first", func() {
+	It("stays within its memory limit and evicts the oldest requests first", func() {
 		s := record.NewStore(256 << 10)
 		text := strings.Repeat("x", 1000)
 		for i := range 2000 {
@@ -43,13 +43,13 @@
 		Expect(ok).To(BeTrue())
 	})
 
-	It("drops what is added to a forgotten request", func() {
+	It("discards entries for an evicted request", func() {
 		s := record.NewStore(1)
 		s.Begin("a").Add(record.Entry{Step: "admit"})
 		Expect(s.Stats().Bytes).To(BeZero())
 	})
 
-	It("bounds the entries of one request and counts the rest", func() {
+	It("limits the entries of one request and counts the dropped ones", func() {
 		s := record.NewStore(64 << 20)
 		l := s.Begin("a")
 		for range record.MaxEntries + 5 {
--- a/service/client.go
+++ b/service/client.go
@@ -1,5 +1,5 @@
-// Package service calls plain services over HTTP/JSON: encoders, retrievers,
-// rerankers, and services such as signature seals.
+// Package service is the HTTP/JSON client for plain services: encoders,
+// retrievers, rerankers, and others such as signature seals.
 package service
 
 import (
@@ -16,8 +16,8 @@
 	"github.com/wheatseam/wheatseam/internal/httpbody"
 )
 
-// maxAnswerBytes bounds a service's answer.
-const maxAnswerBytes = 4 << 20
+// maxResponseBytes limits the body of a response.
+const maxResponseBytes = 4 << 20
 
 // Client calls the upstreams of one pool. It is safe for concurrent use.
 type Client struct {
@@ -25,13 +25,13 @@
 	now  func() time.Time
 }
 
-// NewClient returns a client that holds at most maxConns connections to one
-// upstream. now is the clock that NotAfter is checked against.
+// NewClient returns a client with at most maxConns connections to each upstream.
+// now is the clock that Call.NotAfter is checked against.
 func NewClient(maxConns int, now func() time.Time) *Client {
 	return &Client{http: &http.Client{Transport: httpbody.NewTransport(maxConns)}, now: now}
 }
 
-// Call is one attempt at a stage.
+// Call is one attempt to run a stage at an upstream.
 type Call struct {
 	Address   string
 	Path      string
@@ -39,19 +39,19 @@
 	Attempt   int
 	Customer  string
 	Stage     string
-	// Key is sent as Idempotency-Key when set.
+	// Key, if set, is sent as the Idempotency-Key header.
 	Key   string
 	Input json.RawMessage
-	// NotAfter is checked right before the call is sent.
+	// NotAfter is the time from which the call must no longer be sent. It is
+	// checked right before the call is sent.
 	NotAfter time.Time
 }
 
-// Error is a call that brought no result.
+// Error is the error of a call that returned no result.
 type Error struct {
-	// Status is the HTTP status, or 0 when there was no answer.
+	// Status is the HTTP status, or 0 if there was no response.
 	Status int
-	// NotExecuted is set when the service is known not to have executed the
-	// call.
+	// NotExecuted is true if the service is known not to have executed the call.
 	NotExecuted bool
 	Err         error
 }
@@ -62,8 +62,9 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Rejected reports whether the service found the call itself invalid, which
-// means that it did not execute it. A conflict or a timeout says no such thing.
+// Rejected reports whether the service rejected the call as invalid, which means
+// that it did not execute it. Statuses 408, 409, 425 and 429 are excluded, since
+// they do not say that the call is invalid.
 func (e *Error) Rejected() bool {
 	switch e.Status {
 	case http.StatusRequestTimeout, http.StatusConflict, http.StatusTooEarly, http.StatusTooManyRequests:
@@ -72,8 +73,9 @@
 	return e.Status >= 400 && e.Status < 500
 }
 
-// ErrForeignAnswer is an answer that belongs to another request or attempt.
-var ErrForeignAnswer = errors.New("the answer belongs to another request or attempt")
+// ErrMismatchedResponse means that the response belongs to another request or
+// attempt.
+var ErrMismatchedResponse = errors.New("the answer belongs to another request or attempt")
 
 type callBody struct {
 	RequestID string          `json:"request_id"`
@@ -103,14 +105,14 @@
 		return nil, &Error{NotExecuted: httpbody.NotSent(err), Err: fmt.Errorf("call %s: %w", call.Address, err)}
 	}
 	defer resp.Body.Close()
-	raw, err := httpbody.Read(resp.Body, maxAnswerBytes)
+	raw, err := httpbody.Read(resp.Body, maxResponseBytes)
 	if err != nil {
 		return nil, &Error{Status: resp.StatusCode, Err: err}
 	}
 	if resp.StatusCode != http.StatusOK {
 		return nil, statusError(resp, call.Address)
 	}
-	return decodeAnswer(raw, call)
+	return decodeResponse(raw, call)
 }
 
 func newRequest(ctx context.Context, call Call) (*http.Request, error) {
@@ -123,7 +125,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("build call: %w", err)
 	}
-	// Without GetBody the transport never sends a call a second time by itself.
+	// Without GetBody the HTTP transport cannot resend the call on its own.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(httpbody.HeaderRequestID, call.RequestID)
@@ -142,37 +144,38 @@
 	}
 }
 
-func decodeAnswer(raw []byte, call Call) (json.RawMessage, error) {
-	var a callAnswer
-	if err := json.Unmarshal(raw, &a); err != nil {
+func decodeResponse(raw []byte, call Call) (json.RawMessage, error) {
+	var response callAnswer
+	if err := json.Unmarshal(raw, &response); err != nil {
 		return nil, &Error{Status: http.StatusOK, Err: fmt.Errorf("decode answer of %s: %w", call.Address, err)}
 	}
-	if a.RequestID != call.RequestID || a.Attempt != call.Attempt {
-		return nil, &Error{Status: http.StatusOK, Err: fmt.Errorf("%s: %w", call.Address, ErrForeignAnswer)}
+	if response.RequestID != call.RequestID || response.Attempt != call.Attempt {
+		return nil, &Error{Status: http.StatusOK, Err: fmt.Errorf("%s: %w", call.Address, ErrMismatchedResponse)}
 	}
-	if len(a.Result) == 0 {
-		a.Result = json.RawMessage("null")
+	if len(response.Result) == 0 {
+		response.Result = json.RawMessage("null")
 	}
-	return a.Result, nil
+	return response.Result, nil
 }
 
-// StatusState is what a service knows of a call.
+// StatusState is the state of a call as its service reports it.
 type StatusState string
 
-// The states that a service reports.
+// The states of a call.
 const (
 	StatusUnknown StatusState = "unknown"
 	StatusRunning StatusState = "running"
 	StatusDone    StatusState = "done"
 )
 
-// Status is a service's answer about a call.
+// Status is a service's response to a status query for a call.
 type Status struct {
 	State  StatusState     `json:"state"`
 	Result json.RawMessage `json:"result"`
 }
 
-// LookUp asks the service at address what became of the call with key.
+// LookUp queries the service at address for the status of the call with the given
+// idempotency key.
 func (c *Client) LookUp(ctx context.Context, address, key string) (Status, error) {
 	target := "http://" + address + "/v1/status/" + url.PathEscape(key)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
@@ -184,16 +187,16 @@
 		return Status{}, fmt.Errorf("status look-up at %s: %w", address, err)
 	}
 	defer resp.Body.Close()
-	raw, err := httpbody.Read(resp.Body, maxAnswerBytes)
+	raw, err := httpbody.Read(resp.Body, maxResponseBytes)
 	if err != nil {
 		return Status{}, err
 	}
 	if resp.StatusCode != http.StatusOK {
 		return Status{}, statusError(resp, address)
 	}
-	var s Status
-	if err := json.Unmarshal(raw, &s); err != nil {
+	var status Status
+	if err := json.Unmarshal(raw, &status); err != nil {
 		return Status{}, fmt.Errorf("decode status of %s: %w", address, err)
 	}
-	return s, nil
+	return status, nil
 }
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -39,7 +39,7 @@
 		return out, e
 	}
 
-	DescribeTable("judges what a service answered",
+	DescribeTable("classifies the responses of a service",
 		func(status int, header, body string, wantErr, notExecuted, rejected bool) {
 			var calls atomic.Int32
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -60,18 +60,18 @@
 			Expect(err.NotExecuted).To(Equal(notExecuted))
 			Expect(err.Rejected()).To(Equal(rejected))
 		},
-		Entry("an answer", 200, "", `{"request_id":"r","attempt":2,"result":"ok"}`, false, false, false),
-		Entry("another request's", 200, "", `{"request_id":"x","attempt":2,"result":"ok"}`, true, false, false),
-		Entry("another attempt's", 200, "", `{"request_id":"r","attempt":1,"result":"ok"}`, true, false, false),
-		Entry("no JSON", 200, "", `ok`, true, false, false),
-		Entry("a failure", 500, "", `{}`, true, false, false),
-		Entry("busy, not executed", 503, "true", `{}`, true, true, false),
-		Entry("busy, saying nothing", 503, "", `{}`, true, false, false),
+		Entry("a result", 200, "", `{"request_id":"r","attempt":2,"result":"ok"}`, false, false, false),
+		Entry("a result of another request", 200, "", `{"request_id":"x","attempt":2,"result":"ok"}`, true, false, false),
+		Entry("a result of another attempt", 200, "", `{"request_id":"r","attempt":1,"result":"ok"}`, true, false, false),
+		Entry("a body that is not JSON", 200, "", `ok`, true, false, false),
+		Entry("an internal server error", 500, "", `{}`, true, false, false),
+		Entry("unavailable, marked as not executed", 503, "true", `{}`, true, true, false),
+		Entry("unavailable, without the not-executed header", 503, "", `{}`, true, false, false),
 		Entry("a conflict, which may have executed", 409, "", `{}`, true, false, false),
-		Entry("a refusal of the call", 422, "", `{}`, true, false, true),
+		Entry("a call rejected as invalid", 422, "", `{}`, true, false, true),
 	)
 
-	It("knows that a call which found nobody was not executed", func() {
+	It("reports a call as not executed if the connection was refused", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := l.Addr().String()
@@ -88,7 +88,7 @@
 		Expect(e).To(MatchError(httpbody.ErrTooLate))
 	})
 
-	It("is never sent twice by the transport when a kept connection breaks", func() {
+	It("never resends a call when a reused connection breaks", func() {
 		var calls atomic.Int32
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if calls.Add(1) == 1 {
--- a/upstreamload/poller.go
+++ b/upstreamload/poller.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// dueEvery is how often the poller asks what is due.
-	dueEvery = 50 * time.Millisecond
-	// pollTimeout bounds one poll.
+	// scheduleInterval is how often the poller checks which upstreams are due.
+	scheduleInterval = 50 * time.Millisecond
+	// pollTimeout limits the duration of one poll.
 	pollTimeout = 500 * time.Millisecond
-	// maxPolls bounds the polls under way; beyond it polls are skipped.
-	maxPolls = 16
+	// maxConcurrentPolls limits the polls in progress. Polls beyond it are skipped.
+	maxConcurrentPolls = 16
 )
 
-// Observer hears the reports that were news. It is called by several
-// goroutines.
+// Observer receives the reports that are newer than what the table held. It must
+// be safe for concurrent use.
 type Observer interface {
 	Observe(reports ...load.Report)
 }
 
-// Poller polls the upstreams that a load.Table says are due.
+// Poller polls the upstreams that are due according to a load.Table.
 type Poller struct {
 	table     *load.Table
 	client    *Client
@@ -37,55 +37,57 @@
 	now       func() time.Time
 	addresses atomic.Pointer[map[string]string]
 	slots     chan struct{}
-	stats     stats
+	counters  counters
 }
 
-type stats struct{ polls, failed, skipped atomic.Uint64 }
+type counters struct{ polls, failed, skipped atomic.Uint64 }
 
-// Stats counts polls since the start.
+// Stats counts the polls since the Poller was created.
 type Stats struct {
 	Polls  uint64 `json:"polls"`
 	Failed uint64 `json:"failed"`
-	// Skipped polls were due while too many others were under way.
+	// Skipped counts the polls that were due while maxConcurrentPolls others were
+	// in progress.
 	Skipped uint64 `json:"skipped"`
 }
 
-// NewPoller returns a Poller over table that tells observer what is news.
+// NewPoller returns a Poller that updates table and passes new reports to observer.
 func NewPoller(table *load.Table, observer Observer, log *zap.Logger, now func() time.Time) *Poller {
 	p := &Poller{
 		table: table, client: NewClient(), observer: observer, log: log, now: now,
-		slots: make(chan struct{}, maxPolls),
+		slots: make(chan struct{}, maxConcurrentPolls),
 	}
 	p.SetAddresses(nil)
 	return p
 }
 
-// SetAddresses sets the addresses (ip:port) of upstreams by name. The map must
-// not be changed afterwards. It may be called at any time.
+// SetAddresses sets the addresses (ip:port) of the upstreams by name. The caller
+// must not modify the map afterwards. It is safe for concurrent use.
 func (p *Poller) SetAddresses(byName map[string]string) { p.addresses.Store(&byName) }
 
-// Run polls until ctx ends and returns when all polls have.
+// Run polls until ctx ends and returns after all polls have ended.
 func (p *Poller) Run(ctx context.Context) {
 	defer p.client.Close()
 	var polls sync.WaitGroup
 	defer polls.Wait()
-	periodic.Do(ctx, dueEvery, func() {
+	periodic.Do(ctx, scheduleInterval, func() {
 		for _, name := range p.table.Due(p.now()) {
-			p.start(ctx, &polls, name)
+			p.startPoll(ctx, &polls, name)
 		}
 	})
 }
 
-// start polls one upstream in a goroutine of its own, if there is a slot.
-func (p *Poller) start(ctx context.Context, polls *sync.WaitGroup, name string) {
-	address, known := (*p.addresses.Load())[name]
-	if !known {
+// startPoll polls one upstream in a new goroutine. It skips the poll if
+// maxConcurrentPolls are in progress or the upstream has no known address.
+func (p *Poller) startPoll(ctx context.Context, polls *sync.WaitGroup, name string) {
+	address, ok := (*p.addresses.Load())[name]
+	if !ok {
 		return
 	}
 	select {
 	case p.slots <- struct{}{}:
 	default:
-		p.stats.skipped.Add(1)
+		p.counters.skipped.Add(1)
 		return
 	}
 	polls.Go(func() {
@@ -97,11 +99,11 @@
 func (p *Poller) poll(ctx context.Context, name, address string) {
 	ctx, cancel := clock.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	p.stats.polls.Add(1)
+	p.counters.polls.Add(1)
 	report, err := p.client.Get(ctx, name, address)
 	if err != nil {
-		p.stats.failed.Add(1)
-		p.log.Debug("load not read", zap.String("upstream", name), zap.Error(err))
+		p.counters.failed.Add(1)
+		p.log.Debug("load poll failed", zap.String("upstream", name), zap.Error(err))
 		return
 	}
 	if p.table.Polled(p.now(), report) {
@@ -109,7 +111,7 @@
 	}
 }
 
-// Stats returns the counts of polls.
+// Stats returns the poll counters.
 func (p *Poller) Stats() Stats {
-	return Stats{Polls: p.stats.polls.Load(), Failed: p.stats.failed.Load(), Skipped: p.stats.skipped.Load()}
+	return Stats{Polls: p.counters.polls.Load(), Failed: p.counters.failed.Load(), Skipped: p.counters.skipped.Load()}
 }
