--- a/certs/certs.go
+++ b/certs/certs.go
@@ -23,8 +23,8 @@
 
 // The names of the files of the certificate authority in a directory of keys.
 const (
-	AuthorityCert = "ca.pem"
-	AuthorityKey  = "ca-key.pem"
+	AuthorityCert    = "ca.pem"
+	AuthorityKeyFile = "ca-key.pem"
 )
 
 const (
@@ -150,7 +150,7 @@
 // OpenAuthority reads the certificate authority in dir, or creates one there if dir
 // has none. lifetime applies to a new one only.
 func OpenAuthority(dir string, now time.Time, lifetime time.Duration) (*Authority, error) {
-	certFile, keyFile := filepath.Join(dir, AuthorityCert), filepath.Join(dir, AuthorityKey)
+	certFile, keyFile := filepath.Join(dir, AuthorityCert), filepath.Join(dir, AuthorityKeyFile)
 	a, err := readAuthority(certFile, keyFile)
 	if !errors.Is(err, os.ErrNotExist) {
 		return a, err
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -67,8 +67,8 @@
 	return b, nil
 }
 
-// LeftOut returns the number of lines dropped since the log was created.
-func (b *Bounded) LeftOut() uint64 { return b.dropped.Load() }
+// Dropped returns the number of lines dropped since the log was created.
+func (b *Bounded) Dropped() uint64 { return b.dropped.Load() }
 
 // Close writes the queued lines and stops the log.
 func (b *Bounded) Close() {
--- a/operator/auth.go
+++ b/operator/auth.go
@@ -92,14 +92,14 @@
 // authenticate reports whether r comes from an operator: it has a verified client
 // certificate or the bearer token. Tokens are compared by their hashes in constant
 // time.
-func (auth *authenticator) authenticate(r *http.Request) bool {
+func (a *authenticator) authenticate(r *http.Request) bool {
 	if r.TLS != nil && len(r.TLS.VerifiedChains) > 0 {
 		return true
 	}
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-	if !ok || !auth.hasToken {
+	if !ok || !a.hasToken {
 		return false
 	}
 	sum := sha256.Sum256([]byte(token))
-	return subtle.ConstantTimeCompare(sum[:], auth.tokenHash[:]) == 1
+	return subtle.ConstantTimeCompare(sum[:], a.tokenHash[:]) == 1
 }
