--- a/cluster/slots.go
+++ b/cluster/slots.go
@@ -31,7 +31,7 @@
 }
 
 // put keeps a value unless a later process's is known.
-func (t *slotTable) put(s member.SlotHeard, now time.Time) {
+func (t *slotTable) put(s member.SlotReceived, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.byID == nil {
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -115,11 +115,11 @@
 	return s.fleet.storeDown[s.host]
 }
 
-func (s faultyStore) Pages(ctx context.Context, prefix string, visit func([]platform.Item)) (uint64, error) {
+func (s faultyStore) ForEachPage(ctx context.Context, prefix string, visit func([]platform.Item)) (uint64, error) {
 	if s.down() {
 		return 0, errStoreDown
 	}
-	return s.fleet.stores[s.host].Pages(ctx, prefix, visit)
+	return s.fleet.stores[s.host].ForEachPage(ctx, prefix, visit)
 }
 
 func (s faultyStore) Get(ctx context.Context, key string) (platform.Item, uint64, error) {
@@ -151,7 +151,7 @@
 		f.stores[name] = platform.NewStore(strings.TrimPrefix(server.URL, "http://"))
 		cfg := discovery.Config{
 			Self: name, Store: faultyStore{f, name}, Members: f.hosts, Caller: localCaller{f.hosts, name}, Mux: f.hosts.muxes[name],
-			Logger: zap.NewNop(), Bound: func() time.Duration { return bound }, Changed: func(*discovery.View) {},
+			Logger: zap.NewNop(), PropagationBound: func() time.Duration { return bound }, OnViewChange: func(*discovery.View) {},
 		}
 		for _, change := range options {
 			change(&cfg)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -86,7 +86,7 @@
 // sendHead sends the head of the answer.
 func (x *exchange) sendHead(resp *http.Response) {
 	x.committed = true
-	platform.CopyAnswer(x.w.Header(), resp.Header)
+	platform.CopyResponseHeaders(x.w.Header(), resp.Header)
 	x.w.Header().Del("Content-Length")
 	x.w.WriteHeader(resp.StatusCode)
 	// Limits the time for writing to a caller that does not read.
