--- a/cluster/cluster.go
+++ b/cluster/cluster.go
@@ -18,37 +18,37 @@
 	"github.com/wheatseam/wheatseam/platform"
 )
 
-// Platform is what the cluster reads.
+// Platform is the part of the platform's API that a cluster reads.
 type Platform interface {
-	// Read returns the bundle's value, or platform.ErrUnchanged unless its
-	// revision is above after (0 reads whatever there is).
+	// Read returns the bundle's value, or platform.ErrUnchanged if its revision is not
+	// above after. With after 0 it returns any revision.
 	Read(ctx context.Context, after uint64) (platform.Value, error)
 	Hosts(ctx context.Context) (platform.HostList, error)
 }
 
-// Config is what a Cluster needs.
+// Config holds the settings and dependencies of a Cluster.
 type Config struct {
 	Member member.Config
-	// Rollout with its Codec; see NewCodec.
+	// Rollout must include a Codec; see NewCodec.
 	Rollout  rollout.Config
 	Platform Platform
-	// Mux takes the handlers of the cluster's methods.
+	// Mux is where the cluster registers its methods.
 	Mux    *peer.Mux
 	Logger *zap.Logger
-	// Seed of the random choices; 0 draws one.
+	// Seed seeds the random choices; 0 selects a random seed.
 	Seed uint64
 }
 
-// Cluster is one daemon among its fellows. All methods are safe for
-// concurrent use; the On methods must be called before Run.
+// Cluster is this daemon's view of the fleet: its membership and the bundle in force.
+// All methods are safe for concurrent use. The On methods must be called before Run.
 type Cluster struct {
 	cfg   Config
 	log   *zap.Logger
-	calls *membership.Calls
+	calls *membership.CallPool
 
 	members  *membership.Loop
 	rollouts *rolloutLoop
-	hosts    hostBook
+	hosts    hostAddresses
 	slots    slotTable
 
 	inForce atomic.Pointer[rollout.InForce]
@@ -60,15 +60,14 @@
 	onSlot    map[member.SlotID]func(member.SlotHeard)
 }
 
-// New returns a cluster that has not started and registers its methods in
-// cfg.Mux. The error names an extension that breaks the bounds.
+// New returns a cluster that has not started, and registers its methods in cfg.Mux. The error names an invalid extension of cfg.Member.
 func New(cfg Config) (*Cluster, error) {
 	if cfg.Seed == 0 {
 		cfg.Seed = rand.Uint64()
 	}
 	now := clock.Now()
-	cfg.Member.Extensions = append(cfg.Member.Extensions, member.Extension{ID: member.SlotBundle, MaxBytes: maxMarkBytes})
-	c := &Cluster{cfg: cfg, log: cfg.Logger, calls: membership.NewCalls()}
+	cfg.Member.Extensions = append(cfg.Member.Extensions, member.Extension{ID: member.SlotBundle, MaxBytes: maxBundleMarkBytes})
+	c := &Cluster{cfg: cfg, log: cfg.Logger, calls: membership.NewCallPool()}
 	members, err := membership.New(cfg.Member, cfg.Seed, cfg.Mux, c.calls, c.hooks(), cfg.Logger)
 	if err != nil {
 		return nil, err
@@ -79,13 +78,14 @@
 	return c, nil
 }
 
-// maxMarkBytes bounds the bundle's mark on the heartbeats.
-const maxMarkBytes = 40
+// maxBundleMarkBytes bounds the encoded bundle mark in the heartbeats, which names the
+// bundle in force at the sender.
+const maxBundleMarkBytes = 40
 
-// Run acts together with the other daemons until ctx ends. Handlers that are
-// called before Run wait for it.
+// Run runs membership, the bundle rollout and the reading of the host list until ctx
+// ends. Requests from peers that arrive before Run is called wait for it.
 func (c *Cluster) Run(ctx context.Context, caller peer.Caller) error {
-	c.calls.Use(caller)
+	c.calls.SetCaller(caller)
 	var group errgroup.Group
 	group.Go(func() error { c.members.Run(ctx); return nil })
 	group.Go(func() error { c.rollouts.run(ctx); return nil })
@@ -93,20 +93,21 @@
 	return group.Wait()
 }
 
-// OnBundle registers f for every bundle that comes into force, before Bundle
-// returns it. f is called by one goroutine at a time, versions rising.
+// OnBundle registers f to be called with every bundle that comes into force, before
+// Bundle returns it. f is called by one goroutine at a time, with rising versions.
 func (c *Cluster) OnBundle(f func(*bundle.Bundle)) { c.onBundle = append(c.onBundle, f) }
 
-// OnLeaving registers f for every change of the leaving upstreams; it is
-// passed all of them. f is called by one goroutine at a time.
+// OnLeaving registers f to be called with the full list of leaving upstreams whenever
+// it changes. f is called by one goroutine at a time.
 func (c *Cluster) OnLeaving(f func([]string)) { c.onLeaving = append(c.onLeaving, f) }
 
-// OnMember registers f for every change of the belief about a host. f is
-// called by one goroutine at a time and must not block.
+// OnMember registers f to be called with every change of a member's state. f is called
+// by one goroutine at a time and must not block.
 func (c *Cluster) OnMember(f func(member.Member)) { c.onMember = append(c.onMember, f) }
 
-// OnSlot registers f for the values of an extension, which Slots then does not keep.
-// f is called by one goroutine at a time and must not block.
+// OnSlot registers f to be called with the values of an extension. Slots does not store
+// the values of that extension. f is called by one goroutine at a time and must not
+// block.
 func (c *Cluster) OnSlot(id member.SlotID, f func(member.SlotHeard)) {
 	if c.onSlot == nil {
 		c.onSlot = map[member.SlotID]func(member.SlotHeard){}
@@ -114,8 +115,8 @@
 	c.onSlot[id] = f
 }
 
-// Bundle returns the bundle in force, or nil. It is immutable: who admitted a
-// request under it keeps it.
+// Bundle returns the bundle in force, or nil. A bundle is immutable: a request keeps
+// the one it was admitted under.
 func (c *Cluster) Bundle() *bundle.Bundle {
 	if f := c.inForce.Load(); f != nil {
 		return f.Bundle
@@ -123,26 +124,26 @@
 	return nil
 }
 
-// Neighbours returns the hosts beside this one in the membership overlay.
+// Neighbours returns the hosts next to this one in the membership overlay.
 func (c *Cluster) Neighbours() []string { return c.members.View().Neighbours }
 
 // Members returns all hosts sorted by name. The slice must not be changed.
 func (c *Cluster) Members() []member.Member { return c.members.View().Members }
 
-// LeavingUpstreams returns the names of the upstreams that leave, sorted. The
+// LeavingUpstreams returns the names of the upstreams that are leaving, sorted. The
 // slice must not be changed.
 func (c *Cluster) LeavingUpstreams() []string { return c.members.View().Leaving }
 
-// Ready says whether this daemon may take requests: it holds the newest bundle
-// that it could hear of, its host is in it, its views are renewed since its
-// start or last pause, and no later process of its host lives.
+// Ready reports whether this daemon may accept requests: it holds the newest bundle it
+// could learn of, the bundle lists its host, its membership views have been renewed
+// since its start or last pause, and no later process of its host is running.
 func (c *Cluster) Ready() bool {
 	v := c.members.View()
-	return c.ready.Load() && v.Fresh && !v.Superseded && c.listed()
+	return c.ready.Load() && v.Fresh && !v.Superseded && c.hostInBundle()
 }
 
-// listed says whether the bundle in force names this host.
-func (c *Cluster) listed() bool {
+// hostInBundle reports whether the bundle in force lists this host.
+func (c *Cluster) hostInBundle() bool {
 	b := c.Bundle()
 	if b == nil {
 		return false
@@ -155,20 +156,22 @@
 	return false
 }
 
-// Fresh says whether the views are renewed since the start or last pause.
+// Fresh reports whether the membership views have been renewed since the start or the
+// last pause.
 func (c *Cluster) Fresh() bool { return c.members.View().Fresh }
 
-// Skewed says whether this host's clock is too far from the peers' median.
+// Skewed reports whether this host's clock is too far from the median of its peers'
+// clocks.
 func (c *Cluster) Skewed() bool { return c.members.View().Skewed }
 
-// Resolve implements peer.Resolver: the bundle's address of a host, else the
-// host list's.
+// Resolve implements peer.Resolver. It returns the host's address from the bundle, or
+// else from the host list.
 func (c *Cluster) Resolve(host string) (string, bool) { return c.hosts.resolve(host) }
 
-// Leave announces that this host drains.
+// Leave announces that this host is draining.
 func (c *Cluster) Leave() { c.members.Post(member.Leave{}) }
 
-// ReportUpstream passes on an upstream's own word on whether it leaves.
+// ReportUpstream passes on an upstream's own report of whether it is leaving.
 func (c *Cluster) ReportUpstream(name string, leaving bool, asOf time.Time) {
 	c.members.Post(member.UpstreamReported{Name: name, Leaving: leaving, AsOfUnixMS: asOf.UnixMilli()})
 }
@@ -178,29 +181,30 @@
 	c.members.Post(member.SetSlot{ID: id, Value: value, Urgent: urgent})
 }
 
-// Slots returns the other hosts' last heard values of an extension.
+// Slots returns the latest value of an extension received from each other host.
 func (c *Cluster) Slots(id member.SlotID) []SlotValue { return c.slots.values(id) }
 
-// Dump is the state of a cluster for operators.
+// Dump is the state of a cluster, for operators.
 type Dump struct {
-	Ready    bool          `json:"ready"`
-	Listed   bool          `json:"host_in_bundle"`
-	Member   member.Dump   `json:"membership"`
-	Rollout  rollout.Dump  `json:"rollout"`
-	HostList HostListDump  `json:"host_list"`
-	Calls    platformCalls `json:"platform_calls"`
+	Ready        bool          `json:"ready"`
+	HostInBundle bool          `json:"host_in_bundle"`
+	Member       member.Dump   `json:"membership"`
+	Rollout      rollout.Dump  `json:"rollout"`
+	HostList     HostListDump  `json:"host_list"`
+	Calls        platformCalls `json:"platform_calls"`
 }
 
 type platformCalls = platform.Calls
 
-// Dump returns the whole state; it waits for the loops, at most until ctx
-// ends.
+// Dump returns the state of the cluster. It waits for the two loops, at most until ctx
+// ends; the part of a loop that has not answered by then is empty.
 func (c *Cluster) Dump(ctx context.Context) Dump {
-	d := Dump{Ready: c.Ready(), Listed: c.listed(), HostList: c.hosts.dump()}
+	d := Dump{Ready: c.Ready(), HostInBundle: c.hostInBundle(), HostList: c.hosts.dump()}
 	if p, ok := c.cfg.Platform.(*platform.Client); ok {
 		d.Calls = p.Calls()
 	}
-	// A loop that is late answers into its channel, and nobody reads it.
+	// The channels are buffered, so that a loop that answers after ctx has ended does
+	// not block.
 	members, rollouts := make(chan member.Dump, 1), make(chan rollout.Dump, 1)
 	c.members.Inspect(ctx, func(m *member.Machine) { members <- m.Dump(clock.Now()) })
 	c.rollouts.inspect(ctx, func(m *rollout.Machine) { rollouts <- m.Dump(clock.Now()) })
--- a/cluster/cluster_test.go
+++ b/cluster/cluster_test.go
@@ -31,11 +31,11 @@
 }
 
 const (
-	slotTest  member.SlotID = 100
-	slotFleet member.SlotID = 101
+	slotDirect member.SlotID = 100
+	slotFleet  member.SlotID = 101
 )
 
-// daemon is one host's part in the fleet.
+// daemon is one daemon of the fleet under test.
 type daemon struct {
 	*cluster.Cluster
 	transport *peer.Transport
@@ -44,8 +44,8 @@
 	versions  chan uint64
 }
 
-// fleet runs clusters over real sessions on loopback, with the platform's
-// stand-in.
+// fleet runs clusters over real sessions on the loopback interface, with a simulated
+// platform.
 type fleet struct {
 	sizes     bundletest.Sizes
 	key       ed25519.PrivateKey
@@ -78,7 +78,7 @@
 	return f
 }
 
-// start runs a process of host i.
+// start starts a process of host i.
 func (f *fleet) start(i int, listen string) *daemon {
 	host := member.Host{Name: bundletest.HostName(i), FailureDomain: fmt.Sprintf("domain-%d", i%f.sizes.Domains)}
 	incarnation := uint64(time.Now().UnixMilli())
@@ -86,7 +86,7 @@
 	mc.Interval, mc.ProbeTimeout = 200*time.Millisecond, 100*time.Millisecond
 	mc.SuspicionMin, mc.SuspicionMax = time.Second, 2*time.Second
 	mc.SyncInterval = time.Second
-	mc.Extensions = []member.Extension{{ID: slotTest, MaxBytes: 16}, {ID: slotFleet, MaxBytes: 16, Fleet: true}}
+	mc.Extensions = []member.Extension{{ID: slotDirect, MaxBytes: 16}, {ID: slotFleet, MaxBytes: 16, Fleet: true}}
 	rc := rollout.DefaultConfig(cluster.NewCodec([]ed25519.PublicKey{f.key.Public().(ed25519.PublicKey)}))
 	rc.PollMin = 300 * time.Millisecond
 	mux := peer.NewMux()
@@ -110,19 +110,19 @@
 	}()
 	f.daemons[i] = d
 	f.addresses[i] = t.Addr()
-	DeferCleanup(d.end)
+	DeferCleanup(d.shutdown)
 	return d
 }
 
-// end stops the daemon; it may be called twice.
-func (d *daemon) end() {
+// shutdown stops the daemon. It may be called twice.
+func (d *daemon) shutdown() {
 	d.stop()
 	<-d.done
 	_ = d.transport.Close()
 }
 
-// sign builds and signs a bundle of a version.
-func (f *fleet) sign(version uint64, customers int) []byte {
+// signedBundle returns a signed bundle with the given version.
+func (f *fleet) signedBundle(version uint64, customers int) []byte {
 	s := f.sizes
 	s.Customers = customers
 	text := string(bundletest.YAML(s, version))
@@ -132,10 +132,12 @@
 	return bundle.Sign([]byte(text), f.key)
 }
 
-func (f *fleet) put(version uint64) { f.platform.SetValue("bundle", f.sign(version, 5)) }
+func (f *fleet) publishBundle(version uint64) {
+	f.platform.SetValue("bundle", f.signedBundle(version, 5))
+}
 
-// all polls until cond holds at every running daemon.
-func (f *fleet) all(within time.Duration, cond func(*daemon) bool) {
+// eventuallyAll waits until cond holds at every running daemon.
+func (f *fleet) eventuallyAll(within time.Duration, cond func(*daemon) bool) {
 	GinkgoHelper()
 	Eventually(func() bool {
 		for _, d := range f.daemons {
@@ -161,16 +163,16 @@
 	BeforeEach(func() {
 		f = newFleet(5)
 		Expect(f.daemons[0].Ready()).To(BeFalse())
-		f.put(1)
-		f.all(15*time.Second, inForce(1))
+		f.publishBundle(1)
+		f.eventuallyAll(15*time.Second, inForce(1))
 	})
 
-	It("puts versions into force everywhere, rising, and keeps a request's snapshot", func() {
+	It("puts rising versions into force at every daemon and leaves earlier snapshots unchanged", func() {
 		held := f.daemons[2].Bundle()
-		f.put(2)
-		f.all(10*time.Second, inForce(2))
-		f.put(3)
-		f.all(10*time.Second, inForce(3))
+		f.publishBundle(2)
+		f.eventuallyAll(10*time.Second, inForce(2))
+		f.publishBundle(3)
+		f.eventuallyAll(10*time.Second, inForce(3))
 		Expect(held.Version).To(Equal(uint64(1)))
 		for _, d := range f.daemons {
 			last := uint64(0)
@@ -182,20 +184,20 @@
 		}
 	})
 
-	It("restarts a daemon from its peers while the service is stale", func() {
-		f.put(2)
-		f.all(10*time.Second, inForce(2))
-		// The service goes back to an old value, under a new revision.
-		f.put(1)
+	It("brings a restarted daemon up to date from its peers while the configuration service is stale", func() {
+		f.publishBundle(2)
+		f.eventuallyAll(10*time.Second, inForce(2))
+		// The service returns to an old value, under a new revision.
+		f.publishBundle(1)
 		address := f.addresses[1]
-		f.daemons[1].end()
+		f.daemons[1].shutdown()
 		d := f.start(1, address)
 		Eventually(d.Ready, 10*time.Second, 20*time.Millisecond).Should(BeTrue())
 		Expect(d.Bundle().Version).To(Equal(uint64(2)))
-		f.all(5*time.Second, inForce(2))
+		f.eventuallyAll(5*time.Second, inForce(2))
 	})
 
-	It("sees a stopped daemon dead and its successor alive", func() {
+	It("marks a stopped daemon as dead and its replacement as alive", func() {
 		name := bundletest.HostName(4)
 		believed := func(state member.State) func(*daemon) bool {
 			return func(d *daemon) bool {
@@ -208,40 +210,40 @@
 			}
 		}
 		address := f.addresses[4]
-		f.daemons[4].end()
-		f.all(15*time.Second, believed(member.Dead))
+		f.daemons[4].shutdown()
+		f.eventuallyAll(15*time.Second, believed(member.Dead))
 		f.start(4, address)
-		f.all(15*time.Second, believed(member.Alive))
+		f.eventuallyAll(15*time.Second, believed(member.Alive))
 	})
 
-	It("tells all of a leaving upstream while the platform is down", func() {
+	It("spreads a leaving upstream to every daemon while the platform is down", func() {
 		f.platform.Faults().Set(standin.Faults{Down: true})
 		name := f.daemons[0].Bundle().Pools[0].Upstreams[0].Name
 		f.daemons[0].ReportUpstream(name, true, time.Now())
-		f.all(15*time.Second, func(d *daemon) bool {
+		f.eventuallyAll(15*time.Second, func(d *daemon) bool {
 			return len(d.LeavingUpstreams()) == 1 && d.LeavingUpstreams()[0] == name
 		})
 	})
 
-	It("tells all of an upstream that the host list says is leaving", func() {
+	It("spreads an upstream that the host list marks as leaving", func() {
 		name := f.daemons[0].Bundle().Pools[0].Upstreams[0].Name
 		f.platform.SetHosts([]standinplatform.Host{{Name: name, Address: "127.0.0.1:1", Role: "upstream", State: "leaving"}})
-		f.all(10*time.Second, func(d *daemon) bool { return len(d.LeavingUpstreams()) == 1 })
+		f.eventuallyAll(10*time.Second, func(d *daemon) bool { return len(d.LeavingUpstreams()) == 1 })
 	})
 
-	It("carries the values of extensions", func() {
-		f.daemons[0].SetSlot(slotTest, []byte("near"), false)
+	It("delivers the values of extensions to the other daemons", func() {
+		f.daemons[0].SetSlot(slotDirect, []byte("near"), false)
 		f.daemons[0].SetSlot(slotFleet, []byte("far"), true)
-		f.all(10*time.Second, func(d *daemon) bool {
+		f.eventuallyAll(10*time.Second, func(d *daemon) bool {
 			if d == f.daemons[0] {
 				return true
 			}
-			near, far := d.Slots(slotTest), d.Slots(slotFleet)
+			near, far := d.Slots(slotDirect), d.Slots(slotFleet)
 			return len(near) == 1 && len(far) == 1 && string(near[0].Value) == "near" && string(far[0].Value) == "far"
 		})
 	})
 
-	It("says in its dump what it holds and why", func() {
+	It("reports its state in the dump", func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		d := f.daemons[0].Dump(ctx)
--- a/cluster/doc.go
+++ b/cluster/doc.go
@@ -1,9 +1,9 @@
-// Package cluster is the daemon's side of acting together: it drives
-// core/member and core/rollout with the real clock, fellow daemons (package
-// peer) and the platform, and publishes what they decide as immutable
+// Package cluster connects a daemon to the rest of the fleet. It runs the state
+// machines of core/member and core/rollout with the real clock, with the other daemons
+// (package peer) and with the platform, and publishes their decisions as immutable
 // snapshots.
 //
-// Each machine has one goroutine that steps it; everything else posts events
-// to its queue. Calls to peers and to the platform run in goroutines of their
-// own, bounded in number and in time.
+// Each machine is stepped by one goroutine; all other code posts events to its queue.
+// Calls to peers and to the platform run in their own goroutines, bounded in number and
+// in time.
 package cluster
--- a/cluster/hosts.go
+++ b/cluster/hosts.go
@@ -16,53 +16,53 @@
 	"github.com/wheatseam/wheatseam/platform"
 )
 
-// The reading of the host list: as with the bundle, the whole fleet makes a
-// fixed number of reads a second, at random times.
+// Timing of the host list reads. As for the bundle, the whole fleet together makes a
+// fixed number of reads per second, at random times.
 const (
-	// hostListSpacing is the mean time between two reads by the whole fleet.
-	hostListSpacing = 500 * time.Millisecond
-	// hostListMin is the least mean time between two reads by one daemon.
-	hostListMin = 2 * time.Second
-	// hostListRetry bounds the wait between the first tries.
-	hostListRetry = 5 * time.Second
+	// hostListFleetInterval is the mean time between two reads by the whole fleet.
+	hostListFleetInterval = 500 * time.Millisecond
+	// hostListMinInterval is the shortest mean time between two reads by one daemon.
+	hostListMinInterval = 2 * time.Second
+	// hostListMaxBackoff bounds the backoff until the first successful read.
+	hostListMaxBackoff = 5 * time.Second
 )
 
-// hex is a log field with a short digest.
-func hex(key string, v uint64) zap.Field { return zap.String(key, fmt.Sprintf("%016x", v)) }
+// digestField returns a log field with a digest in hexadecimal.
+func digestField(key string, v uint64) zap.Field { return zap.String(key, fmt.Sprintf("%016x", v)) }
 
-// hostBook holds the addresses of the entry hosts.
-type hostBook struct {
-	mu       sync.RWMutex
-	byBundle map[string]string
-	byList   map[string]string
-	revision uint64
-	readAt   time.Time
+// hostAddresses holds the peer addresses of the entry hosts.
+type hostAddresses struct {
+	mu           sync.RWMutex
+	fromBundle   map[string]string
+	fromHostList map[string]string
+	revision     uint64
+	readAt       time.Time
 }
 
-// resolve returns the address where a host's daemon hears peers.
-func (h *hostBook) resolve(host string) (string, bool) {
+// resolve returns the address where a host's daemon listens for peers.
+func (h *hostAddresses) resolve(host string) (string, bool) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	if a, ok := h.byBundle[host]; ok {
+	if a, ok := h.fromBundle[host]; ok {
 		return a, true
 	}
-	a, ok := h.byList[host]
+	a, ok := h.fromHostList[host]
 	return a, ok
 }
 
-// bundle takes the addresses of a bundle.
-func (h *hostBook) bundle(b *bundle.Bundle) {
+// setBundle replaces the addresses from the bundle.
+func (h *hostAddresses) setBundle(b *bundle.Bundle) {
 	addresses := make(map[string]string, len(b.Hosts))
 	for _, x := range b.Hosts {
 		addresses[x.Name] = x.PeerAddress
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.byBundle = addresses
+	h.fromBundle = addresses
 }
 
-// list takes the addresses of the host list.
-func (h *hostBook) list(l platform.HostList) {
+// setHostList replaces the addresses from the host list.
+func (h *hostAddresses) setHostList(l platform.HostList) {
 	addresses := map[string]string{}
 	for _, x := range l.Hosts {
 		if x.Role == platform.RoleEntry {
@@ -71,56 +71,57 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.byList, h.revision, h.readAt = addresses, l.Revision, clock.Now()
+	h.fromHostList, h.revision, h.readAt = addresses, l.Revision, clock.Now()
 }
 
-// HostListDump says what is known of the host list.
+// HostListDump describes the last host list that was read.
 type HostListDump struct {
 	Revision uint64        `json:"revision"`
 	Hosts    int           `json:"entry_hosts"`
 	ReadAgo  time.Duration `json:"read_ago_ns"`
 }
 
-func (h *hostBook) dump() HostListDump {
+func (h *hostAddresses) dump() HostListDump {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	d := HostListDump{Revision: h.revision, Hosts: len(h.byList)}
+	d := HostListDump{Revision: h.revision, Hosts: len(h.fromHostList)}
 	if !h.readAt.IsZero() {
 		d.ReadAgo = clock.Since(h.readAt)
 	}
 	return d
 }
 
-// readHosts reads the host list until ctx ends: with backoff until the first
-// answer, then at random times.
+// readHosts reads the host list until ctx ends: with exponential backoff until the
+// first success, then at random intervals.
 func (c *Cluster) readHosts(ctx context.Context) {
 	b := backoff.NewExponentialBackOff()
-	b.MaxInterval = hostListRetry
+	b.MaxInterval = hostListMaxBackoff
 	_, err := backoff.Retry(ctx, func() (struct{}, error) { return struct{}{}, c.readHostsOnce(ctx) },
 		backoff.WithBackOff(b), backoff.WithMaxElapsedTime(0))
 	for err == nil && ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-clock.After(hostListWait(c.members.View().Living)):
-			_ = c.readHostsOnce(ctx) // logged there; the next read comes anyway
+		case <-clock.After(hostListDelay(c.members.View().Living)):
+			_ = c.readHostsOnce(ctx) // readHostsOnce logs the error; the next read follows anyway
 		}
 	}
 }
 
-// hostListWait draws the wait until the next read in a fleet of that size.
-func hostListWait(living int) time.Duration {
-	mean := max(hostListMin, time.Duration(living)*hostListSpacing)
+// hostListDelay returns a random delay until the next read, for a fleet with the given
+// number of live hosts.
+func hostListDelay(living int) time.Duration {
+	mean := max(hostListMinInterval, time.Duration(living)*hostListFleetInterval)
 	return mean/2 + rand.N(mean)
 }
 
-// readHostsOnce reads the host list and tells membership.
+// readHostsOnce reads the host list and passes it to membership.
 func (c *Cluster) readHostsOnce(ctx context.Context) error {
 	l, err := c.cfg.Platform.Hosts(ctx)
 	if err != nil {
-		c.log.Warn("host list", zap.Error(err))
+		c.log.Warn("reading the host list failed", zap.Error(err))
 		return err
 	}
-	c.hosts.list(l)
+	c.hosts.setHostList(l)
 	e := member.HostList{AsOfUnixMS: l.AsOfUnixMS}
 	entries := member.Configured{}
 	for _, h := range l.Hosts {
@@ -130,7 +131,7 @@
 			entries.Hosts = append(entries.Hosts, member.Host{Name: h.Name})
 		}
 	}
-	// Until there is a bundle the host list says who the fellows are.
+	// Until there is a bundle, the host list defines the members.
 	c.members.PostIf(func() bool { return c.inForce.Load() == nil }, entries)
 	c.members.Post(e)
 	return nil
--- a/cluster/members.go
+++ b/cluster/members.go
@@ -13,19 +13,20 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// The methods between daemons, beside those of package membership.
+// The RPC methods for bundles. Package membership registers those of membership.
 const (
 	methodManifest = "rollout.manifest"
 	methodParts    = "rollout.parts"
 )
 
-// hooks connect membership to the other parts.
+// hooks returns the callbacks that connect membership to the rest of the cluster.
 func (c *Cluster) hooks() membership.Hooks {
-	return membership.Hooks{Slot: c.slotHeard, Changed: c.memberChanged, Fresh: c.freshness, View: c.viewChanged}
+	return membership.Hooks{Slot: c.handleSlot, Changed: c.handleMemberChange, Fresh: c.handleFreshness, View: c.handleViewChange}
 }
 
-// slotHeard keeps an extension's value, or hands the bundle's mark over.
-func (c *Cluster) slotHeard(a member.SlotHeard) {
+// handleSlot passes the bundle mark to the rollout and any other extension's value to
+// its callback, or stores it if there is none.
+func (c *Cluster) handleSlot(a member.SlotHeard) {
 	if f := c.onSlot[a.ID]; f != nil {
 		f(a)
 		return
@@ -36,25 +37,25 @@
 	}
 	mark := &wire.BundleMark{}
 	if err := proto.Unmarshal(a.Value, mark); err != nil {
-		c.log.Warn("bundle mark unreadable", zap.String("peer", a.Host), zap.Error(err))
+		c.log.Warn("cannot decode the bundle mark", zap.String("peer", a.Host), zap.Error(err))
 		return
 	}
 	c.rollouts.post(rollout.PeerHeard{Host: a.Host, Mark: mark, Solicited: a.Solicited})
 }
 
-func (c *Cluster) memberChanged(m member.Member) {
+func (c *Cluster) handleMemberChange(m member.Member) {
 	for _, f := range c.onMember {
 		f(m)
 	}
 }
 
-func (c *Cluster) freshness(fresh bool) {
+func (c *Cluster) handleFreshness(fresh bool) {
 	if !fresh {
 		c.rollouts.post(rollout.Woke{})
 	}
 }
 
-func (c *Cluster) viewChanged(next, old *membership.View) {
+func (c *Cluster) handleViewChange(next, old *membership.View) {
 	if next.Living != old.Living || !slices.Equal(next.Neighbours, old.Neighbours) {
 		c.rollouts.post(rollout.PeersChanged{Neighbours: next.Neighbours, Living: next.Living})
 		c.slots.retain(next.Members)
--- a/cluster/rollouts.go
+++ b/cluster/rollouts.go
@@ -19,23 +19,24 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// rolloutTick is the time between two ticks of the rollout machine.
+// rolloutTick is the interval between two ticks of the rollout machine.
 const rolloutTick = 100 * time.Millisecond
 
-// errNoBundle answers a peer that asks for a manifest too early.
+// errNoBundle is returned to a peer that requests a manifest or parts before this
+// daemon has a bundle.
 var errNoBundle = errors.New("cluster: no bundle in force")
 
-// NewCodec reads the bundles signed by one of the keys.
+// NewCodec returns a codec for bundles that are signed by one of the keys.
 func NewCodec(keys []ed25519.PublicKey) rollout.Codec {
 	return rollout.Codec{
 		Open:           func(signed []byte) (*bundle.Bundle, error) { return bundle.Open(signed, keys) },
-		Split:          split,
+		Split:          splitParts,
 		CheckSuccessor: bundle.CheckSuccessor,
 	}
 }
 
-// split returns the contents of a document's parts.
-func split(signed []byte) [][]byte {
+// splitParts returns the contents of the parts of a signed document.
+func splitParts(signed []byte) [][]byte {
 	var out [][]byte
 	for _, p := range bundle.Split(signed) {
 		out = append(out, p.Content)
@@ -43,82 +44,83 @@
 	return out
 }
 
-// rolloutLoop steps the rollout machine.
+// rolloutLoop runs the rollout state machine.
 type rolloutLoop struct {
-	c *Cluster
-	m *rollout.Machine
-	q *workqueue.Queue
-	// ctx ends with the loop; reads of the platform hang on it.
+	cluster *Cluster
+	machine *rollout.Machine
+	queue   *workqueue.Queue
+	// ctx ends with the loop. Reads of the configuration service are bound to it.
 	ctx context.Context
 }
 
 func newRolloutLoop(c *Cluster, m *rollout.Machine) *rolloutLoop {
-	return &rolloutLoop{c: c, m: m, q: workqueue.New(), ctx: context.Background()}
+	return &rolloutLoop{cluster: c, machine: m, queue: workqueue.New(), ctx: context.Background()}
 }
 
 func (l *rolloutLoop) run(ctx context.Context) {
 	l.ctx = ctx
-	l.q.Run(ctx, rolloutTick, func() { l.step(rollout.Tick{}) })
+	l.queue.Run(ctx, rolloutTick, func() { l.step(rollout.Tick{}) })
 }
 
 // post queues an event.
-func (l *rolloutLoop) post(e rollout.Event) { l.q.Add(func() { l.step(e) }) }
+func (l *rolloutLoop) post(e rollout.Event) { l.queue.Add(func() { l.step(e) }) }
 
-// inspect runs f on the machine, waiting at most until ctx ends.
+// inspect runs f with the machine in the loop's goroutine. It waits until f has run or
+// ctx ends.
 func (l *rolloutLoop) inspect(ctx context.Context, f func(*rollout.Machine)) {
-	l.q.Inspect(ctx, func() { f(l.m) })
+	l.queue.Inspect(ctx, func() { f(l.machine) })
 }
 
-// step passes an event and carries out the actions.
+// step passes an event to the machine and executes the resulting actions.
 func (l *rolloutLoop) step(e rollout.Event) {
-	for _, a := range l.m.Step(clock.Now(), e) {
-		l.perform(a)
+	for _, a := range l.machine.Step(clock.Now(), e) {
+		l.execute(a)
 	}
-	l.c.ready.Store(l.m.Ready())
+	l.cluster.ready.Store(l.machine.Ready())
 }
 
-// perform carries out one action.
-func (l *rolloutLoop) perform(action rollout.Action) {
-	log := l.c.log
+// execute executes one action.
+func (l *rolloutLoop) execute(action rollout.Action) {
+	log := l.cluster.log
 	switch a := action.(type) {
 	case rollout.PollService:
-		go l.read(a.After)
+		go l.readConfigService(a.After)
 	case rollout.FetchManifest:
 		manifest := &wire.BundleManifest{}
-		l.fetch(a.From, methodManifest, &wire.BundleManifestRequest{}, manifest, rollout.ManifestArrived{From: a.From, Manifest: manifest})
+		l.fetchFromPeer(a.From, methodManifest, &wire.BundleManifestRequest{}, manifest, rollout.ManifestArrived{From: a.From, Manifest: manifest})
 	case rollout.FetchParts:
 		parts := &wire.BundleParts{}
-		l.fetch(a.From, methodParts, a.Request, parts, rollout.PartsArrived{From: a.From, Parts: parts})
+		l.fetchFromPeer(a.From, methodParts, a.Request, parts, rollout.PartsArrived{From: a.From, Parts: parts})
 	case rollout.Adopt:
 		l.adopt(a)
 	case rollout.Announce:
 		l.announce(a)
 	case rollout.Rejected:
-		log.Error("bundle rejected", zap.Stringer("source", a.Source), zap.Uint64("version", a.Version), hex("digest", a.Digest), zap.Error(a.Err))
+		log.Error("bundle rejected", zap.Stringer("source", a.Source), zap.Uint64("version", a.Version), digestField("digest", a.Digest), zap.Error(a.Err))
 	case rollout.Conflict:
 		log.Error("bundle conflict", zap.Stringer("source", a.Source), zap.Uint64("version", a.Version),
-			hex("in_force", a.InForce), hex("other", a.Other))
+			digestField("in_force", a.InForce), digestField("other", a.Other))
 	case rollout.ServiceStale:
-		log.Warn("configuration service stale", zap.Uint64("served", a.Served), zap.Uint64("in_force", a.InForce))
+		log.Warn("configuration service serves an older version than the one in force", zap.Uint64("served", a.Served), zap.Uint64("in_force", a.InForce))
 	case rollout.Readiness:
 		log.Info("configuration ready", zap.Bool("alone", a.Alone))
 	}
 }
 
-// adopt puts a bundle into force: subscribers first, then whoever asks.
+// adopt puts a bundle into force. Callbacks are called before Bundle returns it.
 func (l *rolloutLoop) adopt(a rollout.Adopt) {
 	b := a.InForce.Bundle
-	l.c.log.Info("bundle adopted", zap.Uint64("version", b.Version), zap.Stringer("source", a.Source))
-	l.c.hosts.bundle(b)
-	for _, f := range l.c.onBundle {
+	l.cluster.log.Info("bundle adopted", zap.Uint64("version", b.Version), zap.Stringer("source", a.Source))
+	l.cluster.hosts.setBundle(b)
+	for _, f := range l.cluster.onBundle {
 		f(b)
 	}
-	l.c.inForce.Store(a.InForce)
-	l.c.members.Post(configuredBy(b))
+	l.cluster.inForce.Store(a.InForce)
+	l.cluster.members.Post(membershipConfig(b))
 }
 
-// configuredBy tells membership what a bundle names.
-func configuredBy(b *bundle.Bundle) member.Configured {
+// membershipConfig returns the membership settings that follow from a bundle.
+func membershipConfig(b *bundle.Bundle) member.Configured {
 	e := member.Configured{Upstreams: []string{}, MaxClockSkew: b.Claims.MaxClockSkew}
 	for _, h := range b.Hosts {
 		e.Hosts = append(e.Hosts, member.Host{Name: h.Name, FailureDomain: h.FailureDomain})
@@ -131,37 +133,38 @@
 	return e
 }
 
-// announce puts the mark on the heartbeats.
+// announce puts the bundle mark into the heartbeats.
 func (l *rolloutLoop) announce(a rollout.Announce) {
 	raw, err := proto.Marshal(a.Mark)
 	if err != nil {
-		l.c.log.Error("bundle mark", zap.Error(err))
+		l.cluster.log.Error("cannot encode the bundle mark", zap.Error(err))
 		return
 	}
-	l.c.SetSlot(member.SlotBundle, raw, a.Urgent)
+	l.cluster.SetSlot(member.SlotBundle, raw, a.Urgent)
 }
 
-// read reads the configuration service.
-func (l *rolloutLoop) read(after uint64) {
-	ctx, cancel := clock.WithTimeout(l.ctx, l.c.cfg.Rollout.PollTimeout)
+// readConfigService reads the configuration service and posts the result.
+func (l *rolloutLoop) readConfigService(after uint64) {
+	ctx, cancel := clock.WithTimeout(l.ctx, l.cluster.cfg.Rollout.PollTimeout)
 	defer cancel()
-	v, err := l.c.cfg.Platform.Read(ctx, after)
+	v, err := l.cluster.cfg.Platform.Read(ctx, after)
 	switch {
 	case err == nil:
 		l.post(rollout.ServiceAnswered{Revision: v.Revision, Signed: v.Body})
 	case errors.Is(err, platform.ErrUnchanged):
 		l.post(rollout.ServiceUnchanged{})
 	default:
-		l.c.log.Warn("configuration service", zap.Error(err))
+		l.cluster.log.Warn("reading the configuration service failed", zap.Error(err))
 		l.post(rollout.ServiceFailed{Err: err})
 	}
 }
 
-// fetch calls a peer; resp is filled before arrived is posted.
-func (l *rolloutLoop) fetch(from, method string, req, resp proto.Message, arrived rollout.Event) {
-	l.c.calls.Go(from, method, req, resp, l.c.cfg.Rollout.FetchTimeout, func(err error) {
+// fetchFromPeer calls a peer, decodes the answer into resp and posts arrived, or
+// FetchFailed on an error.
+func (l *rolloutLoop) fetchFromPeer(from, method string, req, resp proto.Message, arrived rollout.Event) {
+	l.cluster.calls.Go(from, method, req, resp, l.cluster.cfg.Rollout.FetchTimeout, func(err error) {
 		if err != nil {
-			l.c.log.Info("bundle not fetched", zap.String("peer", from), zap.String("method", method), zap.Error(err))
+			l.cluster.log.Info("fetching the bundle from a peer failed", zap.String("peer", from), zap.String("method", method), zap.Error(err))
 			l.post(rollout.FetchFailed{From: from, Err: err})
 			return
 		}
@@ -169,16 +172,17 @@
 	})
 }
 
-// handle registers the methods; they read the snapshot and need no loop.
+// handle registers the bundle methods. They read the snapshot of the bundle in force
+// and do not go through the loop.
 func (l *rolloutLoop) handle(mux *peer.Mux) {
 	peer.Handle(mux, methodManifest, func(context.Context, peer.Sender, *wire.BundleManifestRequest) (*wire.BundleManifest, error) {
-		if f := l.c.inForce.Load(); f != nil {
+		if f := l.cluster.inForce.Load(); f != nil {
 			return f.Manifest(), nil
 		}
 		return nil, errNoBundle
 	})
 	peer.Handle(mux, methodParts, func(_ context.Context, _ peer.Sender, req *wire.BundlePartsRequest) (*wire.BundleParts, error) {
-		if f := l.c.inForce.Load(); f != nil {
+		if f := l.cluster.inForce.Load(); f != nil {
 			return f.Parts(req), nil
 		}
 		return nil, errNoBundle
--- a/cluster/slots.go
+++ b/cluster/slots.go
@@ -9,28 +9,29 @@
 	"github.com/wheatseam/wheatseam/core/member"
 )
 
-// SlotValue is another host's last heard value of an extension.
+// SlotValue is the latest value of an extension received from another host.
 type SlotValue struct {
 	Host        string
 	Incarnation uint64
 	Value       []byte
 	// At is when the value arrived.
 	At time.Time
-	// SentAt is the sender's clock when it sent a direct value; the zero time
-	// for a fleet value, which may have been on its way for seconds.
+	// SentAt is the sender's wall clock time when it sent the value directly. It is
+	// zero for a value of a fleet-wide extension, which peers relay and which may have
+	// been in transit for seconds.
 	SentAt time.Time
 }
 
-// maxSlotHosts bounds the hosts kept for one extension.
+// maxSlotHosts bounds the number of hosts stored for one extension.
 const maxSlotHosts = 4096
 
-// slotTable holds the values of the extensions.
+// slotTable holds the latest extension values of the other hosts.
 type slotTable struct {
 	mu   sync.RWMutex
 	byID map[member.SlotID]map[string]SlotValue
 }
 
-// put keeps a value unless a later process's is known.
+// put stores a value unless one from a later process of the same host is stored.
 func (t *slotTable) put(s member.SlotHeard, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,7 +66,7 @@
 	return out
 }
 
-// retain drops the values of hosts that are not members any more.
+// retain deletes the values of hosts that are no longer members.
 func (t *slotTable) retain(members []member.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -10,42 +10,43 @@
 )
 
 const (
-	// driftNoticed is the difference between what the time of day and the steady
-	// clock have advanced from which the time asleep is looked up: a sleep shows in
-	// it, and a step of the time of day costs one look.
-	driftNoticed = 5 * time.Millisecond
-	// lookEvery is the time after which it is looked up in any case: a step of the
-	// time of day may hide a sleep.
-	lookEvery = 500 * time.Millisecond
-	// leastSleep is the shortest sleep that counts: the two clocks cannot be read at
-	// the same moment.
-	leastSleep = 20 * time.Millisecond
-	// watchEvery is the interval at which Watch looks: deadlines that passed in a
-	// sleep end that much later than they could.
-	watchEvery = 200 * time.Millisecond
+	// driftThreshold is the change in drift (see Clock.drift) that triggers a new
+	// measurement of the suspended time: a suspension changes the drift by its length.
+	// A step of the wall clock changes it as well, and costs one needless measurement.
+	driftThreshold = 5 * time.Millisecond
+	// maxMeasureInterval is the longest time between two measurements, because a step
+	// of the wall clock can cancel out the drift that a suspension causes.
+	maxMeasureInterval = 500 * time.Millisecond
+	// minSuspension is the shortest suspension that counts. Shorter differences are
+	// measurement error, since the two clocks cannot be read at the same moment.
+	minSuspension = 20 * time.Millisecond
+	// watchInterval is the interval at which Watch checks for a suspension. Deadlines
+	// that passed during a suspension expire up to this much late.
+	watchInterval = 200 * time.Millisecond
 )
 
-// source reads the host's clocks.
-type source interface {
-	// now is by the steady clock.
+// clockSource reads the host's clocks.
+type clockSource interface {
+	// now returns the monotonic clock's time.
 	now() time.Time
-	// day is the time of day at a time of the steady clock that was just read.
-	day(now time.Time) time.Time
-	// boot is the time since the host started, time asleep included; false when the
-	// host does not tell.
-	boot() (time.Duration, bool)
+	// wallTime returns the wall clock's time for a monotonic time that was just read.
+	wallTime(now time.Time) time.Time
+	// uptime returns the time since the host booted, including suspended time. It
+	// returns false if the host does not provide it.
+	uptime() (time.Duration, bool)
 }
 
-// hostSource is that of the host. simulated is added to the clocks that count sleep.
-type hostSource struct{ simulated *atomic.Int64 }
+// hostClocks reads the clocks of this host. simulated is added to the clocks that keep
+// running during a suspension.
+type hostClocks struct{ simulated *atomic.Int64 }
 
-func (hostSource) now() time.Time { return time.Now() }
+func (hostClocks) now() time.Time { return time.Now() }
 
-func (s hostSource) day(now time.Time) time.Time {
+func (s hostClocks) wallTime(now time.Time) time.Time {
 	return now.Round(0).Add(time.Duration(s.simulated.Load()))
 }
 
-func (s hostSource) boot() (time.Duration, bool) {
+func (s hostClocks) uptime() (time.Duration, bool) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		return 0, false
@@ -53,163 +54,171 @@
 	return time.Duration(t.Nano() + s.simulated.Load()), true
 }
 
-// reading is what the clocks said when the time asleep was last looked up.
-type reading struct {
-	// at has the steady clock and the time of day, and drift by how much the latter
-	// had advanced more since the start.
+// suspendMeasurement holds the clock readings of the last measurement of the suspended
+// time.
+type suspendMeasurement struct {
+	// at holds the monotonic and the wall clock reading. drift is the value of
+	// Clock.drift at that time.
 	at    time.Time
 	drift time.Duration
-	// asleep is the time asleep since the start, and base a reading from before the
-	// first sleep.
-	asleep time.Duration
-	base   time.Time
+	// suspended is the suspended time since the start. base is a reading from before
+	// the first suspension.
+	suspended time.Duration
+	base      time.Time
 }
 
-// Clock counts the time asleep. Use the functions of the package; a Clock of its own
-// is for tests.
+// Clock is a monotonic clock that includes suspended time. Callers use the package's
+// functions; only tests create a Clock.
 type Clock struct {
-	source source
-	// start and bootAtStart were read together.
-	start, dayAtStart time.Time
-	bootAtStart       time.Duration
-	last              atomic.Pointer[reading]
+	clocks clockSource
+	// start and uptimeAtStart were read together.
+	start, wallAtStart time.Time
+	uptimeAtStart      time.Duration
+	lastMeasured       atomic.Pointer[suspendMeasurement]
 
-	alarms alarms
+	deadlines deadlineSet
 
-	mu sync.Mutex // held while the time asleep is looked up
-	// wakings are told of sleeps.
-	wakings map[*func(slept time.Duration)]bool
+	mu sync.Mutex // held while the suspended time is measured
+	// resumeCallbacks are called after each suspension.
+	resumeCallbacks map[*func(suspendedFor time.Duration)]bool
 }
 
-func newClock(s source) *Clock {
-	c := &Clock{source: s, wakings: map[*func(time.Duration)]bool{}}
-	c.start, c.bootAtStart, _ = c.both()
-	c.dayAtStart = s.day(c.start)
-	c.last.Store(&reading{at: c.start, base: c.start})
-	c.alarms.init()
+func newClock(s clockSource) *Clock {
+	c := &Clock{clocks: s, resumeCallbacks: map[*func(time.Duration)]bool{}}
+	c.start, c.uptimeAtStart, _ = c.readClocks()
+	c.wallAtStart = s.wallTime(c.start)
+	c.lastMeasured.Store(&suspendMeasurement{at: c.start, base: c.start})
+	c.deadlines.init()
 	return c
 }
 
-// both reads both clocks, as close together as a busy host allows.
-func (c *Clock) both() (at time.Time, boot time.Duration, ok bool) {
+// readClocks reads the monotonic clock and the uptime together. It retries when the two
+// reads were too far apart, as happens on a busy host, and returns false if no attempt
+// was close enough.
+func (c *Clock) readClocks() (at time.Time, uptime time.Duration, ok bool) {
 	const tries, close = 4, 100 * time.Microsecond
 	for range tries {
-		before := c.source.now()
-		boot, ok = c.source.boot()
-		at = c.source.now()
+		before := c.clocks.now()
+		uptime, ok = c.clocks.uptime()
+		at = c.clocks.now()
 		if gap := at.Sub(before); gap < close || !ok {
-			return before.Add(gap / 2), boot, ok
+			return before.Add(gap / 2), uptime, ok
 		}
 	}
-	return at, boot, false
+	return at, uptime, false
 }
 
-// now reads the clock.
+// now returns the current time, including suspended time.
 func (c *Clock) now() time.Time {
-	now := c.source.now()
-	last := c.last.Load()
-	if (c.drift(now)-last.drift).Abs() > driftNoticed || now.Sub(last.at) > lookEvery {
-		last = c.look()
+	now := c.clocks.now()
+	last := c.lastMeasured.Load()
+	if (c.drift(now)-last.drift).Abs() > driftThreshold || now.Sub(last.at) > maxMeasureInterval {
+		last = c.measureSuspension()
 	}
-	if last.asleep == 0 {
+	if last.suspended == 0 {
 		return now
 	}
-	return last.base.Add(now.Sub(last.base) + last.asleep)
+	return last.base.Add(now.Sub(last.base) + last.suspended)
 }
 
-// drift is by how much more the time of day has advanced than the steady clock.
+// drift is how much further the wall clock has advanced than the monotonic clock since
+// the start.
 func (c *Clock) drift(now time.Time) time.Duration {
-	return c.source.day(now).Sub(c.dayAtStart) - now.Sub(c.start)
+	return c.clocks.wallTime(now).Sub(c.wallAtStart) - now.Sub(c.start)
 }
 
-// look looks the time asleep up, and rings what has come due in a sleep.
-func (c *Clock) look() *reading {
+// measureSuspension measures the suspended time. If it has grown, it notifies the
+// deadlines and the resume callbacks.
+func (c *Clock) measureSuspension() *suspendMeasurement {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	last := c.last.Load()
-	at, boot, ok := c.both()
-	next := &reading{at: at, drift: c.drift(at), asleep: last.asleep, base: last.base}
-	if asleep := boot - c.bootAtStart - at.Sub(c.start); ok && asleep-last.asleep >= leastSleep {
-		next.asleep = asleep
-	} else if last.asleep == 0 {
+	last := c.lastMeasured.Load()
+	at, uptime, ok := c.readClocks()
+	next := &suspendMeasurement{at: at, drift: c.drift(at), suspended: last.suspended, base: last.base}
+	if suspended := uptime - c.uptimeAtStart - at.Sub(c.start); ok && suspended-last.suspended >= minSuspension {
+		next.suspended = suspended
+	} else if last.suspended == 0 {
 		next.base = at
 	}
-	c.last.Store(next)
-	if slept := next.asleep - last.asleep; slept > 0 {
-		go c.ring()
-		for f := range c.wakings {
-			go (*f)(slept)
+	c.lastMeasured.Store(next)
+	if suspendedFor := next.suspended - last.suspended; suspendedFor > 0 {
+		go c.notifyDeadlines()
+		for f := range c.resumeCallbacks {
+			go (*f)(suspendedFor)
 		}
 	}
 	return next
 }
 
-// asleep is the time asleep so far.
-func (c *Clock) asleep() time.Duration {
+// suspendedTime returns the suspended time since the start.
+func (c *Clock) suspendedTime() time.Duration {
 	c.now()
-	return c.last.Load().asleep
+	return c.lastMeasured.Load().suspended
 }
 
-// host is the clock of this process, and simulated the sleeps that it only believes
-// in.
+// host is the clock of this process. simulatedSuspension is the total of the
+// suspensions that Simulate has injected.
 var (
-	simulated atomic.Int64
-	host      = newClock(hostSource{&simulated})
+	simulatedSuspension atomic.Int64
+	host                = newClock(hostClocks{&simulatedSuspension})
 )
 
-// Simulate has this process believe that the host slept for d until now. Tests and
-// the soak do; nothing else can have a host sleep without rights over it.
+// Simulate makes this process behave as if the host had been suspended for d until now.
+// It is for tests and the soak test, since suspending a real host needs privileges over
+// it.
 func Simulate(d time.Duration) {
-	simulated.Add(int64(d))
+	simulatedSuspension.Add(int64(d))
 	host.now()
 }
 
-// Now returns the present time.
+// Now returns the current time.
 func Now() time.Time { return host.now() }
 
-// Since returns the time since t, time asleep included.
+// Since returns the time elapsed since t, including suspended time.
 func Since(t time.Time) time.Duration { return host.now().Sub(t) }
 
 // Until returns the time until t.
 func Until(t time.Time) time.Duration { return t.Sub(host.now()) }
 
-// Nanos returns the nanoseconds since the process started, time asleep included: it
-// never goes back, and is for times that are kept in an atomic number.
+// Nanos returns the nanoseconds since the process started, including suspended time. It
+// never goes back; use it for times that are stored in atomic integers.
 func Nanos() int64 { return host.nanos() }
 
 func (c *Clock) nanos() int64 { return int64(c.now().Sub(c.start)) }
 
-// OnWake calls f, in a goroutine of its own, whenever the host has slept, until stop
-// is called.
-func OnWake(f func(slept time.Duration)) (stop func()) { return host.onWake(f) }
+// OnWake calls f in its own goroutine after each suspension of the host, until stop is
+// called.
+func OnWake(f func(suspendedFor time.Duration)) (stop func()) { return host.onResume(f) }
 
-func (c *Clock) onWake(f func(slept time.Duration)) (stop func()) {
+func (c *Clock) onResume(f func(suspendedFor time.Duration)) (stop func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wakings[&f] = true
+	c.resumeCallbacks[&f] = true
 	return func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		delete(c.wakings, &f)
+		delete(c.resumeCallbacks, &f)
 	}
 }
 
-// Steady translates a time of this package for the standard library's deadlines.
+// Steady converts a time of this package to one for the standard library's deadlines,
+// which follow the monotonic clock.
 func Steady(t time.Time) time.Time { return time.Now().Add(Until(t)) }
 
-// Asleep returns for how long the host has slept since the process started.
-func Asleep() time.Duration { return host.asleep() }
+// Asleep returns the total time for which the host has been suspended since the process
+// started.
+func Asleep() time.Duration { return host.suspendedTime() }
 
-// CountsSleep says whether this host tells the time since it started; else time asleep
+// CountsSleep reports whether this host provides its uptime. Without it, suspended time
 // is not counted.
 func CountsSleep() bool {
-	_, ok := host.source.boot()
+	_, ok := host.clocks.uptime()
 	return ok
 }
 
-// Watch notices wakings until ctx ends.
+// Watch detects suspensions until ctx ends.
 func Watch(ctx context.Context) {
-	ticker := time.NewTicker(watchEvery)
+	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,130 +10,130 @@
 	. "github.com/onsi/gomega"
 )
 
-// sleeper is a host whose steady clock stands still while it sleeps, beside clocks
-// that go on: its sleeps take no time here.
-type sleeper struct {
-	mu             sync.Mutex
-	slept, stepped time.Duration
-	began          time.Time
-	// mute hosts do not tell the time since they started.
-	mute bool
+// fakeClocks simulates the clocks of a host that can be suspended: a suspension
+// advances the wall clock and the uptime at once, but not the monotonic clock.
+type fakeClocks struct {
+	mu                  sync.Mutex
+	suspended, wallStep time.Duration
+	booted              time.Time
+	// noUptime makes the host not provide its uptime.
+	noUptime bool
 }
 
-func (s *sleeper) now() time.Time { return time.Now() }
+func (s *fakeClocks) now() time.Time { return time.Now() }
 
-func (s *sleeper) day(now time.Time) time.Time {
+func (s *fakeClocks) wallTime(now time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Round(0).Add(s.slept + s.stepped)
+	return now.Round(0).Add(s.suspended + s.wallStep)
 }
 
-func (s *sleeper) boot() (time.Duration, bool) {
+func (s *fakeClocks) uptime() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Since(s.began) + s.slept, !s.mute
+	return time.Since(s.booted) + s.suspended, !s.noUptime
 }
 
-// sleep has the host sleep, and its time of day be stepped meanwhile.
-func (s *sleeper) sleep(slept, stepped time.Duration) {
+// suspend suspends the host and at the same time steps its wall clock by wallStep.
+func (s *fakeClocks) suspend(suspended, wallStep time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slept += slept
-	s.stepped += stepped
+	s.suspended += suspended
+	s.wallStep += wallStep
 }
 
-func newSleeper(t *testing.T) (*sleeper, *Clock) {
+func newTestClock(t *testing.T) (*fakeClocks, *Clock) {
 	RegisterTestingT(t)
-	s := &sleeper{began: time.Now().Add(-time.Hour)}
+	s := &fakeClocks{booted: time.Now().Add(-time.Hour)}
 	return s, newClock(s)
 }
 
-// moment is what a busy test machine may take between two steps.
-const moment = 2 * time.Second
+// timeTolerance allows for delays between two steps on a busy test machine.
+const timeTolerance = 2 * time.Second
 
-func TestNowIsTheSteadyClockUntilTheHostSleeps(t *testing.T) {
-	s, c := newSleeper(t)
+func TestNowFollowsMonotonicClockUntilHostSuspends(t *testing.T) {
+	s, c := newTestClock(t)
 	for range 3 {
-		Expect(c.now()).To(BeTemporally("~", time.Now(), moment))
-		s.sleep(0, time.Hour)
+		Expect(c.now()).To(BeTemporally("~", time.Now(), timeTolerance))
+		s.suspend(0, time.Hour)
 	}
-	Expect(c.asleep()).To(BeZero(), "steps of the time of day are no sleep")
-	Expect(c.now().Sub(c.start)).To(BeNumerically("<", moment))
+	Expect(c.suspendedTime()).To(BeZero(), "steps of the wall clock are no suspension")
+	Expect(c.now().Sub(c.start)).To(BeNumerically("<", timeTolerance))
 }
 
-func TestNowCountsTimeAsleep(t *testing.T) {
-	s, c := newSleeper(t)
+func TestNowCountsSuspendedTime(t *testing.T) {
+	s, c := newTestClock(t)
 	before := c.now()
-	s.sleep(10*time.Second, 0)
-	Expect(c.now().Sub(before)).To(BeNumerically("~", 10*time.Second, moment))
-	Expect(c.nanos()).To(BeNumerically("~", int64(10*time.Second), int64(moment)))
-	s.sleep(time.Minute, 0)
-	Expect(c.now().Sub(before)).To(BeNumerically("~", 70*time.Second, moment))
-	Expect(c.asleep()).To(BeNumerically("~", 70*time.Second, moment))
+	s.suspend(10*time.Second, 0)
+	Expect(c.now().Sub(before)).To(BeNumerically("~", 10*time.Second, timeTolerance))
+	Expect(c.nanos()).To(BeNumerically("~", int64(10*time.Second), int64(timeTolerance)))
+	s.suspend(time.Minute, 0)
+	Expect(c.now().Sub(before)).To(BeNumerically("~", 70*time.Second, timeTolerance))
+	Expect(c.suspendedTime()).To(BeNumerically("~", 70*time.Second, timeTolerance))
 }
 
-func TestASleepHiddenByAStepOfTheTimeOfDayIsFound(t *testing.T) {
-	s, c := newSleeper(t)
+func TestSuspensionHiddenByWallClockStepIsDetected(t *testing.T) {
+	s, c := newTestClock(t)
 	before := c.now()
-	s.sleep(10*time.Second, -10*time.Second)
-	Eventually(func() time.Duration { return c.now().Sub(before) }, 2*moment).Should(BeNumerically("~", 10*time.Second, moment))
+	s.suspend(10*time.Second, -10*time.Second)
+	Eventually(func() time.Duration { return c.now().Sub(before) }, 2*timeTolerance).Should(BeNumerically("~", 10*time.Second, timeTolerance))
 }
 
-func TestAHostThatDoesNotTellHasNoSleeps(t *testing.T) {
-	s, c := newSleeper(t)
+func TestHostWithoutUptimeReportsNoSuspension(t *testing.T) {
+	s, c := newTestClock(t)
 	s.mu.Lock()
-	s.mute = true
+	s.noUptime = true
 	s.mu.Unlock()
-	s.sleep(10*time.Second, 0)
-	Expect(c.asleep()).To(BeZero())
-	Expect(c.now()).To(BeTemporally("~", time.Now(), moment))
+	s.suspend(10*time.Second, 0)
+	Expect(c.suspendedTime()).To(BeZero())
+	Expect(c.now()).To(BeTemporally("~", time.Now(), timeTolerance))
 }
 
-func TestTimersThatCameDueInASleepFireOnWaking(t *testing.T) {
-	s, c := newSleeper(t)
+func TestTimersDueDuringSuspensionFireOnResume(t *testing.T) {
+	s, c := newTestClock(t)
 	var fired, late, stopped atomic.Int32
 	c.afterFunc(10*time.Second, func() { fired.Add(1) })
 	c.afterFunc(time.Hour, func() { late.Add(1) })
 	c.afterFunc(10*time.Second, func() { stopped.Add(1) }).Stop()
 	timer := c.newTimer(10 * time.Second)
-	s.sleep(11*time.Second, 0)
+	s.suspend(11*time.Second, 0)
 	c.now()
-	Eventually(timer.C, moment).Should(Receive())
-	Eventually(fired.Load, moment).Should(Equal(int32(1)))
+	Eventually(timer.C, timeTolerance).Should(Receive())
+	Eventually(fired.Load, timeTolerance).Should(Equal(int32(1)))
 	Expect(timer.Stop()).To(BeFalse())
 
-	s.sleep(11*time.Second, 0)
+	s.suspend(11*time.Second, 0)
 	c.now()
 	Consistently(func() int32 { return fired.Load() + late.Load() + stopped.Load() }, "100ms").Should(Equal(int32(1)))
 	Expect(timer.C).NotTo(Receive())
 }
 
-func TestTimersThatAreNotDueYetKeepTheirTime(t *testing.T) {
-	s, c := newSleeper(t)
+func TestTimersNotYetDueFireAtTheirTimeAfterResume(t *testing.T) {
+	s, c := newTestClock(t)
 	timer := c.newTimer(10*time.Second + 300*time.Millisecond)
-	s.sleep(10*time.Second, 0)
+	s.suspend(10*time.Second, 0)
 	c.now()
 	Consistently(timer.C, "100ms").ShouldNot(Receive())
-	Eventually(timer.C, moment).Should(Receive())
+	Eventually(timer.C, timeTolerance).Should(Receive())
 	Expect(timer.Reset(time.Millisecond)).To(BeFalse())
-	Eventually(timer.C, moment).Should(Receive())
+	Eventually(timer.C, timeTolerance).Should(Receive())
 	timer.Reset(time.Hour)
 	Expect(timer.Stop()).To(BeTrue())
-	Expect(c.alarms.all()).To(BeEmpty(), "nothing is left behind")
+	Expect(c.deadlines.all()).To(BeEmpty(), "stopped timers leave no armed deadlines")
 }
 
-func TestDeadlinesThatPassedInASleepEndOnWaking(t *testing.T) {
-	s, c := newSleeper(t)
+func TestDeadlinesPassedDuringSuspensionExpireOnResume(t *testing.T) {
+	s, c := newTestClock(t)
 	ctx, cancel := c.withTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	soon, cancelSoon := c.withTimeout(context.Background(), 11*time.Second+200*time.Millisecond)
 	defer cancelSoon()
 	later, cancelLater := c.withTimeout(context.Background(), time.Hour)
-	s.sleep(11*time.Second, 0)
+	s.suspend(11*time.Second, 0)
 	c.now()
-	Eventually(ctx.Done(), moment).Should(BeClosed())
+	Eventually(ctx.Done(), timeTolerance).Should(BeClosed())
 	Expect(context.Cause(ctx)).To(MatchError(context.DeadlineExceeded))
-	Eventually(soon.Done(), moment).Should(BeClosed())
+	Eventually(soon.Done(), timeTolerance).Should(BeClosed())
 	Expect(context.Cause(soon)).To(MatchError(context.DeadlineExceeded))
 	Expect(later.Err()).NotTo(HaveOccurred())
 	cancelLater()
@@ -141,34 +141,34 @@
 
 	short, cancelShort := c.withTimeout(context.Background(), 10*time.Millisecond)
 	defer cancelShort()
-	Eventually(short.Done(), moment).Should(BeClosed())
+	Eventually(short.Done(), timeTolerance).Should(BeClosed())
 	Expect(short.Err()).To(MatchError(context.DeadlineExceeded))
 }
 
-func TestWakingsAreTold(t *testing.T) {
-	s, c := newSleeper(t)
-	var slept atomic.Int64
-	stop := c.onWake(func(d time.Duration) { slept.Add(int64(d)) })
-	s.sleep(10*time.Second, 0)
+func TestResumeCallbacksAreCalled(t *testing.T) {
+	s, c := newTestClock(t)
+	var suspended atomic.Int64
+	stop := c.onResume(func(d time.Duration) { suspended.Add(int64(d)) })
+	s.suspend(10*time.Second, 0)
 	c.now()
-	Eventually(slept.Load, moment).Should(BeNumerically("~", int64(10*time.Second), int64(moment)))
+	Eventually(suspended.Load, timeTolerance).Should(BeNumerically("~", int64(10*time.Second), int64(timeTolerance)))
 	stop()
-	s.sleep(time.Hour, 0)
+	s.suspend(time.Hour, 0)
 	c.now()
-	Consistently(slept.Load, "50ms").Should(BeNumerically("<", int64(time.Minute)))
+	Consistently(suspended.Load, "50ms").Should(BeNumerically("<", int64(time.Minute)))
 }
 
-func TestTheHostTellsTheTimeSinceItStarted(t *testing.T) {
+func TestHostReportsUptime(t *testing.T) {
 	RegisterTestingT(t)
-	_, ok := hostSource{&atomic.Int64{}}.boot()
+	_, ok := hostClocks{&atomic.Int64{}}.uptime()
 	Expect(ok).To(BeTrue())
 	before := Now()
-	Expect(Since(before)).To(BeNumerically("<", moment))
-	Expect(Steady(Now().Add(time.Hour))).To(BeTemporally("~", time.Now().Add(time.Hour), moment))
-	Expect(Asleep()).To(BeNumerically("<", moment))
+	Expect(Since(before)).To(BeNumerically("<", timeTolerance))
+	Expect(Steady(Now().Add(time.Hour))).To(BeTemporally("~", time.Now().Add(time.Hour), timeTolerance))
+	Expect(Asleep()).To(BeNumerically("<", timeTolerance))
 	Simulate(time.Hour)
-	Expect(Since(before)).To(BeNumerically("~", time.Hour, moment))
-	Expect(Steady(Now().Add(time.Hour))).To(BeTemporally("~", time.Now().Add(time.Hour), moment))
+	Expect(Since(before)).To(BeNumerically("~", time.Hour, timeTolerance))
+	Expect(Steady(Now().Add(time.Hour))).To(BeTemporally("~", time.Now().Add(time.Hour), timeTolerance))
 }
 
 func BenchmarkNow(b *testing.B) {
--- a/internal/clock/doc.go
+++ b/internal/clock/doc.go
@@ -1,21 +1,21 @@
-// Package clock is the time by which daemons decide: steady, and counting the time
-// for which the host was asleep.
+// Package clock provides the time source for the daemons' decisions: a monotonic clock
+// that includes the time for which the host was suspended.
 //
-// A suspended host's steady clock (CLOCK_MONOTONIC, by which the standard library
-// compares times and runs its timers) stands still; CLOCK_BOOTTIME and the time of
-// day go on. By the steady clock a view, a lease or a deadline would look as young
-// after a night as before it.
+// While a host is suspended its monotonic clock (CLOCK_MONOTONIC, which the standard
+// library uses to compare times and run timers) stands still, whereas CLOCK_BOOTTIME
+// and the wall clock advance. Measured by the monotonic clock, a membership view, a
+// lease or a deadline would not have aged at all during a night of suspension.
 //
-// Now, Since and Until count the time asleep. Timers and deadlines of this package
-// that came due meanwhile fire when the host wakes, and the others at their time.
-// Times of this package must not be compared with time.Now, nor given to the
-// standard library as deadlines: Steady translates them.
+// Now, Since and Until include suspended time. Timers and deadlines of this package
+// that became due during a suspension fire when the host resumes; the others fire at
+// their due time. Times of this package must not be compared with time.Now or passed to
+// the standard library as deadlines; convert them with Steady.
 //
-// Until the host first sleeps, Now is time.Now. Afterwards its time of day no longer
-// follows the steps of the host's own.
+// Now equals time.Now until the first suspension of the host. After it, the wall clock
+// reading in the returned times no longer follows steps of the host's wall clock.
 //
-// Contract: waking is noticed by the next call of Now, and by Watch within
-// watchEvery; both compare what the time of day and the steady clock have advanced,
-// which costs no system call, and ask CLOCK_BOOTTIME only where these differ, or now
-// and then. All functions are safe for concurrent use.
+// A suspension is detected by the next call of Now, and by Watch within watchInterval.
+// Both compare how far the wall clock and the monotonic clock have advanced, which
+// needs no system call. They read CLOCK_BOOTTIME only if the two differ, and every
+// maxMeasureInterval. All functions are safe for concurrent use.
 package clock
--- a/internal/clock/timer.go
+++ b/internal/clock/timer.go
@@ -5,65 +5,65 @@
 	"time"
 )
 
-// Timer is as the standard library's, and fires when the host wakes if it came due
-// in its sleep.
+// Timer is like time.Timer, but a timer that became due while the host was suspended
+// fires when the host resumes.
 type Timer struct {
-	// C gets the time when the timer fires; nil for AfterFunc.
-	C     <-chan time.Time
-	c     *Clock
-	out   chan time.Time
-	timer *time.Timer
-	alarm alarm
-	f     func()
+	// C receives the time when the timer fires. It is nil for AfterFunc.
+	C        <-chan time.Time
+	clock    *Clock
+	out      chan time.Time
+	timer    *time.Timer
+	deadline deadline
+	onFire   func()
 }
 
-// NewTimer returns a timer that sends the time on C after d.
+// NewTimer returns a timer that sends the current time on C after d.
 func NewTimer(d time.Duration) *Timer { return host.newTimer(d) }
 
-// AfterFunc calls f in a goroutine of its own after d.
+// AfterFunc calls f in its own goroutine after d.
 func AfterFunc(d time.Duration, f func()) *Timer { return host.afterFunc(d, f) }
 
 func (c *Clock) newTimer(d time.Duration) *Timer {
 	out := make(chan time.Time, 1)
-	t := &Timer{C: out, out: out, c: c}
-	t.f = func() {
+	t := &Timer{C: out, out: out, clock: c}
+	t.onFire = func() {
 		select {
 		case out <- c.now():
-		default: // nobody has taken the one before
+		default: // the previous time has not been received yet
 		}
 	}
-	return t.begin(d)
+	return t.start(d)
 }
 
 func (c *Clock) afterFunc(d time.Duration, f func()) *Timer {
-	return (&Timer{c: c, f: f}).begin(d)
+	return (&Timer{clock: c, onFire: f}).start(d)
 }
 
-func (t *Timer) begin(d time.Duration) *Timer {
-	t.c.alarms.place(&t.alarm)
-	t.alarm.woken = func(left time.Duration) { t.timer.Reset(max(0, left)) }
-	// The alarm waits for the timer that it is to reset.
+func (t *Timer) start(d time.Duration) *Timer {
+	t.clock.deadlines.assignShard(&t.deadline)
+	t.deadline.onResume = func(left time.Duration) { t.timer.Reset(max(0, left)) }
+	// onResume resets the timer, so the timer must exist before the deadline is armed.
 	t.timer = time.AfterFunc(time.Hour, t.fire)
-	t.alarm.set(t.c.nanos() + int64(d))
+	t.deadline.arm(t.clock.nanos() + int64(d))
 	t.timer.Reset(d)
 	return t
 }
 
-// fire calls what is due, unless the timer was stopped meanwhile.
+// fire runs onFire unless the timer was stopped in the meantime.
 func (t *Timer) fire() {
-	if t.alarm.unset() {
-		t.f()
+	if t.deadline.disarm() {
+		t.onFire()
 	}
 }
 
-// Stop ends the timer and says whether it had not fired.
+// Stop stops the timer and reports whether it was still pending.
 func (t *Timer) Stop() bool {
-	active := t.alarm.unset()
+	active := t.deadline.disarm()
 	t.timer.Stop()
 	return active
 }
 
-// Reset has the timer fire after d, and says whether it had not fired.
+// Reset makes the timer fire after d and reports whether it was still pending.
 func (t *Timer) Reset(d time.Duration) bool {
 	active := t.Stop()
 	if t.out != nil {
@@ -72,19 +72,20 @@
 		default:
 		}
 	}
-	t.alarm.set(t.c.nanos() + int64(d))
+	t.deadline.arm(t.clock.nanos() + int64(d))
 	t.timer.Reset(d)
 	return active
 }
 
-// WithTimeout is WithDeadline after d.
+// WithTimeout is WithDeadline with a deadline after d.
 func WithTimeout(parent context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	return host.withTimeout(parent, d)
 }
 
-// WithDeadline returns a context that ends at a time of this package, or when the
-// host wakes after it. The context's own Deadline is of the steady clock; one that
-// passed in a sleep ends it as cancelled, with DeadlineExceeded as the cause.
+// WithDeadline returns a context that ends at the given time of this package, or on
+// resume if that time passed while the host was suspended. The context's own Deadline
+// follows the monotonic clock. A deadline that passed during a suspension cancels the
+// context with DeadlineExceeded as the cause.
 func WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	return host.withTimeout(parent, at.Sub(host.now()))
 }
@@ -92,24 +93,24 @@
 func (c *Clock) withTimeout(parent context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	inner, end := context.WithCancelCause(parent)
 	ctx, cancel := context.WithTimeout(inner, d)
-	t := &alarm{woken: func(left time.Duration) {
+	t := &deadline{onResume: func(left time.Duration) {
 		if left <= 0 {
 			end(context.DeadlineExceeded)
 			return
 		}
 		time.AfterFunc(left, func() { end(context.DeadlineExceeded) })
 	}}
-	c.alarms.place(t)
-	t.set(c.nanos() + int64(d))
+	c.deadlines.assignShard(t)
+	t.arm(c.nanos() + int64(d))
 	return ctx, func() {
-		t.unset()
+		t.disarm()
 		cancel()
 		end(context.Canceled)
 	}
 }
 
-// DeadlineOf returns a context's deadline as a time of this package; false without
-// one.
+// DeadlineOf returns a context's deadline as a time of this package, or false if it has
+// none.
 func DeadlineOf(ctx context.Context) (time.Time, bool) {
 	steady, ok := ctx.Deadline()
 	if !ok {
@@ -118,5 +119,5 @@
 	return host.now().Add(time.Until(steady)), true
 }
 
-// After returns a channel that gets the time after d.
+// After returns a channel that receives the current time after d.
 func After(d time.Duration) <-chan time.Time { return NewTimer(d).C }
--- a/membership/calls.go
+++ b/membership/calls.go
@@ -11,35 +11,37 @@
 	"github.com/wheatseam/wheatseam/peer"
 )
 
-// maxCalls bounds the calls to peers in flight.
-const maxCalls = 256
+// maxCallsInFlight bounds the calls to peers that are in flight at the same time.
+const maxCallsInFlight = 256
 
-// ErrBusy says that there is no place for another call.
+// ErrBusy reports that the maximum number of calls is already in flight.
 var ErrBusy = errors.New("membership: too many calls in flight")
 
-// Calls makes calls to fellow daemons in goroutines of their own, a bounded
-// number at a time.
-type Calls struct {
-	caller peer.Caller
-	places chan struct{}
+// CallPool makes calls to peers, each in its own goroutine. The number of calls in
+// flight is bounded.
+type CallPool struct {
+	caller  peer.Caller
+	permits chan struct{}
 }
 
-// NewCalls returns a Calls that needs a caller before its first call.
-func NewCalls() *Calls { return &Calls{places: make(chan struct{}, maxCalls)} }
+// NewCallPool returns a pool. SetCaller must be called before the first call.
+func NewCallPool() *CallPool { return &CallPool{permits: make(chan struct{}, maxCallsInFlight)} }
 
-// Use sets the caller; it is called once, before the first call.
-func (c *Calls) Use(caller peer.Caller) { c.caller = caller }
+// SetCaller sets the caller. It is called once, before the first call.
+func (c *CallPool) SetCaller(caller peer.Caller) { c.caller = caller }
 
-// Go calls a host; done is called once, at the latest after the timeout.
-func (c *Calls) Go(host, method string, req, resp proto.Message, timeout time.Duration, done func(error)) {
+// Go calls method at host in its own goroutine and passes the result to done, at the
+// latest after timeout. If maxCallsInFlight calls are in flight it passes ErrBusy at
+// once. done is called exactly once.
+func (c *CallPool) Go(host, method string, req, resp proto.Message, timeout time.Duration, done func(error)) {
 	select {
-	case c.places <- struct{}{}:
+	case c.permits <- struct{}{}:
 	default:
 		done(ErrBusy)
 		return
 	}
 	go func() {
-		defer func() { <-c.places }()
+		defer func() { <-c.permits }()
 		ctx, cancel := clock.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		done(c.caller.Call(ctx, host, method, req, resp))
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -1,6 +1,6 @@
-// Package membership drives core/member in a daemon: one goroutine steps the
-// machine with the real clock, carries its messages to fellow daemons and
-// publishes what it believes as immutable snapshots.
+// Package membership runs the state machine of core/member in a daemon. One goroutine
+// steps the machine with the real clock, sends its messages to the peers and publishes
+// its state as immutable snapshots.
 package membership
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// The methods between daemons.
+// The RPC methods of the membership protocol.
 const (
 	methodPing        = "member.ping"
 	methodPingRequest = "member.ping_request"
@@ -28,111 +28,117 @@
 	methodPush        = "member.push"
 )
 
-// callTimeout bounds one call of membership. A probe is long judged by then.
+// callTimeout bounds one membership call. The machine's own probe timeout is shorter,
+// so the outcome of a probe is decided by then.
 const callTimeout = 2 * time.Second
 
-// Hooks are called in the loop's goroutine and must not block. Each may be nil.
+// Hooks are callbacks of the loop. They are called in the loop's goroutine and must not
+// block. Each may be nil.
 type Hooks struct {
-	// Slot hears the extensions' values.
+	// Slot is called with each extension value that arrives.
 	Slot func(member.SlotHeard)
-	// Changed hears every change of the belief about a host.
+	// Changed is called with each change of a member's state.
 	Changed func(member.Member)
-	// Fresh hears whether the views are renewed since the start or last pause.
+	// Fresh is called when the views become stale, and when they have been renewed
+	// after the start or after a pause.
 	Fresh func(bool)
-	// View hears every new snapshot and the one before.
+	// View is called with each new snapshot and the one before it.
 	View func(next, old *View)
 }
 
 // View is an immutable snapshot of membership.
 type View struct {
-	// Members are all hosts sorted by name, this one included.
+	// Members lists all hosts including this one, sorted by name.
 	Members    []member.Member
 	Neighbours []string
 	Living     int
-	// Leaving names the upstreams that leave, sorted.
+	// Leaving lists the names of the upstreams that are leaving, sorted.
 	Leaving    []string
 	Fresh      bool
 	Skewed     bool
 	Superseded bool
 }
 
-// Loop steps the membership machine.
+// Loop runs the membership state machine.
 type Loop struct {
-	calls *Calls
-	hooks Hooks
-	log   *zap.Logger
-	m     *member.Machine
-	q     *workqueue.Queue
-	view  atomic.Pointer[View]
-	// published is when the snapshot was last renewed.
-	published time.Time
-	// changed says that something in the snapshot may have changed.
-	changed bool
+	calls   *CallPool
+	hooks   Hooks
+	log     *zap.Logger
+	machine *member.Machine
+	queue   *workqueue.Queue
+	view    atomic.Pointer[View]
+	// lastPublished is the time of the last snapshot.
+	lastPublished time.Time
+	// viewChanged reports that the content of the snapshot may have changed since it
+	// was published.
+	viewChanged bool
 }
 
-// publishInterval is how often the snapshot is renewed without a change, for
-// the times in it.
+// publishInterval is how often the snapshot is republished without a change, to update
+// the times it contains.
 const publishInterval = time.Second
 
-// New returns a loop that has not started and registers its methods in mux.
-// The error names an extension that breaks the bounds.
-func New(cfg member.Config, seed uint64, mux *peer.Mux, calls *Calls, hooks Hooks, log *zap.Logger) (*Loop, error) {
+// New returns a loop that has not started, and registers its methods in mux. The error names an invalid extension of cfg.
+func New(cfg member.Config, seed uint64, mux *peer.Mux, calls *CallPool, hooks Hooks, log *zap.Logger) (*Loop, error) {
 	m, err := member.New(cfg, clock.Now(), rand.New(rand.NewPCG(seed, 1)))
 	if err != nil {
 		return nil, err
 	}
-	l := &Loop{calls: calls, hooks: hooks, log: log, m: m, q: workqueue.New()}
+	l := &Loop{calls: calls, hooks: hooks, log: log, machine: m, queue: workqueue.New()}
 	l.view.Store(&View{})
 	l.handle(mux)
 	return l, nil
 }
 
-// View returns the newest snapshot.
+// View returns the latest snapshot.
 func (l *Loop) View() *View { return l.view.Load() }
 
-// Run steps the machine until ctx ends.
+// Run runs the state machine until ctx ends.
 func (l *Loop) Run(ctx context.Context) {
-	l.q.Run(ctx, member.TickInterval, func() { l.step(member.Tick{}) })
+	l.queue.Run(ctx, member.TickInterval, func() { l.step(member.Tick{}) })
 }
 
 // Post queues an event.
-func (l *Loop) Post(e member.Event) { l.q.Add(func() { l.step(e) }) }
+func (l *Loop) Post(e member.Event) { l.queue.Add(func() { l.step(e) }) }
 
-// PostIf queues an event that counts only if cond holds when its turn comes.
+// PostIf queues an event that is dropped unless cond holds when it is taken from the
+// queue.
 func (l *Loop) PostIf(cond func() bool, e member.Event) {
-	l.q.Add(func() {
+	l.queue.Add(func() {
 		if cond() {
 			l.step(e)
 		}
 	})
 }
 
-// Inspect runs f on the machine, waiting at most until ctx ends.
+// Inspect runs f with the machine in the loop's goroutine. It waits until f has run or
+// ctx ends.
 func (l *Loop) Inspect(ctx context.Context, f func(*member.Machine)) {
-	l.q.Inspect(ctx, func() { f(l.m) })
+	l.queue.Inspect(ctx, func() { f(l.machine) })
 }
 
-// step passes an event and carries out the actions.
+// step passes an event to the machine and executes the resulting actions.
 func (l *Loop) step(e member.Event) {
-	for _, a := range l.m.Step(clock.Now(), e) {
-		l.perform(a)
+	for _, a := range l.machine.Step(clock.Now(), e) {
+		l.execute(a)
 	}
 	if _, ok := e.(member.Configured); ok {
-		l.changed = true
+		l.viewChanged = true
 	}
 	l.publish()
 }
 
-// ask passes a peer's message and returns the machine's answer to it.
-func (l *Loop) ask(ctx context.Context, from string, msg proto.Message, isAnswer func(proto.Message) bool) (proto.Message, error) {
+// request passes a peer's message to the machine and returns the machine's answer to
+// it.
+func (l *Loop) request(ctx context.Context, from string, msg proto.Message, isAnswer func(proto.Message) bool) (proto.Message, error) {
 	answers := make(chan proto.Message, 1)
-	l.q.Add(func() {
-		for _, a := range l.m.Step(clock.Now(), member.Received{From: from, Msg: msg}) {
+	l.queue.Add(func() {
+		for _, a := range l.machine.Step(clock.Now(), member.Received{From: from, Msg: msg}) {
 			if s, ok := a.(member.Send); ok && s.To == from && isAnswer(s.Msg) {
 				answers <- s.Msg
 				continue
 			}
-			l.perform(a)
+			l.execute(a)
 		}
 		l.publish()
 	})
@@ -144,10 +150,10 @@
 	}
 }
 
-// perform carries out one action.
-func (l *Loop) perform(action member.Action) {
+// execute executes one action.
+func (l *Loop) execute(action member.Action) {
 	log := l.log
-	l.changed = l.changed || changesView(action)
+	l.viewChanged = l.viewChanged || affectsView(action)
 	switch a := action.(type) {
 	case member.Send:
 		l.send(a)
@@ -162,23 +168,23 @@
 			l.hooks.Changed(a.Member)
 		}
 	case member.UpstreamChanged:
-		log.Info("upstream leaving", zap.String("upstream", a.Name), zap.Bool("leaving", a.Leaving))
+		log.Info("upstream leaving state changed", zap.String("upstream", a.Name), zap.Bool("leaving", a.Leaving))
 	case member.Freshness:
-		log.Info("views renewed", zap.Bool("fresh", a.Fresh))
+		log.Info("freshness of the membership views changed", zap.Bool("fresh", a.Fresh))
 		if l.hooks.Fresh != nil {
 			l.hooks.Fresh(a.Fresh)
 		}
 	case member.SkewChanged:
-		log.Warn("clock against the peers' median", zap.Bool("skewed", a.Skewed), zap.Duration("offset", a.Offset))
+		log.Warn("clock skew against the peers' median changed", zap.Bool("skewed", a.Skewed), zap.Duration("offset", a.Offset))
 	case member.Superseded:
-		log.Error("a later process of this host lives", zap.Uint64("incarnation", a.By))
+		log.Error("a later process of this host is running", zap.Uint64("incarnation", a.By))
 	case member.Refused:
 		log.Warn("membership message refused", zap.String("peer", a.From), zap.String("reason", a.Reason))
 	}
 }
 
-// changesView says whether an action may change the snapshot.
-func changesView(a member.Action) bool {
+// affectsView reports whether an action may change the snapshot.
+func affectsView(a member.Action) bool {
 	switch a.(type) {
 	case member.Send, member.SlotHeard, member.Refused:
 		return false
@@ -186,16 +192,16 @@
 	return true
 }
 
-// publish renews the snapshot when something changed.
+// publish publishes a new snapshot if something changed or publishInterval has passed.
 func (l *Loop) publish() {
-	if !l.changed && clock.Since(l.published) < publishInterval {
+	if !l.viewChanged && clock.Since(l.lastPublished) < publishInterval {
 		return
 	}
-	l.changed, l.published = false, clock.Now()
+	l.viewChanged, l.lastPublished = false, clock.Now()
 	old := l.view.Load()
 	next := &View{
-		Members: l.m.Members(), Neighbours: l.m.Neighbours(), Living: l.m.Living(), Leaving: l.m.LeavingUpstreams(),
-		Fresh: l.m.Fresh(), Skewed: l.m.Skewed(), Superseded: l.m.Superseded(),
+		Members: l.machine.Members(), Neighbours: l.machine.Neighbours(), Living: l.machine.Living(), Leaving: l.machine.LeavingUpstreams(),
+		Fresh: l.machine.Fresh(), Skewed: l.machine.Skewed(), Superseded: l.machine.Superseded(),
 	}
 	l.view.Store(next)
 	if l.hooks.View != nil {
@@ -203,7 +209,7 @@
 	}
 }
 
-// send calls a peer and feeds back the answer or the failure.
+// send calls a peer and posts the answer or the failure to the machine.
 func (l *Loop) send(s member.Send) {
 	method, answer := methodOf(s.Msg)
 	l.calls.Go(s.To, method, s.Msg, answer, callTimeout, func(err error) {
@@ -216,8 +222,8 @@
 	})
 }
 
-// methodOf returns the method that carries a message and a place for its
-// answer.
+// methodOf returns the method that carries a message, and an empty message to decode
+// the answer into.
 func methodOf(msg proto.Message) (method string, answer proto.Message) {
 	switch msg.(type) {
 	case *wire.MemberPing:
@@ -233,23 +239,23 @@
 	}
 }
 
-// handle registers the methods.
+// handle registers the methods of the membership protocol in mux.
 func (l *Loop) handle(mux *peer.Mux) {
 	peer.Handle(mux, methodPing, func(ctx context.Context, from peer.Sender, req *wire.MemberPing) (*wire.MemberAck, error) {
-		return askFor[*wire.MemberAck](ctx, l, from, req)
+		return requestAnswer[*wire.MemberAck](ctx, l, from, req)
 	})
 	peer.Handle(mux, methodSync, func(ctx context.Context, from peer.Sender, req *wire.MemberSync) (*wire.MemberSyncReply, error) {
-		return askFor[*wire.MemberSyncReply](ctx, l, from, req)
+		return requestAnswer[*wire.MemberSyncReply](ctx, l, from, req)
 	})
 	handleOneWay[*wire.MemberPingRequest](l, mux, methodPingRequest)
 	handleOneWay[*wire.MemberRelayAck](l, mux, methodRelayAck)
 	handleOneWay[*wire.MemberPush](l, mux, methodPush)
 }
 
-// askFor asks the membership loop for the answer of type A.
-func askFor[A proto.Message](ctx context.Context, l *Loop, from peer.Sender, req proto.Message) (A, error) {
+// requestAnswer passes a peer's message to the loop and returns the answer, of type A.
+func requestAnswer[A proto.Message](ctx context.Context, l *Loop, from peer.Sender, req proto.Message) (A, error) {
 	isAnswer := func(m proto.Message) bool { _, ok := m.(A); return ok }
-	answer, err := l.ask(ctx, from.Host, req, isAnswer)
+	answer, err := l.request(ctx, from.Host, req, isAnswer)
 	if err != nil {
 		var none A
 		return none, err
--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -18,7 +18,7 @@
 	"github.com/wheatseam/wheatseam/peer"
 )
 
-// benchFleet makes transports for benchmarks, with TLS or without.
+// benchFleet starts transports for benchmarks, with or without TLS.
 type benchFleet struct {
 	b         *testing.B
 	dir       string
@@ -80,7 +80,7 @@
 	}
 }
 
-// cpuTime is the CPU time of this process, user and system.
+// cpuTime returns the CPU time of this process, user and system.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -89,8 +89,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkCall measures one call, both ends in this process: CPU time of both
-// and bytes on the wire both ways.
+// BenchmarkCall measures one call with both ends in this process: the CPU time of both
+// ends and the bytes on the wire in both directions.
 func BenchmarkCall(b *testing.B) {
 	for _, tls := range []bool{false, true} {
 		for _, size := range []int{64, 4096} {
@@ -130,9 +130,9 @@
 	b.ReportMetric(float64(sent.Get()+received.Get()-before)/float64(b.N), "wire-B/call")
 }
 
-// BenchmarkIdleSessions measures the memory of one end of an idle session: the
-// growth of heap and stacks of this process, which has both ends, by half. Then
-// it measures a round of one call on each of the sessions.
+// BenchmarkIdleSessions measures the memory of one end of an idle session: half of the
+// growth of this process's heap and stacks, since the process holds both ends. Then it
+// measures one call on each of the sessions.
 func BenchmarkIdleSessions(b *testing.B) {
 	for _, tls := range []bool{false, true} {
 		for _, n := range []int{10, 50, 100, 200, 409} {
@@ -153,12 +153,12 @@
 			f.call(hub, fmt.Sprint("peer-", i), req)
 		}
 	}
-	before := memory()
+	before := heapAndStackBytes()
 	round()
 	if live := len(hub.Sessions()); live != n {
 		b.Fatalf("%d sessions, want %d", live, n)
 	}
-	grown := memory() - before
+	grown := heapAndStackBytes() - before
 	cpu := cpuTime()
 	b.ResetTimer()
 	for range b.N {
@@ -169,8 +169,9 @@
 	b.ReportMetric(float64(cpuTime()-cpu)/float64(b.N)/float64(n)/1000, "cpu-µs/call")
 }
 
-// memory is what heap and stacks take after a collection.
-func memory() int64 {
+// heapAndStackBytes returns the size of the heap and the stacks after a garbage
+// collection.
+func heapAndStackBytes() int64 {
 	time.Sleep(50 * time.Millisecond) // lets goroutines of finished calls end
 	runtime.GC()
 	runtime.GC()
--- a/peer/call.go
+++ b/peer/call.go
@@ -15,21 +15,21 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// Caller sends one request to a host and waits for its answer.
+// Caller sends a request to a host and waits for the answer.
 type Caller interface {
 	Call(ctx context.Context, host, method string, req, resp proto.Message) error
 }
 
-// Call sends req to method at host and fills resp with the answer. It returns
-// when the answer is there, or at the latest when ctx ends (CallTimeout without
-// a deadline). An error is a *CallError. The call may have been served when an
-// error is returned, unless Unsent says otherwise.
+// Call sends req to method at host and decodes the answer into resp. It returns when
+// the answer has arrived or ctx ends; without a deadline in ctx, CallTimeout applies.
+// Errors are of type *CallError. After an error the peer may still have served the
+// call, unless Unsent reports true.
 func (t *Transport) Call(ctx context.Context, host, method string, req, resp proto.Message) error {
 	_, err := t.Exchange(ctx, host, method, req, resp)
 	return err
 }
 
-// Exchange is Call that also says which process answered, and when.
+// Exchange is like Call, but also returns the process that answered and when it did.
 func (t *Transport) Exchange(ctx context.Context, host, method string, req, resp proto.Message) (Sender, error) {
 	start := clock.Now()
 	if _, ok := ctx.Deadline(); !ok {
@@ -45,7 +45,8 @@
 	return from, nil
 }
 
-// exchange returns the answerer, and whether the request may have left.
+// exchange makes one call. It returns the process that answered and whether the request
+// may have been sent.
 func (t *Transport) exchange(ctx context.Context, host, method string, req, resp proto.Message) (Sender, bool, error) {
 	payload, err := proto.Marshal(req)
 	if err != nil {
@@ -62,7 +63,7 @@
 		return Sender{}, true, remoteError(host, method, env)
 	}
 	if env.From != host {
-		return Sender{}, true, fmt.Errorf("%w: %q answered for %q", ErrIdentity, env.From, host)
+		return Sender{}, true, fmt.Errorf("%w: a process of host %q answered a call to host %q", ErrIdentity, env.From, host)
 	}
 	if err := proto.Unmarshal(env.Payload, resp); err != nil {
 		return Sender{}, true, fmt.Errorf("%w: answer: %w", ErrMalformed, err)
@@ -70,7 +71,7 @@
 	return senderOf(env), true, nil
 }
 
-// callSelf serves a call to this host itself without a connection.
+// callSelf serves a call to this host directly, without a connection.
 func (t *Transport) callSelf(ctx context.Context, method string, payload []byte, resp proto.Message) (Sender, bool, error) {
 	self := senderOf(t.envelope())
 	answer, err := t.dispatch(ctx, self, method, payload)
@@ -83,8 +84,8 @@
 	return self, true, proto.Unmarshal(answer, resp)
 }
 
-// send makes the call over a session; one that ended before anything was sent
-// is replaced once.
+// send makes the call over a session. If the session ended before anything was sent, it
+// retries once on another session.
 func (t *Transport) send(ctx context.Context, host, method string, payload []byte) (*wire.Envelope, bool, error) {
 	for retry := false; ; retry = true {
 		s, err := t.session(ctx, host)
@@ -100,33 +101,33 @@
 	}
 }
 
-// exchanged is the end of one exchange on a stream.
-type exchanged struct {
+// exchangeResult is the outcome of one exchange on a stream.
+type exchangeResult struct {
 	env *wire.Envelope
 	err error
 }
 
-// call makes one call on the session. The exchange runs in a goroutine of its
-// own, since opening a stream and writing to it do not end with ctx; it is
-// bounded by writeTimeout and the places of the session.
+// call makes one call on the session. The exchange runs in its own goroutine, because
+// opening a stream and writing to it do not stop when ctx ends. writeTimeout bounds its
+// duration and the call permits bound the number of such goroutines.
 func (s *session) call(ctx context.Context, method string, payload []byte) (*wire.Envelope, bool, error) {
-	if err := s.takePlace(ctx); err != nil {
+	if err := s.acquireCallPermit(ctx); err != nil {
 		return nil, false, err
 	}
-	frame, err := s.request(ctx, method, payload)
+	frame, err := s.encodeRequest(ctx, method, payload)
 	if err != nil {
-		s.freePlace()
+		s.releaseCallPermit()
 		return nil, false, err
 	}
-	s.t.counters.countSent(method, roleCaller, len(frame))
-	s.meter.await()
-	defer s.meter.settle()
+	s.transport.counters.countSent(method, roleCaller, len(frame))
+	s.conn.beginAwait()
+	defer s.conn.endAwait()
 	var sent atomic.Bool
-	done := make(chan exchanged, 1)
+	done := make(chan exchangeResult, 1)
 	go func() {
 		env, err := s.exchange(ctx, method, frame, &sent)
-		s.freePlace() // before the answer, for the caller's next call
-		done <- exchanged{env, err}
+		s.releaseCallPermit() // released before the result is delivered, so that the caller's next call finds a permit
+		done <- exchangeResult{env, err}
 	}()
 	select {
 	case e := <-done:
@@ -134,67 +135,69 @@
 			e.err = contextError(ctx)
 		}
 		if e.err != nil {
-			s.checkSilence()
+			s.suspectIfSilent()
 		}
 		return e.env, sent.Load(), e.err
 	case <-ctx.Done():
-		s.checkSilence()
+		s.suspectIfSilent()
 		return nil, sent.Load(), contextError(ctx)
 	}
 }
 
-// takePlace waits for a place among the session's calls in flight.
-func (s *session) takePlace(ctx context.Context) error {
-	s.touch()
+// acquireCallPermit waits for a permit to have another call in flight on the session.
+// It returns ErrBusy if MaxWaiting calls are already waiting.
+func (s *session) acquireCallPermit(ctx context.Context) error {
+	s.markUsed()
 	select {
-	case s.places <- struct{}{}:
+	case s.callPermits <- struct{}{}:
 		return nil
 	default:
 	}
-	if s.waiting.Add(1) > int32(s.t.cfg.MaxWaiting) {
-		s.waiting.Add(-1)
-		return fmt.Errorf("%w: %d wait for %s", ErrBusy, s.t.cfg.MaxWaiting, s.peer.Host)
+	if s.queuedCalls.Add(1) > int32(s.transport.cfg.MaxWaiting) {
+		s.queuedCalls.Add(-1)
+		return fmt.Errorf("%w: %d calls are already waiting for a permit to call %s", ErrBusy, s.transport.cfg.MaxWaiting, s.peer.Host)
 	}
-	defer s.waiting.Add(-1)
+	defer s.queuedCalls.Add(-1)
 	select {
-	case s.places <- struct{}{}:
+	case s.callPermits <- struct{}{}:
 		return nil
-	case <-s.mux.CloseChan():
+	case <-s.yamux.CloseChan():
 		return fmt.Errorf("%w: session ended", ErrUnreachable)
 	case <-ctx.Done():
-		s.checkSilence()
+		s.suspectIfSilent()
 		return contextError(ctx)
 	}
 }
 
-func (s *session) freePlace() {
-	s.touch()
-	<-s.places
+func (s *session) releaseCallPermit() {
+	s.markUsed()
+	<-s.callPermits
 }
 
-// request serialises the envelope of a call with the time that is left.
-func (s *session) request(ctx context.Context, method string, payload []byte) ([]byte, error) {
+// encodeRequest encodes the envelope of a call, including the time left until the
+// deadline.
+func (s *session) encodeRequest(ctx context.Context, method string, payload []byte) ([]byte, error) {
 	if ctx.Err() != nil {
 		return nil, contextError(ctx)
 	}
-	env := s.t.envelope()
+	env := s.transport.envelope()
 	env.Method, env.Payload = method, payload
 	if deadline, ok := ctx.Deadline(); ok {
 		left := time.Until(deadline).Milliseconds()
 		env.TimeoutMs = uint32(min(max(left, 1), math.MaxUint32))
 	}
-	return encode(env, s.t.cfg.MaxMessage)
+	return encode(env, s.transport.cfg.MaxMessage)
 }
 
-// exchange sends a frame on a stream of its own and reads the answer. It sets
-// sent before the first byte of the request can leave.
+// exchange sends a frame on a new stream and reads the answer. It sets sent before the
+// first byte of the request can leave this host.
 func (s *session) exchange(ctx context.Context, method string, frame []byte, sent *atomic.Bool) (*wire.Envelope, error) {
-	stream, err := s.mux.OpenStream()
+	stream, err := s.yamux.OpenStream()
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	defer stream.Close()
-	stop := context.AfterFunc(ctx, func() { expire(stream) })
+	stop := context.AfterFunc(ctx, func() { expireStream(stream) })
 	defer stop()
 	if ctx.Err() != nil {
 		return nil, contextError(ctx)
@@ -203,8 +206,8 @@
 	if _, err := stream.Write(frame); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
-	env, n, err := readFrame(stream, s.t.cfg.MaxMessage)
-	s.t.counters.countReceived(method, roleCaller, n)
+	env, n, err := readFrame(stream, s.transport.cfg.MaxMessage)
+	s.transport.counters.countReceived(method, roleCaller, n)
 	switch {
 	case errors.Is(err, ErrTooLarge), errors.Is(err, ErrMalformed):
 		return nil, err
@@ -214,7 +217,7 @@
 	return env, nil
 }
 
-// expire ends the reads and writes of a stream.
-func expire(stream *yamux.Stream) {
+// expireStream makes pending and future reads and writes of a stream fail.
+func expireStream(stream *yamux.Stream) {
 	_ = stream.SetDeadline(time.Unix(1, 0)) // fails only on a closed stream
 }
--- a/peer/call_test.go
+++ b/peer/call_test.go
@@ -22,7 +22,7 @@
 	var f *fleet
 	BeforeEach(func() { f = newFleet(GinkgoT().TempDir()) })
 
-	It("reaches a method at another host, over one session for both ways", func() {
+	It("calls a method at another host, using one session in both directions", func() {
 		a, b := f.start(f.config("a")), f.start(f.config("b"))
 		Expect(echo(a, "b", "x", time.Second)).To(Equal("a:x"))
 		Expect(echo(b, "a", "y", time.Second)).To(Equal("b:y"))
@@ -30,7 +30,7 @@
 		Expect(b.Sessions()).To(HaveLen(1))
 	})
 
-	It("serves a call to the own host without a session", func() {
+	It("serves a call to its own host without a session", func() {
 		a := f.start(f.config("a"))
 		Expect(echo(a, "a", "x", time.Second)).To(Equal("a:x"))
 		Expect(a.Sessions()).To(BeEmpty())
@@ -38,7 +38,7 @@
 		Expect(a.Call(context.Background(), "a", "absent", &text{}, &resp)).To(MatchError(peer.ErrUnknownMethod))
 	})
 
-	It("tells the handler who sent it, and the caller who answered", func() {
+	It("identifies the sender to the handler and the answering process to the caller", func() {
 		got := make(chan peer.Sender, 1)
 		cfg := f.config("b")
 		peer.Handle(cfg.Mux, "who", func(_ context.Context, from peer.Sender, _ *text) (*text, error) {
@@ -58,7 +58,7 @@
 		Expect(from.SentAt).To(BeTemporally("~", time.Now(), time.Minute))
 	})
 
-	It("gives typed errors for unknown methods, hosts and handlers' errors", func() {
+	It("returns typed errors for unknown methods, unknown hosts and errors of handlers", func() {
 		cfg := f.config("b")
 		peer.Handle(cfg.Mux, "fail", func(context.Context, peer.Sender, *text) (*text, error) {
 			return nil, fmt.Errorf("no: %w", peer.ErrBusy)
@@ -85,14 +85,15 @@
 		Expect(echo(a, "b", "x", time.Second)).To(Equal("a:x"))
 	})
 
-	It("takes a newer message with fields that it does not know", func() {
+	It("accepts a newer message with unknown fields", func() {
 		cfg := f.config("b")
 		peer.Handle(cfg.Mux, "narrow", func(_ context.Context, _ peer.Sender, req *text) (*text, error) {
 			return wrapperspb.String("got " + req.Value), nil
 		})
 		a := f.start(f.config("a"))
 		f.start(cfg)
-		// As a newer release of the message: field 1 is known, 4 and 8 are not.
+		// The request looks like a newer release of the message: the receiver knows
+		// field 1 but not fields 4 and 8.
 		newer := &wire.Envelope{SentUnixMs: 7, TimeoutMs: 9}
 		known, err := proto.Marshal(wrapperspb.String("x"))
 		Expect(err).NotTo(HaveOccurred())
@@ -102,7 +103,7 @@
 		Expect(resp.Value).To(Equal("got x"))
 	})
 
-	It("carries the deadline to the handler", func() {
+	It("propagates the deadline to the handler", func() {
 		cfg := f.config("b")
 		peer.Handle(cfg.Mux, "deadline", func(ctx context.Context, _ peer.Sender, _ *text) (*text, error) {
 			d, _ := ctx.Deadline()
@@ -119,7 +120,7 @@
 		Expect(left).To(And(BeNumerically(">", time.Second), BeNumerically("<=", 3*time.Second)))
 	})
 
-	It("ends at the deadline or the cancellation when the handler is slow", func() {
+	It("returns at the deadline or the cancellation when the handler is slow", func() {
 		cfg := f.config("b")
 		release := make(chan struct{})
 		peer.Handle(cfg.Mux, "slow", func(context.Context, peer.Sender, *text) (*text, error) {
@@ -142,7 +143,7 @@
 		Expect(echo(a, "b", "still there", time.Second)).To(Equal("a:still there"))
 	})
 
-	It("refuses messages over the bound at each side", func() {
+	It("rejects messages over the size limit on each side", func() {
 		big := strings.Repeat("x", 5000)
 		ac, bc := f.config("a"), f.config("b")
 		ac.MaxMessage, bc.MaxMessage = 10000, 4000
@@ -167,7 +168,7 @@
 		Expect(echo(a, "b", "x", time.Second)).To(Equal("a:x"))
 	})
 
-	It("carries messages much larger than a stream's window", func() {
+	It("transfers messages much larger than a stream's window", func() {
 		ac, bc := f.config("a"), f.config("b")
 		ac.MaxMessage, bc.MaxMessage = 4<<20, 4<<20
 		a := f.start(ac)
@@ -178,7 +179,7 @@
 		Expect(got).To(Equal("a:" + big))
 	})
 
-	It("keeps answers apart under concurrent calls both ways", func() {
+	It("returns each answer to its own call under concurrent calls in both directions", func() {
 		ac, bc := f.config("a"), f.config("b")
 		ac.MaxInFlight, bc.MaxInFlight = 16, 16
 		a, b := f.start(ac), f.start(bc)
@@ -200,7 +201,7 @@
 		Expect(wrong.Load()).To(BeZero())
 	})
 
-	It("bounds the calls that wait for a place", func() {
+	It("bounds the number of calls that wait for a permit", func() {
 		ac, bc := f.config("a"), f.config("b")
 		ac.MaxInFlight, ac.MaxWaiting = 1, 1
 		release := make(chan struct{})
--- a/peer/config.go
+++ b/peer/config.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 )
 
-// The defaults and fixed bounds of a transport.
+// The default limits and timeouts of a transport.
 const (
 	DefaultMaxMessage     = 1 << 20
 	DefaultMaxInFlight    = 128
@@ -24,69 +24,71 @@
 	DefaultMaxBackoff     = 5 * time.Second
 )
 
-// Resolver returns the ip:port where a host's daemon listens for peers, and
-// false for a host that it does not know. It is called for each dial, from any
-// goroutine, and must not block.
+// Resolver returns the ip:port where a host's daemon listens for peers, or false for an
+// unknown host. It is called for each dial, from any goroutine, and must not block.
 type Resolver func(host string) (address string, ok bool)
 
-// TLSFiles names the PEM files of a daemon's key pair and of the authority
-// that signed its peers' certificates. A certificate must be valid for the
-// host's name, as server and as client.
+// TLSFiles names the PEM files of a daemon's key pair and of the certificate authority
+// that signed its peers' certificates. A certificate must be valid for the host's name,
+// both as server and as client.
 type TLSFiles struct {
 	CertFile string `yaml:"cert_file"`
 	KeyFile  string `yaml:"key_file"`
 	CAFile   string `yaml:"ca_file"`
 }
 
-// Config is what a Transport needs. Zero values of the bounds and times stand
-// for the defaults above.
+// Config holds the settings and dependencies of a Transport. A zero limit or timeout
+// selects the default above.
 type Config struct {
-	// Host is the name of this host; peers check it against its certificate.
+	// Host is the name of this host. Peers check it against its certificate.
 	Host string
-	// Incarnation is the start of this process in Unix milliseconds.
+	// Incarnation is the start time of this process in Unix milliseconds.
 	Incarnation uint64
-	// Listen is the ip:port for peers; port 0 leaves the choice to the kernel.
+	// Listen is the ip:port to listen on for peers. With port 0 the kernel chooses the
+	// port.
 	Listen string
-	// TLS is needed unless Plaintext is set.
+	// TLS is required unless Plaintext is set.
 	TLS TLSFiles
-	// Plaintext turns TLS off; only loopback addresses are then allowed, unless
+	// Plaintext turns TLS off. Then only loopback addresses are allowed, unless
 	// PrivateNetwork is set too.
 	Plaintext bool
-	// PrivateNetwork says that only the system's own processes reach the
-	// addresses, so that plaintext may be spoken there: on the users' platform
-	// no secret reaches a machine.
+	// PrivateNetwork declares that only this system's own processes can reach the
+	// addresses, so that plaintext is allowed on them. The users' platform needs this,
+	// since it provides no secrets to the machines.
 	PrivateNetwork bool
 	Resolve        Resolver
 	Mux            *Mux
 	Logger         *zap.Logger
-	// Metrics is the set that the transport's counters are registered in.
+	// Metrics is the set in which the transport registers its metrics.
 	Metrics *metrics.Set
 
-	// MaxMessage bounds one serialised envelope in bytes.
+	// MaxMessage is the maximum size of an encoded envelope in bytes.
 	MaxMessage int
-	// MaxInFlight bounds one session's calls in flight, each way.
+	// MaxInFlight bounds the calls in flight on one session, in each direction.
 	MaxInFlight int
-	// MaxWaiting bounds the calls that wait for a session's free place.
+	// MaxWaiting bounds the calls that wait until one session has fewer than
+	// MaxInFlight calls in flight.
 	MaxWaiting int
-	// MaxHandlers bounds the calls served at a time, over all sessions.
+	// MaxHandlers bounds the calls that are served concurrently, over all sessions.
 	MaxHandlers int
-	// MaxSessions bounds the sessions that peers have opened here.
+	// MaxSessions bounds the sessions that peers have opened to this host.
 	MaxSessions int
 	// CallTimeout is the timeout of a call whose context has no deadline.
 	CallTimeout time.Duration
-	// DialTimeout bounds connecting, the TLS handshake and the greeting.
+	// DialTimeout bounds connecting, the TLS handshake and the peer handshake together.
 	DialTimeout time.Duration
-	// SilenceTimeout is how long nothing may arrive on a session while calls
-	// wait for answers before a timed-out call ends the session.
+	// SilenceTimeout is how long no data may arrive on a session with calls waiting for
+	// answers before a call that times out makes the session suspect. A suspect session
+	// is closed unless the peer answers a ping within the same time.
 	SilenceTimeout time.Duration
-	// IdleTimeout is how long a session without calls is kept.
+	// IdleTimeout is how long a session without calls is kept open.
 	IdleTimeout time.Duration
-	// MinBackoff and MaxBackoff bound the time between dials of a dead peer.
+	// MinBackoff and MaxBackoff bound the time between dials of an unreachable peer.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
 }
 
-// withDefaults returns c with the defaults filled in.
+// withDefaults returns c with defaults for the settings that are zero.
 func (c Config) withDefaults() Config {
 	orInt := func(v *int, d int) {
 		if *v <= 0 {
@@ -121,19 +123,19 @@
 	return c
 }
 
-// check refuses what a transport can't run with.
+// check returns an error if c is not a valid configuration.
 func (c Config) check() error {
 	if c.Host == "" {
-		return fmt.Errorf("peer: no host name")
+		return fmt.Errorf("peer: Host is not set")
 	}
 	if c.Resolve == nil {
-		return fmt.Errorf("peer: no resolver")
+		return fmt.Errorf("peer: Resolve is not set")
 	}
 	return c.checkPlaintext(c.Listen)
 }
 
-// checkPlaintext returns ErrPlaintext when address must not be used without TLS
-// and there is none.
+// checkPlaintext returns ErrPlaintext if TLS is off and address must not be used
+// without it.
 func (c Config) checkPlaintext(address string) error {
 	if !c.Plaintext || c.PrivateNetwork {
 		return nil
@@ -148,7 +150,7 @@
 		return fmt.Errorf("%w: address %q: %w", ErrPlaintext, address, err)
 	}
 	if !ap.Addr().Unmap().IsLoopback() {
-		return fmt.Errorf("%w: %s is not one", ErrPlaintext, address)
+		return fmt.Errorf("%w: %s is not a loopback address", ErrPlaintext, address)
 	}
 	return nil
 }
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,13 +1,14 @@
-// Package peer carries messages between entry daemons: one yamux session over
-// TCP with mutual TLS for each pair of hosts that talk, dialled on demand, and
-// one stream per call with one length-delimited wire.Envelope each way.
+// Package peer implements RPC between the daemons of the entry hosts. Each pair of
+// communicating hosts shares one yamux session over TCP with mutual TLS, which is
+// dialled on demand. Each call uses one stream and sends one length-delimited
+// wire.Envelope in each direction.
 //
-// A Transport is both sides: it calls fellow daemons (Call) and serves the
-// methods registered in its Mux. Everything is bounded: message sizes, calls
-// in flight and waiting per session, handlers and sessions per transport. A
-// peer that does not answer costs its callers no more than their timeouts, and
-// nothing at all while the dial backoff lasts.
+// A Transport is both client and server: it calls other daemons (Call) and serves the
+// methods registered in its Mux. All resources are bounded: message sizes, calls in
+// flight and waiting calls per session, handlers and sessions per transport. A peer
+// that does not answer costs its callers no more than their timeouts; during the dial
+// backoff calls to it fail at once.
 //
-// Releases differ: a receiver ignores unknown fields, and answers a method that
-// it does not know with ErrUnknownMethod.
+// Peers may run different releases: a receiver ignores unknown fields and answers an
+// unknown method with ErrUnknownMethod.
 package peer
--- a/peer/errors.go
+++ b/peer/errors.go
@@ -5,34 +5,34 @@
 	"fmt"
 )
 
-// The errors of a call, to be tested with errors.Is.
+// The errors of a call, to be tested for with errors.Is.
 var (
-	// ErrUnreachable is a peer that can't be dialled, or a session that broke
-	// before the answer came. See Unsent.
+	// ErrUnreachable means that the peer cannot be dialled, or the session broke before the
+	// answer arrived. See Unsent.
 	ErrUnreachable = errors.New("peer: host is unreachable")
-	// ErrTimeout is an answer that did not come within the call's deadline.
+	// ErrTimeout means that no answer arrived by the call's deadline.
 	ErrTimeout = errors.New("peer: call timed out")
-	// ErrUnknownHost is a host that the resolver does not know.
+	// ErrUnknownHost means that the resolver does not know the host.
 	ErrUnknownHost = errors.New("peer: unknown host")
-	// ErrUnknownMethod is a method that the called daemon does not have.
+	// ErrUnknownMethod means that the called daemon does not have the method.
 	ErrUnknownMethod = errors.New("peer: unknown method")
-	// ErrTooLarge is a message over the bound, at either side.
+	// ErrTooLarge means that a message exceeds the size limit of either side.
 	ErrTooLarge = errors.New("peer: message is too large")
-	// ErrBusy is a call refused as too many are in flight or waiting.
+	// ErrBusy means that the call was rejected because too many calls are in flight or waiting.
 	ErrBusy = errors.New("peer: too many calls")
-	// ErrIdentity is a peer whose certificate or greeting names another host.
+	// ErrIdentity means that the peer's certificate or handshake names another host.
 	ErrIdentity = errors.New("peer: host has another identity")
-	// ErrVersion is a peer that speaks no common release of the protocol.
+	// ErrVersion means that the peer speaks no common version of the protocol.
 	ErrVersion = errors.New("peer: no common protocol version")
-	// ErrPlaintext is an address that must not be used without TLS.
+	// ErrPlaintext means that the address must not be used without TLS.
 	ErrPlaintext = errors.New("peer: plaintext is only for loopback addresses")
-	// ErrClosed is a call on a closed transport.
+	// ErrClosed means that the transport is closed.
 	ErrClosed = errors.New("peer: transport is closed")
-	// ErrMalformed is an envelope or message that can't be parsed.
+	// ErrMalformed means that an envelope or a message cannot be parsed.
 	ErrMalformed = errors.New("peer: malformed message")
 )
 
-// RemoteError is an error that the method's handler returned.
+// RemoteError is an error returned by the method's handler at the called host.
 type RemoteError struct {
 	Host    string
 	Method  string
@@ -44,12 +44,12 @@
 	return fmt.Sprintf("peer: %s at %s: %s", e.Method, e.Host, e.Message)
 }
 
-// CallError says which call failed; Err is or wraps one of the errors above,
-// a *RemoteError, or context.Canceled.
+// CallError identifies the call that failed. Err is or wraps one of the errors above, a
+// *RemoteError or context.Canceled.
 type CallError struct {
 	Host   string
 	Method string
-	// Unsent says that no byte of the request left this host.
+	// Unsent reports that no byte of the request left this host.
 	Unsent bool
 	Err    error
 }
@@ -59,16 +59,17 @@
 	return fmt.Sprintf("call %s at %s: %v", e.Method, e.Host, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// Unsent says whether err is of a call of which no byte left this host.
+// Unsent reports whether err comes from a call of which no byte left this host.
 func Unsent(err error) bool {
 	var c *CallError
 	return errors.As(err, &c) && c.Unsent
 }
 
-// The error codes of an envelope. An empty code is a handler's own error.
+// The error codes of an envelope. The code is empty for an error that the handler
+// returned.
 const (
 	codeUnknownMethod = "unknown_method"
 	codeTooLarge      = "too_large"
@@ -79,7 +80,7 @@
 	codeTimeout       = "timeout"
 )
 
-// codeErrors holds the error that each code stands for.
+// codeErrors maps each error code to its error.
 var codeErrors = map[string]error{
 	codeUnknownMethod: ErrUnknownMethod,
 	codeTooLarge:      ErrTooLarge,
@@ -90,14 +91,15 @@
 	codeTimeout:       ErrTimeout,
 }
 
-// handlerError is a handler's own error. It hides what it wraps: an error of a
-// call that the handler made must not pass for one of the call being served.
+// handlerError is an error that a handler returned. It does not unwrap: an error of a
+// call that the handler made must not be mistaken for an error of the call being
+// served.
 type handlerError struct{ err error }
 
 // Error implements error.
 func (e *handlerError) Error() string { return e.err.Error() }
 
-// codeOf returns the code for err, and "" for a handler's own error.
+// codeOf returns the error code for err, or "" for an error that the handler returned.
 func codeOf(err error) string {
 	for code, e := range codeErrors {
 		if errors.Is(err, e) {
--- a/peer/failure_test.go
+++ b/peer/failure_test.go
@@ -21,7 +21,7 @@
 	var f *fleet
 	BeforeEach(func() { f = newFleet(GinkgoT().TempDir()) })
 
-	It("dials anew after a peer has restarted", func() {
+	It("dials again after a peer has restarted", func() {
 		a := f.start(f.config("a"))
 		b := f.start(f.config("b"))
 		Expect(echo(a, "b", "1", time.Second)).To(Equal("a:1"))
@@ -34,7 +34,7 @@
 		Expect(a.Sessions()).To(HaveExactElements(HaveField("Incarnation", cfg.Incarnation)))
 	})
 
-	It("fails at once while the backoff of a dead peer lasts", func() {
+	It("fails at once during the dial backoff of a dead peer", func() {
 		cfg := f.config("a")
 		cfg.MinBackoff, cfg.MaxBackoff = time.Hour, time.Hour
 		a := f.start(cfg)
@@ -48,17 +48,17 @@
 		failed := cfg.Metrics.GetOrCreateCounter(`wheatseam_peer_dials_total{result="failed"}`)
 		Expect(failed.Get()).To(BeEquivalentTo(1))
 
-		By("the host's replacement at another address is dialled at once")
+		By("dialling the host's replacement at another address at once")
 		f.start(f.config("b"))
 		Expect(echo(a, "b", "x", time.Second)).To(Equal("a:x"))
 	})
 
-	It("drops the session of a frozen peer and uses a new one", func() {
+	It("closes the session of a frozen peer and uses a new one", func() {
 		cfg := f.config("a")
 		a := f.start(cfg)
 		b := f.start(f.config("b"))
-		relay := newRelay(b.Addr())
-		f.set("b", relay.Addr())
+		relay := newForwardingProxy(b.Addr())
+		f.setAddress("b", relay.Addr())
 		Expect(echo(a, "b", "1", time.Second)).To(Equal("a:1"))
 		relay.Freeze()
 		silent := cfg.Metrics.GetOrCreateCounter("wheatseam_peer_silent_sessions_total")
@@ -67,40 +67,40 @@
 			Expect(err).To(HaveOccurred())
 			return silent.Get()
 		}).Should(BeEquivalentTo(1))
-		f.set("b", b.Addr())
+		f.setAddress("b", b.Addr())
 		Eventually(func() (string, error) { return echo(a, "b", "3", time.Second) }).Should(Equal("a:3"))
 	})
 
-	It("uses a new session once the open one has gone silent for good", func() {
+	It("uses a new session once the open one receives no more data", func() {
 		cfg := f.config("a")
 		a := f.start(cfg)
 		b := f.start(f.config("b"))
 		relay, err := faultrelay.New(faultrelay.Config{Target: b.Addr()})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(relay.Close)
-		f.set("b", relay.Address())
+		f.setAddress("b", relay.Address())
 		Expect(echo(a, "b", "1", time.Second)).To(Equal("a:1"))
 		Expect(relay.Silence()).To(Equal(1))
 		Eventually(func() (string, error) { return echo(a, "b", "2", 50*time.Millisecond) }, "3s", "10ms").Should(Equal("a:2"))
 		Expect(cfg.Metrics.GetOrCreateCounter("wheatseam_peer_silent_sessions_total").Get()).To(BeEquivalentTo(1))
 	})
 
-	It("gives up a peer that accepts connections and says nothing", func() {
+	It("fails the dial of a peer that accepts connections and sends nothing", func() {
 		cfg := f.config("a")
 		cfg.DialTimeout = 50 * time.Millisecond
 		a := f.start(cfg)
-		f.set("b", silentListener().Addr().String())
+		f.setAddress("b", silentListener().Addr().String())
 		_, err := echo(a, "b", "x", 2*time.Second)
 		Expect(err).To(MatchError(peer.ErrUnreachable))
 		_, err = echo(a, "b", "x", 10*time.Millisecond)
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("has one caller wait for the next dial of a peer that failed, and no other", func() {
+	It("lets only one caller wait for the next dial after a failed one", func() {
 		cfg := f.config("a")
 		cfg.DialTimeout = 100 * time.Millisecond
 		a := f.start(cfg)
-		f.set("b", silentListener().Addr().String())
+		f.setAddress("b", silentListener().Addr().String())
 		stop := make(chan struct{})
 		var callers sync.WaitGroup
 		defer callers.Wait()
@@ -122,21 +122,21 @@
 		}, "5s", "1ms").Should(ContainSubstring("another dial is under way"))
 	})
 
-	It("gives up a caller that sends slowly and keeps serving others", func() {
+	It("closes the connection of a peer that sends its handshake too slowly", func() {
 		cfg := f.config("b")
 		cfg.Plaintext, cfg.DialTimeout = true, 50*time.Millisecond
 		b := f.start(cfg)
 		conn, err := net.Dial("tcp", b.Addr())
 		Expect(err).NotTo(HaveOccurred())
 		defer conn.Close()
-		_, err = conn.Write([]byte{200}) // the start of a length, and no more
+		_, err = conn.Write([]byte{200}) // an incomplete length prefix
 		Expect(err).NotTo(HaveOccurred())
 		Expect(conn.SetReadDeadline(time.Now().Add(5 * time.Second))).To(Succeed())
 		_, err = conn.Read(make([]byte, 1))
 		Expect(err).To(MatchError(ContainSubstring("EOF")), "closed by the server")
 	})
 
-	It("closes sessions that were idle for long", func() {
+	It("closes sessions that have been idle for the idle timeout", func() {
 		ac, bc := f.config("a"), f.config("b")
 		ac.IdleTimeout = 40 * time.Millisecond
 		a := f.start(ac)
@@ -147,7 +147,7 @@
 		Expect(echo(b, "a", "2", time.Second)).To(Equal("b:2"))
 	})
 
-	It("comes to one session when both sides dial at once", func() {
+	It("keeps one session when both sides dial at the same time", func() {
 		for range 10 {
 			a, b := f.start(f.config("a")), f.start(f.config("b"))
 			done := make(chan error, 2)
@@ -185,7 +185,7 @@
 })
 
 var _ = Describe("Shutdown under load", func() {
-	It("cuts no call that was sent, at either side", func() {
+	It("fails no call that was sent, on either side", func() {
 		f := newFleet(GinkgoT().TempDir())
 		a, b := f.start(f.config("a")), f.start(f.config("b"))
 		Expect(echo(a, "b", "x", time.Second)).To(Equal("a:x"))
@@ -224,29 +224,29 @@
 	var f *fleet
 	BeforeEach(func() { f = newFleet(GinkgoT().TempDir()) })
 
-	It("refuses a peer that answers under another name", func() {
+	It("refuses a peer that answers with another name", func() {
 		a := f.start(f.config("a"))
 		c := f.start(f.config("c"))
-		f.set("b", c.Addr())
+		f.setAddress("b", c.Addr())
 		_, err := echo(a, "b", "x", time.Second)
 		Expect(err).To(MatchError(peer.ErrIdentity))
 		Expect(err).To(MatchError(peer.ErrUnreachable))
 	})
 
-	It("refuses a peer of another name without TLS too", func() {
+	It("refuses a peer that answers with another name, without TLS too", func() {
 		ac, cc := f.config("a"), f.config("c")
 		ac.Plaintext, cc.Plaintext = true, true
 		a, c := f.start(ac), f.start(cc)
-		f.set("b", c.Addr())
+		f.setAddress("b", c.Addr())
 		_, err := echo(a, "b", "x", time.Second)
 		Expect(err).To(MatchError(peer.ErrIdentity))
 	})
 
-	It("refuses a call in another host's name on a greeted session", func() {
+	It("refuses a call in another host's name on an established session", func() {
 		b := f.start(f.config("b"))
-		conn := dialTLS(b.Addr(), "b", f.files("a"))
+		conn := dialTLS(b.Addr(), "b", f.issueCert("a"))
 		defer conn.Close()
-		Expect(greetAs(conn, "a").ErrorCode).To(BeEmpty())
+		Expect(handshakeAs(conn, "a").ErrorCode).To(BeEmpty())
 		session, err := yamux.Client(conn, nil)
 		Expect(err).NotTo(HaveOccurred())
 		defer session.Close()
@@ -257,34 +257,34 @@
 	It("refuses a caller whose certificate is for another name", func() {
 		b := f.start(f.config("b"))
 		cfg := f.config("a")
-		cfg.TLS = f.files("mallory")
+		cfg.TLS = f.issueCert("mallory")
 		_, err := peer.NewTransport(cfg)
-		Expect(err).To(MatchError(peer.ErrIdentity), "own name is checked at the start")
+		Expect(err).To(MatchError(peer.ErrIdentity), "the certificate is checked against the own host name at the start")
 
 		conn := dialTLS(b.Addr(), "b", cfg.TLS)
 		defer conn.Close()
-		answer := greetAs(conn, "a")
+		answer := handshakeAs(conn, "a")
 		Expect(answer.ErrorCode).To(Equal("identity"))
 		Expect(b.Sessions()).To(BeEmpty())
 	})
 
-	It("refuses certificates of another authority at both sides", func() {
+	It("refuses certificates of another authority on both sides", func() {
 		other := newFleet(GinkgoT().TempDir())
 		a := f.start(f.config("a"))
 		b := other.start(other.config("b"))
-		f.set("b", b.Addr())
+		f.setAddress("b", b.Addr())
 		_, err := echo(a, "b", "x", time.Second)
-		Expect(err).To(MatchError(peer.ErrIdentity), "the server's")
+		Expect(err).To(MatchError(peer.ErrIdentity), "the server's certificate")
 
 		cfg := f.config("a")
-		cfg.TLS = other.files("a")
+		cfg.TLS = other.issueCert("a")
 		cfg.TLS.CAFile = filepath.Join(f.dir, "ca.pem")
-		f.set("c", f.start(f.config("c")).Addr())
+		f.setAddress("c", f.start(f.config("c")).Addr())
 		_, err = echo(f.start(cfg), "c", "x", time.Second)
-		Expect(err).To(MatchError(peer.ErrUnreachable), "the client's")
+		Expect(err).To(MatchError(peer.ErrUnreachable), "the client's certificate")
 	})
 
-	It("refuses a process that a later one of its host has replaced", func() {
+	It("refuses a process that was replaced by a later process of its host", func() {
 		ac, bc := f.config("a"), f.config("b")
 		ac.Plaintext, bc.Plaintext = true, true
 		ac.Incarnation = 7
@@ -293,7 +293,7 @@
 		conn, err := net.Dial("tcp", b.Addr())
 		Expect(err).NotTo(HaveOccurred())
 		defer conn.Close()
-		greetAs(conn, "a") // of incarnation 1
+		handshakeAs(conn, "a") // of incarnation 1, which is earlier
 		_, err = io.Copy(io.Discard, conn)
 		Expect(err).NotTo(HaveOccurred(), "closed by the server")
 		Expect(b.Sessions()).To(HaveExactElements(HaveField("Incarnation", uint64(7))))
@@ -305,7 +305,7 @@
 		conn, err := net.Dial("tcp", b.Addr())
 		Expect(err).NotTo(HaveOccurred())
 		defer conn.Close()
-		_, err = conn.Write(greeting("a"))
+		_, err = conn.Write(handshakeFrame("a"))
 		Expect(err).NotTo(HaveOccurred())
 		Consistently(b.Sessions, "50ms").Should(BeEmpty())
 	})
@@ -319,7 +319,7 @@
 
 		cfg.Listen = "127.0.0.1:0"
 		a := f.start(cfg)
-		f.set("b", "192.0.2.1:7000")
+		f.setAddress("b", "192.0.2.1:7000")
 		_, err = echo(a, "b", "x", time.Second)
 		Expect(err).To(MatchError(peer.ErrPlaintext))
 		Expect(peer.Unsent(err)).To(BeTrue())
@@ -337,7 +337,7 @@
 		f.start(cfg)
 	})
 
-	It("refuses an old version and takes a newer one", func() {
+	It("refuses an old version and accepts a newer one", func() {
 		cfg := f.config("b")
 		cfg.Plaintext = true
 		b := f.start(cfg)
@@ -345,7 +345,7 @@
 			conn, err := net.Dial("tcp", b.Addr())
 			Expect(err).NotTo(HaveOccurred())
 			defer conn.Close()
-			Expect(greetWith(conn, "a", version).ErrorCode).To(Equal(code))
+			Expect(handshakeWithVersion(conn, "a", version).ErrorCode).To(Equal(code))
 		}
 	})
 })
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -15,19 +15,19 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// ProtocolVersion is the release of the protocol that this daemon speaks, and
-// MinVersion the oldest that it takes.
+// ProtocolVersion is the protocol version of this daemon, and MinVersion the oldest
+// version it accepts.
 const (
 	ProtocolVersion = 1
 	MinVersion      = 1
 )
 
-// readBuffer is the size of the buffer that a frame is read through.
-const readBuffer = 1024
+// readBufferSize is the size in bytes of the buffer through which a frame is read.
+const readBufferSize = 1024
 
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBuffer) }}
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferSize) }}
 
-// envelope returns an envelope of this daemon, sent now.
+// envelope returns an envelope with this daemon as the sender and the current time.
 func (t *Transport) envelope() *wire.Envelope {
 	return &wire.Envelope{
 		Version:     ProtocolVersion,
@@ -37,8 +37,9 @@
 	}
 }
 
-// encode serialises env with its length before it, within limit bytes: what
-// protodelim.MarshalTo writes, but in one slice for one write.
+// encode encodes env with a length prefix, or returns ErrTooLarge if env exceeds limit
+// bytes. The output equals that of protodelim.MarshalTo, but is one slice and so takes
+// a single write.
 func encode(env *wire.Envelope, limit int) ([]byte, error) {
 	n := proto.Size(env)
 	if n > limit {
@@ -53,17 +54,17 @@
 	return frame, nil
 }
 
-// readFrame reads one envelope of at most limit bytes and returns its size. It
-// may read on beyond the envelope.
+// readFrame reads one envelope of at most limit bytes and returns it with its size. It
+// may read past the end of the envelope.
 func readFrame(r io.Reader, limit int) (*wire.Envelope, int, error) {
-	br := readers.Get().(*bufio.Reader)
+	br := readerPool.Get().(*bufio.Reader)
 	br.Reset(r)
-	defer func() { br.Reset(nil); readers.Put(br) }()
+	defer func() { br.Reset(nil); readerPool.Put(br) }()
 	return decode(br, limit)
 }
 
-// decode reads one envelope of at most limit bytes, and nothing beyond it if r
-// does not buffer.
+// decode reads one envelope of at most limit bytes. It does not read past the
+// envelope's end if r does not buffer.
 func decode(r protodelim.Reader, limit int) (*wire.Envelope, int, error) {
 	env := &wire.Envelope{}
 	err := protodelim.UnmarshalOptions{MaxSize: int64(limit)}.UnmarshalFrom(r, env)
@@ -79,12 +80,12 @@
 	return env, proto.Size(env), nil
 }
 
-// senderOf returns the sender that env names.
+// senderOf returns the sender named in env.
 func senderOf(env *wire.Envelope) Sender {
 	return Sender{Host: env.From, Incarnation: env.Incarnation, SentAt: time.UnixMilli(env.SentUnixMs)}
 }
 
-// byteReader reads single bytes without reading ahead.
+// byteReader reads single bytes without read-ahead.
 type byteReader struct{ io.Reader }
 
 // ReadByte implements io.ByteReader.
--- a/peer/hosts.go
+++ b/peer/hosts.go
@@ -13,20 +13,20 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// hostState is what a transport knows about one host.
+// hostState is a transport's state for one host.
 type hostState struct {
 	name string
 
-	mu       sync.Mutex
-	sessions []*session // the preferred one first
-	dialling chan struct{}
-	backoff  *backoff.ExponentialBackOff
-	nextDial time.Time
-	lastErr  error  // why the last dial failed or the last session was dropped
-	address  string // last dialled
+	mu          sync.Mutex
+	sessions    []*session // the preferred session first
+	dialDone    chan struct{}
+	backoff     *backoff.ExponentialBackOff
+	nextDial    time.Time
+	lastErr     error  // why the last dial failed or the last session became suspect or was closed
+	lastAddress string // the address that was dialled last
 }
 
-// host returns the state of a host, made if there is none.
+// host returns the state of a host and creates it if there is none.
 func (t *Transport) host(name string) *hostState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -41,14 +41,14 @@
 	return h
 }
 
-// session returns a usable session to a host and dials if there is none. All
-// callers share one dial; after a failure only the one that starts the next
-// dial waits for it. The error says that nothing was sent.
+// session returns a usable session to a host and dials if there is none. All callers
+// share one dial. After a failed dial only the caller that starts the next one waits
+// for it; the others fail at once. If session returns an error, nothing has been sent.
 func (t *Transport) session(ctx context.Context, name string) (*session, error) {
 	h := t.host(name)
 	h.mu.Lock()
-	if s := h.usable(); s != nil {
-		proof := s.proof.Load()
+	if s := h.usableSession(); s != nil {
+		proof := s.verification.Load()
 		h.mu.Unlock()
 		if proof == nil {
 			return s, nil
@@ -72,7 +72,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if s := h.usable(); s != nil {
+	if s := h.usableSession(); s != nil {
 		return s, nil
 	}
 	if h.lastErr == nil {
@@ -81,8 +81,8 @@
 	return nil, fmt.Errorf("%w: %w", ErrUnreachable, h.lastErr)
 }
 
-// usable returns the preferred usable session, or nil. The caller holds h.mu.
-func (h *hostState) usable() *session {
+// usableSession returns the preferred usable session, or nil. The caller holds h.mu.
+func (h *hostState) usableSession() *session {
 	for _, s := range h.sessions {
 		if s.usable() {
 			return s
@@ -91,36 +91,36 @@
 	return nil
 }
 
-// ensureDial starts a dial unless one runs, and returns the channel that
-// closes with its end. While the backoff lasts it fails. The caller holds h.mu.
+// ensureDial starts a dial unless one is in progress, and returns a channel that is
+// closed when it ends. It fails during the dial backoff. The caller holds h.mu.
 func (t *Transport) ensureDial(h *hostState) (<-chan struct{}, error) {
-	if h.dialling != nil && h.lastErr != nil {
+	if h.dialDone != nil && h.lastErr != nil {
 		return nil, fmt.Errorf("%w: another dial is under way: %w", ErrUnreachable, h.lastErr)
 	}
-	if h.dialling != nil {
-		return h.dialling, nil
+	if h.dialDone != nil {
+		return h.dialDone, nil
 	}
 	address, ok := t.cfg.Resolve(h.name)
 	if !ok {
 		return nil, fmt.Errorf("%w: %s", ErrUnknownHost, h.name)
 	}
-	if address == h.address && clock.Now().Before(h.nextDial) {
+	if address == h.lastAddress && clock.Now().Before(h.nextDial) {
 		return nil, fmt.Errorf("%w: no dial before %s: %w", ErrUnreachable,
 			h.nextDial.UTC().Format(time.RFC3339Nano), h.lastErr)
 	}
-	if !t.enter() {
+	if !t.addGoroutine() {
 		return nil, ErrClosed
 	}
-	h.address = address
+	h.lastAddress = address
 	done := make(chan struct{})
-	h.dialling = done
+	h.dialDone = done
 	go func() {
 		defer t.wg.Done()
 		err := t.dial(h.name, address)
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.dialling = nil
-		h.dialled(err)
+		h.dialDone = nil
+		h.recordDialResult(err)
 		t.counters.countDial(err)
 		if err != nil {
 			t.cfg.Logger.Info("peer dial failed", zap.String("peer", h.name),
@@ -131,8 +131,8 @@
 	return done, nil
 }
 
-// enter counts a goroutine of the transport, unless the transport is closed.
-func (t *Transport) enter() bool {
+// addGoroutine adds a goroutine to t.wg, or returns false if the transport is closed.
+func (t *Transport) addGoroutine() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed {
@@ -142,8 +142,9 @@
 	return true
 }
 
-// dialled notes the end of a dial. The caller holds h.mu.
-func (h *hostState) dialled(err error) {
+// recordDialResult records the result of a dial and updates the backoff. The caller
+// holds h.mu.
+func (h *hostState) recordDialResult(err error) {
 	h.lastErr = err
 	if err == nil {
 		h.nextDial = time.Time{}
@@ -153,8 +154,8 @@
 	h.nextDial = clock.Now().Add(h.backoff.NextBackOff())
 }
 
-// register takes a new session in and starts serving it. It settles which
-// session calls use when there are several to a host.
+// register adds a new session and starts serving it. If there are several sessions to
+// the host it selects the one that calls use.
 func (t *Transport) register(s *session) error {
 	h := t.host(s.peer.Host)
 	h.mu.Lock()
@@ -165,25 +166,28 @@
 	for _, old := range h.sessions {
 		if old.peer.Incarnation > s.peer.Incarnation && old.usable() {
 			t.removeSession(s)
-			return fmt.Errorf("%w: incarnation %d is over", ErrIdentity, s.peer.Incarnation)
+			return fmt.Errorf("%w: incarnation %d was replaced by a later process of the host", ErrIdentity, s.peer.Incarnation)
 		}
 	}
-	t.settle(h, s)
+	t.resolveDuplicates(h, s)
 	if !s.dialled {
-		h.nextDial = time.Time{} // the host is alive
+		h.nextDial = time.Time{} // the peer has just connected, so it is reachable
 		h.backoff.Reset()
 	}
 	go t.serveSession(h, s)
 	return nil
 }
 
-// settle places s among the sessions of h. The caller holds h.mu.
+// resolveDuplicates adds s to the sessions of h and selects the preferred one. The
+// caller holds h.mu.
 //
-// A session of an earlier incarnation is dead. When the peer dials though it
-// has a session, it has found that one broken. Only when both sides dialled at
-// the same time are both sessions good: then both sides prefer the one that the
-// host with the smaller name dialled, and the other one's dialler retires it.
-func (t *Transport) settle(h *hostState, s *session) {
+// A session to an earlier incarnation is dead. If the same side dials again although
+// there is a session, it has found that session broken, so the old one is retired; so
+// is one that was opened longer ago than two dial timeouts. Otherwise both sides
+// dialled at the same time and both sessions work. Then both sides prefer the session
+// dialled by the host with the smaller name, and the host that dialled the other
+// session retires it.
+func (t *Transport) resolveDuplicates(h *hostState, s *session) {
 	kept := h.sessions[:0]
 	preferred := true
 	for _, old := range h.sessions {
@@ -213,7 +217,8 @@
 	}
 }
 
-// addSession counts s among the live sessions.
+// addSession adds s to the live sessions of the transport. It fails if the transport is
+// closed or draining, or if there are MaxSessions accepted sessions.
 func (t *Transport) addSession(s *session) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -227,11 +232,11 @@
 	if !s.dialled {
 		t.accepted++
 	}
-	t.wg.Add(1) // ended by removeSession
+	t.wg.Add(1) // matched by wg.Done in removeSession
 	return nil
 }
 
-// removeSession undoes addSession.
+// removeSession reverses addSession.
 func (t *Transport) removeSession(s *session) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -242,8 +247,8 @@
 	t.wg.Done()
 }
 
-// forget takes an ended session out of its host's list.
-func (h *hostState) forget(s *session) {
+// removeSession removes an ended session from the host's list.
+func (h *hostState) removeSession(s *session) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i, old := range h.sessions {
@@ -254,8 +259,8 @@
 	}
 }
 
-// janitor closes idle sessions until the transport closes.
-func (t *Transport) janitor() {
+// closeIdleLoop closes idle sessions periodically until the transport closes.
+func (t *Transport) closeIdleLoop() {
 	tick := time.NewTicker(max(t.cfg.IdleTimeout/4, time.Millisecond))
 	defer tick.Stop()
 	for {
@@ -263,13 +268,14 @@
 		case <-t.ctx.Done():
 			return
 		case <-tick.C:
-			t.sweep()
+			t.closeIdleSessions()
 		}
 	}
 }
 
-// sweep closes the sessions that are idle.
-func (t *Transport) sweep() {
+// closeIdleSessions retires sessions that have been idle for IdleTimeout, and closes
+// retired ones.
+func (t *Transport) closeIdleSessions() {
 	t.mu.Lock()
 	live := t.liveSessions()
 	t.mu.Unlock()
@@ -284,8 +290,8 @@
 	}
 }
 
-// contextError returns ErrTimeout for a passed deadline, else the
-// cancellation.
+// contextError returns ErrTimeout if the deadline has passed, otherwise the context's
+// error.
 func contextError(ctx context.Context) error {
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return fmt.Errorf("%w: %w", ErrTimeout, context.Cause(ctx))
--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -12,7 +12,7 @@
 
 const methodUnknown = "unknown"
 
-// role says on which side of a call bytes were counted.
+// role is the side of a call on which bytes are counted.
 type role string
 
 const (
@@ -20,38 +20,38 @@
 	roleServer role = "server"
 )
 
-// counters are a transport's metrics. The series of methods are cached, as
-// looking them up by name costs more than counting.
+// counters holds a transport's metrics. The series per method are cached, since looking
+// them up by name costs more than incrementing them.
 type counters struct {
-	set          *metrics.Set
-	series       sync.Map // seriesKey -> *metrics.Counter
-	durations    sync.Map // method -> *metrics.Histogram
-	wireSent     *metrics.Counter
-	wireReceived *metrics.Counter
-	dialOK       *metrics.Counter
-	dialFailed   *metrics.Counter
-	refused      *metrics.Counter
-	silent       *metrics.Counter
-	panics       *metrics.Counter
+	set                *metrics.Set
+	series             sync.Map // seriesKey -> *metrics.Counter
+	durations          sync.Map // method -> *metrics.Histogram
+	wireSent           *metrics.Counter
+	wireReceived       *metrics.Counter
+	dialOK             *metrics.Counter
+	dialFailed         *metrics.Counter
+	refusedConnections *metrics.Counter
+	silentSessions     *metrics.Counter
+	panics             *metrics.Counter
 }
 
-type seriesKey struct{ name, method, label string }
+type seriesKey struct{ name, method, labelValue string }
 
 func newCounters(set *metrics.Set, sessions func() float64) *counters {
 	set.GetOrCreateGauge("wheatseam_peer_sessions", sessions)
 	return &counters{
-		set:          set,
-		wireSent:     set.GetOrCreateCounter(`wheatseam_peer_wire_bytes_total{direction="sent"}`),
-		wireReceived: set.GetOrCreateCounter(`wheatseam_peer_wire_bytes_total{direction="received"}`),
-		dialOK:       set.GetOrCreateCounter(`wheatseam_peer_dials_total{result="ok"}`),
-		dialFailed:   set.GetOrCreateCounter(`wheatseam_peer_dials_total{result="failed"}`),
-		refused:      set.GetOrCreateCounter("wheatseam_peer_refused_connections_total"),
-		silent:       set.GetOrCreateCounter("wheatseam_peer_silent_sessions_total"),
-		panics:       set.GetOrCreateCounter("wheatseam_peer_handler_panics_total"),
+		set:                set,
+		wireSent:           set.GetOrCreateCounter(`wheatseam_peer_wire_bytes_total{direction="sent"}`),
+		wireReceived:       set.GetOrCreateCounter(`wheatseam_peer_wire_bytes_total{direction="received"}`),
+		dialOK:             set.GetOrCreateCounter(`wheatseam_peer_dials_total{result="ok"}`),
+		dialFailed:         set.GetOrCreateCounter(`wheatseam_peer_dials_total{result="failed"}`),
+		refusedConnections: set.GetOrCreateCounter("wheatseam_peer_refused_connections_total"),
+		silentSessions:     set.GetOrCreateCounter("wheatseam_peer_silent_sessions_total"),
+		panics:             set.GetOrCreateCounter("wheatseam_peer_handler_panics_total"),
 	}
 }
 
-// counter returns the series name{method=...,labelName=label}.
+// counter returns the series name{method=...,labelName=labelValue}.
 func (c *counters) counter(name, method, labelName, label string) *metrics.Counter {
 	key := seriesKey{name, method, label}
 	if v, ok := c.series.Load(key); ok {
@@ -84,7 +84,7 @@
 	c.counter("wheatseam_peer_served_total", method, "result", resultOf(err)).Inc()
 }
 
-// countSent counts the bytes of envelopes, without yamux and TLS.
+// countSent counts the bytes of an envelope, excluding the overhead of yamux and TLS.
 func (c *counters) countSent(method string, r role, n int) {
 	c.counter("wheatseam_peer_sent_bytes_total", method, "role", string(r)).Add(n)
 }
@@ -93,7 +93,7 @@
 	c.counter("wheatseam_peer_received_bytes_total", method, "role", string(r)).Add(n)
 }
 
-// resultOf names how a call ended, from a closed list.
+// resultOf returns the value of the result label. The set of values is fixed.
 func resultOf(err error) string {
 	switch {
 	case err == nil:
--- a/peer/mux.go
+++ b/peer/mux.go
@@ -9,21 +9,21 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Sender says where a request came from. Host is verified by certificate (on
-// plaintext sessions it is only claimed).
+// Sender identifies the process that sent a message. Host is verified by its
+// certificate; on plaintext sessions it is only claimed.
 type Sender struct {
 	Host string
-	// Incarnation is the start of the sending process in Unix milliseconds.
+	// Incarnation is the start time of the sending process in Unix milliseconds.
 	Incarnation uint64
-	// SentAt is the sender's wall clock when it sent.
+	// SentAt is the sender's wall clock time when it sent the message.
 	SentAt time.Time
 }
 
-// handler serves one serialised request and returns the serialised answer.
+// handler serves one encoded request and returns the encoded answer.
 type handler func(ctx context.Context, from Sender, payload []byte) ([]byte, error)
 
-// Mux holds the methods that a daemon serves. Methods are registered before or
-// while the transport serves; any number of goroutines may use one.
+// Mux holds the methods that a daemon serves. Methods may be registered before or while
+// the transport serves. A Mux is safe for concurrent use.
 type Mux struct {
 	mu       sync.RWMutex
 	handlers map[string]handler
@@ -32,9 +32,9 @@
 // NewMux returns a mux without methods.
 func NewMux() *Mux { return &Mux{handlers: make(map[string]handler)} }
 
-// Handle registers h for method. It panics when the method is registered
-// already, as that is a fault of the program. The handler runs in a goroutine
-// of its own, many at a time; its context ends with the caller's deadline.
+// Handle registers h for method. It panics if the method is already registered, since
+// that is a programming error. Each call of the handler runs in its own goroutine, many
+// at the same time. Its context ends at the caller's deadline.
 func Handle[Req, Resp proto.Message](m *Mux, method string, h func(ctx context.Context, from Sender, req Req) (Resp, error)) {
 	var zero Req
 	newRequest := func() Req { return zero.ProtoReflect().New().Interface().(Req) }
@@ -67,7 +67,7 @@
 	return m.handlers[method]
 }
 
-// CallLocal calls a method of a mux in this process, for tests that need no
+// CallLocal calls a method of a mux in the same process, for tests that need no
 // sessions.
 func CallLocal(ctx context.Context, m *Mux, from, method string, req, resp proto.Message) error {
 	h := m.lookup(method)
--- a/peer/peer_suite_test.go
+++ b/peer/peer_suite_test.go
@@ -22,22 +22,22 @@
 	RunSpecs(t, "peer")
 }
 
-// text is the message of the tests' methods.
+// text is the request and answer type of the methods in these tests.
 type text = wrapperspb.StringValue
 
-// fleet makes transports that find each other by name.
+// fleet starts transports that resolve each other by name.
 type fleet struct {
-	dir       string
-	authority *certs.Authority
-	mu        sync.Mutex
-	addresses map[string]string
-	nextStart uint64
+	dir             string
+	authority       *certs.Authority
+	mu              sync.Mutex
+	addresses       map[string]string
+	nextIncarnation uint64
 }
 
 func newFleet(dir string) *fleet {
 	a, err := certs.OpenAuthority(dir, time.Now(), time.Hour)
 	Expect(err).NotTo(HaveOccurred())
-	return &fleet{dir: dir, authority: a, addresses: map[string]string{}, nextStart: 1}
+	return &fleet{dir: dir, authority: a, addresses: map[string]string{}, nextIncarnation: 1}
 }
 
 func (f *fleet) resolve(host string) (string, bool) {
@@ -47,14 +47,14 @@
 	return a, ok
 }
 
-func (f *fleet) set(host, address string) {
+func (f *fleet) setAddress(host, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.addresses[host] = address
 }
 
-// files issues a certificate for name.
-func (f *fleet) files(name string) peer.TLSFiles {
+// issueCert issues a certificate for name and returns its files.
+func (f *fleet) issueCert(name string) peer.TLSFiles {
 	pair, err := f.authority.Issue(name, time.Now(), time.Hour)
 	Expect(err).NotTo(HaveOccurred())
 	cert, key := certs.Files(f.dir, name)
@@ -62,30 +62,30 @@
 	return peer.TLSFiles{CertFile: cert, KeyFile: key, CAFile: filepath.Join(f.dir, certs.AuthorityCert)}
 }
 
-// config returns the settings of a host with an "echo" method.
+// config returns the settings of a host that serves an "echo" method.
 func (f *fleet) config(name string) peer.Config {
 	f.mu.Lock()
-	f.nextStart++
-	start := f.nextStart
+	f.nextIncarnation++
+	start := f.nextIncarnation
 	f.mu.Unlock()
 	mux := peer.NewMux()
 	peer.Handle(mux, "echo", func(_ context.Context, from peer.Sender, req *text) (*text, error) {
 		return wrapperspb.String(from.Host + ":" + req.Value), nil
 	})
 	return peer.Config{
-		Host: name, Incarnation: start, Listen: "127.0.0.1:0", TLS: f.files(name),
+		Host: name, Incarnation: start, Listen: "127.0.0.1:0", TLS: f.issueCert(name),
 		Resolve: f.resolve, Mux: mux, Metrics: metrics.NewSet(),
 		DialTimeout: time.Second, SilenceTimeout: 100 * time.Millisecond,
 		MinBackoff: 10 * time.Millisecond, MaxBackoff: 50 * time.Millisecond,
 	}
 }
 
-// start runs a transport until the end of the spec.
+// start starts a transport, which is closed at the end of the spec.
 func (f *fleet) start(cfg peer.Config) *peer.Transport {
 	t, err := peer.NewTransport(cfg)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(t.Close)
-	f.set(cfg.Host, t.Addr())
+	f.setAddress(cfg.Host, t.Addr())
 	return t
 }
 
@@ -98,7 +98,7 @@
 	return resp.Value, err
 }
 
-// silentListener accepts connections and neither reads nor answers.
+// silentListener accepts connections and neither reads nor sends data.
 func silentListener() net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
--- a/peer/relay_test.go
+++ b/peer/proxy_test.go
@@ -20,17 +20,17 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// relay passes connections on to a transport until it is frozen; then it keeps
-// them open and passes nothing.
-type relay struct {
+// forwardingProxy forwards connections to a transport. Once frozen it keeps them open
+// but discards all data.
+type forwardingProxy struct {
 	listener net.Listener
 	frozen   atomic.Bool
 }
 
-func newRelay(target string) *relay {
+func newForwardingProxy(target string) *forwardingProxy {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	r := &relay{listener: l}
+	r := &forwardingProxy{listener: l}
 	DeferCleanup(l.Close)
 	go func() {
 		for {
@@ -43,14 +43,14 @@
 				in.Close()
 				continue
 			}
-			go r.pass(in, out)
-			go r.pass(out, in)
+			go r.forward(in, out)
+			go r.forward(out, in)
 		}
 	}()
 	return r
 }
 
-func (r *relay) pass(from, to net.Conn) {
+func (r *forwardingProxy) forward(from, to net.Conn) {
 	defer from.Close()
 	buf := make([]byte, 4096)
 	for {
@@ -67,8 +67,8 @@
 	}
 }
 
-func (r *relay) Addr() string { return r.listener.Addr().String() }
-func (r *relay) Freeze()      { r.frozen.Store(true) }
+func (r *forwardingProxy) Addr() string { return r.listener.Addr().String() }
+func (r *forwardingProxy) Freeze()      { r.frozen.Store(true) }
 
 // dialTLS connects with the given key pair.
 func dialTLS(address, server string, files peer.TLSFiles) net.Conn {
@@ -83,20 +83,20 @@
 	return conn
 }
 
-func greeting(from string) []byte { return greetingOf(from, peer.ProtocolVersion) }
+func handshakeFrame(from string) []byte { return handshakeFrameWithVersion(from, peer.ProtocolVersion) }
 
-func greetingOf(from string, version uint32) []byte {
+func handshakeFrameWithVersion(from string, version uint32) []byte {
 	var buf bytes.Buffer
 	_, err := protodelim.MarshalTo(&buf, &wire.Envelope{Version: version, From: from, Incarnation: 1})
 	Expect(err).NotTo(HaveOccurred())
 	return buf.Bytes()
 }
 
-func greetAs(conn net.Conn, from string) *wire.Envelope {
-	return greetWith(conn, from, peer.ProtocolVersion)
+func handshakeAs(conn net.Conn, from string) *wire.Envelope {
+	return handshakeWithVersion(conn, from, peer.ProtocolVersion)
 }
 
-// callAs makes a call to "echo" by hand in the name of from.
+// callAs sends a call of "echo" that names from as the sender, without a transport.
 func callAs(session *yamux.Session, from string) *wire.Envelope {
 	stream, err := session.Open()
 	Expect(err).NotTo(HaveOccurred())
@@ -110,9 +110,10 @@
 	return env
 }
 
-// greetWith opens a connection by hand and returns the answer.
-func greetWith(conn net.Conn, from string, version uint32) *wire.Envelope {
-	_, err := conn.Write(greetingOf(from, version))
+// handshakeWithVersion performs the client's handshake without a transport and returns
+// the answer.
+func handshakeWithVersion(conn net.Conn, from string, version uint32) *wire.Envelope {
+	_, err := conn.Write(handshakeFrameWithVersion(from, version))
 	Expect(err).NotTo(HaveOccurred())
 	Expect(conn.SetReadDeadline(time.Now().Add(5 * time.Second))).To(Succeed())
 	env := &wire.Envelope{}
--- a/peer/serve.go
+++ b/peer/serve.go
@@ -14,34 +14,34 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// serveSession serves the peer's calls until the session ends.
+// serveSession serves the peer's calls on a session until the session ends.
 func (t *Transport) serveSession(h *hostState, s *session) {
 	defer t.removeSession(s)
-	defer h.forget(s)
+	defer h.removeSession(s)
 	defer s.close()
 	limit := int32(2 * t.cfg.MaxInFlight)
 	for {
-		stream, err := s.mux.AcceptStream()
+		stream, err := s.yamux.AcceptStream()
 		if err != nil {
 			return
 		}
-		s.touch()
-		if s.serving.Add(1) > limit {
+		s.markUsed()
+		if s.servingCalls.Add(1) > limit {
 			t.answer(stream, "", nil, fmt.Errorf("%w: over %d on one session", ErrBusy, limit))
-			s.serving.Add(-1)
+			s.servingCalls.Add(-1)
 			continue
 		}
 		go func() {
-			defer s.serving.Add(-1)
-			defer s.touch()
+			defer s.servingCalls.Add(-1)
+			defer s.markUsed()
 			t.serveStream(s, stream)
 		}()
 	}
 }
 
-// serveStream serves the one call of a stream.
+// serveStream serves the single call of a stream.
 func (t *Transport) serveStream(s *session, stream *yamux.Stream) {
-	// A peer that sends slowly is given up like one that does not send.
+	// The deadline also covers a peer that sends its request too slowly.
 	_ = stream.SetDeadline(time.Now().Add(t.cfg.CallTimeout)) // fails only on a closed stream
 	env, n, err := readFrame(stream, t.cfg.MaxMessage)
 	if err != nil {
@@ -60,7 +60,7 @@
 	t.answer(stream, method, payload, err)
 }
 
-// serveCall checks an envelope and runs its method.
+// serveCall validates an envelope and runs its method.
 func (t *Transport) serveCall(s *session, env *wire.Envelope) ([]byte, error) {
 	if err := checkVersion(env); err != nil {
 		return nil, err
@@ -79,8 +79,8 @@
 	ctx, cancel := clock.WithTimeout(t.ctx, timeout)
 	defer cancel()
 	select {
-	case t.handlers <- struct{}{}:
-		defer func() { <-t.handlers }()
+	case t.handlerPermits <- struct{}{}:
+		defer func() { <-t.handlerPermits }()
 	case <-ctx.Done():
 		return nil, fmt.Errorf("%w: no free handler", ErrBusy)
 	}
@@ -91,8 +91,8 @@
 	return payload, err
 }
 
-// dispatch runs the handler of method. A panic of one is logged and becomes an
-// error, so that one message can't end the daemon.
+// dispatch runs the handler of method. A panic in a handler is logged and returned as
+// an error, so that a single message cannot crash the daemon.
 func (t *Transport) dispatch(ctx context.Context, from Sender, method string, payload []byte) (answer []byte, err error) {
 	h := t.cfg.Mux.lookup(method)
 	if h == nil {
@@ -109,7 +109,8 @@
 	return h(ctx, from, payload)
 }
 
-// answer writes the one answer of a stream and closes it.
+// answer writes the answer of a stream and closes the stream. If the answer is too
+// large it sends the error instead.
 func (t *Transport) answer(stream *yamux.Stream, method string, payload []byte, err error) {
 	defer stream.Close()
 	env := t.envelope()
@@ -130,7 +131,8 @@
 	}
 }
 
-// knownMethod returns method, or "unknown" so that peers can't name series.
+// knownMethod returns method, or "unknown" if it is not registered, so that peers
+// cannot create metric series.
 func (t *Transport) knownMethod(method string) string {
 	if method != methodRetire && t.cfg.Mux.lookup(method) == nil {
 		return methodUnknown
--- a/peer/session.go
+++ b/peer/session.go
@@ -12,53 +12,55 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// methodRetire is the method by which a peer asks for no new calls on the
-// session that carries the request.
+// methodRetire is the method with which a peer requests that no new calls be made on
+// the session that carries the request.
 const methodRetire = "peer.retire"
 
-// quietTime is how long a retired session waits for calls that were under way
-// when it was retired.
-const quietTime = 100 * time.Millisecond
+// retireIdleTime is how long a retired session must have been without calls before it
+// is closed. It leaves time for calls that were in transit when the session was
+// retired.
+const retireIdleTime = 100 * time.Millisecond
 
-// errSilent is why a session was doubted or dropped.
-var errSilent = errors.New("silent though calls were waiting")
+// errSilent is the reason why a session became suspect or was closed.
+var errSilent = errors.New("no data received while calls waited for answers")
 
-// session is one connection to one process of one host, for calls both ways.
+// session is one connection to one process of a host. Both sides make calls on it.
 type session struct {
-	t       *Transport
-	peer    Sender
-	dialled bool // by this side
-	opened  time.Time
-	mux     *yamux.Session
-	meter   *meteredConn
+	transport *Transport
+	peer      Sender
+	dialled   bool // by this side
+	opened    time.Time
+	yamux     *yamux.Session
+	conn      *meteredConn
 
-	places   chan struct{} // one per call in flight from this side
-	waiting  atomic.Int32  // calls that wait for a place
-	serving  atomic.Int32  // calls from the peer being served
-	lastUsed atomic.Int64  // by clock.Nanos
-	retired  atomic.Bool   // takes no new calls
-	doubted  atomic.Bool   // takes no new calls until the peer has given a sign of life
-	dropped  atomic.Bool   // as silent
-	// proof is closed when the peer has answered, or the session is dropped, after
-	// this host slept; nil while nothing is to be proved.
-	proof atomic.Pointer[chan struct{}]
+	callPermits    chan struct{} // one per call in flight from this side
+	queuedCalls    atomic.Int32  // calls that wait for a permit
+	servingCalls   atomic.Int32  // calls from the peer that are being served
+	lastUsed       atomic.Int64  // by clock.Nanos
+	retired        atomic.Bool   // takes no new calls
+	suspect        atomic.Bool   // takes no new calls until the peer has answered a ping
+	closedAsSilent atomic.Bool   // because the peer did not answer
+	// verification is non-nil while the session is being verified after a suspension of
+	// this host. The channel is closed when the peer has answered or the session has
+	// been closed.
+	verification atomic.Pointer[chan struct{}]
 }
 
-// start runs a session over a greeted connection.
-func (t *Transport) start(conn net.Conn, meter *meteredConn, from Sender, dialled bool) error {
+// startSession runs a session over a connection whose handshake is complete.
+func (t *Transport) startSession(conn net.Conn, meter *meteredConn, from Sender, dialled bool) error {
 	open := yamux.Server
 	if dialled {
 		open = yamux.Client
 	}
-	mux, err := open(&frameConn{Conn: conn}, t.yamux)
+	mux, err := open(&headerJoiningConn{Conn: conn}, t.yamux)
 	if err != nil {
 		return err
 	}
 	s := &session{
-		t: t, peer: from, dialled: dialled, opened: clock.Now(), mux: mux, meter: meter,
-		places: make(chan struct{}, t.cfg.MaxInFlight),
+		transport: t, peer: from, dialled: dialled, opened: clock.Now(), yamux: mux, conn: meter,
+		callPermits: make(chan struct{}, t.cfg.MaxInFlight),
 	}
-	s.touch()
+	s.markUsed()
 	if err := t.register(s); err != nil {
 		mux.Close()
 		return err
@@ -68,146 +70,149 @@
 	return nil
 }
 
-// usable says whether new calls may use the session.
+// usable reports whether the session accepts new calls.
 func (s *session) usable() bool {
-	return !s.retired.Load() && !s.doubted.Load() && !s.mux.IsClosed()
+	return !s.retired.Load() && !s.suspect.Load() && !s.yamux.IsClosed()
 }
 
-func (s *session) touch() { s.lastUsed.Store(clock.Nanos()) }
+func (s *session) markUsed() { s.lastUsed.Store(clock.Nanos()) }
 
-// idle says whether the session has had no call for timeout.
+// idle reports whether the session has had no call for timeout.
 func (s *session) idle(timeout time.Duration) bool {
-	busy := len(s.places) > 0 || s.serving.Load() > 0
+	busy := len(s.callPermits) > 0 || s.servingCalls.Load() > 0
 	return !busy && clock.Nanos()-s.lastUsed.Load() > int64(timeout)
 }
 
-// close ends the session at once; calls in flight fail.
+// close closes the session at once. Calls in flight fail.
 func (s *session) close() {
 	s.retired.Store(true)
-	// yamux closes the connection; the error would be of the parting word.
-	_ = s.mux.Close()
+	// yamux closes the connection. The error would only concern the closing message,
+	// which does not matter.
+	_ = s.yamux.Close()
 }
 
-// retire asks the peer to make no new calls on the session, lets the calls in
-// flight finish both ways and then closes it. yamux's own GoAway is of no use
-// here: it resets the calls that the peer sends before it hears of it.
+// retire asks the peer to make no new calls on the session, waits until the calls in
+// flight have finished in both directions and then closes it. yamux's own GoAway cannot
+// be used: it resets the calls that the peer sends before it receives the GoAway.
 func (s *session) retire() {
 	if s.retired.Swap(true) {
 		return
 	}
-	s.t.wg.Go(func() {
+	s.transport.wg.Go(func() {
 		defer s.close()
-		ctx, cancel := clock.WithTimeout(s.t.ctx, s.t.cfg.CallTimeout)
+		ctx, cancel := clock.WithTimeout(s.transport.ctx, s.transport.cfg.CallTimeout)
 		defer cancel()
 		if _, _, err := s.call(ctx, methodRetire, nil); err != nil {
-			return // broken: nothing can finish on it
+			return // the session is broken, so no call can finish on it
 		}
-		s.waitQuiet()
+		s.waitUntilIdle()
 	})
 }
 
-// waitQuiet waits until no call was in flight for quietTime. Each call has a
-// deadline of its own, so the wait ends.
-func (s *session) waitQuiet() {
-	tick := time.NewTicker(quietTime / 4)
+// waitUntilIdle waits until no call has been in flight for retireIdleTime. The wait is
+// bounded, since every call has a deadline.
+func (s *session) waitUntilIdle() {
+	tick := time.NewTicker(retireIdleTime / 4)
 	defer tick.Stop()
-	for !s.idle(quietTime) {
+	for !s.idle(retireIdleTime) {
 		select {
-		case <-s.mux.CloseChan():
+		case <-s.yamux.CloseChan():
 			return
 		case <-tick.C:
 		}
 	}
 }
 
-// checkSilence has the session doubted when nothing arrived for SilenceTimeout
-// though a call was waiting: the peer is frozen, or the connection half-open, or
-// the answers take their time.
-func (s *session) checkSilence() {
-	silent := s.silentFor() >= s.t.cfg.SilenceTimeout
-	if !silent || !s.usable() || !s.doubted.CompareAndSwap(false, true) {
+// suspectIfSilent marks the session as suspect if no data arrived for SilenceTimeout
+// while a call waited for an answer. Either the peer hangs, or the connection is
+// half-open, or the answers just take long; verifySuspect finds out.
+func (s *session) suspectIfSilent() {
+	silent := s.silence() >= s.transport.cfg.SilenceTimeout
+	if !silent || !s.usable() || !s.suspect.CompareAndSwap(false, true) {
 		return
 	}
-	s.noteSilent()
-	if s.t.enter() {
-		go s.settleDoubt()
+	s.recordSilence()
+	if s.transport.addGoroutine() {
+		go s.verifySuspect()
 	}
 }
 
-// settleDoubt drops the session unless the peer gives a sign of life. New calls take
-// another session meanwhile, and those under way go on.
-func (s *session) settleDoubt() {
-	defer s.t.wg.Done()
-	if s.answers() {
-		s.doubted.Store(false)
+// verifySuspect closes the session unless the peer answers a ping. In the meantime new
+// calls use another session, and the calls in flight continue.
+func (s *session) verifySuspect() {
+	defer s.transport.wg.Done()
+	if s.pingPeer() {
+		s.suspect.Store(false)
 		return
 	}
-	s.dropSilent()
+	s.closeSilent()
 }
 
-// noteSilent counts the session as silent and has dials to the host know of it.
-func (s *session) noteSilent() {
-	s.t.counters.silent.Inc()
-	h := s.t.host(s.peer.Host)
+// recordSilence counts the session as silent and sets the reason that callers get while
+// the host is being dialled again.
+func (s *session) recordSilence() {
+	s.transport.counters.silentSessions.Inc()
+	h := s.transport.host(s.peer.Host)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lastErr = errSilent
 }
 
-// silentFor is how long an answer has been awaited without a byte; 0 when none
-// is.
-func (s *session) silentFor() time.Duration {
-	since := s.meter.waitingSince.Load()
+// silence returns how long no data has arrived while an answer has been awaited, or 0
+// if none is awaited.
+func (s *session) silence() time.Duration {
+	since := s.conn.silentSince.Load()
 	if since == 0 {
 		return 0
 	}
 	return time.Duration(clock.Nanos() - since)
 }
 
-// dropSilent ends the session without a word to the peer.
-func (s *session) dropSilent() {
-	silence := s.silentFor()
-	if s.dropped.Swap(true) || s.mux.IsClosed() {
+// closeSilent closes the session without notifying the peer.
+func (s *session) closeSilent() {
+	silence := s.silence()
+	if s.closedAsSilent.Swap(true) || s.yamux.IsClosed() {
 		return
 	}
 	s.retired.Store(true)
-	s.t.cfg.Logger.Warn("peer session dropped as silent", zap.String("peer", s.peer.Host),
+	s.transport.cfg.Logger.Warn("peer session closed: no data received while calls waited for answers", zap.String("peer", s.peer.Host),
 		zap.Duration("silence", silence))
-	// The connection is closed first, as the parting word of yamux would wait
-	// for a peer that takes no data.
-	s.meter.Close()
+	// The connection is closed first, because closing the yamux session may send a
+	// closing message, which would block on a peer that reads no data.
+	s.conn.Close()
 	s.close()
 }
 
-// prove asks the peer for a sign of life after this host slept: peer, connection and
-// what was believed of both may be gone, without a word that could have reached a
-// sleeping host. Calls wait for the proof, so that none is sent into the void.
-func (s *session) prove() {
+// verifyAfterResume pings the peer after this host was suspended. The peer may have
+// closed the connection or exited in the meantime, and a suspended host cannot have
+// received any notice of it. Calls wait for the result, so that none is sent on a dead
+// session.
+func (s *session) verifyAfterResume() {
 	done := make(chan struct{})
-	if !s.usable() || !s.proof.CompareAndSwap(nil, &done) {
+	if !s.usable() || !s.verification.CompareAndSwap(nil, &done) {
 		return
 	}
 	defer func() {
-		s.proof.Store(nil)
+		s.verification.Store(nil)
 		close(done)
 	}()
-	if !s.answers() {
-		s.noteSilent()
-		s.dropSilent()
+	if !s.pingPeer() {
+		s.recordSilence()
+		s.closeSilent()
 	}
 }
 
-// answers says whether the peer answers a question that its session answers by itself,
-// within SilenceTimeout.
-func (s *session) answers() bool {
-	s.meter.await()
-	defer s.meter.settle()
+// pingPeer reports whether the peer's yamux session answers a ping within
+// SilenceTimeout. The peer's handlers are not involved.
+func (s *session) pingPeer() bool {
+	s.conn.beginAwait()
+	defer s.conn.endAwait()
 	answered := make(chan error, 1)
 	go func() {
-		_, err := s.mux.Ping()
+		_, err := s.yamux.Ping()
 		answered <- err
 	}()
-	silence := clock.NewTimer(s.t.cfg.SilenceTimeout)
+	silence := clock.NewTimer(s.transport.cfg.SilenceTimeout)
 	defer silence.Stop()
 	select {
 	case err := <-answered:
@@ -217,45 +222,46 @@
 	}
 }
 
-// proveSessions has every session proved.
-func (t *Transport) proveSessions(slept time.Duration) {
+// verifyAllSessions starts the verification of every session after this host was
+// suspended.
+func (t *Transport) verifyAllSessions(slept time.Duration) {
 	t.mu.Lock()
 	live := t.liveSessions()
 	t.mu.Unlock()
 	t.cfg.Logger.Warn("this host slept; sessions are proved", zap.Duration("slept", slept), zap.Int("sessions", len(live)))
 	for _, s := range live {
-		go s.prove()
+		go s.verifyAfterResume()
 	}
 }
 
-// meteredConn counts the bytes on the wire and notes since when an answer is
-// awaited in silence.
+// meteredConn counts the bytes on the wire and records since when no data has arrived
+// while an answer is awaited.
 type meteredConn struct {
 	net.Conn
-	counters     *counters
-	waitingSince atomic.Int64 // by clock.Nanos; 0 while nothing is awaited
-	awaited      atomic.Int32 // answers
+	counters       *counters
+	silentSince    atomic.Int64 // by clock.Nanos; 0 if no answer is awaited
+	pendingAnswers atomic.Int32 // the number of answers that are awaited
 }
 
-// await notes that an answer is awaited from now on.
-func (c *meteredConn) await() {
-	c.awaited.Add(1)
-	c.waitingSince.CompareAndSwap(0, clock.Nanos())
+// beginAwait records that another answer is awaited.
+func (c *meteredConn) beginAwait() {
+	c.pendingAnswers.Add(1)
+	c.silentSince.CompareAndSwap(0, clock.Nanos())
 }
 
-// settle notes that an answer is awaited no longer. Whether the peer has been
-// silent is for the next byte to say.
-func (c *meteredConn) settle() { c.awaited.Add(-1) }
+// endAwait records that an answer is no longer awaited. It leaves silentSince alone:
+// only received data shows that the peer is not silent.
+func (c *meteredConn) endAwait() { c.pendingAnswers.Add(-1) }
 
 // Read implements net.Conn.
 func (c *meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
 		var since int64
-		if c.awaited.Load() > 0 {
-			since = clock.Nanos() // for the other answers
+		if c.pendingAnswers.Load() > 0 {
+			since = clock.Nanos() // other answers are still awaited
 		}
-		c.waitingSince.Store(since)
+		c.silentSince.Store(since)
 		c.counters.wireReceived.Add(n)
 	}
 	return n, err
@@ -268,7 +274,7 @@
 	return n, err
 }
 
-// SessionInfo describes a session in a state dump.
+// SessionInfo describes a session in a state dump for operators.
 type SessionInfo struct {
 	Host        string    `json:"host"`
 	Incarnation uint64    `json:"incarnation"`
@@ -282,7 +288,7 @@
 	Retired     bool      `json:"retired"`
 }
 
-// Sessions lists the live sessions, in no order.
+// Sessions lists the live sessions in no particular order.
 func (t *Transport) Sessions() []SessionInfo {
 	t.mu.Lock()
 	live := t.liveSessions()
@@ -291,16 +297,16 @@
 	for _, s := range live {
 		infos = append(infos, SessionInfo{
 			Host: s.peer.Host, Incarnation: s.peer.Incarnation,
-			Address: s.meter.RemoteAddr().String(), Dialled: s.dialled,
+			Address: s.conn.RemoteAddr().String(), Dialled: s.dialled,
 			Opened: s.opened, LastUsed: time.Now().Add(time.Duration(s.lastUsed.Load() - clock.Nanos())),
-			InFlight: len(s.places), Waiting: int(s.waiting.Load()),
-			Serving: int(s.serving.Load()), Retired: s.retired.Load(),
+			InFlight: len(s.callPermits), Waiting: int(s.queuedCalls.Load()),
+			Serving: int(s.servingCalls.Load()), Retired: s.retired.Load(),
 		})
 	}
 	return infos
 }
 
-// countSessions counts the live sessions, for the gauge.
+// countSessions returns the number of live sessions, for the gauge.
 func (t *Transport) countSessions() float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/peer/silent_test.go
+++ b/peer/silent_test.go
@@ -11,35 +11,35 @@
 	"github.com/wheatseam/wheatseam/peer"
 )
 
-// silence is the SilenceTimeout of these tests, and roundTrip the time that an answer
-// takes on its way.
+// silenceTimeout is the SilenceTimeout of these tests. answerDelay is the network delay
+// of an answer.
 const (
-	silence   = 80 * time.Millisecond
-	roundTrip = 40 * time.Millisecond
+	silenceTimeout = 80 * time.Millisecond
+	answerDelay    = 40 * time.Millisecond
 )
 
-// held is a pair of transports of which b serves a method that answers when it is let,
-// with a network between.
-type held struct {
+// blockingPair is two transports connected through a relay. b serves a method that
+// blocks until release is closed.
+type blockingPair struct {
 	a, b    *peer.Transport
 	relay   *faultrelay.Relay
-	serving chan struct{}
-	answer  chan struct{}
+	started chan struct{}
+	release chan struct{}
 }
 
-func newHeld(t *testing.T) *held {
+func newBlockingPair(t *testing.T) *blockingPair {
 	g := NewWithT(t)
-	h := &held{serving: make(chan struct{}, 8), answer: make(chan struct{})}
+	h := &blockingPair{started: make(chan struct{}, 8), release: make(chan struct{})}
 	mux := peer.NewMux()
 	peer.Handle(mux, "held", func(context.Context, peer.Sender, *text) (*text, error) {
-		h.serving <- struct{}{}
-		<-h.answer
+		h.started <- struct{}{}
+		<-h.release
 		return &text{Value: "answered"}, nil
 	})
 	start := func(name string, mux *peer.Mux, resolve peer.Resolver) *peer.Transport {
 		transport, err := peer.NewTransport(peer.Config{
 			Host: name, Incarnation: 1, Listen: "127.0.0.1:0", Plaintext: true, Resolve: resolve, Mux: mux,
-			SilenceTimeout: silence,
+			SilenceTimeout: silenceTimeout,
 		})
 		g.Expect(err).NotTo(HaveOccurred())
 		t.Cleanup(func() { _ = transport.Close() })
@@ -51,61 +51,63 @@
 	h.relay, err = faultrelay.New(faultrelay.Config{Target: h.b.Addr()})
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { _ = h.relay.Close() })
-	h.relay.Set(faultrelay.Conditions{ToCaller: faultrelay.Direction{Delay: roundTrip}})
+	h.relay.Set(faultrelay.Conditions{ToCaller: faultrelay.Direction{Delay: answerDelay}})
 	return h
 }
 
-// call calls the method in the background.
-func (h *held) call(ctx context.Context) (value *text, ended chan error) {
+// call calls the blocking method in the background.
+func (h *blockingPair) call(ctx context.Context) (value *text, ended chan error) {
 	value, ended = &text{}, make(chan error, 1)
 	go func() { ended <- h.a.Call(ctx, "b", "held", &text{}, value) }()
 	return value, ended
 }
 
-// TestHeldCallOutlivesOthers: a call whose answer takes its time is not ended for one
-// that was given up beside it before any answer could have come, as the peer is well.
-func TestHeldCallOutlivesOthers(t *testing.T) {
+// Guards against one failed call ending the others on its session: a call that is
+// cancelled or times out before any answer could arrive does not show that the peer is
+// silent, so a slow call beside it must still get its answer.
+func TestPendingCallSurvivesFailureOfAnotherCall(t *testing.T) {
 	for name, giveUp := range map[string]func(context.Context) (context.Context, context.CancelFunc){
-		"left by its caller": func(ctx context.Context) (context.Context, context.CancelFunc) {
+		"cancelled by its caller": func(ctx context.Context) (context.Context, context.CancelFunc) {
 			ctx, cancel := context.WithCancel(ctx)
-			time.AfterFunc(roundTrip/4, cancel)
+			time.AfterFunc(answerDelay/4, cancel)
 			return ctx, cancel
 		},
-		"out of time": func(ctx context.Context) (context.Context, context.CancelFunc) {
-			return context.WithTimeout(ctx, roundTrip/4)
+		"deadline exceeded": func(ctx context.Context) (context.Context, context.CancelFunc) {
+			return context.WithTimeout(ctx, answerDelay/4)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			h := newHeld(t)
+			h := newBlockingPair(t)
 			value, ended := h.call(context.Background())
-			g.Eventually(h.serving).Should(Receive())
-			g.Consistently(ended, 2*silence).ShouldNot(Receive())
+			g.Eventually(h.started).Should(Receive())
+			g.Consistently(ended, 2*silenceTimeout).ShouldNot(Receive())
 			ctx, cancel := giveUp(context.Background())
 			defer cancel()
 			_, other := h.call(ctx)
 			g.Eventually(other).Should(Receive(HaveOccurred()))
-			g.Consistently(ended, 3*silence).ShouldNot(Receive())
-			close(h.answer)
+			g.Consistently(ended, 3*silenceTimeout).ShouldNot(Receive())
+			close(h.release)
 			g.Eventually(ended).Should(Receive(BeNil()))
 			g.Expect(value.Value).To(Equal("answered"))
 		})
 	}
 }
 
-// TestSilentPeerEndsCalls: a call that a peer cannot answer any more ends long before
-// its time, once another one has found the peer silent.
-func TestSilentPeerEndsCalls(t *testing.T) {
+// Guards against calls waiting in vain for a silent peer: once one call has timed out
+// and the peer is found silent, the other calls on the session fail long before their
+// own deadlines.
+func TestSilentPeerFailsPendingCalls(t *testing.T) {
 	g := NewWithT(t)
-	h := newHeld(t)
+	h := newBlockingPair(t)
 	_, ended := h.call(context.Background())
-	g.Eventually(h.serving).Should(Receive())
+	g.Eventually(h.started).Should(Receive())
 	g.Expect(h.relay.Silence()).To(Equal(1))
-	g.Consistently(ended, 2*silence).ShouldNot(Receive())
-	ctx, cancel := context.WithTimeout(context.Background(), roundTrip)
+	g.Consistently(ended, 2*silenceTimeout).ShouldNot(Receive())
+	ctx, cancel := context.WithTimeout(context.Background(), answerDelay)
 	defer cancel()
 	_, other := h.call(ctx)
 	g.Eventually(other).Should(Receive(MatchError(peer.ErrTimeout)))
-	g.Eventually(ended, 4*silence).Should(Receive(MatchError(peer.ErrUnreachable)))
-	close(h.answer)
+	g.Eventually(ended, 4*silenceTimeout).Should(Receive(MatchError(peer.ErrUnreachable)))
+	close(h.release)
 }
--- a/peer/tls.go
+++ b/peer/tls.go
@@ -7,20 +7,20 @@
 	"os"
 )
 
-// loadTLS reads the files and returns the configuration for both sides; the
-// dialling side sets ServerName for each dial.
+// loadTLS reads the files and returns the TLS configuration for both client and server.
+// The client sets ServerName for each dial.
 func loadTLS(f TLSFiles) (*tls.Config, error) {
 	cert, err := tls.LoadX509KeyPair(f.CertFile, f.KeyFile)
 	if err != nil {
-		return nil, fmt.Errorf("peer: key pair: %w", err)
+		return nil, fmt.Errorf("peer: loading the key pair: %w", err)
 	}
 	pem, err := os.ReadFile(f.CAFile)
 	if err != nil {
-		return nil, fmt.Errorf("peer: authority: %w", err)
+		return nil, fmt.Errorf("peer: reading the CA file: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("peer: authority: no certificate in %s", f.CAFile)
+		return nil, fmt.Errorf("peer: no certificate in CA file %s", f.CAFile)
 	}
 	return &tls.Config{
 		Certificates:           []tls.Certificate{cert},
@@ -32,7 +32,7 @@
 	}, nil
 }
 
-// checkOwnName refuses a key pair that is not for host.
+// checkOwnName returns ErrIdentity if the configured certificate is not valid for host.
 func checkOwnName(cfg *tls.Config, host string) error {
 	leaf, err := x509.ParseCertificate(cfg.Certificates[0].Certificate[0])
 	if err != nil {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// checkPeerName refuses a connection whose certificate is not for host.
+// checkPeerName returns ErrIdentity if the peer's certificate is not valid for host.
 func checkPeerName(conn *tls.Conn, host string) error {
 	certs := conn.ConnectionState().PeerCertificates
 	if len(certs) == 0 {
--- a/peer/transport.go
+++ b/peer/transport.go
@@ -16,35 +16,35 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// The fixed bounds of every session.
+// The fixed limits of every session.
 const (
-	// streamWindow is the least receive window that yamux allows; buffers grow
-	// up to it only while data waits to be read.
+	// streamWindow is the smallest receive window that yamux allows, in bytes. A
+	// stream's buffer grows up to it only while there is unread data.
 	streamWindow = 256 << 10
-	// writeTimeout ends a session whose connection takes no more data.
+	// writeTimeout closes a session whose connection accepts no more data.
 	writeTimeout = 2 * time.Second
 	// streamCloseTimeout frees a stream that only this side has closed.
 	streamCloseTimeout = 5 * time.Second
-	// maxGreetings bounds the accepted connections not yet greeted.
-	maxGreetings = 64
+	// maxHandshakes bounds the accepted connections whose handshake is not complete.
+	maxHandshakes = 64
 )
 
-// Transport calls fellow daemons and serves their calls. All methods are safe
-// for concurrent use.
+// Transport calls other daemons and serves their calls. All methods are safe for
+// concurrent use.
 type Transport struct {
-	cfg      Config
-	tls      *tls.Config // nil for plaintext
-	yamux    *yamux.Config
-	listener net.Listener
-	counters *counters
-	handlers chan struct{} // one place per call being served
-	greeting chan struct{} // one place per connection being greeted
+	cfg              Config
+	tls              *tls.Config // nil for plaintext
+	yamux            *yamux.Config
+	listener         net.Listener
+	counters         *counters
+	handlerPermits   chan struct{} // one per call being served
+	handshakePermits chan struct{} // one per accepted connection in its handshake
 
 	ctx    context.Context // ends with Close
 	cancel context.CancelFunc
-	// stopWaking ends that sessions are proved after this host slept.
-	stopWaking func()
-	wg         sync.WaitGroup // the listener, the janitor and all sessions
+	// stopOnResume unregisters verifyAllSessions from the clock.
+	stopOnResume func()
+	wg           sync.WaitGroup // the accept loop, the idle loop, dials and sessions
 
 	mu       sync.Mutex
 	hosts    map[string]*hostState
@@ -54,21 +54,21 @@
 	draining bool
 }
 
-// NewTransport reads the key files, listens, and serves cfg.Mux until Close.
-// The error is ErrPlaintext when TLS is off and the address is no loopback
-// address, and ErrIdentity when the certificate is for another host.
+// NewTransport reads the key files, listens, and serves cfg.Mux until Close. It returns
+// ErrPlaintext if TLS is off and the address is not a loopback address, and ErrIdentity
+// if the certificate is for another host.
 func NewTransport(cfg Config) (*Transport, error) {
 	cfg = cfg.withDefaults()
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
 	t := &Transport{
-		cfg:      cfg,
-		yamux:    yamuxConfig(cfg),
-		handlers: make(chan struct{}, cfg.MaxHandlers),
-		greeting: make(chan struct{}, maxGreetings),
-		hosts:    make(map[string]*hostState),
-		sessions: make(map[*session]struct{}),
+		cfg:              cfg,
+		yamux:            yamuxConfig(cfg),
+		handlerPermits:   make(chan struct{}, cfg.MaxHandlers),
+		handshakePermits: make(chan struct{}, maxHandshakes),
+		hosts:            make(map[string]*hostState),
+		sessions:         make(map[*session]struct{}),
 	}
 	if !cfg.Plaintext {
 		var err error
@@ -85,42 +85,43 @@
 	}
 	t.counters = newCounters(cfg.Metrics, t.countSessions)
 	t.ctx, t.cancel = context.WithCancel(context.Background())
-	t.stopWaking = clock.OnWake(t.proveSessions)
+	t.stopOnResume = clock.OnWake(t.verifyAllSessions)
 	t.wg.Go(t.acceptLoop)
-	t.wg.Go(t.janitor)
+	t.wg.Go(t.closeIdleLoop)
 	return t, nil
 }
 
-// yamuxConfig returns the session settings. Keep-alives are off, since calls
-// notice a dead peer by themselves and 409 idle sessions must cost nothing.
+// yamuxConfig returns the settings of the yamux sessions. Keep-alives are off: calls
+// detect a dead peer by themselves, and 409 idle sessions must cost nothing.
 func yamuxConfig(cfg Config) *yamux.Config {
 	y := yamux.DefaultConfig()
-	// The caller's own bound is MaxInFlight, so the backlog is never exceeded
-	// by a peer with the same settings, also with streams just given up.
+	// The caller limits itself to MaxInFlight streams. Twice that leaves room for
+	// streams that were just abandoned, so a peer with the same settings never exceeds
+	// the backlog.
 	y.AcceptBacklog = 2 * cfg.MaxInFlight
 	y.EnableKeepAlive = false
 	y.ConnectionWriteTimeout = writeTimeout
 	y.MaxStreamWindowSize = streamWindow
-	y.StreamOpenTimeout = 0 // a silent session is ended by its callers
+	y.StreamOpenTimeout = 0 // callers detect a silent session and close it
 	y.StreamCloseTimeout = streamCloseTimeout
 	y.LogOutput = nil
 	y.Logger = yamuxLogger{cfg.Logger}
 	return y
 }
 
-// yamuxLogger hands the lines of yamux on at debug level: what matters of them
-// reaches the callers as errors.
+// yamuxLogger logs the messages of yamux at debug level, since relevant failures reach
+// the callers as errors.
 type yamuxLogger struct{ log *zap.Logger }
 
 func (l yamuxLogger) Print(v ...any)                 { l.log.Debug(fmt.Sprint(v...)) }
 func (l yamuxLogger) Printf(format string, v ...any) { l.log.Debug(fmt.Sprintf(format, v...)) }
 func (l yamuxLogger) Println(v ...any)               { l.log.Debug(fmt.Sprint(v...)) }
 
-// Addr returns the address that peers reach.
+// Addr returns the address on which the transport listens for peers.
 func (t *Transport) Addr() string { return t.listener.Addr().String() }
 
-// Shutdown stops taking calls, waits until those in flight are answered or
-// ctx ends, and closes the transport.
+// Shutdown stops accepting calls, waits until the calls in flight are answered or ctx
+// ends, and closes the transport.
 func (t *Transport) Shutdown(ctx context.Context) error {
 	t.mu.Lock()
 	t.draining = true
@@ -134,22 +135,22 @@
 	return errors.Join(err, t.Close())
 }
 
-// waitSessions polls until no session is left.
+// waitSessions waits until no session is left, by polling.
 func (t *Transport) waitSessions(ctx context.Context) error {
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
 	for t.countSessions() > 0 {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("peer: shutdown cut %.0f sessions: %w", t.countSessions(), ctx.Err())
+			return fmt.Errorf("peer: %.0f sessions were still open when the shutdown timed out: %w", t.countSessions(), ctx.Err())
 		case <-tick.C:
 		}
 	}
 	return nil
 }
 
-// Close ends all sessions at once and waits for their goroutines; handlers
-// that still run see their contexts end.
+// Close closes all sessions at once and waits for their goroutines. The contexts of
+// handlers that are still running are cancelled.
 func (t *Transport) Close() error {
 	t.mu.Lock()
 	already := t.closed
@@ -159,7 +160,7 @@
 	if already {
 		return nil
 	}
-	t.stopWaking()
+	t.stopOnResume()
 	t.cancel()
 	t.listener.Close()
 	for _, s := range live {
@@ -169,7 +170,7 @@
 	return nil
 }
 
-// liveSessions lists the sessions. The caller holds t.mu.
+// liveSessions returns the live sessions. The caller holds t.mu.
 func (t *Transport) liveSessions() []*session {
 	live := make([]*session, 0, len(t.sessions))
 	for s := range t.sessions {
@@ -178,7 +179,7 @@
 	return live
 }
 
-// acceptLoop greets each accepted connection in a goroutine of its own.
+// acceptLoop accepts connections and performs each handshake in its own goroutine.
 func (t *Transport) acceptLoop() {
 	for {
 		conn, err := t.listener.Accept()
@@ -187,23 +188,23 @@
 				return
 			}
 			t.cfg.Logger.Warn("peer accept failed", zap.Error(err))
-			time.Sleep(10 * time.Millisecond) // out of descriptors: don't spin
+			time.Sleep(10 * time.Millisecond) // avoids a busy loop when there are no free file descriptors
 			continue
 		}
 		select {
-		case t.greeting <- struct{}{}:
+		case t.handshakePermits <- struct{}{}:
 			t.wg.Go(func() {
-				defer func() { <-t.greeting }()
+				defer func() { <-t.handshakePermits }()
 				t.accept(conn)
 			})
 		default:
-			t.counters.refused.Inc()
+			t.counters.refusedConnections.Inc()
 			conn.Close()
 		}
 	}
 }
 
-// accept makes a session of an accepted connection, or closes it.
+// accept creates a session on an accepted connection, or closes the connection.
 func (t *Transport) accept(raw net.Conn) {
 	address := raw.RemoteAddr().String()
 	if t.cfg.checkPlaintext(address) != nil {
@@ -212,14 +213,15 @@
 	}
 	from, err := t.establish(raw, "")
 	if err != nil && !errors.Is(err, io.EOF) {
-		t.counters.refused.Inc()
+		t.counters.refusedConnections.Inc()
 		t.cfg.Logger.Warn("peer refused", zap.String("peer", from.Host),
 			zap.String("address", address), zap.Error(err))
 	}
 }
 
-// localAddress is the IP that this transport listens on, with any port: peers
-// then see the address that the settings name. It is nil for all addresses.
+// localAddress returns the IP address the transport listens on, with any port, so that
+// peers see the address in this host's settings as the source. It returns nil if the
+// transport listens on all addresses.
 func (t *Transport) localAddress() net.Addr {
 	a, ok := t.listener.Addr().(*net.TCPAddr)
 	if !ok || a.IP.IsUnspecified() {
@@ -228,7 +230,7 @@
 	return &net.TCPAddr{IP: a.IP}
 }
 
-// dial connects to host at address and makes a session.
+// dial connects to host at address and creates a session.
 func (t *Transport) dial(host, address string) error {
 	if err := t.cfg.checkPlaintext(address); err != nil {
 		return err
@@ -242,27 +244,27 @@
 	return err
 }
 
-// establish makes a session of a connection: TLS, greeting, yamux. host is the
-// host that was dialled, or "" for an accepted connection. On an error the
-// connection is closed; the sender is the one that the peer claimed to be.
+// establish creates a session on a connection: TLS, peer handshake, yamux. host is the
+// host that was dialled, or "" for an accepted connection. On an error it closes the
+// connection, and the returned sender is the one that the peer claimed to be.
 func (t *Transport) establish(raw net.Conn, host string) (from Sender, err error) {
 	meter := &meteredConn{Conn: raw, counters: t.counters}
-	conn := t.secure(meter, host)
-	err = bounded(conn, t.cfg.DialTimeout, func() (err error) {
+	conn := t.wrapTLS(meter, host)
+	err = withDeadline(conn, t.cfg.DialTimeout, func() (err error) {
 		if tc, ok := conn.(*tls.Conn); ok {
 			if err := tc.HandshakeContext(t.ctx); err != nil {
-				return identityError(err)
+				return wrapCertificateError(err)
 			}
 		}
 		if host == "" {
-			from, err = t.welcome(conn)
+			from, err = t.serverHandshake(conn)
 		} else {
-			from, err = t.greet(conn, host)
+			from, err = t.clientHandshake(conn, host)
 		}
 		return err
 	})
 	if err == nil {
-		err = t.start(conn, meter, from, host != "")
+		err = t.startSession(conn, meter, from, host != "")
 	}
 	if err != nil {
 		conn.Close()
@@ -270,8 +272,8 @@
 	return from, err
 }
 
-// secure puts TLS on a connection, unless the transport is plaintext.
-func (t *Transport) secure(conn net.Conn, host string) net.Conn {
+// wrapTLS adds TLS to a connection, unless the transport uses plaintext.
+func (t *Transport) wrapTLS(conn net.Conn, host string) net.Conn {
 	switch {
 	case t.tls == nil:
 		return conn
@@ -284,8 +286,8 @@
 	}
 }
 
-// identityError marks a certificate that does not verify as ErrIdentity.
-func identityError(err error) error {
+// wrapCertificateError marks a certificate verification error as ErrIdentity.
+func wrapCertificateError(err error) error {
 	var v *tls.CertificateVerificationError
 	if errors.As(err, &v) {
 		return fmt.Errorf("%w: %w", ErrIdentity, err)
