--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -66,7 +66,7 @@
 	log       *zap.Logger
 	roster    *roster
 	loop      *membership.Loop
-	calls     *membership.CallPool
+	calls     *membership.Calls
 	transport *peer.Transport
 	seeds     atomic.Pointer[[]string]
 	formed    chan struct{}
@@ -81,7 +81,7 @@
 func New(cfg Config) (*Fleet, error) {
 	incarnation := uint64(time.Now().UnixMilli())
 	cfg.Self.Incarnation = incarnation
-	f := &Fleet{cfg: cfg, log: cfg.Logger, roster: newRoster(cfg.Self), calls: membership.NewCallPool(), formed: make(chan struct{})}
+	f := &Fleet{cfg: cfg, log: cfg.Logger, roster: newRoster(cfg.Self), calls: membership.NewCalls(), formed: make(chan struct{})}
 	f.SetSeeds(cfg.Seeds)
 	peer.Handle(cfg.Mux, methodRoster, f.introduced)
 	members := member.DefaultConfig(cfg.Self.Host, incarnation)
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f.calls.SetCaller(f.transport)
+	f.calls.Use(f.transport)
 	return f, nil
 }
 
--- a/membership/calls.go
+++ b/membership/calls.go
@@ -17,23 +17,23 @@
 // ErrBusy reports that the maximum number of calls is already in flight.
 var ErrBusy = errors.New("membership: too many calls in flight")
 
-// CallPool makes calls to peers, each in its own goroutine. The number of calls in
+// Calls makes calls to peers, each in its own goroutine. The number of calls in
 // flight is bounded.
-type CallPool struct {
+type Calls struct {
 	caller  peer.Caller
 	permits chan struct{}
 }
 
-// NewCallPool returns a pool. SetCaller must be called before the first call.
-func NewCallPool() *CallPool { return &CallPool{permits: make(chan struct{}, maxCallsInFlight)} }
+// NewCalls returns a pool. Use must be called before the first call.
+func NewCalls() *Calls { return &Calls{permits: make(chan struct{}, maxCallsInFlight)} }
 
-// SetCaller sets the caller. It is called once, before the first call.
-func (c *CallPool) SetCaller(caller peer.Caller) { c.caller = caller }
+// Use sets the caller. It is called once, before the first call.
+func (c *Calls) Use(caller peer.Caller) { c.caller = caller }
 
 // Go calls method at host in its own goroutine and passes the result to done, at the
 // latest after timeout. If maxCallsInFlight calls are in flight it passes ErrBusy at
 // once. done is called exactly once.
-func (c *CallPool) Go(host, method string, req, resp proto.Message, timeout time.Duration, done func(error)) {
+func (c *Calls) Go(host, method string, req, resp proto.Message, timeout time.Duration, done func(error)) {
 	select {
 	case c.permits <- struct{}{}:
 	default:
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -61,7 +61,7 @@
 
 // Loop runs the membership state machine.
 type Loop struct {
-	calls   *CallPool
+	calls   *Calls
 	hooks   Hooks
 	log     *zap.Logger
 	machine *member.Machine
@@ -79,7 +79,7 @@
 const publishInterval = time.Second
 
 // New returns a loop that has not started, and registers its methods in mux. The error names an invalid extension of cfg.
-func New(cfg member.Config, seed uint64, mux *peer.Mux, calls *CallPool, hooks Hooks, log *zap.Logger) (*Loop, error) {
+func New(cfg member.Config, seed uint64, mux *peer.Mux, calls *Calls, hooks Hooks, log *zap.Logger) (*Loop, error) {
 	m, err := member.New(cfg, clock.Now(), rand.New(rand.NewPCG(seed, 1)))
 	if err != nil {
 		return nil, err
--- a/peer/session.go
+++ b/peer/session.go
@@ -37,8 +37,8 @@
 	queuedCalls    atomic.Int32  // calls that wait for a permit
 	servingCalls   atomic.Int32  // calls from the peer that are being served
 	lastUsed       atomic.Int64  // by clock.Nanos
-	retired        atomic.Bool   // takes no new calls
-	suspect        atomic.Bool   // takes no new calls until the peer has answered a ping
+	retired        atomic.Bool   // accepts no new calls
+	suspect        atomic.Bool   // accepts no new calls until the peer has answered a ping
 	closedAsSilent atomic.Bool   // because the peer did not answer
 	// verification is non-nil while the session is being verified after a suspension of
 	// this host. The channel is closed when the peer has answered or the session has
@@ -239,7 +239,7 @@
 type meteredConn struct {
 	net.Conn
 	counters       *counters
-	silentSince    atomic.Int64 // by clock.Nanos; 0 if no answer is awaited
+	silentSince    atomic.Int64 // by clock.Nanos; 0 if no answer was awaited when data last arrived
 	pendingAnswers atomic.Int32 // the number of answers that are awaited
 }
 
--- a/peer/transport.go
+++ b/peer/transport.go
@@ -142,7 +142,7 @@
 	for t.countSessions() > 0 {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("peer: %.0f sessions were still open when the shutdown timed out: %w", t.countSessions(), ctx.Err())
+			return fmt.Errorf("peer: %.0f sessions were still open when the shutdown context ended: %w", t.countSessions(), ctx.Err())
 		case <-tick.C:
 		}
 	}
