--- a/cluster/cluster_test.go
+++ b/cluster/cluster_test.go
@@ -168,12 +168,12 @@
 	})
 
 	It("puts rising versions into force at every daemon and leaves earlier snapshots unchanged", func() {
-		held := f.daemons[2].Bundle()
+		snapshot := f.daemons[2].Bundle()
 		f.publishBundle(2)
 		f.eventuallyAll(10*time.Second, inForce(2))
 		f.publishBundle(3)
 		f.eventuallyAll(10*time.Second, inForce(3))
-		Expect(held.Version).To(Equal(uint64(1)))
+		Expect(snapshot.Version).To(Equal(uint64(1)))
 		for _, d := range f.daemons {
 			last := uint64(0)
 			for len(d.versions) > 0 {
--- a/internal/clock/timer.go
+++ b/internal/clock/timer.go
@@ -112,11 +112,11 @@
 // DeadlineOf returns a context's deadline as a time of this package, or false if it has
 // none.
 func DeadlineOf(ctx context.Context) (time.Time, bool) {
-	steady, ok := ctx.Deadline()
+	monotonic, ok := ctx.Deadline()
 	if !ok {
 		return time.Time{}, false
 	}
-	return host.now().Add(time.Until(steady)), true
+	return host.now().Add(time.Until(monotonic)), true
 }
 
 // After returns a channel that receives the current time after d.
--- a/peer/call.go
+++ b/peer/call.go
@@ -25,12 +25,12 @@
 // Errors are of type *CallError. After an error the peer may still have served the
 // call, unless Unsent reports true.
 func (t *Transport) Call(ctx context.Context, host, method string, req, resp proto.Message) error {
-	_, err := t.Exchange(ctx, host, method, req, resp)
+	_, err := t.CallWithSender(ctx, host, method, req, resp)
 	return err
 }
 
-// Exchange is like Call, but also returns the process that answered and when it did.
-func (t *Transport) Exchange(ctx context.Context, host, method string, req, resp proto.Message) (Sender, error) {
+// CallWithSender is like Call, but also returns the process that answered and when it did.
+func (t *Transport) CallWithSender(ctx context.Context, host, method string, req, resp proto.Message) (Sender, error) {
 	start := clock.Now()
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
--- a/peer/call_test.go
+++ b/peer/call_test.go
@@ -48,7 +48,7 @@
 		ac := f.config("a")
 		a := f.start(ac)
 		f.start(cfg)
-		answerer, err := a.Exchange(context.Background(), "b", "who", &text{}, &text{})
+		answerer, err := a.CallWithSender(context.Background(), "b", "who", &text{}, &text{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answerer.Host).To(Equal("b"))
 		Expect(answerer.Incarnation).To(Equal(cfg.Incarnation))
--- a/peer/config.go
+++ b/peer/config.go
@@ -11,17 +11,17 @@
 
 // The default limits and timeouts of a transport.
 const (
-	DefaultMaxMessage     = 1 << 20
-	DefaultMaxInFlight    = 128
-	DefaultMaxWaiting     = 1024
-	DefaultMaxHandlers    = 1024
-	DefaultMaxSessions    = 2048
-	DefaultCallTimeout    = 5 * time.Second
-	DefaultDialTimeout    = 2 * time.Second
-	DefaultSilenceTimeout = time.Second
-	DefaultIdleTimeout    = 10 * time.Minute
-	DefaultMinBackoff     = 50 * time.Millisecond
-	DefaultMaxBackoff     = 5 * time.Second
+	DefaultMaxMessageBytes = 1 << 20
+	DefaultMaxInFlight     = 128
+	DefaultMaxWaiting      = 1024
+	DefaultMaxHandlers     = 1024
+	DefaultMaxSessions     = 2048
+	DefaultCallTimeout     = 5 * time.Second
+	DefaultDialTimeout     = 2 * time.Second
+	DefaultSilenceTimeout  = time.Second
+	DefaultIdleTimeout     = 10 * time.Minute
+	DefaultMinBackoff      = 50 * time.Millisecond
+	DefaultMaxBackoff      = 5 * time.Second
 )
 
 // Resolver returns the ip:port where a host's daemon listens for peers, or false for an
@@ -100,7 +100,7 @@
 			*v = d
 		}
 	}
-	orInt(&c.MaxMessage, DefaultMaxMessage)
+	orInt(&c.MaxMessage, DefaultMaxMessageBytes)
 	orInt(&c.MaxInFlight, DefaultMaxInFlight)
 	orInt(&c.MaxWaiting, DefaultMaxWaiting)
 	orInt(&c.MaxHandlers, DefaultMaxHandlers)
--- a/peer/session.go
+++ b/peer/session.go
@@ -52,7 +52,7 @@
 	if dialled {
 		open = yamux.Client
 	}
-	mux, err := open(&headerJoiningConn{Conn: conn}, t.yamux)
+	mux, err := open(&headerJoiningConn{Conn: conn}, t.yamuxConfig)
 	if err != nil {
 		return err
 	}
@@ -224,11 +224,11 @@
 
 // verifyAllSessions starts the verification of every session after this host was
 // suspended.
-func (t *Transport) verifyAllSessions(slept time.Duration) {
+func (t *Transport) verifyAllSessions(suspendedFor time.Duration) {
 	t.mu.Lock()
 	live := t.liveSessions()
 	t.mu.Unlock()
-	t.cfg.Logger.Warn("this host slept; sessions are proved", zap.Duration("slept", slept), zap.Int("sessions", len(live)))
+	t.cfg.Logger.Warn("this host slept; sessions are proved", zap.Duration("slept", suspendedFor), zap.Int("sessions", len(live)))
 	for _, s := range live {
 		go s.verifyAfterResume()
 	}
--- a/peer/transport.go
+++ b/peer/transport.go
@@ -34,7 +34,7 @@
 type Transport struct {
 	cfg              Config
 	tls              *tls.Config // nil for plaintext
-	yamux            *yamux.Config
+	yamuxConfig      *yamux.Config
 	listener         net.Listener
 	counters         *counters
 	handlerPermits   chan struct{} // one per call being served
@@ -64,7 +64,7 @@
 	}
 	t := &Transport{
 		cfg:              cfg,
-		yamux:            yamuxConfig(cfg),
+		yamuxConfig:      yamuxConfig(cfg),
 		handlerPermits:   make(chan struct{}, cfg.MaxHandlers),
 		handshakePermits: make(chan struct{}, maxHandshakes),
 		hosts:            make(map[string]*hostState),
