--- a/cluster/cluster_test.go
+++ b/cluster/cluster_test.go
@@ -199,7 +199,7 @@
 
 	It("marks a stopped daemon as dead and its replacement as alive", func() {
 		name := bundletest.HostName(4)
-		believed := func(state member.State) func(*daemon) bool {
+		hasState := func(state member.State) func(*daemon) bool {
 			return func(d *daemon) bool {
 				for _, m := range d.Members() {
 					if m.Host.Name == name {
@@ -211,9 +211,9 @@
 		}
 		address := f.addresses[4]
 		f.daemons[4].shutdown()
-		f.eventuallyAll(15*time.Second, believed(member.Dead))
+		f.eventuallyAll(15*time.Second, hasState(member.Dead))
 		f.start(4, address)
-		f.eventuallyAll(15*time.Second, believed(member.Alive))
+		f.eventuallyAll(15*time.Second, hasState(member.Alive))
 	})
 
 	It("spreads a leaving upstream to every daemon while the platform is down", func() {
--- a/peer/call.go
+++ b/peer/call.go
@@ -29,7 +29,7 @@
 	return err
 }
 
-// CallWithSender is like Call, but also returns the process that answered and when it did.
+// CallWithSender is like Call, but also returns the sender of the answer.
 func (t *Transport) CallWithSender(ctx context.Context, host, method string, req, resp proto.Message) (Sender, error) {
 	start := clock.Now()
 	if _, ok := ctx.Deadline(); !ok {
--- a/peer/hosts.go
+++ b/peer/hosts.go
@@ -48,13 +48,13 @@
 	h := t.host(name)
 	h.mu.Lock()
 	if s := h.usableSession(); s != nil {
-		proof := s.verification.Load()
+		verification := s.verification.Load()
 		h.mu.Unlock()
-		if proof == nil {
+		if verification == nil {
 			return s, nil
 		}
 		select {
-		case <-*proof:
+		case <-*verification:
 			return t.session(ctx, name)
 		case <-ctx.Done():
 			return nil, contextError(ctx)
@@ -200,12 +200,12 @@
 			kept = append(kept, old)
 		default:
 			preferred = s.dialled == (t.cfg.Host < h.name)
-			loser := old
+			redundant := old
 			if !preferred {
-				loser = s
+				redundant = s
 			}
-			if loser.dialled {
-				loser.retire()
+			if redundant.dialled {
+				redundant.retire()
 			}
 			kept = append(kept, old)
 		}
--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -52,12 +52,12 @@
 }
 
 // counter returns the series name{method=...,labelName=labelValue}.
-func (c *counters) counter(name, method, labelName, label string) *metrics.Counter {
-	key := seriesKey{name, method, label}
+func (c *counters) counter(name, method, labelName, labelValue string) *metrics.Counter {
+	key := seriesKey{name, method, labelValue}
 	if v, ok := c.series.Load(key); ok {
 		return v.(*metrics.Counter)
 	}
-	v := c.set.GetOrCreateCounter(fmt.Sprintf("%s{method=%q,%s=%q}", name, method, labelName, label))
+	v := c.set.GetOrCreateCounter(fmt.Sprintf("%s{method=%q,%s=%q}", name, method, labelName, labelValue))
 	c.series.Store(key, v)
 	return v
 }
--- a/peer/transport.go
+++ b/peer/transport.go
@@ -248,8 +248,8 @@
 // host that was dialled, or "" for an accepted connection. On an error it closes the
 // connection, and the returned sender is the one that the peer claimed to be.
 func (t *Transport) establish(raw net.Conn, host string) (from Sender, err error) {
-	meter := &meteredConn{Conn: raw, counters: t.counters}
-	conn := t.wrapTLS(meter, host)
+	metered := &meteredConn{Conn: raw, counters: t.counters}
+	conn := t.wrapTLS(metered, host)
 	err = withDeadline(conn, t.cfg.DialTimeout, func() (err error) {
 		if tc, ok := conn.(*tls.Conn); ok {
 			if err := tc.HandshakeContext(t.ctx); err != nil {
@@ -264,7 +264,7 @@
 		return err
 	})
 	if err == nil {
-		err = t.startSession(conn, meter, from, host != "")
+		err = t.startSession(conn, metered, from, host != "")
 	}
 	if err != nil {
 		conn.Close()
