--- a/membership/loop.go
+++ b/membership/loop.go
@@ -28,8 +28,8 @@
 	methodPush        = "member.push"
 )
 
-// callTimeout bounds one membership call. The machine's own probe timeout is shorter,
-// so the outcome of a probe is decided by then.
+// callTimeout bounds one membership call. The machine has decided the outcome of a
+// probe well before that.
 const callTimeout = 2 * time.Second
 
 // Hooks are callbacks of the loop. They are called in the loop's goroutine and must not
