--- a/claims/acquire.go
+++ b/claims/acquire.go
@@ -89,9 +89,9 @@
 			s.mu.Unlock()
 			return request.ClaimDecided{Won: true}
 		}
-		r.sendAll(r.claim.GiveUp(problem.DeadlineExceeded))
+		r.sendAll(r.claim.Abort(problem.DeadlineExceeded))
 		return s.refusal(ctx, r, claim.Refuse{Kind: problem.DeadlineExceeded, Execution: problem.NotRun})
-	case claim.Lost:
+	case claim.AlreadyExecuted:
 		if a.Record.Truncated {
 			e := problem.New(problem.OutcomeUnknown, "it has run; its result was too large to be kept")
 			e.Execution = problem.Ran
@@ -152,7 +152,7 @@
 		return err
 	}
 	o.claim.NotExecuted()
-	s.sendReleases(o.claim.GiveUp(problem.DeadlineExceeded))
+	s.sendReleases(o.claim.Abort(problem.DeadlineExceeded))
 	return s.void(ctx, k, s.owner(id), o.epoch, o.quorums)
 }
 
--- a/cluster/cluster.go
+++ b/cluster/cluster.go
@@ -22,7 +22,7 @@
 type Platform interface {
 	// Read returns the bundle's value, or platform.ErrUnchanged if its revision is not
 	// above after. With after 0 it returns any revision.
-	Read(ctx context.Context, after uint64) (platform.Value, error)
+	ReadBundle(ctx context.Context, after uint64) (platform.Value, error)
 	Hosts(ctx context.Context) (platform.HostList, error)
 }
 
@@ -51,13 +51,13 @@
 	hosts    hostAddresses
 	slots    slotTable
 
-	inForce atomic.Pointer[rollout.InForce]
+	inForce atomic.Pointer[rollout.ActiveBundle]
 	ready   atomic.Bool
 
 	onBundle  []func(*bundle.Bundle)
 	onLeaving []func([]string)
 	onMember  []func(member.Member)
-	onSlot    map[member.SlotID]func(member.SlotHeard)
+	onSlot    map[member.SlotID]func(member.SlotReceived)
 }
 
 // New returns a cluster that has not started, and registers its methods in cfg.Mux. The error names an invalid extension of cfg.Member.
@@ -66,7 +66,7 @@
 		cfg.Seed = rand.Uint64()
 	}
 	now := clock.Now()
-	cfg.Member.Extensions = append(cfg.Member.Extensions, member.Extension{ID: member.SlotBundle, MaxBytes: maxBundleMarkBytes})
+	cfg.Member.Slots = append(cfg.Member.Slots, member.SlotConfig{ID: member.SlotBundle, MaxBytes: maxBundleMarkBytes})
 	c := &Cluster{cfg: cfg, log: cfg.Logger, calls: membership.NewCalls()}
 	members, err := membership.New(cfg.Member, cfg.Seed, cfg.Mux, c.calls, c.hooks(), cfg.Logger)
 	if err != nil {
@@ -108,9 +108,9 @@
 // OnSlot registers f to be called with the values of an extension. Slots does not store
 // the values of that extension. f is called by one goroutine at a time and must not
 // block.
-func (c *Cluster) OnSlot(id member.SlotID, f func(member.SlotHeard)) {
+func (c *Cluster) OnSlot(id member.SlotID, f func(member.SlotReceived)) {
 	if c.onSlot == nil {
-		c.onSlot = map[member.SlotID]func(member.SlotHeard){}
+		c.onSlot = map[member.SlotID]func(member.SlotReceived){}
 	}
 	c.onSlot[id] = f
 }
--- a/cluster/members.go
+++ b/cluster/members.go
@@ -26,7 +26,7 @@
 
 // handleSlot passes the bundle mark to the rollout and any other extension's value to
 // its callback, or stores it if there is none.
-func (c *Cluster) handleSlot(a member.SlotHeard) {
+func (c *Cluster) handleSlot(a member.SlotReceived) {
 	if f := c.onSlot[a.ID]; f != nil {
 		f(a)
 		return
@@ -40,7 +40,7 @@
 		c.log.Warn("cannot decode the bundle mark", zap.String("peer", a.Host), zap.Error(err))
 		return
 	}
-	c.rollouts.post(rollout.PeerHeard{Host: a.Host, Mark: mark, Solicited: a.Solicited})
+	c.rollouts.post(rollout.PeerMarkReceived{Host: a.Host, Mark: mark, Solicited: a.Solicited})
 }
 
 func (c *Cluster) handleMemberChange(m member.Member) {
@@ -51,13 +51,13 @@
 
 func (c *Cluster) handleFreshness(fresh bool) {
 	if !fresh {
-		c.rollouts.post(rollout.Woke{})
+		c.rollouts.post(rollout.Resumed{})
 	}
 }
 
 func (c *Cluster) handleViewChange(next, old *membership.View) {
 	if next.Living != old.Living || !slices.Equal(next.Neighbours, old.Neighbours) {
-		c.rollouts.post(rollout.PeersChanged{Neighbours: next.Neighbours, Living: next.Living})
+		c.rollouts.post(rollout.PeersChanged{Neighbours: next.Neighbours, LiveHosts: next.Living})
 		c.slots.retain(next.Members)
 	}
 	if !slices.Equal(next.Leaving, old.Leaving) {
--- a/cluster/rollouts.go
+++ b/cluster/rollouts.go
@@ -99,23 +99,23 @@
 		log.Error("bundle rejected", zap.Stringer("source", a.Source), zap.Uint64("version", a.Version), digestField("digest", a.Digest), zap.Error(a.Err))
 	case rollout.Conflict:
 		log.Error("bundle conflict", zap.Stringer("source", a.Source), zap.Uint64("version", a.Version),
-			digestField("in_force", a.InForce), digestField("other", a.Other))
+			digestField("in_force", a.ActiveDigest), digestField("other", a.OtherDigest))
 	case rollout.ServiceStale:
-		log.Warn("configuration service serves an older version than the one in force", zap.Uint64("served", a.Served), zap.Uint64("in_force", a.InForce))
-	case rollout.Readiness:
-		log.Info("configuration ready", zap.Bool("alone", a.Alone))
+		log.Warn("configuration service serves an older version than the one in force", zap.Uint64("served", a.ServedVersion), zap.Uint64("in_force", a.ActiveVersion))
+	case rollout.BecameReady:
+		log.Info("configuration ready", zap.Bool("alone", a.Unconfirmed))
 	}
 }
 
 // adopt puts a bundle into force. Callbacks are called before Bundle returns it.
 func (l *rolloutLoop) adopt(a rollout.Adopt) {
-	b := a.InForce.Bundle
+	b := a.Active.Bundle
 	l.cluster.log.Info("bundle adopted", zap.Uint64("version", b.Version), zap.Stringer("source", a.Source))
 	l.cluster.hosts.setBundle(b)
 	for _, f := range l.cluster.onBundle {
 		f(b)
 	}
-	l.cluster.inForce.Store(a.InForce)
+	l.cluster.inForce.Store(a.Active)
 	l.cluster.members.Post(membershipConfig(b))
 }
 
@@ -147,7 +147,7 @@
 func (l *rolloutLoop) readConfigService(after uint64) {
 	ctx, cancel := clock.WithTimeout(l.ctx, l.cluster.cfg.Rollout.PollTimeout)
 	defer cancel()
-	v, err := l.cluster.cfg.Platform.Read(ctx, after)
+	v, err := l.cluster.cfg.Platform.ReadBundle(ctx, after)
 	switch {
 	case err == nil:
 		l.post(rollout.ServiceAnswered{Revision: v.Revision, Signed: v.Body})
--- a/cluster/slots.go
+++ b/cluster/slots.go
@@ -32,7 +32,7 @@
 }
 
 // put stores a value unless one from a later process of the same host is stored.
-func (t *slotTable) put(s member.SlotHeard, now time.Time) {
+func (t *slotTable) put(s member.SlotReceived, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.byID == nil {
--- a/daemon/call.go
+++ b/daemon/call.go
@@ -102,7 +102,7 @@
 	messages = append(messages, engine.Message{Role: "user", Content: textOf(c.Input)})
 	pool := s.clients.pools[c.Stage.Pool]
 	return engine.Generation{
-		Address: c.Choice.Address, Model: pool.Model, Priority: priorityOf(pool, c.StartBy),
+		Address: c.Choice.Address, Model: pool.Model, Priority: priorityOf(pool, c.LatestStart),
 		RequestID: s.id, Attempt: c.Attempt, Customer: s.sub.Customer.Name,
 		Messages: messages, MaxTokens: c.Stage.MaxTokens, NotAfter: c.NotAfter,
 	}
@@ -148,7 +148,7 @@
 
 // lookUp asks all upstreams of a pool until one has the result, none knows of
 // the call, or the request's deadline comes.
-func (d *Daemon) lookUp(s *session, a request.LookUp) {
+func (d *Daemon) lookUp(s *session, a request.LookUpStatus) {
 	ctx, cancel := clock.WithDeadline(context.Background(), s.sub.Deadline)
 	defer cancel()
 	for {
@@ -168,7 +168,7 @@
 
 // askStatus asks every upstream of the pool once. One that has the result wins
 // over one that runs the call, and that over those that know nothing.
-func (d *Daemon) askStatus(ctx context.Context, s *session, a request.LookUp) service.Status {
+func (d *Daemon) askStatus(ctx context.Context, s *session, a request.LookUpStatus) service.Status {
 	ctx, cancel := clock.WithTimeout(ctx, lookUpTimeout)
 	defer cancel()
 	upstreams := s.clients.pools[a.Pool].Upstreams
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -76,7 +76,7 @@
 }
 
 // keep stores a stage's result at fellow daemons. What is lost costs work only.
-func (d *Daemon) keep(s *session, a request.Keep) {
+func (d *Daemon) keep(s *session, a request.StoreResult) {
 	ctx, cancel := clock.WithTimeout(context.Background(), keepTimeout)
 	defer cancel()
 	n, err := d.kept.Keep(ctx, keptRequest(s), a.Stage, a.Result, s.sub.Deadline.Add(s.sub.Pipeline.Deadline))
--- a/daemon/loadexchange.go
+++ b/daemon/loadexchange.go
@@ -17,8 +17,8 @@
 const loadExchangeEvery = 500 * time.Millisecond
 
 // loadExtension is the place of load digests on the heartbeats.
-func loadExtension() member.Extension {
-	return member.Extension{ID: member.SlotLoad, MaxBytes: loadDigestBytes}
+func loadExtension() member.SlotConfig {
+	return member.SlotConfig{ID: member.SlotLoad, MaxBytes: loadDigestBytes}
 }
 
 // exchangeLoads puts load digests on the heartbeats and takes those of fellow
@@ -67,7 +67,7 @@
 	hosts := make([]load.Host, 0, len(members)+1)
 	found := false
 	for _, m := range members {
-		if m.Host.Name != self && !m.Living() {
+		if m.Host.Name != self && !m.Live() {
 			continue
 		}
 		found = found || m.Host.Name == self
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -146,7 +146,7 @@
 	d.sections.Register("pools", func() any { return d.admitter.State(d.Now()) })
 	d.sections.Register("upstreams", func() any { return d.router.Dump(d.Now()) })
 	d.sections.Register("load", func() any { return d.loads.dump() })
-	d.sections.Register("failing_pools", func() any { return d.health.Open() })
+	d.sections.Register("failing_pools", func() any { return d.health.OpenPools() })
 	d.sections.Register("claims", func() any { return d.claims.Dump() })
 	d.sections.Register("kept_results", func() any { return d.keptStore.Stats() })
 	d.sections.Register("retries", func() any { return d.budgets.Retry.Stats() })
--- a/daemon/serve.go
+++ b/daemon/serve.go
@@ -28,7 +28,7 @@
 	log := d.records.Begin(sub.RequestID)
 	log.Add(receivedEntry(sub))
 	spec := specOf(sub)
-	spec.Kept = d.resume(s)
+	spec.StoredResults = d.resume(s)
 	m := request.New(spec, d.deps, log)
 	d.table.Insert(m)
 	d.deliver(s, request.Start{})
--- a/discovery/config.go
+++ b/discovery/config.go
@@ -131,7 +131,7 @@
 
 // Behind returns for how long a newer configuration has been known of and is
 // not in force; 0 when none is.
-func (d *Discovery) Behind() time.Duration {
+func (d *Discovery) ConfigLag() time.Duration {
 	if !d.behind() {
 		return 0
 	}
@@ -198,7 +198,7 @@
 		return false
 	}
 	items, revision, err := d.cfg.Store.Changes(ctx, platform.OperatorPrefix, after, wait)
-	if errors.Is(err, platform.ErrHistoryGone) {
+	if errors.Is(err, platform.ErrCompacted) {
 		d.log.Info("history of the store gone", zap.Uint64("after", after))
 		return d.getConfig(ctx)
 	}
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -18,7 +18,7 @@
 // Store is what is read.
 type Store interface {
 	// Pages reads all items under a prefix and passes each page on as it comes.
-	Pages(ctx context.Context, prefix string, page func([]platform.Item)) (revision uint64, err error)
+	ForEachPage(ctx context.Context, prefix string, page func([]platform.Item)) (revision uint64, err error)
 	// Get reads one item; the error is platform.ErrNotFound without it.
 	Get(ctx context.Context, key string) (item platform.Item, revision uint64, err error)
 	// Changes waits for items under a prefix that were written or removed after a
@@ -47,10 +47,10 @@
 	Logger *zap.Logger
 	// Bound returns the time within which what the store acknowledged must be
 	// in force here.
-	Bound func() time.Duration
+	PropagationBound func() time.Duration
 	// Changed is called with every view that differs from the one before, by
 	// one goroutine at a time.
-	Changed func(*View)
+	OnViewChange func(*View)
 }
 
 // Discovery keeps the view. All methods are safe for concurrent use.
@@ -67,7 +67,7 @@
 	// lost and configLost say that the last read of the replicas, or of the
 	// configuration, failed.
 	lost, configLost bool
-	avoided          fleet.Avoided
+	avoided          fleet.HostBackoff
 	// source is whom news are asked of; this host itself while it reads the store.
 	source string
 	// askedAt is when a fellow last asked for news, by clock.Nanos.
@@ -136,7 +136,7 @@
 }
 
 func (d *Discovery) share(part float64) time.Duration {
-	return time.Duration(part * float64(d.cfg.Bound()))
+	return time.Duration(part * float64(d.cfg.PropagationBound()))
 }
 
 // publish puts a view in force; the lock is held.
@@ -150,7 +150,7 @@
 	next.digest = digestOf(next.Replicas)
 	first := old.Replicas == nil
 	defer d.tellFellows()
-	sameEvacuations := next.Evacuations.Same(old.Evacuations)
+	sameEvacuations := next.Evacuations.SameDomains(old.Evacuations)
 	if !first && next.Config == old.Config && next.digest == old.digest && sameEvacuations {
 		next.Replicas = old.Replicas
 		d.view.Store(next)
@@ -169,7 +169,7 @@
 	if next.Config != nil {
 		fields = append(fields, zap.Uint64("version", next.Config.Version))
 	}
-	d.cfg.Changed(next)
+	d.cfg.OnViewChange(next)
 	d.view.Store(next)
 	d.log.Info("view in force", fields...)
 }
@@ -207,7 +207,7 @@
 
 // Dump returns the state.
 func (d *Discovery) Dump() Dump {
-	v, behind := d.View(), d.Behind()
+	v, behind := d.View(), d.ConfigLag()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	dump := Dump{
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -114,11 +114,11 @@
 	return g.day.broken[g.host]
 }
 
-func (g gate) Pages(ctx context.Context, prefix string, take func([]platform.Item)) (uint64, error) {
+func (g gate) ForEachPage(ctx context.Context, prefix string, take func([]platform.Item)) (uint64, error) {
 	if g.away() {
 		return 0, errAway
 	}
-	return g.day.stores[g.host].Pages(ctx, prefix, take)
+	return g.day.stores[g.host].ForEachPage(ctx, prefix, take)
 }
 
 func (g gate) Get(ctx context.Context, key string) (platform.Item, uint64, error) {
@@ -150,7 +150,7 @@
 		d.stores[name] = platform.NewStore(strings.TrimPrefix(server.URL, "http://"))
 		cfg := discovery.Config{
 			Self: name, Store: gate{d, name}, Members: d.hosts, Caller: caller{d.hosts, name}, Mux: d.hosts.muxes[name],
-			Logger: zap.NewNop(), Bound: func() time.Duration { return bound }, Changed: func(*discovery.View) {},
+			Logger: zap.NewNop(), PropagationBound: func() time.Duration { return bound }, OnViewChange: func(*discovery.View) {},
 		}
 		for _, change := range options {
 			change(&cfg)
--- a/discovery/evacuations.go
+++ b/discovery/evacuations.go
@@ -26,7 +26,7 @@
 // succeeded.
 func (d *Discovery) listEvacuations(ctx context.Context) bool {
 	var changes []catalog.EvacuationChange
-	revision, err := d.cfg.Store.Pages(ctx, platform.EvacuationPrefix, func(items []platform.Item) {
+	revision, err := d.cfg.Store.ForEachPage(ctx, platform.EvacuationPrefix, func(items []platform.Item) {
 		changes = append(changes, d.decodeEvacuations(items)...)
 	})
 	if err != nil {
--- a/discovery/foreign_test.go
+++ b/discovery/foreign_test.go
@@ -46,7 +46,7 @@
 		d := newDay(1, func(c *discovery.Config) { c.Logger = zap.New(core) })
 		among(d)
 		d.run("host-1")
-		Eventually(d.found["host-1"].Faults, "2s").Should(Equal(foreign))
+		Eventually(d.found["host-1"].InvalidEntryCount, "2s").Should(Equal(foreign))
 		reads := d.found["host-1"].Dump().Reads
 		Eventually(func() uint64 { return d.found["host-1"].Dump().Reads }, "2s").Should(BeNumerically(">", reads+1))
 		Expect(refused(logs)).To(Equal(foreign), "nothing changed in them")
--- a/discovery/links_test.go
+++ b/discovery/links_test.go
@@ -125,7 +125,7 @@
 	for _, name := range f.names {
 		f.found[name] = discovery.New(discovery.Config{
 			Self: name, Store: storeCaller{f, name}, Members: f, Caller: linkedCaller{f, name}, Mux: f.muxes[name],
-			Logger: zap.NewNop(), Bound: func() time.Duration { return dueIn }, Changed: func(*discovery.View) {},
+			Logger: zap.NewNop(), PropagationBound: func() time.Duration { return dueIn }, OnViewChange: func(*discovery.View) {},
 		})
 	}
 	return f
@@ -251,7 +251,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if after < s.forgotten {
-		return nil, 0, platform.ErrHistoryGone
+		return nil, 0, platform.ErrCompacted
 	}
 	for key, item := range s.removed {
 		if strings.HasPrefix(key, prefix) {
@@ -290,7 +290,7 @@
 const pageItems = 50
 
 // Pages implements discovery.Store.
-func (c storeCaller) Pages(ctx context.Context, prefix string, take func([]platform.Item)) (uint64, error) {
+func (c storeCaller) ForEachPage(ctx context.Context, prefix string, take func([]platform.Item)) (uint64, error) {
 	if err := c.failing(); err != nil {
 		return 0, err
 	}
--- a/discovery/news.go
+++ b/discovery/news.go
@@ -83,10 +83,10 @@
 	digest := next.digest
 	if buckets := reply.GetBuckets(); len(buckets) > 0 {
 		replicas := patched(next.Replicas, buckets)
-		d.registry.Adopt(asOf, replicas)
+		d.registry.ReplaceFromPeer(asOf, replicas)
 		digest = digestOf(d.registry.Replicas())
 	} else {
-		d.registry.Adopt(asOf, nil)
+		d.registry.ReplaceFromPeer(asOf, nil)
 	}
 	if digest.Sum() == reply.GetReplicasHash() && asOf.After(next.replicasAsOf) {
 		next.replicasAsOf = asOf // all buckets are there
@@ -208,7 +208,7 @@
 		ConfigRevision: d.named(v), CheckedRevision: d.marks.oldest(), ReplicasHash: v.digest.Sum(),
 		Evacuations: d.tellEvacuations(v, req.GetEvacuationsRevision()),
 	}
-	if d.registry.Uncertain() || d.leansOnFellows() {
+	if d.registry.RetainsLapsed() || d.leansOnFellows() {
 		// The asker may have seen replicas go while this host was cut off.
 		reply.AgeMs = unknownAge.Milliseconds()
 	}
--- a/discovery/source.go
+++ b/discovery/source.go
@@ -68,7 +68,7 @@
 	source := d.cfg.Self
 	for at > 0 {
 		at = (at - 1) / fanout
-		if !d.avoided.Has(hosts[at].Name, now) {
+		if !d.avoided.Excludes(hosts[at].Name, now) {
 			source = hosts[at].Name
 			break
 		}
@@ -90,7 +90,7 @@
 
 // retryLimit is that of this host's fleet.
 func (d *Discovery) retryLimit() time.Duration {
-	return retryLimit(len(d.cfg.Members.Reachable()), d.cfg.Bound())
+	return retryLimit(len(d.cfg.Members.Reachable()), d.cfg.PropagationBound())
 }
 
 // ranked sorts hosts by rank; the first two change places, as the first has the
@@ -107,7 +107,7 @@
 // and that the store turns away learns from its fellows what is in force.
 func (d *Discovery) askAny(ctx context.Context) bool {
 	for _, h := range ranked(d.cfg.Members.Reachable()) {
-		if h.Name != d.cfg.Self && !d.avoided.Has(h.Name, clock.Now()) && d.askFor(ctx, h.Name, d.share(newsWait)) {
+		if h.Name != d.cfg.Self && !d.avoided.Excludes(h.Name, clock.Now()) && d.askFor(ctx, h.Name, d.share(newsWait)) {
 			return true
 		}
 	}
@@ -119,7 +119,7 @@
 func (d *Discovery) askOther(ctx context.Context) bool {
 	now := clock.Now()
 	hosts := slices.DeleteFunc(d.cfg.Members.Reachable(), func(h fleet.Host) bool {
-		return h.Name == d.cfg.Self || d.avoided.Has(h.Name, now)
+		return h.Name == d.cfg.Self || d.avoided.Excludes(h.Name, now)
 	})
 	return len(hosts) > 0 && d.askFor(ctx, hosts[rand.IntN(len(hosts))].Name, 0)
 }
--- a/fleet/avoided.go
+++ b/fleet/avoided.go
@@ -10,13 +10,13 @@
 
 // Avoided are hosts that failed a moment ago and are not called for a while.
 // The zero value is ready; it is safe for concurrent use.
-type Avoided struct {
+type HostBackoff struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 }
 
 // Add avoids a host for a while.
-func (a *Avoided) Add(host string, wait time.Duration) {
+func (a *HostBackoff) Add(host string, wait time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := clock.Now()
@@ -32,7 +32,7 @@
 }
 
 // Has says whether a host is avoided.
-func (a *Avoided) Has(host string, now time.Time) bool {
+func (a *HostBackoff) Excludes(host string, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return now.Before(a.until[host])
@@ -40,7 +40,7 @@
 
 // Names returns the hosts that were avoided last, sorted; the time of some may
 // be over.
-func (a *Avoided) Names() []string {
+func (a *HostBackoff) Names() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var names []string
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -52,11 +52,11 @@
 	Mux    *peer.Mux
 	Logger *zap.Logger
 	// Changed is called when a host's state changes; it must not block.
-	Changed func(member.Member)
+	OnMemberChange func(member.Member)
 	// Extensions are places on the heartbeats, and Heard is told of their values; it
 	// must not block.
-	Extensions []member.Extension
-	Heard      func(member.SlotHeard)
+	HeartbeatExtensions []member.SlotConfig
+	OnSlotUpdate        func(member.SlotReceived)
 }
 
 // Fleet is one daemon among its fellows. All methods are safe for concurrent
@@ -85,8 +85,8 @@
 	f.SetSeeds(cfg.Seeds)
 	peer.Handle(cfg.Mux, methodRoster, f.introduced)
 	members := member.DefaultConfig(cfg.Self.Host, incarnation)
-	members.Extensions = cfg.Extensions
-	loop, err := membership.New(members, rand.Uint64(), cfg.Mux, f.calls, membership.Hooks{Changed: f.changed, Slot: cfg.Heard}, cfg.Logger)
+	members.Slots = cfg.HeartbeatExtensions
+	loop, err := membership.New(members, rand.Uint64(), cfg.Mux, f.calls, membership.Hooks{Changed: f.changed, Slot: cfg.OnSlotUpdate}, cfg.Logger)
 	if err != nil {
 		return nil, err
 	}
@@ -146,12 +146,12 @@
 // Size returns the number of hosts that were heard of, dead ones of the last
 // minutes included. A seed's word for it counts until this host knows their
 // names.
-func (f *Fleet) Size() int { return max(f.roster.size(), int(f.told.Load())) }
+func (f *Fleet) KnownHostCount() int { return max(f.roster.size(), int(f.told.Load())) }
 
 // Known returns the names of all hosts that were heard of, dead ones of the last
 // minutes included, and whether this host may count on knowing all: it has learned of
 // its fleet, and no seed knows more.
-func (f *Fleet) Known() (names []string, complete bool) {
+func (f *Fleet) KnownHosts() (names []string, complete bool) {
 	all := f.roster.all()
 	names = make([]string, 0, len(all))
 	for _, h := range all {
@@ -212,8 +212,8 @@
 
 // changed logs nothing itself: the loop does.
 func (f *Fleet) changed(m member.Member) {
-	if f.cfg.Changed != nil {
-		f.cfg.Changed(m)
+	if f.cfg.OnMemberChange != nil {
+		f.cfg.OnMemberChange(m)
 	}
 }
 
@@ -243,7 +243,7 @@
 
 // Restarted takes the start of a host's process that the host itself has said:
 // its rank changes with that before the news of it comes round.
-func (f *Fleet) Restarted(host string, incarnation uint64) { f.roster.restarted(host, incarnation) }
+func (f *Fleet) RecordRestart(host string, incarnation uint64) { f.roster.restarted(host, incarnation) }
 
 // Incarnation is the start of this process in Unix milliseconds.
 func (f *Fleet) Incarnation() uint64 { return f.cfg.Self.Incarnation }
@@ -254,7 +254,7 @@
 	f.introduceForming(ctx)
 	quiet, known := 0, 0
 	for ctx.Err() == nil {
-		n := f.Size()
+		n := f.KnownHostCount()
 		wait := min(laterAsk, firstAsk*time.Duration(1+n/manyHosts))
 		switch {
 		case quiet >= quietRounds:
@@ -304,7 +304,7 @@
 	targets := f.otherSeeds()
 	if len(targets) == 0 {
 		for _, m := range f.Members() {
-			if m.Living() && m.Host.Name != f.cfg.Self.Name {
+			if m.Live() && m.Host.Name != f.cfg.Self.Name {
 				targets = append(targets, m.Host.Name)
 			}
 		}
--- a/fleet/form.go
+++ b/fleet/form.go
@@ -51,7 +51,7 @@
 // form closes Formed.
 func (f *Fleet) form(why string) {
 	f.formOnce.Do(func() {
-		f.log.Info("fleet formed", zap.String("why", why), zap.Int("hosts", f.Size()))
+		f.log.Info("fleet formed", zap.String("why", why), zap.Int("hosts", f.KnownHostCount()))
 		close(f.formed)
 	})
 }
@@ -73,7 +73,7 @@
 		for _, host := range f.targets() {
 			f.askForming(ctx, host)
 		}
-		interval := formingInterval(f.Size())
+		interval := formingInterval(f.KnownHostCount())
 		wait := clock.NewTimer(interval/2 + rand.N(interval))
 		select {
 		case <-ctx.Done():
--- a/gateway/after_test.go
+++ b/gateway/after_test.go
@@ -27,8 +27,8 @@
 	w := &watch{t: run, m: stall.New(clock.Now(), stall.Config{})}
 	run.watch = w
 	now := clock.Now()
-	Expect([]stall.Action{w.m.Tick(now), w.m.Tick(now)}).To(Equal([]stall.Action{stall.Ask, stall.Secure}))
-	Expect(w.m.Secured(now)).To(Equal(stall.Leave))
+	Expect([]stall.Action{w.m.Tick(now), w.m.Tick(now)}).To(Equal([]stall.Action{stall.Query, stall.Reserve}))
+	Expect(w.m.Reserved(now)).To(Equal(stall.Abandon))
 	cancel(&leftError{account: stall.NoAnswer})
 	resp := &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader("data: late\n\n"))}
 	end, _ := run.passEvents(resp)
--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -105,16 +105,16 @@
 	cold := g.cold.update(clock.Now(), v)
 	most := make(map[string]int, len(cold))
 	if len(cold) > 0 {
-		hosts, complete := g.fleet.Known()
-		shares, planner := intake.NewShares(g.settings.Load().Host, hosts), g.stages.Plans()
+		hosts, complete := g.fleet.KnownHosts()
+		shares, planner := intake.NewShares(g.settings.Load().Host, hosts), g.stages.IsPlanner()
 		for _, r := range cold {
 			most[r.ID] = 0
 			if complete {
-				most[r.ID] = shares.OfRole(r.ID, g.coldLimit(v.Config.Services[r.Service]), roleAt(v, r.ID, planner))
+				most[r.ID] = shares.CallsForRole(r.ID, g.coldLimit(v.Config.Services[r.Service]), roleAt(v, r.ID, planner))
 			}
 		}
 	}
-	g.router.SetCold(most)
+	g.router.SetColdLimits(most)
 	before := int(g.coldCount.Swap(int64(len(cold))))
 	if (before == 0) != (len(cold) == 0) {
 		g.log.Info("cold replicas", zap.Int("replicas", len(cold)), zap.Int("before", before))
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -35,7 +35,7 @@
 func (x *exchange) served() *problem.Error {
 	needed := []string{x.service}
 	for i, s := range x.route.Stages {
-		if i < len(x.req.Pieces) && x.req.Pieces[i] > 0 {
+		if i < len(x.req.PieceCounts) && x.req.PieceCounts[i] > 0 {
 			needed = append(needed, s.Service)
 		}
 	}
@@ -52,7 +52,7 @@
 // opensInTime refuses a request at once for which no replica of its service takes calls
 // for now, unless its stages take so long that one may by then.
 func (x *exchange) opensInTime() *problem.Error {
-	wait, closed := x.g.router.Closed(clock.Now(), x.service)
+	wait, closed := x.g.router.Unavailable(clock.Now(), x.service)
 	if !closed {
 		return nil
 	}
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -35,7 +35,7 @@
 	// viewAsOf is when what config holds was read.
 	viewAsOf time.Time
 	route    *catalog.Route
-	tenant   *catalog.Tenant
+	tenant   *catalog.CustomerConfig
 	service  string
 	body     []byte
 	// content names the request whatever id it comes under.
@@ -116,7 +116,7 @@
 func (x *exchange) accept() *problem.Error {
 	v := x.g.found.View()
 	if !v.Ready() {
-		x.deadline = x.arrived.Add(x.req.Deadline)
+		x.deadline = x.arrived.Add(x.req.Timeout)
 		return retryable(problem.New(problem.NotReady, "no configuration is known yet"), max(notReadyRetry, x.comeBack(notReadyRetry)))
 	}
 	x.config, x.viewAsOf = v.Config, v.AsOf
@@ -135,12 +135,12 @@
 		return err
 	}
 	x.deadline = x.arrived.Add(x.route.Timeout)
-	if x.req.Deadline > 0 && x.req.Deadline < x.route.Timeout {
-		x.deadline = x.arrived.Add(x.req.Deadline)
+	if x.req.Timeout > 0 && x.req.Timeout < x.route.Timeout {
+		x.deadline = x.arrived.Add(x.req.Timeout)
 	}
-	x.service = x.route.Target(rand.Float64())
-	if v, condemned := x.g.quarantine.Condemned(x.content); condemned {
-		x.trial = x.g.quarantine.Try(x.r.Context(), v)
+	x.service = x.route.PickService(rand.Float64())
+	if v, condemned := x.g.quarantine.Quarantined(x.content); condemned {
+		x.trial = x.g.quarantine.RequestTrial(x.r.Context(), v)
 	}
 	if err := x.quarantined(); err != nil {
 		return err
@@ -151,14 +151,14 @@
 // returnTrial gives a trial back that came to no run, so that another caller has it.
 func (x *exchange) returnTrial() {
 	if x.trial && x.runs == 0 {
-		x.g.quarantine.Untried(x.content)
+		x.g.quarantine.ReturnTrial(x.content)
 	}
 }
 
 // quarantined refuses a request that crashes replicas. It has not run under this
 // id, or giveUp says so; earlier than told it would only be refused again.
 func (x *exchange) quarantined() *problem.Error {
-	v, condemned := x.g.quarantine.Condemned(x.content)
+	v, condemned := x.g.quarantine.Quarantined(x.content)
 	if !condemned || x.trial {
 		return nil
 	}
@@ -167,10 +167,10 @@
 
 // authorize finds the customer that holds the request's key.
 func (x *exchange) authorize() *problem.Error {
-	if x.config.Tenants == nil {
+	if x.config.Customers == nil {
 		return nil
 	}
-	x.tenant = x.config.Tenants[x.req.APIKey]
+	x.tenant = x.config.Customers[x.req.APIKey]
 	if x.tenant == nil && !x.route.Public {
 		return problem.New(problem.Unauthorized, "unknown key")
 	}
@@ -271,7 +271,7 @@
 	}
 	end := x.g.stages.Prepare(ctx, j)
 	if end == nil {
-		end = &stages.End{Refused: &stage.Refused{Job: j.ID, Reason: stage.ReasonExpired}}
+		end = &stages.JobOutcome{Refused: &stage.Refused{Job: j.ID, Reason: stage.ReasonExpired}}
 	}
 	if end.Refused != nil {
 		if perr := x.quarantined(); perr != nil {
@@ -298,15 +298,15 @@
 	j.Due, j.Latest = x.stagesDue(began)
 	pieces := 0
 	for i, s := range x.route.Stages {
-		st := stage.Stage{Service: s.Service, After: s.After, ResultBytes: s.ResultBytes}
-		if i < len(x.req.Pieces) {
-			st.Pieces = x.req.Pieces[i]
+		st := stage.Stage{Service: s.Service, DependsOn: s.After, ResultBytes: s.ResultBytes}
+		if i < len(x.req.PieceCounts) {
+			st.Pieces = x.req.PieceCounts[i]
 		}
 		pieces += st.Pieces
 		j.Stages = append(j.Stages, st)
 	}
 	if hash, tokens := x.prefix(); tokens >= homeTokens {
-		j.Domain = x.g.router.HomeDomain(clock.Now(), x.service, hash)
+		j.Domain = x.g.router.PrefixHomeDomain(clock.Now(), x.service, hash)
 	}
 	return j, pieces > 0
 }
@@ -330,8 +330,8 @@
 	if x.content != (poison.Fingerprint{}) {
 		fields = append(fields, zap.Stringer("content", x.content))
 	}
-	if len(x.req.Forged) > 0 {
-		fields = append(fields, zap.Strings("forged_headers", x.req.Forged))
+	if len(x.req.ForgedHeaders) > 0 {
+		fields = append(fields, zap.Strings("forged_headers", x.req.ForgedHeaders))
 	}
 	if n := x.req.PromptTokens; n > 0 {
 		fields = append(fields, zap.Int("prompt_tokens", n))
@@ -349,7 +349,7 @@
 		fields = append(fields, zap.Duration("first", x.firstAt.Sub(x.arrived)), zap.Int("events", x.events), zap.Duration("pause", x.pause))
 	}
 	x.g.log.Info("request", fields...)
-	x.g.countForged(x.req.Forged)
+	x.g.countForged(x.req.ForgedHeaders)
 	x.g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_requests_total{outcome=%q}", x.outcome)).Inc()
 	x.g.metrics.GetOrCreateHistogram("wheatseam_request_seconds").Update(clock.Since(x.arrived).Seconds())
 	if !x.preparedAt.IsZero() {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -68,21 +68,21 @@
 	prompts  prompts
 	notices  notices
 	// gates bound the calls at replicas, whoever makes them.
-	gates *intake.Gates
+	gates *intake.Limiters
 	// quarantine keeps requests that crash replicas away from them.
 	quarantine *quarantine.Service
 }
 
 // New returns a gateway that listens for its fellows but has not started.
 func New(s *Settings, log *zap.Logger) (*Gateway, error) {
-	g := &Gateway{made: make(chan struct{}), log: log, metrics: metrics.NewSet(), streams: newStreamTimes(), refusals: newRefusals(), cold: newColdReplicas(), gates: intake.NewGates()}
+	g := &Gateway{made: make(chan struct{}), log: log, metrics: metrics.NewSet(), streams: newStreamTimes(), refusals: newRefusals(), cold: newColdReplicas(), gates: intake.NewLimiters()}
 	g.client = replica.NewClient(g.hear)
 	g.preparing, g.stopPreparing = context.WithCancel(context.Background())
 	g.settings.Store(s)
 	g.evacuated.Store(&map[string]bool{})
 	g.router = route.New(route.Config{
-		FailureDomain: s.FailureDomain, Seed: rand.Uint64(), PrefixRoom: prefixRoom, PrefixBonus: prefixBonus, BacklogWeight: backlogWeight,
-		Ejected: g.ejected, Gates: g.gates,
+		FailureDomain: s.FailureDomain, Seed: rand.Uint64(), PrefixMinLoad: prefixRoom, PrefixBonus: prefixBonus, BacklogWeight: backlogWeight,
+		OnEjected: g.ejected, Gates: g.gates,
 	})
 	mux := peer.NewMux()
 	g.handlePrompts(mux)
@@ -90,14 +90,14 @@
 	fellows, err := fleet.New(fleet.Config{
 		Self:  fleet.Host{Host: member.Host{Name: s.Host, FailureDomain: s.FailureDomain}, Capacity: int(s.Limits.ProcessorShare * 1000)},
 		Seeds: s.Seeds, Listen: s.Listen.Peers, Mux: mux, Logger: log,
-		Extensions: []member.Extension{quarantine.Extension()}, Heard: func(h member.SlotHeard) { g.quarantine.Heard(h) },
+		HeartbeatExtensions: []member.SlotConfig{quarantine.Extension()}, OnSlotUpdate: func(h member.SlotReceived) { g.quarantine.DigestReceived(h) },
 	})
 	if err != nil {
 		return nil, err
 	}
 	g.fleet = fellows
 	g.quarantine = quarantine.New(quarantine.Config{
-		Self: s.Host, Members: fellows, Replicas: g.client, Caller: fellows.Caller(), Mux: mux, Logger: log, Ended: g.countEnd,
+		Self: s.Host, Members: fellows, Replicas: g.client, Caller: fellows.Caller(), Mux: mux, Logger: log, OnReplicaCrash: g.countEnd,
 	})
 	g.stages = stages.New(stages.Config{
 		Self: s.Host, Incarnation: fellows.Incarnation(), Replicas: g.client, Members: fellows, Caller: fellows.Caller(), Mux: mux, Logger: log,
@@ -106,7 +106,7 @@
 	g.store = platform.NewStore(s.Store.Address)
 	g.found = discovery.New(discovery.Config{
 		Self: s.Host, Store: g.store, Members: fellows, Caller: fellows.Caller(), Mux: mux,
-		Logger: log, Bound: func() time.Duration { return g.settings.Load().Bounds.shortest() }, Changed: g.viewChanged,
+		Logger: log, PropagationBound: func() time.Duration { return g.settings.Load().Bounds.shortest() }, OnViewChange: g.viewChanged,
 	})
 	g.addGauges()
 	close(g.made)
@@ -253,16 +253,16 @@
 }
 
 // budget returns this daemon's part of the budget of repeats to a service.
-func (g *Gateway) budget(service string) *retry.Shared {
-	hosts := max(g.fleet.Size(), assumedHosts)
+func (g *Gateway) budget(service string) *retry.SharedBudget {
+	hosts := max(g.fleet.KnownHostCount(), assumedHosts)
 	if b, ok := g.budgets.Load(service); ok {
-		shared := b.(*retry.Shared)
+		shared := b.(*retry.SharedBudget)
 		shared.SetHosts(hosts)
 		return shared
 	}
 	s := g.settings.Load().Budget
-	b, _ := g.budgets.LoadOrStore(service, retry.NewShared(budgetShare*s.Ratio, budgetShare*s.Slack, s.Window, hosts))
-	return b.(*retry.Shared)
+	b, _ := g.budgets.LoadOrStore(service, retry.NewSharedBudget(budgetShare*s.Ratio, budgetShare*s.Slack, s.Window, hosts))
+	return b.(*retry.SharedBudget)
 }
 
 const (
--- a/gateway/margin.go
+++ b/gateway/margin.go
@@ -26,19 +26,19 @@
 	mu sync.Mutex
 	// firsts and rests are kept for each service, as its engines serve all
 	// routes alike, deviations of the time to the first event for each route.
-	firsts, rests map[string]*estimate.Line
+	firsts, rests map[string]*estimate.LinearModel
 	deviations    map[string]*estimate.Deviation
 }
 
 func newStreamTimes() *streamTimes {
-	return &streamTimes{firsts: map[string]*estimate.Line{}, rests: map[string]*estimate.Line{}, deviations: map[string]*estimate.Deviation{}}
+	return &streamTimes{firsts: map[string]*estimate.LinearModel{}, rests: map[string]*estimate.LinearModel{}, deviations: map[string]*estimate.Deviation{}}
 }
 
 // line returns the line of a service; the lock is held.
-func line(lines map[string]*estimate.Line, service string) *estimate.Line {
+func line(lines map[string]*estimate.LinearModel, service string) *estimate.LinearModel {
 	l := lines[service]
 	if l == nil {
-		l = &estimate.Line{}
+		l = &estimate.LinearModel{}
 		lines[service] = l
 	}
 	return l
--- a/gateway/noticenews.go
+++ b/gateway/noticenews.go
@@ -54,7 +54,7 @@
 		return
 	}
 	g.tellNeighbours("", &wire.NoticesHeard{
-		Limits: limitsToWire(now, n.account.News(n.repeated)), Leaving: leaversToWire(now, n.leavers.Since(n.repeated.Add(-repeatLeavers))),
+		Limits: limitsToWire(now, n.account.ObservedAfter(n.repeated)), Leaving: leaversToWire(now, n.leavers.ObservedAfter(n.repeated.Add(-repeatLeavers))),
 	})
 	n.repeated = now
 }
@@ -98,7 +98,7 @@
 	limits := limitsFromWire(now, told)
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
-	changed, newer := g.notices.account.Learn(now, limits)
+	changed, newer := g.notices.account.Merge(now, limits)
 	g.limitsChanged(host, changed)
 	return limitsToWire(now, newer)
 }
@@ -106,47 +106,47 @@
 // learnLeavers takes what a fellow knows.
 func (g *Gateway) learnLeavers(host string, told []*wire.ReplicaLeaving) {
 	now := clock.Now()
-	var leavers []intake.Leaver
+	var leavers []intake.LeavingReplica
 	for _, l := range told {
 		if l.GetReplica() != "" {
-			leavers = append(leavers, intake.Leaver{Replica: l.GetReplica(), At: agoOf(now, l.GetAgeMs())})
+			leavers = append(leavers, intake.LeavingReplica{Replica: l.GetReplica(), AnnouncedAt: agoOf(now, l.GetAgeMs())})
 		}
 	}
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
-	g.leaves(host, g.notices.leavers.Learn(now, leavers))
+	g.leaves(host, g.notices.leavers.Merge(now, leavers))
 }
 
-func leaversToWire(now time.Time, leavers []intake.Leaver) []*wire.ReplicaLeaving {
+func leaversToWire(now time.Time, leavers []intake.LeavingReplica) []*wire.ReplicaLeaving {
 	out := make([]*wire.ReplicaLeaving, 0, len(leavers))
 	for _, l := range leavers {
-		out = append(out, &wire.ReplicaLeaving{Replica: l.Replica, AgeMs: now.Sub(l.At).Milliseconds()})
+		out = append(out, &wire.ReplicaLeaving{Replica: l.Replica, AgeMs: now.Sub(l.AnnouncedAt).Milliseconds()})
 	}
 	return out
 }
 
 // limitsToWire tells times as ages: hosts agree on no time of day.
-func limitsToWire(now time.Time, limits []intake.Limited) []*wire.ReplicaLimit {
+func limitsToWire(now time.Time, limits []intake.ReplicaLimit) []*wire.ReplicaLimit {
 	out := make([]*wire.ReplicaLimit, 0, len(limits))
 	for _, l := range limits {
 		out = append(out, &wire.ReplicaLimit{
-			Replica: l.Replica, Named: l.Limit.Named, PerSecond: l.Limit.PerSecond, Round: l.Round,
-			AgeMs: now.Sub(l.At).Milliseconds(), SinceMs: now.Sub(l.Since).Milliseconds(),
+			Replica: l.Replica, Named: l.Limit.Announced, PerSecond: l.Limit.PerSecond, Round: l.Round,
+			AgeMs: now.Sub(l.LastObserved).Milliseconds(), SinceMs: now.Sub(l.Since).Milliseconds(),
 		})
 	}
 	return out
 }
 
 // limitsFromWire leaves out what no replica can have said.
-func limitsFromWire(now time.Time, told []*wire.ReplicaLimit) []intake.Limited {
-	out := make([]intake.Limited, 0, len(told))
+func limitsFromWire(now time.Time, told []*wire.ReplicaLimit) []intake.ReplicaLimit {
+	out := make([]intake.ReplicaLimit, 0, len(told))
 	for _, l := range told {
-		limit := intake.Limit{Named: l.GetNamed()}
-		if limit.Named {
+		limit := intake.Limit{Announced: l.GetNamed()}
+		if limit.Announced {
 			limit.PerSecond = l.GetPerSecond()
 		}
 		if l.GetReplica() != "" && limit.Valid() {
-			out = append(out, intake.Limited{Replica: l.GetReplica(), Limit: limit, Round: l.GetRound(), Since: agoOf(now, l.GetSinceMs()), At: agoOf(now, l.GetAgeMs())})
+			out = append(out, intake.ReplicaLimit{Replica: l.GetReplica(), Limit: limit, Round: l.GetRound(), Since: agoOf(now, l.GetSinceMs()), LastObserved: agoOf(now, l.GetAgeMs())})
 		}
 	}
 	return out
--- a/gateway/noticestate.go
+++ b/gateway/noticestate.go
@@ -19,7 +19,7 @@
 	for _, l := range n.account.Limits() {
 		out = append(out, LimitState{
 			Replica: l.Replica, PerSecond: l.Limit.PerSecond,
-			SinceS: now.Sub(l.Since).Seconds(), NamedS: now.Sub(l.At).Seconds(),
+			SinceS: now.Sub(l.Since).Seconds(), NamedS: now.Sub(l.LastObserved).Seconds(),
 		})
 	}
 	return out
@@ -38,7 +38,7 @@
 	defer n.mu.Unlock()
 	out := []LeaverState{}
 	for _, l := range n.leavers.All() {
-		out = append(out, LeaverState{Replica: l.Replica, SinceS: now.Sub(l.At).Seconds()})
+		out = append(out, LeaverState{Replica: l.Replica, SinceS: now.Sub(l.AnnouncedAt).Seconds()})
 	}
 	return out
 }
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -49,17 +49,17 @@
 func (g *Gateway) addGauges() {
 	gauge := func(name string, f func() float64) { g.metrics.GetOrCreateGauge(name, f) }
 	gauge("wheatseam_in_flight", func() float64 { return float64(g.inFlight.Load()) })
-	gauge("wheatseam_hosts", func() float64 { return float64(g.fleet.Size()) })
+	gauge("wheatseam_hosts", func() float64 { return float64(g.fleet.KnownHostCount()) })
 	gauge("wheatseam_view_age_seconds", func() float64 { return clock.Since(g.found.View().AsOf).Seconds() })
-	gauge("wheatseam_config_behind_seconds", func() float64 { return g.found.Behind().Seconds() })
+	gauge("wheatseam_config_behind_seconds", func() float64 { return g.found.ConfigLag().Seconds() })
 	gauge("wheatseam_config_version", func() float64 {
 		if c := g.found.View().Config; c != nil {
 			return float64(c.Version)
 		}
 		return 0
 	})
-	gauge("wheatseam_replica_entries_refused", func() float64 { return float64(g.found.Faults()) })
-	gauge("wheatseam_store_calls_total", func() float64 { return float64(g.store.Calls().Made) })
+	gauge("wheatseam_replica_entries_refused", func() float64 { return float64(g.found.InvalidEntryCount()) })
+	gauge("wheatseam_store_calls_total", func() float64 { return float64(g.store.Calls().Total) })
 	gauge("wheatseam_store_calls_failed_total", func() float64 { return float64(g.store.Calls().Failed) })
 	gauge("wheatseam_replicas_cold", func() float64 { return float64(g.coldCount.Load()) })
 	gauge("wheatseam_replicas_limited", func() float64 { return float64(len(g.notices.limits(clock.Now()))) })
@@ -67,7 +67,7 @@
 	gauge("wheatseam_replicas_resting", func() float64 { return float64(len(g.notices.resting(clock.Now()))) })
 	gauge("wheatseam_domains_evacuated", func() float64 { return float64(len(g.found.View().Evacuations.Domains)) })
 	gauge("wheatseam_asleep_seconds", func() float64 { return clock.Asleep().Seconds() })
-	gauge("wheatseam_requests_condemned", func() float64 { return float64(g.quarantine.Refused()) })
+	gauge("wheatseam_requests_condemned", func() float64 { return float64(g.quarantine.QuarantinedCount()) })
 	gauge("wheatseam_jobs_planned", func() float64 { return float64(g.stages.Dump().Planned) })
 }
 
@@ -84,12 +84,12 @@
 
 // countEndedHere counts an attempt that this host ended by its own decision, by what
 // was known of the run.
-func (g *Gateway) countEndedHere(service string, a stall.Account) {
+func (g *Gateway) countEndedHere(service string, a stall.RunStatus) {
 	g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_attempts_ended_here_total{service=%q,account=%q}", service, a)).Inc()
 }
 
 // countAccount counts an engine's account of a run that it was asked for.
-func (g *Gateway) countAccount(service string, a stall.Account) {
+func (g *Gateway) countAccount(service string, a stall.RunStatus) {
 	g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_run_accounts_total{service=%q,account=%q}", service, a)).Inc()
 }
 
@@ -100,7 +100,7 @@
 }
 
 // countEnd counts a replica that ended under attempts.
-func (g *Gateway) countEnd(e poison.End) {
+func (g *Gateway) countEnd(e poison.Crash) {
 	g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_replicas_ended_total{service=%q}", e.Service)).Inc()
 }
 
@@ -146,7 +146,7 @@
 		Quarantine: g.quarantine.Dump(), Limits: g.notices.limits(clock.Now()), Leaving: g.notices.leaving(clock.Now()), Resting: g.notices.resting(clock.Now()),
 	}
 	g.budgets.Range(func(service, b any) bool {
-		s.Budgets[service.(string)] = b.(*retry.Shared).Stats()
+		s.Budgets[service.(string)] = b.(*retry.SharedBudget).Stats()
 		return true
 	})
 	return s
--- a/gateway/prompts.go
+++ b/gateway/prompts.go
@@ -30,7 +30,7 @@
 // use.
 type prompts struct {
 	mu      sync.Mutex
-	holders prefix.Holders
+	holders prefix.Index
 }
 
 // leadingHashes returns the hash of the first part of a prompt, of the first two
@@ -55,8 +55,8 @@
 	now := clock.Now()
 	g.prompts.mu.Lock()
 	defer g.prompts.mu.Unlock()
-	from, ok := g.prompts.holders.Source(now, leading, c.Upstream, func(e prefix.Engine) bool {
-		return g.router.Usable(now, c.Pool, e.Name, e.Address)
+	from, ok := g.prompts.holders.CopySource(now, leading, c.Upstream, func(e prefix.Engine) bool {
+		return g.router.CanServeCopies(now, c.Pool, e.Name, e.Address)
 	})
 	if !ok {
 		return ""
@@ -71,8 +71,8 @@
 	engine := prefix.Engine{Name: c.Upstream, Address: c.Address}
 	now := clock.Now()
 	g.prompts.mu.Lock()
-	known := g.prompts.holders.Holds(now, leading, c.Upstream)
-	g.prompts.holders.Learn(now, leading, engine)
+	known := g.prompts.holders.HasPrefix(now, leading, c.Upstream)
+	g.prompts.holders.RecordPrompt(now, leading, engine)
 	g.prompts.mu.Unlock()
 	read, _ := g.streams.reading(x.service, x.ownTokens())
 	saves := read
@@ -110,10 +110,10 @@
 	peer.Handle(mux, methodPrompt, func(_ context.Context, _ peer.Sender, p *wire.PromptSent) (*wire.PromptNoted, error) {
 		now := clock.Now()
 		g.prompts.mu.Lock()
-		g.prompts.holders.Learn(now, p.GetLeading(), prefix.Engine{Name: p.GetReplica(), Address: p.GetAddress()})
+		g.prompts.holders.RecordPrompt(now, p.GetLeading(), prefix.Engine{Name: p.GetReplica(), Address: p.GetAddress()})
 		g.prompts.mu.Unlock()
 		read := time.Duration(p.GetReadMs()) * time.Millisecond
-		g.router.Told(now, p.GetService(), p.GetReplica(), p.GetAddress(), read)
+		g.router.ObservePeerPrompt(now, p.GetService(), p.GetReplica(), p.GetAddress(), read)
 		return &wire.PromptNoted{}, nil
 	})
 }
--- a/gateway/refusals.go
+++ b/gateway/refusals.go
@@ -17,7 +17,7 @@
 // explain it. It is safe for concurrent use.
 type refusals struct {
 	mu    sync.Mutex
-	watch *refusal.Watch
+	watch *refusal.Monitor
 	// counters holds the names of the counters of each replica, so that they go
 	// with it.
 	counters map[string]map[string]bool
@@ -28,15 +28,15 @@
 }
 
 // reasonOf says why a replica refused, by its answer.
-func reasonOf(status int, head platform.Answer) refusal.Reason {
+func reasonOf(status int, head platform.ResponseHead) refusal.Reason {
 	switch {
 	case status == http.StatusConflict:
-		return refusal.InputsGone
-	case head.OtherReplica:
-		return refusal.OtherReplica
+		return refusal.InputsMissing
+	case head.Misdirected:
+		return refusal.ReplicaMismatch
 	case head.Load == nil:
-		return refusal.LoadUntold
-	case refusal.Load{Running: head.Load.Running, Waiting: head.Load.Waiting, Slots: head.Load.Slots}.Explains():
+		return refusal.LoadUnknown
+	case refusal.Load{Running: head.Load.Running, Waiting: head.Load.Waiting, Slots: head.Load.Slots}.ExplainsRefusal():
 		return refusal.Full
 	}
 	return refusal.Unexplained
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -100,12 +100,12 @@
 func (x *exchange) query() request.Query {
 	q := request.Query{
 		Request: x.req.ID, Pool: x.service, Stage: x.route.Name, Kind: bundle.StageCall,
-		Attempt: len(x.tried) + 1, Tried: x.tried, Domain: x.domain, Budget: clock.Until(x.deadline),
+		Attempt: len(x.tried) + 1, TriedUpstreams: x.tried, InputFailureDomain: x.domain, Budget: clock.Until(x.deadline),
 	}
 	if s := x.config.Services[x.service]; s != nil && s.Engine {
 		q.Kind = bundle.StageGenerate
 		q.Prefix, _ = x.prefix()
-		q.Read, q.FirstByte = x.g.streams.reading(x.service, x.ownTokens())
+		q.PrefillTime, q.ExpectedFirstByte = x.g.streams.reading(x.service, x.ownTokens())
 	}
 	return q
 }
@@ -226,15 +226,15 @@
 func (t *try) outgoing() replica.Call {
 	x := t.x
 	a := platform.Attempt{
-		Replica: t.choice.Upstream, Left: max(clock.Until(x.deadline), leastLeft), Priority: -1,
-		Inputs: x.inputs, LastEvent: x.lastEvent, CopyFrom: t.copyFrom, Hold: t.hold,
+		Replica: t.choice.Upstream, TimeLeft: max(clock.Until(x.deadline), leastLeft), Priority: -1,
+		Inputs: x.inputs, LastEventID: x.lastEvent, CacheSource: t.copyFrom, ReservationID: t.hold,
 	}
 	a.Tenant = x.customer()
 	if x.route.Streaming {
 		a.Priority = x.rank().Level()
 	}
 	return replica.Call{
-		Replica: t.choice.Upstream, Request: x.req.ID, Work: true,
+		Replica: t.choice.Upstream, RequestID: x.req.ID, ExecutesRequest: true,
 		Method: x.r.Method, Address: t.choice.Address, Target: x.r.RequestURI, Host: x.r.Host,
 		Header: platform.EncodeAttempt(x.r.Header, a), Body: x.body,
 	}
@@ -263,13 +263,13 @@
 	if !listed || r.Draining || clock.Asleep() > t.asleep {
 		return
 	}
-	x.g.quarantine.BrokeOff(quarantine.Attempt{
+	x.g.quarantine.AttemptInterrupted(quarantine.InterruptedAttempt{
 		Service: x.service, Replica: t.choice.Upstream, Address: t.choice.Address, Request: x.content, Began: t.began,
 	})
 }
 
 // whole passes an answer on once it is complete.
-func (t *try) whole(resp *http.Response, head platform.Answer) (attemptEnd, *problem.Error) {
+func (t *try) whole(resp *http.Response, head platform.ResponseHead) (attemptEnd, *problem.Error) {
 	x := t.x
 	body, err := httpbody.Read(resp.Body, maxAnswerBytes)
 	switch {
@@ -291,7 +291,7 @@
 	}
 	t.first = clock.Now()
 	h := x.w.Header()
-	platform.CopyAnswer(h, resp.Header)
+	platform.CopyResponseHeaders(h, resp.Header)
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	x.w.WriteHeader(resp.StatusCode)
 	_, _ = x.w.Write(body) // a caller that is gone needs no answer
@@ -339,11 +339,11 @@
 	if t.refused != "" {
 		fields = append(fields, zap.String("refused_for", string(t.refused)))
 	}
-	if t.notice.Limit.Named {
+	if t.notice.Limit.Announced {
 		fields = append(fields, zap.Float64("limit", t.notice.Limit.PerSecond))
 	}
-	if t.notice.Rest > 0 {
-		fields = append(fields, zap.Duration("rest", t.notice.Rest))
+	if t.notice.Backoff > 0 {
+		fields = append(fields, zap.Duration("rest", t.notice.Backoff))
 	}
 	if t.notice.Leaving {
 		fields = append(fields, zap.Bool("leaving", true))
@@ -384,7 +384,7 @@
 	}
 	t.x.g.noteRefusals(t.x.service, t.choice.Upstream, t.refused)
 	if end == answered || end == repeatNow {
-		t.x.g.quarantine.Served(t.x.content)
+		t.x.g.quarantine.RunSucceeded(t.x.content)
 	}
 	switch end {
 	case answered:
--- a/gateway/repeat.go
+++ b/gateway/repeat.go
@@ -68,7 +68,7 @@
 	}
 	if x.leftOne {
 		// This host ended a run for this attempt: it goes on, and owes the repeat.
-		x.g.budget(x.service).Owe(clock.Now())
+		x.g.budget(x.service).ForceWithdraw(clock.Now())
 		return ""
 	}
 	return deniedBudget
--- a/gateway/replacement.go
+++ b/gateway/replacement.go
@@ -49,7 +49,7 @@
 	}
 	r, d := x.secureRun(ctx, t, doubted)
 	if r == nil {
-		budget.Return(clock.Now())
+		budget.Refund(clock.Now())
 	}
 	return r, d
 }
@@ -96,7 +96,7 @@
 
 // stillTaken gives a replacement up whose replica has said meanwhile that it takes nothing.
 func (x *exchange) stillTaken(r *replacement) (*replacement, denial) {
-	if !x.g.gates.Of(r.choice.Upstream).TurnsAway(clock.Now()) {
+	if !x.g.gates.Get(r.choice.Upstream).RefusedByReplica(clock.Now()) {
 		return r, ""
 	}
 	x.givePlaceBack(r)
@@ -136,18 +136,18 @@
 		if perr != nil {
 			return false
 		}
-		if slices.Contains(q.Tried, choice.Upstream) {
-			x.g.router.Unpick(clock.Now(), choice)
+		if slices.Contains(q.TriedUpstreams, choice.Upstream) {
+			x.g.router.CancelPick(clock.Now(), choice)
 			return false
 		}
 		hold, err := x.hold(ctx, choice)
-		if err == nil || doubted && errors.Is(err, replica.ErrUnknownCall) {
+		if err == nil || doubted && errors.Is(err, replica.ErrUnsupportedCall) {
 			r.choice, r.hold = choice, hold
 			return true
 		}
 		x.g.log.Info("no place held", logging.Request(x.req.ID), zap.String("replica", choice.Upstream), zap.Error(err))
 		x.unpick(choice, err)
-		q.Tried = append(slices.Clip(q.Tried), choice.Upstream)
+		q.TriedUpstreams = append(slices.Clip(q.TriedUpstreams), choice.Upstream)
 	}
 	return false
 }
@@ -155,11 +155,11 @@
 // unpick takes the pick of a replica back that held no place. One that refuses is left
 // alone for a moment.
 func (x *exchange) unpick(c request.Choice, err error) {
-	if errors.Is(err, replica.ErrNoRoom) {
+	if errors.Is(err, replica.ErrNoCapacity) {
 		x.g.router.Done(clock.Now(), request.Outcome{Choice: c, Stage: x.route.Name, Result: request.CallRefused})
 		return
 	}
-	x.g.router.Unpick(clock.Now(), c)
+	x.g.router.CancelPick(clock.Now(), c)
 }
 
 // hold has a place held at a replica. One that comes when it is not wanted any more is
@@ -173,7 +173,7 @@
 	go func() {
 		call, cancel := clock.WithTimeout(context.Background(), holdTimeout)
 		defer cancel()
-		name, err := x.g.client.Hold(call, c.Upstream, c.Address, x.req.PromptTokens+x.req.OutputTokens, holdLife)
+		name, err := x.g.client.Reserve(call, c.Upstream, c.Address, x.req.PromptTokens+x.req.OutputTokens, holdLife)
 		answered <- held{name, err}
 	}()
 	select {
@@ -191,7 +191,7 @@
 
 // giveBack gives a replacement back that is not used.
 func (x *exchange) giveBack(r *replacement) {
-	x.g.budget(x.service).Return(clock.Now())
+	x.g.budget(x.service).Refund(clock.Now())
 	x.givePlaceBack(r)
 	// Inputs that it shares with the run under way stay that one's.
 	if r.inputs != nil {
@@ -201,7 +201,7 @@
 
 // givePlaceBack gives the pick and the held place back.
 func (x *exchange) givePlaceBack(r *replacement) {
-	x.g.router.Unpick(clock.Now(), r.choice)
+	x.g.router.CancelPick(clock.Now(), r.choice)
 	if r.hold != "" {
 		go x.dropHold(r.choice, r.hold)
 	}
@@ -211,7 +211,7 @@
 func (x *exchange) dropHold(c request.Choice, hold string) {
 	ctx, cancel := clock.WithTimeout(context.Background(), holdTimeout)
 	defer cancel()
-	if err := x.g.client.DropHold(ctx, c.Upstream, c.Address, hold); err != nil {
+	if err := x.g.client.ReleaseReservation(ctx, c.Upstream, c.Address, hold); err != nil {
 		x.g.log.Info("held place not given back", logging.Request(x.req.ID), zap.String("replica", c.Upstream), zap.Error(err))
 	}
 }
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -55,7 +55,7 @@
 type watch struct {
 	t  *try
 	mu sync.Mutex
-	m  *stall.Machine
+	m  *stall.Monitor
 	// timer calls tick, when due at the latest; nil for streams that can't go on
 	// elsewhere. asleep is for how long this host had slept at the last tick.
 	timer  *clock.Timer
@@ -75,7 +75,7 @@
 
 // leftError says why this host ended an attempt.
 type leftError struct {
-	account stall.Account
+	account stall.RunStatus
 	silence time.Duration
 }
 
@@ -85,7 +85,7 @@
 }
 
 // blamed says whether the replica is to blame by its own account, or by none.
-func (e *leftError) blamed() bool { return e.account.Doubted() }
+func (e *leftError) blamed() bool { return e.account.Suspect() }
 
 // startWatch watches an attempt from before it is sent.
 func (t *try) startWatch() *watch {
@@ -93,8 +93,8 @@
 	objective := float64(x.route.Objective)
 	doubted := max(doubtedLeast, time.Duration(doubtedFactor*objective))
 	w := &watch{t: t, at: progress{committed: x.committed, lastEvent: x.lastEvent, events: t.arrivedEvents()}, m: stall.New(clock.Now(), stall.Config{
-		Ask: doubted - askTimeout, AskEvery: 2 * askTimeout, Doubted: doubted,
-		Any: max(anyLeast, time.Duration(anyFactor*objective)), SecureEvery: secureEvery,
+		QueryAfter: doubted - askTimeout, QueryInterval: 2 * askTimeout, SuspectTimeout: doubted,
+		MaxSilence: max(anyLeast, time.Duration(anyFactor*objective)), ReserveRetryInterval: secureEvery,
 	})}
 	if x.anotherRunDenied(t.executions) == "" {
 		w.mu.Lock()
@@ -123,7 +123,7 @@
 	w.passing = true
 	now := clock.Now()
 	w.perform(now, w.m.Event(now))
-	return !w.m.Left()
+	return !w.m.Abandoned()
 }
 
 // passed notes that the event has been passed on.
@@ -159,7 +159,7 @@
 func (w *watch) tick() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.stopped || w.m.Left() {
+	if w.stopped || w.m.Abandoned() {
 		return
 	}
 	now := clock.Now()
@@ -183,20 +183,20 @@
 		return
 	}
 	w.asleep, w.due = asleep, now
-	w.perform(now, w.m.Awake(now))
+	w.perform(now, w.m.HostResumed(now))
 }
 
 // perform carries one action out; the lock is held.
 func (w *watch) perform(now time.Time, a stall.Action) {
 	switch a {
-	case stall.Ask:
+	case stall.Query:
 		go w.ask(now)
-	case stall.Secure:
+	case stall.Reserve:
 		ctx, cancel := context.WithCancel(w.t.ctx)
 		w.stopSecuring = cancel
-		at, doubted := w.at, w.m.Account().Doubted()
+		at, doubted := w.at, w.m.Status().Suspect()
 		w.securing.Go(func() { w.secure(ctx, at, doubted) })
-	case stall.GiveBack:
+	case stall.Release:
 		w.stopSecuring()
 	}
 }
@@ -206,43 +206,43 @@
 	runs, err := w.t.x.g.accountOf(w.t.choice)
 	w.mu.Lock()
 	made, account := judge(runs, err, w.t.x.req.ID, w.at)
-	w.m.Told(now, account)
+	w.m.RecordStatus(now, account)
 	silence := w.m.Silence(clock.Now())
 	w.mu.Unlock()
 	w.t.x.g.countAccount(w.t.x.service, account)
 	w.t.x.g.log.Info("replica asked for its account", logging.Request(w.t.x.req.ID), zap.String("replica", w.t.choice.Upstream),
-		zap.Stringer("account", account), zap.Int("made", made), zap.Int("waiting", runs.Waiting), zap.Int("runs", len(runs.Made)),
+		zap.Stringer("account", account), zap.Int("made", made), zap.Int("waiting", runs.Queued), zap.Int("runs", len(runs.EventsByRequest)),
 		zap.Duration("silence", silence), zap.Duration("took", clock.Since(now)), zap.Error(err))
 	w.tick()
 }
 
 // judge says what a replica's answer means for a run that has come so far here.
-func judge(runs platform.Runs, err error, id string, at progress) (made int, a stall.Account) {
-	made, listed := runs.Made[id]
+func judge(runs platform.EngineReport, err error, id string, at progress) (made int, a stall.RunStatus) {
+	made, listed := runs.EventsByRequest[id]
 	switch {
-	case errors.Is(err, replica.ErrUnknownCall) || errors.Is(err, platform.ErrMalformed):
-		return made, stall.Untold
+	case errors.Is(err, replica.ErrUnsupportedCall) || errors.Is(err, platform.ErrMalformed):
+		return made, stall.Unknown
 	case err != nil:
 		return made, stall.NoAnswer
 	case listed && made > at.events:
-		return made, stall.Ahead
+		return made, stall.OutputLost
 	case listed:
-		return made, stall.AtWork
-	case !runs.Told || runs.Waiting > 0 || !at.begun:
+		return made, stall.Running
+	case !runs.HasRuns || runs.Queued > 0 || !at.begun:
 		// A run that has not begun, or was put off for others, may wait for its turn.
-		return made, stall.Untold
+		return made, stall.Unknown
 	}
 	return made, stall.NotListed
 }
 
 // accountOf asks an engine for its account of its runs, once for all who want it.
-func (g *Gateway) accountOf(c request.Choice) (platform.Runs, error) {
+func (g *Gateway) accountOf(c request.Choice) (platform.EngineReport, error) {
 	runs, err, _ := g.accounts.Do(c.Upstream+" "+c.Address, func() (any, error) {
 		ctx, cancel := clock.WithTimeout(context.Background(), askTimeout)
 		defer cancel()
-		return g.client.Runs(ctx, c.Upstream, c.Address)
+		return g.client.EngineReport(ctx, c.Upstream, c.Address)
 	})
-	return runs.(platform.Runs), err
+	return runs.(platform.EngineReport), err
 }
 
 // secure secures another run and ends this one for it, if it has not ended.
@@ -258,13 +258,13 @@
 	wanted := ctx.Err() == nil
 	w.stopSecuring()
 	if r == nil {
-		w.m.Denied(now)
+		w.m.ReservationFailed(now)
 		x.g.countReplacement(x.service, string(denied))
 		x.g.log.Info("no replacement", logging.Request(x.req.ID), zap.String("reason", string(denied)),
-			zap.Stringer("account", w.m.Account()), zap.Duration("silence", w.m.Silence(now)))
+			zap.Stringer("account", w.m.Status()), zap.Duration("silence", w.m.Silence(now)))
 		return
 	}
-	if leave := w.m.Secured(now) == stall.Leave; !wanted || !leave && !w.stopped {
+	if leave := w.m.Reserved(now) == stall.Abandon; !wanted || !leave && !w.stopped {
 		x.giveBack(r)
 		x.g.countReplacement(x.service, "given_back")
 		return
@@ -275,13 +275,13 @@
 	if w.stopped {
 		return
 	}
-	w.t.cancel(&leftError{account: w.m.Account(), silence: w.m.Silence(now)})
+	w.t.cancel(&leftError{account: w.m.Status(), silence: w.m.Silence(now)})
 }
 
 // arrivedEvents is the number of events that have arrived of a run, also where it
 // goes on after one that the caller had before.
 func (t *try) arrivedEvents() int {
-	return max(t.events, eventNumber(t.x.lastEvent), eventNumber(t.x.req.LastEvent))
+	return max(t.events, eventNumber(t.x.lastEvent), eventNumber(t.x.req.LastEventID))
 }
 
 // eventNumber is the number that an event's id is; 0 for an id that is none.
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -85,7 +85,7 @@
 // commit sends the head of the answer.
 func (x *exchange) commit(resp *http.Response) {
 	x.committed = true
-	platform.CopyAnswer(x.w.Header(), resp.Header)
+	platform.CopyResponseHeaders(x.w.Header(), resp.Header)
 	x.w.Header().Del("Content-Length")
 	x.w.WriteHeader(resp.StatusCode)
 	// Bounds the writing to a caller that does not read.
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -36,7 +36,7 @@
 // block. Each may be nil.
 type Hooks struct {
 	// Slot is called with each extension value that arrives.
-	Slot func(member.SlotHeard)
+	Slot func(member.SlotReceived)
 	// Changed is called with each change of a member's state.
 	Changed func(member.Member)
 	// Fresh is called when the views become stale, and when they have been renewed
@@ -133,7 +133,7 @@
 func (l *Loop) request(ctx context.Context, from string, msg proto.Message, isAnswer func(proto.Message) bool) (proto.Message, error) {
 	answers := make(chan proto.Message, 1)
 	l.queue.Add(func() {
-		for _, a := range l.machine.Step(clock.Now(), member.Received{From: from, Msg: msg}) {
+		for _, a := range l.machine.Step(clock.Now(), member.MessageReceived{From: from, Msg: msg}) {
 			if s, ok := a.(member.Send); ok && s.To == from && isAnswer(s.Msg) {
 				answers <- s.Msg
 				continue
@@ -157,11 +157,11 @@
 	switch a := action.(type) {
 	case member.Send:
 		l.send(a)
-	case member.SlotHeard:
+	case member.SlotReceived:
 		if l.hooks.Slot != nil {
 			l.hooks.Slot(a)
 		}
-	case member.Changed:
+	case member.MemberChanged:
 		log.Info("member changed", zap.String("peer", a.Member.Host.Name), zap.Stringer("state", a.Member.State),
 			zap.Uint64("incarnation", a.Member.Incarnation))
 		if l.hooks.Changed != nil {
@@ -169,7 +169,7 @@
 		}
 	case member.UpstreamChanged:
 		log.Info("upstream leaving state changed", zap.String("upstream", a.Name), zap.Bool("leaving", a.Leaving))
-	case member.Freshness:
+	case member.FreshnessChanged:
 		log.Info("freshness of the membership views changed", zap.Bool("fresh", a.Fresh))
 		if l.hooks.Fresh != nil {
 			l.hooks.Fresh(a.Fresh)
@@ -177,8 +177,8 @@
 	case member.SkewChanged:
 		log.Warn("clock skew against the peers' median changed", zap.Bool("skewed", a.Skewed), zap.Duration("offset", a.Offset))
 	case member.Superseded:
-		log.Error("a later process of this host is running", zap.Uint64("incarnation", a.By))
-	case member.Refused:
+		log.Error("a later process of this host is running", zap.Uint64("incarnation", a.Incarnation))
+	case member.Rejected:
 		log.Warn("membership message refused", zap.String("peer", a.From), zap.String("reason", a.Reason))
 	}
 }
@@ -186,7 +186,7 @@
 // affectsView reports whether an action may change the snapshot.
 func affectsView(a member.Action) bool {
 	switch a.(type) {
-	case member.Send, member.SlotHeard, member.Refused:
+	case member.Send, member.SlotReceived, member.Rejected:
 		return false
 	}
 	return true
@@ -200,7 +200,7 @@
 	l.viewChanged, l.lastPublished = false, clock.Now()
 	old := l.view.Load()
 	next := &View{
-		Members: l.machine.Members(), Neighbours: l.machine.Neighbours(), Living: l.machine.Living(), Leaving: l.machine.LeavingUpstreams(),
+		Members: l.machine.Members(), Neighbours: l.machine.Neighbours(), Living: l.machine.LiveHosts(), Leaving: l.machine.LeavingUpstreams(),
 		Fresh: l.machine.Fresh(), Skewed: l.machine.Skewed(), Superseded: l.machine.Superseded(),
 	}
 	l.view.Store(next)
@@ -215,9 +215,9 @@
 	l.calls.Go(s.To, method, s.Msg, answer, callTimeout, func(err error) {
 		switch {
 		case err != nil:
-			l.Post(member.Failed(s))
+			l.Post(member.SendFailed(s))
 		case proto.Size(answer) > 0:
-			l.Post(member.Received{From: s.To, Msg: answer})
+			l.Post(member.MessageReceived{From: s.To, Msg: answer})
 		}
 	})
 }
@@ -266,7 +266,7 @@
 // handleOneWay registers a method whose answer is empty.
 func handleOneWay[Req proto.Message](l *Loop, mux *peer.Mux, method string) {
 	peer.Handle(mux, method, func(_ context.Context, from peer.Sender, req Req) (*wire.MemberNone, error) {
-		l.Post(member.Received{From: from.Host, Msg: req})
+		l.Post(member.MessageReceived{From: from.Host, Msg: req})
 		return &wire.MemberNone{}, nil
 	})
 }
--- a/quarantine/messages.go
+++ b/quarantine/messages.go
@@ -24,14 +24,14 @@
 // maxAgeMS bounds the ages that a message may tell: twice the life of a verdict.
 const maxAgeMS = int64(2 * poison.Lifetime / time.Millisecond)
 
-func endsToWire(now time.Time, ends []poison.End) *wire.ReplicasEnded {
+func endsToWire(now time.Time, ends []poison.Crash) *wire.ReplicasEnded {
 	out := &wire.ReplicasEnded{}
 	for _, e := range ends {
 		end := &wire.ReplicaEnd{Service: e.Service, Replica: e.Replica, AgeMs: ageOf(now, e.At)}
 		for _, s := range e.Suspects {
-			suspect := &wire.EndSuspect{Request: s.Request[:], RanMs: uint32(max(0, s.Ran.Milliseconds()))}
-			if !s.Served.IsZero() {
-				suspect.ServedMs = max(1, ageOf(now, s.Served))
+			suspect := &wire.EndSuspect{Request: s.Request[:], RanMs: uint32(max(0, s.RunTime.Milliseconds()))}
+			if !s.LastSuccess.IsZero() {
+				suspect.ServedMs = max(1, ageOf(now, s.LastSuccess))
 			}
 			end.Suspects = append(end.Suspects, suspect)
 		}
@@ -40,18 +40,18 @@
 	return out
 }
 
-func endsFromWire(now time.Time, m *wire.ReplicasEnded) []poison.End {
-	var ends []poison.End
+func endsFromWire(now time.Time, m *wire.ReplicasEnded) []poison.Crash {
+	var ends []poison.Crash
 	for _, e := range m.GetEnds() {
-		end := poison.End{Service: e.GetService(), Replica: e.GetReplica(), At: atOf(now, e.GetAgeMs())}
+		end := poison.Crash{Service: e.GetService(), Replica: e.GetReplica(), At: atOf(now, e.GetAgeMs())}
 		for _, s := range e.GetSuspects() {
 			f, ok := fingerprint(s.GetRequest())
 			if !ok {
 				continue
 			}
-			suspect := poison.Suspect{Request: f, Ran: time.Duration(s.GetRanMs()) * time.Millisecond}
+			suspect := poison.Suspect{Request: f, RunTime: time.Duration(s.GetRanMs()) * time.Millisecond}
 			if s.GetServedMs() > 0 {
-				suspect.Served = atOf(now, s.GetServedMs())
+				suspect.LastSuccess = atOf(now, s.GetServedMs())
 			}
 			end.Suspects = append(end.Suspects, suspect)
 		}
@@ -64,11 +64,11 @@
 	out := make([]*wire.Verdict, 0, len(verdicts))
 	for _, v := range verdicts {
 		w := &wire.Verdict{
-			Request: v.Request[:], Round: v.Round, Lifted: v.Lifted, Trials: v.Trials, Untried: v.Untried, Doubtful: v.Doubtful,
-			AgeMs: ageOf(now, v.At), SinceMs: ageOf(now, v.Since),
+			Request: v.Request[:], Round: v.Round, Lifted: v.Lifted, Trials: v.Trials, Untried: v.UnusedTrials, Doubtful: v.Doubtful,
+			AgeMs: ageOf(now, v.QuarantinedAt), SinceMs: ageOf(now, v.FirstCrash),
 		}
 		if v.Trials > 0 {
-			w.TriedMs = ageOf(now, v.TriedAt)
+			w.TriedMs = ageOf(now, v.LastTrial)
 		}
 		out = append(out, w)
 	}
@@ -83,11 +83,11 @@
 			continue
 		}
 		v := poison.Verdict{
-			Request: f, Round: w.GetRound(), Lifted: w.GetLifted(), Trials: w.GetTrials(), Untried: w.GetUntried(), Doubtful: w.GetDoubtful(),
-			At: atOf(now, w.GetAgeMs()), Since: atOf(now, w.GetSinceMs()),
+			Request: f, Round: w.GetRound(), Lifted: w.GetLifted(), Trials: w.GetTrials(), UnusedTrials: w.GetUntried(), Doubtful: w.GetDoubtful(),
+			QuarantinedAt: atOf(now, w.GetAgeMs()), FirstCrash: atOf(now, w.GetSinceMs()),
 		}
 		if v.Trials > 0 {
-			v.TriedAt = atOf(now, w.GetTriedMs())
+			v.LastTrial = atOf(now, w.GetTriedMs())
 		}
 		out = append(out, v)
 	}
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -82,7 +82,7 @@
 }
 
 // Refused implements quarantine.Replicas.
-func (n *network) Refused(_ context.Context, address string) (bool, error) {
+func (n *network) RefusesConnections(_ context.Context, address string) (bool, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.listening[address], nil
@@ -134,7 +134,7 @@
 		for _, name := range h.Neighbours() {
 			for _, o := range n.all() {
 				if o.name == name && o.slot.Load() != nil && !o.cut.Load() && !h.cut.Load() {
-					h.Heard(member.SlotHeard{ID: member.SlotQuarantine, Host: o.name, Value: *o.slot.Load()})
+					h.DigestReceived(member.SlotReceived{ID: member.SlotQuarantine, Host: o.name, Value: *o.slot.Load()})
 				}
 			}
 		}
@@ -143,7 +143,7 @@
 
 // breaks has an attempt break off at a replica.
 func (h *host) breaks(replica, request string) {
-	h.BrokeOff(quarantine.Attempt{Service: "llm", Replica: replica, Address: replica, Request: content(request), Began: clock.Now().Add(-50 * time.Millisecond)})
+	h.AttemptInterrupted(quarantine.InterruptedAttempt{Service: "llm", Replica: replica, Address: replica, Request: content(request), Began: clock.Now().Add(-50 * time.Millisecond)})
 }
 
 func content(name string) poison.Fingerprint {
@@ -151,7 +151,7 @@
 }
 
 func (h *host) condemned(request string) bool {
-	_, c := h.Condemned(content(request))
+	_, c := h.Quarantined(content(request))
 	return c
 }
 
@@ -190,7 +190,7 @@
 		hosts := n.all()
 		hosts[4].breaks("r0", "x")
 		hosts[4].breaks("r1", "x")
-		Eventually(func() int { return hosts[0].Dump().Stats.Ends }, contact).Should(Equal(2))
+		Eventually(func() int { return hosts[0].Dump().Stats.Crashes }, contact).Should(Equal(2))
 		hosts[4].stop()
 		hosts[4].cut.Store(true)
 		hosts[3].breaks("r2", "x")
@@ -202,10 +202,10 @@
 		hosts := n.all()
 		hosts[4].breaks("r0", "x")
 		hosts[3].breaks("r1", "x")
-		Eventually(func() int { return hosts[1].Dump().Stats.Ends }, contact).Should(Equal(2))
+		Eventually(func() int { return hosts[1].Dump().Stats.Crashes }, contact).Should(Equal(2))
 		hosts[0].cut.Store(true)
 		hosts[1].cut.Store(true)
-		Eventually(func() int { return hosts[2].Dump().Stats.Ends }, contact).Should(Equal(2))
+		Eventually(func() int { return hosts[2].Dump().Stats.Crashes }, contact).Should(Equal(2))
 		hosts[4].breaks("r2", "x")
 		allKnow(hosts[2:]...)
 	})
@@ -254,7 +254,7 @@
 			n.all()[0].breaks(fmt.Sprint("r", i), "x")
 		}
 		allKnow(n.all()...)
-		n.all()[5].Served(content("x"))
+		n.all()[5].RunSucceeded(content("x"))
 		for _, h := range n.all() {
 			Eventually(func() bool { return h.condemned("x") }, contact).Should(BeFalse())
 		}
@@ -268,19 +268,19 @@
 			hosts[1].breaks(fmt.Sprint("other", i), fmt.Sprint("bystander", i))
 		}
 		for _, h := range hosts[:2] {
-			Eventually(func() int { return h.Dump().Stats.Ends }, contact).Should(Equal(3))
+			Eventually(func() int { return h.Dump().Stats.Crashes }, contact).Should(Equal(3))
 		}
 		for i := range 3 {
 			hosts[2].breaks(fmt.Sprint("r", i), "x")
 		}
 		allKnow(hosts...)
-		v, _ := hosts[3].Condemned(content("x"))
+		v, _ := hosts[3].Quarantined(content("x"))
 		Expect(v.Doubtful).To(BeTrue())
-		Expect(hosts[3].Try(context.Background(), v)).To(BeFalse())
+		Expect(hosts[3].RequestTrial(context.Background(), v)).To(BeFalse())
 		granted := func() int {
 			n := 0
 			for _, h := range hosts {
-				if v, ok := h.Condemned(content("x")); ok && h.Try(context.Background(), v) {
+				if v, ok := h.Quarantined(content("x")); ok && h.RequestTrial(context.Background(), v) {
 					n++
 				}
 			}
@@ -290,7 +290,7 @@
 		Consistently(granted, "200ms").Should(BeZero())
 
 		By("granting it again when it came to no run")
-		hosts[3].Untried(content("x"))
+		hosts[3].ReturnTrial(content("x"))
 		Eventually(granted, contact).Should(Equal(1))
 		Consistently(granted, "200ms").Should(BeZero())
 	})
@@ -301,7 +301,7 @@
 			n.all()[0].breaks(fmt.Sprint("r", i), "x")
 		}
 		allKnow(n.all()...)
-		Expect(n.all()[2].Refused()).To(Equal(1))
+		Expect(n.all()[2].QuarantinedCount()).To(Equal(1))
 		clock.Simulate(poison.Lifetime)
 		for range 3 {
 			n.beat()
@@ -310,6 +310,6 @@
 		before := n.calls.Load()
 		n.beat()
 		Consistently(n.calls.Load, "200ms").Should(Equal(before))
-		Expect(n.all()[2].Refused()).To(BeZero())
+		Expect(n.all()[2].QuarantinedCount()).To(BeZero())
 	})
 })
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -34,7 +34,7 @@
 
 // report is an end that this daemon saw, and who has taken it.
 type report struct {
-	end poison.End
+	end poison.Crash
 	// taken holds the starts of the hosts that have taken it, by name; own says that
 	// this daemon decided on it by itself.
 	taken map[string]uint64
@@ -109,9 +109,9 @@
 func (s *Service) dueTo(h fleet.Host) []*report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var recent []poison.End
+	var recent []poison.Crash
 	for _, r := range s.reports {
-		if clock.Since(r.end.At) < poison.MassWindow {
+		if clock.Since(r.end.At) < poison.OutageWindow {
 			recent = append(recent, r.end)
 		}
 	}
@@ -121,8 +121,8 @@
 		if at, taken := r.taken[h.Name]; taken && at == h.Incarnation {
 			continue
 		}
-		if len(reportable) < len(recent) && clock.Since(r.end.At) < poison.MassWindow {
-			i := slices.IndexFunc(reportable, func(e poison.End) bool { return e.Replica == r.end.Replica })
+		if len(reportable) < len(recent) && clock.Since(r.end.At) < poison.OutageWindow {
+			i := slices.IndexFunc(reportable, func(e poison.Crash) bool { return e.Replica == r.end.Replica })
 			if i < 0 {
 				continue
 			}
@@ -133,8 +133,8 @@
 	return due
 }
 
-func endsOf(reports []*report) []poison.End {
-	ends := make([]poison.End, 0, len(reports))
+func endsOf(reports []*report) []poison.Crash {
+	ends := make([]poison.Crash, 0, len(reports))
 	for _, r := range reports {
 		ends = append(ends, r.end)
 	}
@@ -142,7 +142,7 @@
 }
 
 // tellEnds passes ends to a host, which may be this one.
-func (s *Service) tellEnds(ctx context.Context, host string, ends []poison.End) error {
+func (s *Service) tellEnds(ctx context.Context, host string, ends []poison.Crash) error {
 	if host == s.cfg.Self {
 		s.judge(ends)
 		return nil
@@ -155,7 +155,7 @@
 // decideAlone decides on ends that no deciding host has taken.
 func (s *Service) decideAlone() {
 	s.mu.Lock()
-	var alone []poison.End
+	var alone []poison.Crash
 	for _, r := range s.reports {
 		if len(r.taken) == 0 && !r.own {
 			r.own = true
@@ -167,10 +167,10 @@
 }
 
 // judge decides on ends.
-func (s *Service) judge(ends []poison.End) {
+func (s *Service) judge(ends []poison.Crash) {
 	for _, e := range ends {
 		s.mu.Lock()
-		changed := s.machine.Ended(clock.Now(), e)
+		changed := s.machine.RecordCrash(clock.Now(), e)
 		s.mu.Unlock()
 		s.changed(s.cfg.Self, changed)
 	}
--- a/quarantine/service.go
+++ b/quarantine/service.go
@@ -31,7 +31,7 @@
 type Replicas interface {
 	// Refused says whether nobody listens at an address; the error that this is not
 	// known.
-	Refused(ctx context.Context, address string) (bool, error)
+	RefusesConnections(ctx context.Context, address string) (bool, error)
 }
 
 // Config is what a Service needs.
@@ -46,7 +46,7 @@
 	Logger *zap.Logger
 	// Ended is told of each replica that ended under attempts; it may be nil and
 	// must not block.
-	Ended func(poison.End)
+	OnReplicaCrash func(poison.Crash)
 }
 
 // Service is one daemon's part. All methods are safe for concurrent use.
@@ -59,7 +59,7 @@
 	work      chan struct{}
 
 	mu      sync.Mutex
-	machine poison.Machine
+	machine poison.Detector
 	ending  map[string]*ending // by replica
 	reports []*report
 	// watches are told when their request is condemned.
@@ -74,8 +74,8 @@
 type watch struct{ condemned func() }
 
 // Extension is the service's place on the heartbeats: the digest of its verdicts.
-func Extension() member.Extension {
-	return member.Extension{ID: member.SlotQuarantine, MaxBytes: digestBytes}
+func Extension() member.SlotConfig {
+	return member.SlotConfig{ID: member.SlotQuarantine, MaxBytes: digestBytes}
 }
 
 const digestBytes = 8
@@ -112,21 +112,21 @@
 }
 
 // Served takes a run that ended well: the replica answered and lives.
-func (s *Service) Served(f poison.Fingerprint) {
+func (s *Service) RunSucceeded(f poison.Fingerprint) {
 	s.mu.Lock()
-	changed := s.machine.Served(clock.Now(), f)
+	changed := s.machine.RecordSuccess(clock.Now(), f)
 	s.mu.Unlock()
 	s.changed(s.cfg.Self, changed)
 }
 
 // Condemned returns the verdict by which a request must not reach a replica.
-func (s *Service) Condemned(f poison.Fingerprint) (poison.Verdict, bool) {
+func (s *Service) Quarantined(f poison.Fingerprint) (poison.Verdict, bool) {
 	if s.condemned.Load() == 0 {
 		return poison.Verdict{}, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.machine.Condemned(clock.Now(), f)
+	return s.machine.Quarantined(clock.Now(), f)
 }
 
 // Watch calls condemned, once, when the request is; stop ends that.
@@ -151,7 +151,7 @@
 // Try says whether a condemned request may be run once more, to see whether the
 // verdict was wrong. The first of the deciding hosts grants that; when it does not
 // answer, nobody does.
-func (s *Service) Try(ctx context.Context, v poison.Verdict) bool {
+func (s *Service) RequestTrial(ctx context.Context, v poison.Verdict) bool {
 	if v.RetryAfter(clock.Now()) > 0 {
 		return false
 	}
@@ -159,7 +159,7 @@
 }
 
 // Untried tells that a trial which Try granted came to no run.
-func (s *Service) Untried(f poison.Fingerprint) {
+func (s *Service) ReturnTrial(f poison.Fingerprint) {
 	go s.askFirst(context.Background(), &wire.TrialRequest{Request: f[:], Untried: true}, s.takeBack)
 }
 
@@ -187,7 +187,7 @@
 // grant decides on a trial.
 func (s *Service) grant(f poison.Fingerprint) bool {
 	s.mu.Lock()
-	v, granted := s.machine.Try(clock.Now(), f)
+	v, granted := s.machine.GrantTrial(clock.Now(), f)
 	s.mu.Unlock()
 	if granted {
 		s.changed(s.cfg.Self, []poison.Verdict{v})
@@ -198,7 +198,7 @@
 // takeBack notes that a trial came to no run.
 func (s *Service) takeBack(f poison.Fingerprint) bool {
 	s.mu.Lock()
-	v, changed := s.machine.Untried(f)
+	v, changed := s.machine.ReturnTrial(f)
 	s.mu.Unlock()
 	if changed {
 		s.changed(s.cfg.Self, []poison.Verdict{v})
@@ -250,14 +250,14 @@
 	for _, v := range s.machine.Verdicts() {
 		d.Verdicts = append(d.Verdicts, DumpedVerdict{
 			Content: v.Request.String(), Round: v.Round, Lifted: v.Lifted, Doubtful: v.Doubtful, Trials: v.Trials,
-			Age: now.Sub(v.At).Seconds(), Ends: s.endsUnder(now, v.Request),
+			Age: now.Sub(v.QuarantinedAt).Seconds(), Ends: s.endsUnder(now, v.Request),
 		})
 	}
 	return d
 }
 
 // Refused is the number of requests that are condemned.
-func (s *Service) Refused() int {
+func (s *Service) QuarantinedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.count(clock.Now()) // some may have been forgotten
--- a/quarantine/spread.go
+++ b/quarantine/spread.go
@@ -50,7 +50,7 @@
 func (s *Service) count(now time.Time) {
 	n := 0
 	for _, v := range s.machine.Verdicts() {
-		if _, condemned := s.machine.Condemned(now, v.Request); condemned {
+		if _, condemned := s.machine.Quarantined(now, v.Request); condemned {
 			n++
 		}
 	}
@@ -61,13 +61,13 @@
 func (s *Service) logVerdict(now time.Time, from string, v poison.Verdict) {
 	fields := []zap.Field{
 		zap.Stringer("content", v.Request), zap.Uint32("round", v.Round), zap.Uint32("trials", v.Trials), zap.Bool("doubtful", v.Doubtful),
-		zap.String("peer", from), zap.Duration("age", now.Sub(v.At)), zap.Duration("since", now.Sub(v.Since)), zap.Strings("ends", s.endsUnder(now, v.Request)),
+		zap.String("peer", from), zap.Duration("age", now.Sub(v.QuarantinedAt)), zap.Duration("since", now.Sub(v.FirstCrash)), zap.Strings("ends", s.endsUnder(now, v.Request)),
 	}
 	switch {
 	case v.Lifted:
 		s.log.Warn("verdict on a request lifted", fields...)
 	case v.Trials > 0:
-		s.log.Warn("request tried again", append(fields, zap.Uint32("untried", v.Untried))...)
+		s.log.Warn("request tried again", append(fields, zap.Uint32("untried", v.UnusedTrials))...)
 	default:
 		s.log.Warn("request condemned", fields...)
 	}
@@ -77,7 +77,7 @@
 // the lock is held.
 func (s *Service) endsUnder(now time.Time, f poison.Fingerprint) []string {
 	var out []string
-	for _, e := range s.machine.EndsUnder(f) {
+	for _, e := range s.machine.CrashesOf(f) {
 		out = append(out, fmt.Sprintf("%s %.1f s ago, %d requests", e.Replica, now.Sub(e.At).Seconds(), len(e.Suspects)))
 	}
 	return out
@@ -98,7 +98,7 @@
 func (s *Service) learn(from string, verdicts []*wire.Verdict) {
 	now := clock.Now()
 	s.mu.Lock()
-	changed := s.machine.Learn(now, verdictsFromWire(now, verdicts))
+	changed := s.machine.Merge(now, verdictsFromWire(now, verdicts))
 	s.mu.Unlock()
 	s.changed(from, changed)
 }
@@ -114,7 +114,7 @@
 const exchangeEvery = 500 * time.Millisecond
 
 // Heard takes a neighbour's digest of its verdicts; it does not block.
-func (s *Service) Heard(h member.SlotHeard) {
+func (s *Service) DigestReceived(h member.SlotReceived) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
--- a/replica/client.go
+++ b/replica/client.go
@@ -35,12 +35,12 @@
 // It is safe for concurrent use.
 type Client struct {
 	transport, kept *http.Transport
-	heard           func(intake.Answer)
+	heard           func(intake.ReplicaResponse)
 }
 
 // NewClient returns a client. heard is told of what replicas say of themselves, with
 // each answer of a replica that was meant; it must not block, and nil is for nobody.
-func NewClient(heard func(intake.Answer)) *Client {
+func NewClient(heard func(intake.ReplicaResponse)) *Client {
 	c := &Client{transport: newTransport(), kept: newTransport(), heard: heard}
 	c.transport.DisableKeepAlives = true
 	c.kept.MaxIdleConnsPerHost, c.kept.IdleConnTimeout = 1, keptIdle
@@ -59,7 +59,7 @@
 // Refused says whether nobody listens at a replica's address: its process has
 // ended. It opens a connection and sends nothing. The error says why that is not
 // known: no answer came.
-func (c *Client) Refused(ctx context.Context, address string) (bool, error) {
+func (c *Client) RefusesConnections(ctx context.Context, address string) (bool, error) {
 	conn, err := (&net.Dialer{Timeout: connectTimeout, KeepAlive: -1}).DialContext(ctx, "tcp", address)
 	switch {
 	case err == nil:
@@ -76,10 +76,10 @@
 	Replica string
 	// Request is the id of the caller's request that the call passes on; "" for the
 	// other calls.
-	Request string
+	RequestID string
 	// Work says that the call passes a request on, or asks for pieces.
-	Work   bool
-	Method string
+	ExecutesRequest bool
+	Method          string
 	// Address is the replica's ip:port.
 	Address string
 	// Target is the path and query exactly as they are sent.
@@ -93,7 +93,7 @@
 // Response is the answer to a call. Its body must be closed.
 type Response struct {
 	*http.Response
-	Head platform.Answer
+	Head platform.ResponseHead
 }
 
 // Do makes a call. The answer ends with ctx.
@@ -123,12 +123,12 @@
 // hear passes on what a replica says of itself, unless another one answered, or
 // another request's answer came.
 func (c *Client) hear(sent time.Time, call Call, r *Response) {
-	if c.heard == nil || r.Head.OtherReplica {
+	if c.heard == nil || r.Head.Misdirected {
 		return
 	}
-	if call.Request != r.Head.RequestID && !r.Head.NotExecuted {
+	if call.RequestID != r.Head.RequestID && !r.Head.NotExecuted {
 		return
 	}
-	served := call.Work && r.StatusCode < http.StatusMultipleChoices
-	c.heard(intake.Answer{Replica: call.Replica, Address: call.Address, Sent: sent, Served: served, Notice: r.Head.Notice})
+	served := call.ExecutesRequest && r.StatusCode < http.StatusMultipleChoices
+	c.heard(intake.ReplicaResponse{Replica: call.Replica, Address: call.Address, Sent: sent, Served: served, Notice: r.Head.Notice})
 }
--- a/replica/engine.go
+++ b/replica/engine.go
@@ -14,9 +14,9 @@
 // The errors of calls to engines.
 var (
 	// ErrNoRoom: the engine has no place to hold.
-	ErrNoRoom = errors.New("no place to hold")
+	ErrNoCapacity = errors.New("no place to hold")
 	// ErrUnknownCall: the replica answers, and does not serve the call.
-	ErrUnknownCall = errors.New("the replica does not serve the call")
+	ErrUnsupportedCall = errors.New("the replica does not serve the call")
 	// ErrOtherReplica: the address belongs to another replica now.
 	ErrOtherReplica = errors.New("another replica has the address")
 )
@@ -27,22 +27,22 @@
 // Runs asks an engine for its account of its runs, on a connection of its own: an
 // open one may be what has failed. An engine that answers otherwise than asked, or
 // resets the connection, gives ErrUnknownCall; other errors say that none answers.
-func (c *Client) Runs(ctx context.Context, replica, address string) (platform.Runs, error) {
+func (c *Client) EngineReport(ctx context.Context, replica, address string) (platform.EngineReport, error) {
 	status, body, err := c.ask(ctx, engineCall(http.MethodGet, platform.ReportPath, replica, address, nil), maxReport)
 	switch {
 	case err != nil && httpbody.BrokenOff(err):
-		return platform.Runs{}, fmt.Errorf("%w: %w", ErrUnknownCall, err)
+		return platform.EngineReport{}, fmt.Errorf("%w: %w", ErrUnsupportedCall, err)
 	case err != nil:
-		return platform.Runs{}, err
+		return platform.EngineReport{}, err
 	case status != http.StatusOK:
-		return platform.Runs{}, fmt.Errorf("%w: status %d", ErrUnknownCall, status)
+		return platform.EngineReport{}, fmt.Errorf("%w: status %d", ErrUnsupportedCall, status)
 	}
 	return platform.DecodeRuns(body)
 }
 
 // Hold reserves a place for a request of so many tokens and returns its name. It
 // lapses after life, unless a request uses it.
-func (c *Client) Hold(ctx context.Context, replica, address string, tokens int, life time.Duration) (string, error) {
+func (c *Client) Reserve(ctx context.Context, replica, address string, tokens int, life time.Duration) (string, error) {
 	body, err := platform.EncodeHold(tokens, life)
 	if err != nil {
 		return "", err
@@ -52,15 +52,15 @@
 	case err != nil:
 		return "", err
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
-		return "", fmt.Errorf("%w: status %d", ErrNoRoom, status)
+		return "", fmt.Errorf("%w: status %d", ErrNoCapacity, status)
 	case status != http.StatusOK:
-		return "", fmt.Errorf("%w: status %d", ErrUnknownCall, status)
+		return "", fmt.Errorf("%w: status %d", ErrUnsupportedCall, status)
 	}
 	return platform.DecodeHold(answer)
 }
 
 // DropHold gives a reserved place back.
-func (c *Client) DropHold(ctx context.Context, replica, address, hold string) error {
+func (c *Client) ReleaseReservation(ctx context.Context, replica, address, hold string) error {
 	call := engineCall(http.MethodDelete, platform.HoldDropTarget(hold), replica, address, nil)
 	status, _, err := c.ask(ctx, call, maxHoldAnswer)
 	if err == nil && status >= http.StatusMultipleChoices {
@@ -77,7 +77,7 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	if resp.Head.OtherReplica {
+	if resp.Head.Misdirected {
 		return 0, nil, ErrOtherReplica
 	}
 	body, err = httpbody.Read(resp.Body, most)
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -50,14 +50,14 @@
 
 var _ = Describe("giving results up", func() {
 	free := func(s *server) error {
-		return replica.NewClient(nil).FreeResults(context.Background(), stage.Free{Replica: "r", Address: s.address(), Handles: []string{"h"}})
+		return replica.NewClient(nil).ReleaseResults(context.Background(), stage.Release{Replica: "r", Address: s.address(), Handles: []string{"h"}})
 	}
 
 	It("takes one connection for call after call", func() {
 		s := serve(func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) })
 		c := replica.NewClient(nil)
 		for range 5 {
-			Expect(c.FreeResults(context.Background(), stage.Free{Replica: "r", Address: s.address(), Handles: []string{"h"}})).To(Succeed())
+			Expect(c.ReleaseResults(context.Background(), stage.Release{Replica: "r", Address: s.address(), Handles: []string{"h"}})).To(Succeed())
 		}
 		Expect(s.calls.Load()).To(Equal(int64(5)))
 		Expect(s.connections.Load()).To(Equal(int64(1)))
@@ -80,12 +80,12 @@
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(relay.Close)
 		c := replica.NewClient(nil)
-		results := stage.Free{Replica: "r", Address: relay.Address(), Handles: []string{"h"}}
-		Expect(c.FreeResults(context.Background(), results)).To(Succeed())
+		results := stage.Release{Replica: "r", Address: relay.Address(), Handles: []string{"h"}}
+		Expect(c.ReleaseResults(context.Background(), results)).To(Succeed())
 		Expect(relay.Silence()).To(Equal(1))
 		bound, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		Expect(c.FreeResults(bound, results)).To(Succeed())
+		Expect(c.ReleaseResults(bound, results)).To(Succeed())
 	})
 
 	It("is not tried once more when this host slept until after the answer had come", func() {
@@ -109,16 +109,16 @@
 		})
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
-		err := replica.NewClient(nil).FreeResults(ctx, stage.Free{Replica: "r", Address: silent.address(), Handles: []string{"h"}})
+		err := replica.NewClient(nil).ReleaseResults(ctx, stage.Release{Replica: "r", Address: silent.address(), Handles: []string{"h"}})
 		Expect(err).To(MatchError(context.DeadlineExceeded))
 		Expect(silent.calls.Load()).To(Equal(int64(1)))
 	})
 })
 
 var _ = Describe("asking for room", func() {
-	ask := func(answer http.HandlerFunc) (stage.Room, error) {
+	ask := func(answer http.HandlerFunc) (stage.FreeMemory, error) {
 		s := serve(answer)
-		return replica.NewClient(nil).Room(context.Background(), stage.Inspect{Replica: "r@7", Address: s.address()})
+		return replica.NewClient(nil).FreeMemory(context.Background(), stage.QueryMemory{Replica: "r@7", Address: s.address()})
 	}
 
 	It("is answered in whole megabytes, which bound the bytes", func() {
@@ -128,7 +128,7 @@
 			_, _ = io.WriteString(w, `{"queued":1,"busy":1,"free_mb":3}`)
 		})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(room).To(Equal(stage.Room{Least: 3_000_000, Most: 4_000_000}))
+		Expect(room).To(Equal(stage.FreeMemory{Min: 3_000_000, Max: 4_000_000}))
 	})
 
 	DescribeTable("fails without an answer", func(status int, body string) {
--- a/replica/stage.go
+++ b/replica/stage.go
@@ -29,7 +29,7 @@
 		return nil, stage.CallNotExecuted, err
 	}
 	call := stageCall(platform.StageRunPath, a.Replica, a.Address, body)
-	call.Work = true
+	call.ExecutesRequest = true
 	resp, err := c.Do(ctx, call)
 	if err != nil {
 		if httpbody.NotSent(err) {
@@ -40,7 +40,7 @@
 	defer resp.Body.Close()
 	raw, err := httpbody.Read(resp.Body, maxStageAnswer)
 	switch {
-	case resp.Head.OtherReplica:
+	case resp.Head.Misdirected:
 		return nil, stage.CallUnreachable, ErrOtherReplica
 	case resp.Head.NotExecuted:
 		return nil, stage.CallNotExecuted, fmt.Errorf("%w: status %d", errNotExecuted, resp.StatusCode)
@@ -68,7 +68,7 @@
 // FreeResults gives results up at the replica that holds them. A replica may
 // have dropped the idle connection that the first try takes, also without a
 // word, so that there is a second.
-func (c *Client) FreeResults(ctx context.Context, a stage.Free) error {
+func (c *Client) ReleaseResults(ctx context.Context, a stage.Release) error {
 	body, err := platform.EncodeFree(a.Handles)
 	if err != nil {
 		return err
@@ -87,19 +87,19 @@
 const maxReport = 256 << 10
 
 // Room asks a replica how much room for results it had a moment ago.
-func (c *Client) Room(ctx context.Context, a stage.Inspect) (stage.Room, error) {
+func (c *Client) FreeMemory(ctx context.Context, a stage.QueryMemory) (stage.FreeMemory, error) {
 	call := stageCall(platform.ReportPath, a.Replica, a.Address, nil)
 	call.Method = http.MethodGet
 	call.Header.Del("Content-Type")
 	status, raw, err := c.askKept(ctx, call, maxReport)
 	switch {
 	case err != nil:
-		return stage.Room{}, err
+		return stage.FreeMemory{}, err
 	case status != http.StatusOK:
-		return stage.Room{}, fmt.Errorf("status %d", status)
+		return stage.FreeMemory{}, fmt.Errorf("status %d", status)
 	}
 	least, below, err := platform.DecodeRoom(raw)
-	return stage.Room{Least: least, Most: below}, err
+	return stage.FreeMemory{Min: least, Max: below}, err
 }
 
 // free makes one try; what the answer says does not matter.
@@ -130,7 +130,7 @@
 	pieces := make([]platform.Piece, 0, len(a.Pieces))
 	for _, p := range a.Pieces {
 		pieces = append(pieces, platform.Piece{
-			Request: p.Job, Stage: p.Stage, Index: p.Index, LeftMS: platform.LeftMS(p.Left), Key: p.Key, Inputs: p.Inputs,
+			Request: p.Job, Stage: p.Stage, Index: p.Index, LeftMS: platform.LeftMS(p.TimeLeft), Key: p.Key, Inputs: p.Inputs,
 		})
 	}
 	return pieces
@@ -143,15 +143,15 @@
 		res := stage.Result{Handle: r.Handle}
 		switch r.Reason {
 		case "":
-			res.Kind = stage.Made
+			res.Kind = stage.PieceCompleted
 		case platform.ReasonLate:
-			res.Kind = stage.TooLate
+			res.Kind = stage.PieceExpired
 		case platform.ReasonGone:
-			res.Kind = stage.InputGone
+			res.Kind = stage.PieceInputMissing
 		case platform.ReasonRoom:
-			res.Kind = stage.NoRoom
+			res.Kind = stage.PieceOutOfMemory
 		default:
-			res.Kind = stage.Broken
+			res.Kind = stage.PieceFailed
 		}
 		out = append(out, res)
 	}
--- a/stages/asleep_test.go
+++ b/stages/asleep_test.go
@@ -36,12 +36,14 @@
 	return nil, stage.CallFailed, context.Canceled
 }
 
-func (b *busy) FreeResults(context.Context, stage.Free) error {
+func (b *busy) ReleaseResults(context.Context, stage.Release) error {
 	b.freed.Add(1)
 	return nil
 }
 
-func (b *busy) Room(context.Context, stage.Inspect) (stage.Room, error) { return stage.Room{}, nil }
+func (b *busy) FreeMemory(context.Context, stage.QueryMemory) (stage.FreeMemory, error) {
+	return stage.FreeMemory{}, nil
+}
 
 // encoding makes pieces of encode at once, and none of render until the test ends.
 type encoding struct {
@@ -66,7 +68,7 @@
 	return out, stage.CallAnswered, nil
 }
 
-func (e *encoding) FreeResults(_ context.Context, a stage.Free) error {
+func (e *encoding) ReleaseResults(_ context.Context, a stage.Release) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.given = append(e.given, a.Handles...)
@@ -90,18 +92,18 @@
 		replicas := &encoding{busy: busy{until: make(chan struct{})}}
 		DeferCleanup(func() { close(replicas.until) })
 		p := newPlanner(stage.Config{}, replicas, zap.NewNop())
-		pieces := &catalog.Pieces{Concurrency: 2, Batch: 8, CallTime: time.Second, PieceTime: time.Millisecond, RoomBytes: 1 << 20, ResultLife: time.Second}
+		pieces := &catalog.StageProfile{Concurrency: 2, Batch: 8, CallTime: time.Second, PieceTime: time.Millisecond, ResultCapacityBytes: 1 << 20, ResultTTL: time.Second}
 		services := map[string]*catalog.Service{}
 		var listed []catalog.Replica
 		for _, name := range []string{"encode", "render"} {
-			services[name] = &catalog.Service{Name: name, Pieces: pieces}
+			services[name] = &catalog.Service{Name: name, StageProfile: pieces}
 			listed = append(listed, catalog.Replica{ID: name, Service: name, Address: "127.0.0.1:1", FailureDomain: "x", Concurrency: 2})
 		}
 		p.configure(services, listed)
 		for _, id := range []string{"told", "untold"} {
 			_, ok := p.submit("fellow", stage.Job{
 				ID: id, Key: "k", Due: clock.Now().Add(time.Hour), Deadline: clock.Now().Add(time.Hour),
-				Stages: []stage.Stage{{Service: "encode", Pieces: 1, ResultBytes: 100}, {Service: "render", After: []int{0}, Pieces: 1}},
+				Stages: []stage.Stage{{Service: "encode", Pieces: 1, ResultBytes: 100}, {Service: "render", DependsOn: []int{0}, Pieces: 1}},
 			})
 			Expect(ok).To(BeTrue())
 			Eventually(replicas.made).Should(ContainElement(id + "/0"))
@@ -124,8 +126,8 @@
 		replicas := &busy{until: make(chan struct{})}
 		DeferCleanup(func() { close(replicas.until) })
 		p := newPlanner(stage.Config{}, replicas, zap.NewNop())
-		pieces := &catalog.Pieces{Concurrency: 1, Batch: 8, CallTime: 100 * time.Millisecond, PieceTime: time.Millisecond}
-		p.configure(map[string]*catalog.Service{"encode": {Name: "encode", Pieces: pieces}},
+		pieces := &catalog.StageProfile{Concurrency: 1, Batch: 8, CallTime: 100 * time.Millisecond, PieceTime: time.Millisecond}
+		p.configure(map[string]*catalog.Service{"encode": {Name: "encode", StageProfile: pieces}},
 			[]catalog.Replica{{ID: "e1", Service: "encode", Address: "127.0.0.1:1", FailureDomain: "x", Concurrency: 1}})
 		due := clock.Now().Add(time.Hour)
 		_, ok := p.submit("", stage.Job{
@@ -150,8 +152,8 @@
 		replicas := &busy{until: make(chan struct{})}
 		DeferCleanup(func() { close(replicas.until) })
 		p := newPlanner(stage.Config{}, replicas, zap.NewNop())
-		pieces := &catalog.Pieces{Concurrency: 1, Batch: 8, CallTime: 10 * time.Second, PieceTime: time.Millisecond, RoomBytes: 1 << 20, ResultLife: time.Second}
-		p.configure(map[string]*catalog.Service{"encode": {Name: "encode", Pieces: pieces}},
+		pieces := &catalog.StageProfile{Concurrency: 1, Batch: 8, CallTime: 10 * time.Second, PieceTime: time.Millisecond, ResultCapacityBytes: 1 << 20, ResultTTL: time.Second}
+		p.configure(map[string]*catalog.Service{"encode": {Name: "encode", StageProfile: pieces}},
 			[]catalog.Replica{{ID: "e1", Service: "encode", Address: "127.0.0.1:1", FailureDomain: "x", Concurrency: 1}})
 		job := func(id string) stage.Job {
 			return stage.Job{
--- a/stages/freeing.go
+++ b/stages/freeing.go
@@ -20,7 +20,7 @@
 // safe for concurrent use.
 type freeing struct {
 	// send makes one call and returns when it has ended.
-	send func(stage.Free)
+	send func(stage.Release)
 
 	mu sync.Mutex
 	at map[string]*giving // by replica
@@ -29,19 +29,19 @@
 // giving is what is being given up at one replica.
 type giving struct {
 	// held is kept back; its call is due when timer fires.
-	held  stage.Free
+	held  stage.Release
 	timer *clock.Timer
 	// calls are under way, done is closed when none is left.
 	calls int
 	done  chan struct{}
 }
 
-func newFreeing(send func(stage.Free)) *freeing {
+func newFreeing(send func(stage.Release)) *freeing {
 	return &freeing{send: send, at: map[string]*giving{}}
 }
 
 // add has results given up, soon or with the next call for pieces.
-func (f *freeing) add(a stage.Free) {
+func (f *freeing) add(a stage.Release) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	g := f.at[a.Replica]
@@ -85,7 +85,7 @@
 }
 
 // call makes one call.
-func (f *freeing) call(g *giving, a stage.Free) {
+func (f *freeing) call(g *giving, a stage.Release) {
 	f.send(a)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/stages/freeing_test.go
+++ b/stages/freeing_test.go
@@ -12,11 +12,11 @@
 // sender notes the calls that give results up; each ends when it is let go.
 type sender struct {
 	mu    sync.Mutex
-	calls []stage.Free
+	calls []stage.Release
 	end   chan struct{}
 }
 
-func (s *sender) send(a stage.Free) {
+func (s *sender) send(a stage.Release) {
 	s.mu.Lock()
 	s.calls = append(s.calls, a)
 	s.mu.Unlock()
@@ -34,8 +34,8 @@
 }
 
 var _ = Describe("a replica at which results are being given up", func() {
-	free := func(replica string, handles ...string) stage.Free {
-		return stage.Free{Replica: replica, Address: replica + ":80", Handles: handles}
+	free := func(replica string, handles ...string) stage.Release {
+		return stage.Release{Replica: replica, Address: replica + ":80", Handles: handles}
 	}
 	start := func() (*freeing, *sender) {
 		s := &sender{end: make(chan struct{})}
--- a/stages/messages.go
+++ b/stages/messages.go
@@ -20,10 +20,10 @@
 		DueMs: j.Due.Sub(now).Milliseconds(), LatestMs: j.Latest.Sub(now).Milliseconds(), DeadlineMs: max(0, j.Deadline.Sub(now).Milliseconds()),
 		FailureDomain: j.Domain,
 	}
-	out.Made = madeToWire(j.Made)
+	out.Made = madeToWire(j.Completed)
 	for _, s := range j.Stages {
 		w := &wire.StageWork{Service: s.Service, Pieces: uint32(max(0, s.Pieces)), ResultBytes: s.ResultBytes}
-		for _, a := range s.After {
+		for _, a := range s.DependsOn {
 			w.After = append(w.After, uint32(max(0, a)))
 		}
 		out.Stages = append(out.Stages, w)
@@ -45,16 +45,16 @@
 		s := stage.Stage{Service: w.GetService(), Pieces: int(w.GetPieces()), ResultBytes: w.GetResultBytes()}
 		for _, a := range w.GetAfter() {
 			if int(a) < i {
-				s.After = append(s.After, int(a))
+				s.DependsOn = append(s.DependsOn, int(a))
 			}
 		}
 		j.Stages = append(j.Stages, s)
 	}
-	j.Made = madeFromWire(m.GetMade())
+	j.Completed = madeFromWire(m.GetMade())
 	return j
 }
 
-func madeToWire(made []stage.MadePiece) []*wire.StageMade {
+func madeToWire(made []stage.CompletedPiece) []*wire.StageMade {
 	out := make([]*wire.StageMade, 0, len(made))
 	for _, p := range made {
 		out = append(out, &wire.StageMade{
@@ -64,10 +64,10 @@
 	return out
 }
 
-func madeFromWire(made []*wire.StageMade) []stage.MadePiece {
-	out := make([]stage.MadePiece, 0, len(made))
+func madeFromWire(made []*wire.StageMade) []stage.CompletedPiece {
+	out := make([]stage.CompletedPiece, 0, len(made))
 	for _, p := range made {
-		out = append(out, stage.MadePiece{
+		out = append(out, stage.CompletedPiece{
 			Stage: int(p.GetStage()), Index: int(p.GetIndex()), Handle: p.GetHandle(), Replica: p.GetReplica(),
 		})
 	}
@@ -85,7 +85,7 @@
 	return out
 }
 
-func endToWire(id string, e *End) *wire.StageEnd {
+func endToWire(id string, e *JobOutcome) *wire.StageEnd {
 	if r := e.Refused; r != nil {
 		return &wire.StageEnd{
 			Job: id, Reason: string(r.Reason),
@@ -95,13 +95,13 @@
 	return &wire.StageEnd{Job: id, Handles: e.Ready.Handles, FailureDomain: e.Ready.Domain, DomainBytes: e.Ready.DomainBytes}
 }
 
-func endOf(m *wire.StageEnd) *End {
+func endOf(m *wire.StageEnd) *JobOutcome {
 	if m.GetReason() == "" {
-		return &End{Ready: stage.Ready{
+		return &JobOutcome{Ready: stage.Ready{
 			Job: m.GetJob(), Handles: m.GetHandles(), Domain: m.GetFailureDomain(), DomainBytes: m.GetDomainBytes(),
 		}}
 	}
-	return &End{Refused: &stage.Refused{
+	return &JobOutcome{Refused: &stage.Refused{
 		Job: m.GetJob(), Reason: stage.Reason(m.GetReason()),
 		RetryAfter: time.Duration(m.GetRetryAfterMs()) * time.Millisecond,
 		Predicted:  time.Duration(m.GetPredictedMs()) * time.Millisecond,
--- a/stages/moved_test.go
+++ b/stages/moved_test.go
@@ -196,9 +196,9 @@
 	return results, outcome, err
 }
 
-func (r reached) FreeResults(ctx context.Context, a stage.Free) error {
+func (r reached) ReleaseResults(ctx context.Context, a stage.Release) error {
 	r.await()
-	return r.asked.FreeResults(ctx, a)
+	return r.asked.ReleaseResults(ctx, a)
 }
 
 // wired is a fleet before the same replicas.
@@ -260,7 +260,7 @@
 	return stage.Job{
 		ID: id, Key: "k", Due: now.Add(due), Deadline: now.Add(due + time.Second),
 		Stages: []stage.Stage{
-			{Service: "a", Pieces: 2}, {Service: "b", After: []int{0}, Pieces: 3}, {Service: "a", After: []int{1}, Pieces: 2},
+			{Service: "a", Pieces: 2}, {Service: "b", DependsOn: []int{0}, Pieces: 3}, {Service: "a", DependsOn: []int{1}, Pieces: 2},
 		},
 	}
 }
@@ -336,7 +336,7 @@
 		g := NewWithT(t)
 		f := newWired(t, 2, func() time.Duration { return slowWork })
 		owner := f.services[f.names[1]]
-		ready := make(chan *stages.End, 1)
+		ready := make(chan *stages.JobOutcome, 1)
 		go func() { ready <- owner.Prepare(context.Background(), chain("job", 20*time.Second)) }()
 		time.Sleep(2*slowWork + soon)
 		g.Expect(f.replicas.holds()).To(Equal(3), "the results of the second stage, which has read the first")
--- a/stages/planner.go
+++ b/stages/planner.go
@@ -21,13 +21,13 @@
 // safe for concurrent use.
 type Replicas interface {
 	RunPieces(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error)
-	FreeResults(ctx context.Context, a stage.Free) error
+	ReleaseResults(ctx context.Context, a stage.Release) error
 	// Room is the room for results that a replica had a moment ago.
-	Room(ctx context.Context, a stage.Inspect) (stage.Room, error)
+	FreeMemory(ctx context.Context, a stage.QueryMemory) (stage.FreeMemory, error)
 }
 
 // End is the end of a job: Ready, or Refused when that is set.
-type End struct {
+type JobOutcome struct {
 	Ready   stage.Ready
 	Refused *stage.Refused
 }
@@ -37,7 +37,7 @@
 	owner string
 	// end is set once the job has ended; held says of a refused one that its owner
 	// was told of results and has to say that it gives them up.
-	end  *End
+	end  *JobOutcome
 	held bool
 	// told is when the owner was first told of the end.
 	told time.Time
@@ -45,7 +45,7 @@
 	heard time.Time
 	// made is what was made since the owner was last told, inform that it is to be
 	// told at once.
-	made   []stage.MadePiece
+	made   []stage.CompletedPiece
 	inform bool
 }
 
@@ -53,11 +53,11 @@
 type polled struct {
 	// number names the answer if it has news of pieces, else it is 0.
 	number uint64
-	ends   map[string]*End
+	ends   map[string]*JobOutcome
 	// unknown are jobs that are not planned here.
 	unknown []string
 	// made is the progress of jobs without an end.
-	made map[string][]stage.MadePiece
+	made map[string][]stage.CompletedPiece
 }
 
 // owner is a daemon whose jobs are planned here; "" is this one.
@@ -86,7 +86,7 @@
 // planner plans in this daemon.
 type planner struct {
 	replicas Replicas
-	gates    *intake.Gates
+	gates    *intake.Limiters
 	log      *zap.Logger
 	freeing  *freeing
 
@@ -106,7 +106,7 @@
 
 func newPlanner(cfg stage.Config, replicas Replicas, log *zap.Logger) *planner {
 	if cfg.Gates == nil {
-		cfg.Gates = intake.NewGates()
+		cfg.Gates = intake.NewLimiters()
 	}
 	p := &planner{
 		replicas: replicas, gates: cfg.Gates, log: log, machine: stage.New(cfg),
@@ -128,7 +128,7 @@
 
 // submit takes a job and returns its end if that is known at once. ok is false
 // while nothing is known of the services.
-func (p *planner) submit(from string, j stage.Job) (end *End, ok bool) {
+func (p *planner) submit(from string, j stage.Job) (end *JobOutcome, ok bool) {
 	p.mu.Lock()
 	if !p.ready {
 		p.mu.Unlock()
@@ -144,13 +144,13 @@
 		e = &entry{owner: from}
 		p.jobs[j.ID] = e
 		o.jobs++
-		j.Shared = from != ""
+		j.Transferable = from != ""
 		actions = append(actions, p.step(stage.Submitted{Job: j})...)
 	}
 	e.heard = clock.Now()
 	if end = e.end; end != nil {
 		if pieces := e.untold(j.ID); len(pieces) > 0 {
-			actions = append(actions, p.step(stage.Told{Pieces: pieces})...)
+			actions = append(actions, p.step(stage.ProgressSent{Pieces: pieces})...)
 		}
 		p.tellEnd(j.ID, e)
 	}
@@ -212,7 +212,7 @@
 	}
 	pieces := o.telling.pieces
 	o.telling = telling{}
-	actions := p.step(stage.Known{Pieces: pieces})
+	actions := p.step(stage.ProgressAcked{Pieces: pieces})
 	p.mu.Unlock()
 	p.perform(actions)
 }
@@ -244,7 +244,7 @@
 
 // tell collects what an owner is told of its jobs; the lock is held.
 func (p *planner) tell(from string, o *owner, ids []string) (polled, []stage.Action) {
-	out := polled{ends: map[string]*End{}, made: map[string][]stage.MadePiece{}}
+	out := polled{ends: map[string]*JobOutcome{}, made: map[string][]stage.CompletedPiece{}}
 	var pieces []stage.Progress
 	for _, id := range ids {
 		e := p.jobs[id]
@@ -267,7 +267,7 @@
 	p.answers++
 	out.number = p.answers
 	o.telling = telling{out.number, pieces}
-	return out, p.step(stage.Told{Pieces: pieces})
+	return out, p.step(stage.ProgressSent{Pieces: pieces})
 }
 
 // untold takes what the owner of a job was not told of yet.
@@ -308,7 +308,7 @@
 // cancel gives a job up; the lock is held.
 func (p *planner) cancel(id string, moved bool) []stage.Action {
 	p.forget(id)
-	return p.step(stage.Cancelled{Job: id, Moved: moved})
+	return p.step(stage.Cancelled{Job: id, HandedOver: moved})
 }
 
 // step passes an event to the machine and notes the ends of jobs; the lock is
@@ -332,14 +332,14 @@
 			if e := p.jobs[a.Job]; e != nil && e.owner != "" {
 				e.made = append(e.made, a.Piece)
 			}
-		case stage.Inform:
+		case stage.NotifyOwner:
 			p.inform(a.Job)
 		case stage.Ready:
 			p.log.Info("stages ready", logging.Request(a.Job), zap.String("failure_domain", a.Domain), zap.Array("stages", timings(a.Timings)),
-				zap.Duration("took", a.Took), zap.Duration("predicted", a.Predicted), zap.Duration("early", a.Early))
-			p.ended(a.Job, &End{Ready: a})
+				zap.Duration("took", a.Elapsed), zap.Duration("predicted", a.Predicted), zap.Duration("early", a.Early))
+			p.ended(a.Job, &JobOutcome{Ready: a})
 		case stage.Refused:
-			p.ended(a.Job, &End{Refused: &a})
+			p.ended(a.Job, &JobOutcome{Refused: &a})
 		}
 	}
 	return actions
@@ -364,23 +364,23 @@
 func (ts timings) MarshalLogArray(enc zapcore.ArrayEncoder) error {
 	for _, t := range ts {
 		crossed := ""
-		if t.Crossed {
+		if t.CrossDomain {
 			crossed = ":crossed"
 		}
-		enc.AppendString(fmt.Sprintf("%d:%d+%dms%s", t.Stage, t.Wait.Milliseconds(), t.Work.Milliseconds(), crossed))
+		enc.AppendString(fmt.Sprintf("%d:%d+%dms%s", t.Stage, t.Wait.Milliseconds(), t.Execution.Milliseconds(), crossed))
 	}
 	return nil
 }
 
 // ended notes the end of a job; the lock is held.
-func (p *planner) ended(id string, end *End) {
+func (p *planner) ended(id string, end *JobOutcome) {
 	e := p.jobs[id]
 	if e == nil {
 		return
 	}
 	e.end = end
 	if end.Refused != nil {
-		e.made, e.held = nil, end.Refused.Held
+		e.made, e.held = nil, end.Refused.ResultsHeld
 	}
 	if o := p.owners[e.owner]; o != nil {
 		o.changes()
@@ -390,7 +390,7 @@
 // perform makes the calls that the machine decided on and logs what it believes.
 func (p *planner) perform(actions []stage.Action) {
 	for _, a := range actions {
-		if a, ok := a.(stage.Free); ok {
+		if a, ok := a.(stage.Release); ok {
 			p.freeing.add(a)
 		}
 	}
@@ -400,11 +400,11 @@
 			go p.call(p.track(a.Call), a, p.freeing.flush(a.Replica))
 		case stage.Abandon:
 			p.untrack(a.Call)
-		case stage.Inspect:
+		case stage.QueryMemory:
 			go p.inspect(a)
 		case stage.Suspected:
 			p.log.Warn("stage replica suspected", zap.String("service", a.Service), zap.String("replica", a.Replica),
-				zap.String("why", a.Why), zap.Int("failures", a.Failures), zap.Duration("for", a.For))
+				zap.String("why", a.Cause), zap.Int("failures", a.Failures), zap.Duration("for", a.Duration))
 		case stage.Trusted:
 			p.log.Info("stage replica trusted again", zap.String("service", a.Service), zap.String("replica", a.Replica))
 		}
@@ -445,7 +445,7 @@
 	results, outcome, err := p.send(ctx, a)
 	p.log.Info("stage call", zap.String("service", a.Service), zap.String("replica", a.Replica), zap.Int("pieces", len(a.Pieces)),
 		zap.Uint64("call", a.Call), zap.Duration("took", clock.Since(began)), zap.Stringer("outcome", outcome),
-		zap.Int("no_room", count(results, stage.NoRoom)), zap.Int("input_gone", count(results, stage.InputGone)), zap.Error(err))
+		zap.Int("no_room", count(results, stage.PieceOutOfMemory)), zap.Int("input_gone", count(results, stage.PieceInputMissing)), zap.Error(err))
 	p.mu.Lock()
 	actions := p.step(stage.CallEnded{Call: a.Call, Outcome: outcome, Results: results})
 	p.mu.Unlock()
@@ -457,7 +457,7 @@
 
 // send makes the call, unless the replica has said meanwhile that it takes nothing.
 func (p *planner) send(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error) {
-	if p.gates.Of(a.Replica).TurnsAway(clock.Now()) {
+	if p.gates.Get(a.Replica).RefusedByReplica(clock.Now()) {
 		return nil, stage.CallNotExecuted, errTurnedAway
 	}
 	return p.replicas.RunPieces(ctx, a)
@@ -468,17 +468,17 @@
 
 // inspect asks a replica for its room. What is not told costs a call that finds
 // none.
-func (p *planner) inspect(a stage.Inspect) {
+func (p *planner) inspect(a stage.QueryMemory) {
 	ctx, cancel := clock.WithTimeout(context.Background(), roomTimeout)
 	defer cancel()
 	asked := clock.Now()
-	room, err := p.replicas.Room(ctx, a)
+	room, err := p.replicas.FreeMemory(ctx, a)
 	if err != nil {
 		p.log.Info("room not told", zap.String("service", a.Service), zap.String("replica", a.Replica), zap.Error(err))
 		return
 	}
 	p.mu.Lock()
-	actions := p.step(stage.Inspected{Replica: a.Replica, Asked: asked, Room: room})
+	actions := p.step(stage.MemoryReported{Replica: a.Replica, QueriedAt: asked, Free: room})
 	p.mu.Unlock()
 	p.perform(actions)
 }
@@ -498,10 +498,10 @@
 // after seconds anyway.
 const freeTimeout = time.Second
 
-func (p *planner) free(a stage.Free) {
+func (p *planner) free(a stage.Release) {
 	ctx, cancel := clock.WithTimeout(context.Background(), freeTimeout)
 	defer cancel()
-	if err := p.replicas.FreeResults(ctx, a); err != nil {
+	if err := p.replicas.ReleaseResults(ctx, a); err != nil {
 		p.log.Info("results not freed", zap.String("replica", a.Replica), zap.Int("results", len(a.Handles)), zap.Error(err))
 	}
 }
--- a/stages/remote.go
+++ b/stages/remote.go
@@ -54,13 +54,13 @@
 
 // waiter waits for the end of one job.
 type waiter struct {
-	end chan *End // nil says that the job is lost
+	end chan *JobOutcome // nil says that the job is lost
 	// made is the progress of the job as the planner told it.
-	made []stage.MadePiece
+	made []stage.CompletedPiece
 }
 
 // prepareThere has a job planned by another host.
-func (s *Service) prepareThere(ctx context.Context, host fleet.Host, j stage.Job) (*End, error) {
+func (s *Service) prepareThere(ctx context.Context, host fleet.Host, j stage.Job) (*JobOutcome, error) {
 	req := toWire(j, clock.Now())
 	req.Incarnation = host.Incarnation
 	accepted := &wire.StageAccepted{}
@@ -80,7 +80,7 @@
 	}
 	if accepted.GetEnd() != nil {
 		end := endOf(accepted.GetEnd())
-		s.refused(host.Name, end, j.Made)
+		s.refused(host.Name, end, j.Completed)
 		return end, nil
 	}
 	w := s.wait(host.Name, j.ID)
@@ -89,7 +89,7 @@
 		if end == nil {
 			return nil, &lostError{w.made}
 		}
-		s.refused(host.Name, end, j.Made, w.made)
+		s.refused(host.Name, end, j.Completed, w.made)
 		return end, nil
 	case <-ctx.Done():
 		s.unwait(host.Name, j.ID)
@@ -100,7 +100,7 @@
 
 // refused has a planner give up the results of a job that it has refused, if this
 // daemon knows of any: it keeps them until then.
-func (s *Service) refused(host string, end *End, known ...[]stage.MadePiece) {
+func (s *Service) refused(host string, end *JobOutcome, known ...[]stage.CompletedPiece) {
 	if end.Refused != nil && len(slices.Concat(known...)) > 0 {
 		go s.dropThere(host, []string{end.Refused.Job}, false)
 	}
@@ -175,7 +175,7 @@
 		p = &planning{waiting: map[string]*waiter{}}
 		s.remote[host] = p
 	}
-	w := &waiter{end: make(chan *End, 1)}
+	w := &waiter{end: make(chan *JobOutcome, 1)}
 	p.waiting[id] = w
 	if !p.polling {
 		p.polling = true
@@ -268,7 +268,7 @@
 
 // deliver hands an end to whoever waits, and says whether that one was told of
 // results before; a result that nobody waits for is given up.
-func (s *Service) deliver(host, id string, end *End) (told bool) {
+func (s *Service) deliver(host, id string, end *JobOutcome) (told bool) {
 	s.mu.Lock()
 	p := s.remote[host]
 	w := p.waiting[id]
--- a/stages/send_test.go
+++ b/stages/send_test.go
@@ -20,29 +20,29 @@
 	c.calls++
 	return nil, stage.CallAnswered, nil
 }
-func (c *counting) FreeResults(context.Context, stage.Free) error { return nil }
-func (c *counting) Room(context.Context, stage.Inspect) (stage.Room, error) {
-	return stage.Room{}, nil
+func (c *counting) ReleaseResults(context.Context, stage.Release) error { return nil }
+func (c *counting) FreeMemory(context.Context, stage.QueryMemory) (stage.FreeMemory, error) {
+	return stage.FreeMemory{}, nil
 }
 
 // Guards against calls that were chosen before their replica said that it takes nothing, and
 // are sent after it: a call waits for results that are being given up.
 func TestCallThatWasChosenBeforeIsNotSent(t *testing.T) {
 	g := NewWithT(t)
-	replicas, gates := &counting{}, intake.NewGates()
+	replicas, gates := &counting{}, intake.NewLimiters()
 	p := newPlanner(stage.Config{Gates: gates}, replicas, zap.NewNop())
 	send := func() stage.CallOutcome {
 		_, outcome, _ := p.send(context.Background(), stage.Run{Replica: "r"})
 		return outcome
 	}
 	g.Expect(send()).To(Equal(stage.CallAnswered))
-	gates.SetParts(intake.Leaving, map[string]intake.Part{"r": {}})
+	gates.SetQuotas(intake.Leaving, map[string]intake.Quota{"r": {}})
 	g.Expect(send()).To(Equal(stage.CallNotExecuted))
-	gates.SetParts(intake.Leaving, nil)
-	gates.SetParts(intake.Resting, map[string]intake.Part{"r": {Until: clock.Now().Add(time.Hour)}})
+	gates.SetQuotas(intake.Leaving, nil)
+	gates.SetQuotas(intake.BackingOff, map[string]intake.Quota{"r": {BlockedUntil: clock.Now().Add(time.Hour)}})
 	g.Expect(send()).To(Equal(stage.CallNotExecuted))
-	gates.SetParts(intake.Resting, nil)
-	gates.SetParts(intake.Named, map[string]intake.Part{"r": {Window: time.Hour}})
+	gates.SetQuotas(intake.BackingOff, nil)
+	gates.SetQuotas(intake.AnnouncedLimit, map[string]intake.Quota{"r": {Window: time.Hour}})
 	g.Expect(send()).To(Equal(stage.CallAnswered), "a call of this host's part, which it was chosen by")
 	g.Expect(replicas.calls).To(Equal(2))
 }
--- a/stages/service.go
+++ b/stages/service.go
@@ -27,7 +27,7 @@
 	Formed() <-chan struct{}
 	// Restarted tells the start of a host's process, in Unix milliseconds, that
 	// the host itself has said.
-	Restarted(host string, incarnation uint64)
+	RecordRestart(host string, incarnation uint64)
 }
 
 // Config is what a Service needs.
@@ -52,7 +52,7 @@
 	log     *zap.Logger
 	planner *planner
 
-	avoided fleet.Avoided // planners that failed
+	avoided fleet.HostBackoff // planners that failed
 	// confirming asks each host that did not answer once for all.
 	confirming singleflight.Group
 
@@ -92,7 +92,7 @@
 // A daemon that has just started waits for its fleet to form: when all start
 // together and each plans for itself, their calls fill the queues of the same
 // replicas.
-func (s *Service) Prepare(ctx context.Context, j stage.Job) *End {
+func (s *Service) Prepare(ctx context.Context, j stage.Job) *JobOutcome {
 	select {
 	case <-s.cfg.Members.Formed():
 	case <-ctx.Done():
@@ -111,15 +111,15 @@
 			return end
 		case errors.As(err, &restarted):
 			// Its rank changes with that, so that it is not asked the same again.
-			s.cfg.Members.Restarted(host.Name, restarted.incarnation)
+			s.cfg.Members.RecordRestart(host.Name, restarted.incarnation)
 			continue
 		case errors.As(err, &lost):
-			j.Made = merge(j.Made, lost.made)
+			j.Completed = merge(j.Completed, lost.made)
 		}
 		n++
 		s.avoided.Add(host.Name, avoidFor)
 		if host.Name == s.cfg.Self {
-			return &End{Refused: &stage.Refused{Job: j.ID, Reason: stage.ReasonNoReplica, RetryAfter: notReadyRetry}}
+			return &JobOutcome{Refused: &stage.Refused{Job: j.ID, Reason: stage.ReasonNoReplica, RetryAfter: notReadyRetry}}
 		}
 	}
 }
@@ -130,7 +130,7 @@
 // lostError says that a planner brought no end of a job.
 type lostError struct {
 	// made is what it is known to have made of the job.
-	made []stage.MadePiece
+	made []stage.CompletedPiece
 }
 
 func (e *lostError) Error() string { return "stages: planner lost" }
@@ -142,10 +142,10 @@
 
 // merge adds what a later planner made to what earlier ones had made. Of a piece
 // that was made again, since its result was gone, the last result counts.
-func merge(earlier, later []stage.MadePiece) []stage.MadePiece {
+func merge(earlier, later []stage.CompletedPiece) []stage.CompletedPiece {
 	type key struct{ stage, index int }
 	at := make(map[key]int, len(earlier)+len(later))
-	var out []stage.MadePiece
+	var out []stage.CompletedPiece
 	for _, p := range slices.Concat(earlier, later) {
 		k := key{p.Stage, p.Index}
 		if i, ok := at[k]; ok {
@@ -160,7 +160,7 @@
 
 // prepareAt hands a job to one planner. A nil end without an error says that
 // ctx ended first.
-func (s *Service) prepareAt(ctx context.Context, host fleet.Host, j stage.Job) (end *End, err error) {
+func (s *Service) prepareAt(ctx context.Context, host fleet.Host, j stage.Job) (end *JobOutcome, err error) {
 	if host.Name == s.cfg.Self {
 		end, err = s.prepareHere(ctx, j)
 	} else {
@@ -175,7 +175,7 @@
 }
 
 // prepareHere plans a job in this daemon.
-func (s *Service) prepareHere(ctx context.Context, j stage.Job) (*End, error) {
+func (s *Service) prepareHere(ctx context.Context, j stage.Job) (*JobOutcome, error) {
 	end, ok := s.planner.submit("", j)
 	if !ok {
 		return nil, &lostError{}
@@ -228,7 +228,7 @@
 }
 
 // Plans says whether this host is the one that plans, as far as it knows.
-func (s *Service) Plans() bool {
+func (s *Service) IsPlanner() bool {
 	first := s.first(clock.Now())
 	return first != nil && first.Name == s.cfg.Self
 }
@@ -238,7 +238,7 @@
 func (s *Service) first(now time.Time) *fleet.Host {
 	var best *fleet.Host
 	for _, h := range s.cfg.Members.Reachable() {
-		if !s.avoided.Has(h.Name, now) && (best == nil || h.Compare(*best) < 0) {
+		if !s.avoided.Excludes(h.Name, now) && (best == nil || h.Compare(*best) < 0) {
 			best = &h
 		}
 	}
--- a/stages/sweep.go
+++ b/stages/sweep.go
@@ -120,7 +120,7 @@
 	for id, e := range p.jobs {
 		if e.owner != "" && e.told.IsZero() {
 			p.forget(id) // not by step, which would look again
-			actions = append(actions, p.machine.Step(now, stage.Cancelled{Job: id, Moved: true})...)
+			actions = append(actions, p.machine.Step(now, stage.Cancelled{Job: id, HandedOver: true})...)
 		}
 	}
 	p.log.Warn("planner stood still; jobs of others given up", zap.Duration("for", gap), zap.Int("left", len(p.jobs)))
