--- a/core/poison/crash.go
+++ b/core/poison/crash.go
@@ -9,14 +9,14 @@
 // Suspect is a run that was lost when its replica crashed.
 type Suspect struct {
 	Request Fingerprint
-	// Ran is the time from the beginning of the run to the crash.
+	// RunTime is the time from the beginning of the run to the crash.
 	RunTime time.Duration
-	// Served is when a run of the request last succeeded as far as the reporting daemon
+	// LastSuccess is when a run of the request last succeeded as far as the reporting daemon
 	// knows; zero if never.
 	LastSuccess time.Time
 }
 
-// End is a crash of a replica's process with the runs that were lost, as observed by one
+// Crash is a crash of a replica's process with the runs that were lost, as observed by one
 // daemon or merged from the reports of several.
 type Crash struct {
 	Service, Replica string
--- a/core/refusal/monitor.go
+++ b/core/refusal/monitor.go
@@ -13,12 +13,12 @@
 	// Full means that all slots of the replica were in use or that requests were queued
 	// there.
 	Full Reason = "full"
-	// LoadUntold means that the replica does not report its load, so that the refusal
+	// LoadUnknown means that the replica does not report its load, so that the refusal
 	// cannot be classified.
 	LoadUnknown Reason = "load_untold"
-	// InputsGone means that stage results which the request needs no longer exist.
+	// InputsMissing means that stage results which the request needs no longer exist.
 	InputsMissing Reason = "inputs_gone"
-	// OtherReplica means that another replica, or another version of it, now has the
+	// ReplicaMismatch means that another replica, or another version of it, now has the
 	// address.
 	ReplicaMismatch Reason = "other_replica"
 	// Unexplained means that the replica had free slots and no queued requests.
@@ -32,7 +32,7 @@
 	Running, Waiting, Slots int
 }
 
-// Explains reports whether a replica with this load has a reason to refuse requests.
+// ExplainsRefusal reports whether a replica with this load has a reason to refuse requests.
 func (l Load) ExplainsRefusal() bool { return l.Running >= l.Slots || l.Waiting > 0 }
 
 const (
@@ -68,7 +68,7 @@
 	Replicas []string
 }
 
-// Watch counts refusals by service.
+// Monitor counts refusals by service.
 type Monitor struct {
 	services map[string]*windowCounts
 }
--- a/core/request/action.go
+++ b/core/request/action.go
@@ -20,7 +20,7 @@
 	// NotAfter is the request's deadline. The call must not be sent after it;
 	// the sender checks its clock right before it writes the first byte.
 	NotAfter time.Time
-	// StartBy is the latest time at which the call can start and still meet
+	// LatestStart is the latest time at which the call can start and still meet
 	// the deadline, given the expected time of this stage and the later ones.
 	// An upstream should serve its waiting calls in order of StartBy.
 	LatestStart time.Time
@@ -31,30 +31,30 @@
 // Cancel cancels a running call. The call is still answered by CallEnded.
 type Cancel struct{ Attempt int }
 
-// Claim asks the claim holders for the exclusive right to run a stage.
+// AcquireClaim asks the claim holders for the exclusive right to run a stage.
 type AcquireClaim struct {
 	Key   ClaimKey
 	Stage bundle.Stage
 }
 
-// Release releases a claim under which no call was sent. The holders then refuse
+// ReleaseClaim releases a claim under which no call was sent. The holders then refuse
 // all attempts at the key that arrived before the release.
 type ReleaseClaim struct{ Key ClaimKey }
 
-// Record stores the result of a claimed stage at the claim holders.
+// RecordResult stores the result of a claimed stage at the claim holders.
 type RecordResult struct {
 	Key    ClaimKey
 	Result json.RawMessage
 }
 
-// LookUp asks the upstreams of a pool for the outcome of a call whose response
+// LookUpStatus asks the upstreams of a pool for the outcome of a call whose response
 // was lost, until one of them returns the result or the deadline passes.
 type LookUpStatus struct {
 	Pool string
 	Key  string
 }
 
-// Keep stores a stage's result at other daemons until the deadline, so that a
+// StoreResult stores a stage's result at other daemons until the deadline, so that a
 // later request with the same key can reuse it.
 type StoreResult struct {
 	Stage  string
@@ -64,7 +64,7 @@
 // Forward forwards the stream of an attempt to the caller.
 type Forward struct{ Attempt int }
 
-// Reset tells a streaming caller to discard the text it has received so far.
+// ResetStream tells a streaming caller to discard the text it has received so far.
 type ResetStream struct{}
 
 // SetTimer requests a TimerFired event at the time At.
@@ -74,30 +74,30 @@
 	At      time.Time
 }
 
-// Notify delivers a grant to the request that waits for it.
+// DeliverGrant delivers a grant to the request that waits for it.
 type DeliverGrant struct{ Grant Grant }
 
 // Finish answers the caller. Exactly one of Answer and Err is set.
 type Finish struct {
 	Answer *Answer
 	Err    *problem.Error
-	// Settle says what must be done with Key before the caller gets an Err whose
+	// ClaimCleanup says what must be done with Key before the caller gets an Err whose
 	// Execution is NotRun. If that fails, the caller gets MayHaveRun instead.
 	ClaimCleanup ClaimCleanup
 	Key          ClaimKey
 }
 
-// Settle is the operation on a key that guarantees that the request of a NotRun
+// ClaimCleanup is the operation on a key that guarantees that the request of a NotRun
 // response has not run and will not run.
 type ClaimCleanup uint8
 
 // Operations on the key of a refused request.
 const (
-	// SettleNone does nothing.
+	// ClaimCleanupNone does nothing.
 	ClaimCleanupNone ClaimCleanup = iota
-	// SettleRelease releases a claim under which no call was sent.
+	// ClaimCleanupRelease releases a claim under which no call was sent.
 	ClaimCleanupRelease
-	// SettleVoid voids all attempts at a key that has not been claimed yet.
+	// ClaimCleanupVoid voids all attempts at a key that has not been claimed yet.
 	ClaimCleanupVoid
 )
 
--- a/core/route/intake.go
+++ b/core/route/intake.go
@@ -11,7 +11,7 @@
 // sending.
 const coldWindow = 1100 * time.Millisecond
 
-// SetCold sets the cold upstreams by name, each with the number of calls that this
+// SetColdLimits sets the cold upstreams by name, each with the number of calls that this
 // daemon may begin there in any second. It replaces the previous set.
 func (r *Router) SetColdLimits(limits map[string]int) {
 	parts := make(map[string]intake.Quota, len(limits))
--- a/gateway/asleep_test.go
+++ b/gateway/suspend_test.go
@@ -11,25 +11,25 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-var _ = Describe("a gateway whose host slept", func() {
-	It("ends requests whose deadline passed, and serves again", func() {
+var _ = Describe("a gateway whose host was suspended", func() {
+	It("ends requests whose deadline passed, and then serves again", func() {
 		f := newFixture()
 		f.behave("plain", site.Behaviour{Hang: true})
 		g := f.start().ready()
-		long := func(r *http.Request) { r.Header.Set("Deadline-Ms", "60000") }
+		withMinuteDeadline := func(r *http.Request) { r.Header.Set("Deadline-Ms", "60000") }
 		began := time.Now()
 		ended := make(chan answer, 1)
 		go func() {
 			defer GinkgoRecover()
-			a, _ := g.send(http.MethodPost, sealPath, "", long)
+			a, _ := g.send(http.MethodPost, sealPath, "", withMinuteDeadline)
 			ended <- a
 		}()
-		Eventually(func() []string { return g.counters("wheatseam_in_flight") }, "2s").Should(ConsistOf(HaveSuffix(" 1")))
+		Eventually(func() []string { return g.metricLines("wheatseam_in_flight") }, "2s").Should(ConsistOf(HaveSuffix(" 1")))
 		clock.Simulate(time.Minute)
 		var a answer
 		Eventually(ended, "2s").Should(Receive(&a))
 		Expect(a.status).To(Equal(http.StatusGatewayTimeout))
-		Expect(time.Since(began)).To(BeNumerically("<", 2900*time.Millisecond), "the route's timeout, on a clock that stood still")
+		Expect(time.Since(began)).To(BeNumerically("<", 2900*time.Millisecond), "the route's timeout, on a clock that stops during a suspend")
 
 		f.behave("plain", site.Behaviour{})
 		Eventually(func() int {
@@ -38,11 +38,11 @@
 		}, "5s").Should(Equal(http.StatusOK))
 	})
 
-	It("takes its view for as old as it is, and renews it", func() {
+	It("counts the suspend in the age of its view, and refreshes the view", func() {
 		f := newFixture()
 		g := f.start().ready()
 		f.store.Fail(http.StatusServiceUnavailable)
-		age := func() []string { return g.counters("wheatseam_view_age_seconds") }
+		age := func() []string { return g.metricLines("wheatseam_view_age_seconds") }
 		clock.Simulate(time.Minute)
 		Eventually(age, "2s").Should(ConsistOf(MatchRegexp(` 6\d\.`)))
 		f.store.Fail(0)
--- a/quarantine/messages_test.go
+++ b/quarantine/messages_test.go
@@ -16,32 +16,32 @@
 	f := poison.NewHasher("customer", "POST", "host", "/").Sum()
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
 
-	It("say of a verdict what it says here, in ages", func() {
+	It("preserve a verdict, with times sent as ages", func() {
 		v := poison.Verdict{
 			Request: f, Round: 2, Lifted: true, Doubtful: true, Trials: 2, UnusedTrials: 1,
 			QuarantinedAt: ago(10 * time.Second), FirstCrash: ago(12 * time.Second), LastTrial: ago(time.Second),
 		}
-		later := now.Add(time.Hour) // the receiver's clock has nothing to do with the sender's
+		later := now.Add(time.Hour) // the receiver's clock is independent of the sender's
 		got := verdictsFromWire(later, verdictsToWire(now, []poison.Verdict{v}))
 		want := v
 		want.QuarantinedAt, want.FirstCrash, want.LastTrial = v.QuarantinedAt.Add(time.Hour), v.FirstCrash.Add(time.Hour), v.LastTrial.Add(time.Hour)
 		Expect(got).To(Equal([]poison.Verdict{want}))
 	})
 
-	It("say of an end what it says here", func() {
+	It("preserve a replica exit", func() {
 		e := poison.Crash{Service: "llm", Replica: "e1@7", At: ago(time.Second), Suspects: []poison.Suspect{
 			{Request: f, RunTime: 50 * time.Millisecond}, {Request: f, RunTime: time.Second, LastSuccess: ago(3 * time.Second)},
 		}}
-		Expect(endsFromWire(now, endsToWire(now, []poison.Crash{e}))).To(Equal([]poison.Crash{e}))
+		Expect(exitsFromWire(now, exitsToWire(now, []poison.Crash{e}))).To(Equal([]poison.Crash{e}))
 	})
 
-	It("that are faulty harm nothing", func() {
+	It("are decoded safely when malformed", func() {
 		verdicts := verdictsFromWire(now, []*wire.Verdict{
 			nil, {Request: []byte("short")}, {Request: make([]byte, 1<<10)},
 			{Request: f[:], Round: math.MaxUint32, AgeMs: -1, SinceMs: math.MaxInt64, Trials: math.MaxUint32, Untried: math.MaxUint32, TriedMs: math.MinInt64},
 		})
 		Expect(verdicts).To(HaveLen(1))
-		Expect(verdicts[0].QuarantinedAt).To(Equal(now), "nothing is from the future")
+		Expect(verdicts[0].QuarantinedAt).To(Equal(now), "times in the future are limited to now")
 		Expect(now.Sub(verdicts[0].FirstCrash)).To(Equal(2 * poison.Lifetime))
 		var m poison.Detector
 		m.Merge(now, verdicts)
@@ -49,12 +49,12 @@
 		Expect(condemned).To(BeTrue())
 		Expect(v.RetryAfter(now)).To(BeNumerically("<=", poison.Lifetime))
 
-		ends := endsFromWire(now, &wire.ReplicasEnded{Ends: []*wire.ReplicaEnd{
+		exits := exitsFromWire(now, &wire.ReplicasEnded{Ends: []*wire.ReplicaEnd{
 			nil, {Replica: "x", AgeMs: math.MinInt64, Suspects: []*wire.EndSuspect{nil, {Request: f[:], RanMs: math.MaxUint32, ServedMs: math.MaxInt64}}},
 		}})
-		Expect(ends).To(HaveLen(2))
-		Expect(ends[1].Suspects).To(HaveLen(1))
-		for _, e := range ends {
+		Expect(exits).To(HaveLen(2))
+		Expect(exits[1].Suspects).To(HaveLen(1))
+		for _, e := range exits {
 			m.RecordCrash(now, e)
 		}
 	})
--- a/stages/stages_test.go
+++ b/stages/stages_test.go
@@ -29,43 +29,43 @@
 	RunSpecs(t, "stages")
 }
 
-// replicas make pieces at once and remember who asked for them.
+// replicas run pieces in the time work and count them by the planner that called.
 type replicas struct {
 	mu   sync.Mutex
 	work time.Duration
-	// slow is a service whose calls take slowWork.
-	slow   string
-	by     map[string]int // pieces made for each planner
-	held   map[string]string
-	faults []string
-	made   int
-	// dead planners free nothing any more.
-	dead map[string]bool
-	// freeTime is what giving results up takes, heldAtCall the results held when
-	// each call for pieces came.
-	freeTime   time.Duration
-	heldAtCall []int
+	// slowService is a service whose calls take slowWork.
+	slowService string
+	piecesBy    map[string]int // completed pieces by planner
+	results     map[string]string
+	violations  []string
+	completed   int
+	// stopped are planners whose releases are ignored.
+	stopped map[string]bool
+	// releaseTime is the duration of a release. resultsAtCall has, for each call for
+	// pieces, the number of results held when it arrived.
+	releaseTime   time.Duration
+	resultsAtCall []int
 }
 
 const slowWork = 900 * time.Millisecond
 
-// asked is one planner's way to the replicas.
-type asked struct {
+// replicaClient is the client through which one planner calls the replicas.
+type replicaClient struct {
 	*replicas
 	planner string
 }
 
-func (r asked) RunPieces(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error) {
+func (r replicaClient) RunPieces(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error) {
 	r.mu.Lock()
-	r.heldAtCall = append(r.heldAtCall, len(r.held))
+	r.resultsAtCall = append(r.resultsAtCall, len(r.results))
 	work := r.work
-	if a.Service == r.slow {
+	if a.Service == r.slowService {
 		work = slowWork
 	}
-	// A replica fetches the inputs before it works.
-	gone := make([]bool, len(a.Pieces))
+	// A replica fetches the inputs before it runs the pieces.
+	missing := make([]bool, len(a.Pieces))
 	for i, p := range a.Pieces {
-		gone[i] = r.gone(p)
+		missing[i] = r.inputMissing(p)
 	}
 	r.mu.Unlock()
 	if work > 0 {
@@ -79,97 +79,97 @@
 	defer r.mu.Unlock()
 	var out []stage.Result
 	for i, p := range a.Pieces {
-		if gone[i] {
+		if missing[i] {
 			out = append(out, stage.Result{Kind: stage.PieceInputMissing})
 			continue
 		}
-		r.made++
-		r.by[r.planner]++
-		handle := fmt.Sprint("h", r.made)
-		r.held[handle] = p.Job
+		r.completed++
+		r.piecesBy[r.planner]++
+		handle := fmt.Sprint("h", r.completed)
+		r.results[handle] = p.Job
 		out = append(out, stage.Result{Handle: handle})
 	}
 	return out, stage.CallAnswered, nil
 }
 
-// gone says whether an input of a piece no longer exists, and notes inputs of
-// other jobs.
-func (r *replicas) gone(p stage.Piece) bool {
+// inputMissing returns whether an input of a piece no longer exists, and records a
+// violation for inputs that belong to other jobs.
+func (r *replicas) inputMissing(p stage.Piece) bool {
 	for _, in := range p.Inputs {
-		owner, held := r.held[in]
+		owner, held := r.results[in]
 		if !held {
 			return true
 		}
 		if owner != p.Job {
-			r.faults = append(r.faults, fmt.Sprintf("%s was given %s of %q", p.Job, in, owner))
+			r.violations = append(r.violations, fmt.Sprintf("%s was given input %s of job %q", p.Job, in, owner))
 		}
 	}
 	return false
 }
 
-func (r asked) ReleaseResults(_ context.Context, a stage.Release) error {
-	time.Sleep(r.freeTime)
+func (r replicaClient) ReleaseResults(_ context.Context, a stage.Release) error {
+	time.Sleep(r.releaseTime)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.dead[r.planner] {
+	if r.stopped[r.planner] {
 		return nil
 	}
 	for _, h := range a.Handles {
-		if _, ok := r.held[h]; !ok {
-			r.faults = append(r.faults, "freed twice: "+h)
+		if _, ok := r.results[h]; !ok {
+			r.violations = append(r.violations, "released twice: "+h)
 		}
-		delete(r.held, h)
+		delete(r.results, h)
 	}
 	return nil
 }
 
-// Room implements stages.Replicas: these replicas have room for all.
-func (r asked) FreeMemory(context.Context, stage.QueryMemory) (stage.FreeMemory, error) {
+// FreeMemory implements stages.Replicas: these replicas never run out of memory.
+func (r replicaClient) FreeMemory(context.Context, stage.QueryMemory) (stage.FreeMemory, error) {
 	return stage.FreeMemory{Min: 1 << 40, Max: 1 << 40}, nil
 }
 
-func (r *replicas) kill(planner string) {
+func (r *replicas) stopReleasesOf(planner string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.dead = map[string]bool{planner: true}
+	r.stopped = map[string]bool{planner: true}
 }
 
-func (r *replicas) holds() int {
+func (r *replicas) resultCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.held)
+	return len(r.results)
 }
 
-func (r *replicas) madeBy(planner string) int {
+func (r *replicas) piecesMadeBy(planner string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.by[planner]
+	return r.piecesBy[planner]
 }
 
-// members are the hosts that a daemon believes in; ranks follow their order.
+// members are the reachable hosts in the view of all daemons, in rank order.
 type members struct {
 	names atomic.Pointer[[]string]
-	// forming is closed when the fleet has formed; nil when it has long.
+	// forming is closed when the fleet has formed; nil if it has formed before the test.
 	forming chan struct{}
-	// starts are the incarnations that hosts have said.
-	mu     sync.Mutex
-	starts map[string]uint64
+	// incarnations are the incarnations that hosts have reported.
+	mu           sync.Mutex
+	incarnations map[string]uint64
 }
 
-// formed is closed: the fleet is known.
-var formed = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
+// closedChannel stands for a fleet that has formed.
+var closedChannel = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
 
 func (m *members) Formed() <-chan struct{} {
 	if m.forming != nil {
 		return m.forming
 	}
-	return formed
+	return closedChannel
 }
 
 func (m *members) Reachable() []fleet.Host {
 	var out []fleet.Host
 	for i, n := range *m.names.Load() {
-		out = append(out, fleet.Host{Host: member.Host{Name: n}, Incarnation: max(uint64(i+1), m.start(n))})
+		out = append(out, fleet.Host{Host: member.Host{Name: n}, Incarnation: max(uint64(i+1), m.incarnation(n))})
 	}
 	return out
 }
@@ -177,16 +177,16 @@
 func (m *members) RecordRestart(host string, incarnation uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.starts == nil {
-		m.starts = map[string]uint64{}
+	if m.incarnations == nil {
+		m.incarnations = map[string]uint64{}
 	}
-	m.starts[host] = incarnation
+	m.incarnations[host] = incarnation
 }
 
-func (m *members) start(host string) uint64 {
+func (m *members) incarnation(host string) uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.starts[host]
+	return m.incarnations[host]
 }
 
 var nextIP atomic.Uint32
@@ -203,8 +203,8 @@
 	relay     *faultrelay.Relay
 }
 
-// newNodes starts daemons that call each other over sessions, each through a
-// relay that can cut and silence it.
+// newNodes starts daemons that call each other over peer sessions, each through a relay
+// that can close or block its connections.
 func newNodes(r *replicas, n int) ([]*node, *members) { return newNodesOf(r, make([]uint64, n)) }
 
 // newNodesOf starts a daemon for each incarnation given.
@@ -238,9 +238,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		relay.SetTarget(t.Addr())
 		s := stages.New(stages.Config{
-			Self: name, Incarnation: incarnations[i], Replicas: asked{r, name}, Members: m, Caller: t, Mux: mux, Logger: zap.NewNop(),
+			Self: name, Incarnation: incarnations[i], Replicas: replicaClient{r, name}, Members: m, Caller: t, Mux: mux, Logger: zap.NewNop(),
 		})
-		s.Configure(services(), listed())
+		s.Configure(services(), listedReplicas())
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { defer close(done); s.Run(ctx) }()
@@ -255,7 +255,7 @@
 	return map[string]*catalog.Service{"a": {Name: "a", StageProfile: pieces}, "b": {Name: "b", StageProfile: pieces}}
 }
 
-func listed() []catalog.Replica {
+func listedReplicas() []catalog.Replica {
 	var out []catalog.Replica
 	for i := range 3 {
 		for _, s := range []string{"a", "b"} {
@@ -266,7 +266,7 @@
 }
 
 func newReplicas() *replicas {
-	return &replicas{work: 20 * time.Millisecond, by: map[string]int{}, held: map[string]string{}}
+	return &replicas{work: 20 * time.Millisecond, piecesBy: map[string]int{}, results: map[string]string{}}
 }
 
 func job(id string) stage.Job {
@@ -276,7 +276,7 @@
 	}
 }
 
-// prepare has a job made and fails the test without results.
+// prepare has a job run and fails the test unless it becomes ready.
 func prepare(n *node, id string) stage.Ready {
 	GinkgoHelper()
 	end := n.service.Prepare(context.Background(), job(id))
@@ -286,8 +286,8 @@
 	return end.Ready
 }
 
-var _ = Describe("planning together", func() {
-	It("has one daemon plan for all, and frees every result in the end", func() {
+var _ = Describe("planning in a fleet", func() {
+	It("uses one planner for all daemons and releases every result", func() {
 		r := newReplicas()
 		nodes, _ := newNodes(r, 3)
 		var wg sync.WaitGroup
@@ -300,12 +300,12 @@
 			})
 		}
 		wg.Wait()
-		Expect(r.madeBy(nodes[0].name)).To(Equal(150))
-		Eventually(r.holds, "2s").Should(BeZero())
-		Expect(r.faults).To(BeEmpty())
+		Expect(r.piecesMadeBy(nodes[0].name)).To(Equal(150))
+		Eventually(r.resultCount, "2s").Should(BeZero())
+		Expect(r.violations).To(BeEmpty())
 	})
 
-	DescribeTable("hands the jobs of a lost planner to the next", func(lose func(n *node)) {
+	DescribeTable("hands the jobs over to the next planner when the first one", func(lose func(n *node)) {
 		r := newReplicas()
 		r.work = 300 * time.Millisecond
 		nodes, _ := newNodes(r, 3)
@@ -320,17 +320,17 @@
 		lose(nodes[0])
 		Eventually(done, "4s").Should(Receive())
 		Expect(time.Since(began)).To(BeNumerically("<", 2500*time.Millisecond))
-		Expect(r.madeBy(nodes[1].name)).To(BeNumerically(">", 0), "the next in rank plans")
-		Expect(r.faults).To(BeEmpty())
+		Expect(r.piecesMadeBy(nodes[1].name)).To(BeNumerically(">", 0), "the next host in rank order plans")
+		Expect(r.violations).To(BeEmpty())
 	},
-		Entry("that has died", func(n *node) { _ = n.transport.Close(); _ = n.relay.Close() }),
-		Entry("that is cut off", func(n *node) { n.relay.Set(faultrelay.Conditions{Cut: true}) }),
-		Entry("that stands still", func(n *node) {
+		Entry("exits", func(n *node) { _ = n.transport.Close(); _ = n.relay.Close() }),
+		Entry("refuses connections", func(n *node) { n.relay.Set(faultrelay.Conditions{Cut: true}) }),
+		Entry("does not respond", func(n *node) {
 			n.relay.Set(faultrelay.Conditions{ToTarget: faultrelay.Direction{Blackhole: true}, ToCaller: faultrelay.Direction{Blackhole: true}})
 		}),
 	)
 
-	It("keeps the planner when only its connections have gone silent", func() {
+	It("keeps the planner when only its connections stop responding", func() {
 		r := newReplicas()
 		r.work = 300 * time.Millisecond
 		nodes, _ := newNodes(r, 3)
@@ -343,35 +343,35 @@
 		time.Sleep(100 * time.Millisecond)
 		Expect(nodes[0].relay.Silence()).To(BeNumerically(">", 0))
 		Eventually(done, "4s").Should(Receive())
-		Expect(nodes[0].relay.Silence()).To(BeNumerically(">", 0), "and once more with no job under way")
+		Expect(nodes[0].relay.Silence()).To(BeNumerically(">", 0), "again, with no job in progress")
 		prepare(nodes[2], "after")
-		Expect(r.madeBy(nodes[1].name)+r.madeBy(nodes[2].name)).To(BeZero(), "nobody else has planned")
-		Expect(r.faults).To(BeEmpty())
+		Expect(r.piecesMadeBy(nodes[1].name)+r.piecesMadeBy(nodes[2].name)).To(BeZero(), "no other host has planned")
+		Expect(r.violations).To(BeEmpty())
 	})
 
-	It("goes on with what the lost planner had made", func() {
+	It("continues with the pieces that a lost planner had reported", func() {
 		r := newReplicas()
-		r.slow = "b"
+		r.slowService = "b"
 		nodes, _ := newNodes(r, 3)
 		done := make(chan stage.Ready, 1)
 		go func() {
 			defer GinkgoRecover()
 			done <- prepare(nodes[2], "under-way")
 		}()
-		time.Sleep(500 * time.Millisecond) // the first stage is made, and a poll has told so
-		r.kill(nodes[0].name)
+		time.Sleep(500 * time.Millisecond) // by then the first stage is completed and a poll has reported it
+		r.stopReleasesOf(nodes[0].name)
 		_ = nodes[0].transport.Close()
 		_ = nodes[0].relay.Close()
 		Eventually(done, "4s").Should(Receive())
-		Expect(r.madeBy(nodes[1].name)).To(Equal(3), "the three pieces of the second stage")
-		Expect(r.faults).To(BeEmpty())
+		Expect(r.piecesMadeBy(nodes[1].name)).To(Equal(3), "the three pieces of the second stage")
+		Expect(r.violations).To(BeEmpty())
 	})
 
-	It("makes no call that could overtake results being given up at the same replica", func() {
+	It("makes no call that could overtake a release of results at the same replica", func() {
 		r := newReplicas()
-		r.freeTime = 30 * time.Millisecond
+		r.releaseTime = 30 * time.Millisecond
 		nodes, _ := newNodes(r, 1)
-		nodes[0].service.Configure(services(), listed()[:1]) // one replica
+		nodes[0].service.Configure(services(), listedReplicas()[:1]) // one replica
 		one := job("one")
 		one.Stages = one.Stages[:1]
 		Expect(nodes[0].service.Prepare(context.Background(), one).Refused).To(BeNil())
@@ -379,29 +379,29 @@
 		two := one
 		two.ID = "two"
 		Expect(nodes[0].service.Prepare(context.Background(), two).Refused).To(BeNil())
-		Expect(r.heldAtCall).To(Equal([]int{0, 0}))
+		Expect(r.resultsAtCall).To(Equal([]int{0, 0}))
 	})
 
-	It("does not take a host that has restarted for the oldest", func() {
+	It("does not rank a restarted host by its previous incarnation", func() {
 		r := newReplicas()
 		nodes, m := newNodesOf(r, []uint64{100, 2, 3})
 		prepare(nodes[2], "one")
-		Expect(m.start(nodes[0].name)).To(Equal(uint64(100)))
-		Expect(r.madeBy(nodes[0].name)).To(BeZero())
-		Expect(r.madeBy(nodes[1].name)).To(Equal(5))
+		Expect(m.incarnation(nodes[0].name)).To(Equal(uint64(100)))
+		Expect(r.piecesMadeBy(nodes[0].name)).To(BeZero())
+		Expect(r.piecesMadeBy(nodes[1].name)).To(Equal(5))
 	})
 
-	It("plans alone when nobody can be reached", func() {
+	It("plans locally when no other host can be reached", func() {
 		r := newReplicas()
 		nodes, m := newNodes(r, 1)
 		m.names.Store(&[]string{address(), address(), nodes[0].name})
 		began := clock.Now()
 		prepare(nodes[0], "alone")
 		Expect(time.Since(began)).To(BeNumerically("<", 2*time.Second))
-		Expect(r.madeBy(nodes[0].name)).To(Equal(5))
+		Expect(r.piecesMadeBy(nodes[0].name)).To(Equal(5))
 	})
 
-	It("drops the jobs of a daemon that has fallen silent, and what was made for them", func() {
+	It("drops the jobs and releases the results of a daemon that stops responding", func() {
 		r := newReplicas()
 		r.work = 500 * time.Millisecond
 		nodes, _ := newNodes(r, 2)
@@ -413,31 +413,31 @@
 		_ = nodes[1].relay.Close()
 		cancel()
 		Eventually(func() int { return nodes[0].service.Dump().Planned }, "5s").Should(BeZero())
-		Eventually(r.holds, "3s").Should(BeZero())
+		Eventually(r.resultCount, "3s").Should(BeZero())
 	})
 
-	It("plans nothing while the fleet forms, then where the fleet plans", func() {
+	It("waits for the fleet to form, then uses the planner of the fleet", func() {
 		r := newReplicas()
 		nodes, m := newNodes(r, 2)
 		all := *m.names.Load()
 		m.forming = make(chan struct{})
 		m.names.Store(&[]string{nodes[1].name})
-		made := make(chan stage.Ready, 1)
+		prepared := make(chan stage.Ready, 1)
 		go func() {
 			defer GinkgoRecover()
-			made <- prepare(nodes[1], "early")
+			prepared <- prepare(nodes[1], "early")
 		}()
-		Consistently(made, "200ms").ShouldNot(Receive())
-		Expect(r.madeBy(nodes[1].name)).To(BeZero())
+		Consistently(prepared, "200ms").ShouldNot(Receive())
+		Expect(r.piecesMadeBy(nodes[1].name)).To(BeZero())
 		m.names.Store(&all)
 		close(m.forming)
-		Eventually(made, "2s").Should(Receive())
-		Expect(r.madeBy(nodes[0].name)).To(Equal(5))
+		Eventually(prepared, "2s").Should(Receive())
+		Expect(r.piecesMadeBy(nodes[0].name)).To(Equal(5))
 		nodes[1].service.Release("early")
-		Eventually(r.holds, "2s").Should(BeZero())
+		Eventually(r.resultCount, "2s").Should(BeZero())
 	})
 
-	It("gives a job up with its request, and makes no further call for it", func() {
+	It("drops a job when its context ends, and makes no further call for it", func() {
 		r := newReplicas()
 		r.work = 100 * time.Millisecond
 		nodes, _ := newNodes(r, 2)
@@ -445,12 +445,12 @@
 		defer cancel()
 		Expect(nodes[1].service.Prepare(ctx, job("left"))).To(BeNil())
 		Expect(errors.Is(ctx.Err(), context.DeadlineExceeded)).To(BeTrue())
-		Eventually(r.holds, "1s").Should(BeZero())
+		Eventually(r.resultCount, "1s").Should(BeZero())
 		time.Sleep(200 * time.Millisecond)
-		Expect(r.madeBy(nodes[0].name)).To(BeNumerically("<=", 2), "the second stage is not made")
+		Expect(r.piecesMadeBy(nodes[0].name)).To(BeNumerically("<=", 2), "the second stage is not run")
 	})
 
-	It("hears refusals of the planner", func() {
+	It("returns refusals of the planner", func() {
 		r := newReplicas()
 		nodes, _ := newNodes(r, 2)
 		j := job("late")
@@ -461,12 +461,12 @@
 		Expect(end.Refused.RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	It("refuses while no services are known", func() {
+	It("refuses jobs before the first configuration", func() {
 		mux := peer.NewMux()
 		m := &members{}
 		m.names.Store(&[]string{"self"})
 		s := stages.New(stages.Config{
-			Self: "self", Replicas: asked{newReplicas(), "self"}, Members: m, Mux: mux, Logger: zap.NewNop(),
+			Self: "self", Replicas: replicaClient{newReplicas(), "self"}, Members: m, Mux: mux, Logger: zap.NewNop(),
 		})
 		end := s.Prepare(context.Background(), job("early"))
 		Expect(end.Refused.Reason).To(Equal(stage.ReasonNoReplica))
