--- a/core/intake/limit.go
+++ b/core/intake/limit.go
@@ -39,7 +39,7 @@
 	Planner
 )
 
-// OfRole returns how many of the given calls over all hosts this host may begin at a
+// CallsForRole returns how many of the given calls over all hosts this host may begin at a
 // replica in its role.
 func (s *Shares) CallsForRole(replica string, calls int, role Role) int {
 	if role == Requester {
@@ -53,7 +53,7 @@
 	return ownCalls
 }
 
-// OfLimit returns this host's quota of a replica's limit in its role.
+// LimitQuota returns this host's quota of a replica's limit in its role.
 func (s *Shares) LimitQuota(l ReplicaLimit, role Role) Quota {
 	perSecond, plannerRate := l.Limit.PerSecond, 0.0
 	switch role {
@@ -127,5 +127,5 @@
 	return rank
 }
 
-// NoPart returns the quota of a host that does not know its fleet yet.
+// NoQuota returns the quota of a host that does not know its fleet yet.
 func NoQuota() Quota { return Quota{Window: quotaWindow} }
--- a/core/request/ports.go
+++ b/core/request/ports.go
@@ -20,17 +20,17 @@
 	Attempt int
 	// Prefix is a hash of the prompt's shared prefix, or 0 if there is none.
 	Prefix uint64
-	// Tried holds the upstreams of earlier attempts, which the Router avoids.
+	// TriedUpstreams holds the upstreams of earlier attempts, which the Router avoids.
 	TriedUpstreams []string
-	// TriedDomains holds the failure domains of earlier attempts. The Router
+	// TriedFailureDomains holds the failure domains of earlier attempts. The Router
 	// prefers other domains.
 	TriedFailureDomains []string
-	// Domain is the failure domain that stores the call's inputs. The Router
+	// InputFailureDomain is the failure domain that stores the call's inputs. The Router
 	// prefers it. It is "" if the location of the inputs does not matter.
 	InputFailureDomain string
 	// Budget is the time left for this stage.
 	Budget time.Duration
-	// Read is the expected time that an engine needs to process the part of the
+	// PrefillTime is the expected time that an engine needs to process the part of the
 	// prompt that is not in a shared prefix. FirstByte is the usual time to the
 	// first byte of the response. Either is 0 if it is not known.
 	PrefillTime, ExpectedFirstByte time.Duration
@@ -86,10 +86,10 @@
 	Pick(now time.Time, q Query, rec record.Recorder) (Choice, *problem.Error)
 	// Done reports the end of a call whose upstream was chosen by Pick.
 	Done(now time.Time, o Outcome)
-	// Expect returns the measured latency of a stage at a pool at the given
+	// ExpectedLatency returns the measured latency of a stage at a pool at the given
 	// quantile (0 to 1). It returns false until enough calls have been measured.
 	ExpectedLatency(pool, stage string, quantile float64) (time.Duration, bool)
-	// ExpectFirstByte is like Expect, for the time to the first byte or token.
+	// ExpectedFirstByte is like Expect, for the time to the first byte or token.
 	ExpectedFirstByte(pool, stage string, quantile float64) (time.Duration, bool)
 }
 
--- a/core/retry/shared.go
+++ b/core/retry/shared.go
@@ -7,7 +7,7 @@
 	"github.com/wheatseam/wheatseam/core/request"
 )
 
-// Shared is one daemon's part of a budget that covers the whole fleet: in each window the
+// SharedBudget is one daemon's part of a budget that covers the whole fleet: in each window the
 // fleet sends at most ratio extra attempts per first attempt, plus slack. The daemons need
 // no coordination, since the slack is divided by their number. It is safe for concurrent
 // use.
@@ -29,7 +29,7 @@
 
 var _ request.Budget = (*SharedBudget)(nil)
 
-// NewShared returns a full part of a budget of ratio extra attempts per first attempt, plus
+// NewSharedBudget returns a full part of a budget of ratio extra attempts per first attempt, plus
 // slack extra attempts per window, which is divided among the given number of hosts.
 func NewSharedBudget(ratio, slack float64, window time.Duration, hosts int) *SharedBudget {
 	b := &SharedBudget{ratio: ratio, slack: slack, window: window, hosts: max(1, hosts)}
@@ -73,7 +73,7 @@
 	return true
 }
 
-// Owe withdraws an extra attempt even if no token is left. The balance becomes negative and
+// ForceWithdraw withdraws an extra attempt even if no token is left. The balance becomes negative and
 // must be refilled before another extra attempt is allowed.
 func (b *SharedBudget) ForceWithdraw(now time.Time) {
 	b.mu.Lock()
@@ -83,7 +83,7 @@
 	b.withdrawn++
 }
 
-// Return refunds an extra attempt that was withdrawn and not sent.
+// Refund refunds an extra attempt that was withdrawn and not sent.
 func (b *SharedBudget) Refund(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/core/stage/event.go
+++ b/core/stage/event.go
@@ -23,16 +23,16 @@
 // Moved is set. It is also due for a job that was refused with Held set.
 type Cancelled struct {
 	Job string
-	// Moved says that another planner continues the job, or may do so: results reported to
+	// HandedOver says that another planner continues the job, or may do so: results reported to
 	// the owner are not released here.
 	HandedOver bool
 }
 
-// Told says that completed pieces are being reported to the owners of their jobs, in a
+// ProgressSent says that completed pieces are being reported to the owners of their jobs, in a
 // message that may be lost.
 type ProgressSent struct{ Pieces []Progress }
 
-// Known says that the owners of jobs have acknowledged completed pieces.
+// ProgressAcked says that the owners of jobs have acknowledged completed pieces.
 type ProgressAcked struct{ Pieces []Progress }
 
 // CallOutcome is how a call to a replica ended.
@@ -57,14 +57,14 @@
 // The kinds of results.
 const (
 	PieceCompleted ResultKind = iota
-	// TooLate means that the piece was not executed since its time had passed.
+	// PieceExpired means that the piece was not executed since its time had passed.
 	PieceExpired
-	// InputGone means that the piece was not executed since an input no longer exists.
+	// PieceInputMissing means that the piece was not executed since an input no longer exists.
 	PieceInputMissing
-	// NoRoom means that the piece was not executed since the replica had no memory for its
+	// PieceOutOfMemory means that the piece was not executed since the replica had no memory for its
 	// result.
 	PieceOutOfMemory
-	// Broken means that the piece failed.
+	// PieceFailed means that the piece failed.
 	PieceFailed
 )
 
@@ -83,15 +83,15 @@
 	Results []Result
 }
 
-// Inspected reports the free memory that a replica had shortly before Asked.
+// MemoryReported reports the free memory that a replica had shortly before Asked.
 type MemoryReported struct {
 	Replica string
-	// Asked is when the query was sent.
+	// QueriedAt is when the query was sent.
 	QueriedAt time.Time
 	Free      FreeMemory
 }
 
-// Room holds the bounds of a replica's free memory in bytes; replicas report it in large
+// FreeMemory holds the bounds of a replica's free memory in bytes; replicas report it in large
 // units.
 type FreeMemory struct{ Min, Max int64 }
 
@@ -121,15 +121,15 @@
 	// Domain is the failure domain in which the results will be read; "" if not yet known.
 	Domain string
 	Stages []Stage
-	// Shared says that the job's owner may hand the job to another planner, with the
+	// Transferable says that the job's owner may hand the job to another planner, with the
 	// results reported to it from here. Those are released only when the owner acknowledges
 	// or cancels.
 	Transferable bool
-	// Made are the pieces that an earlier planner completed, as far as the owner knows.
+	// Completed are the pieces that an earlier planner completed, as far as the owner knows.
 	Completed []CompletedPiece
 }
 
-// MadePiece is a completed piece of a job.
+// CompletedPiece is a completed piece of a job.
 type CompletedPiece struct {
 	Stage, Index int
 	// Handle identifies the result at the replica that computed it, Replica is that
@@ -140,7 +140,7 @@
 // Stage is one stage of a job.
 type Stage struct {
 	Service string
-	// After lists the indices of the stages whose results each piece reads.
+	// DependsOn lists the indices of the stages whose results each piece reads.
 	DependsOn []int
 	// Pieces is the number of pieces; a stage with 0 pieces is left out.
 	Pieces int
--- a/core/stall/machine.go
+++ b/core/stall/machine.go
@@ -4,31 +4,31 @@
 
 // Config holds the timeouts of an attempt.
 type Config struct {
-	// Ask is the silence after which the replica is first asked for the status of the run,
+	// QueryAfter is the silence after which the replica is first asked for the status of the run,
 	// and AskEvery the interval between further questions.
 	QueryAfter, QueryInterval time.Duration
-	// Doubted is the silence after which the run at a suspected replica is abandoned.
+	// SuspectTimeout is the silence after which the run at a suspected replica is abandoned.
 	SuspectTimeout time.Duration
-	// Any is the silence after which the run is abandoned regardless of the reported
+	// MaxSilence is the silence after which the run is abandoned regardless of the reported
 	// status.
 	MaxSilence time.Duration
-	// SecureEvery is the interval at which a failed reservation is retried.
+	// ReserveRetryInterval is the interval at which a failed reservation is retried.
 	ReserveRetryInterval time.Duration
 }
 
-// Account is the status of a run according to its replica.
+// RunStatus is the status of a run according to its replica.
 type RunStatus uint8
 
 // The statuses of a run.
 const (
-	// Untold: the replica has not been asked yet, or its response has no information about
+	// Unknown: the replica has not been asked yet, or its response has no information about
 	// runs.
 	Unknown RunStatus = iota
-	// AtWork: the replica works on the run and has produced nothing that has not arrived.
+	// Running: the replica works on the run and has produced nothing that has not arrived.
 	Running
 	// NoAnswer: the replica does not respond.
 	NoAnswer
-	// Ahead: the replica has produced more than what arrived. The connection has lost it.
+	// OutputLost: the replica has produced more than what arrived. The connection has lost it.
 	OutputLost
 	// NotListed: the replica responds and does not know the run.
 	NotListed
@@ -49,7 +49,7 @@
 	return "untold"
 }
 
-// Doubted reports whether the status makes the replica suspect.
+// Suspect reports whether the status makes the replica suspect.
 func (a RunStatus) Suspect() bool { return a == NoAnswer || a == OutputLost || a == NotListed }
 
 // Action is what the owner of a Machine has to do.
@@ -59,17 +59,17 @@
 const (
 	// None means that nothing is to be done.
 	None Action = iota
-	// Ask asks the replica for the status of the run.
+	// Query asks the replica for the status of the run.
 	Query
-	// Secure reserves what a run at another replica needs.
+	// Reserve reserves what a run at another replica needs.
 	Reserve
-	// GiveBack releases the reservation, or cancels it if it is in progress.
+	// Release releases the reservation, or cancels it if it is in progress.
 	Release
-	// Leave abandons the run; the next one uses the reservation.
+	// Abandon abandons the run; the next one uses the reservation.
 	Abandon
 )
 
-// Machine is the state machine of one attempt. It is not safe for concurrent use.
+// Monitor is the state machine of one attempt. It is not safe for concurrent use.
 type Monitor struct {
 	cfg       Config
 	lastEvent time.Time // arrival of the last event
@@ -87,10 +87,10 @@
 // New returns a Machine for an attempt whose response began at the given time.
 func New(now time.Time, c Config) *Monitor { return &Monitor{cfg: c, lastEvent: now} }
 
-// Left reports whether the run has been abandoned.
+// Abandoned reports whether the run has been abandoned.
 func (m *Monitor) Abandoned() bool { return m.abandoned }
 
-// Account returns the status of the run reported since the last event.
+// Status returns the status of the run reported since the last event.
 func (m *Monitor) Status() RunStatus { return m.account }
 
 // Silence returns the time since the last event.
@@ -111,11 +111,11 @@
 	return None
 }
 
-// Awake records that this host was suspended or got no processor time until now. Events
+// HostResumed records that this host was suspended or got no processor time until now. Events
 // that the replica sent meanwhile may still be unread, so the silence is measured from now.
 func (m *Monitor) HostResumed(now time.Time) Action { return m.Event(now) }
 
-// Told records the status for which the replica was asked at the given time. A status that
+// RecordStatus records the status for which the replica was asked at the given time. A status that
 // was asked for before the last event is outdated and ignored.
 func (m *Monitor) RecordStatus(asked time.Time, a RunStatus) {
 	m.querying = false
@@ -124,7 +124,7 @@
 	}
 }
 
-// Secured records that everything that another run needs is reserved. It returns Leave or
+// Reserved records that everything that another run needs is reserved. It returns Leave or
 // GiveBack.
 func (m *Monitor) Reserved(now time.Time) Action {
 	m.reserving = false
@@ -135,7 +135,7 @@
 	return Abandon
 }
 
-// Denied records that the reservation failed, since something that another run needs is not
+// ReservationFailed records that the reservation failed, since something that another run needs is not
 // available.
 func (m *Monitor) ReservationFailed(now time.Time) {
 	m.reserving = false
--- a/discovery/replicas.go
+++ b/discovery/replicas.go
@@ -151,7 +151,7 @@
 	d.invalidEntries = faults
 }
 
-// Faults returns the number of entries under the replica prefix that are not valid
+// InvalidEntryCount returns the number of entries under the replica prefix that are not valid
 // replicas, as of this host's last read of the store.
 func (d *Discovery) InvalidEntryCount() int {
 	d.mu.Lock()
--- a/discovery/simulation_test.go
+++ b/discovery/simulation_test.go
@@ -291,7 +291,7 @@
 // pageItems is the number of items of a page.
 const pageItems = 50
 
-// Pages implements discovery.Store.
+// ForEachPage implements discovery.Store.
 func (c storeClient) ForEachPage(ctx context.Context, prefix string, visit func([]platform.Item)) (uint64, error) {
 	if err := c.beginCall(); err != nil {
 		return 0, err
