--- a/core/intake/account.go
+++ b/core/intake/account.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Limited is a replica's limit as known to one host.
+// ReplicaLimit is a replica's limit as known to one host.
 type ReplicaLimit struct {
 	Replica string
 	Limit   Limit
@@ -33,7 +33,7 @@
 	maxReplicas = 1 << 14
 )
 
-// Account holds one host's knowledge of the limits that replicas announce. The zero value
+// LimitTable holds one host's knowledge of the limits that replicas announce. The zero value
 // is ready to use.
 type LimitTable struct {
 	entries map[string]*limitEntry
@@ -45,7 +45,7 @@
 	lastListed time.Time
 }
 
-// Hear processes a response, and returns the replica's limit if the response changed it. A
+// Observe processes a response, and returns the replica's limit if the response changed it. A
 // limit is in force until a served response omits it whose request was sent after the limit
 // was last announced; responses to earlier requests are ignored, since responses may be
 // reordered.
@@ -98,7 +98,7 @@
 	return true
 }
 
-// Learn merges the reports of a peer. It returns the limits that changed here, and those
+// Merge merges the reports of a peer. It returns the limits that changed here, and those
 // that are newer here than in the peer's reports, to be sent to the peer.
 func (a *LimitTable) Merge(now time.Time, reports []ReplicaLimit) (changed, newer []ReplicaLimit) {
 	for _, l := range reports {
@@ -123,12 +123,12 @@
 	return changed, newer
 }
 
-// News returns the limits observed after a time, here or by a peer.
+// ObservedAfter returns the limits observed after a time, here or by a peer.
 func (a *LimitTable) ObservedAfter(after time.Time) []ReplicaLimit {
 	return a.filter(func(l *limitEntry) bool { return l.LastObserved.After(after) })
 }
 
-// Forget removes replicas that have been unlisted for longer than unlistedRetention, and
+// RemoveExpired removes replicas that have been unlisted for longer than unlistedRetention, and
 // limits that were lifted more than liftedRetention ago.
 func (a *LimitTable) RemoveExpired(now time.Time, listed func(replica string) bool) {
 	maps.DeleteFunc(a.entries, func(replica string, l *limitEntry) bool {
--- a/core/intake/rest.go
+++ b/core/intake/rest.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Rest is a period in which a replica asked this host to send nothing.
+// Backoff is a period in which a replica asked this host to send nothing.
 type Backoff struct {
 	// Replica is the ID of the replica's start that was called. The process at the address
 	// that asked for the backoff may be a later start, which the list does not contain yet.
@@ -15,13 +15,13 @@
 	Since, Until time.Time
 }
 
-// Rests holds the replicas that asked this host for a backoff. The zero value is ready to
+// Backoffs holds the replicas that asked this host for a backoff. The zero value is ready to
 // use.
 type Backoffs struct {
 	entries map[string]*Backoff
 }
 
-// Hear processes a response, and reports whether it begins a backoff, and whether it begins
+// Observe processes a response, and reports whether it begins a backoff, and whether it begins
 // or extends one. A backoff lasts at most maxBackoff from the response that asks for it; a
 // later response never shortens it.
 func (r *Backoffs) Observe(now time.Time, response ReplicaResponse, maxBackoff time.Duration) (backoff Backoff, began, changed bool) {
@@ -48,7 +48,7 @@
 	return *known, false, changed
 }
 
-// End removes the backoffs that are over, and reports whether there were any.
+// RemoveExpired removes the backoffs that are over, and reports whether there were any.
 func (r *Backoffs) RemoveExpired(now time.Time) bool {
 	before := len(r.entries)
 	maps.DeleteFunc(r.entries, func(_ string, k *Backoff) bool { return !now.Before(k.Until) })
--- a/core/member/bench_test.go
+++ b/core/member/bench_test.go
@@ -7,39 +7,42 @@
 	"time"
 )
 
-// The sizes of fleet that docs/capacity/membership.md is worked out from, and
-// the direct bytes that other parts are taken to put on every heartbeat.
+// benchSizes are the fleet sizes, in hosts, behind the figures in
+// docs/capacity/membership.md.
 var benchSizes = []int{10, 50, 100, 200, 410}
 
 const (
-	benchDomains     = 8
-	benchRegions     = 3
+	benchDomains = 8
+	benchRegions = 3
+	// benchDirectBytes is the assumed size of the direct slots that other packages
+	// attach to every heartbeat.
 	benchDirectBytes = 512
 	benchFleetBytes  = 32
 	benchWarmUp      = 5 * time.Minute
-	benchSteady      = 60 * time.Second
+	benchDuration    = 60 * time.Second
 	benchLimit       = 5 * time.Minute
 )
 
-// benchFleet starts a fleet whose extensions are full, and lets it settle.
+// benchFleet starts a fleet whose slots hold values of the maximum size, and runs
+// it for benchWarmUp.
 func benchFleet(n int, seed uint64) *fleet {
 	f := newFleet(n, benchDomains, seed, func(c *Config) {
 		c.Slots = []SlotConfig{
-			{ID: slotTest, MaxBytes: benchDirectBytes}, {ID: slotFleet, MaxBytes: benchFleetBytes, FleetWide: true},
+			{ID: directTestSlot, MaxBytes: benchDirectBytes}, {ID: fleetTestSlot, MaxBytes: benchFleetBytes, FleetWide: true},
 		}
 	})
-	f.wireCopy = true
+	f.encodeMessages = true
 	for _, name := range f.names {
-		f.step(name, SetSlot{ID: slotTest, Value: make([]byte, benchDirectBytes)})
-		f.step(name, SetSlot{ID: slotFleet, Value: make([]byte, benchFleetBytes)})
+		f.step(name, SetSlot{ID: directTestSlot, Value: make([]byte, benchDirectBytes)})
+		f.step(name, SetSlot{ID: fleetTestSlot, Value: make([]byte, benchFleetBytes)})
 	}
 	f.run(benchWarmUp)
-	f.reset()
+	f.resetCounters()
 	return f
 }
 
-// perDaemon sums over the running daemons.
-func (f *fleet) perDaemon(of func(*node) float64) (mean, worst float64) {
+// perDaemon returns the mean and the maximum of a value over the running daemons.
+func (f *fleet) perDaemon(value func(*node) float64) (mean, worst float64) {
 	count := 0
 	for _, name := range f.names {
 		n := f.nodes[name]
@@ -47,14 +50,14 @@
 			continue
 		}
 		count++
-		mean += of(n)
-		worst = max(worst, of(n))
+		mean += value(n)
+		worst = max(worst, value(n))
 	}
 	return mean / float64(count), worst
 }
 
-// BenchmarkFleetSteady measures a fleet in which nothing happens. Bytes are
-// sent and received together, with an estimate of the framing.
+// BenchmarkFleetSteady measures a fleet without changes. Bytes are the sum of sent
+// and received bytes, including an estimate of the framing.
 func BenchmarkFleetSteady(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
@@ -65,11 +68,11 @@
 				f := benchFleet(n, 1)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
-				f.run(benchSteady)
-				seconds := benchSteady.Seconds()
+				f.run(benchDuration)
+				seconds := benchDuration.Seconds()
 				mean, worst := f.perDaemon(func(n *node) float64 { return float64(n.bytes) / seconds })
 				messages, _ := f.perDaemon(func(n *node) float64 { return float64(n.messages) / seconds })
-				cpu, _ := f.perDaemon(func(n *node) float64 { return n.spent.Seconds() / seconds })
+				cpu, _ := f.perDaemon(func(n *node) float64 { return n.cpuTime.Seconds() / seconds })
 				b.ReportMetric(mean, "B/s")
 				b.ReportMetric(worst, "worst-B/s")
 				b.ReportMetric(messages, "msgs-sent/s")
@@ -81,15 +84,15 @@
 	}
 }
 
-// BenchmarkFleetLoss measures how long the others take to see hosts dead, and
-// the traffic meanwhile: one host, a failure domain, a region at once, and the
-// loss of that region's network with its later return.
+// BenchmarkFleetLoss measures how long the remaining daemons take to declare lost
+// hosts dead, and the traffic meanwhile. The losses are one host, a failure
+// domain, a region, and a network partition of that region that later heals.
 func BenchmarkFleetLoss(b *testing.B) {
 	domain := func(i int) int { return i % benchDomains }
 	losses := []struct {
-		name string
-		lost func(i int) bool
-		cut  bool
+		name      string
+		lost      func(i int) bool
+		partition bool
 	}{
 		{"host", func(i int) bool { return i == 3 }, false},
 		{"domain", func(i int) bool { return domain(i) == 0 }, false},
@@ -100,30 +103,30 @@
 		for _, n := range benchSizes {
 			b.Run(fmt.Sprintf("lost=%s/daemons=%d", loss.name, n), func(b *testing.B) {
 				for b.Loop() {
-					benchLoss(b, n, loss.lost, loss.cut)
+					benchLoss(b, n, loss.lost, loss.partition)
 				}
 			})
 		}
 	}
 }
 
-// benchLoss loses hosts and, after a cut, lets them return.
-func benchLoss(b *testing.B, n int, lost func(int) bool, cut bool) {
+// benchLoss removes hosts, or partitions them off and then heals the partition.
+func benchLoss(b *testing.B, n int, lost func(int) bool, partition bool) {
 	f := benchFleet(n, 2)
-	gone := map[string]bool{}
+	lostHosts := map[string]bool{}
 	for i, name := range f.names {
-		gone[name] = lost(i)
+		lostHosts[name] = lost(i)
 	}
-	if cut {
-		f.cut = func(from, to string) bool { return gone[from] != gone[to] }
+	if partition {
+		f.dropped = func(from, to string) bool { return lostHosts[from] != lostHosts[to] }
 	} else {
-		for name, g := range gone {
-			f.nodes[name].up = !g
+		for name, isLost := range lostHosts {
+			f.nodes[name].up = !isLost
 		}
 	}
-	apart := func(name string, m *node) bool {
-		for other, g := range gone {
-			if want := g != gone[name]; (m.m.believed(other) == Dead) != want {
+	agrees := func(name string, m *node) bool {
+		for other, isLost := range lostHosts {
+			if want := isLost != lostHosts[name]; (m.machine.stateOfHost(other) == Dead) != want {
 				return false
 			}
 		}
@@ -131,35 +134,36 @@
 	}
 	settled := func() bool {
 		for _, name := range f.names {
-			if m := f.nodes[name]; m.up && !apart(name, m) {
+			if m := f.nodes[name]; m.up && !agrees(name, m) {
 				return false
 			}
 		}
 		return true
 	}
-	first, whole, peak := f.watch(settled, func() bool { return f.anyDead(gone) })
+	first, everywhere, peak := f.measureTransition(settled, func() bool { return f.anyDeclaredDead(lostHosts) })
 	b.ReportMetric(first.Seconds(), "s-first")
-	b.ReportMetric(whole.Seconds(), "s-everywhere")
+	b.ReportMetric(everywhere.Seconds(), "s-everywhere")
 	b.ReportMetric(peak, "peak-B/s")
 	b.ReportMetric(0, "ns/op")
-	if !cut {
+	if !partition {
 		return
 	}
-	f.cut = func(string, string) bool { return false }
-	_, healed, healPeak := f.watch(f.each(func(m *node) bool { return m.m.LiveHosts() == n }), func() bool { return true })
+	f.dropped = func(string, string) bool { return false }
+	_, healed, healPeak := f.measureTransition(f.onAllNodes(func(m *node) bool { return m.machine.LiveHosts() == n }), func() bool { return true })
 	b.ReportMetric(healed.Seconds(), "s-healed")
 	b.ReportMetric(healPeak, "heal-peak-B/s")
 }
 
-// anyDead says whether some running daemon believes one of those dead.
-func (f *fleet) anyDead(gone map[string]bool) bool {
+// anyDeclaredDead reports whether some remaining daemon has declared one of the
+// lost hosts dead.
+func (f *fleet) anyDeclaredDead(lostHosts map[string]bool) bool {
 	for _, name := range f.names {
 		m := f.nodes[name]
-		if !m.up || gone[name] {
+		if !m.up || lostHosts[name] {
 			continue
 		}
-		for other, g := range gone {
-			if g && m.m.believed(other) == Dead {
+		for other, isLost := range lostHosts {
+			if isLost && m.machine.stateOfHost(other) == Dead {
 				return true
 			}
 		}
@@ -167,12 +171,13 @@
 	return false
 }
 
-// watch runs until settled and returns when started and settled first held,
-// and the highest mean of bytes a second of a daemon over any second.
-func (f *fleet) watch(settled, started func() bool) (first, whole time.Duration, peak float64) {
+// measureTransition runs until settled holds. It returns the times after which
+// started and settled first held, and the highest mean traffic per daemon in any
+// one second, in bytes per second.
+func (f *fleet) measureTransition(settled, started func() bool) (first, everywhere time.Duration, peak float64) {
 	begin := f.now
 	for f.now.Sub(begin) < benchLimit {
-		f.reset()
+		f.resetCounters()
 		f.run(time.Second)
 		mean, _ := f.perDaemon(func(n *node) float64 { return float64(n.bytes) })
 		peak = max(peak, mean)
--- a/core/poison/verdict.go
+++ b/core/poison/verdict.go
@@ -18,9 +18,9 @@
 	// Trials is the number of granted trials, and TriedAt when the last one was granted.
 	Trials    uint32
 	LastTrial time.Time
-	// Untried is the number of granted trials that led to no run.
+	// UnusedTrials is the number of granted trials that led to no run.
 	UnusedTrials uint32
-	// At is when the request was quarantined, and Since when the first crash occurred that
+	// QuarantinedAt is when the request was quarantined, and Since when the first crash occurred that
 	// counts against it.
 	QuarantinedAt, FirstCrash time.Time
 	// Doubtful says that replicas also crashed without the request at that time, or that
--- a/core/prefix/index.go
+++ b/core/prefix/index.go
@@ -28,7 +28,7 @@
 	learnedAt time.Time
 }
 
-// Holders maps prompt prefixes to the engines that are assumed to have them cached. The
+// Index maps prompt prefixes to the engines that are assumed to have them cached. The
 // zero value is empty and ready to use.
 type Index struct {
 	// An entry is written to current when it is updated. When current reaches half of
@@ -36,7 +36,7 @@
 	current, previous map[uint64][]location
 }
 
-// Learn records that an engine was sent a prompt with these prefix hashes, shortest
+// RecordPrompt records that an engine was sent a prompt with these prefix hashes, shortest
 // first.
 func (h *Index) RecordPrompt(now time.Time, prefixes []uint64, e Engine) {
 	for _, hash := range prefixes {
@@ -52,7 +52,7 @@
 	}
 }
 
-// Holds reports whether the named engine is assumed to have the longest of the
+// HasPrefix reports whether the named engine is assumed to have the longest of the
 // prefixes.
 func (h *Index) HasPrefix(now time.Time, prefixes []uint64, name string) bool {
 	return len(prefixes) > 0 && slices.ContainsFunc(h.lookup(prefixes[len(prefixes)-1]), func(s location) bool {
@@ -60,7 +60,7 @@
 	})
 }
 
-// Source returns an engine from which the named engine can copy the longest prefix that
+// CopySource returns an engine from which the named engine can copy the longest prefix that
 // it lacks. It returns false if no other engine has a longer prefix than the named one.
 // Engines for which usable returns false are skipped.
 func (h *Index) CopySource(now time.Time, prefixes []uint64, name string, usable func(Engine) bool) (Engine, bool) {
--- a/core/route/config.go
+++ b/core/route/config.go
@@ -31,7 +31,7 @@
 	// PrefixLoadFactor is the highest load that the home of a prefix may have, as a
 	// multiple of the mean load. Default 1.25.
 	PrefixLoadFactor float64
-	// PrefixRoom is the share of an upstream's concurrency below which it remains the
+	// PrefixMinLoad is the share of an upstream's concurrency below which it remains the
 	// home of its prefixes regardless of the mean load. Default 0: only the mean load
 	// counts.
 	PrefixMinLoad float64
@@ -45,10 +45,10 @@
 	// HistogramWindow is the length of each of the two windows of a latency histogram.
 	// Default 15 s.
 	HistogramWindow time.Duration
-	// Gates limit the calls that begin at the upstreams. They are shared with other
+	// Limiters limit the calls that begin at the upstreams. They are shared with other
 	// components that call the same upstreams. Default: gates used by this Router only.
 	Gates *intake.Limiters
-	// Ejected is called for every ejection of an upstream from a pool, with its reason
+	// OnEjected is called for every ejection of an upstream from a pool, with its reason
 	// and end. It is called with a lock held and must not block. It may be nil.
 	OnEjected func(pool, upstream, reason string, until time.Time)
 }
--- a/core/share/bench_test.go
+++ b/core/share/bench_test.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// The sizes of the target.
+// The number of resources in the benchmarked fleets.
 const (
 	benchCustomers = 410
 	benchPools     = 40
-	// benchWarmIntervals lets the allocators end their abstention and loans settle.
-	benchWarmIntervals = 14
+	// benchWarmupIntervals is long enough for the allocators to start leasing and
+	// for the leases to become stable.
+	benchWarmupIntervals = 14
 )
 
-// traffic counts what each daemon sends and receives.
+// traffic counts the bytes that each daemon sends and receives, and its messages.
 type traffic struct{ sent, received, messages map[string]int }
 
 func newTraffic() traffic { return traffic{map[string]int{}, map[string]int{}, map[string]int{}} }
@@ -31,12 +32,13 @@
 	t.messages[to]++
 }
 
-// BenchmarkFleet runs whole fleets under a virtual clock and reports, for each
-// daemon and second: payload bytes and messages sent, the bytes of the busiest
-// daemon (sent and received), processor time of the machine, and memory. In a
-// quiet fleet demand stays within the equal shares; in a busy one each of 10
-// customers floods one daemon; lent-s is until each of these holds half of its
-// customer's limit, counted in whole seconds.
+// BenchmarkFleet runs whole fleets under a virtual clock. It reports per daemon and
+// second the payload bytes and messages sent and the processor time used; per second
+// the bytes (sent and received) and messages of the busiest daemon; and the memory
+// per daemon. With contended=0 demand stays within the equal shares. With
+// contended=10 each of 10 customers sends all its demand to one daemon; lent-s is the
+// time until each of these daemons has half of its customer's limit, in whole
+// seconds.
 func BenchmarkFleet(b *testing.B) {
 	for _, hosts := range []int{10, 50, 100, 200, 410} {
 		for _, contended := range []int{0, 10} {
@@ -59,20 +61,20 @@
 	runtime.ReadMemStats(&before)
 	f := newFleet(hosts, resources, 1)
 	f.encode = true
-	interval := f.nodes[f.names[0]].m.cfg.Interval
-	f.coast(benchWarmIntervals * interval)
+	interval := f.nodes[f.names[0]].machine.cfg.Interval
+	f.runUnchecked(benchWarmupIntervals * interval)
 	for i := range contended {
 		f.nodes[f.names[i*hosts/10]].demand[resources[i]] = 2
 	}
-	flooded := f.now
-	for f.now-flooded < 10*interval && !f.lent(contended) {
-		f.coast(time.Second)
+	overloadedAt := f.now
+	for f.now-overloadedAt < 10*interval && !f.allLeased(contended) {
+		f.runUnchecked(time.Second)
 	}
-	lentAfter := f.now - flooded
+	leasedAfter := f.now - overloadedAt
 	f.bytes, f.messages, f.traffic = 0, 0, newTraffic()
 	began := time.Now()
 	span := 12 * interval
-	f.coast(span)
+	f.runUnchecked(span)
 	spent := time.Since(began)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -88,17 +90,18 @@
 	b.ReportMetric(float64(messages)/span.Seconds(), "busiest-msg/s")
 	b.ReportMetric(spent.Seconds()*1e6/each, "cpu-us/s")
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(hosts)/1024, "KiB/daemon")
-	if !f.lent(contended) {
-		b.Fatal("a flooded customer was not lent half of its limit")
+	if !f.allLeased(contended) {
+		b.Fatal("a daemon with excess demand did not get a lease of half of its customer's limit")
 	}
 	if contended > 0 {
-		b.ReportMetric(lentAfter.Seconds(), "lent-s")
+		b.ReportMetric(leasedAfter.Seconds(), "lent-s")
 	}
 	runtime.KeepAlive(f)
 }
 
-// lent says that each flooded daemon holds half of its customer's limit.
-func (f *fleet) lent(contended int) bool {
+// allLeased reports whether each daemon with excess demand has half of its
+// customer's limit.
+func (f *fleet) allLeased(contended int) bool {
 	for i := range contended {
 		if f.share(f.names[i*len(f.names)/10], f.resources[i]) < FullShare/2 {
 			return false
@@ -107,16 +110,16 @@
 	return true
 }
 
-// coast plays d in steps of 100 ms without checks; demand is measured each
-// second.
-func (f *fleet) coast(d time.Duration) {
+// runUnchecked advances the clock by d in steps of 100 ms without checks. Demand is
+// set each second.
+func (f *fleet) runUnchecked(d time.Duration) {
 	const step = 100 * time.Millisecond
 	for end, n := f.now+d, 0; f.now < end; n++ {
 		next := f.now + step
-		for len(f.mail) > 0 && f.mail[0].at <= next {
-			l := heap.Pop(&f.mail).(letter)
+		for len(f.network) > 0 && f.network[0].at <= next {
+			l := heap.Pop(&f.network).(delivery)
 			f.now = max(f.now, l.at)
-			f.step(l.to, l.e)
+			f.step(l.to, l.event)
 		}
 		f.now = next
 		for _, name := range f.names {
@@ -130,7 +133,7 @@
 
 func BenchmarkViewPool(b *testing.B) {
 	f := newFleet(7, customersOf(benchCustomers), 1)
-	v := f.nodes[f.names[0]].m.View(f.clock(f.names[0]))
+	v := f.nodes[f.names[0]].machine.View(f.clock(f.names[0]))
 	now := f.clock(f.names[0])
 	b.ReportAllocs()
 	for b.Loop() {
--- a/core/stage/config.go
+++ b/core/stage/config.go
@@ -47,7 +47,7 @@
 	// Default 3 s: late jobs are executed last, and in a long burst they stayed queued
 	// until their callers left.
 	LateGrace time.Duration
-	// Gates limit the calls to replicas, together with the calls of other components of
+	// Limiters limit the calls to replicas, together with the calls of other components of
 	// this host. Default: gates that only this Machine uses.
 	Gates *intake.Limiters
 	// MinRetryAfter is the shortest retry delay returned to a refused job. Default 300 ms.
--- /dev/null
+++ b/discovery/changes.go
@@ -0,0 +1,259 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"go.uber.org/zap"
+	"google.golang.org/protobuf/proto"
+
+	"github.com/wheatseam/wheatseam/core/bucket"
+	"github.com/wheatseam/wheatseam/core/catalog"
+	"github.com/wheatseam/wheatseam/internal/clock"
+	"github.com/wheatseam/wheatseam/peer"
+	"github.com/wheatseam/wheatseam/wire"
+)
+
+const methodChanges = "discovery.changes"
+
+// requestChanges asks a host for changes, which that host may wait for, applies its reply,
+// and reports whether the reply was recent enough.
+func (d *Discovery) requestChanges(ctx context.Context, host string, wait time.Duration) bool {
+	sentAt := clock.Now()
+	req := d.changesRequest(sentAt, wait)
+	reply := &wire.NewsReply{}
+	call, cancel := clock.WithTimeout(ctx, wait+replyGrace)
+	defer cancel()
+	if err := d.cfg.Caller.Call(call, host, methodChanges, req, reply); err != nil {
+		if clock.Since(sentAt) < d.boundFraction(changesWaitFraction) {
+			d.avoided.Add(host, startupAvoidTime)
+		} else {
+			d.avoided.Add(host, failureAvoidTime)
+		}
+		d.log.Info("request for changes failed", zap.String("peer", host), zap.Error(err))
+		return false
+	}
+	d.peerReplies.Add(1)
+	received := clock.Now()
+	// The reply was in transit for at most the duration of the call less the time that the
+	// other host waited.
+	transit := max(0, received.Sub(sentAt)-time.Duration(reply.GetWaitedMs())*time.Millisecond)
+	asOf := received.Add(-time.Duration(reply.GetAgeMs())*time.Millisecond - transit)
+	d.mu.Lock()
+	d.noteAdvertisedConfig(reply.GetConfigRevision(), host)
+	d.receiveEvacuations(reply.GetEvacuations())
+	d.mu.Unlock()
+	if age := received.Sub(asOf); age < 0 || age > d.boundFraction(staleFraction) {
+		d.avoided.Add(host, failureAvoidTime)
+		d.log.Info("peer's view is too old", zap.String("peer", host), zap.Duration("age", age))
+		return false
+	}
+	d.applyChanges(host, reply, asOf)
+	return true
+}
+
+// changesRequest describes what this host knows. A configuration that it knows of but is
+// still fetching does not count as a change, and the age sent is that of the replicas:
+// otherwise replies would come at once, again and again.
+func (d *Discovery) changesRequest(now time.Time, wait time.Duration) *wire.NewsRequest {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	v := d.View()
+	return &wire.NewsRequest{
+		ConfigRevision: max(v.revision, d.advertised.revision), ReplicaBuckets: v.digest[:], WaitMs: uint32(wait.Milliseconds()),
+		AgeMs: min(now.Sub(v.replicasAsOf), unknownAge).Milliseconds(), EvacuationsRevision: v.Evacuations.Revision,
+	}
+}
+
+// applyChanges applies another host's reply.
+func (d *Discovery) applyChanges(host string, reply *wire.NewsReply, asOf time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	next := *d.View()
+	next.Source = host
+	// The checked revision set below may lie after changes that the peer has missed.
+	d.evacuationsIncomplete = !reply.GetEvacuations().GetComplete()
+	if reply.GetConfigRevision() <= next.revision && asOf.After(next.configAsOf) {
+		next.configAsOf = asOf
+		if checked := reply.GetCheckedRevision(); checked > d.checkedRevisions.oldest() {
+			d.checkedRevisions = checkedRevisions{checked}
+		}
+	}
+	digest := next.digest
+	if buckets := reply.GetBuckets(); len(buckets) > 0 {
+		replicas := replaceBuckets(next.Replicas, buckets)
+		d.registry.ReplaceFromPeer(asOf, replicas)
+		digest = digestOf(d.registry.Replicas())
+	} else {
+		d.registry.ReplaceFromPeer(asOf, nil)
+	}
+	if digest.Sum() == reply.GetReplicasHash() && asOf.After(next.replicasAsOf) {
+		next.replicasAsOf = asOf // all buckets have been received
+	}
+	d.publish(&next)
+}
+
+// replaceBuckets returns the known replicas with the given buckets replaced.
+func replaceBuckets(known map[string]catalog.Replica, buckets []*wire.NewsBucket) []catalog.Replica {
+	var replaced [bucket.Count]bool
+	next := []catalog.Replica{}
+	for _, b := range buckets {
+		replaced[b.GetIndex()%bucket.Count] = true
+		next = append(next, replicasOf(b.GetReplicas())...)
+	}
+	for id, r := range known {
+		if !replaced[bucket.Of(id)] {
+			next = append(next, r)
+		}
+	}
+	return next
+}
+
+// unknownAge is the age that stands for no view, or for a view that must not be relied on.
+const unknownAge = time.Hour
+
+func replicasOf(in []*wire.NewsReplica) []catalog.Replica {
+	out := make([]catalog.Replica, 0, len(in))
+	for _, r := range in {
+		out = append(out, catalog.Replica{
+			ID: r.GetId(), Service: r.GetService(), Address: r.GetAddress(), FailureDomain: r.GetFailureDomain(),
+			Concurrency: int(r.GetConcurrency()), Draining: r.GetDraining(), Cold: r.GetCold(),
+		})
+	}
+	return out
+}
+
+// registerChanges registers the method by which peers request changes.
+func (d *Discovery) registerChanges(mux *peer.Mux) {
+	peer.Handle(mux, methodChanges, func(ctx context.Context, _ peer.Sender, req *wire.NewsRequest) (*wire.NewsReply, error) {
+		return d.serveChanges(ctx, req)
+	})
+}
+
+// errNoView is returned while this host has not read anything yet.
+var errNoView = errors.New("discovery: no view yet")
+
+// serveChanges answers a peer's request for changes: at once if there are any, otherwise
+// as soon as this host's view is more recent than the peer's, and at the latest after the
+// requested wait.
+func (d *Discovery) serveChanges(ctx context.Context, req *wire.NewsRequest) (*wire.NewsReply, error) {
+	receivedAt := clock.Now()
+	d.lastPeerRequest.Store(clock.Nanos())
+	requesterAsOf := receivedAt.Add(-time.Duration(req.GetAgeMs()) * time.Millisecond)
+	timer := clock.NewTimer(time.Duration(req.GetWaitMs()) * time.Millisecond)
+	defer timer.Stop()
+	for waiting := true; waiting; {
+		d.mu.Lock()
+		changed := d.viewChanged
+		d.mu.Unlock()
+		v := d.View()
+		if !v.Ready() && !d.configMissing.Load() {
+			return nil, errNoView
+		}
+		if v.Ready() && (d.cannotRefresh(v) || d.hasChangesFor(v, req, requesterAsOf)) {
+			break
+		}
+		select {
+		case <-changed:
+		case <-timer.C:
+			waiting = false
+		case <-ctx.Done():
+			waiting = false
+		}
+	}
+	if !d.View().Ready() {
+		return nil, errNoView
+	}
+	return d.changesReply(req, receivedAt), nil
+}
+
+// hasChangesFor reports whether a view contains anything that the requester's view, as of
+// requesterAsOf, does not.
+func (d *Discovery) hasChangesFor(v *View, req *wire.NewsRequest, requesterAsOf time.Time) bool {
+	return d.advertisableRevision(v) > req.GetConfigRevision() || v.Evacuations.Revision > req.GetEvacuationsRevision() ||
+		!v.digest.Equal(req.GetReplicaBuckets()) || v.AsOf.Sub(requesterAsOf) > minAgeGain
+}
+
+// cannotRefresh reports whether this host has lost the store and its view is too old for
+// peers or depends on them. There will be no more recent view soon, and a requester that
+// learns this at once loses no time.
+func (d *Discovery) cannotRefresh(v *View) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.replicaReadFailed && clock.Since(v.AsOf) > d.boundFraction(staleFraction) || d.dependsOnPeers()
+}
+
+// dependsOnPeers reports whether this host should read the store for others, cannot, and
+// has its view from peers. If those peers relied on it in turn, no host would read the
+// store. The caller holds d.mu.
+func (d *Discovery) dependsOnPeers() bool {
+	return d.replicaReadFailed && d.source == d.cfg.Self && d.View().Source != sourceStore
+}
+
+// advertisableRevision returns the newest configuration that peers may fetch here.
+func (d *Discovery) advertisableRevision(v *View) uint64 {
+	return max(v.revision, d.relayedRevision.Load())
+}
+
+// minAgeGain is how much more recent a view must be to be worth a reply: less than the
+// interval of reads, but longer than a call takes.
+const minAgeGain = 100 * time.Millisecond
+
+// changesReply returns what this host knows and the requester does not.
+func (d *Discovery) changesReply(req *wire.NewsRequest, receivedAt time.Time) *wire.NewsReply {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	v := d.View()
+	now := clock.Now()
+	reply := &wire.NewsReply{
+		AgeMs: now.Sub(v.AsOf).Milliseconds() + 1, WaitedMs: uint32(now.Sub(receivedAt).Milliseconds()),
+		ConfigRevision: d.advertisableRevision(v), CheckedRevision: d.checkedRevisions.oldest(), ReplicasHash: v.digest.Sum(),
+		Evacuations: d.evacuationsReply(v, req.GetEvacuationsRevision()),
+	}
+	if d.registry.RetainsLapsed() || d.dependsOnPeers() {
+		// The requester may have seen replicas removed while this host was disconnected.
+		reply.AgeMs = unknownAge.Milliseconds()
+	}
+	reply.Buckets = differingBuckets(v, req.GetReplicaBuckets())
+	return reply
+}
+
+// maxReplyBytes limits the replicas in one reply to some 350. Eight hosts that are
+// answered at once over a link of 10 Mbit/s then wait 0.2 s. The next reply contains the
+// rest.
+const maxReplyBytes = 32 << 10
+
+// differingBuckets returns buckets of a view whose replicas differ from the requester's,
+// up to maxReplyBytes.
+func differingBuckets(v *View, requesterDigest []uint64) []*wire.NewsBucket {
+	indices := v.digest.Differing(requesterDigest, 0)
+	if len(indices) == 0 {
+		return nil
+	}
+	byIndex := make(map[int]*wire.NewsBucket, len(indices))
+	for _, i := range indices {
+		byIndex[i] = &wire.NewsBucket{Index: uint32(i)}
+	}
+	for id, r := range v.Replicas {
+		if b := byIndex[bucket.Of(id)]; b != nil {
+			b.Replicas = append(b.Replicas, toWire(r))
+		}
+	}
+	var buckets []*wire.NewsBucket
+	size := 0
+	for _, i := range indices {
+		if size += proto.Size(byIndex[i]); size > maxReplyBytes && len(buckets) > 0 {
+			break
+		}
+		buckets = append(buckets, byIndex[i])
+	}
+	return buckets
+}
+
+func toWire(r catalog.Replica) *wire.NewsReplica {
+	return &wire.NewsReplica{
+		Id: r.ID, Service: r.Service, Address: r.Address, FailureDomain: r.FailureDomain,
+		Concurrency: uint32(r.Concurrency), Draining: r.Draining, Cold: r.Cold,
+	}
+}
--- a/fleet/avoided_test.go
+++ b/fleet/avoided_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = Describe("avoided hosts", func() {
-	It("are avoided for their time, and forgotten when another is added", func() {
+	It("are excluded for their wait and dropped when another host is added", func() {
 		var a fleet.HostBackoff
 		now := time.Now()
 		Expect(a.Excludes("a", now)).To(BeFalse())
--- a/stages/service.go
+++ b/stages/service.go
@@ -18,21 +18,21 @@
 	"github.com/wheatseam/wheatseam/peer"
 )
 
-// Members is what is known of the fleet.
+// Members gives access to the hosts of the fleet.
 type Members interface {
 	// Reachable returns the hosts that may be called, this one included.
 	Reachable() []fleet.Host
-	// Formed is closed once Reachable can be counted on, within a second of the
-	// start of this host.
+	// Formed returns a channel that is closed once Reachable is reliable, within one
+	// second of the start of this host.
 	Formed() <-chan struct{}
-	// Restarted tells the start of a host's process, in Unix milliseconds, that
-	// the host itself has said.
+	// RecordRestart records a newer incarnation of a host, the start of its process in Unix
+	// milliseconds, as reported by the host itself.
 	RecordRestart(host string, incarnation uint64)
 }
 
-// Config is what a Service needs.
+// Config holds the settings and dependencies of a Service.
 type Config struct {
-	// Self is this host's name among its fellows.
+	// Self is the name of this host in the fleet.
 	Self string
 	// Incarnation is the start of this process in Unix milliseconds.
 	Incarnation uint64
@@ -40,58 +40,58 @@
 	Replicas    Replicas
 	Members     Members
 	Caller      peer.Caller
-	// Mux takes the methods that fellows may call.
+	// Mux is where New registers the methods that peers call.
 	Mux    *peer.Mux
 	Logger *zap.Logger
 }
 
-// Service has stages made, by whichever daemon plans. All methods are safe for
-// concurrent use.
+// Service has the stages of jobs run by the daemon that plans for the fleet. All methods
+// are safe for concurrent use.
 type Service struct {
 	cfg     Config
 	log     *zap.Logger
 	planner *planner
 
-	avoided fleet.HostBackoff // planners that failed
-	// confirming asks each host that did not answer once for all.
-	confirming singleflight.Group
+	avoided fleet.HostBackoff // planners that failed recently
+	// probes makes concurrent failed calls to a host share one check of the host.
+	probes singleflight.Group
 
-	mu     sync.Mutex
-	remote map[string]*planning // planners that jobs of ours wait at
-	placed map[string]string    // jobs to the host that plans them
-	chosen string               // the planner that was last chosen
+	mu             sync.Mutex
+	remotePlanners map[string]*remotePlanner // planners at which jobs of this daemon wait, by host
+	plannerOf      map[string]string         // by ready job, the host that planned it
+	chosen         string                    // the planner chosen last
 }
 
-// New returns a service that has not started and registers its methods.
+// New returns a Service that is not running yet and registers its peer methods with
+// cfg.Mux.
 func New(cfg Config) *Service {
 	s := &Service{
 		cfg: cfg, log: cfg.Logger,
-		remote: map[string]*planning{}, placed: map[string]string{},
+		remotePlanners: map[string]*remotePlanner{}, plannerOf: map[string]string{},
 	}
 	s.planner = newPlanner(cfg.Plan, cfg.Replicas, cfg.Logger)
-	s.handle(cfg.Mux)
+	s.registerHandlers(cfg.Mux)
 	return s
 }
 
-// Run plans until ctx ends.
+// Run runs the planner of this daemon until ctx ends.
 func (s *Service) Run(ctx context.Context) { s.planner.run(ctx) }
 
-// Configure passes the services and replicas in force on.
+// Configure replaces the services that run stages and their replicas.
 func (s *Service) Configure(services map[string]*catalog.Service, replicas []catalog.Replica) {
 	s.planner.configure(services, replicas)
 }
 
-// maxPlanners bounds the planners that one job is handed to, the daemon's own
-// at last.
+// maxPlanners limits the number of planners to which one job is submitted; the last one is
+// the daemon's own.
 const maxPlanners = 3
 
-// Prepare has the stages of a job made. After a Ready end the caller owes a
-// Release. When ctx ends first the job is given up and nil is returned. When
-// the planner is lost, the next one goes on with what is known to be made.
+// Prepare has the stages of a job run and returns the outcome. After a Ready outcome the
+// caller must call Release. If ctx ends first, Prepare drops the job and returns nil. If
+// the planner is lost, the next planner continues with the pieces known to be completed.
 //
-// A daemon that has just started waits for its fleet to form: when all start
-// together and each plans for itself, their calls fill the queues of the same
-// replicas.
+// Prepare first waits for the fleet to form: if all daemons start at the same time and
+// each plans for itself, their calls fill the queues of the same replicas.
 func (s *Service) Prepare(ctx context.Context, j stage.Job) *JobOutcome {
 	select {
 	case <-s.cfg.Members.Formed():
@@ -101,120 +101,122 @@
 	for n := 1; ; {
 		host := fleet.Host{Host: member.Host{Name: s.cfg.Self}}
 		if n < maxPlanners {
-			host = s.choose(clock.Now())
+			host = s.choosePlanner(clock.Now())
 		}
-		end, err := s.prepareAt(ctx, host, j)
-		var restarted *restartedError
-		var lost *lostError
+		outcome, err := s.prepareAt(ctx, host, j)
+		var restarted *plannerRestartedError
+		var lost *plannerLostError
 		switch {
 		case err == nil:
-			return end
+			return outcome
 		case errors.As(err, &restarted):
-			// Its rank changes with that, so that it is not asked the same again.
+			// This changes the rank of the host, so that the loop does not repeat the same call.
 			s.cfg.Members.RecordRestart(host.Name, restarted.incarnation)
 			continue
 		case errors.As(err, &lost):
-			j.Completed = merge(j.Completed, lost.made)
+			j.Completed = mergeCompleted(j.Completed, lost.completed)
 		}
 		n++
-		s.avoided.Add(host.Name, avoidFor)
+		s.avoided.Add(host.Name, avoidDuration)
 		if host.Name == s.cfg.Self {
-			return &JobOutcome{Refused: &stage.Refused{Job: j.ID, Reason: stage.ReasonNoReplica, RetryAfter: notReadyRetry}}
+			return &JobOutcome{Refused: &stage.Refused{Job: j.ID, Reason: stage.ReasonNoReplica, RetryAfter: notReadyRetryAfter}}
 		}
 	}
 }
 
-// notReadyRetry is told when this daemon knows no services yet.
-const notReadyRetry = 500 * time.Millisecond
+// notReadyRetryAfter is the retry delay reported while this daemon has no configuration.
+const notReadyRetryAfter = 500 * time.Millisecond
 
-// lostError says that a planner brought no end of a job.
-type lostError struct {
-	// made is what it is known to have made of the job.
-	made []stage.CompletedPiece
+// plannerLostError reports that a planner did not deliver the outcome of a job.
+type plannerLostError struct {
+	// completed are the pieces of the job that the planner reported.
+	completed []stage.CompletedPiece
 }
 
-func (e *lostError) Error() string { return "stages: planner lost" }
+func (e *plannerLostError) Error() string { return "stages: planner lost" }
 
-// restartedError says that a host has started anew since it was last heard of.
-type restartedError struct{ incarnation uint64 }
+// plannerRestartedError reports that a host has restarted since this daemon learned its
+// incarnation.
+type plannerRestartedError struct{ incarnation uint64 }
 
-func (e *restartedError) Error() string { return "stages: planner restarted" }
+func (e *plannerRestartedError) Error() string { return "stages: planner restarted" }
 
-// merge adds what a later planner made to what earlier ones had made. Of a piece
-// that was made again, since its result was gone, the last result counts.
-func merge(earlier, later []stage.CompletedPiece) []stage.CompletedPiece {
+// mergeCompleted adds the pieces completed by a later planner to those completed by
+// earlier ones. If a piece was run again because its result was gone, the last result is
+// used.
+func mergeCompleted(earlier, later []stage.CompletedPiece) []stage.CompletedPiece {
 	type key struct{ stage, index int }
-	at := make(map[key]int, len(earlier)+len(later))
+	positions := make(map[key]int, len(earlier)+len(later))
 	var out []stage.CompletedPiece
 	for _, p := range slices.Concat(earlier, later) {
 		k := key{p.Stage, p.Index}
-		if i, ok := at[k]; ok {
+		if i, ok := positions[k]; ok {
 			out[i] = p
 			continue
 		}
-		at[k] = len(out)
+		positions[k] = len(out)
 		out = append(out, p)
 	}
 	return out
 }
 
-// prepareAt hands a job to one planner. A nil end without an error says that
-// ctx ended first.
-func (s *Service) prepareAt(ctx context.Context, host fleet.Host, j stage.Job) (end *JobOutcome, err error) {
+// prepareAt submits a job to one planner and waits for the outcome. A nil outcome without
+// an error means that ctx ended first.
+func (s *Service) prepareAt(ctx context.Context, host fleet.Host, j stage.Job) (outcome *JobOutcome, err error) {
 	if host.Name == s.cfg.Self {
-		end, err = s.prepareHere(ctx, j)
+		outcome, err = s.prepareLocal(ctx, j)
 	} else {
-		end, err = s.prepareThere(ctx, host, j)
+		outcome, err = s.prepareRemote(ctx, host, j)
 	}
-	if end != nil && end.Refused == nil {
+	if outcome != nil && outcome.Refused == nil {
 		s.mu.Lock()
-		s.placed[j.ID] = host.Name
+		s.plannerOf[j.ID] = host.Name
 		s.mu.Unlock()
 	}
-	return end, err
+	return outcome, err
 }
 
-// prepareHere plans a job in this daemon.
-func (s *Service) prepareHere(ctx context.Context, j stage.Job) (*JobOutcome, error) {
-	end, ok := s.planner.submit("", j)
+// prepareLocal plans a job in this daemon.
+func (s *Service) prepareLocal(ctx context.Context, j stage.Job) (*JobOutcome, error) {
+	outcome, ok := s.planner.submit("", j)
 	if !ok {
-		return nil, &lostError{}
+		return nil, &plannerLostError{}
 	}
-	if end != nil {
-		return end, nil
+	if outcome != nil {
+		return outcome, nil
 	}
-	if end := s.planner.poll(ctx, "", 0, []string{j.ID}).ends[j.ID]; end != nil {
-		return end, nil
+	if outcome := s.planner.poll(ctx, "", 0, []string{j.ID}).outcomes[j.ID]; outcome != nil {
+		return outcome, nil
 	}
-	s.planner.drop("", []string{j.ID}, false)
+	s.planner.dropJobs("", []string{j.ID}, false)
 	return nil, nil
 }
 
-// Release gives the results of a ready job up.
+// Release releases the results of a ready job.
 func (s *Service) Release(id string) {
 	s.mu.Lock()
-	host := s.placed[id]
-	delete(s.placed, id)
+	host := s.plannerOf[id]
+	delete(s.plannerOf, id)
 	s.mu.Unlock()
 	switch host {
 	case "":
 	case s.cfg.Self:
-		s.planner.drop("", []string{id}, false)
+		s.planner.dropJobs("", []string{id}, false)
 	default:
-		go s.dropThere(host, []string{id}, false)
+		go s.dropRemote(host, []string{id}, false)
 	}
 }
 
-// avoidFor is how long a planner that failed is avoided. No job comes back to it before
-// it has dropped it (orphanAfter): it would go on with results that another planner may
-// have given up.
-const avoidFor = 2 * time.Second
+// avoidDuration is how long a planner that failed is avoided. It is longer than
+// orphanTimeout, so that a job returns to a planner only after that planner has dropped
+// it: else the planner would continue with results that another planner may have released.
+const avoidDuration = 2 * time.Second
 
-// choose returns the host that plans: of those that may be called and did not
-// fail a moment ago, the first in rank.
-func (s *Service) choose(now time.Time) fleet.Host {
+// choosePlanner returns the host that plans: the first in rank order of the reachable hosts
+// that did not fail recently, or this host if there is none.
+func (s *Service) choosePlanner(now time.Time) fleet.Host {
 	chosen := fleet.Host{Host: member.Host{Name: s.cfg.Self}}
-	if best := s.first(now); best != nil {
+	if best := s.firstRanked(now); best != nil {
 		chosen = *best
 	}
 	s.mu.Lock()
@@ -227,15 +229,15 @@
 	return chosen
 }
 
-// Plans says whether this host is the one that plans, as far as it knows.
+// IsPlanner returns whether, in this host's view, it is the one that plans.
 func (s *Service) IsPlanner() bool {
-	first := s.first(clock.Now())
+	first := s.firstRanked(clock.Now())
 	return first != nil && first.Name == s.cfg.Self
 }
 
-// first returns the first in rank of the hosts that may be called and did not fail a
-// moment ago; nil if there is none.
-func (s *Service) first(now time.Time) *fleet.Host {
+// firstRanked returns the first in rank order of the reachable hosts that did not fail
+// recently, or nil if there is none.
+func (s *Service) firstRanked(now time.Time) *fleet.Host {
 	var best *fleet.Host
 	for _, h := range s.cfg.Members.Reachable() {
 		if !s.avoided.Excludes(h.Name, now) && (best == nil || h.Compare(*best) < 0) {
@@ -245,20 +247,20 @@
 	return best
 }
 
-// Dump is the state of a Service for operators.
+// Dump is the state of a Service shown to operators.
 type Dump struct {
 	Chosen  string   `json:"chosen"`
 	Avoided []string `json:"avoided"`
-	// Planned is the number of jobs planned here, Placed that of ready jobs of
-	// this daemon.
+	// Planned is the number of jobs planned here, Placed the number of ready jobs of
+	// this daemon that have not been released.
 	Planned int `json:"planned"`
 	Placed  int `json:"placed"`
 }
 
-// Dump returns the state.
+// Dump returns the state shown to operators.
 func (s *Service) Dump() Dump {
 	s.mu.Lock()
-	d := Dump{Chosen: s.chosen, Placed: len(s.placed), Avoided: s.avoided.Names()}
+	d := Dump{Chosen: s.chosen, Placed: len(s.plannerOf), Avoided: s.avoided.Names()}
 	s.mu.Unlock()
 	s.planner.mu.Lock()
 	d.Planned = len(s.planner.jobs)
