--- a/claims/run.go
+++ b/claims/run.go
@@ -12,87 +12,92 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// run drives one claim.Claim to its end. Only the goroutine that calls ask
-// touches the claim; calls to holders report back through answers.
-type run struct {
-	service *Service
-	cfg     claim.Config
-	claim   *claim.Claim
-	answers chan answer
-	wait    <-chan time.Time
-	// blocking is the owner that a holder named last.
-	blocking claim.Owner
+// acquisition drives one claim.Claim to its end. Only the goroutine that calls
+// runToEnd accesses the claim; calls to holders report back through answers.
+type acquisition struct {
+	service    *Service
+	cfg        claim.Config
+	claim      *claim.Claim
+	answers    chan holderAnswer
+	retryTimer <-chan time.Time
+	// blockingOwner is the owner that a holder last named as having the key.
+	blockingOwner claim.Owner
 }
 
-// answer is what one call to a holder brought.
-type answer struct {
+// holderAnswer is the result of one call to a holder.
+type holderAnswer struct {
 	holder string
 	round  uint32
 	reply  claim.Reply
 	err    error
 }
 
-// maxAnswers bounds the answers on their way: each holder answers a round once.
-const maxAnswers = 64
+// maxPendingAnswers bounds the answers that are queued: each holder answers
+// once per round.
+const maxPendingAnswers = 64
 
-func newRun(s *Service, cfg claim.Config, seed uint64) *run {
-	return &run{
-		service: s, cfg: cfg, answers: make(chan answer, maxAnswers),
+func newAcquisition(s *Service, cfg claim.Config, seed uint64) *acquisition {
+	return &acquisition{
+		service: s, cfg: cfg, answers: make(chan holderAnswer, maxPendingAnswers),
 		claim: claim.New(cfg, rand.New(rand.NewPCG(seed, 0))),
 	}
 }
 
-// ask runs the claim until it is won, lost or refused.
-func (r *run) ask(ctx context.Context) claim.Action {
-	// Answers that nobody reads any more must not block their senders.
+// runToEnd runs the claim until it is won, lost or refused, and returns the
+// action that says so.
+func (r *acquisition) runToEnd(ctx context.Context) claim.Action {
+	// Cancelling ctx releases the goroutines that would otherwise block on
+	// sending an answer that is no longer read.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	end := r.perform(ctx, r.claim.Start())
+	end := r.performActions(ctx, r.claim.Start())
 	for end == nil {
 		select {
 		case a := <-r.answers:
-			end = r.perform(ctx, r.take(a))
-		case <-r.wait:
-			r.wait = nil
-			end = r.perform(ctx, r.again())
+			end = r.performActions(ctx, r.handleAnswer(a))
+		case <-r.retryTimer:
+			r.retryTimer = nil
+			end = r.performActions(ctx, r.startNextRound())
 		case <-ctx.Done():
-			end = r.perform(ctx, r.claim.Abort(problem.DeadlineExceeded))
+			end = r.performActions(ctx, r.claim.Abort(problem.DeadlineExceeded))
 		}
 	}
 	return end
 }
 
-func (r *run) take(a answer) []claim.Action {
+func (r *acquisition) handleAnswer(a holderAnswer) []claim.Action {
 	now := r.service.cfg.Now()
 	if a.err != nil {
 		return r.claim.HandleUnreachable(now, a.holder, a.round)
 	}
 	if a.reply.Verdict == claim.Taken {
-		r.blocking = a.reply.Owner
+		r.blockingOwner = a.reply.Owner
 	}
 	return r.claim.HandleReply(now, a.reply)
 }
 
-// again starts the next round, unless the owner that stands in the way has
-// ended: then nobody will release the key or record a result.
-func (r *run) again() []claim.Action {
-	if r.blocking.Host != "" && r.service.cfg.Gone(r.blocking.Host, r.blocking.Incarnation) {
+// startNextRound starts the next round, unless the process of the blocking owner is
+// unavailable: then nobody is expected to release the key or record a result, and the
+// claim ends with an unknown outcome.
+func (r *acquisition) startNextRound() []claim.Action {
+	if r.blockingOwner.Host != "" && r.service.cfg.OwnerUnavailable(r.blockingOwner.Host, r.blockingOwner.Incarnation) {
 		return r.claim.Abort(problem.OutcomeUnknown)
 	}
 	return r.claim.HandleTimer()
 }
 
-// perform carries out actions and returns the one that ends the claim, if any.
-func (r *run) perform(ctx context.Context, actions []claim.Action) claim.Action {
+// performActions carries out actions and returns the one that ends the claim, if
+// any.
+func (r *acquisition) performActions(ctx context.Context, actions []claim.Action) claim.Action {
 	var end claim.Action
 	for _, action := range actions {
 		switch a := action.(type) {
 		case claim.SendAcquire:
-			go r.sendAsk(ctx, a)
+			go r.callHolder(ctx, a)
 		case claim.SendRelease:
 			go r.service.sendRelease(a)
 		case claim.Wait:
-			r.wait = clock.After(a.Until.Sub(r.service.cfg.Now()))
+			r.retryTimer = clock.After(a.Until.Sub(r.service.cfg.Now()))
 		default:
 			end = action
 		}
@@ -100,13 +105,13 @@
 	return end
 }
 
-// sendAll carries out the releases among actions.
-func (r *run) sendAll(actions []claim.Action) { r.service.sendReleases(actions) }
+// sendReleases sends the releases among actions.
+func (r *acquisition) sendReleases(actions []claim.Action) { r.service.sendReleases(actions) }
 
-func (r *run) sendAsk(ctx context.Context, a claim.SendAcquire) {
-	callCtx, cancel := clock.WithTimeout(ctx, askTimeout)
+func (r *acquisition) callHolder(ctx context.Context, a claim.SendAcquire) {
+	callCtx, cancel := clock.WithTimeout(ctx, holderCallTimeout)
 	defer cancel()
-	out := answer{holder: a.Holder, round: a.Acquire.Round}
+	out := holderAnswer{holder: a.Holder, round: a.Acquire.Round}
 	var resp wire.ClaimReply
 	out.err = r.service.cfg.Caller.Call(callCtx, a.Holder, methodAsk, encodeAsk(a.Acquire), &resp)
 	if out.err == nil {
@@ -126,13 +131,14 @@
 	}
 }
 
-// sendRelease tells a holder until it hears or the time is up. A release that
-// is lost leaves the key taken, which costs an answer but never a double run.
+// sendRelease retries a release until the holder confirms it or releaseTimeout
+// has passed. A lost release leaves the key claimed: a later request with the
+// key then gets no answer, but the stage never runs twice.
 func (s *Service) sendRelease(a claim.SendRelease) {
 	ctx, cancel := clock.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	m := &wire.ClaimRelease{Key: encodeKey(a.Release.Key), Owner: encodeOwner(a.Release.Owner), Round: a.Release.Round}
-	for wait := backoffMin; ctx.Err() == nil; wait = min(2*wait, backoffMax) {
+	for wait := retryBackoffMin; ctx.Err() == nil; wait = min(2*wait, retryBackoffMax) {
 		var resp wire.ClaimReleased
 		if s.cfg.Caller.Call(ctx, a.Holder, methodRelease, m, &resp) == nil {
 			return
@@ -144,18 +150,20 @@
 	}
 }
 
-// errNotVoided means that NotRun must not be told.
+// errNotVoided means that the request must not be reported as NotRun.
 var errNotVoided = errors.New("no majority of the key's holders has voided it")
 
-// void places the mark under which a NotRun answer stays true.
-func (s *Service) void(ctx context.Context, k claim.Key, owner claim.Owner, epoch uint64, quorums []claim.Quorum) error {
+// voidKey marks the key as void at a majority of its holders. They then refuse
+// every attempt that arrived before now plus MaxClockSkew, so that a NotRun answer
+// stays true.
+func (s *Service) voidKey(ctx context.Context, k claim.Key, owner claim.Owner, epoch uint64, quorums []claim.Quorum) error {
 	m := &wire.ClaimVoid{
 		Key: encodeKey(k), Owner: encodeOwner(owner), Epoch: epoch,
 		UntilUnixUs: encodeTime(s.cfg.Now().Add(s.policy.MaxClockSkew)),
 	}
-	ctx, cancel := clock.WithTimeout(ctx, askTimeout)
+	ctx, cancel := clock.WithTimeout(ctx, holderCallTimeout)
 	defer cancel()
-	ok := s.majority(ctx, quorums, func(holder string) bool {
+	ok := s.callMajority(ctx, quorums, func(holder string) bool {
 		var resp wire.ClaimReply
 		err := s.cfg.Caller.Call(ctx, holder, methodVoid, m, &resp)
 		return err == nil && claim.Verdict(resp.Verdict) == claim.Voided
@@ -166,9 +174,10 @@
 	return nil
 }
 
-// majority calls every holder at once and returns as soon as a majority of each
-// quorum has said yes, or false once that is out of reach.
-func (s *Service) majority(ctx context.Context, quorums []claim.Quorum, call func(holder string) bool) bool {
+// callMajority calls every holder concurrently. It returns true as soon as a
+// majority of each quorum has answered yes, and false once all holders have
+// answered without one or ctx ends.
+func (s *Service) callMajority(ctx context.Context, quorums []claim.Quorum, call func(holder string) bool) bool {
 	tally := claim.NewTally(quorums)
 	holders := tally.Holders()
 	type vote struct {
@@ -193,9 +202,9 @@
 	return false
 }
 
-// store records a result at the holders.
-func (s *Service) store(ctx context.Context, o *ownedClaim, record claim.Record) error {
-	replies := make(chan claim.Reply, maxAnswers)
+// storeResult records a result at a majority of the key's holders.
+func (s *Service) storeResult(ctx context.Context, o *ownedClaim, record claim.Record) error {
+	replies := make(chan claim.Reply, maxPendingAnswers)
 	pending := 0
 	for _, action := range o.claim.Store(record) {
 		a, ok := action.(claim.SendStore)
@@ -220,12 +229,13 @@
 	return errors.New("no majority of the key's holders has the result")
 }
 
-// sendStore tells a holder until it hears or ctx ends.
+// sendStore retries a store until the holder replies or ctx ends. In the latter
+// case the reply holds only the holder's name.
 func (s *Service) sendStore(ctx context.Context, a claim.SendStore) claim.Reply {
 	m := &wire.ClaimStore{
 		Key: encodeKey(a.Store.Key), Owner: encodeOwner(a.Store.Owner), Record: encodeRecord(&a.Store.Record),
 	}
-	for wait := backoffMin; ctx.Err() == nil; wait = min(2*wait, backoffMax) {
+	for wait := retryBackoffMin; ctx.Err() == nil; wait = min(2*wait, retryBackoffMax) {
 		var resp wire.ClaimReply
 		if s.cfg.Caller.Call(ctx, a.Holder, methodStore, m, &resp) == nil {
 			if r, err := decodeReply(a.Holder, &resp); err == nil {
--- a/daemon/loadview_test.go
+++ b/daemon/loadview_test.go
@@ -20,29 +20,30 @@
 	"github.com/wheatseam/wheatseam/settings"
 )
 
-// TestLoadViewPassesLeavingOn: only a change of an upstream's own word is passed
-// on, so that an upstream that never said it leaves cannot undo the host list.
-func TestLoadViewPassesLeavingOn(t *testing.T) {
+// TestLoadViewReportsLeavingChanges guards against an upstream overriding the host
+// list: only a change in what an upstream reports is passed on, so that one which has
+// never reported that it is leaving can't cancel its leaving in the host list.
+func TestLoadViewReportsLeavingChanges(t *testing.T) {
 	g := NewWithT(t)
 	v := newLoadView(&settings.Settings{Host: "entry-1"}, route.New(route.Config{}), zap.NewNop(), time.Now)
 	var said []bool
-	v.onLeaving = func(_ string, leaving bool, _ time.Time) { said = append(said, leaving) }
+	v.reportLeaving = func(_ string, leaving bool, _ time.Time) { said = append(said, leaving) }
 	for _, leaving := range []bool{false, false, true, true, false, false} {
 		v.Observe(load.Report{Upstream: "seal-1", Leaving: leaving})
 	}
 	g.Expect(said).To(Equal([]bool{true, false}))
 }
 
-// TestLiveHosts: the living and the suspected share the polls, and this host
-// always does.
-func TestLiveHosts(t *testing.T) {
+// TestLiveMembers checks that living and suspected members divide the polls among
+// them, and that this host always takes part.
+func TestLiveMembers(t *testing.T) {
 	g := NewWithT(t)
 	var members []member.Member
 	for i, s := range []member.State{member.Unknown, member.Alive, member.Suspect, member.Dead, member.Leaving} {
 		members = append(members, member.Member{Host: member.Host{Name: fmt.Sprintf("entry-%d", i), FailureDomain: "a"}, State: s})
 	}
 	names := func(self string) (names []string) {
-		for _, h := range liveHosts(members, self, "a") {
+		for _, h := range liveMembers(members, self, "a") {
 			names = append(names, h.Name)
 		}
 		return names
@@ -52,22 +53,22 @@
 	g.Expect(names("entry-9")).To(Equal([]string{"entry-1", "entry-2", "entry-9"}))
 }
 
-// TestNewSlots: a value counts once.
-func TestNewSlots(t *testing.T) {
+// TestNewerSlotValues checks that each value is returned once.
+func TestNewerSlotValues(t *testing.T) {
 	g := NewWithT(t)
 	at := time.Unix(1000, 0)
-	heard := map[string]time.Time{"entry-9": at}
+	lastReceived := map[string]time.Time{"entry-9": at}
 	slots := []cluster.SlotValue{{Host: "entry-1", At: at}, {Host: "entry-2", At: at}}
-	g.Expect(newSlots(slots, heard)).To(HaveLen(2))
-	g.Expect(newSlots(slots, heard)).To(BeEmpty())
+	g.Expect(newerSlotValues(slots, lastReceived)).To(HaveLen(2))
+	g.Expect(newerSlotValues(slots, lastReceived)).To(BeEmpty())
 	slots[1].At = at.Add(time.Second)
-	g.Expect(newSlots(slots, heard)).To(Equal(slots[1:]))
-	g.Expect(heard).NotTo(HaveKey("entry-9"))
+	g.Expect(newerSlotValues(slots, lastReceived)).To(Equal(slots[1:]))
+	g.Expect(lastReceived).NotTo(HaveKey("entry-9"))
 }
 
-// TestLoadViewLeaving: an upstream that says by its load report that it leaves
-// gets no new work, neither from the daemon that polls it nor from a fellow
-// that hears of it by digest.
+// TestLoadViewLeaving checks that an upstream whose load report says that it is
+// leaving gets no new calls, neither from the daemon that polls it nor from a peer
+// that receives the report in a digest.
 func TestLoadViewLeaving(t *testing.T) {
 	g := NewWithT(t)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -87,15 +88,15 @@
 		views[i].Apply(b)
 	}
 	picks := func(v *loadView) map[string]bool {
-		seen := map[string]bool{}
+		picked := map[string]bool{}
 		for range 30 {
 			c, err := v.router.Pick(time.Now(), request.Query{Pool: "seals", Stage: "seal"}, nil)
 			if err == nil {
-				seen[c.Upstream] = true
+				picked[c.Upstream] = true
 				v.router.Done(time.Now(), request.Outcome{Choice: c, Stage: "seal"})
 			}
 		}
-		return seen
+		return picked
 	}
 	g.Expect(picks(views[1])).To(HaveKey("seal-1"))
 
@@ -106,7 +107,7 @@
 	cancel()
 	<-ended
 	g.Expect(picks(views[0])).NotTo(HaveKey("seal-1"))
-	g.Expect(views[1].Heard(views[0].Digest())).To(Succeed())
+	g.Expect(views[1].MergeDigest(views[0].Digest())).To(Succeed())
 	g.Expect(picks(views[1])).NotTo(HaveKey("seal-1"))
-	g.Expect(views[1].Heard([]byte{1})).NotTo(Succeed())
+	g.Expect(views[1].MergeDigest([]byte{1})).NotTo(Succeed())
 }
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -6,7 +6,7 @@
 	"github.com/wheatseam/wheatseam/peer"
 )
 
-// openPeers listens for fellow daemons.
+// openPeers opens the transport to and the listener for peer daemons.
 func (d *Daemon) openPeers() error {
 	s := d.settings
 	transport, err := peer.NewTransport(peer.Config{
@@ -23,6 +23,6 @@
 	if err != nil {
 		return fmt.Errorf("listen for peers: %w", err)
 	}
-	d.peers = transport
+	d.peerTransport = transport
 	return nil
 }
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -19,22 +19,22 @@
 	"github.com/wheatseam/wheatseam/service"
 )
 
-// addQuarantine makes this daemon's part in keeping requests that crash upstreams
-// away from them.
+// addQuarantine creates the service that keeps requests that crash upstreams from
+// reaching them.
 func (d *Daemon) addQuarantine() {
 	d.quarantine = quarantine.New(quarantine.Config{
-		Self: d.settings.Host, Members: fellows{d}, Replicas: replica.NewClient(nil), Caller: lateCaller{d}, Mux: d.peerMux, Logger: d.log,
+		Self: d.settings.Host, Members: quarantineMembers{d}, Replicas: replica.NewClient(nil), Caller: deferredCaller{d}, Mux: d.peerMux, Logger: d.log,
 	})
 	d.cluster.OnSlot(member.SlotQuarantine, d.quarantine.DigestReceived)
 }
 
-// fellows are this daemon's fellows as the quarantine takes them.
-type fellows struct{ d *Daemon }
+// quarantineMembers gives the quarantine service access to the cluster membership.
+type quarantineMembers struct{ daemon *Daemon }
 
 // Reachable implements quarantine.Members.
-func (f fellows) Reachable() []fleet.Host {
+func (f quarantineMembers) Reachable() []fleet.Host {
 	var hosts []fleet.Host
-	for _, m := range f.d.cluster.Members() {
+	for _, m := range f.daemon.cluster.Members() {
 		if m.Live() {
 			hosts = append(hosts, fleet.Host{Host: m.Host, Incarnation: m.Incarnation})
 		}
@@ -43,34 +43,38 @@
 }
 
 // Neighbours implements quarantine.Members.
-func (f fellows) Neighbours() []string { return f.d.cluster.Neighbours() }
+func (f quarantineMembers) Neighbours() []string { return f.daemon.cluster.Neighbours() }
 
 // SetSlot implements quarantine.Members.
-func (f fellows) SetSlot(id member.SlotID, value []byte) { f.d.cluster.SetSlot(id, value, false) }
+func (f quarantineMembers) SetSlot(id member.SlotID, value []byte) {
+	f.daemon.cluster.SetSlot(id, value, false)
+}
 
-// contentOf names what a stage of a request works on, whatever the request's id and
-// key: one stage may crash its upstreams, and the others end well.
-func contentOf(customer, pipeline, stage string, digest [32]byte) poison.Fingerprint {
+// stageFingerprint identifies what one stage of a request processes, independent of
+// the request's id and key. It is per stage, since one stage may crash its upstreams
+// while the others succeed.
+func stageFingerprint(customer, pipeline, stage string, digest [32]byte) poison.Fingerprint {
 	h := poison.NewHasher(customer, pipeline, stage, "")
 	_, _ = h.Write(digest[:]) // never fails
 	return h.Sum()
 }
 
-func (s *session) content(stage string) poison.Fingerprint {
-	return contentOf(s.sub.Customer.Name, s.sub.Pipeline.Name, stage, s.digest)
+func (s *session) stageFingerprint(stage string) poison.Fingerprint {
+	return stageFingerprint(s.sub.Customer.Name, s.sub.Pipeline.Name, stage, s.digest)
 }
 
-// quarantined refuses a request one of whose stages crashes upstreams, before
-// anything of it runs; a trial that is granted is for one call of that stage. Under a
-// key an earlier try may have run.
-func (d *Daemon) quarantined(ctx context.Context, s *session) *problem.Error {
+// checkQuarantine refuses a request if one of its stages crashes upstreams, before any
+// stage runs. If the quarantine grants a trial, the trial allows one call of that
+// stage. A refusal of a request with a key says that it may have run, since an earlier
+// request with the key may have.
+func (d *Daemon) checkQuarantine(ctx context.Context, s *session) *problem.Error {
 	for _, stage := range s.sub.Pipeline.Stages {
-		v, condemned := d.quarantine.Quarantined(s.content(stage.Name))
-		if !condemned {
+		v, quarantined := d.quarantine.Quarantined(s.stageFingerprint(stage.Name))
+		if !quarantined {
 			continue
 		}
 		if d.quarantine.RequestTrial(ctx, v) {
-			s.trial.Store(&v.Request)
+			s.trialFingerprint.Store(&v.Request)
 			continue
 		}
 		e := problem.New(problem.Quarantined, "upstreams ended under its stage %s", stage.Name)
@@ -83,47 +87,49 @@
 	return nil
 }
 
-// mayCall asks whether a call may reach an upstream: also a retry or a hedge of a
-// request that was condemned meanwhile.
-func (d *Daemon) mayCall(s *session, c request.Call) bool {
-	_, condemned := d.quarantine.Quarantined(s.content(c.Stage.Name))
-	return !condemned || s.trial.Swap(nil) != nil
+// callAllowed reports whether a call may be sent to an upstream. It is asked for each
+// attempt, since the request may be quarantined before a retry or a hedge.
+func (d *Daemon) callAllowed(s *session, c request.Call) bool {
+	_, quarantined := d.quarantine.Quarantined(s.stageFingerprint(c.Stage.Name))
+	return !quarantined || s.trialFingerprint.Swap(nil) != nil
 }
 
-// returnTrial gives a trial back that came to no call.
-func (d *Daemon) returnTrial(s *session) {
-	if content := s.trial.Swap(nil); content != nil {
-		d.quarantine.ReturnTrial(*content)
+// returnUnusedTrial returns a granted trial that no call has used.
+func (d *Daemon) returnUnusedTrial(s *session) {
+	if fingerprint := s.trialFingerprint.Swap(nil); fingerprint != nil {
+		d.quarantine.ReturnTrial(*fingerprint)
 	}
 }
 
-// callStart is when a call began, and for how long this host had slept by then.
+// callStart holds the start time of a call and for how long in total this host had
+// been asleep by then.
 type callStart struct {
-	at     time.Time
-	asleep time.Duration
+	at          time.Time
+	sleptBefore time.Duration
 }
 
 func startCall() callStart { return callStart{clock.Now(), clock.Asleep()} }
 
-// noteCall passes on what the end of a call says of its upstream: that it lives, or
-// that it broke off and may have ended.
-func (d *Daemon) noteCall(s *session, c request.Call, began callStart, err error) {
-	content := s.content(c.Stage.Name)
+// reportCall tells the quarantine service what the end of a call implies about its
+// upstream: that it is alive, or that it broke off the response and may have crashed.
+func (d *Daemon) reportCall(s *session, c request.Call, start callStart, err error) {
+	fingerprint := s.stageFingerprint(c.Stage.Name)
 	switch {
-	case ranWell(err):
-		d.quarantine.RunSucceeded(content)
-	case !httpbody.BrokenOff(err) || clock.Asleep() > began.asleep || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
-		// It says nothing of the upstream, or has its reason.
+	case upstreamAnswered(err):
+		d.quarantine.RunSucceeded(fingerprint)
+	case !httpbody.BrokenOff(err) || clock.Asleep() > start.sleptBefore || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
+		// The call ended without its connection breaking off, or the break has
+		// another cause: this host was asleep, or the upstream is leaving.
 	default:
 		d.quarantine.AttemptInterrupted(quarantine.InterruptedAttempt{
-			Service: c.Stage.Pool, Replica: c.Choice.Upstream, Address: c.Choice.Address, Request: content, Began: began.at,
+			Service: c.Stage.Pool, Replica: c.Choice.Upstream, Address: c.Choice.Address, Request: fingerprint, Began: start.at,
 		})
 	}
 }
 
-// ranWell says whether a call ran and its upstream lives: it answered, if only with
-// an error.
-func ranWell(err error) bool {
+// upstreamAnswered reports whether a call ran and its upstream is alive, since the
+// upstream answered completely, be it with an error.
+func upstreamAnswered(err error) bool {
 	if err == nil {
 		return true
 	}
@@ -131,8 +137,8 @@
 	return errors.As(err, &e) && e.Status >= http.StatusBadRequest && !e.NotExecuted && !httpbody.BrokenOff(err)
 }
 
-// condemnedCall ends a call that must not reach an upstream.
-func condemnedCall(c request.Call) request.CallEnded {
+// quarantinedCall returns the failure of a call that must not be sent to an upstream.
+func quarantinedCall(c request.Call) request.CallEnded {
 	return request.CallEnded{
 		Attempt: c.Attempt, Result: request.CallFailed, NotExecuted: true, Rejected: true, Detail: string(problem.Quarantined),
 	}
--- a/daemon/session.go
+++ b/daemon/session.go
@@ -14,63 +14,63 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// outputQueue bounds the parts of a stream that wait for a slow caller.
-const outputQueue = 64
+// maxQueuedOutput bounds the parts of a stream that are queued for a slow caller.
+const maxQueuedOutput = 64
 
-// session is the I/O side of one request: its running calls, its timers and
-// the way to its caller.
+// session holds the I/O state of one request: its running calls, its timers and the
+// output to its caller.
 type session struct {
 	id      string
 	sub     caller.Submission
 	digest  [32]byte
 	clients *clients
 
-	// forward is the attempt whose stream the caller gets.
-	forward atomic.Int64
-	output  chan outputPart
-	final   chan finalAnswer
-	// closed ends when the caller has its answer.
-	closed chan struct{}
+	// forwardedAttempt is the attempt whose stream is sent to the caller, or 0.
+	forwardedAttempt atomic.Int64
+	output           chan outputPart
+	finalAnswers     chan finalAnswer
+	// done is closed when the request has its final answer.
+	done chan struct{}
 
-	// trial allows one call of the stage with that content, which is condemned; nil
-	// for none.
-	trial atomic.Pointer[poison.Fingerprint]
+	// trialFingerprint allows one call of the quarantined stage with that
+	// fingerprint; nil if no trial was granted.
+	trialFingerprint atomic.Pointer[poison.Fingerprint]
 
-	mu      sync.Mutex
-	cancels map[int]context.CancelFunc
-	timers  []*clock.Timer
+	mu          sync.Mutex
+	cancelFuncs map[int]context.CancelFunc
+	timers      []*clock.Timer
 }
 
-// outputPart is a part of a stream, or a reset.
+// outputPart is a part of a stream, or a reset of the stream.
 type outputPart struct {
 	text  string
 	reset bool
 }
 
-// finalAnswer is what ends a request; one field is set.
+// finalAnswer is the outcome of a request. Exactly one field is set.
 type finalAnswer struct {
 	answer *request.Answer
 	err    *problem.Error
 }
 
 func newSession(sub caller.Submission, digest [32]byte, c *clients) *session {
-	// Only a stream needs room for its parts: 1.5 kB a request.
+	// Only a streaming request needs the queue, which takes 1.5 kB.
 	queue := 0
 	if sub.Stream {
-		queue = outputQueue
+		queue = maxQueuedOutput
 	}
 	return &session{
 		id: sub.RequestID, sub: sub, digest: digest, clients: c,
-		output: make(chan outputPart, queue), final: make(chan finalAnswer, 1),
-		closed: make(chan struct{}), cancels: make(map[int]context.CancelFunc),
+		output: make(chan outputPart, queue), finalAnswers: make(chan finalAnswer, 1),
+		done: make(chan struct{}), cancelFuncs: make(map[int]context.CancelFunc),
 	}
 }
 
-// pass delivers a part to the caller, waiting while the caller is slow.
-func (s *session) pass(ctx context.Context, part outputPart) {
+// sendOutput queues a part for the caller and blocks while the queue is full.
+func (s *session) sendOutput(ctx context.Context, part outputPart) {
 	select {
 	case s.output <- part:
-	case <-s.closed:
+	case <-s.done:
 	case <-ctx.Done():
 	}
 }
@@ -78,14 +78,14 @@
 func (s *session) addCancel(attempt int, cancel context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cancels[attempt] = cancel
+	s.cancelFuncs[attempt] = cancel
 }
 
-// cancel gives up a call; one that is over is left alone.
+// cancel cancels a call. It does nothing if the call has already ended.
 func (s *session) cancel(attempt int) {
 	s.mu.Lock()
-	cancel := s.cancels[attempt]
-	delete(s.cancels, attempt)
+	cancel := s.cancelFuncs[attempt]
+	delete(s.cancelFuncs, attempt)
 	s.mu.Unlock()
 	if cancel != nil {
 		cancel()
@@ -107,46 +107,46 @@
 	s.timers = nil
 }
 
-// sessionShards is the number of shards of the sessions.
+// sessionShards is the number of shards of the session table.
 const sessionShards = 64
 
-// sessions finds sessions by request id.
-type sessions struct {
+// sessionTable maps request ids to sessions.
+type sessionTable struct {
 	shards [sessionShards]sessionShard
 }
 
 type sessionShard struct {
-	mu  sync.Mutex
-	all map[string]*session
+	mu   sync.Mutex
+	byID map[string]*session
 }
 
-func (t *sessions) init() {
+func (t *sessionTable) init() {
 	for i := range t.shards {
-		t.shards[i].all = make(map[string]*session)
+		t.shards[i].byID = make(map[string]*session)
 	}
 }
 
-func (t *sessions) shard(id string) *sessionShard {
+func (t *sessionTable) shard(id string) *sessionShard {
 	return &t.shards[xxhash.Sum64String(id)%sessionShards]
 }
 
-func (t *sessions) insert(s *session) {
+func (t *sessionTable) insert(s *session) {
 	shard := t.shard(s.id)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	shard.all[s.id] = s
+	shard.byID[s.id] = s
 }
 
-func (t *sessions) get(id string) *session {
+func (t *sessionTable) get(id string) *session {
 	shard := t.shard(id)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	return shard.all[id]
+	return shard.byID[id]
 }
 
-func (t *sessions) remove(id string) {
+func (t *sessionTable) remove(id string) {
 	shard := t.shard(id)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	delete(shard.all, id)
+	delete(shard.byID, id)
 }
