--- a/core/catalog/config.go
+++ b/core/catalog/config.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Repeat is the policy on repeated execution of a route's requests.
+// RepeatPolicy is the policy on repeated execution of a route's requests.
 type RepeatPolicy uint8
 
 // The repeat policies.
@@ -21,7 +21,7 @@
 type Config struct {
 	Version  uint64
 	Services map[string]*Service
-	// Tenants maps an API key to the customer that holds it. It is nil if the configuration
+	// Customers maps an API key to the customer that holds it. It is nil if the configuration
 	// has no customers; requests then need no key.
 	Customers map[string]*CustomerConfig
 	Limits    Limits
@@ -29,7 +29,7 @@
 	hosts map[string][]*Route
 }
 
-// Tenant is a customer in the operator's configuration.
+// CustomerConfig is a customer in the operator's configuration.
 type CustomerConfig struct {
 	Name string
 	// Priority takes precedence over the route's priority; nil if the customer has none. 0
@@ -94,11 +94,11 @@
 	ColdRate float64
 	// Engine says that the service runs generations in batches.
 	Engine bool
-	// Pieces is set for services that run stages; nil for others.
+	// StageProfile is set for services that run stages; nil for others.
 	StageProfile *StageProfile
 }
 
-// Pieces describes the capacity and timing of one replica of a service that runs stages.
+// StageProfile describes the capacity and timing of one replica of a service that runs stages.
 type StageProfile struct {
 	// Concurrency is the maximum number of concurrent calls.
 	Concurrency int
@@ -107,9 +107,9 @@
 	// CallTime is the fixed duration of a call, and PieceTime the additional duration per
 	// piece.
 	CallTime, PieceTime time.Duration
-	// RoomBytes is the maximum total size of the results that a replica holds.
+	// ResultCapacityBytes is the maximum total size of the results that a replica holds.
 	ResultCapacityBytes int64
-	// ResultLife is how long a result is kept unless it is released earlier.
+	// ResultTTL is how long a result is kept unless it is released earlier.
 	ResultTTL time.Duration
 }
 
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// Target selects the service of a request by weight; draw is uniform in [0, 1).
+// PickService selects the service of a request by weight; draw is uniform in [0, 1).
 func (r *Route) PickService(draw float64) string {
 	var sum float64
 	for _, t := range r.Split {
--- a/core/claim/bench_test.go
+++ b/core/claim/bench_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// benchKey returns a distinct key for each i, all of one time.
+// benchKey returns a distinct key for each i. All keys have the same creation time.
 func benchKey(i int) Key {
-	k := keyAt(base, 0)
+	k := keyAt(baseTime, 0)
 	binary.BigEndian.PutUint32(k.ID[12:], uint32(i))
 	return k
 }
@@ -20,11 +20,11 @@
 	return p
 }
 
-// BenchmarkAsk is one grant of a new key by one holder on one core, and the
-// memory that a holder keeps for it.
+// BenchmarkAsk measures one grant of a new key by one holder on one core, and the
+// memory that the holder uses for it.
 func BenchmarkAsk(b *testing.B) {
-	h := NewHolder("a", 1, base.Add(-time.Hour), benchPolicy(b.N))
-	env := Env{Now: base, Epoch: 1, Ready: true}
+	h := NewHolder("a", 1, baseTime.Add(-time.Hour), benchPolicy(b.N))
+	env := Env{Now: baseTime, Epoch: 1, Ready: true}
 	asks := make([]Acquire, b.N)
 	for i := range asks {
 		asks[i] = Acquire{Key: benchKey(i), Owner: ownerOf("a", "0198c5a0-0000-7000-8000-000000000000"), Round: 1, Epoch: 1}
@@ -47,7 +47,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkGroup is the computation of one key's group among 7 hosts.
+// BenchmarkGroup measures the computation of one key's group among 7 hosts.
 func BenchmarkGroup(b *testing.B) {
 	v := view(1, "a", "b", "c", "d", "e", "f", "g")
 	for i := 0; b.Loop(); i++ {
--- a/core/intake/leaving.go
+++ b/core/intake/leaving.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Leaver is a replica that announced that it is leaving, as known to one host.
+// LeavingReplica is a replica that announced that it is leaving, as known to one host.
 type LeavingReplica struct {
 	Replica string
-	// At is when the announcement was first observed.
+	// AnnouncedAt is when the announcement was first observed.
 	AnnouncedAt time.Time
 }
 
-// Leavers holds the replicas that announced that they are leaving. An announcement is
+// LeavingReplicas holds the replicas that announced that they are leaving. An announcement is
 // final, since it concerns one start of a replica: after a restart the replica has another
 // ID. The zero value is ready to use.
 type LeavingReplicas struct {
@@ -27,7 +27,7 @@
 	lastListed time.Time
 }
 
-// Hear processes a response, and reports whether it is the first one that announces that
+// Observe processes a response, and reports whether it is the first one that announces that
 // its replica is leaving.
 func (l *LeavingReplicas) Observe(now time.Time, response ReplicaResponse) (LeavingReplica, bool) {
 	if !response.Notice.Leaving {
@@ -37,7 +37,7 @@
 	return heard, l.add(now, heard)
 }
 
-// Learn merges the reports of a peer, and returns those that are new here. It modifies the
+// Merge merges the reports of a peer, and returns those that are new here. It modifies the
 // slice.
 func (l *LeavingReplicas) Merge(now time.Time, reports []LeavingReplica) []LeavingReplica {
 	return slices.DeleteFunc(reports, func(report LeavingReplica) bool { return !l.add(now, report) })
@@ -56,7 +56,7 @@
 	return true
 }
 
-// Forget removes replicas that have been unlisted for longer than unlistedRetention, and
+// RemoveExpired removes replicas that have been unlisted for longer than unlistedRetention, and
 // reports whether there were any.
 func (l *LeavingReplicas) RemoveExpired(now time.Time, listed func(replica string) bool) bool {
 	before := len(l.entries)
@@ -72,7 +72,7 @@
 // All returns all leaving replicas, ordered by ID.
 func (l *LeavingReplicas) All() []LeavingReplica { return l.ObservedAfter(time.Time{}) }
 
-// Since returns the replicas whose announcement was first observed after a time, ordered by
+// ObservedAfter returns the replicas whose announcement was first observed after a time, ordered by
 // ID.
 func (l *LeavingReplicas) ObservedAfter(after time.Time) []LeavingReplica {
 	var out []LeavingReplica
--- a/core/request/machine.go
+++ b/core/request/machine.go
@@ -26,7 +26,7 @@
 	// Prefix is a hash of the prompt's shared prefix, or 0 if there is none.
 	Prefix uint64
 	Input  json.RawMessage
-	// Kept holds, by stage name, the results of stages that an earlier request
+	// StoredResults holds, by stage name, the results of stages that an earlier request
 	// with the same key completed.
 	StoredResults map[string]json.RawMessage
 }
--- a/core/share/config.go
+++ b/core/share/config.go
@@ -2,52 +2,55 @@
 
 import "time"
 
-// Config holds the settings of a Machine. Every daemon of a fleet must have
-// equal times; NewConfig derives them from the number of hosts.
+// Config holds the settings of a Machine. The durations must be equal on every
+// daemon of a fleet; NewConfig derives them from the number of hosts.
 type Config struct {
-	// Host is this daemon's name.
+	// Host is the name of this daemon's host.
 	Host string
-	// Incarnation is the start of this process in Unix milliseconds.
+	// Incarnation is the start time of this process in Unix milliseconds.
 	Incarnation uint64
-	// Interval is the time between the reports of a daemon that wants more.
+	// Interval is the time between the reports of a daemon that wants more than
+	// its equal share.
 	Interval time.Duration
-	// Loan is how long a loan lasts.
-	Loan time.Duration
-	// Cession is how long a daemon binds itself.
-	Cession time.Duration
-	// NudgesPerInterval bounds how many hosts an allocator asks for a report
-	// in an interval.
-	NudgesPerInterval int
+	// LeaseDuration is how long a lease lasts.
+	LeaseDuration time.Duration
+	// CapDuration is how long a daemon obeys a cap.
+	CapDuration time.Duration
+	// ReportRequestsPerInterval is the maximum number of hosts that an allocator
+	// asks for a report in one Interval.
+	ReportRequestsPerInterval int
 }
 
-// Times in intervals, and their growth with the fleet, which bounds the bytes
-// a second of each daemon.
+// The interval grows with the number of hosts, which bounds the bytes per second of
+// each daemon. All other durations are multiples of the interval.
 const (
-	minInterval      = 500 * time.Millisecond
-	intervalPerHost  = 20 * time.Millisecond
-	loanIntervals    = 3
-	cessionIntervals = 10
-	// cedingIntervals is between the reports of a daemon that wants no more
-	// than it has while another does.
-	cedingIntervals = 3
-	// quietIntervals is between reports while nobody wants more. They serve to
-	// find lost agreement only: whoever wants more reports at once, and the
-	// allocator then asks the others.
-	quietIntervals = 60
-	defaultNudges  = 100
-	// driftPart bounds the difference in rate of two clocks: 1 in 20.
-	driftPart = 20
+	minInterval     = 500 * time.Millisecond
+	intervalPerHost = 20 * time.Millisecond
+	leaseIntervals  = 3
+	capIntervals    = 10
+	// contendedIntervals is the time between the reports of a daemon that wants no
+	// more than its share while another daemon does.
+	contendedIntervals = 3
+	// uncontendedIntervals is the time between reports while no daemon wants more.
+	// These reports only detect a state that differs between daemon and allocator:
+	// a daemon that wants more reports at once, and the allocator then asks the
+	// others.
+	uncontendedIntervals  = 60
+	defaultReportRequests = 100
+	// driftDivisor defines the maximum difference in rate of two clocks: 1 in 20.
+	driftDivisor = 20
 )
 
-// NewConfig returns the settings for a fleet of hosts.
+// NewConfig returns the settings of the daemon on host in a fleet of the given
+// number of hosts.
 func NewConfig(host string, incarnation uint64, hosts int) Config {
-	c := Config{Host: host, Incarnation: incarnation, NudgesPerInterval: defaultNudges}
-	c.setTimes(hosts)
+	c := Config{Host: host, Incarnation: incarnation, ReportRequestsPerInterval: defaultReportRequests}
+	c.setDurations(hosts)
 	return c
 }
 
-func (c *Config) setTimes(hosts int) {
+func (c *Config) setDurations(hosts int) {
 	c.Interval = max(minInterval, time.Duration(hosts)*intervalPerHost)
-	c.Loan = loanIntervals * c.Interval
-	c.Cession = cessionIntervals * c.Interval
+	c.LeaseDuration = leaseIntervals * c.Interval
+	c.CapDuration = capIntervals * c.Interval
 }
--- a/core/stage/action.go
+++ b/core/stage/action.go
@@ -10,7 +10,7 @@
 	Job   string
 	Stage int
 	Index int
-	// Left is the time after which the result is no longer useful.
+	// TimeLeft is the time after which the result is no longer useful.
 	TimeLeft time.Duration
 	// Key is set for pieces of stages without inputs, Inputs (result handles) for all
 	// others.
@@ -32,7 +32,7 @@
 // Abandon cancels a call that no job needs any more and that its replica is not executing.
 type Abandon struct{ Call uint64 }
 
-// Free releases results at the replica that holds them. Calls to that replica that are
+// Release releases results at the replica that holds them. Calls to that replica that are
 // issued in the same step or later rely on the memory that this frees, so the caller sends
 // them only after the replica has answered the release.
 type Release struct {
@@ -41,7 +41,7 @@
 	Handles []string
 }
 
-// Inspect asks a replica how much memory it has free for results. The caller reports one
+// QueryMemory asks a replica how much memory it has free for results. The caller reports one
 // Inspected in return, or nothing if the replica does not answer.
 type QueryMemory struct {
 	Service string
@@ -55,7 +55,7 @@
 	Piece CompletedPiece
 }
 
-// Inform asks the caller to report a job's progress to the job's owner at once: results
+// NotifyOwner asks the caller to report a job's progress to the job's owner at once: results
 // reported to the owner have been read, and are released once the owner has acknowledged
 // that.
 type NotifyOwner struct{ Job string }
@@ -71,7 +71,7 @@
 	DomainBytes int64
 	// Timings has one entry for each stage with pieces.
 	Timings []Timing
-	// Took is the time since the job was submitted, Predicted the time that admission
+	// Elapsed is the time since the job was submitted, Predicted the time that admission
 	// predicted.
 	Elapsed, Predicted time.Duration
 	// Early is the time from now to the job's due time; negative if the job is late.
@@ -84,7 +84,7 @@
 	// Wait is the time from the last input to the start of the last call, Work the duration
 	// of that call.
 	Wait, Execution time.Duration
-	// Crossed says that some results were computed outside the stage's preferred failure
+	// CrossDomain says that some results were computed outside the stage's preferred failure
 	// domain.
 	CrossDomain bool
 }
@@ -114,7 +114,7 @@
 	// Predicted is the predicted time from now until the results; 0 if no prediction was
 	// made.
 	Predicted time.Duration
-	// Held says that results reported to the job's owner are kept until the owner has
+	// ResultsHeld says that results reported to the job's owner are kept until the owner has
 	// acknowledged the refusal, which the caller reports with Cancelled.
 	ResultsHeld bool
 }
@@ -122,7 +122,7 @@
 // Suspected reports that no calls are made to a replica for a while.
 type Suspected struct {
 	Replica, Service string
-	// Why is the outcome of the replica's call, or "overdue" or "lapsed" if the call has
+	// Cause is the outcome of the replica's call, or "overdue" or "lapsed" if the call has
 	// not ended.
 	Cause string
 	// Failures is the number of consecutive failures, For the time for which the replica is
--- a/fleet/avoided.go
+++ b/fleet/avoided.go
@@ -8,7 +8,7 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// Avoided is a set of hosts that failed recently and are not called until their wait is
+// HostBackoff is a set of hosts that failed recently and are not called until their wait is
 // over. The zero value is ready to use; it is safe for concurrent use.
 type HostBackoff struct {
 	mu    sync.Mutex
@@ -31,7 +31,7 @@
 	a.until[host] = now.Add(wait)
 }
 
-// Has reports whether calls to a host are excluded at the given time.
+// Excludes reports whether calls to a host are excluded at the given time.
 func (a *HostBackoff) Excludes(host string, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/quarantine/exits.go
+++ b/quarantine/exits.go
@@ -10,7 +10,7 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// Attempt is an attempt whose connection the replica closed before the response was
+// InterruptedAttempt is an attempt whose connection the replica closed before the response was
 // complete.
 type InterruptedAttempt struct {
 	Service, Replica string
@@ -32,7 +32,7 @@
 	address string
 }
 
-// BrokeOff records an attempt whose connection the replica closed, and schedules a check
+// AttemptInterrupted records an attempt whose connection the replica closed, and schedules a check
 // whether the replica has exited. Attempts at the same replica that are interrupted
 // before the check are covered by it.
 func (s *Service) AttemptInterrupted(a InterruptedAttempt) {
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -114,7 +114,7 @@
 // propagates, the digests of neighbours differ for a moment.
 const minExchangeInterval = 500 * time.Millisecond
 
-// Heard compares a neighbour's digest with the local one and starts an exchange if they
+// DigestReceived compares a neighbour's digest with the local one and starts an exchange if they
 // differ. It does not block.
 func (s *Service) DigestReceived(h member.SlotReceived) {
 	s.mu.Lock()
--- a/replica/client.go
+++ b/replica/client.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// Refused reports whether connections to a replica's address are refused, which
+// RefusesConnections reports whether connections to a replica's address are refused, which
 // means that its process has ended. It opens a connection and sends nothing. It
 // returns an error when the connect fails in any other way and the state of the
 // replica is therefore unknown.
@@ -79,10 +79,10 @@
 type Call struct {
 	// Replica is the id of the replica's incarnation that the call is addressed to.
 	Replica string
-	// Request is the id of the caller's request that the call relays; "" for other
+	// RequestID is the id of the caller's request that the call relays; "" for other
 	// calls.
 	RequestID string
-	// Work is set for calls that relay a request or run pieces.
+	// ExecutesRequest is set for calls that relay a request or run pieces.
 	ExecutesRequest bool
 	Method          string
 	// Address is the replica's ip:port.
--- a/replica/engine.go
+++ b/replica/engine.go
@@ -13,9 +13,9 @@
 
 // Errors returned by calls to engines.
 var (
-	// ErrNoRoom means that the engine has no free capacity for a reservation.
+	// ErrNoCapacity means that the engine has no free capacity for a reservation.
 	ErrNoCapacity = errors.New("engine has no capacity for a reservation")
-	// ErrUnknownCall means that the replica responds but does not support the call.
+	// ErrUnsupportedCall means that the replica responds but does not support the call.
 	ErrUnsupportedCall = errors.New("replica does not support the call")
 	// ErrMisdirected means that the address now belongs to another replica.
 	ErrMisdirected = errors.New("address belongs to another replica")
@@ -25,7 +25,7 @@
 // an id.
 const maxReservationResponseBytes = 4 << 10
 
-// Runs fetches an engine's report of its runs. It opens a new connection, since an
+// EngineReport fetches an engine's report of its runs. It opens a new connection, since an
 // existing one may itself be what has failed. It returns ErrUnknownCall when the
 // engine answers with another status than 200 or resets the connection, and
 // platform.ErrMalformed when the report can't be parsed. Any other error means that
@@ -43,7 +43,7 @@
 	return platform.DecodeEngineReport(body)
 }
 
-// Hold reserves a slot and memory at an engine for a request of the given number of
+// Reserve reserves a slot and memory at an engine for a request of the given number of
 // tokens and returns the id of the reservation. The reservation expires after ttl
 // unless a request uses it.
 func (c *Client) Reserve(ctx context.Context, replica, address string, tokens int, ttl time.Duration) (string, error) {
@@ -63,7 +63,7 @@
 	return platform.DecodeReservation(responseBody)
 }
 
-// DropHold releases a reservation.
+// ReleaseReservation releases a reservation.
 func (c *Client) ReleaseReservation(ctx context.Context, replica, address, reservationID string) error {
 	call := newEngineCall(http.MethodDelete, platform.ReleaseReservationTarget(reservationID), replica, address, nil)
 	status, _, err := c.doSingleUse(ctx, call, maxReservationResponseBytes)
--- a/replica/stage.go
+++ b/replica/stage.go
@@ -70,7 +70,7 @@
 // results twice.
 const firstReleaseTimeout = 250 * time.Millisecond
 
-// FreeResults releases results at the replica that holds them. It makes a second
+// ReleaseResults releases results at the replica that holds them. It makes a second
 // attempt when the first fails, because the replica may have dropped the idle
 // connection that the first attempt uses, even without closing it.
 func (c *Client) ReleaseResults(ctx context.Context, release stage.Release) error {
@@ -92,7 +92,7 @@
 // the replica runs.
 const maxReportBytes = 256 << 10
 
-// Room fetches how much memory for results a replica had free a moment ago, as lower
+// FreeMemory fetches how much memory for results a replica had free a moment ago, as lower
 // and upper bounds in bytes.
 func (c *Client) FreeMemory(ctx context.Context, query stage.QueryMemory) (stage.FreeMemory, error) {
 	call := newStageCall(platform.ReportPath, query.Replica, query.Address, nil)
--- a/stages/planner.go
+++ b/stages/planner.go
@@ -22,13 +22,13 @@
 type Replicas interface {
 	// RunPieces runs pieces in one call. An answered call has one result per piece.
 	RunPieces(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error)
-	// FreeResults releases results at the replica that holds them.
+	// ReleaseResults releases results at the replica that holds them.
 	ReleaseResults(ctx context.Context, a stage.Release) error
-	// Room returns the memory that a replica last reported as free for results.
+	// FreeMemory returns the memory that a replica last reported as free for results.
 	FreeMemory(ctx context.Context, a stage.QueryMemory) (stage.FreeMemory, error)
 }
 
-// End is the outcome of a job: Refused if that is set, else Ready.
+// JobOutcome is the outcome of a job: Refused if that is set, else Ready.
 type JobOutcome struct {
 	Ready   stage.Ready
 	Refused *stage.Refused
