--- a/internal/standin/site/report.go
+++ b/internal/standin/site/report.go
@@ -6,30 +6,32 @@
 	"time"
 )
 
-// reportRuns tells the runs of an engine as they were ReportLag ago: the request,
-// the tokens in memory, the number of the newest event made, and the priority.
-func (r *Replica) reportRuns(w http.ResponseWriter) {
+// writeEngineReport responds with the runs of the engine as of ReportLag ago. For
+// each run it lists the request id, the number of tokens in memory, the id of the
+// newest event and the priority.
+func (r *Replica) writeEngineReport(w http.ResponseWriter) {
 	asOf := time.Now().Add(-r.ReportLag)
 	runs := [][]any{}
 	r.mu.Lock()
-	r.forget(asOf)
+	r.pruneRuns(asOf)
 	for _, e := range r.runs {
 		if e.run.At.After(asOf) {
 			continue
 		}
-		made := e.after
-		for _, at := range e.made {
+		eventID := e.lastEventID
+		for _, at := range e.eventTimes {
 			if !at.After(asOf) {
-				made++
+				eventID++
 			}
 		}
-		runs = append(runs, []any{e.run.Request, e.tokens + made, made, e.priority})
+		runs = append(runs, []any{e.run.Request, e.promptTokens + eventID, eventID, e.priority})
 	}
 	r.mu.Unlock()
 	writeJSON(w, map[string]any{"stage": "colocated", "queued": 0, "active": len(runs), "runs": runs})
 }
 
-// forget drops the runs that no report lists any more; the caller holds mu.
-func (r *Replica) forget(asOf time.Time) {
-	r.runs = slices.DeleteFunc(r.runs, func(e *execution) bool { return !e.ended.IsZero() && e.ended.Before(asOf) })
+// pruneRuns removes the runs that ended before asOf, which no report lists any more.
+// The caller holds mu.
+func (r *Replica) pruneRuns(asOf time.Time) {
+	r.runs = slices.DeleteFunc(r.runs, func(e *execution) bool { return !e.endedAt.IsZero() && e.endedAt.Before(asOf) })
 }
--- /dev/null
+++ b/internal/standin/site/reservation.go
@@ -0,0 +1,109 @@
+package site
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"time"
+)
+
+// reservation is a slot that an engine reserves for a request.
+type reservation struct {
+	until time.Time
+	state string
+}
+
+// The states of reservations.
+const (
+	reservationHeld     = "kept"
+	reservationUsed     = "used"
+	reservationReleased = "dropped"
+)
+
+// Holds counts reservations by outcome. Reservations that are taken but neither
+// used nor dropped are still held or have expired.
+type Holds struct{ Taken, Used, Dropped, Refused int }
+
+// Holds returns the counts of reservations of all replicas.
+func (l *Ledger) Holds() Holds {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.reservations
+}
+
+// countReservations updates the counts of reservations.
+func (l *Ledger) countReservations(change func(*Holds)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	change(&l.reservations)
+}
+
+// grantReservation makes a reservation, unless the behaviour refuses it.
+func (r *Replica) grantReservation(w http.ResponseWriter, req *http.Request, b Behaviour) {
+	var call struct {
+		Tokens int `json:"token_count"`
+		TTL    int `json:"ttl_ms"`
+	}
+	if err := json.NewDecoder(req.Body).Decode(&call); err != nil || call.Tokens < 0 || call.TTL <= 0 {
+		r.ledger.recordViolation("%s: invalid reservation of %d tokens for %d ms: %v", r.ID, call.Tokens, call.TTL, err)
+		refuse(w, http.StatusBadRequest)
+		return
+	}
+	if b.NoHolds || b.Shed || b.ShedFree {
+		r.ledger.countReservations(func(h *Holds) { h.Refused++ })
+		refuse(w, http.StatusServiceUnavailable)
+		return
+	}
+	r.mu.Lock()
+	name := fmt.Sprintf("%s-hold-%d", r.ID, len(r.reservations)+1)
+	r.reservations[name] = &reservation{until: time.Now().Add(time.Duration(call.TTL) * time.Millisecond), state: reservationHeld}
+	r.mu.Unlock()
+	r.ledger.countReservations(func(h *Holds) { h.Taken++ })
+	select {
+	case <-time.After(b.HoldWork):
+	case <-req.Context().Done():
+	}
+	writeJSON(w, map[string]any{"hold": name})
+}
+
+// releaseReservation releases a reservation that was not used.
+func (r *Replica) releaseReservation(w http.ResponseWriter, name string) {
+	r.mu.Lock()
+	h := r.reservations[name]
+	held := h != nil && h.state == reservationHeld
+	if held {
+		h.state = reservationReleased
+	}
+	r.mu.Unlock()
+	if !held {
+		w.WriteHeader(http.StatusNotFound)
+		return
+	}
+	r.ledger.countReservations(func(h *Holds) { h.Dropped++ })
+	w.WriteHeader(http.StatusOK)
+}
+
+// useReservation marks the reservation that a request names as used. It reports
+// whether the reservation was held and has not expired.
+func (r *Replica) useReservation(req *http.Request) bool {
+	name := req.Header.Get("Kv-Hold")
+	if name == "" || name == ForgedValue {
+		return false // serve records forged values
+	}
+	r.mu.Lock()
+	h := r.reservations[name]
+	state := "never granted"
+	if h != nil {
+		state = h.state
+	}
+	if state == reservationHeld {
+		h.state = reservationUsed
+	}
+	r.mu.Unlock()
+	if state != reservationHeld {
+		r.ledger.recordViolation("%s: request %s uses reservation %s, which was %s", r.ID, req.Header.Get("Attempt-Id"), name, state)
+		return false
+	}
+	r.ledger.countReservations(func(h *Holds) { h.Used++ })
+	return time.Now().Before(h.until)
+}
--- a/internal/standin/site/stream.go
+++ b/internal/standin/site/stream.go
@@ -8,85 +8,87 @@
 	"time"
 )
 
-// Event is event n of the stream that answers a request.
+// Event returns event n of the stream for a request.
 func Event(request string, n int) string {
 	return fmt.Sprintf("id: %d\ndata: token %d of %s\n\n", n, n, request)
 }
 
-// eventEvery is the time from one event to the next.
-const eventEvery = 2 * time.Millisecond
+// defaultEventInterval is the default interval between events.
+const defaultEventInterval = 2 * time.Millisecond
 
-// stream answers with the events of a run.
+// stream responds with the events of a run.
 func (r *Replica) stream(w http.ResponseWriter, req *http.Request, e *execution, b Behaviour) {
 	ctx := req.Context()
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	flusher := http.NewResponseController(w)
-	_ = flusher.Flush() // a client that is gone needs no head
-	every := eventEvery
+	_ = flusher.Flush() // the client may have disconnected
+	interval := defaultEventInterval
 	if b.EventEvery > 0 {
-		every = b.EventEvery
+		interval = b.EventEvery
 	}
-	for n := e.after + 1; n <= r.Events; n++ {
-		if n-e.after-1 == b.PauseAfterEvents && !r.fallSilent(ctx, e, b, every) {
+	for n := e.lastEventID + 1; n <= r.EventsPerStream; n++ {
+		if n-e.lastEventID-1 == b.PauseAfterEvents && !r.applyStall(ctx, e, b, interval) {
 			return
 		}
 		if r.isFrozen() {
-			e.standStill(ctx)
+			e.stall(ctx)
 			return
 		}
 		text := Event(e.run.Request, n)
-		if b.CutAfterEvents > 0 && n-e.after > b.CutAfterEvents {
+		if b.CutAfterEvents > 0 && n-e.lastEventID > b.CutAfterEvents {
 			_, _ = io.WriteString(w, text[:len(text)/2])
 			_ = flusher.Flush()
 			panic(http.ErrAbortHandler)
 		}
-		e.makes()
+		e.recordEvent()
 		if _, err := io.WriteString(w, text); err != nil {
-			e.cancelled()
+			e.cancel()
 			return
 		}
 		_ = flusher.Flush()
-		if !e.wait(ctx, every) {
+		if !e.wait(ctx, interval) {
 			return
 		}
 	}
 	e.complete()
 }
 
-// fallSilent pauses, and says whether the stream goes on.
-func (r *Replica) fallSilent(ctx context.Context, e *execution, b Behaviour, every time.Duration) bool {
+// applyStall applies the pause and the permanent stall of the behaviour. It reports
+// whether the stream continues.
+func (r *Replica) applyStall(ctx context.Context, e *execution, b Behaviour, interval time.Duration) bool {
 	if b.Pause > 0 && !e.wait(ctx, b.Pause) {
 		return false
 	}
 	switch b.Silence {
-	case Speaking:
+	case NoStall:
 		return true
 	case StandsStill:
-		e.standStill(ctx)
+		e.stall(ctx)
 	case Muted:
-		e.mute(ctx, every)
+		e.completeUnsent(ctx, interval)
 	case Frozen:
 		r.Freeze()
-		e.standStill(ctx)
+		e.stall(ctx)
 	case Vanished:
-		r.Vanish()
-		e.standStill(ctx)
+		r.FreezeUnreachable()
+		e.stall(ctx)
 	}
 	return false
 }
 
-// standStill makes no more events until the connection closes.
-func (e *execution) standStill(ctx context.Context) {
+// stall waits until the connection closes, without generating events.
+func (e *execution) stall(ctx context.Context) {
 	<-ctx.Done()
-	e.cancelled()
+	e.cancel()
 }
 
-// mute makes the events that are left, sends none and keeps the connection open.
-func (e *execution) mute(ctx context.Context, every time.Duration) {
-	for n := e.after + len(e.made) + 1; n <= e.replica.Events; n++ {
-		e.makes()
-		if !e.wait(ctx, every) {
+// completeUnsent generates the remaining events without sending them, and keeps the
+// connection open.
+func (e *execution) completeUnsent(ctx context.Context, interval time.Duration) {
+	for n := e.lastEventID + len(e.eventTimes) + 1; n <= e.replica.EventsPerStream; n++ {
+		e.recordEvent()
+		if !e.wait(ctx, interval) {
 			return
 		}
 	}
