--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -48,7 +48,7 @@
 }
 
 func (b *fakeBackend) Bundle() *bundle.Bundle { return b.bundle }
-func (b *fakeBackend) Admittable() *problem.Error {
+func (b *fakeBackend) CheckAdmission() *problem.Error {
 	if b.draining {
 		return problem.New(problem.Draining, "leaving")
 	}
@@ -57,7 +57,7 @@
 func (b *fakeBackend) VoidKey(context.Context, Submission) bool { return b.canVoidKey }
 func (b *fakeBackend) NewRequestID() string                     { return "h1.id" }
 func (b *fakeBackend) Now() time.Time                           { return time.Now() }
-func (b *fakeBackend) Refused(_ string, e *problem.Error) {
+func (b *fakeBackend) RecordRefusal(_ string, e *problem.Error) {
 	b.refusedKinds = append(b.refusedKinds, e.Kind)
 }
 func (b *fakeBackend) Serve(_ context.Context, s Submission, sink Sink) (*request.Answer, *problem.Error) {
--- a/caller/decode.go
+++ b/caller/decode.go
@@ -57,7 +57,7 @@
 	if sub.Deadline, err = requestDeadline(sub, parsed.DeadlineMs); err != nil {
 		return sub, err
 	}
-	sub.Key, err = idempotencyKey(r, sub)
+	sub.IdempotencyKey, err = idempotencyKey(r, sub)
 	return sub, err
 }
 
--- a/caller/server.go
+++ b/caller/server.go
@@ -16,16 +16,16 @@
 
 // Submission is an authenticated and validated request.
 type Submission struct {
-	RequestID string
-	Bundle    *bundle.Bundle
-	Customer  *bundle.Customer
-	Pipeline  *bundle.Pipeline
-	Arrived   time.Time
-	Deadline  time.Time
-	Key       string
-	Stream    bool
-	Prefix    string
-	Input     json.RawMessage
+	RequestID      string
+	Bundle         *bundle.Bundle
+	Customer       *bundle.Customer
+	Pipeline       *bundle.Pipeline
+	Arrived        time.Time
+	Deadline       time.Time
+	IdempotencyKey string
+	Stream         bool
+	Prefix         string
+	Input          json.RawMessage
 }
 
 // Sink receives the partial output that a streaming caller gets before the final
@@ -43,9 +43,9 @@
 type Backend interface {
 	// Bundle returns the active configuration, or nil if there is none yet.
 	Bundle() *bundle.Bundle
-	// Admittable returns nil if the host accepts requests, else the reason why
+	// CheckAdmission returns nil if the host accepts requests, else the reason why
 	// it does not.
-	Admittable() *problem.Error
+	CheckAdmission() *problem.Error
 	// VoidKey voids the idempotency key of the submission. It returns true only
 	// if no earlier request with that key has run or can still run.
 	VoidKey(ctx context.Context, s Submission) bool
@@ -56,9 +56,9 @@
 	// Serve runs a request to completion. ctx is cancelled when the caller
 	// disconnects.
 	Serve(ctx context.Context, s Submission, sink Sink) (*request.Answer, *problem.Error)
-	// Refused is called for each request that is refused before it is passed to
+	// RecordRefusal is called for each request that is refused before it is passed to
 	// Serve.
-	Refused(requestID string, e *problem.Error)
+	RecordRefusal(requestID string, e *problem.Error)
 }
 
 // Config holds the parameters of a Server.
@@ -139,7 +139,7 @@
 // it does not. For a pipeline with a non-repeatable stage it reports not_run only
 // if no earlier request with the same idempotency key has run or can still run.
 func (s *Server) checkAdmission(ctx context.Context, sub Submission) *problem.Error {
-	err := s.cfg.Backend.Admittable()
+	err := s.cfg.Backend.CheckAdmission()
 	if err != nil && requiresKey(sub.Pipeline) && !s.cfg.Backend.VoidKey(ctx, sub) {
 		err.Execution = problem.MayHaveRun
 	}
@@ -147,7 +147,7 @@
 }
 
 func (s *Server) refuse(w http.ResponseWriter, id string, err *problem.Error) {
-	s.cfg.Backend.Refused(id, err)
+	s.cfg.Backend.RecordRefusal(id, err)
 	writeProblem(w, id, err)
 }
 
--- a/certs/certs.go
+++ b/certs/certs.go
@@ -23,8 +23,8 @@
 
 // The names of the files of the certificate authority in a directory of keys.
 const (
-	AuthorityCert    = "ca.pem"
-	AuthorityKeyFile = "ca-key.pem"
+	AuthorityCertFile = "ca.pem"
+	AuthorityKeyFile  = "ca-key.pem"
 )
 
 const (
@@ -35,8 +35,8 @@
 	clockSkewAllowance = time.Hour
 )
 
-// Pair is a certificate and its private key, both in PEM encoding.
-type Pair struct {
+// KeyPair is a certificate and its private key, both in PEM encoding.
+type KeyPair struct {
 	Cert []byte
 	Key  []byte
 }
@@ -46,7 +46,7 @@
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
-	pair Pair
+	pair KeyPair
 }
 
 // NewAuthority creates a certificate authority whose certificate is valid until
@@ -82,19 +82,19 @@
 	return &Authority{cert: cert, key: key, pair: pair}, nil
 }
 
-// Pair returns the certificate and key of the authority itself.
-func (a *Authority) Pair() Pair { return a.pair }
+// KeyPair returns the certificate and key of the authority itself.
+func (a *Authority) KeyPair() KeyPair { return a.pair }
 
 // Issue creates a key pair for a host or an operator's client. The certificate is
 // valid for the name and the given IP addresses until now plus lifetime.
-func (a *Authority) Issue(name string, now time.Time, lifetime time.Duration, ips ...net.IP) (Pair, error) {
+func (a *Authority) Issue(name string, now time.Time, lifetime time.Duration, ips ...net.IP) (KeyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, fmt.Errorf("certs: key: %w", err)
+		return KeyPair{}, fmt.Errorf("certs: key: %w", err)
 	}
 	template, err := newTemplate(name, now, lifetime)
 	if err != nil {
-		return Pair{}, err
+		return KeyPair{}, err
 	}
 	template.DNSNames = []string{name}
 	template.IPAddresses = ips
@@ -102,7 +102,7 @@
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	if err != nil {
-		return Pair{}, fmt.Errorf("certs: sign certificate for %s: %w", name, err)
+		return KeyPair{}, fmt.Errorf("certs: sign certificate for %s: %w", name, err)
 	}
 	return encodePair(der, key)
 }
@@ -120,24 +120,24 @@
 	}, nil
 }
 
-func encodePair(der []byte, key *ecdsa.PrivateKey) (Pair, error) {
+func encodePair(der []byte, key *ecdsa.PrivateKey) (KeyPair, error) {
 	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return Pair{}, fmt.Errorf("certs: key: %w", err)
+		return KeyPair{}, fmt.Errorf("certs: key: %w", err)
 	}
-	return Pair{
+	return KeyPair{
 		Cert: pem.EncodeToMemory(&pem.Block{Type: pemTypeCertificate, Bytes: der}),
 		Key:  pem.EncodeToMemory(&pem.Block{Type: pemTypeKey, Bytes: keyDER}),
 	}, nil
 }
 
-// Files returns the paths of the certificate and the key of a host in dir.
-func Files(dir, name string) (cert, key string) {
+// KeyPairFiles returns the paths of the certificate and the key of a host in dir.
+func KeyPairFiles(dir, name string) (cert, key string) {
 	return filepath.Join(dir, name+".pem"), filepath.Join(dir, name+"-key.pem")
 }
 
 // Write writes the pair to two files. The key file is readable by its owner only.
-func (p Pair) Write(certFile, keyFile string) error {
+func (p KeyPair) Write(certFile, keyFile string) error {
 	if err := os.WriteFile(certFile, p.Cert, 0o644); err != nil {
 		return fmt.Errorf("certs: %w", err)
 	}
@@ -150,7 +150,7 @@
 // OpenAuthority reads the certificate authority in dir, or creates one there if dir
 // has none. lifetime applies to a new one only.
 func OpenAuthority(dir string, now time.Time, lifetime time.Duration) (*Authority, error) {
-	certFile, keyFile := filepath.Join(dir, AuthorityCert), filepath.Join(dir, AuthorityKeyFile)
+	certFile, keyFile := filepath.Join(dir, AuthorityCertFile), filepath.Join(dir, AuthorityKeyFile)
 	a, err := readAuthority(certFile, keyFile)
 	if !errors.Is(err, os.ErrNotExist) {
 		return a, err
--- a/claims/acquire.go
+++ b/claims/acquire.go
@@ -105,7 +105,7 @@
 	case claim.Refuse:
 		return s.refusalDecision(ctx, r, a)
 	default:
-		return refusedDecision(problem.Of(fmt.Errorf("claim ended with %T", end)))
+		return refusedDecision(problem.FromError(fmt.Errorf("claim ended with %T", end)))
 	}
 }
 
@@ -114,7 +114,7 @@
 func (s *Service) refusalDecision(ctx context.Context, r *acquisition, a claim.Refuse) request.ClaimDecided {
 	e := problem.New(a.Kind, "%s", refusalDetail(a))
 	e.Execution = a.Execution
-	if problem.Lookup(a.Kind).Retry {
+	if problem.Lookup(a.Kind).Retryable {
 		e.RetryAfter = retryAfter
 	}
 	if a.Execution == problem.NotRun && a.Kind != problem.KeyReused {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -274,8 +274,8 @@
 // another host.
 const retryElsewhereAfter = time.Second
 
-// Admittable implements caller.Backend.
-func (d *Daemon) Admittable() *problem.Error {
+// CheckAdmission implements caller.Backend.
+func (d *Daemon) CheckAdmission() *problem.Error {
 	var e *problem.Error
 	switch {
 	case d.draining.Load():
@@ -307,13 +307,13 @@
 	}}
 }
 
-// Refused implements caller.Backend. Refusals that a client can cause without an
+// RecordRefusal implements caller.Backend. Refusals that a client can cause without an
 // API key are only logged and counted, since recording them would let such clients
 // evict the records of other requests.
-func (d *Daemon) Refused(id string, e *problem.Error) {
+func (d *Daemon) RecordRefusal(id string, e *problem.Error) {
 	d.countRefused(e)
 	if e.Kind != problem.Unauthorized && e.Kind != problem.NotFound {
-		d.records.Begin(id).Add(refusalEntry(d.Now(), e))
+		d.records.GetOrCreate(id).Add(refusalEntry(d.Now(), e))
 	}
 	d.log.Info("refused", logging.Request(id), zap.String("kind", string(e.Kind)), zap.String("detail", e.Detail))
 }
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -71,7 +71,7 @@
 		h.Write(sum[:])
 	}
 	return results.Request{
-		Customer: s.sub.Customer.Name, Key: s.sub.Key, Digest: results.Digest(h.Sum(nil)),
+		Customer: s.sub.Customer.Name, Key: s.sub.IdempotencyKey, Digest: results.Digest(h.Sum(nil)),
 	}
 }
 
@@ -102,10 +102,10 @@
 }
 
 func mayHaveKeptResults(sub caller.Submission) bool {
-	if sub.Key == "" {
+	if sub.IdempotencyKey == "" {
 		return false
 	}
-	_, createdAt, err := uuidtime.Parse(sub.Key)
+	_, createdAt, err := uuidtime.Parse(sub.IdempotencyKey)
 	if err != nil || sub.Arrived.Sub(createdAt) < resumeMinKeyAge {
 		return false
 	}
--- a/daemon/loadexchange.go
+++ b/daemon/loadexchange.go
@@ -49,8 +49,8 @@
 	present := make(map[string]bool, len(slots))
 	for _, s := range slots {
 		present[s.Host] = true
-		if s.At.After(lastReceived[s.Host]) {
-			lastReceived[s.Host] = s.At
+		if s.ReceivedAt.After(lastReceived[s.Host]) {
+			lastReceived[s.Host] = s.ReceivedAt
 			newer = append(newer, s)
 		}
 	}
--- a/daemon/loadview_test.go
+++ b/daemon/loadview_test.go
@@ -58,10 +58,10 @@
 	g := NewWithT(t)
 	at := time.Unix(1000, 0)
 	lastReceived := map[string]time.Time{"entry-9": at}
-	slots := []cluster.SlotValue{{Host: "entry-1", At: at}, {Host: "entry-2", At: at}}
+	slots := []cluster.SlotValue{{Host: "entry-1", ReceivedAt: at}, {Host: "entry-2", ReceivedAt: at}}
 	g.Expect(newerSlotValues(slots, lastReceived)).To(HaveLen(2))
 	g.Expect(newerSlotValues(slots, lastReceived)).To(BeEmpty())
-	slots[1].At = at.Add(time.Second)
+	slots[1].ReceivedAt = at.Add(time.Second)
 	g.Expect(newerSlotValues(slots, lastReceived)).To(Equal(slots[1:]))
 	g.Expect(lastReceived).NotTo(HaveKey("entry-9"))
 }
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -79,7 +79,7 @@
 		}
 		e := problem.New(problem.Quarantined, "upstreams ended under its stage %s", stage.Name)
 		e.RetryAfter = v.RetryAfter(d.Now())
-		if s.sub.Key != "" {
+		if s.sub.IdempotencyKey != "" {
 			e.Execution = problem.MayHaveRun
 		}
 		return e
@@ -108,7 +108,7 @@
 	sleptBefore time.Duration
 }
 
-func startCall() callStart { return callStart{clock.Now(), clock.Asleep()} }
+func startCall() callStart { return callStart{clock.Now(), clock.SuspendedTime()} }
 
 // reportCall tells the quarantine service what the end of a call implies about its
 // upstream: that it is alive, or that it broke off the response and may have crashed.
@@ -117,7 +117,7 @@
 	switch {
 	case upstreamAnswered(err):
 		d.quarantine.RunSucceeded(fingerprint)
-	case !httpbody.BrokenOff(err) || clock.Asleep() > start.sleptBefore || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
+	case !httpbody.BrokenOff(err) || clock.SuspendedTime() > start.sleptBefore || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
 		// The call ended without its connection breaking off, or the break has
 		// another cause: this host was asleep, or the upstream is leaving.
 	default:
--- a/daemon/serve.go
+++ b/daemon/serve.go
@@ -20,12 +20,12 @@
 func (d *Daemon) Serve(ctx context.Context, sub caller.Submission, sink caller.Sink) (*request.Answer, *problem.Error) {
 	s := newSession(sub, requestDigest(sub), d.upstreamClients.Load())
 	if e := d.checkQuarantine(ctx, s); e != nil {
-		d.Refused(sub.RequestID, e)
+		d.RecordRefusal(sub.RequestID, e)
 		return nil, e
 	}
 	defer d.returnUnusedTrial(s)
 	d.sessions.insert(s)
-	log := d.records.Begin(sub.RequestID)
+	log := d.records.GetOrCreate(sub.RequestID)
 	log.Add(receiptEntry(sub))
 	spec := requestSpec(sub)
 	spec.StoredResults = d.fetchKeptResults(s)
@@ -48,7 +48,7 @@
 		{Key: "customer", Value: sub.Customer.Name},
 		{Key: "pipeline", Value: sub.Pipeline.Name},
 		{Key: "deadline", Value: sub.Deadline.Sub(sub.Arrived).String()},
-		{Key: "key", Value: sub.Key},
+		{Key: "key", Value: sub.IdempotencyKey},
 		{Key: "stream", Value: strconv.FormatBool(sub.Stream)},
 	}}
 }
@@ -56,7 +56,7 @@
 func requestSpec(sub caller.Submission) request.Spec {
 	spec := request.Spec{
 		ID: sub.RequestID, Customer: sub.Customer.Name, Bundle: sub.Bundle, Pipeline: sub.Pipeline,
-		Arrived: sub.Arrived, Deadline: sub.Deadline, Key: sub.Key, Stream: sub.Stream, Input: sub.Input,
+		Arrived: sub.Arrived, Deadline: sub.Deadline, Key: sub.IdempotencyKey, Stream: sub.Stream, Input: sub.Input,
 	}
 	if sub.Prefix != "" {
 		spec.Prefix = xxhash.Sum64String(sub.Prefix)
--- a/engine/client.go
+++ b/engine/client.go
@@ -33,8 +33,8 @@
 	Content string `json:"content"`
 }
 
-// Generation is one attempt to run a generate stage at an engine.
-type Generation struct {
+// GenerateRequest is one attempt to run a generate stage at an engine.
+type GenerateRequest struct {
 	Address   string
 	Model     string
 	RequestID string
@@ -69,7 +69,7 @@
 // Generate runs a generation and calls onToken for each part of the text as it
 // arrives. The output is complete only if the error is nil. A stream that ends
 // without the [DONE] marker is an error. The error is a *service.Error.
-func (c *Client) Generate(ctx context.Context, g Generation, onToken func(string)) (Output, error) {
+func (c *Client) Generate(ctx context.Context, g GenerateRequest, onToken func(string)) (Output, error) {
 	req, err := newRequest(ctx, g)
 	if err != nil {
 		return Output{}, &service.Error{NotExecuted: true, Err: err}
@@ -98,7 +98,7 @@
 	return out, nil
 }
 
-func newRequest(ctx context.Context, g Generation) (*http.Request, error) {
+func newRequest(ctx context.Context, g GenerateRequest) (*http.Request, error) {
 	body, err := json.Marshal(chatRequest{
 		Model: g.Model, Messages: g.Messages, Stream: true,
 		MaxTokens: g.MaxTokens, Priority: g.Priority, User: g.Customer,
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -44,7 +44,7 @@
 // each non-empty part of the text. The error wraps ErrTruncatedStream,
 // ErrStreamTooLong or service.ErrMismatchedResponse, or says that a chunk is not
 // valid JSON. The output then holds only the number of tokens.
-func readStream(r io.Reader, g Generation, onToken func(string)) (Output, error) {
+func readStream(r io.Reader, g GenerateRequest, onToken func(string)) (Output, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 4<<10), maxLineBytes)
 	var text strings.Builder
@@ -78,7 +78,7 @@
 	return out, ErrTruncatedStream
 }
 
-func decodeChunk(data []byte, g Generation) (string, error) {
+func decodeChunk(data []byte, g GenerateRequest) (string, error) {
 	var part chunk
 	if err := json.Unmarshal(data, &part); err != nil {
 		return "", fmt.Errorf("decode chunk: %w", err)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -66,9 +66,9 @@
 	NoCancellation bool
 	// LoadLag and EventLag are the delays of load reports and cache events.
 	// EventGap is the fraction of cache events that are never published.
-	LoadLag  time.Duration
-	EventLag time.Duration
-	EventGap float64
+	LoadLag        time.Duration
+	EventLag       time.Duration
+	EventLossRatio float64
 	// TimeScale multiplies all durations except the lags.
 	TimeScale float64
 	Seed      uint64
@@ -141,7 +141,7 @@
 		cfg:          cfg,
 		mux:          http.NewServeMux(),
 		ledger:       cfg.Ledger,
-		events:       newEventLog(cfg.EventLag, cfg.EventGap, cfg.Seed),
+		events:       newEventLog(cfg.EventLag, cfg.EventLossRatio, cfg.Seed),
 		loadReporter: standin.NewLoadReporter(cfg.LoadLag, standin.Load{Slots: cfg.Slots, KVTotal: cfg.KVBlocks}),
 		wake:         make(chan struct{}, 1),
 		ctx:          ctx,
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -20,16 +20,16 @@
 	// FreezeMS stops all progress for this many milliseconds, like a paused
 	// process.
 	FreezeMS int64 `json:"freeze_ms,omitempty"`
-	// DropAnswer executes the request, then closes the connection without a
+	// DropResponse executes the request, then closes the connection without a
 	// response.
-	DropAnswer bool `json:"drop_answer,omitempty"`
-	// DuplicateAnswer writes each complete response twice on its connection.
-	DuplicateAnswer bool `json:"duplicate_answer,omitempty"`
-	// WrongAnswer responds with the complete response to the previous request.
-	WrongAnswer bool `json:"wrong_answer,omitempty"`
-	// LateByMS delays each response by this many milliseconds after its
+	DropResponse bool `json:"drop_answer,omitempty"`
+	// DuplicateResponse writes each complete response twice on its connection.
+	DuplicateResponse bool `json:"duplicate_answer,omitempty"`
+	// WrongResponse responds with the complete response to the previous request.
+	WrongResponse bool `json:"wrong_answer,omitempty"`
+	// ResponseDelayMS delays each response by this many milliseconds after its
 	// execution.
-	LateByMS int64 `json:"late_by_ms,omitempty"`
+	ResponseDelayMS int64 `json:"late_by_ms,omitempty"`
 	// Leaving is set in load reports. Requests that still arrive are executed
 	// and marked in the ledger.
 	Leaving bool `json:"leaving,omitempty"`
@@ -148,11 +148,11 @@
 // response. It may close the connection instead of returning.
 func (i *Injector) ApplyResponseFaults(ctx context.Context) {
 	f := i.Get()
-	if f.DropAnswer {
+	if f.DropResponse {
 		AbortConnection()
 	}
-	if f.LateByMS > 0 {
-		Sleep(ctx, time.Duration(f.LateByMS)*time.Millisecond)
+	if f.ResponseDelayMS > 0 {
+		Sleep(ctx, time.Duration(f.ResponseDelayMS)*time.Millisecond)
 	}
 	i.WaitWhileFrozen(ctx)
 	if i.IsDown() {
--- a/internal/standin/responder.go
+++ b/internal/standin/responder.go
@@ -30,8 +30,8 @@
 		return
 	}
 	f := a.faults.Get()
-	body = a.selectBody(body, f.WrongAnswer)
-	if f.DuplicateAnswer {
+	body = a.selectBody(body, f.WrongResponse)
+	if f.DuplicateResponse {
 		writeTwice(w, body)
 		return
 	}
--- a/internal/standin/site/caller.go
+++ b/internal/standin/site/caller.go
@@ -15,21 +15,21 @@
 
 // The path prefixes of the routes in Configuration.
 const (
-	// SealPath requests must run at most once; SafePath requests may be retried.
-	SealPath = "/seal/"
-	SafePath = "/safe/"
+	// UnsafePath requests must run at most once; SafePath requests may be retried.
+	UnsafePath = "/seal/"
+	SafePath   = "/safe/"
 	// StreamPath streams must run at most once; ResumePath streams may resume on
 	// another replica and have stages.
-	StreamPath = "/stream/"
-	ResumePath = "/resume/"
+	StreamPath    = "/stream/"
+	ResumablePath = "/resume/"
 )
 
 // Hostname is the hostname of all routes.
 const Hostname = "api.example"
 
-// Configuration returns a gateway configuration with routes of all types for the
+// GatewayConfig returns a gateway configuration with routes of all types for the
 // services "plain", "llm" and "encode".
-func Configuration(version int, keys []string) map[string]any {
+func GatewayConfig(version int, keys []string) map[string]any {
 	route := func(name, prefix, routeType, service string, attempts int, extra map[string]any) map[string]any {
 		r := map[string]any{
 			"name": name, "hostname": Hostname, "prefix": prefix, "route_type": routeType, "service": service, "attempts": attempts,
@@ -44,10 +44,10 @@
 	return map[string]any{
 		"version": version,
 		"routes": []any{
-			route("seal", SealPath, "unsafe", "plain", 1, nil),
+			route("seal", UnsafePath, "unsafe", "plain", 1, nil),
 			route("safe", SafePath, "safe", "plain", 2, nil),
 			route("stream", StreamPath, "streaming", "llm", 1, nil),
-			route("resume", ResumePath, "streaming", "llm", 2, map[string]any{"resumable": true, "stages": stages}),
+			route("resume", ResumablePath, "streaming", "llm", 2, map[string]any{"resumable": true, "stages": stages}),
 		},
 		"services": []any{
 			map[string]any{"name": "plain", "max_conns": 50},
@@ -63,13 +63,13 @@
 // DefaultFailureDomain is the failure domain of replicas that do not set one.
 const DefaultFailureDomain = "x"
 
-// Entry returns the store entry of a replica.
-func Entry(r *Replica, phase string) map[string]any {
+// StoreEntry returns the store entry of a replica.
+func StoreEntry(r *Replica, phase string) map[string]any {
 	entry := map[string]any{
 		"service": r.Service, "address": r.Address(), "zone": cmp.Or(r.FailureDomain, DefaultFailureDomain), "concurrency": 8, "phase": phase, "seq": 1,
 	}
-	if r.Born > 0 {
-		entry["born"] = r.Born
+	if r.StartUnixMS > 0 {
+		entry["born"] = r.StartUnixMS
 	}
 	return entry
 }
@@ -78,35 +78,35 @@
 type Call struct {
 	ID, Path, Key string
 	Deadline      time.Duration
-	// Pieces are the piece counts of the stages that the request needs; empty for
+	// PieceCounts are the piece counts of the stages that the request needs; empty for
 	// none.
-	Pieces []int
-	// Forge is the name of a header that clients must not set, to be sent with
+	PieceCounts []int
+	// ForgedHeader is the name of a header that clients must not set, to be sent with
 	// ForgedValue; "" for none.
-	Forge string
+	ForgedHeader string
 	// Content is used as the last path element and as the body; "" means the id.
 	// Requests with the same content differ only in their ids.
 	Content string
 }
 
-// Carries returns the content of the request.
-func (c Call) Carries() string {
+// Payload returns the content of the request.
+func (c Call) Payload() string {
 	if c.Content != "" {
 		return c.Content
 	}
 	return c.ID
 }
 
-// Forgeable lists headers that only the gateway may set. Clients forge them with
+// ForgeableHeaders lists headers that only the gateway may set. Clients forge them with
 // the value ForgedValue, so a replica that receives this value knows that the
 // gateway has passed on a client's header.
-var Forgeable = []string{"Kv-Hold", "Kv-From", "Kv-Backup", "Kv-Fetch", "Pin-Ms", "Expected-Version"}
+var ForgeableHeaders = []string{"Kv-Hold", "Kv-From", "Kv-Backup", "Kv-Fetch", "Pin-Ms", "Expected-Version"}
 
 // ForgedValue is the value of forged headers.
 const ForgedValue = "forged"
 
-// Heard is the response that a client received.
-type Heard struct {
+// CallResponse is the response that a client received.
+type CallResponse struct {
 	Status int
 	Body   string
 	// Replica is the id of the replica that signed the response; "" for responses
@@ -116,8 +116,8 @@
 	Err error
 }
 
-// NotRun reports whether the response guarantees that the request was not executed.
-func (h Heard) NotRun() bool {
+// NotExecuted reports whether the response guarantees that the request was not executed.
+func (h CallResponse) NotExecuted() bool {
 	switch h.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return h.Err == nil
@@ -125,30 +125,30 @@
 	return false
 }
 
-// Do sends an attempt to the gateway daemon at address.
-func Do(ctx context.Context, client *http.Client, address string, c Call) Heard {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+c.Path+c.Carries(), bytes.NewReader([]byte(c.Carries())))
+// Send sends an attempt to the gateway daemon at address.
+func Send(ctx context.Context, client *http.Client, address string, c Call) CallResponse {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+c.Path+c.Payload(), bytes.NewReader([]byte(c.Payload())))
 	if err != nil {
-		return Heard{Err: err}
+		return CallResponse{Err: err}
 	}
 	req.Host = Hostname
 	req.Header.Set("Attempt-Id", c.ID)
 	req.Header.Set("X-Api-Key", c.Key)
 	req.Header.Set("Deadline-Ms", strconv.FormatInt(c.Deadline.Milliseconds(), 10))
-	if c.Forge != "" {
-		req.Header.Set(c.Forge, ForgedValue)
+	if c.ForgedHeader != "" {
+		req.Header.Set(c.ForgedHeader, ForgedValue)
 	}
-	if len(c.Pieces) > 0 {
-		req.Header.Set("Piece-Count", strings.Trim(strings.Join(strings.Fields(fmt.Sprint(c.Pieces)), ","), "[]"))
+	if len(c.PieceCounts) > 0 {
+		req.Header.Set("Piece-Count", strings.Trim(strings.Join(strings.Fields(fmt.Sprint(c.PieceCounts)), ","), "[]"))
 		req.Header.Set("Piece-Key", "key-"+c.ID)
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return Heard{Err: err}
+		return CallResponse{Err: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	h := Heard{Status: resp.StatusCode, Body: string(body), Err: err}
+	h := CallResponse{Status: resp.StatusCode, Body: string(body), Err: err}
 	if parts := strings.SplitN(resp.Header.Get("Response-Signature"), ".", 3); len(parts) == 3 {
 		h.Replica = parts[1]
 		if parts[2] != c.ID && err == nil {
@@ -160,18 +160,18 @@
 
 // Check returns what is wrong with a complete successful response, or "" if nothing
 // is. Streams must have the given number of events.
-func (c Call) Check(h Heard, events int) string {
+func (c Call) Check(h CallResponse, events int) string {
 	if h.Err != nil || h.Status != http.StatusOK {
 		return ""
 	}
 	if h.Replica == "" {
 		return "successful response has no signature"
 	}
-	want := Body(h.Replica, c.ID)
-	if c.Path == StreamPath || c.Path == ResumePath {
+	want := PlainBody(h.Replica, c.ID)
+	if c.Path == StreamPath || c.Path == ResumablePath {
 		var b strings.Builder
 		for n := 1; n <= events; n++ {
-			b.WriteString(Event(c.ID, n))
+			b.WriteString(EventText(c.ID, n))
 		}
 		want = b.String()
 	}
--- a/internal/standin/site/execution.go
+++ b/internal/standin/site/execution.go
@@ -32,20 +32,20 @@
 // beginRun records the start of a run.
 func (r *Replica) beginRun(req *http.Request, id, body string) *execution {
 	run := &Run{
-		Request: id, Replica: r.ID, Service: r.Service, Tenant: req.Header.Get("Tenant"), Method: req.Method,
-		Target: req.RequestURI, Body: body, At: time.Now(), Key: req.Header.Get("X-Api-Key") != "", After: req.Header.Get("Last-Event-Id"),
-		CopyFrom: req.Header.Get("Kv-Fetch"),
+		RequestID: id, Replica: r.ID, Service: r.Service, Tenant: req.Header.Get("Tenant"), Method: req.Method,
+		Target: req.RequestURI, Body: body, StartedAt: time.Now(), HasAPIKey: req.Header.Get("X-Api-Key") != "", LastEventID: req.Header.Get("Last-Event-Id"),
+		CacheSource: req.Header.Get("Kv-Fetch"),
 	}
 	e := &execution{replica: r, run: run, promptTokens: promptTokens(req), priority: defaultPriority, finalEnd: Aborted}
 	if p, err := strconv.Atoi(req.Header.Get("Request-Priority")); err == nil {
 		e.priority = p
 	}
-	e.lastEventID, _ = strconv.Atoi(run.After) // 0 if the stream starts at the beginning
+	e.lastEventID, _ = strconv.Atoi(run.LastEventID) // 0 if the stream starts at the beginning
 	r.ledger.recordRun(run)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e.processGeneration = r.crashes
-	r.pruneRuns(run.At.Add(-r.ReportLag))
+	r.pruneRuns(run.StartedAt.Add(-r.ReportLag))
 	r.runs = append(r.runs, e)
 	return e
 }
@@ -66,7 +66,7 @@
 
 // complete records that the run is complete.
 func (e *execution) complete() {
-	e.finalEnd = Complete
+	e.finalEnd = Completed
 	e.recordEnd()
 }
 
--- a/internal/standin/site/ledger.go
+++ b/internal/standin/site/ledger.go
@@ -8,25 +8,25 @@
 
 // Run is an execution of a request on a replica.
 type Run struct {
-	Request string
-	Replica string
-	Service string
-	Tenant  string
-	Method  string
-	Target  string
-	Body    string
-	// Key reports whether the API key of the client was passed on to the replica.
-	Key bool
-	// After is the id of the event after which a stream resumed.
-	After string
-	// At is the start time.
-	At time.Time
-	// CopyFrom is the engine from which the replica was told to copy the KV cache.
-	CopyFrom string
+	RequestID string
+	Replica   string
+	Service   string
+	Tenant    string
+	Method    string
+	Target    string
+	Body      string
+	// HasAPIKey reports whether the API key of the client was passed on to the replica.
+	HasAPIKey bool
+	// LastEventID is the id of the event after which a stream resumed.
+	LastEventID string
+	// StartedAt is the start time.
+	StartedAt time.Time
+	// CacheSource is the engine from which the replica was told to copy the KV cache.
+	CacheSource string
 	// End is how the run ended and Ended when; both are zero while it is in
 	// progress.
-	End   End
-	Ended time.Time
+	End     End
+	EndedAt time.Time
 }
 
 // End is how a run ended.
@@ -34,10 +34,10 @@
 
 // The ends of runs.
 const (
-	// UnderWay runs are in progress.
-	UnderWay End = iota
-	// Complete runs have finished, whether or not the response was delivered.
-	Complete
+	// InProgress runs are in progress.
+	InProgress End = iota
+	// Completed runs have finished, whether or not the response was delivered.
+	Completed
 	// Cancelled runs ended because the host closed the connection.
 	Cancelled
 	// Aborted runs were ended by the behaviour of the replica or with its process.
@@ -54,7 +54,7 @@
 	mu           sync.Mutex
 	runs         []*Run
 	violations   []string
-	reservations Holds
+	reservations ReservationCounts
 	// results maps the handles of results that are not released to the results.
 	results         map[string]stageResult
 	resultsCreated  int
@@ -81,7 +81,7 @@
 func (l *Ledger) recordEnd(r *Run, end End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r.End, r.Ended = end, time.Now()
+	r.End, r.EndedAt = end, time.Now()
 }
 
 func (l *Ledger) recordViolation(format string, args ...any) {
@@ -92,11 +92,11 @@
 
 // Runs returns the runs of a request.
 func (l *Ledger) Runs(request string) []Run {
-	return l.runsWhere(func(r Run) bool { return r.Request == request })
+	return l.runsWhere(func(r Run) bool { return r.RequestID == request })
 }
 
-// RunsOf returns the runs of all requests with the given body.
-func (l *Ledger) RunsOf(body string) []Run {
+// RunsWithBody returns the runs of all requests with the given body.
+func (l *Ledger) RunsWithBody(body string) []Run {
 	return l.runsWhere(func(r Run) bool { return r.Body == body })
 }
 
@@ -112,9 +112,9 @@
 	return runs
 }
 
-// Faults returns the protocol violations that replicas detected in requests, and
+// Violations returns the protocol violations that replicas detected in requests, and
 // failures of the fake itself.
-func (l *Ledger) Faults() []string {
+func (l *Ledger) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.violations...)
--- a/internal/standin/site/replica.go
+++ b/internal/standin/site/replica.go
@@ -30,17 +30,17 @@
 	ID      string
 	Service string
 	Kind    Kind
-	// Born is the start time of the process in Unix milliseconds, for the store
+	// StartUnixMS is the start time of the process in Unix milliseconds, for the store
 	// entry; 0 means that the entry has none.
-	Born int64
+	StartUnixMS int64
 	// FailureDomain is the failure domain of the replica. Default:
 	// DefaultFailureDomain.
 	FailureDomain string
 	// EventsPerStream is the number of events of a stream. Default: 5.
 	EventsPerStream int
-	// Returned, if not nil, is called when the process has restarted, after Born
+	// OnRestart, if not nil, is called when the process has restarted, after Born
 	// was updated.
-	Returned func(*Replica)
+	OnRestart func(*Replica)
 	// ReportLag is the age of the data in engine reports.
 	ReportLag time.Duration
 
@@ -64,7 +64,7 @@
 	// restarted.
 	closed, down bool
 	crashes      int
-	poison       Poison
+	poison       PoisonRequest
 	// unhealthyPeriods are the periods during which the replica was not healthy,
 	// in order.
 	unhealthyPeriods []unhealthyPeriod
@@ -82,12 +82,12 @@
 
 // Arrival is a request or piece call that a replica received.
 type Arrival struct {
-	At time.Time
-	// Request is the request id; "" for a piece call.
-	Request string
-	// Rest is the Retry-After value, in seconds, with which the replica refused the
+	ArrivedAt time.Time
+	// RequestID is the request id; "" for a piece call.
+	RequestID string
+	// RetryAfter is the Retry-After value, in seconds, with which the replica refused the
 	// request; "" if it did not.
-	Rest string
+	RetryAfter string
 }
 
 // unhealthyPeriod is a period during which a replica is not healthy; end is zero
@@ -125,9 +125,9 @@
 	_ = r.server.Close() // errors on closing the connections of a fake do not matter
 }
 
-// CrashUnder makes the process crash on a request body, independently of its
+// SetPoisonRequest makes the process crash on a request body, independently of its
 // Behaviour.
-func (r *Replica) CrashUnder(p Poison) {
+func (r *Replica) SetPoisonRequest(p PoisonRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.poison = p
@@ -172,17 +172,17 @@
 		r.ledger.recordViolation("%s: restart after a crash failed: %v", r.ID, err)
 		return
 	}
-	r.down, r.Born = false, time.Now().UnixMilli()
+	r.down, r.StartUnixMS = false, time.Now().UnixMilli()
 	r.recordHealth()
 	r.startServer(l)
 	r.mu.Unlock()
-	if r.Returned != nil {
-		r.Returned(r)
+	if r.OnRestart != nil {
+		r.OnRestart(r)
 	}
 }
 
-// Behave sets the behaviour.
-func (r *Replica) Behave(b Behaviour) {
+// SetBehaviour sets the behaviour.
+func (r *Replica) SetBehaviour(b Behaviour) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.behaviour = b
@@ -193,7 +193,7 @@
 // events do not make it unhealthy. The caller holds mu.
 func (r *Replica) recordHealth() {
 	b := r.behaviour
-	b.PauseAfterEvents, b.Pause, b.EventEvery = 0, 0, 0
+	b.PauseAfterEvents, b.Pause, b.EventInterval = 0, 0, 0
 	unhealthy := r.down || r.frozen || b != (Behaviour{})
 	last := len(r.unhealthyPeriods) - 1
 	ongoing := last >= 0 && r.unhealthyPeriods[last].end.IsZero()
@@ -238,17 +238,17 @@
 	return r.frozen
 }
 
-// Misbehaved reports whether the replica was ever unhealthy. Pauses and slow events
+// WasUnhealthy reports whether the replica was ever unhealthy. Pauses and slow events
 // do not count.
-func (r *Replica) Misbehaved() bool {
+func (r *Replica) WasUnhealthy() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.unhealthyPeriods) > 0
 }
 
-// WellThrough reports whether the replica was healthy for the whole time between from
+// HealthyThroughout reports whether the replica was healthy for the whole time between from
 // and to.
-func (r *Replica) WellThrough(from, to time.Time) bool {
+func (r *Replica) HealthyThroughout(from, to time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !slices.ContainsFunc(r.unhealthyPeriods, func(s unhealthyPeriod) bool {
@@ -256,35 +256,35 @@
 	})
 }
 
-// NameLimit makes every response advertise the given rate limit verbatim; "" ends
+// AdvertiseRateLimit makes every response advertise the given rate limit verbatim; "" ends
 // that. The replica does not enforce the limit.
-func (r *Replica) NameLimit(perSecond string) {
+func (r *Replica) AdvertiseRateLimit(perSecond string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rateLimit = perSecond
 }
 
-// SayLeaving makes every response advertise that the replica is leaving. The replica
+// AdvertiseLeaving makes every response advertise that the replica is leaving. The replica
 // still serves requests, and its store entry does not change.
-func (r *Replica) SayLeaving() {
+func (r *Replica) AdvertiseLeaving() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = true
 }
 
-// RefuseForRest makes the replica refuse all work with the given Retry-After value in
+// RefuseWithRetryAfter makes the replica refuse all work with the given Retry-After value in
 // seconds, sent verbatim; "" ends that. The replica counts as healthy.
-func (r *Replica) RefuseForRest(seconds string) {
+func (r *Replica) RefuseWithRetryAfter(seconds string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refusalRetryAfter = seconds
 }
 
-// Arrived returns the times at which requests and piece calls arrived, in order.
-func (r *Replica) Arrived() []time.Time {
+// ArrivalTimes returns the times at which requests and piece calls arrived, in order.
+func (r *Replica) ArrivalTimes() []time.Time {
 	var times []time.Time
 	for _, a := range r.Arrivals() {
-		times = append(times, a.At)
+		times = append(times, a.ArrivedAt)
 	}
 	return times
 }
@@ -301,7 +301,7 @@
 func (r *Replica) recordArrival(requestID string) (retryAfter string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.arrivals = append(r.arrivals, Arrival{At: time.Now(), Request: requestID, Rest: r.refusalRetryAfter})
+	r.arrivals = append(r.arrivals, Arrival{ArrivedAt: time.Now(), RequestID: requestID, RetryAfter: r.refusalRetryAfter})
 	return r.refusalRetryAfter
 }
 
@@ -318,8 +318,8 @@
 	}
 }
 
-// Made returns the number of pieces that the replica has executed.
-func (r *Replica) Made() int {
+// PiecesExecuted returns the number of pieces that the replica has executed.
+func (r *Replica) PiecesExecuted() int {
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
 	return r.resultsCreated
@@ -338,7 +338,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.behaviour
-	if b.Pause == 0 && b.Silence == NoStall {
+	if b.Pause == 0 && b.Stall == NoStall {
 		b.PauseAfterEvents, b.Pause = r.pauseAfterEvents, r.pause
 	}
 	return b
@@ -374,14 +374,14 @@
 		return
 	}
 	reserved := r.useReservation(req)
-	if b.RetryAfter != "" && (b.Shed || b.ShedFree) && !reserved {
+	if b.RetryAfter != "" && (b.Shed || b.ShedWithFreeSlots) && !reserved {
 		w.Header().Set("Retry-After", b.RetryAfter)
 	}
 	if b.Shed && !reserved {
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
-	if b.ShedFree && !reserved {
+	if b.ShedWithFreeSlots && !reserved {
 		w.Header().Set("Replica-Load", "1,0,8")
 		refuse(w, http.StatusServiceUnavailable)
 		return
@@ -412,7 +412,7 @@
 	switch {
 	case !isRelease && !isReport && !isReserve:
 		return false
-	case b.NoOrders:
+	case b.NoEngineCalls:
 		w.WriteHeader(http.StatusNotFound)
 	case isReport && b.HangReports:
 		hang(req)
@@ -454,7 +454,7 @@
 	if ms, err := strconv.Atoi(req.Header.Get("Deadline-Ms")); err != nil || ms <= 0 {
 		r.ledger.recordViolation("%s: request %s has invalid deadline %q", r.ID, id, req.Header.Get("Deadline-Ms"))
 	}
-	for _, name := range Forgeable {
+	for _, name := range ForgeableHeaders {
 		if req.Header.Get(name) == ForgedValue {
 			r.ledger.recordViolation("%s: request %s has a forged %s header", r.ID, id, name)
 		}
@@ -464,13 +464,13 @@
 	if r.crashOnPoison(string(body)) {
 		return
 	}
-	if !e.wait(req.Context(), b.Work+time.Duration(promptTokens(req))*b.ReadToken) {
+	if !e.wait(req.Context(), b.ServiceTime+time.Duration(promptTokens(req))*b.PrefillPerToken) {
 		return
 	}
-	if b.CutBefore {
+	if b.AbortBeforeResponse {
 		panic(http.ErrAbortHandler)
 	}
-	if b.ShedSilently {
+	if b.UnavailableAfterRun {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -496,9 +496,9 @@
 	if poison.Body == "" || poison.Body != body {
 		return false
 	}
-	time.Sleep(poison.After)
-	if r.Crash(poison.Down) && poison.Crashed != nil {
-		poison.Crashed(poison.Body)
+	time.Sleep(poison.CrashDelay)
+	if r.Crash(poison.Downtime) && poison.OnCrash != nil {
+		poison.OnCrash(poison.Body)
 	}
 	return true
 }
--- a/internal/standin/site/report.go
+++ b/internal/standin/site/report.go
@@ -15,7 +15,7 @@
 	r.mu.Lock()
 	r.pruneRuns(asOf)
 	for _, e := range r.runs {
-		if e.run.At.After(asOf) {
+		if e.run.StartedAt.After(asOf) {
 			continue
 		}
 		eventID := e.lastEventID
@@ -24,7 +24,7 @@
 				eventID++
 			}
 		}
-		runs = append(runs, []any{e.run.Request, e.promptTokens + eventID, eventID, e.priority})
+		runs = append(runs, []any{e.run.RequestID, e.promptTokens + eventID, eventID, e.priority})
 	}
 	r.mu.Unlock()
 	writeJSON(w, map[string]any{"stage": "colocated", "queued": 0, "active": len(runs), "runs": runs})
--- a/internal/standin/site/reservation.go
+++ b/internal/standin/site/reservation.go
@@ -20,19 +20,19 @@
 	reservationReleased = "dropped"
 )
 
-// Holds counts reservations by outcome. Reservations that are taken but neither
+// ReservationCounts counts reservations by outcome. Reservations that are taken but neither
 // used nor dropped are still held or have expired.
-type Holds struct{ Taken, Used, Dropped, Refused int }
+type ReservationCounts struct{ Granted, Used, Released, Refused int }
 
-// Holds returns the counts of reservations of all replicas.
-func (l *Ledger) Holds() Holds {
+// Reservations returns the counts of reservations of all replicas.
+func (l *Ledger) Reservations() ReservationCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reservations
 }
 
 // countReservations updates the counts of reservations.
-func (l *Ledger) countReservations(change func(*Holds)) {
+func (l *Ledger) countReservations(change func(*ReservationCounts)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.reservations)
@@ -49,8 +49,8 @@
 		refuse(w, http.StatusBadRequest)
 		return
 	}
-	if b.NoHolds || b.Shed || b.ShedFree {
-		r.ledger.countReservations(func(h *Holds) { h.Refused++ })
+	if b.NoReservations || b.Shed || b.ShedWithFreeSlots {
+		r.ledger.countReservations(func(h *ReservationCounts) { h.Refused++ })
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
@@ -58,9 +58,9 @@
 	name := fmt.Sprintf("%s-hold-%d", r.ID, len(r.reservations)+1)
 	r.reservations[name] = &reservation{until: time.Now().Add(time.Duration(call.TTL) * time.Millisecond), state: reservationHeld}
 	r.mu.Unlock()
-	r.ledger.countReservations(func(h *Holds) { h.Taken++ })
+	r.ledger.countReservations(func(h *ReservationCounts) { h.Granted++ })
 	select {
-	case <-time.After(b.HoldWork):
+	case <-time.After(b.ReservationDelay):
 	case <-req.Context().Done():
 	}
 	writeJSON(w, map[string]any{"hold": name})
@@ -79,7 +79,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	r.ledger.countReservations(func(h *Holds) { h.Dropped++ })
+	r.ledger.countReservations(func(h *ReservationCounts) { h.Released++ })
 	w.WriteHeader(http.StatusOK)
 }
 
@@ -104,6 +104,6 @@
 		r.ledger.recordViolation("%s: request %s uses reservation %s, which was %s", r.ID, req.Header.Get("Attempt-Id"), name, state)
 		return false
 	}
-	r.ledger.countReservations(func(h *Holds) { h.Used++ })
+	r.ledger.countReservations(func(h *ReservationCounts) { h.Used++ })
 	return time.Now().Before(h.until)
 }
--- a/internal/standin/site/site_test.go
+++ b/internal/standin/site/site_test.go
@@ -29,7 +29,7 @@
 	r, err := site.StartReplica(ledger, "e1", "llm", site.Engine, "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(r.Close)
-	r.Behave(b)
+	r.SetBehaviour(b)
 	return r, ledger
 }
 
@@ -70,7 +70,7 @@
 func fullStream(id string) string {
 	var b strings.Builder
 	for n := 1; n <= 5; n++ {
-		b.WriteString(site.Event(id, n))
+		b.WriteString(site.EventText(id, n))
 	}
 	return b.String()
 }
@@ -119,10 +119,10 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(first + string(rest)).To(Equal(fullStream("a")))
 		run := ledger.Runs("a")[0]
-		Expect(run.End).To(Equal(site.Complete))
-		Expect(run.Ended.Sub(run.At)).To(BeNumerically(">=", pause))
+		Expect(run.End).To(Equal(site.Completed))
+		Expect(run.EndedAt.Sub(run.StartedAt)).To(BeNumerically(">=", pause))
 		Expect(fetchReport(e)).To(reportRuns())
-		Expect(e.Misbehaved()).To(BeFalse())
+		Expect(e.WasUnhealthy()).To(BeFalse())
 	},
 		Entry("after the response headers, before the first event", 0),
 		Entry("after two events", 2),
@@ -134,12 +134,12 @@
 		_, err := io.ReadAll(generate(context.Background(), e, "a").Body)
 		Expect(err).NotTo(HaveOccurred())
 		run := ledger.Runs("a")[0]
-		Expect(run.Ended.Sub(run.At)).To(BeNumerically(">=", pause))
-		Expect(e.Misbehaved()).To(BeFalse())
+		Expect(run.EndedAt.Sub(run.StartedAt)).To(BeNumerically(">=", pause))
+		Expect(e.WasUnhealthy()).To(BeFalse())
 	})
 
-	DescribeTable("stalls permanently", func(silence site.Silence, wantReport OmegaMatcher, wantEnd site.End) {
-		e, ledger := startEngine(site.Behaviour{PauseAfterEvents: 2, Silence: silence, EventEvery: 10 * time.Millisecond})
+	DescribeTable("stalls permanently", func(silence site.Stall, wantReport OmegaMatcher, wantEnd site.End) {
+		e, ledger := startEngine(site.Behaviour{PauseAfterEvents: 2, Stall: silence, EventInterval: 10 * time.Millisecond})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		body := bufio.NewReader(generate(ctx, e, "a").Body)
@@ -147,20 +147,20 @@
 		time.Sleep(100 * time.Millisecond)
 		reported, err := fetchReport(e)
 		Expect([]any{reported, err}).To(wantReport)
-		Expect(e.Misbehaved()).To(BeTrue())
+		Expect(e.WasUnhealthy()).To(BeTrue())
 		time.AfterFunc(50*time.Millisecond, cancel)
 		_, err = body.ReadByte()
 		Expect(err).To(MatchError(context.Canceled), "no event must arrive until the client disconnects")
 		Eventually(runEnd(ledger, "a"), "1s").Should(Equal(wantEnd))
 	},
-		Entry("in one run, with the process alive", site.StandsStill, HaveExactElements(reportRuns(runEntry("a", 2)), BeNil()), site.Cancelled),
-		Entry("on the connection, with the run completed", site.Muted, HaveExactElements(reportRuns(), BeNil()), site.Complete),
-		Entry("as a frozen process", site.Frozen, HaveExactElements(BeEmpty(), MatchError(context.DeadlineExceeded)), site.Cancelled),
-		Entry("as a frozen process that refuses connections", site.Vanished, HaveExactElements(BeEmpty(), MatchError(syscall.ECONNREFUSED)), site.Cancelled),
+		Entry("in one run, with the process alive", site.RunStalled, HaveExactElements(reportRuns(runEntry("a", 2)), BeNil()), site.Cancelled),
+		Entry("on the connection, with the run completed", site.OutputStalled, HaveExactElements(reportRuns(), BeNil()), site.Completed),
+		Entry("as a frozen process", site.ProcessFrozen, HaveExactElements(BeEmpty(), MatchError(context.DeadlineExceeded)), site.Cancelled),
+		Entry("as a frozen process that refuses connections", site.ProcessUnreachable, HaveExactElements(BeEmpty(), MatchError(syscall.ECONNREFUSED)), site.Cancelled),
 	)
 
 	It("continues to generate events while the connection is stalled", func() {
-		e, _ := startEngine(site.Behaviour{Silence: site.Muted, EventEvery: pause})
+		e, _ := startEngine(site.Behaviour{Stall: site.OutputStalled, EventInterval: pause})
 		generate(context.Background(), e, "a")
 		Eventually(func() (map[string]any, error) { return fetchReport(e) }, "1s").Should(reportRuns(runEntry("a", 3)))
 	})
@@ -180,13 +180,13 @@
 	})
 
 	It("records how runs ended", func() {
-		e, ledger := startEngine(site.Behaviour{CutAfterEvents: 1})
+		e, ledger := startEngine(site.Behaviour{AbortAfterEvents: 1})
 		_, err := io.ReadAll(generate(context.Background(), e, "cut").Body)
 		Expect(err).To(HaveOccurred())
 		Eventually(runEnd(ledger, "cut"), "1s").Should(Equal(site.Aborted))
-		e.Behave(site.Behaviour{Pause: time.Minute})
+		e.SetBehaviour(site.Behaviour{Pause: time.Minute})
 		generate(context.Background(), e, "crashed")
-		Expect(runEnd(ledger, "crashed")()).To(Equal(site.UnderWay))
+		Expect(runEnd(ledger, "crashed")()).To(Equal(site.InProgress))
 		Expect(e.Crash(0)).To(BeTrue())
 		Eventually(runEnd(ledger, "crashed"), "1s").Should(Equal(site.Aborted))
 	})
@@ -202,20 +202,20 @@
 		e, _ := startEngine(site.Behaviour{})
 		began := time.Now()
 		e.PauseStreams(1, pause)
-		Expect(e.WellThrough(began, time.Now())).To(BeTrue())
-		e.Behave(site.Behaviour{Shed: true})
-		Expect(e.WellThrough(began, time.Now())).To(BeFalse())
-		e.Behave(site.Behaviour{})
+		Expect(e.HealthyThroughout(began, time.Now())).To(BeTrue())
+		e.SetBehaviour(site.Behaviour{Shed: true})
+		Expect(e.HealthyThroughout(began, time.Now())).To(BeFalse())
+		e.SetBehaviour(site.Behaviour{})
 		recovered := time.Now()
-		Expect(e.WellThrough(recovered, time.Now())).To(BeTrue())
-		Expect(e.WellThrough(began, time.Now())).To(BeFalse())
+		Expect(e.HealthyThroughout(recovered, time.Now())).To(BeTrue())
+		Expect(e.HealthyThroughout(began, time.Now())).To(BeFalse())
 		Expect(e.Crash(0)).To(BeTrue())
-		Expect(e.WellThrough(recovered, time.Now())).To(BeFalse())
-		Expect(e.Misbehaved()).To(BeTrue())
+		Expect(e.HealthyThroughout(recovered, time.Now())).To(BeFalse())
+		Expect(e.WasUnhealthy()).To(BeTrue())
 	})
 
 	It("responds with 404 to report and reservation calls if it does not support them", func() {
-		e, _ := startEngine(site.Behaviour{NoOrders: true})
+		e, _ := startEngine(site.Behaviour{NoEngineCalls: true})
 		for method, path := range map[string]string{http.MethodGet: "/-/report", http.MethodPost: "/-/hold-take", http.MethodDelete: "/-/hold-drop/x"} {
 			Expect(call(context.Background(), e, method, path, "{}")).To(HaveHTTPStatus(http.StatusNotFound))
 		}
@@ -240,46 +240,46 @@
 	It("are used once, even while the engine sheds load, or released", func() {
 		e, ledger := startEngine(site.Behaviour{})
 		used, released := reserve(e, 1000), reserve(e, 1000)
-		e.Behave(site.Behaviour{Shed: true})
+		e.SetBehaviour(site.Behaviour{Shed: true})
 		Expect(generate(context.Background(), e, "a", "Kv-Hold", used)).To(HaveHTTPBody(fullStream("a")))
 		Expect(release(e, released)).To(HaveHTTPStatus(http.StatusOK))
 		Expect(release(e, released)).To(HaveHTTPStatus(http.StatusNotFound))
 		Expect(release(e, used)).To(HaveHTTPStatus(http.StatusNotFound))
-		Expect(ledger.Holds()).To(Equal(site.Holds{Taken: 2, Used: 1, Dropped: 1}))
-		Expect(ledger.Faults()).To(BeEmpty())
+		Expect(ledger.Reservations()).To(Equal(site.ReservationCounts{Granted: 2, Used: 1, Released: 1}))
+		Expect(ledger.Violations()).To(BeEmpty())
 	})
 
 	It("are held before the engine responds", func() {
-		e, ledger := startEngine(site.Behaviour{HoldWork: time.Minute})
+		e, ledger := startEngine(site.Behaviour{ReservationDelay: time.Minute})
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		_, err := call(ctx, e, http.MethodPost, "/-/hold-take", `{"token_count":10,"ttl_ms":1000}`)
 		Expect(err).To(MatchError(context.DeadlineExceeded))
-		Expect(ledger.Holds()).To(Equal(site.Holds{Taken: 1}))
+		Expect(ledger.Reservations()).To(Equal(site.ReservationCounts{Granted: 1}))
 	})
 
 	It("expire", func() {
 		e, ledger := startEngine(site.Behaviour{})
 		name := reserve(e, 1)
 		time.Sleep(20 * time.Millisecond)
-		e.Behave(site.Behaviour{Shed: true})
+		e.SetBehaviour(site.Behaviour{Shed: true})
 		Expect(generate(context.Background(), e, "a", "Kv-Hold", name)).To(HaveHTTPStatus(http.StatusServiceUnavailable))
-		Expect(ledger.Faults()).To(BeEmpty())
+		Expect(ledger.Violations()).To(BeEmpty())
 	})
 
 	DescribeTable("are refused", func(b site.Behaviour) {
 		e, ledger := startEngine(b)
 		Expect(call(context.Background(), e, http.MethodPost, "/-/hold-take", `{"token_count":10,"ttl_ms":1000}`)).To(HaveHTTPStatus(http.StatusServiceUnavailable))
-		Expect(ledger.Holds()).To(Equal(site.Holds{Refused: 1}))
+		Expect(ledger.Reservations()).To(Equal(site.ReservationCounts{Refused: 1}))
 	},
-		Entry("if the engine refuses reservations", site.Behaviour{NoHolds: true}),
+		Entry("if the engine refuses reservations", site.Behaviour{NoReservations: true}),
 		Entry("if the engine sheds load", site.Behaviour{Shed: true}),
 	)
 
 	DescribeTable("are a protocol violation", func(name func(*site.Replica) string, violation string) {
 		e, ledger := startEngine(site.Behaviour{})
 		_, _ = io.ReadAll(generate(context.Background(), e, "a", "Kv-Hold", name(e)).Body)
-		Expect(ledger.Faults()).To(ConsistOf(ContainSubstring(violation)))
+		Expect(ledger.Violations()).To(ConsistOf(ContainSubstring(violation)))
 	},
 		Entry("that were never granted", func(*site.Replica) string { return "x" }, "never granted"),
 		Entry("that a client forged", func(*site.Replica) string { return site.ForgedValue }, "a forged Kv-Hold"),
--- a/internal/standin/site/store.go
+++ b/internal/standin/site/store.go
@@ -62,8 +62,8 @@
 // work until TakeBack withdraws the order.
 func (s *Store) Evacuate(domain string) { s.Put(evacuatePrefix+domain, map[string]any{}) }
 
-// TakeBack withdraws the evacuation order for a failure domain.
-func (s *Store) TakeBack(domain string) { s.Delete(evacuatePrefix + domain) }
+// CancelEvacuation withdraws the evacuation order for a failure domain.
+func (s *Store) CancelEvacuation(domain string) { s.Delete(evacuatePrefix + domain) }
 
 // Delete deletes a key and leaves a tombstone for watches.
 func (s *Store) Delete(key string) { s.write(item{Key: key, Tombstone: true}) }
@@ -92,22 +92,22 @@
 	s.compactedRevision = s.revision
 }
 
-// Fail makes every call fail with the given status; 0 ends that.
-func (s *Store) Fail(status int) {
+// SetFailure makes every call fail with the given status; 0 ends that.
+func (s *Store) SetFailure(status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failStatus = status
 }
 
-// Delay delays every call by d.
-func (s *Store) Delay(d time.Duration) {
+// SetDelay delays every call by d.
+func (s *Store) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// Calls returns the number of calls so far.
-func (s *Store) Calls() int {
+// CallCount returns the number of calls so far.
+func (s *Store) CallCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
--- a/internal/standin/site/stream.go
+++ b/internal/standin/site/stream.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Event returns event n of the stream for a request.
-func Event(request string, n int) string {
+// EventText returns event n of the stream for a request.
+func EventText(request string, n int) string {
 	return fmt.Sprintf("id: %d\ndata: token %d of %s\n\n", n, n, request)
 }
 
@@ -24,8 +24,8 @@
 	flusher := http.NewResponseController(w)
 	_ = flusher.Flush() // the client may have disconnected
 	interval := defaultEventInterval
-	if b.EventEvery > 0 {
-		interval = b.EventEvery
+	if b.EventInterval > 0 {
+		interval = b.EventInterval
 	}
 	for n := e.lastEventID + 1; n <= r.EventsPerStream; n++ {
 		if n-e.lastEventID-1 == b.PauseAfterEvents && !r.applyStall(ctx, e, b, interval) {
@@ -35,8 +35,8 @@
 			e.stall(ctx)
 			return
 		}
-		text := Event(e.run.Request, n)
-		if b.CutAfterEvents > 0 && n-e.lastEventID > b.CutAfterEvents {
+		text := EventText(e.run.RequestID, n)
+		if b.AbortAfterEvents > 0 && n-e.lastEventID > b.AbortAfterEvents {
 			_, _ = io.WriteString(w, text[:len(text)/2])
 			_ = flusher.Flush()
 			panic(http.ErrAbortHandler)
@@ -60,17 +60,17 @@
 	if b.Pause > 0 && !e.wait(ctx, b.Pause) {
 		return false
 	}
-	switch b.Silence {
+	switch b.Stall {
 	case NoStall:
 		return true
-	case StandsStill:
+	case RunStalled:
 		e.stall(ctx)
-	case Muted:
+	case OutputStalled:
 		e.completeUnsent(ctx, interval)
-	case Frozen:
+	case ProcessFrozen:
 		r.Freeze()
 		e.stall(ctx)
-	case Vanished:
+	case ProcessUnreachable:
 		r.FreezeUnreachable()
 		e.stall(ctx)
 	}
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -29,10 +29,10 @@
 	dropReportInterval = 5 * time.Second
 )
 
-// Bounded is a log that never blocks its writers and limits its volume. Lines over
+// BoundedLog is a log that never blocks its writers and limits its volume. Lines over
 // the rate limit, and lines that find the queue full, are dropped and counted. A
 // later line reports the count.
-type Bounded struct {
+type BoundedLog struct {
 	// Logger writes to the log.
 	Logger *zap.Logger
 	// Level is the minimum level of the lines written. It may be changed at any
@@ -50,15 +50,15 @@
 	stop            chan struct{}
 }
 
-// NewBounded returns a Bounded log that writes lines of at least level ("debug",
+// NewBoundedLog returns a Bounded log that writes lines of at least level ("debug",
 // "info", "warn" or "error") to w until Close. It returns an error for an unknown
 // level.
-func NewBounded(w io.Writer, level string) (*Bounded, error) {
+func NewBoundedLog(w io.Writer, level string) (*BoundedLog, error) {
 	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, fmt.Errorf("log level: %w", err)
 	}
-	b := &Bounded{
+	b := &BoundedLog{
 		Level: zap.NewAtomicLevelAt(minLevel), writer: w, queue: make(chan []byte, queueCapacity),
 		limiter: rate.NewLimiter(maxLinesPerSecond, maxLineBurst), done: make(chan struct{}), stop: make(chan struct{}),
 	}
@@ -68,16 +68,16 @@
 }
 
 // Dropped returns the number of lines dropped since the log was created.
-func (b *Bounded) Dropped() uint64 { return b.dropped.Load() }
+func (b *BoundedLog) Dropped() uint64 { return b.dropped.Load() }
 
 // Close writes the queued lines and stops the log.
-func (b *Bounded) Close() {
+func (b *BoundedLog) Close() {
 	b.once.Do(func() { close(b.stop) })
 	<-b.done
 }
 
 // queueWriter is the io.Writer of the logger. It queues each line or drops it.
-type queueWriter struct{ log *Bounded }
+type queueWriter struct{ log *BoundedLog }
 
 // Write implements io.Writer. It never blocks and never fails.
 func (q queueWriter) Write(line []byte) (int, error) {
@@ -95,7 +95,7 @@
 
 // writeLoop writes the queued lines. Lines that are queued at the same time go out
 // in one write.
-func (b *Bounded) writeLoop() {
+func (b *BoundedLog) writeLoop() {
 	defer close(b.done)
 	var buf bytes.Buffer
 	for {
@@ -114,7 +114,7 @@
 }
 
 // drainQueue moves the queued lines to buf.
-func (b *Bounded) drainQueue(buf *bytes.Buffer) {
+func (b *BoundedLog) drainQueue(buf *bytes.Buffer) {
 	for {
 		select {
 		case line := <-b.queue:
@@ -127,7 +127,7 @@
 
 // reportDropped appends a line with the number of lines dropped since the last such
 // line.
-func (b *Bounded) reportDropped(buf *bytes.Buffer) {
+func (b *BoundedLog) reportDropped(buf *bytes.Buffer) {
 	dropped := b.dropped.Load()
 	now := time.Now()
 	if dropped == b.reportedDropped || now.Sub(b.lastReport) < dropReportInterval {
@@ -139,7 +139,7 @@
 
 // write writes the buffer. A failed write counts as one dropped line and is not
 // retried.
-func (b *Bounded) write(buf *bytes.Buffer) {
+func (b *BoundedLog) write(buf *bytes.Buffer) {
 	if _, err := b.writer.Write(buf.Bytes()); err != nil {
 		b.dropped.Add(1)
 	}
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -34,35 +34,35 @@
 	maxDumpBytes = 64 << 20
 )
 
-// Fleet answers operators' queries about this host and any other host. Its
+// FleetQuerier answers operators' queries about this host and any other host. Its
 // methods are safe for concurrent use.
-type Fleet struct {
-	local    Local
+type FleetQuerier struct {
+	local    LocalDaemon
 	records  *record.Store
 	sections *Sections
 	peers    peer.Caller
 }
 
-// NewFleet returns a Fleet for the daemon local and registers its peer methods
+// NewFleetQuerier returns a Fleet for the daemon local and registers its peer methods
 // with mux.
-func NewFleet(local Local, records *record.Store, sections *Sections, peers peer.Caller, mux *peer.Mux) *Fleet {
-	f := &Fleet{local: local, records: records, sections: sections, peers: peers}
+func NewFleetQuerier(local LocalDaemon, records *record.Store, sections *Sections, peers peer.Caller, mux *peer.Mux) *FleetQuerier {
+	f := &FleetQuerier{local: local, records: records, sections: sections, peers: peers}
 	peer.Handle(mux, methodExplain, f.serveExplain)
 	peer.Handle(mux, methodStatus, f.serveStatus)
 	peer.Handle(mux, methodDump, f.serveDump)
 	return f
 }
 
-func (f *Fleet) serveExplain(_ context.Context, _ peer.Sender, req *wire.ExplainRequest) (*wire.ExplainResponse, error) {
+func (f *FleetQuerier) serveExplain(_ context.Context, _ peer.Sender, req *wire.ExplainRequest) (*wire.ExplainResponse, error) {
 	entries, ok := f.records.Get(req.RequestId)
 	return &wire.ExplainResponse{Found: ok, Entries: entriesToWire(entries)}, nil
 }
 
-func (f *Fleet) serveStatus(context.Context, peer.Sender, *wire.StatusRequest) (*wire.StatusResponse, error) {
+func (f *FleetQuerier) serveStatus(context.Context, peer.Sender, *wire.StatusRequest) (*wire.StatusResponse, error) {
 	return statusToWire(f.local.Status()), nil
 }
 
-func (f *Fleet) serveDump(_ context.Context, _ peer.Sender, req *wire.DumpRequest) (*wire.DumpResponse, error) {
+func (f *FleetQuerier) serveDump(_ context.Context, _ peer.Sender, req *wire.DumpRequest) (*wire.DumpResponse, error) {
 	var buf bytes.Buffer
 	compressor := gzip.NewWriter(&buf)
 	if err := json.NewEncoder(compressor).Encode(f.sections.Dump(req.Section)); err != nil {
@@ -84,7 +84,7 @@
 // Explain returns the decisions about a request, from the local records or from
 // the host that the request ID names. If the ID names no known host, all other
 // hosts are queried. The error wraps ErrUnknownRequest or is that of the call.
-func (f *Fleet) Explain(ctx context.Context, requestID string) (Explanation, error) {
+func (f *FleetQuerier) Explain(ctx context.Context, requestID string) (Explanation, error) {
 	self := f.local.Host()
 	if entries, ok := f.records.Get(requestID); ok {
 		return Explanation{RequestID: requestID, Host: self, Entries: entries}, nil
@@ -100,7 +100,7 @@
 	}
 }
 
-func (f *Fleet) queryExplain(ctx context.Context, host, requestID string) (Explanation, error) {
+func (f *FleetQuerier) queryExplain(ctx context.Context, host, requestID string) (Explanation, error) {
 	ctx, cancel := context.WithTimeout(ctx, hostQueryTimeout)
 	defer cancel()
 	var resp wire.ExplainResponse
@@ -115,7 +115,7 @@
 
 // queryExplainAnyHost queries all other hosts and returns the first explanation
 // that it receives.
-func (f *Fleet) queryExplainAnyHost(ctx context.Context, requestID string) (Explanation, error) {
+func (f *FleetQuerier) queryExplainAnyHost(ctx context.Context, requestID string) (Explanation, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var mu sync.Mutex
@@ -142,7 +142,7 @@
 
 // Statuses returns the status of every host, sorted by host name. For a host
 // that does not respond, only Host and Error are set.
-func (f *Fleet) Statuses(ctx context.Context) []Status {
+func (f *FleetQuerier) Statuses(ctx context.Context) []Status {
 	var mu sync.Mutex
 	statuses := []Status{f.local.Status()}
 	f.forEachOtherHost(func(host string) {
@@ -155,7 +155,7 @@
 	return statuses
 }
 
-func (f *Fleet) queryStatus(ctx context.Context, host string) Status {
+func (f *FleetQuerier) queryStatus(ctx context.Context, host string) Status {
 	ctx, cancel := context.WithTimeout(ctx, hostQueryTimeout)
 	defer cancel()
 	var resp wire.StatusResponse
@@ -168,7 +168,7 @@
 // Dump returns the state dump of a host as JSON. An empty host means this host
 // and an empty section means all sections. The error wraps ErrUnknownHost or is
 // that of the call.
-func (f *Fleet) Dump(ctx context.Context, host, section string) (json.RawMessage, error) {
+func (f *FleetQuerier) Dump(ctx context.Context, host, section string) (json.RawMessage, error) {
 	if host == "" || host == f.local.Host() {
 		return json.Marshal(f.sections.Dump(section))
 	}
@@ -194,7 +194,7 @@
 
 // forEachOtherHost runs query for every other host, for at most
 // maxConcurrentQueries hosts at a time.
-func (f *Fleet) forEachOtherHost(query func(host string)) {
+func (f *FleetQuerier) forEachOtherHost(query func(host string)) {
 	self := f.local.Host()
 	var group errgroup.Group
 	group.SetLimit(maxConcurrentQueries)
--- a/operator/server.go
+++ b/operator/server.go
@@ -29,8 +29,8 @@
 	// Listen is the ip:port that the server listens on.
 	Listen      string
 	Credentials Credentials
-	Local       Local
-	Fleet       *Fleet
+	Local       LocalDaemon
+	Querier     *FleetQuerier
 	// Metrics are the sets that /metrics returns in addition to the process
 	// metrics.
 	Metrics []*metrics.Set
@@ -169,7 +169,7 @@
 // (default: all sections).
 func (s *Server) serveDump(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	dump, err := s.cfg.Fleet.Dump(r.Context(), q.Get("host"), q.Get("section"))
+	dump, err := s.cfg.Querier.Dump(r.Context(), q.Get("host"), q.Get("section"))
 	if err != nil {
 		writeError(w, httpStatus(err), err)
 		return
@@ -183,7 +183,7 @@
 		writeError(w, http.StatusBadRequest, fmt.Errorf("a request id has at most %d bytes", maxRequestIDBytes))
 		return
 	}
-	e, err := s.cfg.Fleet.Explain(r.Context(), id)
+	e, err := s.cfg.Querier.Explain(r.Context(), id)
 	if err != nil {
 		writeError(w, httpStatus(err), err)
 		return
@@ -193,7 +193,7 @@
 
 // serveBundle returns the status of every host.
 func (s *Server) serveBundle(w http.ResponseWriter, r *http.Request) {
-	writeJSON(w, http.StatusOK, s.cfg.Fleet.Statuses(r.Context()))
+	writeJSON(w, http.StatusOK, s.cfg.Querier.Statuses(r.Context()))
 }
 
 func (s *Server) serveDrain(w http.ResponseWriter, r *http.Request) {
--- a/operator/status.go
+++ b/operator/status.go
@@ -40,9 +40,9 @@
 	Error string `json:"error,omitempty"`
 }
 
-// Local is the daemon that the operators' listener belongs to. Its methods must
+// LocalDaemon is the daemon that the operators' listener belongs to. Its methods must
 // be safe for concurrent use.
-type Local interface {
+type LocalDaemon interface {
 	// Host returns the name of the host.
 	Host() string
 	// Status returns the status of the host. It may block briefly while it queries
@@ -96,8 +96,8 @@
 		for _, f := range e.Fields {
 			m.Fields = append(m.Fields, &wire.DecisionField{Key: f.Key, Value: f.Value})
 		}
-		for _, c := range e.Choices {
-			m.Candidates = append(m.Candidates, &wire.DecisionCandidate{Upstream: c.Upstream, Score: c.Score, Refused: c.Refused})
+		for _, c := range e.Candidates {
+			m.Candidates = append(m.Candidates, &wire.DecisionCandidate{Upstream: c.Upstream, Score: c.Score, Refused: c.RefusalReason})
 		}
 		out = append(out, m)
 	}
@@ -115,7 +115,7 @@
 			e.Fields = append(e.Fields, record.Field{Key: f.Key, Value: f.Value})
 		}
 		for _, c := range m.Candidates {
-			e.Choices = append(e.Choices, record.Candidate{Upstream: c.Upstream, Score: c.Score, Refused: c.Refused})
+			e.Candidates = append(e.Candidates, record.Candidate{Upstream: c.Upstream, Score: c.Score, RefusalReason: c.Refused})
 		}
 		out = append(out, e)
 	}
--- a/peer/config.go
+++ b/peer/config.go
@@ -62,8 +62,8 @@
 	// Metrics is the set in which the transport registers its metrics.
 	Metrics *metrics.Set
 
-	// MaxMessage is the maximum size of an encoded envelope in bytes.
-	MaxMessage int
+	// MaxMessageBytes is the maximum size of an encoded envelope in bytes.
+	MaxMessageBytes int
 	// MaxInFlight bounds the calls in flight on one session, in each direction.
 	MaxInFlight int
 	// MaxWaiting bounds the calls that wait until one session has fewer than
@@ -100,7 +100,7 @@
 			*v = d
 		}
 	}
-	orInt(&c.MaxMessage, DefaultMaxMessageBytes)
+	orInt(&c.MaxMessageBytes, DefaultMaxMessageBytes)
 	orInt(&c.MaxInFlight, DefaultMaxInFlight)
 	orInt(&c.MaxWaiting, DefaultMaxWaiting)
 	orInt(&c.MaxHandlers, DefaultMaxHandlers)
--- a/problem/problem.go
+++ b/problem/problem.go
@@ -57,9 +57,9 @@
 	Kind   Kind
 	Status int
 	Title  string
-	// Retry says that a later retry may succeed. The response then has a
+	// Retryable says that a later retry may succeed. The response then has a
 	// Retry-After header if the error sets RetryAfter.
-	Retry bool
+	Retryable bool
 }
 
 // Table has one row for each kind, in the order of the table in docs/API.md.
@@ -130,10 +130,10 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Of returns the *Error in the chain of err. If there is none, it returns an error
+// FromError returns the *Error in the chain of err. If there is none, it returns an error
 // of kind Internal with Execution MayHaveRun, since it is unknown whether a stage
 // has run.
-func Of(err error) *Error {
+func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
 		return e
--- a/record/record.go
+++ b/record/record.go
@@ -18,21 +18,21 @@
 type Candidate struct {
 	Upstream string  `json:"upstream"`
 	Score    float64 `json:"score"`
-	// Refused says which filter excluded the candidate and why. It is empty if no
+	// RefusalReason says which filter excluded the candidate and why. It is empty if no
 	// filter did.
-	Refused string `json:"refused,omitempty"`
+	RefusalReason string `json:"refused,omitempty"`
 }
 
 // Entry is one decision about a request. Choices are the candidates of a routing
 // decision.
 type Entry struct {
-	At      time.Time   `json:"at"`
-	Step    Step        `json:"step"`
-	Stage   string      `json:"stage,omitempty"`
-	Attempt int         `json:"attempt,omitempty"`
-	Outcome string      `json:"outcome"`
-	Fields  []Field     `json:"fields,omitempty"`
-	Choices []Candidate `json:"candidates,omitempty"`
+	At         time.Time   `json:"at"`
+	Step       Step        `json:"step"`
+	Stage      string      `json:"stage,omitempty"`
+	Attempt    int         `json:"attempt,omitempty"`
+	Outcome    string      `json:"outcome"`
+	Fields     []Field     `json:"fields,omitempty"`
+	Candidates []Candidate `json:"candidates,omitempty"`
 }
 
 // Recorder receives the decisions about one request. Its callers must not call it
--- a/record/store.go
+++ b/record/store.go
@@ -83,9 +83,9 @@
 	return s
 }
 
-// Begin returns the Log of the request with the given ID and creates an empty one
+// GetOrCreate returns the Log of the request with the given ID and creates an empty one
 // if the store has none.
-func (s *Store) Begin(id string) *Log {
+func (s *Store) GetOrCreate(id string) *Log {
 	sh := s.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -184,8 +184,8 @@
 	for _, f := range e.Fields {
 		n += fieldOverhead + len(f.Key) + len(f.Value)
 	}
-	for _, c := range e.Choices {
-		n += fieldOverhead + len(c.Upstream) + len(c.Refused)
+	for _, c := range e.Candidates {
+		n += fieldOverhead + len(c.Upstream) + len(c.RefusalReason)
 	}
 	return n
 }
--- a/service/client.go
+++ b/service/client.go
@@ -39,9 +39,9 @@
 	Attempt   int
 	Customer  string
 	Stage     string
-	// Key, if set, is sent as the Idempotency-Key header.
-	Key   string
-	Input json.RawMessage
+	// IdempotencyKey, if set, is sent as the Idempotency-Key header.
+	IdempotencyKey string
+	Input          json.RawMessage
 	// NotAfter is the time from which the call must no longer be sent. It is
 	// checked right before the call is sent.
 	NotAfter time.Time
@@ -130,8 +130,8 @@
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(httpbody.HeaderRequestID, call.RequestID)
 	req.Header.Set(httpbody.HeaderAttempt, strconv.Itoa(call.Attempt))
-	if call.Key != "" {
-		req.Header.Set("Idempotency-Key", call.Key)
+	if call.IdempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", call.IdempotencyKey)
 	}
 	return req, nil
 }
@@ -158,25 +158,25 @@
 	return response.Result, nil
 }
 
-// StatusState is the state of a call as its service reports it.
-type StatusState string
+// CallState is the state of a call as its service reports it.
+type CallState string
 
 // The states of a call.
 const (
-	StatusUnknown StatusState = "unknown"
-	StatusRunning StatusState = "running"
-	StatusDone    StatusState = "done"
+	StatusUnknown CallState = "unknown"
+	StatusRunning CallState = "running"
+	StatusDone    CallState = "done"
 )
 
 // Status is a service's response to a status query for a call.
 type Status struct {
-	State  StatusState     `json:"state"`
+	State  CallState       `json:"state"`
 	Result json.RawMessage `json:"result"`
 }
 
-// LookUp queries the service at address for the status of the call with the given
+// LookUpStatus queries the service at address for the status of the call with the given
 // idempotency key.
-func (c *Client) LookUp(ctx context.Context, address, key string) (Status, error) {
+func (c *Client) LookUpStatus(ctx context.Context, address, key string) (Status, error) {
 	target := "http://" + address + "/v1/status/" + url.PathEscape(key)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
