--- a/claims/acquire.go
+++ b/claims/acquire.go
@@ -14,7 +14,7 @@
 
 const (
 	// retryBackoffMin and retryBackoffMax bound the wait between two rounds of
-	// an acquisition, and between two tries of a release or a store.
+	// an acquisition, and between two attempts at a release or a store.
 	retryBackoffMin = 5 * time.Millisecond
 	retryBackoffMax = 200 * time.Millisecond
 	// holderCallTimeout bounds the wait for one holder's reply in one round.
--- a/claims/codec.go
+++ b/claims/codec.go
@@ -40,7 +40,7 @@
 	return claim.Owner{Host: o.GetHost(), Incarnation: o.GetIncarnation(), Request: o.GetRequest()}
 }
 
-// decodeDigest accepts an empty digest, since some replies carry none.
+// decodeDigest accepts an empty digest, since some replies have none.
 func decodeDigest(b []byte) (claim.Digest, error) {
 	if len(b) == 0 {
 		return claim.Digest{}, nil
@@ -65,14 +65,14 @@
 	return time.UnixMicro(us)
 }
 
-func encodeAsk(a claim.Acquire) *wire.ClaimAsk {
+func encodeAcquire(a claim.Acquire) *wire.ClaimAsk {
 	return &wire.ClaimAsk{
 		Key: encodeKey(a.Key), Owner: encodeOwner(a.Owner), Digest: a.Digest[:],
 		Round: a.Round, Epoch: a.Epoch, ArrivedUnixUs: encodeTime(a.Arrived),
 	}
 }
 
-func decodeAsk(m *wire.ClaimAsk) (claim.Acquire, error) {
+func decodeAcquire(m *wire.ClaimAsk) (claim.Acquire, error) {
 	key, err := decodeKey(m.Key)
 	if err != nil {
 		return claim.Acquire{}, err
--- a/claims/fleet_test.go
+++ b/claims/fleet_test.go
@@ -98,11 +98,11 @@
 	}
 }
 
-func (f *testFleet) setPartitioned(cut bool, names ...string) {
+func (f *testFleet) setPartitioned(partitioned bool, names ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range names {
-		f.partitioned[n] = cut
+		f.partitioned[n] = partitioned
 	}
 }
 
@@ -129,13 +129,13 @@
 }
 
 // Call delivers a request to a host, unless the request or its reply is dropped.
-func (l *hostCaller) Call(ctx context.Context, host, method string, req, resp proto.Message) error {
-	sender := peer.Sender{Host: l.from, Incarnation: l.incarnation}
-	if l.fleet.messageLost(l.from, host) {
+func (c *hostCaller) Call(ctx context.Context, host, method string, req, resp proto.Message) error {
+	sender := peer.Sender{Host: c.from, Incarnation: c.incarnation}
+	if c.fleet.messageLost(c.from, host) {
 		return errMessageLost
 	}
-	out, err := l.fleet.service(host).dispatch(ctx, sender, req)
-	if err != nil || l.fleet.messageLost(host, l.from) {
+	out, err := c.fleet.service(host).dispatch(ctx, sender, req)
+	if err != nil || c.fleet.messageLost(host, c.from) {
 		return errors.Join(err, errMessageLost)
 	}
 	proto.Merge(resp, out)
@@ -145,7 +145,7 @@
 func (s *Service) dispatch(ctx context.Context, from peer.Sender, req proto.Message) (proto.Message, error) {
 	switch m := req.(type) {
 	case *wire.ClaimAsk:
-		return s.serveAsk(ctx, from, m)
+		return s.serveAcquire(ctx, from, m)
 	case *wire.ClaimRelease:
 		return s.serveRelease(ctx, from, m)
 	case *wire.ClaimVoid:
--- a/claims/run.go
+++ b/claims/run.go
@@ -113,7 +113,7 @@
 	defer cancel()
 	out := holderAnswer{holder: a.Holder, round: a.Acquire.Round}
 	var resp wire.ClaimReply
-	out.err = r.service.cfg.Caller.Call(callCtx, a.Holder, methodAsk, encodeAsk(a.Acquire), &resp)
+	out.err = r.service.cfg.Caller.Call(callCtx, a.Holder, methodAcquire, encodeAcquire(a.Acquire), &resp)
 	if out.err == nil {
 		out.reply, out.err = decodeReply(a.Holder, &resp)
 	}
@@ -218,7 +218,7 @@
 		select {
 		case r := <-replies:
 			for _, action := range o.claim.HandleStoreReply(r) {
-				if _, kept := action.(claim.ResultStored); kept {
+				if _, stored := action.(claim.ResultStored); stored {
 					return nil
 				}
 			}
--- a/claims/serve.go
+++ b/claims/serve.go
@@ -11,7 +11,7 @@
 
 // RPC methods between daemons.
 const (
-	methodAsk     = "claim.ask"
+	methodAcquire = "claim.ask"
 	methodRelease = "claim.release"
 	methodVoid    = "claim.void"
 	methodStore   = "claim.store"
@@ -22,7 +22,7 @@
 var errNoHostList = errors.New("no host list is in force yet")
 
 func (s *Service) register(mux *peer.Mux) {
-	peer.Handle(mux, methodAsk, s.serveAsk)
+	peer.Handle(mux, methodAcquire, s.serveAcquire)
 	peer.Handle(mux, methodRelease, s.serveRelease)
 	peer.Handle(mux, methodVoid, s.serveVoid)
 	peer.Handle(mux, methodStore, s.serveStore)
@@ -52,16 +52,16 @@
 	return o.Host == from.Host && o.Incarnation == from.Incarnation
 }
 
-func (s *Service) serveAsk(_ context.Context, from peer.Sender, m *wire.ClaimAsk) (*wire.ClaimReply, error) {
-	ask, err := decodeAsk(m)
+func (s *Service) serveAcquire(_ context.Context, from peer.Sender, m *wire.ClaimAsk) (*wire.ClaimReply, error) {
+	acquire, err := decodeAcquire(m)
 	if err != nil {
 		return nil, err
 	}
-	if !sentByOwner(from, ask.Owner) {
+	if !sentByOwner(from, acquire.Owner) {
 		return nil, errMalformed
 	}
-	return s.withKeyHolder(ask.Key, func(h *claim.Holder, env claim.Env) claim.Reply {
-		return h.Acquire(env, ask)
+	return s.withKeyHolder(acquire.Key, func(h *claim.Holder, env claim.Env) claim.Reply {
+		return h.Acquire(env, acquire)
 	})
 }
 
--- a/claims/service.go
+++ b/claims/service.go
@@ -42,8 +42,8 @@
 	Caller  Caller
 	Now     func() time.Time
 	// ClockAndViewsTrusted reports whether this host's clock agrees with its
-	// peers' clocks and its views have been renewed since the process was last
-	// paused.
+	// peers' clocks and its membership views have been renewed since the last
+	// pause of the process.
 	ClockAndViewsTrusted func() bool
 	// OwnerUnavailable reports whether a process of a host has ended or does not
 	// answer. Requests then no longer wait for the keys that it has claimed.
--- a/cluster/cluster.go
+++ b/cluster/cluster.go
@@ -20,7 +20,7 @@
 
 // Platform is the part of the platform's API that a cluster reads.
 type Platform interface {
-	// Read returns the bundle's value, or platform.ErrUnchanged if its revision is not
+	// ReadBundle returns the bundle's value, or platform.ErrUnchanged if its revision is not
 	// above after. With after 0 it returns any revision.
 	ReadBundle(ctx context.Context, after uint64) (platform.Value, error)
 	Hosts(ctx context.Context) (platform.HostList, error)
@@ -39,7 +39,7 @@
 	Seed uint64
 }
 
-// Cluster is this daemon's view of the fleet: its membership and the bundle in force.
+// Cluster is this daemon's view of the fleet: its membership and the active bundle.
 // All methods are safe for concurrent use. The On methods must be called before Run.
 type Cluster struct {
 	cfg   Config
@@ -51,8 +51,8 @@
 	hosts    hostAddresses
 	slots    slotTable
 
-	inForce atomic.Pointer[rollout.ActiveBundle]
-	ready   atomic.Bool
+	activeBundle atomic.Pointer[rollout.ActiveBundle]
+	ready        atomic.Bool
 
 	onBundle  []func(*bundle.Bundle)
 	onLeaving []func([]string)
@@ -60,7 +60,8 @@
 	onSlot    map[member.SlotID]func(member.SlotReceived)
 }
 
-// New returns a cluster that has not started, and registers its methods in cfg.Mux. The error names an invalid extension of cfg.Member.
+// New returns a cluster that has not started, and registers its methods in cfg.Mux. The
+// error names an invalid extension of cfg.Member.
 func New(cfg Config) (*Cluster, error) {
 	if cfg.Seed == 0 {
 		cfg.Seed = rand.Uint64()
@@ -78,8 +79,8 @@
 	return c, nil
 }
 
-// maxBundleMarkBytes bounds the encoded bundle mark in the heartbeats, which names the
-// bundle in force at the sender.
+// maxBundleMarkBytes bounds the encoded bundle mark in the heartbeats, which identifies
+// the active bundle of the sender.
 const maxBundleMarkBytes = 40
 
 // Run runs membership, the bundle rollout and the reading of the host list until ctx
@@ -93,8 +94,8 @@
 	return group.Wait()
 }
 
-// OnBundle registers f to be called with every bundle that comes into force, before
-// Bundle returns it. f is called by one goroutine at a time, with rising versions.
+// OnBundle registers f to be called with every bundle that becomes active, before Bundle
+// returns it. f is called by one goroutine at a time, with rising versions.
 func (c *Cluster) OnBundle(f func(*bundle.Bundle)) { c.onBundle = append(c.onBundle, f) }
 
 // OnLeaving registers f to be called with the full list of leaving upstreams whenever
@@ -115,10 +116,10 @@
 	c.onSlot[id] = f
 }
 
-// Bundle returns the bundle in force, or nil. A bundle is immutable: a request keeps
+// Bundle returns the active bundle, or nil. A bundle is immutable: a request keeps
 // the one it was admitted under.
 func (c *Cluster) Bundle() *bundle.Bundle {
-	if f := c.inForce.Load(); f != nil {
+	if f := c.activeBundle.Load(); f != nil {
 		return f.Bundle
 	}
 	return nil
@@ -134,15 +135,16 @@
 // slice must not be changed.
 func (c *Cluster) LeavingUpstreams() []string { return c.members.View().Leaving }
 
-// Ready reports whether this daemon may accept requests: it holds the newest bundle it
+// Ready reports whether this daemon may accept requests: it has the newest bundle it
 // could learn of, the bundle lists its host, its membership views have been renewed
-// since its start or last pause, and no later process of its host is running.
+// since the start or last pause of the process, and no later process of its host is
+// running.
 func (c *Cluster) Ready() bool {
 	v := c.members.View()
 	return c.ready.Load() && v.Fresh && !v.Superseded && c.hostInBundle()
 }
 
-// hostInBundle reports whether the bundle in force lists this host.
+// hostInBundle reports whether the active bundle lists this host.
 func (c *Cluster) hostInBundle() bool {
 	b := c.Bundle()
 	if b == nil {
@@ -156,8 +158,8 @@
 	return false
 }
 
-// Fresh reports whether the membership views have been renewed since the start or the
-// last pause.
+// Fresh reports whether the membership views have been renewed since the start or last
+// pause of the process.
 func (c *Cluster) Fresh() bool { return c.members.View().Fresh }
 
 // Skewed reports whether this host's clock is too far from the median of its peers'
@@ -196,8 +198,9 @@
 
 type platformCalls = platform.Calls
 
-// Dump returns the state of the cluster. It waits for the two loops, at most until ctx
-// ends; the part of a loop that has not answered by then is empty.
+// Dump returns the state of the cluster. It waits for the loops of membership and of the
+// rollout, at most until ctx ends; the part of a loop that has not answered by then is
+// empty.
 func (c *Cluster) Dump(ctx context.Context) Dump {
 	d := Dump{Ready: c.Ready(), HostInBundle: c.hostInBundle(), HostList: c.hosts.dump()}
 	if p, ok := c.cfg.Platform.(*platform.Client); ok {
--- a/cluster/cluster_test.go
+++ b/cluster/cluster_test.go
@@ -154,7 +154,7 @@
 	}, within, 20*time.Millisecond).Should(BeTrue())
 }
 
-func inForce(version uint64) func(*daemon) bool {
+func hasActiveBundle(version uint64) func(*daemon) bool {
 	return func(d *daemon) bool { return d.Ready() && d.Bundle().Version == version }
 }
 
@@ -164,15 +164,15 @@
 		f = newFleet(5)
 		Expect(f.daemons[0].Ready()).To(BeFalse())
 		f.publishBundle(1)
-		f.eventuallyAll(15*time.Second, inForce(1))
+		f.eventuallyAll(15*time.Second, hasActiveBundle(1))
 	})
 
-	It("puts rising versions into force at every daemon and leaves earlier snapshots unchanged", func() {
+	It("activates rising versions at every daemon and leaves earlier snapshots unchanged", func() {
 		snapshot := f.daemons[2].Bundle()
 		f.publishBundle(2)
-		f.eventuallyAll(10*time.Second, inForce(2))
+		f.eventuallyAll(10*time.Second, hasActiveBundle(2))
 		f.publishBundle(3)
-		f.eventuallyAll(10*time.Second, inForce(3))
+		f.eventuallyAll(10*time.Second, hasActiveBundle(3))
 		Expect(snapshot.Version).To(Equal(uint64(1)))
 		for _, d := range f.daemons {
 			last := uint64(0)
@@ -186,7 +186,7 @@
 
 	It("brings a restarted daemon up to date from its peers while the configuration service is stale", func() {
 		f.publishBundle(2)
-		f.eventuallyAll(10*time.Second, inForce(2))
+		f.eventuallyAll(10*time.Second, hasActiveBundle(2))
 		// The service returns to an old value, under a new revision.
 		f.publishBundle(1)
 		address := f.addresses[1]
@@ -194,7 +194,7 @@
 		d := f.start(1, address)
 		Eventually(d.Ready, 10*time.Second, 20*time.Millisecond).Should(BeTrue())
 		Expect(d.Bundle().Version).To(Equal(uint64(2)))
-		f.eventuallyAll(5*time.Second, inForce(2))
+		f.eventuallyAll(5*time.Second, hasActiveBundle(2))
 	})
 
 	It("marks a stopped daemon as dead and its replacement as alive", func() {
--- a/cluster/hosts.go
+++ b/cluster/hosts.go
@@ -109,8 +109,8 @@
 
 // hostListDelay returns a random delay until the next read, for a fleet with the given
 // number of live hosts.
-func hostListDelay(living int) time.Duration {
-	mean := max(hostListMinInterval, time.Duration(living)*hostListFleetInterval)
+func hostListDelay(liveCount int) time.Duration {
+	mean := max(hostListMinInterval, time.Duration(liveCount)*hostListFleetInterval)
 	return mean/2 + rand.N(mean)
 }
 
@@ -132,7 +132,7 @@
 		}
 	}
 	// Until there is a bundle, the host list defines the members.
-	c.members.PostIf(func() bool { return c.inForce.Load() == nil }, entries)
+	c.members.PostIf(func() bool { return c.activeBundle.Load() == nil }, entries)
 	c.members.Post(e)
 	return nil
 }
--- a/cluster/rollouts.go
+++ b/cluster/rollouts.go
@@ -101,13 +101,14 @@
 		log.Error("bundle conflict", zap.Stringer("source", a.Source), zap.Uint64("version", a.Version),
 			digestField("in_force", a.ActiveDigest), digestField("other", a.OtherDigest))
 	case rollout.ServiceStale:
-		log.Warn("configuration service serves an older version than the one in force", zap.Uint64("served", a.ServedVersion), zap.Uint64("in_force", a.ActiveVersion))
+		log.Warn("configuration service serves an older version than the active one", zap.Uint64("served", a.ServedVersion), zap.Uint64("in_force", a.ActiveVersion))
 	case rollout.BecameReady:
 		log.Info("configuration ready", zap.Bool("alone", a.Unconfirmed))
 	}
 }
 
-// adopt puts a bundle into force. Callbacks are called before Bundle returns it.
+// adopt makes a bundle the active one. The OnBundle callbacks are called before Bundle
+// returns it.
 func (l *rolloutLoop) adopt(a rollout.Adopt) {
 	b := a.Active.Bundle
 	l.cluster.log.Info("bundle adopted", zap.Uint64("version", b.Version), zap.Stringer("source", a.Source))
@@ -115,7 +116,7 @@
 	for _, f := range l.cluster.onBundle {
 		f(b)
 	}
-	l.cluster.inForce.Store(a.Active)
+	l.cluster.activeBundle.Store(a.Active)
 	l.cluster.members.Post(membershipConfig(b))
 }
 
@@ -172,17 +173,17 @@
 	})
 }
 
-// handle registers the bundle methods. They read the snapshot of the bundle in force
-// and do not go through the loop.
+// handle registers the bundle methods. They read the snapshot of the active bundle and
+// do not go through the loop.
 func (l *rolloutLoop) handle(mux *peer.Mux) {
 	peer.Handle(mux, methodManifest, func(context.Context, peer.Sender, *wire.BundleManifestRequest) (*wire.BundleManifest, error) {
-		if f := l.cluster.inForce.Load(); f != nil {
+		if f := l.cluster.activeBundle.Load(); f != nil {
 			return f.Manifest(), nil
 		}
 		return nil, errNoBundle
 	})
 	peer.Handle(mux, methodParts, func(_ context.Context, _ peer.Sender, req *wire.BundlePartsRequest) (*wire.BundleParts, error) {
-		if f := l.cluster.inForce.Load(); f != nil {
+		if f := l.cluster.activeBundle.Load(); f != nil {
 			return f.Parts(req), nil
 		}
 		return nil, errNoBundle
--- a/daemon/call.go
+++ b/daemon/call.go
@@ -109,17 +109,17 @@
 	}
 }
 
-// enginePriority returns the priority that has an engine order its queue by
-// earliest deadline first: the sooner a generation must start, the higher. The
-// priority is the negated latest start time in Unix milliseconds, so that calls of
-// all daemons are comparable, whenever they were sent; a clock difference between
-// daemons shifts a call by as much. The priority is 0, which is left out of the
-// call, for engines that do not support priorities.
-func enginePriority(p bundle.Pool, startBy time.Time) int {
+// enginePriority returns the priority that makes an engine order its queue by
+// earliest deadline first: the sooner a call must start, the higher. The priority is
+// the negated latest start time in Unix milliseconds, so that the calls of all
+// daemons are comparable, whenever they were sent. A clock difference between two
+// daemons shifts their calls by that difference. The priority is 0, which is omitted
+// from the call, for engines that do not support priorities.
+func enginePriority(p bundle.Pool, latestStart time.Time) int {
 	if !p.Supports.Priority {
 		return 0
 	}
-	return -int(startBy.UnixMilli())
+	return -int(latestStart.UnixMilli())
 }
 
 // callEnded converts the error of a client to the result of a call.
--- a/daemon/call_test.go
+++ b/daemon/call_test.go
@@ -12,7 +12,7 @@
 var _ = Describe("Engine priority", func() {
 	soon := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-	It("is higher for a generation that must start sooner", func() {
+	It("is higher for a call that must start sooner", func() {
 		p := bundle.Pool{Supports: bundle.Supports{Priority: true}}
 		Expect(enginePriority(p, soon)).To(BeNumerically(">", enginePriority(p, soon.Add(time.Millisecond))))
 	})
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -59,12 +59,13 @@
 }
 
 // clockAndViewsTrusted reports whether this host's clock agrees with its peers'
-// clocks and its views have been renewed since the process was last paused.
+// clocks and its membership views have been renewed since the last pause of the
+// process.
 func (d *Daemon) clockAndViewsTrusted() bool { return d.cluster.Fresh() && !d.cluster.Skewed() }
 
 // ownerUnavailable reports whether a process of a host has ended or does not answer
-// probes. A request that waits for such a process is refused now instead of at its
-// deadline. A leaving process is available, since it completes its requests.
+// probes. A request that waits for a key of such a process is refused at once instead
+// of at its deadline. A leaving process is available, since it completes its requests.
 func (d *Daemon) ownerUnavailable(host string, incarnation uint64) bool {
 	return processUnavailable(d.cluster.Members(), host, incarnation)
 }
--- a/daemon/claims_test.go
+++ b/daemon/claims_test.go
@@ -8,9 +8,9 @@
 	"github.com/wheatseam/wheatseam/core/member"
 )
 
-// TestProcessUnavailable guards against giving up too early or too late on the owner
-// of a key: a request waits for the result of another request with the same key as
-// long as the other's process answers, also while that process is leaving.
+// TestProcessUnavailable guards against treating the owner of a key as unavailable too
+// early or too late: a request waits for the result of another request with the same key
+// as long as the process of the other request answers, also while it is leaving.
 func TestProcessUnavailable(t *testing.T) {
 	g := NewWithT(t)
 	const started = 7
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -55,20 +55,20 @@
 	draining             atomic.Bool
 	activeCallerRequests atomic.Int64 // requests of callers being served
 
-	requestTable    *request.Table
-	sessions        sessionTable
-	decisionDeps    request.Deps
-	router          *route.Router
-	loads           *loadView
-	admitter        *admit.Controller
-	shares          *shares.Service
-	budgets         retry.Budgets
-	breakers        *breaker.Set
-	records         *record.Store
-	keptResults     *results.Service
-	keptResultStore *results.Store
-	claims          *claims.Service
-	claimsReady     atomic.Bool
+	requestTable  *request.Table
+	sessions      sessionTable
+	decisionDeps  request.Deps
+	router        *route.Router
+	loads         *loadView
+	admitter      *admit.Controller
+	shares        *shares.Service
+	budgets       retry.Budgets
+	breakers      *breaker.Set
+	records       *record.Store
+	resultService *results.Service
+	resultStore   *results.Store
+	claims        *claims.Service
+	claimsReady   atomic.Bool
 
 	incarnation     uint64 // start time of the process in Unix milliseconds
 	cluster         *cluster.Cluster
@@ -79,7 +79,7 @@
 	peerTransport   *peer.Transport
 	dumpSections    *operator.Sections
 	operatorServer  *operator.Server
-	// startDrain makes Run drain and return. Run sets it.
+	// startDrain makes Run drain and return. It is set by Run.
 	startDrain context.CancelFunc
 	// bundleAppliers are given every bundle that becomes active, in this order.
 	bundleAppliers []bundleApplier
@@ -102,7 +102,7 @@
 	}
 	d.addQuarantine()
 	d.addClaims()
-	d.addKeptResults()
+	d.addStoredResults()
 	return d, nil
 }
 
@@ -129,7 +129,7 @@
 	group.Go(func() error { clock.Watch(backgroundCtx); return nil })
 	group.Go(func() error { d.quarantine.Run(backgroundCtx); return nil })
 	group.Go(func() error { d.claims.Run(backgroundCtx); return nil })
-	group.Go(func() error { d.expireKeptResults(backgroundCtx); return nil })
+	group.Go(func() error { d.expireStoredResults(backgroundCtx); return nil })
 	group.Go(func() error { d.loads.Run(backgroundCtx); return nil })
 	group.Go(func() error { d.exchangeLoads(backgroundCtx); return nil })
 	<-ctx.Done()
--- a/daemon/loadexchange.go
+++ b/daemon/loadexchange.go
@@ -62,8 +62,8 @@
 	return newer
 }
 
-// liveMembers returns the living members and this host. Suspected members count as
-// living, since most of them are only slow.
+// liveMembers returns the live members and this host. Suspected members count as live,
+// since most of them are only slow.
 func liveMembers(members []member.Member, self, domain string) []load.Host {
 	hosts := make([]load.Host, 0, len(members)+1)
 	found := false
--- a/daemon/loadview_test.go
+++ b/daemon/loadview_test.go
@@ -34,8 +34,8 @@
 	g.Expect(said).To(Equal([]bool{true, false}))
 }
 
-// TestLiveMembers checks that living and suspected members divide the polls among
-// them, and that this host always takes part.
+// TestLiveMembers checks that live and suspected members divide the polls among them,
+// and that this host always takes part.
 func TestLiveMembers(t *testing.T) {
 	g := NewWithT(t)
 	var members []member.Member
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -53,10 +53,10 @@
 	return nil
 }
 
-// operatorLocal implements operator.Local for a daemon.
+// operatorLocal implements operator.LocalDaemon for a daemon.
 type operatorLocal struct{ daemon *Daemon }
 
-// Status implements operator.Local.
+// Status implements operator.LocalDaemon.
 func (l operatorLocal) Status() operator.Status {
 	d := l.daemon
 	st := operator.Status{
@@ -84,17 +84,17 @@
 	return fmt.Sprintf("%016x", r.Digest), r.Source, since
 }
 
-// Drain implements operator.Local.
+// Drain implements operator.LocalDaemon.
 func (l operatorLocal) Drain() {
 	l.daemon.draining.Store(true)
 	l.daemon.startDrain()
 }
 
-// Host implements operator.Local.
+// Host implements operator.LocalDaemon.
 func (l operatorLocal) Host() string { return l.daemon.settings.Host }
 
-// Hosts implements operator.Local. It returns the hosts of the active bundle,
-// whether they are alive or not, or the known members if there is no bundle yet.
+// Hosts implements operator.LocalDaemon. It returns the hosts of the active bundle,
+// alive or not, or the known members if there is no bundle yet.
 func (l operatorLocal) Hosts() []string {
 	var names []string
 	if b := l.daemon.bundle.Load(); b != nil {
@@ -149,7 +149,7 @@
 	d.dumpSections.Register("load", func() any { return d.loads.dump() })
 	d.dumpSections.Register("failing_pools", func() any { return d.breakers.OpenPools() })
 	d.dumpSections.Register("claims", func() any { return d.claims.Dump() })
-	d.dumpSections.Register("kept_results", func() any { return d.keptResultStore.Stats() })
+	d.dumpSections.Register("kept_results", func() any { return d.resultStore.Stats() })
 	d.dumpSections.Register("retries", func() any { return d.budgets.Retry.Stats() })
 	d.dumpSections.Register("hedges", func() any { return d.budgets.Hedge.Stats() })
 }
--- a/daemon/perform.go
+++ b/daemon/perform.go
@@ -71,7 +71,7 @@
 	case request.LookUpStatus:
 		go d.pollCallStatus(s, a)
 	case request.StoreResult:
-		go d.keepResult(s, a)
+		go d.storeResult(s, a)
 	case request.Forward:
 		s.forwardedAttempt.Store(int64(a.Attempt))
 	case request.ResetStream:
@@ -130,9 +130,8 @@
 	d.deliver(s, request.Recorded{Err: err})
 }
 
-// finish sends the final answer to the caller. A refusal that says that the request
-// has not run first waits for the confirmation by the claim holders, and without it
-// says that the request may have run.
+// finish sends the final answer to the caller. A refusal that reports not_run waits
+// until the claim holders have confirmed it, and reports may_have_run if they do not.
 func (d *Daemon) finish(s *session, f request.Finish) {
 	if f.ClaimCleanup == request.ClaimCleanupNone {
 		s.finalAnswers <- finalAnswer{answer: f.Answer, err: f.Err}
@@ -147,7 +146,7 @@
 }
 
 // confirmNotRun releases or voids the request's claim and reports whether the refusal
-// may say that the request has not run.
+// may report not_run.
 func (d *Daemon) confirmNotRun(s *session, f request.Finish) bool {
 	ctx, cancel := clock.WithTimeout(context.Background(), confirmNotRunTimeout)
 	defer cancel()
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -32,9 +32,9 @@
 type quarantineMembers struct{ daemon *Daemon }
 
 // Reachable implements quarantine.Members.
-func (f quarantineMembers) Reachable() []fleet.Host {
+func (q quarantineMembers) Reachable() []fleet.Host {
 	var hosts []fleet.Host
-	for _, m := range f.daemon.cluster.Members() {
+	for _, m := range q.daemon.cluster.Members() {
 		if m.Live() {
 			hosts = append(hosts, fleet.Host{Host: m.Host, Incarnation: m.Incarnation})
 		}
@@ -43,11 +43,11 @@
 }
 
 // Neighbours implements quarantine.Members.
-func (f quarantineMembers) Neighbours() []string { return f.daemon.cluster.Neighbours() }
+func (q quarantineMembers) Neighbours() []string { return q.daemon.cluster.Neighbours() }
 
 // SetSlot implements quarantine.Members.
-func (f quarantineMembers) SetSlot(id member.SlotID, value []byte) {
-	f.daemon.cluster.SetSlot(id, value, false)
+func (q quarantineMembers) SetSlot(id member.SlotID, value []byte) {
+	q.daemon.cluster.SetSlot(id, value, false)
 }
 
 // stageFingerprint identifies what one stage of a request processes, independent of
@@ -63,10 +63,10 @@
 	return stageFingerprint(s.sub.Customer.Name, s.sub.Pipeline.Name, stage, s.digest)
 }
 
-// checkQuarantine refuses a request if one of its stages crashes upstreams, before any
-// stage runs. If the quarantine grants a trial, the trial allows one call of that
-// stage. A refusal of a request with a key says that it may have run, since an earlier
-// request with the key may have.
+// checkQuarantine refuses a request if one of its stages is quarantined because it
+// crashes upstreams, before any stage runs. If the quarantine grants a trial, the trial
+// allows one call of that stage. The refusal of a request with an idempotency key
+// reports may_have_run, since an earlier request with the key may have run.
 func (d *Daemon) checkQuarantine(ctx context.Context, s *session) *problem.Error {
 	for _, stage := range s.sub.Pipeline.Stages {
 		v, quarantined := d.quarantine.Quarantined(s.stageFingerprint(stage.Name))
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// callAllowed reports whether a call may be sent to an upstream. It is asked for each
+// callAllowed reports whether a call may be sent to an upstream. It is checked for each
 // attempt, since the request may be quarantined before a retry or a hedge.
 func (d *Daemon) callAllowed(s *session, c request.Call) bool {
 	_, quarantined := d.quarantine.Quarantined(s.stageFingerprint(c.Stage.Name))
@@ -101,25 +101,25 @@
 	}
 }
 
-// callStart holds the start time of a call and for how long in total this host had
-// been asleep by then.
+// callStart holds the start time of a call and the total time for which this host had
+// been suspended by then.
 type callStart struct {
-	at          time.Time
-	sleptBefore time.Duration
+	at              time.Time
+	suspendedBefore time.Duration
 }
 
 func startCall() callStart { return callStart{clock.Now(), clock.SuspendedTime()} }
 
-// reportCall tells the quarantine service what the end of a call implies about its
-// upstream: that it is alive, or that it broke off the response and may have crashed.
+// reportCall reports the end of a call to the quarantine service: whether the upstream
+// answered, or broke off the response and may have crashed.
 func (d *Daemon) reportCall(s *session, c request.Call, start callStart, err error) {
 	fingerprint := s.stageFingerprint(c.Stage.Name)
 	switch {
 	case upstreamAnswered(err):
 		d.quarantine.RunSucceeded(fingerprint)
-	case !httpbody.BrokenOff(err) || clock.SuspendedTime() > start.sleptBefore || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
-		// The call ended without its connection breaking off, or the break has
-		// another cause: this host was asleep, or the upstream is leaving.
+	case !httpbody.BrokenOff(err) || clock.SuspendedTime() > start.suspendedBefore || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
+		// The connection was not broken off, or for another reason than a crash:
+		// this host was suspended, or the upstream is leaving.
 	default:
 		d.quarantine.AttemptInterrupted(quarantine.InterruptedAttempt{
 			Service: c.Stage.Pool, Replica: c.Choice.Upstream, Address: c.Choice.Address, Request: fingerprint, Began: start.at,
--- a/daemon/serve.go
+++ b/daemon/serve.go
@@ -28,7 +28,7 @@
 	log := d.records.GetOrCreate(sub.RequestID)
 	log.Add(receiptEntry(sub))
 	spec := requestSpec(sub)
-	spec.StoredResults = d.fetchKeptResults(s)
+	spec.StoredResults = d.fetchStoredResults(s)
 	m := request.New(spec, d.decisionDeps, log)
 	d.requestTable.Insert(m)
 	d.deliver(s, request.Start{})
--- a/daemon/kept.go
+++ b/daemon/storedresults.go
@@ -19,24 +19,24 @@
 )
 
 const (
-	// maxKeptBytes bounds the memory of the results kept for peer daemons.
-	maxKeptBytes = 32 << 20
-	// keepTimeout bounds the storing of a result at peer daemons.
-	keepTimeout = time.Second
+	// maxStoredResultBytes bounds the memory of the results stored for peer daemons.
+	maxStoredResultBytes = 32 << 20
+	// storeResultTimeout bounds the storing of a result at peer daemons.
+	storeResultTimeout = time.Second
 	// resumeMinKeyAge is the age of an idempotency key from which an earlier
 	// request with the key may have left results.
 	resumeMinKeyAge = 20 * time.Millisecond
-	// resumeTimeout bounds the wait for kept results.
+	// resumeTimeout bounds the wait for stored results.
 	resumeTimeout = 50 * time.Millisecond
 	// expireInterval is the interval at which expired results are removed.
 	expireInterval = time.Second
 )
 
-// addKeptResults creates the service that keeps stage results at peer daemons.
-func (d *Daemon) addKeptResults() {
-	d.keptResultStore = results.NewStore(maxKeptBytes)
-	d.keptResults = results.NewService(results.Config{
-		Host: d.settings.Host, Caller: deferredCaller{d}, HostsFor: d.claims.HolderHosts, Store: d.keptResultStore, Now: d.Now,
+// addStoredResults creates the service that stores stage results at peer daemons.
+func (d *Daemon) addStoredResults() {
+	d.resultStore = results.NewStore(maxStoredResultBytes)
+	d.resultService = results.NewService(results.Config{
+		Host: d.settings.Host, Caller: deferredCaller{d}, HostsFor: d.claims.HolderHosts, Store: d.resultStore, Now: d.Now,
 	}, d.peerMux)
 }
 
@@ -49,14 +49,14 @@
 	return c.daemon.peerTransport.Call(ctx, host, method, req, resp)
 }
 
-// expireKeptResults removes expired results until ctx ends.
-func (d *Daemon) expireKeptResults(ctx context.Context) {
-	periodic.Do(ctx, expireInterval, func() { d.keptResultStore.Expire(d.Now()) })
+// expireStoredResults removes expired results until ctx ends.
+func (d *Daemon) expireStoredResults(ctx context.Context) {
+	periodic.Do(ctx, expireInterval, func() { d.resultStore.Expire(d.Now()) })
 }
 
-// keptResultsKey returns the key of a request's kept results. Its digest covers the
+// storedResultsKey returns the key of a request's stored results. Its digest covers the
 // request's input and the definitions of its stages and their models.
-func keptResultsKey(s *session) results.Request {
+func storedResultsKey(s *session) results.Request {
 	h := sha256.New()
 	h.Write(s.digest[:])
 	for _, stage := range s.sub.Pipeline.Stages {
@@ -75,33 +75,33 @@
 	}
 }
 
-// keepResult stores a stage's result at peer daemons. A failure is only logged:
-// without the result, a retry runs the stage again.
-func (d *Daemon) keepResult(s *session, a request.StoreResult) {
-	ctx, cancel := clock.WithTimeout(context.Background(), keepTimeout)
+// storeResult stores a stage's result at peer daemons. A failure is only logged, since
+// without the result a retry of the request runs the stage again.
+func (d *Daemon) storeResult(s *session, a request.StoreResult) {
+	ctx, cancel := clock.WithTimeout(context.Background(), storeResultTimeout)
 	defer cancel()
-	n, err := d.keptResults.Keep(ctx, keptResultsKey(s), a.Stage, a.Result, s.sub.Deadline.Add(s.sub.Pipeline.Deadline))
+	n, err := d.resultService.Keep(ctx, storedResultsKey(s), a.Stage, a.Result, s.sub.Deadline.Add(s.sub.Pipeline.Deadline))
 	if err != nil {
 		d.log.Debug("result stored at fewer peers than intended", zap.String("request", s.id), zap.Int("copies", n), zap.Error(err))
 	}
 }
 
-// fetchKeptResults fetches the results that earlier requests with the same key have
-// left. It skips keys younger than resumeMinKeyAge, which have none.
-func (d *Daemon) fetchKeptResults(s *session) map[string]json.RawMessage {
-	if !mayHaveKeptResults(s.sub) {
+// fetchStoredResults fetches the results of earlier requests with the same key. It skips
+// keys younger than resumeMinKeyAge, which have no results yet.
+func (d *Daemon) fetchStoredResults(s *session) map[string]json.RawMessage {
+	if !mayHaveStoredResults(s.sub) {
 		return nil
 	}
 	ctx, cancel := clock.WithTimeout(context.Background(), resumeTimeout)
 	defer cancel()
-	kept := make(map[string]json.RawMessage)
-	for stage, result := range d.keptResults.Fetch(ctx, keptResultsKey(s)) {
-		kept[stage] = result
+	stored := make(map[string]json.RawMessage)
+	for stage, result := range d.resultService.Fetch(ctx, storedResultsKey(s)) {
+		stored[stage] = result
 	}
-	return kept
+	return stored
 }
 
-func mayHaveKeptResults(sub caller.Submission) bool {
+func mayHaveStoredResults(sub caller.Submission) bool {
 	if sub.IdempotencyKey == "" {
 		return false
 	}
--- a/engine/client.go
+++ b/engine/client.go
@@ -22,7 +22,7 @@
 }
 
 // NewClient returns a client with at most maxConns connections to each engine.
-// now is the clock that Generation.NotAfter is checked against.
+// now is the clock that GenerateRequest.NotAfter is checked against.
 func NewClient(maxConns int, now func() time.Time) *Client {
 	return &Client{http: &http.Client{Transport: httpbody.NewTransport(maxConns)}, now: now}
 }
@@ -66,7 +66,7 @@
 	User      string    `json:"user"`
 }
 
-// Generate runs a generation and calls onToken for each part of the text as it
+// Generate sends a request and calls onToken for each part of the text as it
 // arrives. The output is complete only if the error is nil. A stream that ends
 // without the [DONE] marker is an error. The error is a *service.Error.
 func (c *Client) Generate(ctx context.Context, g GenerateRequest, onToken func(string)) (Output, error) {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -42,16 +42,16 @@
 
 func (hostClocks) now() time.Time { return time.Now() }
 
-func (s hostClocks) wallTime(now time.Time) time.Time {
-	return now.Round(0).Add(time.Duration(s.simulated.Load()))
+func (h hostClocks) wallTime(now time.Time) time.Time {
+	return now.Round(0).Add(time.Duration(h.simulated.Load()))
 }
 
-func (s hostClocks) uptime() (time.Duration, bool) {
+func (h hostClocks) uptime() (time.Duration, bool) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		return 0, false
 	}
-	return time.Duration(t.Nano() + s.simulated.Load()), true
+	return time.Duration(t.Nano() + h.simulated.Load()), true
 }
 
 // suspendMeasurement holds the clock readings of the last measurement of the suspended
@@ -93,11 +93,11 @@
 }
 
 // readClocks reads the monotonic clock and the uptime together. It retries when the two
-// reads were too far apart, as happens on a busy host, and returns false if no attempt
-// was close enough.
+// reads were too far apart, as happens on a busy host, and returns false if they were in
+// every attempt.
 func (c *Clock) readClocks() (at time.Time, uptime time.Duration, ok bool) {
-	const tries, close = 4, 100 * time.Microsecond
-	for range tries {
+	const attempts, close = 4, 100 * time.Microsecond
+	for range attempts {
 		before := c.clocks.now()
 		uptime, ok = c.clocks.uptime()
 		at = c.clocks.now()
@@ -157,15 +157,15 @@
 }
 
 // host is the clock of this process. simulatedSuspension is the total of the
-// suspensions that Simulate has injected.
+// suspensions that SimulateSuspension has injected.
 var (
 	simulatedSuspension atomic.Int64
 	host                = newClock(hostClocks{&simulatedSuspension})
 )
 
-// SimulateSuspension makes this process behave as if the host had been suspended for d until now.
-// It is for tests and the soak test, since suspending a real host needs privileges over
-// it.
+// SimulateSuspension makes this process behave as if the host had been suspended for d
+// until now. It is for tests and the soak test, since suspending a real host requires
+// privileges on the host.
 func SimulateSuspension(d time.Duration) {
 	simulatedSuspension.Add(int64(d))
 	host.now()
@@ -186,7 +186,7 @@
 
 func (c *Clock) nanos() int64 { return int64(c.now().Sub(c.start)) }
 
-// OnResume calls f in its own goroutine after each suspension of the host, until stop is
+// OnResume calls f in its own goroutine after each suspension of the host until stop is
 // called.
 func OnResume(f func(suspendedFor time.Duration)) (stop func()) { return host.onResume(f) }
 
@@ -201,16 +201,16 @@
 	}
 }
 
-// ToMonotonic converts a time of this package to one for the standard library's deadlines,
-// which follow the monotonic clock.
+// ToMonotonic converts a time of this package to one for the standard library's
+// deadlines, which follow the monotonic clock.
 func ToMonotonic(t time.Time) time.Time { return time.Now().Add(Until(t)) }
 
-// SuspendedTime returns the total time for which the host has been suspended since the process
-// started.
+// SuspendedTime returns the total time for which the host has been suspended since the
+// process started.
 func SuspendedTime() time.Duration { return host.suspendedTime() }
 
-// DetectsSuspension reports whether this host provides its uptime. Without it, suspended time
-// is not counted.
+// DetectsSuspension reports whether this host provides its uptime. Without the uptime,
+// suspended time is not counted.
 func DetectsSuspension() bool {
 	_, ok := host.clocks.uptime()
 	return ok
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -20,26 +20,26 @@
 	noUptime bool
 }
 
-func (s *fakeClocks) now() time.Time { return time.Now() }
+func (f *fakeClocks) now() time.Time { return time.Now() }
 
-func (s *fakeClocks) wallTime(now time.Time) time.Time {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return now.Round(0).Add(s.suspended + s.wallStep)
+func (f *fakeClocks) wallTime(now time.Time) time.Time {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return now.Round(0).Add(f.suspended + f.wallStep)
 }
 
-func (s *fakeClocks) uptime() (time.Duration, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return time.Since(s.booted) + s.suspended, !s.noUptime
+func (f *fakeClocks) uptime() (time.Duration, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return time.Since(f.booted) + f.suspended, !f.noUptime
 }
 
 // suspend suspends the host and at the same time steps its wall clock by wallStep.
-func (s *fakeClocks) suspend(suspended, wallStep time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.suspended += suspended
-	s.wallStep += wallStep
+func (f *fakeClocks) suspend(suspended, wallStep time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.suspended += suspended
+	f.wallStep += wallStep
 }
 
 func newTestClock(t *testing.T) (*fakeClocks, *Clock) {
--- a/internal/clock/deadlines.go
+++ b/internal/clock/deadlines.go
@@ -32,17 +32,17 @@
 	next   atomic.Uint32
 }
 
-func (a *deadlineSet) init() {
-	for i := range a.shards {
-		a.shards[i].armed = map[*deadline]bool{}
+func (set *deadlineSet) init() {
+	for i := range set.shards {
+		set.shards[i].armed = map[*deadline]bool{}
 	}
 }
 
 // all returns the armed deadlines.
-func (a *deadlineSet) all() []*deadline {
+func (set *deadlineSet) all() []*deadline {
 	var out []*deadline
-	for i := range a.shards {
-		s := &a.shards[i]
+	for i := range set.shards {
+		s := &set.shards[i]
 		s.mu.Lock()
 		for x := range s.armed {
 			out = append(out, x)
@@ -53,22 +53,24 @@
 }
 
 // assignShard assigns a deadline to a shard, in round-robin order.
-func (a *deadlineSet) assignShard(x *deadline) { x.shard = &a.shards[a.next.Add(1)%deadlineShardCount] }
+func (set *deadlineSet) assignShard(x *deadline) {
+	x.shard = &set.shards[set.next.Add(1)%deadlineShardCount]
+}
 
 // arm schedules the deadline for due, in nanoseconds since the clock's start.
-func (x *deadline) arm(due int64) {
-	x.due.Store(due)
-	x.shard.mu.Lock()
-	defer x.shard.mu.Unlock()
-	x.shard.armed[x] = true
+func (d *deadline) arm(due int64) {
+	d.due.Store(due)
+	d.shard.mu.Lock()
+	defer d.shard.mu.Unlock()
+	d.shard.armed[d] = true
 }
 
 // disarm removes the deadline and reports whether it was armed.
-func (x *deadline) disarm() bool {
-	x.shard.mu.Lock()
-	defer x.shard.mu.Unlock()
-	was := x.shard.armed[x]
-	delete(x.shard.armed, x)
+func (d *deadline) disarm() bool {
+	d.shard.mu.Lock()
+	defer d.shard.mu.Unlock()
+	was := d.shard.armed[d]
+	delete(d.shard.armed, d)
 	return was
 }
 
--- a/internal/clock/doc.go
+++ b/internal/clock/doc.go
@@ -2,14 +2,14 @@
 // that includes the time for which the host was suspended.
 //
 // While a host is suspended its monotonic clock (CLOCK_MONOTONIC, which the standard
-// library uses to compare times and run timers) stands still, whereas CLOCK_BOOTTIME
-// and the wall clock advance. Measured by the monotonic clock, a membership view, a
-// lease or a deadline would not have aged at all during a night of suspension.
+// library uses to compare times and run timers) does not advance, whereas CLOCK_BOOTTIME
+// and the wall clock do. Measured by the monotonic clock, a membership view, a lease or
+// a deadline would not age at all during a night of suspension.
 //
 // Now, Since and Until include suspended time. Timers and deadlines of this package
 // that became due during a suspension fire when the host resumes; the others fire at
 // their due time. Times of this package must not be compared with time.Now or passed to
-// the standard library as deadlines; convert them with Steady.
+// the standard library as deadlines; convert them with ToMonotonic.
 //
 // Now equals time.Now until the first suspension of the host. After it, the wall clock
 // reading in the returned times no longer follows steps of the host's wall clock.
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -65,7 +65,7 @@
 	// disconnected.
 	NoCancellation bool
 	// LoadLag and EventLag are the delays of load reports and cache events.
-	// EventGap is the fraction of cache events that are never published.
+	// EventLossRatio is the fraction of cache events that are never published.
 	LoadLag        time.Duration
 	EventLag       time.Duration
 	EventLossRatio float64
--- a/internal/standin/engine/text.go
+++ b/internal/standin/engine/text.go
@@ -29,19 +29,19 @@
 }
 
 // token returns token i, counted from 0. Token 0 is the request id in brackets.
-func (a generatedText) token(i int) string {
+func (t generatedText) token(i int) string {
 	if i == 0 {
-		return "[" + a.requestID + "]"
+		return "[" + t.requestID + "]"
 	}
-	random := rand.NewPCG(a.seed, uint64(i))
+	random := rand.NewPCG(t.seed, uint64(i))
 	return " " + words[random.Uint64()%uint64(len(words))]
 }
 
 // firstTokens returns the text of the first n tokens.
-func (a generatedText) firstTokens(n int) string {
+func (t generatedText) firstTokens(n int) string {
 	var b strings.Builder
 	for i := range n {
-		b.WriteString(a.token(i))
+		b.WriteString(t.token(i))
 	}
 	return b.String()
 }
--- a/internal/standin/responder.go
+++ b/internal/standin/responder.go
@@ -22,15 +22,15 @@
 
 // Respond writes v as JSON with status 200, after applying the faults that occur
 // between execution and response.
-func (a *Responder) Respond(w http.ResponseWriter, r *http.Request, v any) {
-	a.faults.ApplyResponseFaults(r.Context())
+func (rs *Responder) Respond(w http.ResponseWriter, r *http.Request, v any) {
+	rs.faults.ApplyResponseFaults(r.Context())
 	body, err := json.Marshal(v)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	f := a.faults.Get()
-	body = a.selectBody(body, f.WrongResponse)
+	f := rs.faults.Get()
+	body = rs.selectBody(body, f.WrongResponse)
 	if f.DuplicateResponse {
 		writeTwice(w, body)
 		return
@@ -41,11 +41,11 @@
 
 // selectBody stores body for the next call. It returns the body of the previous
 // call if wrong is set and there was one, and body otherwise.
-func (a *Responder) selectBody(body []byte, wrong bool) []byte {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	previous := a.previous
-	a.previous = body
+func (rs *Responder) selectBody(body []byte, wrong bool) []byte {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	previous := rs.previous
+	rs.previous = body
 	if wrong && previous != nil {
 		return previous
 	}
--- a/internal/standin/site/behaviour.go
+++ b/internal/standin/site/behaviour.go
@@ -47,8 +47,8 @@
 	Pause time.Duration
 	// Stall is how the stream stalls permanently after Pause.
 	Stall Stall
-	// ReservationDelay is the delay of the response to a reservation call, after the engine
-	// has made the reservation.
+	// ReservationDelay is the delay of the response to a reservation call, after the
+	// engine has made the reservation.
 	ReservationDelay time.Duration
 	// HangReports sends no response to engine report calls.
 	HangReports bool
@@ -69,13 +69,13 @@
 	// RunStalled stops generating events in this run. The process still serves
 	// other calls.
 	RunStalled
-	// OutputStalled generates the remaining events and ends the run, but sends nothing.
-	// The connection stays open.
+	// OutputStalled generates the remaining events and completes the run, but sends
+	// nothing. The connection stays open.
 	OutputStalled
-	// ProcessFrozen freezes the process: all its streams stall, and it accepts connections
-	// but sends no responses.
+	// ProcessFrozen freezes the process: all its streams stall, and it accepts
+	// connections but sends no responses.
 	ProcessFrozen
-	// ProcessUnreachable is like Frozen, but the port refuses connections.
+	// ProcessUnreachable is like ProcessFrozen, but the port refuses connections.
 	ProcessUnreachable
 )
 
@@ -83,9 +83,9 @@
 type PoisonRequest struct {
 	// Body is the request body that causes the crash; "" for none.
 	Body string
-	// CrashDelay is the time from the start of the run until the process ends and all
-	// its connections close. Down is the time until the process restarts with the
-	// same id; 0 means that it does not restart.
+	// CrashDelay is the time from the start of the run until the process crashes and
+	// all its connections close. Downtime is the time until the process restarts with
+	// the same id; 0 means that it does not restart.
 	CrashDelay, Downtime time.Duration
 	// OnCrash, if not nil, is called after each crash caused by the body.
 	OnCrash func(body string)
--- a/internal/standin/site/caller.go
+++ b/internal/standin/site/caller.go
@@ -13,13 +13,14 @@
 	"time"
 )
 
-// The path prefixes of the routes in Configuration.
+// The path prefixes of the routes in GatewayConfig.
 const (
-	// UnsafePath requests must run at most once; SafePath requests may be retried.
+	// Requests under UnsafePath must run at most once; those under SafePath may be
+	// retried.
 	UnsafePath = "/seal/"
 	SafePath   = "/safe/"
-	// StreamPath streams must run at most once; ResumePath streams may resume on
-	// another replica and have stages.
+	// Streams under StreamPath must run at most once; those under ResumablePath may
+	// resume on another replica and have stages.
 	StreamPath    = "/stream/"
 	ResumablePath = "/resume/"
 )
@@ -78,8 +79,8 @@
 type Call struct {
 	ID, Path, Key string
 	Deadline      time.Duration
-	// PieceCounts are the piece counts of the stages that the request needs; empty for
-	// none.
+	// PieceCounts are the piece counts of the stages that the request needs; empty
+	// for none.
 	PieceCounts []int
 	// ForgedHeader is the name of a header that clients must not set, to be sent with
 	// ForgedValue; "" for none.
@@ -97,8 +98,8 @@
 	return c.ID
 }
 
-// ForgeableHeaders lists headers that only the gateway may set. Clients forge them with
-// the value ForgedValue, so a replica that receives this value knows that the
+// ForgeableHeaders lists headers that only the gateway may set. Clients forge them
+// with the value ForgedValue, so a replica that receives this value detects that the
 // gateway has passed on a client's header.
 var ForgeableHeaders = []string{"Kv-Hold", "Kv-From", "Kv-Backup", "Kv-Fetch", "Pin-Ms", "Expected-Version"}
 
@@ -116,11 +117,12 @@
 	Err error
 }
 
-// NotExecuted reports whether the response guarantees that the request was not executed.
-func (h CallResponse) NotExecuted() bool {
-	switch h.Status {
+// NotExecuted reports whether the response guarantees that the request was not
+// executed.
+func (r CallResponse) NotExecuted() bool {
+	switch r.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		return h.Err == nil
+		return r.Err == nil
 	}
 	return false
 }
--- a/internal/standin/site/execution.go
+++ b/internal/standin/site/execution.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// complete records that the run is complete.
+// complete records that the run has completed.
 func (e *execution) complete() {
 	e.finalEnd = Completed
 	e.recordEnd()
--- a/internal/standin/site/ledger.go
+++ b/internal/standin/site/ledger.go
@@ -15,7 +15,7 @@
 	Method    string
 	Target    string
 	Body      string
-	// HasAPIKey reports whether the API key of the client was passed on to the replica.
+	// HasAPIKey reports whether the client's API key was passed on to the replica.
 	HasAPIKey bool
 	// LastEventID is the id of the event after which a stream resumed.
 	LastEventID string
@@ -23,7 +23,7 @@
 	StartedAt time.Time
 	// CacheSource is the engine from which the replica was told to copy the KV cache.
 	CacheSource string
-	// End is how the run ended and Ended when; both are zero while it is in
+	// End is how the run ended and EndedAt when; both are zero while the run is in
 	// progress.
 	End     End
 	EndedAt time.Time
@@ -45,7 +45,7 @@
 )
 
 func (e End) String() string {
-	return [...]string{"under way", "complete", "cancelled", "cut"}[e]
+	return [...]string{"in progress", "completed", "cancelled", "aborted"}[e]
 }
 
 // Ledger records the runs of all replicas of a site and the protocol violations
--- a/internal/standin/site/replica.go
+++ b/internal/standin/site/replica.go
@@ -17,7 +17,7 @@
 
 // The kinds of replicas.
 const (
-	// Plain replicas respond with a short body; see Body.
+	// Plain replicas respond with a short body; see PlainBody.
 	Plain Kind = iota
 	// Engine replicas respond with a stream of events.
 	Engine
@@ -38,8 +38,8 @@
 	FailureDomain string
 	// EventsPerStream is the number of events of a stream. Default: 5.
 	EventsPerStream int
-	// OnRestart, if not nil, is called when the process has restarted, after Born
-	// was updated.
+	// OnRestart, if not nil, is called when the process has restarted, after
+	// StartUnixMS was updated.
 	OnRestart func(*Replica)
 	// ReportLag is the age of the data in engine reports.
 	ReportLag time.Duration
@@ -85,8 +85,8 @@
 	ArrivedAt time.Time
 	// RequestID is the request id; "" for a piece call.
 	RequestID string
-	// RetryAfter is the Retry-After value, in seconds, with which the replica refused the
-	// request; "" if it did not.
+	// RetryAfter is the Retry-After value, in seconds, with which the replica refused
+	// the request; "" if it did not refuse it.
 	RetryAfter string
 }
 
@@ -206,7 +206,7 @@
 }
 
 // PauseStreams makes all streams pause after afterEvents events, unless the Behaviour
-// has a Pause or Silence of its own. A pause of 0 ends that. An engine that pauses
+// has a Pause or Stall of its own. A pause of 0 removes it. An engine that pauses
 // counts as healthy.
 func (r *Replica) PauseStreams(afterEvents int, pause time.Duration) {
 	r.mu.Lock()
@@ -246,8 +246,8 @@
 	return len(r.unhealthyPeriods) > 0
 }
 
-// HealthyThroughout reports whether the replica was healthy for the whole time between from
-// and to.
+// HealthyThroughout reports whether the replica was healthy for the whole time between
+// from and to.
 func (r *Replica) HealthyThroughout(from, to time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -256,24 +256,24 @@
 	})
 }
 
-// AdvertiseRateLimit makes every response advertise the given rate limit verbatim; "" ends
-// that. The replica does not enforce the limit.
+// AdvertiseRateLimit makes every response advertise the given rate limit verbatim; ""
+// ends that. The replica does not enforce the limit.
 func (r *Replica) AdvertiseRateLimit(perSecond string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rateLimit = perSecond
 }
 
-// AdvertiseLeaving makes every response advertise that the replica is leaving. The replica
-// still serves requests, and its store entry does not change.
+// AdvertiseLeaving makes every response advertise that the replica is leaving. The
+// replica still serves requests, and its store entry does not change.
 func (r *Replica) AdvertiseLeaving() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = true
 }
 
-// RefuseWithRetryAfter makes the replica refuse all work with the given Retry-After value in
-// seconds, sent verbatim; "" ends that. The replica counts as healthy.
+// RefuseWithRetryAfter makes the replica refuse all work with the given Retry-After
+// value in seconds, sent verbatim; "" ends that. The replica counts as healthy.
 func (r *Replica) RefuseWithRetryAfter(seconds string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/site/reservation.go
+++ b/internal/standin/site/reservation.go
@@ -15,13 +15,13 @@
 
 // The states of reservations.
 const (
-	reservationHeld     = "kept"
+	reservationHeld     = "held"
 	reservationUsed     = "used"
-	reservationReleased = "dropped"
+	reservationReleased = "released"
 )
 
-// ReservationCounts counts reservations by outcome. Reservations that are taken but neither
-// used nor dropped are still held or have expired.
+// ReservationCounts counts reservations by outcome. Reservations that were granted but
+// neither used nor released are still held or have expired.
 type ReservationCounts struct{ Granted, Used, Released, Refused int }
 
 // Reservations returns the counts of reservations of all replicas.
--- a/internal/standin/site/site_test.go
+++ b/internal/standin/site/site_test.go
@@ -138,8 +138,8 @@
 		Expect(e.WasUnhealthy()).To(BeFalse())
 	})
 
-	DescribeTable("stalls permanently", func(silence site.Stall, wantReport OmegaMatcher, wantEnd site.End) {
-		e, ledger := startEngine(site.Behaviour{PauseAfterEvents: 2, Stall: silence, EventInterval: 10 * time.Millisecond})
+	DescribeTable("stalls permanently", func(stall site.Stall, wantReport OmegaMatcher, wantEnd site.End) {
+		e, ledger := startEngine(site.Behaviour{PauseAfterEvents: 2, Stall: stall, EventInterval: 10 * time.Millisecond})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		body := bufio.NewReader(generate(ctx, e, "a").Body)
@@ -292,6 +292,6 @@
 			name := reserve(e, 1000)
 			Expect(release(e, name)).To(HaveHTTPStatus(http.StatusOK))
 			return name
-		}, "dropped"),
+		}, "released"),
 	)
 })
--- a/internal/standin/site/stage.go
+++ b/internal/standin/site/stage.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// ResultBytes is the size of a stage result in bytes, as set in Configuration.
+// ResultBytes is the size of a stage result in bytes, as set in GatewayConfig.
 const ResultBytes = 100
 
 // pieceRequest is a piece to execute.
@@ -106,7 +106,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// headroomBytes is the memory for results of each replica in Configuration.
+// headroomBytes is the memory for results of each replica in GatewayConfig.
 const headroomBytes = 1_000_000
 
 // writeStageReport responds with the free memory for results.
--- a/internal/standin/site/store.go
+++ b/internal/standin/site/store.go
@@ -59,7 +59,7 @@
 const evacuatePrefix = "op/evacuate/"
 
 // Evacuate writes the order to evacuate a failure domain: its replicas get no new
-// work until TakeBack withdraws the order.
+// work until CancelEvacuation withdraws the order.
 func (s *Store) Evacuate(domain string) { s.Put(evacuatePrefix+domain, map[string]any{}) }
 
 // CancelEvacuation withdraws the evacuation order for a failure domain.
@@ -92,7 +92,7 @@
 	s.compactedRevision = s.revision
 }
 
-// SetFailure makes every call fail with the given status; 0 ends that.
+// SetFailure makes every call fail with the given status until it is called with 0.
 func (s *Store) SetFailure(status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -14,7 +14,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits of a Bounded log.
+// Limits of a BoundedLog.
 const (
 	// maxLinesPerSecond and maxLineBurst limit the rate of lines. A daemon writes
 	// about three lines per request, so that this covers 200 requests per second,
@@ -50,7 +50,7 @@
 	stop            chan struct{}
 }
 
-// NewBoundedLog returns a Bounded log that writes lines of at least level ("debug",
+// NewBoundedLog returns a BoundedLog that writes lines of at least level ("debug",
 // "info", "warn" or "error") to w until Close. It returns an error for an unknown
 // level.
 func NewBoundedLog(w io.Writer, level string) (*BoundedLog, error) {
--- a/membership/calls.go
+++ b/membership/calls.go
@@ -24,10 +24,10 @@
 	permits chan struct{}
 }
 
-// NewCallPool returns a pool. Use must be called before the first call.
+// NewCallPool returns a pool. SetCaller must be called before the first call.
 func NewCallPool() *CallPool { return &CallPool{permits: make(chan struct{}, maxCallsInFlight)} }
 
-// SetCaller sets the caller. It is called once, before the first call.
+// SetCaller sets the caller, which makes the calls. It must be called once.
 func (c *CallPool) SetCaller(caller peer.Caller) { c.caller = caller }
 
 // Go calls method at host in its own goroutine and passes the result to done, at the
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -39,8 +39,8 @@
 	SlotReceived func(member.SlotReceived)
 	// MemberChanged is called with each change of a member's state.
 	MemberChanged func(member.Member)
-	// FreshnessChanged is called when the views become stale, and when they have been renewed
-	// after the start or after a pause.
+	// FreshnessChanged is called when the views become stale, and when they have been
+	// renewed after the start or a pause of the process.
 	FreshnessChanged func(bool)
 	// ViewChanged is called with each new snapshot and the one before it.
 	ViewChanged func(next, old *View)
@@ -78,7 +78,8 @@
 // the times it contains.
 const publishInterval = time.Second
 
-// New returns a loop that has not started, and registers its methods in mux. The error names an invalid extension of cfg.
+// New returns a loop that has not started, and registers its methods in mux. The error
+// names an invalid extension of cfg.
 func New(cfg member.Config, seed uint64, mux *peer.Mux, calls *CallPool, hooks Hooks, log *zap.Logger) (*Loop, error) {
 	m, err := member.New(cfg, clock.Now(), rand.New(rand.NewPCG(seed, 1)))
 	if err != nil {
@@ -117,7 +118,7 @@
 	l.queue.Inspect(ctx, func() { f(l.machine) })
 }
 
-// step passes an event to the machine and executes the resulting actions.
+// step passes an event to the state machine and executes the resulting actions.
 func (l *Loop) step(e member.Event) {
 	for _, a := range l.machine.Step(clock.Now(), e) {
 		l.execute(a)
@@ -128,8 +129,7 @@
 	l.publish()
 }
 
-// request passes a peer's message to the machine and returns the machine's answer to
-// it.
+// request passes a peer's message to the state machine and returns its answer.
 func (l *Loop) request(ctx context.Context, from string, msg proto.Message, isAnswer func(proto.Message) bool) (proto.Message, error) {
 	answers := make(chan proto.Message, 1)
 	l.queue.Add(func() {
@@ -179,7 +179,7 @@
 	case member.Superseded:
 		log.Error("a later process of this host is running", zap.Uint64("incarnation", a.Incarnation))
 	case member.Rejected:
-		log.Warn("membership message refused", zap.String("peer", a.From), zap.String("reason", a.Reason))
+		log.Warn("membership message rejected", zap.String("peer", a.From), zap.String("reason", a.Reason))
 	}
 }
 
--- a/operator/operator_suite_test.go
+++ b/operator/operator_suite_test.go
@@ -37,7 +37,7 @@
 	tokenFile string
 }
 
-// daemon implements operator.Local.
+// daemon implements operator.LocalDaemon.
 type daemon struct {
 	fleet     *fleet
 	name      string
--- a/operator/fleet.go
+++ b/operator/querier.go
@@ -43,8 +43,8 @@
 	peers    peer.Caller
 }
 
-// NewFleetQuerier returns a Fleet for the daemon local and registers its peer methods
-// with mux.
+// NewFleetQuerier returns a FleetQuerier for the daemon local and registers its peer
+// methods with mux.
 func NewFleetQuerier(local LocalDaemon, records *record.Store, sections *Sections, peers peer.Caller, mux *peer.Mux) *FleetQuerier {
 	f := &FleetQuerier{local: local, records: records, sections: sections, peers: peers}
 	peer.Handle(mux, methodExplain, f.serveExplain)
@@ -53,19 +53,19 @@
 	return f
 }
 
-func (f *FleetQuerier) serveExplain(_ context.Context, _ peer.Sender, req *wire.ExplainRequest) (*wire.ExplainResponse, error) {
-	entries, ok := f.records.Get(req.RequestId)
+func (q *FleetQuerier) serveExplain(_ context.Context, _ peer.Sender, req *wire.ExplainRequest) (*wire.ExplainResponse, error) {
+	entries, ok := q.records.Get(req.RequestId)
 	return &wire.ExplainResponse{Found: ok, Entries: entriesToWire(entries)}, nil
 }
 
-func (f *FleetQuerier) serveStatus(context.Context, peer.Sender, *wire.StatusRequest) (*wire.StatusResponse, error) {
-	return statusToWire(f.local.Status()), nil
+func (q *FleetQuerier) serveStatus(context.Context, peer.Sender, *wire.StatusRequest) (*wire.StatusResponse, error) {
+	return statusToWire(q.local.Status()), nil
 }
 
-func (f *FleetQuerier) serveDump(_ context.Context, _ peer.Sender, req *wire.DumpRequest) (*wire.DumpResponse, error) {
+func (q *FleetQuerier) serveDump(_ context.Context, _ peer.Sender, req *wire.DumpRequest) (*wire.DumpResponse, error) {
 	var buf bytes.Buffer
 	compressor := gzip.NewWriter(&buf)
-	if err := json.NewEncoder(compressor).Encode(f.sections.Dump(req.Section)); err != nil {
+	if err := json.NewEncoder(compressor).Encode(q.sections.Dump(req.Section)); err != nil {
 		return nil, fmt.Errorf("dump: %w", err)
 	}
 	if err := compressor.Close(); err != nil {
@@ -84,27 +84,27 @@
 // Explain returns the decisions about a request, from the local records or from
 // the host that the request ID names. If the ID names no known host, all other
 // hosts are queried. The error wraps ErrUnknownRequest or is that of the call.
-func (f *FleetQuerier) Explain(ctx context.Context, requestID string) (Explanation, error) {
-	self := f.local.Host()
-	if entries, ok := f.records.Get(requestID); ok {
+func (q *FleetQuerier) Explain(ctx context.Context, requestID string) (Explanation, error) {
+	self := q.local.Host()
+	if entries, ok := q.records.Get(requestID); ok {
 		return Explanation{RequestID: requestID, Host: self, Entries: entries}, nil
 	}
 	host := hostOfRequestID(requestID)
 	switch {
 	case host == self:
 		return Explanation{}, fmt.Errorf("%w: %s is of this host, which has forgotten it or never had it", ErrUnknownRequest, requestID)
-	case slices.Contains(f.local.Hosts(), host):
-		return f.queryExplain(ctx, host, requestID)
+	case slices.Contains(q.local.Hosts(), host):
+		return q.queryExplain(ctx, host, requestID)
 	default:
-		return f.queryExplainAnyHost(ctx, requestID)
+		return q.queryExplainAnyHost(ctx, requestID)
 	}
 }
 
-func (f *FleetQuerier) queryExplain(ctx context.Context, host, requestID string) (Explanation, error) {
+func (q *FleetQuerier) queryExplain(ctx context.Context, host, requestID string) (Explanation, error) {
 	ctx, cancel := context.WithTimeout(ctx, hostQueryTimeout)
 	defer cancel()
 	var resp wire.ExplainResponse
-	if err := f.peers.Call(ctx, host, methodExplain, &wire.ExplainRequest{RequestId: requestID}, &resp); err != nil {
+	if err := q.peers.Call(ctx, host, methodExplain, &wire.ExplainRequest{RequestId: requestID}, &resp); err != nil {
 		return Explanation{}, err
 	}
 	if !resp.Found {
@@ -115,14 +115,14 @@
 
 // queryExplainAnyHost queries all other hosts and returns the first explanation
 // that it receives.
-func (f *FleetQuerier) queryExplainAnyHost(ctx context.Context, requestID string) (Explanation, error) {
+func (q *FleetQuerier) queryExplainAnyHost(ctx context.Context, requestID string) (Explanation, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var mu sync.Mutex
 	var found *Explanation
 	queried, failed := 0, 0
-	f.forEachOtherHost(func(host string) {
-		e, err := f.queryExplain(ctx, host, requestID)
+	q.forEachOtherHost(func(host string) {
+		e, err := q.queryExplain(ctx, host, requestID)
 		mu.Lock()
 		defer mu.Unlock()
 		queried++
@@ -142,11 +142,11 @@
 
 // Statuses returns the status of every host, sorted by host name. For a host
 // that does not respond, only Host and Error are set.
-func (f *FleetQuerier) Statuses(ctx context.Context) []Status {
+func (q *FleetQuerier) Statuses(ctx context.Context) []Status {
 	var mu sync.Mutex
-	statuses := []Status{f.local.Status()}
-	f.forEachOtherHost(func(host string) {
-		s := f.queryStatus(ctx, host)
+	statuses := []Status{q.local.Status()}
+	q.forEachOtherHost(func(host string) {
+		s := q.queryStatus(ctx, host)
 		mu.Lock()
 		defer mu.Unlock()
 		statuses = append(statuses, s)
@@ -155,11 +155,11 @@
 	return statuses
 }
 
-func (f *FleetQuerier) queryStatus(ctx context.Context, host string) Status {
+func (q *FleetQuerier) queryStatus(ctx context.Context, host string) Status {
 	ctx, cancel := context.WithTimeout(ctx, hostQueryTimeout)
 	defer cancel()
 	var resp wire.StatusResponse
-	if err := f.peers.Call(ctx, host, methodStatus, &wire.StatusRequest{}, &resp); err != nil {
+	if err := q.peers.Call(ctx, host, methodStatus, &wire.StatusRequest{}, &resp); err != nil {
 		return Status{Host: host, Error: err.Error()}
 	}
 	return statusFromWire(host, &resp)
@@ -168,17 +168,17 @@
 // Dump returns the state dump of a host as JSON. An empty host means this host
 // and an empty section means all sections. The error wraps ErrUnknownHost or is
 // that of the call.
-func (f *FleetQuerier) Dump(ctx context.Context, host, section string) (json.RawMessage, error) {
-	if host == "" || host == f.local.Host() {
-		return json.Marshal(f.sections.Dump(section))
+func (q *FleetQuerier) Dump(ctx context.Context, host, section string) (json.RawMessage, error) {
+	if host == "" || host == q.local.Host() {
+		return json.Marshal(q.sections.Dump(section))
 	}
-	if !slices.Contains(f.local.Hosts(), host) {
+	if !slices.Contains(q.local.Hosts(), host) {
 		return nil, fmt.Errorf("%w: %q", ErrUnknownHost, host)
 	}
 	ctx, cancel := context.WithTimeout(ctx, hostQueryTimeout)
 	defer cancel()
 	var resp wire.DumpResponse
-	if err := f.peers.Call(ctx, host, methodDump, &wire.DumpRequest{Section: section}, &resp); err != nil {
+	if err := q.peers.Call(ctx, host, methodDump, &wire.DumpRequest{Section: section}, &resp); err != nil {
 		return nil, err
 	}
 	decompressor, err := gzip.NewReader(bytes.NewReader(resp.GzipJson))
@@ -194,11 +194,11 @@
 
 // forEachOtherHost runs query for every other host, for at most
 // maxConcurrentQueries hosts at a time.
-func (f *FleetQuerier) forEachOtherHost(query func(host string)) {
-	self := f.local.Host()
+func (q *FleetQuerier) forEachOtherHost(query func(host string)) {
+	self := q.local.Host()
 	var group errgroup.Group
 	group.SetLimit(maxConcurrentQueries)
-	for _, host := range f.local.Hosts() {
+	for _, host := range q.local.Hosts() {
 		if host != self {
 			group.Go(func() error { query(host); return nil })
 		}
--- a/operator/server.go
+++ b/operator/server.go
@@ -207,9 +207,8 @@
 	Error string `json:"error"`
 }
 
-// httpStatus returns the HTTP status for an error of Fleet: 404 for an unknown
-// request or host, else 502, since the queried host could not be reached or
-// failed.
+// httpStatus returns the HTTP status for an error of FleetQuerier: 404 for an unknown
+// request or host, else 502, since the queried host could not be reached or failed.
 func httpStatus(err error) int {
 	if isUnknownRequest(err) || errors.Is(err, ErrUnknownHost) {
 		return http.StatusNotFound
--- a/peer/call.go
+++ b/peer/call.go
@@ -45,8 +45,8 @@
 	return from, nil
 }
 
-// exchange makes one call. It returns the process that answered and whether the request
-// may have been sent.
+// exchange makes one call. It returns the process that answered and reports whether the
+// request may have been sent.
 func (t *Transport) exchange(ctx context.Context, host, method string, req, resp proto.Message) (Sender, bool, error) {
 	payload, err := proto.Marshal(req)
 	if err != nil {
--- a/peer/failure_test.go
+++ b/peer/failure_test.go
@@ -189,7 +189,7 @@
 		f := newFleet(GinkgoT().TempDir())
 		a, b := f.start(f.config("a")), f.start(f.config("b"))
 		Expect(echo(a, "b", "x", time.Second)).To(Equal("a:x"))
-		var cut, answered atomic.Int32
+		var brokenOff, answered atomic.Int32
 		var callers sync.WaitGroup
 		stop := make(chan struct{})
 		for range 8 {
@@ -205,7 +205,7 @@
 					case err == nil:
 						answered.Add(1)
 					case !peer.Unsent(err):
-						cut.Add(1)
+						brokenOff.Add(1)
 					}
 				}
 			})
@@ -216,7 +216,7 @@
 		Expect(b.Shutdown(ctx)).To(Succeed())
 		close(stop)
 		callers.Wait()
-		Expect(cut.Load()).To(BeZero())
+		Expect(brokenOff.Load()).To(BeZero())
 	})
 })
 
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -38,8 +38,8 @@
 }
 
 // encode encodes env with a length prefix, or returns ErrTooLarge if env exceeds limit
-// bytes. The output equals that of protodelim.MarshalTo, but is one slice and so takes
-// a single write.
+// bytes. The output equals that of protodelim.MarshalTo, but in one slice, which can be
+// sent with a single write.
 func encode(env *wire.Envelope, limit int) ([]byte, error) {
 	n := proto.Size(env)
 	if n > limit {
--- a/peer/proxy_test.go
+++ b/peer/proxy_test.go
@@ -50,7 +50,7 @@
 	return r
 }
 
-func (r *forwardingProxy) forward(from, to net.Conn) {
+func (p *forwardingProxy) forward(from, to net.Conn) {
 	defer from.Close()
 	buf := make([]byte, 4096)
 	for {
@@ -58,7 +58,7 @@
 		if err != nil {
 			return
 		}
-		if r.frozen.Load() {
+		if p.frozen.Load() {
 			continue
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
@@ -67,8 +67,8 @@
 	}
 }
 
-func (r *forwardingProxy) Addr() string { return r.listener.Addr().String() }
-func (r *forwardingProxy) Freeze()      { r.frozen.Store(true) }
+func (p *forwardingProxy) Addr() string { return p.listener.Addr().String() }
+func (p *forwardingProxy) Freeze()      { p.frozen.Store(true) }
 
 // dialTLS connects with the given key pair.
 func dialTLS(address, server string, files peer.TLSFiles) net.Conn {
--- a/peer/session.go
+++ b/peer/session.go
@@ -228,7 +228,7 @@
 	t.mu.Lock()
 	live := t.liveSessions()
 	t.mu.Unlock()
-	t.cfg.Logger.Warn("this host slept; sessions are proved", zap.Duration("slept", suspendedFor), zap.Int("sessions", len(live)))
+	t.cfg.Logger.Warn("host was suspended; verifying peer sessions", zap.Duration("slept", suspendedFor), zap.Int("sessions", len(live)))
 	for _, s := range live {
 		go s.verifyAfterResume()
 	}
--- a/peer/silent_test.go
+++ b/peer/silent_test.go
@@ -56,9 +56,9 @@
 }
 
 // call calls the blocking method in the background.
-func (h *blockingPair) call(ctx context.Context) (value *text, ended chan error) {
+func (p *blockingPair) call(ctx context.Context) (value *text, ended chan error) {
 	value, ended = &text{}, make(chan error, 1)
-	go func() { ended <- h.a.Call(ctx, "b", "held", &text{}, value) }()
+	go func() { ended <- p.a.Call(ctx, "b", "held", &text{}, value) }()
 	return value, ended
 }
 
@@ -66,7 +66,7 @@
 // cancelled or times out before any answer could arrive does not show that the peer is
 // silent, so a slow call beside it must still get its answer.
 func TestPendingCallSurvivesFailureOfAnotherCall(t *testing.T) {
-	for name, giveUp := range map[string]func(context.Context) (context.Context, context.CancelFunc){
+	for name, abandon := range map[string]func(context.Context) (context.Context, context.CancelFunc){
 		"cancelled by its caller": func(ctx context.Context) (context.Context, context.CancelFunc) {
 			ctx, cancel := context.WithCancel(ctx)
 			time.AfterFunc(answerDelay/4, cancel)
@@ -82,7 +82,7 @@
 			value, ended := h.call(context.Background())
 			g.Eventually(h.started).Should(Receive())
 			g.Consistently(ended, 2*silenceTimeout).ShouldNot(Receive())
-			ctx, cancel := giveUp(context.Background())
+			ctx, cancel := abandon(context.Background())
 			defer cancel()
 			_, other := h.call(ctx)
 			g.Eventually(other).Should(Receive(HaveOccurred()))
@@ -94,9 +94,9 @@
 	}
 }
 
-// Guards against calls waiting in vain for a silent peer: once one call has timed out
-// and the peer is found silent, the other calls on the session fail long before their
-// own deadlines.
+// Guards against calls that wait for a silent peer until their deadlines: once one call
+// has timed out and the peer does not answer a ping either, the other calls on the
+// session must fail long before their own deadlines.
 func TestSilentPeerFailsPendingCalls(t *testing.T) {
 	g := NewWithT(t)
 	h := newBlockingPair(t)
--- a/problem/problem.go
+++ b/problem/problem.go
@@ -130,8 +130,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// FromError returns the *Error in the chain of err. If there is none, it returns an error
-// of kind Internal with Execution MayHaveRun, since it is unknown whether a stage
+// FromError returns the *Error in the chain of err. If there is none, it returns an
+// error of kind Internal with Execution MayHaveRun, since it is unknown whether a stage
 // has run.
 func FromError(err error) *Error {
 	var e *Error
--- a/problem/problem_test.go
+++ b/problem/problem_test.go
@@ -57,7 +57,7 @@
 
 var _ = Describe("Error", func() {
 	It("is found in an error chain, and any other error becomes Internal with MayHaveRun", func() {
-		e := problem.New(problem.Overloaded, "no room")
+		e := problem.New(problem.Overloaded, "queue is full")
 		Expect(problem.FromError(fmt.Errorf("stage: %w", e))).To(BeIdenticalTo(e))
 		Expect(e.Execution).To(Equal(problem.NotRun))
 		other := problem.FromError(errors.New("x"))
--- a/record/record.go
+++ b/record/record.go
@@ -18,13 +18,13 @@
 type Candidate struct {
 	Upstream string  `json:"upstream"`
 	Score    float64 `json:"score"`
-	// RefusalReason says which filter excluded the candidate and why. It is empty if no
-	// filter did.
+	// RefusalReason names the filter that excluded the candidate and says why. It is
+	// empty if no filter did.
 	RefusalReason string `json:"refused,omitempty"`
 }
 
-// Entry is one decision about a request. Choices are the candidates of a routing
-// decision.
+// Entry is one decision about a request. Candidates are the upstreams that a routing
+// decision considered.
 type Entry struct {
 	At         time.Time   `json:"at"`
 	Step       Step        `json:"step"`
--- a/record/store.go
+++ b/record/store.go
@@ -83,8 +83,8 @@
 	return s
 }
 
-// GetOrCreate returns the Log of the request with the given ID and creates an empty one
-// if the store has none.
+// GetOrCreate returns the Log of the request with the given ID and creates an empty
+// one if the store has none.
 func (s *Store) GetOrCreate(id string) *Log {
 	sh := s.shard(id)
 	sh.mu.Lock()
--- a/results/results_test.go
+++ b/results/results_test.go
@@ -104,7 +104,7 @@
 	It("rejects a result that is too large, and stays within its memory bound", func() {
 		_, err := n.services["h0"].Keep(ctx, request, "x", make([]byte, MaxResultBytes+1), startTime.Add(time.Minute))
 		Expect(err).To(MatchError(ErrTooLarge))
-		store := NewStore(shardCount * 1400) // room for one result of 500 bytes, not for two
+		store := NewStore(shardCount * 1400) // fits one result of 500 bytes, not two
 		Expect(store.Put(startTime, request, "a", make([]byte, 500), startTime.Add(time.Second))).To(BeTrue())
 		Expect(store.Put(startTime, request, "b", make([]byte, 500), startTime.Add(time.Second))).To(BeFalse())
 		Expect(store.Put(startTime.Add(2*time.Second), request, "b", make([]byte, 500), startTime.Add(3*time.Second))).To(BeTrue())
--- a/results/service.go
+++ b/results/service.go
@@ -81,8 +81,8 @@
 	return s.storeCopies(ctx, s.copyHosts(r), req)
 }
 
-// copyHosts returns the hosts that keep a copy. This host isn't one of them: if it
-// fails, the request and the copy would be lost together.
+// copyHosts returns the hosts that keep a copy. This host is excluded: if it failed, the
+// request and the copy would be lost together.
 func (s *Service) copyHosts(r Request) []string {
 	var hosts []string
 	for _, h := range s.cfg.HostsFor(r.Customer, r.Key) {
@@ -95,10 +95,10 @@
 
 func (s *Service) storeCopies(ctx context.Context, hosts []string, req *wire.KeepRequest) (int, error) {
 	var (
-		wg   sync.WaitGroup
-		mu   sync.Mutex
-		kept int
-		errs []error
+		wg     sync.WaitGroup
+		mu     sync.Mutex
+		stored int
+		errs   []error
 	)
 	for _, h := range hosts {
 		wg.Add(1)
@@ -111,12 +111,12 @@
 			if err != nil {
 				errs = append(errs, err)
 			} else if resp.Kept {
-				kept++
+				stored++
 			}
 		}()
 	}
 	wg.Wait()
-	return kept, errors.Join(errs...)
+	return stored, errors.Join(errs...)
 }
 
 // Fetch asks the hosts that may keep results of r and returns the results by
--- a/results/store.go
+++ b/results/store.go
@@ -65,7 +65,8 @@
 	return &s.shards[xxhash.Sum64String(r.Customer+"\x00"+r.Key)%shardCount]
 }
 
-// Put stores a result until the given time. It returns false if there is no room.
+// Put stores a result until the given time. It returns false if there is not enough
+// free memory.
 // The caller must not modify the result afterwards.
 func (s *Store) Put(now time.Time, r Request, stage string, result []byte, until time.Time) bool {
 	sh := s.shardOf(r)
@@ -135,7 +136,7 @@
 type Stats struct {
 	Requests int `json:"requests"`
 	Bytes    int `json:"bytes"`
-	// Rejected is the number of results that were not stored because there was no room.
+	// Rejected is the number of results that were not stored for lack of free memory.
 	Rejected uint64 `json:"full"`
 }
 
--- a/service/client.go
+++ b/service/client.go
@@ -174,8 +174,8 @@
 	Result json.RawMessage `json:"result"`
 }
 
-// LookUpStatus queries the service at address for the status of the call with the given
-// idempotency key.
+// LookUpStatus queries the service at address for the status of the call with the
+// given idempotency key.
 func (c *Client) LookUpStatus(ctx context.Context, address, key string) (Status, error) {
 	target := "http://" + address + "/v1/status/" + url.PathEscape(key)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
--- a/shares/service_test.go
+++ b/shares/service_test.go
@@ -65,12 +65,12 @@
 	host    string
 }
 
-func (e fakeCaller) Call(ctx context.Context, host, _ string, req, resp proto.Message) error {
-	s, ok := e.network.services[host]
+func (c fakeCaller) Call(ctx context.Context, host, _ string, req, resp proto.Message) error {
+	s, ok := c.network.services[host]
 	if !ok {
 		return errors.New("unreachable")
 	}
-	from := peer.Sender{Host: e.host}
+	from := peer.Sender{Host: c.host}
 	var answer proto.Message
 	var err error
 	switch r := req.(type) {
