--- a/claims/run.go
+++ b/claims/run.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// runToEnd runs the claim until it is won, lost or refused, and returns the
-// action that says so.
+// runToEnd runs the claim until it is won, already executed or refused, and
+// returns the action with that outcome.
 func (r *acquisition) runToEnd(ctx context.Context) claim.Action {
 	// Cancelling ctx releases the goroutines that would otherwise block on
 	// sending an answer that is no longer read.
@@ -174,9 +174,9 @@
 	return nil
 }
 
-// callMajority calls every holder concurrently. It returns true as soon as a
-// majority of each quorum has answered yes, and false once all holders have
-// answered without one or ctx ends.
+// callMajority runs call concurrently for every holder. It returns true as soon as
+// call has returned true for a majority of each quorum, and false once all calls
+// have returned without such a majority or ctx ends.
 func (s *Service) callMajority(ctx context.Context, quorums []claim.Quorum, call func(holder string) bool) bool {
 	tally := claim.NewTally(quorums)
 	holders := tally.Holders()
--- a/claims/service.go
+++ b/claims/service.go
@@ -93,8 +93,8 @@
 
 // Apply adopts the host lists and the policy of a bundle. If the bundle's lineage
 // lacks the host list that is active here, Apply logs an error and keeps the
-// active list, which can no longer win a majority against the new one. The
-// refusal also shows in Dump.
+// active list, which can no longer win a majority against the new one. The error
+// is also included in Dump.
 func (s *Service) Apply(b *bundle.Bundle) {
 	lineage, err := claim.FromBundle(b)
 	if err == nil {
--- a/daemon/call.go
+++ b/daemon/call.go
@@ -67,7 +67,7 @@
 	}
 	start := startCall()
 	var first time.Duration
-	out, err := client.Generate(ctx, d.newGeneration(s, c), func(text string) {
+	out, err := client.Generate(ctx, d.newGenerateRequest(s, c), func(text string) {
 		if first == 0 {
 			first = d.Now().Sub(start.at)
 			d.deliver(s, request.FirstToken{Attempt: c.Attempt})
@@ -95,7 +95,7 @@
 	return raw
 }
 
-func (d *Daemon) newGeneration(s *session, c request.Call) engine.GenerateRequest {
+func (d *Daemon) newGenerateRequest(s *session, c request.Call) engine.GenerateRequest {
 	var messages []engine.Message
 	if s.sub.Prefix != "" {
 		messages = append(messages, engine.Message{Role: "system", Content: s.sub.Prefix})
@@ -168,9 +168,9 @@
 	}
 }
 
-// queryStatus queries every upstream of the pool once. An upstream that has the
-// result takes precedence over one that runs the call, and that one over those
-// that don't know the call or don't answer.
+// queryStatus queries every upstream of the pool once. The status of an upstream that
+// has the result takes precedence over that of one that is running the call, and the
+// latter over upstreams that don't know the call or don't answer.
 func (d *Daemon) queryStatus(ctx context.Context, s *session, a request.LookUpStatus) service.Status {
 	ctx, cancel := clock.WithTimeout(ctx, statusQueryTimeout)
 	defer cancel()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -39,8 +39,8 @@
 	"github.com/wheatseam/wheatseam/shares"
 )
 
-// admissionTickInterval is the interval at which admission ends waits that can no
-// longer succeed.
+// admissionTickInterval is the interval at which admission ends the waits of requests
+// that can no longer get a slot in time.
 const admissionTickInterval = 10 * time.Millisecond
 
 // maxRecordBytes bounds the memory of the decision records.
@@ -161,7 +161,7 @@
 }
 
 // closeListeners closes the sessions with peer daemons first and the operators'
-// listener last, so that a waiting operator sees the end of the drain.
+// listener last, so that operators can follow the drain to its end.
 func (d *Daemon) closeListeners(ctx context.Context) {
 	if err := d.peerTransport.Shutdown(ctx); err != nil {
 		d.log.Warn("shutdown of the peer sessions was not graceful", zap.Error(err))
@@ -238,7 +238,8 @@
 	}
 }
 
-// tickAdmission ends waits that can no longer succeed, until ctx ends.
+// tickAdmission ticks the admission controller, which ends the waits of requests that
+// can no longer get a slot in time, until ctx ends.
 func (d *Daemon) tickAdmission(ctx context.Context) {
 	periodic.Do(ctx, admissionTickInterval, func() {
 		for _, g := range d.decisionDeps.Admitter.Tick(d.Now()) {
--- a/daemon/loadview.go
+++ b/daemon/loadview.go
@@ -54,7 +54,7 @@
 
 // Observe implements upstreamload.Observer for this daemon's own polls. A report
 // that an upstream is not leaving is passed on only if the upstream reported before
-// that it was: it must not override the host list.
+// that it was leaving, since it must not override the host list.
 func (v *loadView) Observe(reports ...load.Report) {
 	v.router.Observe(reports...)
 	for _, r := range reports {
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -14,7 +14,7 @@
 // outcomeKindOK is the kind label of requests that were answered.
 const outcomeKindOK = "ok"
 
-// countRequest counts a request that was served to its end. The pipeline and
+// countRequest counts a request that was served, with its outcome. The pipeline and
 // customer labels come from the bundle, so that callers can't create series.
 func (d *Daemon) countRequest(customer, pipeline string, e *problem.Error, took time.Duration) {
 	kind := outcomeKindOK
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -93,8 +93,8 @@
 }
 
 // readClocks reads the monotonic clock and the uptime together. It retries when the two
-// reads were too far apart, as happens on a busy host, and returns false if they were in
-// every attempt.
+// reads were too far apart, as happens on a busy host. It returns false if no attempt was
+// close enough or the host does not provide its uptime.
 func (c *Clock) readClocks() (at time.Time, uptime time.Duration, ok bool) {
 	const attempts, close = 4, 100 * time.Microsecond
 	for range attempts {
--- a/internal/standin/site/execution.go
+++ b/internal/standin/site/execution.go
@@ -17,7 +17,7 @@
 	// promptTokens is the number of prompt tokens, priority the request priority,
 	// and lastEventID the event after which the stream resumes.
 	promptTokens, priority, lastEventID int
-	// finalEnd is the end that recordEnd records.
+	// finalEnd is the End that recordEnd records.
 	finalEnd End
 
 	// eventTimes has the time of each generated event, endedAt the end of the run.
@@ -84,8 +84,8 @@
 	}
 }
 
-// cancel records that the connection has closed. The run is canceled by the host,
-// unless the process of the replica has ended.
+// cancel records that the connection has closed. The run counts as cancelled by the
+// host unless the process of the replica has crashed or was closed.
 func (e *execution) cancel() {
 	r := e.replica
 	r.mu.Lock()
--- a/internal/standin/site/replica.go
+++ b/internal/standin/site/replica.go
@@ -133,9 +133,8 @@
 	r.poison = p
 }
 
-// Crash ends the process and closes its connections immediately. The process
-// restarts after down, unless that is 0. Crash reports whether the process was
-// running.
+// Crash ends the process and closes its connections immediately. The process restarts
+// after down, or never if down is 0. Crash reports whether the process was running.
 func (r *Replica) Crash(down time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -487,8 +486,8 @@
 	e.complete()
 }
 
-// crashOnPoison crashes the process if body is the poison body, and reports whether it
-// is.
+// crashOnPoison crashes the process if body is that of the poison request, and reports
+// whether it is.
 func (r *Replica) crashOnPoison(body string) bool {
 	r.mu.Lock()
 	poison := r.poison
--- a/internal/standin/site/reservation.go
+++ b/internal/standin/site/reservation.go
@@ -50,7 +50,7 @@
 		return
 	}
 	if b.NoReservations || b.Shed || b.ShedWithFreeSlots {
-		r.ledger.countReservations(func(h *ReservationCounts) { h.Refused++ })
+		r.ledger.countReservations(func(counts *ReservationCounts) { counts.Refused++ })
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
@@ -58,7 +58,7 @@
 	name := fmt.Sprintf("%s-hold-%d", r.ID, len(r.reservations)+1)
 	r.reservations[name] = &reservation{until: time.Now().Add(time.Duration(call.TTL) * time.Millisecond), state: reservationHeld}
 	r.mu.Unlock()
-	r.ledger.countReservations(func(h *ReservationCounts) { h.Granted++ })
+	r.ledger.countReservations(func(counts *ReservationCounts) { counts.Granted++ })
 	select {
 	case <-time.After(b.ReservationDelay):
 	case <-req.Context().Done():
@@ -69,41 +69,41 @@
 // releaseReservation releases a reservation that was not used.
 func (r *Replica) releaseReservation(w http.ResponseWriter, name string) {
 	r.mu.Lock()
-	h := r.reservations[name]
-	held := h != nil && h.state == reservationHeld
+	res := r.reservations[name]
+	held := res != nil && res.state == reservationHeld
 	if held {
-		h.state = reservationReleased
+		res.state = reservationReleased
 	}
 	r.mu.Unlock()
 	if !held {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	r.ledger.countReservations(func(h *ReservationCounts) { h.Released++ })
+	r.ledger.countReservations(func(counts *ReservationCounts) { counts.Released++ })
 	w.WriteHeader(http.StatusOK)
 }
 
-// useReservation marks the reservation that a request names as used. It reports
-// whether the reservation was held and has not expired.
+// useReservation marks the reservation in the Kv-Hold header of a request as used. It
+// reports whether the reservation was held and has not expired.
 func (r *Replica) useReservation(req *http.Request) bool {
 	name := req.Header.Get("Kv-Hold")
 	if name == "" || name == ForgedValue {
 		return false // serve records forged values
 	}
 	r.mu.Lock()
-	h := r.reservations[name]
+	res := r.reservations[name]
 	state := "never granted"
-	if h != nil {
-		state = h.state
+	if res != nil {
+		state = res.state
 	}
 	if state == reservationHeld {
-		h.state = reservationUsed
+		res.state = reservationUsed
 	}
 	r.mu.Unlock()
 	if state != reservationHeld {
 		r.ledger.recordViolation("%s: request %s uses reservation %s, which was %s", r.ID, req.Header.Get("Attempt-Id"), name, state)
 		return false
 	}
-	r.ledger.countReservations(func(h *ReservationCounts) { h.Used++ })
-	return time.Now().Before(h.until)
+	r.ledger.countReservations(func(counts *ReservationCounts) { counts.Used++ })
+	return time.Now().Before(res.until)
 }
--- a/internal/standin/site/stage.go
+++ b/internal/standin/site/stage.go
@@ -64,17 +64,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	seen := map[string]bool{}
-	for _, h := range e.Inputs {
-		in, ok := l.results[h]
+	for _, handle := range e.Inputs {
+		in, ok := l.results[handle]
 		switch {
 		case !ok:
 			return pieceResult{Reason: "gone"}
 		case in.requestID != e.ID || in.stage >= e.Stage:
 			l.violations = append(l.violations, fmt.Sprintf("%s: piece of request %s has a result of request %s, stage %d, as input", r.ID, e.ID, in.requestID, in.stage))
-		case seen[h]:
-			l.violations = append(l.violations, fmt.Sprintf("%s: piece of request %s has input %s twice", r.ID, e.ID, h))
+		case seen[handle]:
+			l.violations = append(l.violations, fmt.Sprintf("%s: piece of request %s has input %s twice", r.ID, e.ID, handle))
 		}
-		seen[h] = true
+		seen[handle] = true
 	}
 	r.resultsCreated++
 	l.resultsCreated++
@@ -95,12 +95,12 @@
 	l := r.ledger
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, h := range call.Handles {
-		if _, ok := l.results[h]; !ok {
-			l.violations = append(l.violations, fmt.Sprintf("%s: result %s was released twice or never created", r.ID, h))
+	for _, handle := range call.Handles {
+		if _, ok := l.results[handle]; !ok {
+			l.violations = append(l.violations, fmt.Sprintf("%s: result %s was released twice or never created", r.ID, handle))
 			continue
 		}
-		delete(l.results, h)
+		delete(l.results, handle)
 		l.resultsReleased++
 	}
 	w.WriteHeader(http.StatusOK)
@@ -133,8 +133,8 @@
 	l := r.ledger
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, h := range strings.Split(list, ",") {
-		in, ok := l.results[h]
+	for _, handle := range strings.Split(list, ",") {
+		in, ok := l.results[handle]
 		if !ok {
 			refuse(w, http.StatusConflict)
 			return false
--- a/peer/hosts.go
+++ b/peer/hosts.go
@@ -155,7 +155,7 @@
 }
 
 // register adds a new session and starts serving it. If there are several sessions to
-// the host it selects the one that calls use.
+// the host, it selects the one that new calls use.
 func (t *Transport) register(s *session) error {
 	h := t.host(s.peer.Host)
 	h.mu.Lock()
@@ -181,11 +181,11 @@
 // resolveDuplicates adds s to the sessions of h and selects the preferred one. The
 // caller holds h.mu.
 //
-// A session to an earlier incarnation is dead. If the same side dials again although
-// there is a session, it has found that session broken, so the old one is retired; so
-// is one that was opened longer ago than two dial timeouts. Otherwise both sides
-// dialled at the same time and both sessions work. Then both sides prefer the session
-// dialled by the host with the smaller name, and the host that dialled the other
+// A session to an earlier incarnation is dead and is closed. If the side that dialled a
+// session dials again, it has found that session broken, so the session is retired. A
+// session that was opened longer ago than two dial timeouts is retired too. Otherwise
+// both sides dialled at the same time and both sessions work: both sides then prefer the
+// session dialled by the host with the smaller name, and the host that dialled the other
 // session retires it.
 func (t *Transport) resolveDuplicates(h *hostState, s *session) {
 	kept := h.sessions[:0]
@@ -274,7 +274,7 @@
 }
 
 // closeIdleSessions retires sessions that have been idle for IdleTimeout, and closes
-// retired ones.
+// those that are already retired.
 func (t *Transport) closeIdleSessions() {
 	t.mu.Lock()
 	live := t.liveSessions()
--- a/peer/session.go
+++ b/peer/session.go
@@ -125,7 +125,7 @@
 
 // suspectIfSilent marks the session as suspect if no data arrived for SilenceTimeout
 // while a call waited for an answer. Either the peer hangs, or the connection is
-// half-open, or the answers just take long; verifySuspect finds out.
+// half-open, or the handlers are slow; verifySuspect tells these cases apart.
 func (s *session) suspectIfSilent() {
 	silent := s.silence() >= s.transport.cfg.SilenceTimeout
 	if !silent || !s.usable() || !s.suspect.CompareAndSwap(false, true) {
@@ -148,7 +148,7 @@
 	s.closeSilent()
 }
 
-// recordSilence counts the session as silent and sets the reason that callers get while
+// recordSilence counts the session as silent and sets the error that calls return while
 // the host is being dialled again.
 func (s *session) recordSilence() {
 	s.transport.counters.silentSessions.Inc()
--- a/upstreamload/poller.go
+++ b/upstreamload/poller.go
@@ -22,8 +22,8 @@
 	maxConcurrentPolls = 16
 )
 
-// Observer receives the reports that are newer than what the table held. It must
-// be safe for concurrent use.
+// Observer receives the reports that are newer than those in the table. It must be
+// safe for concurrent use.
 type Observer interface {
 	Observe(reports ...load.Report)
 }
