--- a/daemon/loadexchange.go
+++ b/daemon/loadexchange.go
@@ -13,7 +13,7 @@
 )
 
 // loadExchangeInterval is the interval at which the load digest on the heartbeats is
-// updated and the received digests are merged: twice per probe.
+// updated and the received digests are merged: twice per probe interval.
 const loadExchangeInterval = 500 * time.Millisecond
 
 // loadExtension reserves space for load digests on the heartbeats.
--- a/daemon/loadview_test.go
+++ b/daemon/loadview_test.go
@@ -21,17 +21,17 @@
 )
 
 // TestLoadViewReportsLeavingChanges guards against an upstream overriding the host
-// list: only a change in what an upstream reports is passed on, so that one which has
-// never reported that it is leaving can't cancel its leaving in the host list.
+// list: only a change in what an upstream reports is passed on. An upstream that has
+// never reported that it is leaving thus can't cancel a leaving state in the host list.
 func TestLoadViewReportsLeavingChanges(t *testing.T) {
 	g := NewWithT(t)
 	v := newLoadView(&settings.Settings{Host: "entry-1"}, route.New(route.Config{}), zap.NewNop(), time.Now)
-	var said []bool
-	v.reportLeaving = func(_ string, leaving bool, _ time.Time) { said = append(said, leaving) }
+	var reported []bool
+	v.reportLeaving = func(_ string, leaving bool, _ time.Time) { reported = append(reported, leaving) }
 	for _, leaving := range []bool{false, false, true, true, false, false} {
 		v.Observe(load.Report{Upstream: "seal-1", Leaving: leaving})
 	}
-	g.Expect(said).To(Equal([]bool{true, false}))
+	g.Expect(reported).To(Equal([]bool{true, false}))
 }
 
 // TestLiveMembers checks that live and suspected members divide the polls among them,
--- a/internal/standin/site/site_test.go
+++ b/internal/standin/site/site_test.go
@@ -181,9 +181,9 @@
 
 	It("records how runs ended", func() {
 		e, ledger := startEngine(site.Behaviour{AbortAfterEvents: 1})
-		_, err := io.ReadAll(generate(context.Background(), e, "cut").Body)
+		_, err := io.ReadAll(generate(context.Background(), e, "aborted").Body)
 		Expect(err).To(HaveOccurred())
-		Eventually(runEnd(ledger, "cut"), "1s").Should(Equal(site.Aborted))
+		Eventually(runEnd(ledger, "aborted"), "1s").Should(Equal(site.Aborted))
 		e.SetBehaviour(site.Behaviour{Pause: time.Minute})
 		generate(context.Background(), e, "crashed")
 		Expect(runEnd(ledger, "crashed")()).To(Equal(site.InProgress))
--- a/operator/querier.go
+++ b/operator/querier.go
@@ -46,11 +46,11 @@
 // NewFleetQuerier returns a FleetQuerier for the daemon local and registers its peer
 // methods with mux.
 func NewFleetQuerier(local LocalDaemon, records *record.Store, sections *Sections, peers peer.Caller, mux *peer.Mux) *FleetQuerier {
-	f := &FleetQuerier{local: local, records: records, sections: sections, peers: peers}
-	peer.Handle(mux, methodExplain, f.serveExplain)
-	peer.Handle(mux, methodStatus, f.serveStatus)
-	peer.Handle(mux, methodDump, f.serveDump)
-	return f
+	q := &FleetQuerier{local: local, records: records, sections: sections, peers: peers}
+	peer.Handle(mux, methodExplain, q.serveExplain)
+	peer.Handle(mux, methodStatus, q.serveStatus)
+	peer.Handle(mux, methodDump, q.serveDump)
+	return q
 }
 
 func (q *FleetQuerier) serveExplain(_ context.Context, _ peer.Sender, req *wire.ExplainRequest) (*wire.ExplainResponse, error) {
--- a/peer/failure_test.go
+++ b/peer/failure_test.go
@@ -57,10 +57,10 @@
 		cfg := f.config("a")
 		a := f.start(cfg)
 		b := f.start(f.config("b"))
-		relay := newForwardingProxy(b.Addr())
-		f.setAddress("b", relay.Addr())
+		proxy := newForwardingProxy(b.Addr())
+		f.setAddress("b", proxy.Addr())
 		Expect(echo(a, "b", "1", time.Second)).To(Equal("a:1"))
-		relay.Freeze()
+		proxy.Freeze()
 		silent := cfg.Metrics.GetOrCreateCounter("wheatseam_peer_silent_sessions_total")
 		Eventually(func() uint64 {
 			_, err := echo(a, "b", "2", 20*time.Millisecond)
--- a/peer/silent_test.go
+++ b/peer/silent_test.go
@@ -29,11 +29,11 @@
 
 func newBlockingPair(t *testing.T) *blockingPair {
 	g := NewWithT(t)
-	h := &blockingPair{started: make(chan struct{}, 8), release: make(chan struct{})}
+	p := &blockingPair{started: make(chan struct{}, 8), release: make(chan struct{})}
 	mux := peer.NewMux()
-	peer.Handle(mux, "held", func(context.Context, peer.Sender, *text) (*text, error) {
-		h.started <- struct{}{}
-		<-h.release
+	peer.Handle(mux, "block", func(context.Context, peer.Sender, *text) (*text, error) {
+		p.started <- struct{}{}
+		<-p.release
 		return &text{Value: "answered"}, nil
 	})
 	start := func(name string, mux *peer.Mux, resolve peer.Resolver) *peer.Transport {
@@ -45,26 +45,26 @@
 		t.Cleanup(func() { _ = transport.Close() })
 		return transport
 	}
-	h.b = start("b", mux, func(string) (string, bool) { return "", false })
-	h.a = start("a", nil, func(string) (string, bool) { return h.relay.Address(), true })
+	p.b = start("b", mux, func(string) (string, bool) { return "", false })
+	p.a = start("a", nil, func(string) (string, bool) { return p.relay.Address(), true })
 	var err error
-	h.relay, err = faultrelay.New(faultrelay.Config{Target: h.b.Addr()})
+	p.relay, err = faultrelay.New(faultrelay.Config{Target: p.b.Addr()})
 	g.Expect(err).NotTo(HaveOccurred())
-	t.Cleanup(func() { _ = h.relay.Close() })
-	h.relay.Set(faultrelay.Conditions{ToCaller: faultrelay.Direction{Delay: answerDelay}})
-	return h
+	t.Cleanup(func() { _ = p.relay.Close() })
+	p.relay.Set(faultrelay.Conditions{ToCaller: faultrelay.Direction{Delay: answerDelay}})
+	return p
 }
 
 // call calls the blocking method in the background.
 func (p *blockingPair) call(ctx context.Context) (value *text, ended chan error) {
 	value, ended = &text{}, make(chan error, 1)
-	go func() { ended <- p.a.Call(ctx, "b", "held", &text{}, value) }()
+	go func() { ended <- p.a.Call(ctx, "b", "block", &text{}, value) }()
 	return value, ended
 }
 
 // Guards against one failed call ending the others on its session: a call that is
 // cancelled or times out before any answer could arrive does not show that the peer is
-// silent, so a slow call beside it must still get its answer.
+// silent, so a concurrent slow call on the session must still get its answer.
 func TestPendingCallSurvivesFailureOfAnotherCall(t *testing.T) {
 	for name, abandon := range map[string]func(context.Context) (context.Context, context.CancelFunc){
 		"cancelled by its caller": func(ctx context.Context) (context.Context, context.CancelFunc) {
@@ -78,16 +78,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			h := newBlockingPair(t)
-			value, ended := h.call(context.Background())
-			g.Eventually(h.started).Should(Receive())
+			p := newBlockingPair(t)
+			value, ended := p.call(context.Background())
+			g.Eventually(p.started).Should(Receive())
 			g.Consistently(ended, 2*silenceTimeout).ShouldNot(Receive())
 			ctx, cancel := abandon(context.Background())
 			defer cancel()
-			_, other := h.call(ctx)
+			_, other := p.call(ctx)
 			g.Eventually(other).Should(Receive(HaveOccurred()))
 			g.Consistently(ended, 3*silenceTimeout).ShouldNot(Receive())
-			close(h.release)
+			close(p.release)
 			g.Eventually(ended).Should(Receive(BeNil()))
 			g.Expect(value.Value).To(Equal("answered"))
 		})
@@ -99,15 +99,15 @@
 // session must fail long before their own deadlines.
 func TestSilentPeerFailsPendingCalls(t *testing.T) {
 	g := NewWithT(t)
-	h := newBlockingPair(t)
-	_, ended := h.call(context.Background())
-	g.Eventually(h.started).Should(Receive())
-	g.Expect(h.relay.Silence()).To(Equal(1))
+	p := newBlockingPair(t)
+	_, ended := p.call(context.Background())
+	g.Eventually(p.started).Should(Receive())
+	g.Expect(p.relay.Silence()).To(Equal(1))
 	g.Consistently(ended, 2*silenceTimeout).ShouldNot(Receive())
 	ctx, cancel := context.WithTimeout(context.Background(), answerDelay)
 	defer cancel()
-	_, other := h.call(ctx)
+	_, other := p.call(ctx)
 	g.Eventually(other).Should(Receive(MatchError(peer.ErrTimeout)))
 	g.Eventually(ended, 4*silenceTimeout).Should(Receive(MatchError(peer.ErrUnreachable)))
-	close(h.release)
+	close(p.release)
 }
--- a/service/client.go
+++ b/service/client.go
@@ -1,5 +1,5 @@
 // Package service is the HTTP/JSON client for plain services: encoders,
-// retrievers, rerankers, and others such as signature seals.
+// retrievers, rerankers, and others such as signing services.
 package service
 
 import (
--- a/shares/service_test.go
+++ b/shares/service_test.go
@@ -113,22 +113,21 @@
 }
 
 var _ = Describe("Service", func() {
-	It("gives admission the equal share, then lent shares, and reclaims them", func() {
+	It("gives admission the equal share, then leased shares, and reclaims them", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		n := newFakeNetwork(ctx, 3)
 		greedy, other := n.admitters["host-0"], n.admitters["host-1"]
 		Expect(greedy.customerShare()).To(BeNumerically("~", 1.0/3, 0.001))
 		greedy.setDemand(2)
-		// An allocator lends nothing for the duration of one cession after its
-		// start.
+		// An allocator leases nothing for the duration of a cap after its start.
 		Eventually(greedy.customerShare).WithTimeout(15 * time.Second).Should(BeNumerically(">", 0.7))
 		Expect(n.services["host-0"].ResourceShares()).To(ConsistOf(HaveField("Share", BeNumerically(">", 0.7))))
 		other.setDemand(0.3)
 		Eventually(other.customerShare).WithTimeout(10 * time.Second).Should(BeNumerically(">", 0.3))
 	})
 
-	It("lends shares over TCP sessions between daemons", func() {
+	It("leases shares over TCP sessions between daemons", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		b := bundleWithHosts(3)
