--- a/claims/service.go
+++ b/claims/service.go
@@ -58,11 +58,11 @@
 	cfg Config
 
 	// viewsMu guards views; grants hold it for reading.
-	viewsMu       sync.RWMutex
-	views         *claim.Views
-	policy        claim.Policy
-	lineage       claim.Lineage
-	refusalReason atomic.Pointer[string]
+	viewsMu         sync.RWMutex
+	views           *claim.Views
+	policy          claim.Policy
+	lineage         claim.Lineage
+	rejectionReason atomic.Pointer[string]
 
 	holders [holderShards]holderShard
 
@@ -102,11 +102,11 @@
 	}
 	if err != nil {
 		text := fmt.Sprintf("bundle %d: %v", b.Version, err)
-		s.refusalReason.Store(&text)
+		s.rejectionReason.Store(&text)
 		s.cfg.Log.Error("rejected the host lists of a bundle; keeping the active ones", zap.Uint64("version", b.Version), zap.Error(err))
 		return
 	}
-	s.refusalReason.Store(nil)
+	s.rejectionReason.Store(nil)
 }
 
 func policyOf(b *bundle.Bundle) claim.Policy {
@@ -176,8 +176,8 @@
 	Epoch                uint64 `json:"epoch"`
 	Synced               bool   `json:"synced"`
 	ClockAndViewsTrusted bool   `json:"clock_and_views_trusted"`
-	// Refused is the reason why the newest bundle's host lists were rejected.
-	Refused string `json:"refused,omitempty"`
+	// RejectionReason says why the newest bundle's host lists were rejected.
+	RejectionReason string `json:"refused,omitempty"`
 	// Earlier holds the epochs of the earlier host lists in the bundle.
 	Earlier []uint64    `json:"earlier_epochs"`
 	Held    claim.Stats `json:"held"`
@@ -188,8 +188,8 @@
 // Dump returns the diagnostic state for operators.
 func (s *Service) Dump() Dump {
 	d := Dump{Ready: s.Ready(), ClockAndViewsTrusted: s.cfg.ClockAndViewsTrusted()}
-	if text := s.refusalReason.Load(); text != nil {
-		d.Refused = *text
+	if text := s.rejectionReason.Load(); text != nil {
+		d.RejectionReason = *text
 	}
 	s.viewsMu.RLock()
 	defer s.viewsMu.RUnlock()
--- a/claims/service_test.go
+++ b/claims/service_test.go
@@ -70,7 +70,7 @@
 	It("rejects a bundle whose lineage lacks the active host list", func() {
 		s := f.service("a")
 		s.Apply(&bundle.Bundle{Version: 2, Claims: f.bundle.Claims, Hosts: f.bundle.Hosts[1:]})
-		Expect(s.Dump().Refused).To(ContainSubstring("bundle 2"))
+		Expect(s.Dump().RejectionReason).To(ContainSubstring("bundle 2"))
 		Expect(s.Dump().Epoch).To(Equal(uint64(1)))
 	})
 
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -118,8 +118,8 @@
 	case upstreamAnswered(err):
 		d.quarantine.RunSucceeded(fingerprint)
 	case !httpbody.BrokenOff(err) || clock.SuspendedTime() > start.suspendedBefore || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
-		// The connection was not broken off, or for another reason than a crash:
-		// this host was suspended, or the upstream is leaving.
+		// The connection was not broken off, or the cause is not a crash: this host
+		// was suspended, or the upstream is leaving.
 	default:
 		d.quarantine.AttemptInterrupted(quarantine.InterruptedAttempt{
 			Service: c.Stage.Pool, Replica: c.Choice.Upstream, Address: c.Choice.Address, Request: fingerprint, Began: start.at,
--- a/internal/standin/engine/batch_test.go
+++ b/internal/standin/engine/batch_test.go
@@ -69,7 +69,7 @@
 		Expect(b.load().Queued).To(Equal(1))
 	})
 
-	It("gives the slot of a canceled sequence to the next one immediately", func() {
+	It("gives the slot of a cancelled sequence to the next one immediately", func() {
 		b := newTestBatch(Config{Slots: 1})
 		long, next := newSequence("abc", 1_000, 0), newSequence("abc", 1, 0)
 		b.submit(long)
@@ -82,7 +82,7 @@
 		Expect(b.running).To(ConsistOf(next))
 	})
 
-	It("releases the memory of finished and of canceled sequences", func() {
+	It("releases the memory of finished and of cancelled sequences", func() {
 		b := newTestBatch(Config{})
 		done, cancelled := newSequence("abc", 2, 0), newSequence("abc", 2, 0)
 		b.submit(done)
--- a/internal/standin/engine/chat.go
+++ b/internal/standin/engine/chat.go
@@ -151,7 +151,7 @@
 
 // awaitProgress waits until the sequence makes progress. It returns the number of
 // tokens generated so far and whether the sequence is finished. If the sequence is
-// canceled or fails first, it ends the call and aborts the connection.
+// cancelled or fails first, it ends the call and aborts the connection.
 func (c *call) awaitProgress(r *http.Request) (generated int, finished bool) {
 	clientDone := r.Context().Done()
 	if c.engine.cfg.NoCancellation {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -15,7 +15,7 @@
 // running sequences. Cached blocks need no prefill. The number of tokens of a
 // response has a lognormal distribution, is derived from the seed and the prompt,
 // and is limited by max_tokens. The text of a response depends only on the request
-// and starts with the request id in square brackets. A canceled sequence frees its
+// and starts with the request id in square brackets. A cancelled sequence frees its
 // slot immediately. If the queue is full, the response is 429 with X-Not-Executed.
 package engine
 
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -110,7 +110,7 @@
 		Expect(text.String()).To(Equal(want))
 	})
 
-	It("frees the slot of a canceled stream and counts its engine time as wasted", func() {
+	It("frees the slot of a cancelled stream and counts its engine time as wasted", func() {
 		startEngine(Config{Slots: 1, OutputMedian: unboundedTokens, KVBlocks: unboundedTokens})
 		ctx, cancel := context.WithCancel(context.Background())
 		c := chat("hello", unboundedTokens)
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -167,7 +167,7 @@
 }
 
 // Serve listens on the addresses of all upstreams and on the address control, and
-// serves until ctx is canceled. For each listener it prints a line to out, in the
+// serves until ctx is cancelled. For each listener it prints a line to out, in the
 // order of the bundle with the control listener last. When the last line is printed,
 // all listeners are open. Serve must be called at most once.
 func (f *Fleet) Serve(ctx context.Context, control string, out io.Writer) error {
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -75,7 +75,7 @@
 	return l, nil
 }
 
-// Serve serves h on l until ctx is canceled. Requests still running then have
+// Serve serves h on l until ctx is cancelled. Requests still running then have
 // five seconds to finish before their connections are closed.
 func Serve(ctx context.Context, l net.Listener, h http.Handler) error {
 	s := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
--- a/internal/standin/ledger/ledger_test.go
+++ b/internal/standin/ledger/ledger_test.go
@@ -34,7 +34,7 @@
 		Expect(s.DuplicatedKeys).To(Equal([]ledger.DuplicatedKey{{Customer: "a", Key: "k", Stage: "seal", Executions: 2}}))
 	})
 
-	It("does not count a canceled execution as a duplicate", func() {
+	It("does not count a cancelled execution as a duplicate", func() {
 		l := ledger.New(0)
 		l.End(l.Begin(ledger.Entry{Key: "k", Stage: "seal"}), ledger.Cancelled, 1, 0)
 		l.End(l.Begin(ledger.Entry{Key: "k", Stage: "seal"}), ledger.Done, 1, 0)
--- a/internal/standin/ledger/summary.go
+++ b/internal/standin/ledger/summary.go
@@ -14,7 +14,7 @@
 	Leaving  int     `json:"leaving"`
 	EngineMS float64 `json:"engine_ms"`
 	// WastedEngineMS is the part of EngineMS spent on executions that were
-	// canceled or failed.
+	// cancelled or failed.
 	WastedEngineMS float64 `json:"wasted_engine_ms"`
 	Tokens         int     `json:"tokens"`
 	// RepeatedRequests counts the executions of the same request and stage
@@ -38,7 +38,7 @@
 	// execution.
 	Deduplicated int `json:"deduplicated"`
 	// DuplicatedKeyCount counts keys executed more than once at a stage, not
-	// counting canceled executions. DuplicatedKeys lists the first 1000 of them.
+	// counting cancelled executions. DuplicatedKeys lists the first 1000 of them.
 	DuplicatedKeyCount int             `json:"doubled_keys"`
 	DuplicatedKeys     []DuplicatedKey `json:"doubles"`
 	// Overwritten counts entries overwritten because of the ledger's limit.
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -143,7 +143,7 @@
 		Expect(s.keys.status("k1").State).To(Equal(KeyDone))
 	})
 
-	It("frees the slot of a canceled execution if it supports cancellation", func() {
+	It("frees the slot of a cancelled execution if it supports cancellation", func() {
 		startService(Config{Median: forever, Cancellation: true})
 		ctx, cancel := context.WithCancel(bg)
 		ended := callAsync(ctx, "r1", "")
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -15,7 +15,7 @@
 const requestKey = "request"
 
 // New returns a logger that writes lines of at least level ("debug", "info",
-// "warn" or "error") to w. Writes to w are serialised. It returns an error for an
+// "warn" or "error") to w. Writes to w are serialized. It returns an error for an
 // unknown level.
 func New(w io.Writer, level string) (*zap.Logger, error) {
 	minLevel, err := zapcore.ParseLevel(level)
--- a/peer/errors.go
+++ b/peer/errors.go
@@ -18,7 +18,8 @@
 	ErrUnknownMethod = errors.New("peer: unknown method")
 	// ErrTooLarge means that a message exceeds the size limit of either side.
 	ErrTooLarge = errors.New("peer: message is too large")
-	// ErrBusy means that the call was rejected because too many calls are in flight or waiting.
+	// ErrBusy means that the call was rejected because too many calls are in flight
+	// or waiting.
 	ErrBusy = errors.New("peer: too many calls")
 	// ErrIdentity means that the peer's certificate or handshake names another host.
 	ErrIdentity = errors.New("peer: host has another identity")
