--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -7,42 +7,42 @@
 )
 
 const (
-	question = `{"input":{"text":"what does the contract say about the notice period of the lease, and where?"}}`
-	streamed = `{"input":{"text":"what does the contract say about the notice period of the lease, and where?"},"stream":true}`
+	requestBody         = `{"input":{"text":"what does the contract say about the notice period of the lease, and where?"}}`
+	streamedRequestBody = `{"input":{"text":"what does the contract say about the notice period of the lease, and where?"},"stream":true}`
 	// busyCallers keep the daemon's processors in use without queueing much.
-	busyCallers = 16
+	loadConcurrency = 16
 )
 
 // BenchmarkStages measures the processor time of a request by the number of
 // its stages, each a call to a service that answers at once.
 func BenchmarkStages(b *testing.B) {
 	f := newDaemonFixture(b)
-	processor := series{}
+	cpu := samples{}
 	for _, n := range stageCounts {
-		b.Run(sized("stages", n), func(b *testing.B) {
+		b.Run(benchmarkName("stages", n), func(b *testing.B) {
 			f.b = b
-			spent := f.spend(b, loadOrder{
-				Target: f.callers, Path: fmt.Sprintf("/v1/pipelines/stages-%d", n), Body: question,
-				Calls: b.N, Concurrency: busyCallers,
+			cpuPerRequest := f.measureLoad(b, loadRequest{
+				Target: f.callersAddress, Path: fmt.Sprintf("/v1/pipelines/stages-%d", n), Body: requestBody,
+				Calls: b.N, Concurrency: loadConcurrency,
 			})
-			processor[float64(n)] = spent
+			cpu[float64(n)] = cpuPerRequest
 		})
 	}
-	reportFit(b, processor, "cpu-us", "stage")
+	reportFit(b, cpu, "cpu-us", "stage")
 }
 
 // spend runs a load and reports the processor time of one request, in
 // microseconds, and the requests a second that one core carries.
-func (f *fixture) spend(b *testing.B, order loadOrder) float64 {
+func (f *fixture) measureLoad(b *testing.B, load loadRequest) float64 {
 	b.ReportAllocs()
-	before := processorTime(b)
+	before := cpuTime(b)
 	b.ResetTimer()
-	ask[loadResult](f, "/load", order)
+	callHarness[loadResult](f, "/load", load)
 	b.StopTimer()
-	spent := float64((processorTime(b) - before).Microseconds()) / float64(order.Calls)
-	b.ReportMetric(spent, "cpu-us/request")
-	b.ReportMetric(1e6/spent, "requests/s/core")
-	return spent
+	cpuPerRequest := float64((cpuTime(b) - before).Microseconds()) / float64(load.Calls)
+	b.ReportMetric(cpuPerRequest, "cpu-us/request")
+	b.ReportMetric(1e6/cpuPerRequest, "requests/s/core")
+	return cpuPerRequest
 }
 
 // BenchmarkTokens measures the processor time of a streamed generation by its
@@ -56,25 +56,25 @@
 
 // streams is the number of paced streams at a time: 200 of them make 20,000
 // tokens a second.
-const streams = 200
+const pacedStreams = 200
 
 func benchmarkTokens(b *testing.B, pace time.Duration) {
 	f := newDaemonFixture(b)
-	processor := series{}
+	processor := samples{}
 	for _, n := range tokenCounts {
-		b.Run(sized("tokens", n), func(b *testing.B) {
+		b.Run(benchmarkName("tokens", n), func(b *testing.B) {
 			f.b = b
-			ask[bool](f, "/pace", pace)
-			order := loadOrder{
-				Target: f.callers, Path: fmt.Sprintf("/v1/pipelines/tokens-%d", n), Body: streamed,
-				Calls: b.N, Concurrency: busyCallers,
+			callHarness[bool](f, "/pace", pace)
+			load := loadRequest{
+				Target: f.callersAddress, Path: fmt.Sprintf("/v1/pipelines/tokens-%d", n), Body: streamedRequestBody,
+				Calls: b.N, Concurrency: loadConcurrency,
 			}
 			if pace > 0 {
-				order.Concurrency = streams
+				load.Concurrency = pacedStreams
 			}
-			spent := f.spend(b, order)
-			b.ReportMetric(float64(n)*1e6/spent, "tokens/s/core")
-			processor[float64(n)] = spent
+			cpuPerRequest := f.measureLoad(b, load)
+			b.ReportMetric(float64(n)*1e6/cpuPerRequest, "tokens/s/core")
+			processor[float64(n)] = cpuPerRequest
 		})
 	}
 	reportFit(b, processor, "cpu-us", "token")
@@ -84,21 +84,21 @@
 // directly to the upstreams, one caller at a time, in turn.
 func BenchmarkAddedTime(b *testing.B) {
 	f := newDaemonFixture(b)
-	median, p99 := series{}, series{}
+	median, p99 := samples{}, samples{}
 	for _, n := range stageCounts {
-		b.Run(sized("stages", n), func(b *testing.B) {
+		b.Run(benchmarkName("stages", n), func(b *testing.B) {
 			f.b = b
-			through := loadOrder{
-				Target: f.callers, Path: fmt.Sprintf("/v1/pipelines/stages-%d", n), Body: question,
+			viaDaemon := loadRequest{
+				Target: f.callersAddress, Path: fmt.Sprintf("/v1/pipelines/stages-%d", n), Body: requestBody,
 				Calls: b.N, Concurrency: 1,
 			}
-			direct := loadOrder{Stages: n, Body: question, Calls: b.N, Concurrency: 1}
-			d, t := ask[loadResult](f, "/load", direct), ask[loadResult](f, "/load", through)
-			b.ReportMetric(float64(d.Median), "direct-p50-us")
-			b.ReportMetric(float64(d.P99), "direct-p99-us")
-			b.ReportMetric(float64(t.Median-d.Median), "added-p50-us")
-			b.ReportMetric(float64(t.P99-d.P99), "added-p99-us")
-			median[float64(n)], p99[float64(n)] = float64(t.Median-d.Median), float64(t.P99-d.P99)
+			direct := loadRequest{Stages: n, Body: requestBody, Calls: b.N, Concurrency: 1}
+			directResult, daemonResult := callHarness[loadResult](f, "/load", direct), callHarness[loadResult](f, "/load", viaDaemon)
+			b.ReportMetric(float64(directResult.Median), "direct-p50-us")
+			b.ReportMetric(float64(directResult.P99), "direct-p99-us")
+			b.ReportMetric(float64(daemonResult.Median-directResult.Median), "added-p50-us")
+			b.ReportMetric(float64(daemonResult.P99-directResult.P99), "added-p99-us")
+			median[float64(n)], p99[float64(n)] = float64(daemonResult.Median-directResult.Median), float64(daemonResult.P99-directResult.P99)
 		})
 	}
 	reportFit(b, median, "p50-us", "stage")
@@ -107,66 +107,66 @@
 
 // inFlight are the numbers of requests in flight. Each takes two descriptors
 // here; the largest is what 20,000 descriptors a process allow.
-var inFlight = []int{100, 1000, 4000, 9000}
+var inFlightCounts = []int{100, 1000, 4000, 9000}
 
 // BenchmarkInFlight measures what a request in flight holds: memory and
 // goroutines while its call waits at an upstream. One run is enough:
 // -benchtime 1x.
 func BenchmarkInFlight(b *testing.B) {
 	f := newDaemonFixture(b)
-	order := loadOrder{Target: f.callers, Path: "/v1/pipelines/stages-1", Body: question}
+	load := loadRequest{Target: f.callersAddress, Path: "/v1/pipelines/stages-1", Body: requestBody}
 	for b.Loop() {
-		heap, stacks, goroutines := series{}, series{}, series{}
+		heap, stacks, goroutines := samples{}, samples{}, samples{}
 		open := 0
-		for _, n := range inFlight {
-			hold := holdOrder{loadOrder: order, Total: n}
+		for _, n := range inFlightCounts {
+			hold := holdRequest{loadRequest: load, Total: n}
 			hold.Calls = n - open
-			ask[bool](f, "/hold", hold)
+			callHarness[bool](f, "/hold", hold)
 			open = n
 			m := memoryInUse()
 			heap[float64(n)], stacks[float64(n)], goroutines[float64(n)] = m.heap, m.stacks, m.goroutines
 		}
-		ask[bool](f, "/release", struct{}{})
+		callHarness[bool](f, "/release", struct{}{})
 		reportSlope(b, heap, "heap-B/request")
 		reportSlope(b, stacks, "stack-B/request")
 		reportSlope(b, goroutines, "goroutines/request")
 	}
 }
 
-func reportSlope(b *testing.B, s series, unit string) {
-	slope, _, r2 := s.fit()
+func reportSlope(b *testing.B, s samples, unit string) {
+	slope, _, r2 := s.linearFit()
 	b.ReportMetric(slope, unit)
 	b.ReportMetric(r2, "r2-"+unit)
 }
 
 // finished are the numbers of finished requests whose records are kept. All of
 // a run together stay within the 32 MB that the daemon keeps.
-var finished = []int{200, 400, 600, 800}
+var finishedCounts = []int{200, 400, 600, 800}
 
 // BenchmarkRecords measures the heap that a finished request leaves behind, its
 // decision record above all, by the number of its stages. One run is enough.
 func BenchmarkRecords(b *testing.B) {
 	f := newDaemonFixture(b)
-	kept := series{}
+	heapPerRequest := samples{}
 	for _, n := range []int{1, 2, 4, 6} {
-		b.Run(sized("stages", n), func(b *testing.B) {
+		b.Run(benchmarkName("stages", n), func(b *testing.B) {
 			f.b = b
-			order := loadOrder{
-				Target: f.callers, Path: fmt.Sprintf("/v1/pipelines/stages-%d", n), Body: question,
-				Concurrency: busyCallers,
+			load := loadRequest{
+				Target: f.callersAddress, Path: fmt.Sprintf("/v1/pipelines/stages-%d", n), Body: requestBody,
+				Concurrency: loadConcurrency,
 			}
 			for b.Loop() {
-				heap, done := series{}, 0
-				for _, total := range finished {
-					order.Calls = total - done
-					ask[loadResult](f, "/load", order)
-					done = total
+				heap, completed := samples{}, 0
+				for _, total := range finishedCounts {
+					load.Calls = total - completed
+					callHarness[loadResult](f, "/load", load)
+					completed = total
 					heap[float64(total)] = memoryInUse().heap
 				}
 				reportSlope(b, heap, "heap-B/request")
-				kept[float64(n)], _, _ = heap.fit()
+				heapPerRequest[float64(n)], _, _ = heap.linearFit()
 			}
 		})
 	}
-	reportFit(b, kept, "heap-B", "stage")
+	reportFit(b, heapPerRequest, "heap-B", "stage")
 }
--- a/bench/fixture_test.go
+++ b/bench/fixture_test.go
@@ -33,11 +33,11 @@
 
 const (
 	// customers is the users' target; calls bear the last one's key.
-	customers = 410
-	hostName  = "entry-1"
-	domain    = "domain-1"
+	customerCount = 410
+	hostName      = "entry-1"
+	domain        = "domain-1"
 	// answerText is what a service answers: about 200 bytes.
-	answerText = "a passage of the corpus, of about the size that a retriever gives back for one question; " +
+	serviceResponseText = "a passage of the corpus, of about the size that a retriever gives back for one question; " +
 		"what a stage hands to the next is a few of them, and the caller's own input goes along with each call"
 	// startTimeout bounds the start of daemon and outside.
 	startTimeout = 20 * time.Second
@@ -47,26 +47,26 @@
 
 // fixture is a running daemon and its outside.
 type fixture struct {
-	b       testing.TB
-	control string
+	b              testing.TB
+	controlAddress string
 	// callers is the daemon's address for callers.
-	callers string
+	callersAddress string
 }
 
 // start is shared by all benchmarks of a run: one daemon, one outside.
-var start = sync.OnceValues(newFixture)
+var sharedFixture = sync.OnceValues(newFixture)
 
 func newDaemonFixture(b *testing.B) *fixture {
 	b.Helper()
-	f, err := start()
+	f, err := sharedFixture()
 	if err != nil {
 		b.Fatal(err)
 	}
-	return &fixture{b: b, control: f.control, callers: f.callers}
+	return &fixture{b: b, controlAddress: f.controlAddress, callersAddress: f.callersAddress}
 }
 
 func newFixture() (*fixture, error) {
-	out, err := startOutside()
+	addresses, err := startHarness()
 	if err != nil {
 		return nil, err
 	}
@@ -78,39 +78,39 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := publish(out, newBundle(out.Upstreams, peers), key); err != nil {
+	if err := publish(addresses, newBundle(addresses.Upstreams, peers), key); err != nil {
 		return nil, err
 	}
-	callers, err := startDaemon(out, peers, base64.StdEncoding.EncodeToString(pub))
+	callers, err := startDaemon(addresses, peers, base64.StdEncoding.EncodeToString(pub))
 	if err != nil {
 		return nil, err
 	}
-	return &fixture{control: out.Control, callers: callers}, nil
+	return &fixture{controlAddress: addresses.Control, callersAddress: callers}, nil
 }
 
 // outsideInput keeps the outside alive until this process ends.
-var outsideInput io.WriteCloser
+var harnessStdin io.WriteCloser
 
 // startOutside starts the second process; it ends with this one, which holds
 // its standard input.
-func startOutside() (addresses, error) {
-	var out addresses
+func startHarness() (harnessAddresses, error) {
+	var addresses harnessAddresses
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), outsideEnv+"=1")
+	cmd.Env = append(os.Environ(), harnessEnv+"=1")
 	cmd.Stderr = os.Stderr
 	stdin, err := cmd.StdinPipe()
 	if err != nil {
-		return out, err
+		return addresses, err
 	}
-	outsideInput = stdin
+	harnessStdin = stdin
 	stdout, err := cmd.StdoutPipe()
 	if err != nil {
-		return out, err
+		return addresses, err
 	}
 	if err := cmd.Start(); err != nil {
-		return out, err
+		return addresses, err
 	}
-	return out, json.NewDecoder(stdout).Decode(&out)
+	return addresses, json.NewDecoder(stdout).Decode(&addresses)
 }
 
 func freeAddress() (string, error) {
@@ -143,7 +143,7 @@
 		},
 	}
 	for p := range b.Pools {
-		for i, address := range upstreams[p*replicas : (p+1)*replicas] {
+		for i, address := range upstreams[p*replicasPerPool : (p+1)*replicasPerPool] {
 			b.Pools[p].Upstreams = append(b.Pools[p].Upstreams, bundle.Upstream{
 				Name: fmt.Sprintf("%s-%d", b.Pools[p].Name, i), FailureDomain: domain, Address: address,
 			})
@@ -154,7 +154,7 @@
 	for _, p := range b.Pipelines {
 		all = append(all, p.Name)
 	}
-	for i := range customers {
+	for i := range customerCount {
 		sum := sha256.Sum256([]byte(apiKey(i)))
 		b.Customers = append(b.Customers, bundle.Customer{
 			Name: fmt.Sprintf("customer-%03d", i), KeyHashes: []string{hex.EncodeToString(sum[:])},
@@ -185,7 +185,7 @@
 	}
 }
 
-func publish(out addresses, b *bundle.Bundle, key ed25519.PrivateKey) error {
+func publish(addresses harnessAddresses, b *bundle.Bundle, key ed25519.PrivateKey) error {
 	raw, err := yaml.Marshal(b)
 	if err != nil {
 		return err
@@ -193,7 +193,7 @@
 	if _, err := bundle.Parse(raw); err != nil {
 		return err
 	}
-	req, err := http.NewRequest(http.MethodPut, "http://"+out.Platform+"/control/values/bundle", bytes.NewReader(bundle.Sign(raw, key)))
+	req, err := http.NewRequest(http.MethodPut, "http://"+addresses.Platform+"/control/values/bundle", bytes.NewReader(bundle.Sign(raw, key)))
 	if err != nil {
 		return err
 	}
@@ -210,7 +210,7 @@
 
 // startDaemon runs the daemon and returns its address for callers once it
 // serves under the bundle. It logs like the program does, to /dev/null.
-func startDaemon(out addresses, peers, public string) (string, error) {
+func startDaemon(addresses harnessAddresses, peers, public string) (string, error) {
 	dir, err := os.MkdirTemp("", "bench")
 	if err != nil {
 		return "", err
@@ -228,7 +228,7 @@
 operators: {token_file: %s}
 platform: {config_service: "http://%s", host_list: "http://%s"}
 bundle_public_keys: [%q]
-`, hostName, domain, peers, token, out.Platform, out.Platform, public)
+`, hostName, domain, peers, token, addresses.Platform, addresses.Platform, public)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return "", err
 	}
@@ -242,7 +242,7 @@
 	}
 	encoder := zapcore.NewCore(zaplogfmt.NewEncoder(zap.NewProductionEncoderConfig()), zapcore.Lock(null), zapcore.InfoLevel)
 	starts, logs := observer.New(zapcore.InfoLevel)
-	filtered := &untilReady{Core: starts}
+	filtered := &listeningFilter{Core: starts}
 	d, err := daemon.New(s, zap.New(zapcore.NewTee(encoder, filtered)))
 	if err != nil {
 		return "", err
@@ -260,9 +260,9 @@
 
 // untilReady passes only the line that awaitListener looks for, so that the log
 // of a benchmark takes no memory.
-type untilReady struct{ zapcore.Core }
+type listeningFilter struct{ zapcore.Core }
 
-func (u *untilReady) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+func (u *listeningFilter) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if e.Message != listeningMessage {
 		return ce
 	}
@@ -287,10 +287,10 @@
 
 // awaitReady waits until the daemon answers a request.
 func awaitReady(callers string) error {
-	o := &outside{client: newClient()}
+	h := &harness{client: newClient()}
 	end := time.Now().Add(startTimeout)
 	for {
-		_, err := o.post("http://"+callers+"/v1/pipelines/stages-1", question)
+		_, err := h.post("http://"+callers+"/v1/pipelines/stages-1", requestBody)
 		if err == nil || time.Now().After(end) {
 			return err
 		}
@@ -299,14 +299,14 @@
 }
 
 // ask sends an order to the outside and decodes its answer.
-func ask[Out any](f *fixture, path string, order any) Out {
+func callHarness[Out any](f *fixture, path string, request any) Out {
 	f.b.Helper()
 	var out Out
-	body, err := json.Marshal(order)
+	body, err := json.Marshal(request)
 	if err != nil {
 		f.b.Fatal(err)
 	}
-	resp, err := http.Post("http://"+f.control+path, "application/json", bytes.NewReader(body))
+	resp, err := http.Post("http://"+f.controlAddress+path, "application/json", bytes.NewReader(body))
 	if err != nil {
 		f.b.Fatal(err)
 	}
--- a/bench/outside_test.go
+++ b/bench/harness_test.go
@@ -17,54 +17,54 @@
 
 // replicas is the number of replicas of each of the two pools: 610 replicas
 // over 27 models and 4 services are about 20 a pool.
-const replicas = 20
+const replicasPerPool = 20
 
 // addresses is the first line that the outside writes.
-type addresses struct {
+type harnessAddresses struct {
 	Control   string
 	Platform  string
 	Upstreams []string
 }
 
 // outside is the process around the daemon: upstreams, callers, platform.
-type outside struct {
+type harness struct {
 	upstreams []string
 	client    *http.Client
 	// pace is the time between two tokens of a stream, in nanoseconds.
-	pace atomic.Int64
+	tokenIntervalNS atomic.Int64
 	// held counts the calls that wait at the upstreams until release ends.
-	held atomic.Int64
+	heldCalls atomic.Int64
 
-	mu      sync.Mutex
-	release chan struct{}
-	opened  sync.WaitGroup
+	mu        sync.Mutex
+	release   chan struct{}
+	openCalls sync.WaitGroup
 }
 
 // runOutside serves until the parent closes standard input.
-func runOutside() error {
-	o := &outside{client: newClient()}
-	var out addresses
-	for range 2 * replicas {
-		addr, err := serve(http.HandlerFunc(o.serveUpstream))
+func runHarness() error {
+	h := &harness{client: newClient()}
+	var addresses harnessAddresses
+	for range 2 * replicasPerPool {
+		addr, err := serve(http.HandlerFunc(h.serveUpstream))
 		if err != nil {
 			return err
 		}
-		out.Upstreams = append(out.Upstreams, addr)
+		addresses.Upstreams = append(addresses.Upstreams, addr)
 	}
-	o.upstreams = out.Upstreams
+	h.upstreams = addresses.Upstreams
 	var err error
-	if out.Platform, err = serve(platform.New(platform.Config{})); err != nil {
+	if addresses.Platform, err = serve(platform.New(platform.Config{})); err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /load", handle(o.load))
-	mux.HandleFunc("POST /pace", handle(o.setPace))
-	mux.HandleFunc("POST /hold", handle(o.hold))
-	mux.HandleFunc("POST /release", handle(o.letGo))
-	if out.Control, err = serve(mux); err != nil {
+	mux.HandleFunc("POST /load", jsonHandler(h.runLoad))
+	mux.HandleFunc("POST /pace", jsonHandler(h.setTokenInterval))
+	mux.HandleFunc("POST /hold", jsonHandler(h.holdCalls))
+	mux.HandleFunc("POST /release", jsonHandler(h.releaseCalls))
+	if addresses.Control, err = serve(mux); err != nil {
 		return err
 	}
-	if err := json.NewEncoder(os.Stdout).Encode(out); err != nil {
+	if err := json.NewEncoder(os.Stdout).Encode(addresses); err != nil {
 		return err
 	}
 	_, err = io.Copy(io.Discard, os.Stdin)
@@ -89,7 +89,7 @@
 }
 
 // handle makes an HTTP handler of a function over JSON.
-func handle[In, Out any](f func(In) (Out, error)) http.HandlerFunc {
+func jsonHandler[In, Out any](f func(In) (Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in In
 		if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
@@ -105,8 +105,8 @@
 	}
 }
 
-func (o *outside) setPace(pace time.Duration) (bool, error) {
-	o.pace.Store(int64(pace))
+func (h *harness) setTokenInterval(pace time.Duration) (bool, error) {
+	h.tokenIntervalNS.Store(int64(pace))
 	return true, nil
 }
 
@@ -116,29 +116,29 @@
 	Input     json.RawMessage `json:"input"`
 }
 
-func (o *outside) serveUpstream(w http.ResponseWriter, r *http.Request) {
+func (h *harness) serveUpstream(w http.ResponseWriter, r *http.Request) {
 	var call upstreamCall
 	if r.Method != http.MethodPost || json.NewDecoder(r.Body).Decode(&call) != nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	o.waitReleased(r)
+	h.waitForRelease(r)
 	id, attempt := r.Header.Get("X-Request-Id"), r.Header.Get("X-Attempt")
 	if r.URL.Path == "/v1/chat/completions" {
-		o.stream(w, id, attempt, call.MaxTokens)
+		h.stream(w, id, attempt, call.MaxTokens)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = fmt.Fprintf(w, `{"request_id":%q,"attempt":%s,"result":{"text":%q}}`, id, attempt, answerText)
+	_, _ = fmt.Fprintf(w, `{"request_id":%q,"attempt":%s,"result":{"text":%q}}`, id, attempt, serviceResponseText)
 }
 
 // stream writes tokens, each in a packet of its own when they are paced.
-func (o *outside) stream(w http.ResponseWriter, id, attempt string, tokens int) {
+func (h *harness) stream(w http.ResponseWriter, id, attempt string, tokens int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := w.(http.Flusher)
 	for range tokens {
 		_, _ = fmt.Fprintf(w, "data: {\"id\":\"c\",\"choices\":[{\"delta\":{\"content\":\"word \"},\"finish_reason\":null}],\"request_id\":%q,\"attempt\":%s}\n\n", id, attempt)
-		if pace := time.Duration(o.pace.Load()); pace > 0 {
+		if pace := time.Duration(h.tokenIntervalNS.Load()); pace > 0 {
 			flusher.Flush()
 			time.Sleep(pace)
 		}
@@ -146,15 +146,15 @@
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
 }
 
-func (o *outside) waitReleased(r *http.Request) {
-	o.mu.Lock()
-	release := o.release
-	o.mu.Unlock()
+func (h *harness) waitForRelease(r *http.Request) {
+	h.mu.Lock()
+	release := h.release
+	h.mu.Unlock()
 	if release == nil {
 		return
 	}
-	o.held.Add(1)
-	defer o.held.Add(-1)
+	h.heldCalls.Add(1)
+	defer h.heldCalls.Add(-1)
 	select {
 	case <-release:
 	case <-r.Context().Done():
--- a/bench/load_test.go
+++ b/bench/load_test.go
@@ -15,7 +15,7 @@
 )
 
 // loadOrder asks the outside for a closed loop of calls.
-type loadOrder struct {
+type loadRequest struct {
 	// Target is the daemon's address; empty calls the upstreams directly,
 	// Stages times one after the other.
 	Target      string
@@ -40,24 +40,24 @@
 	histogramDigits = 3
 )
 
-func (o *outside) load(order loadOrder) (loadResult, error) {
+func (h *harness) runLoad(load loadRequest) (loadResult, error) {
 	began := time.Now()
-	left, read := atomic.Int64{}, atomic.Int64{}
-	left.Store(int64(order.Calls))
-	histograms := make([]*hdrhistogram.Histogram, order.Concurrency)
+	remaining, bytesRead := atomic.Int64{}, atomic.Int64{}
+	remaining.Store(int64(load.Calls))
+	histograms := make([]*hdrhistogram.Histogram, load.Concurrency)
 	var group errgroup.Group
 	for i := range histograms {
-		h := hdrhistogram.New(1, histogramMax, histogramDigits)
-		histograms[i] = h
+		histogram := hdrhistogram.New(1, histogramMax, histogramDigits)
+		histograms[i] = histogram
 		group.Go(func() error {
-			for left.Add(-1) >= 0 {
+			for remaining.Add(-1) >= 0 {
 				from := time.Now()
-				n, err := o.call(order)
+				n, err := h.makeCall(load)
 				if err != nil {
 					return err
 				}
-				read.Add(n)
-				if err := h.RecordValue(max(1, time.Since(from).Microseconds())); err != nil {
+				bytesRead.Add(n)
+				if err := histogram.RecordValue(max(1, time.Since(from).Microseconds())); err != nil {
 					return err
 				}
 			}
@@ -67,23 +67,23 @@
 	if err := group.Wait(); err != nil {
 		return loadResult{}, err
 	}
-	for _, h := range histograms[1:] {
-		histograms[0].Merge(h)
+	for _, histogram := range histograms[1:] {
+		histograms[0].Merge(histogram)
 	}
 	return loadResult{
 		Median: histograms[0].ValueAtQuantile(50), P99: histograms[0].ValueAtQuantile(99),
-		Bytes: read.Load(), Seconds: time.Since(began).Seconds(),
+		Bytes: bytesRead.Load(), Seconds: time.Since(began).Seconds(),
 	}, nil
 }
 
 // call makes one call and returns the bytes of its answer.
-func (o *outside) call(order loadOrder) (int64, error) {
-	if order.Target != "" {
-		return o.post("http://"+order.Target+order.Path, order.Body)
+func (h *harness) makeCall(load loadRequest) (int64, error) {
+	if load.Target != "" {
+		return h.post("http://"+load.Target+load.Path, load.Body)
 	}
 	var sum int64
-	for i := range order.Stages {
-		n, err := o.post("http://"+o.upstreams[i%len(o.upstreams)]+"/v1/encode", order.Body)
+	for i := range load.Stages {
+		n, err := h.post("http://"+h.upstreams[i%len(h.upstreams)]+"/v1/encode", load.Body)
 		if err != nil {
 			return 0, err
 		}
@@ -92,17 +92,17 @@
 	return sum, nil
 }
 
-var errBadAnswer = errors.New("no whole answer")
+var errIncompleteResponse = errors.New("no whole answer")
 
-func (o *outside) post(url, body string) (int64, error) {
+func (h *harness) post(url, body string) (int64, error) {
 	req, err := http.NewRequest(http.MethodPost, url, bytes.NewReader([]byte(body)))
 	if err != nil {
 		return 0, err
 	}
-	req.Header.Set("Authorization", "Bearer "+apiKey(customers-1))
+	req.Header.Set("Authorization", "Bearer "+apiKey(customerCount-1))
 	req.Header.Set("X-Request-Id", "direct")
 	req.Header.Set("X-Attempt", strconv.Itoa(1))
-	resp, err := o.client.Do(req)
+	resp, err := h.client.Do(req)
 	if err != nil {
 		return 0, err
 	}
@@ -112,14 +112,14 @@
 		return 0, err
 	}
 	if resp.StatusCode != http.StatusOK || bytes.Contains(raw, []byte("event: error")) {
-		return 0, fmt.Errorf("%w: %d %s", errBadAnswer, resp.StatusCode, raw)
+		return 0, fmt.Errorf("%w: %d %s", errIncompleteResponse, resp.StatusCode, raw)
 	}
 	return int64(len(raw)), nil
 }
 
 // holdOrder asks the outside to have Calls more calls in flight.
-type holdOrder struct {
-	loadOrder
+type holdRequest struct {
+	loadRequest
 	// Total is the number of calls in flight that is waited for.
 	Total int
 }
@@ -128,39 +128,39 @@
 const holdTimeout = 30 * time.Second
 
 // openAtOnce bounds the calls that are opened at the same time.
-const openAtOnce = 64
+const maxUnheldCalls = 64
 
 // hold opens calls and returns when all have reached an upstream.
-func (o *outside) hold(order holdOrder) (bool, error) {
-	o.mu.Lock()
-	if o.release == nil {
-		o.release = make(chan struct{})
+func (h *harness) holdCalls(hold holdRequest) (bool, error) {
+	h.mu.Lock()
+	if h.release == nil {
+		h.release = make(chan struct{})
 	}
-	o.mu.Unlock()
-	failed := make(chan error, order.Calls)
+	h.mu.Unlock()
+	failed := make(chan error, hold.Calls)
 	end := time.Now().Add(holdTimeout)
-	for i := range order.Calls {
-		if err := o.awaitHeld(order.Total-order.Calls+i+1-openAtOnce, failed, end); err != nil {
+	for i := range hold.Calls {
+		if err := h.awaitHeld(hold.Total-hold.Calls+i+1-maxUnheldCalls, failed, end); err != nil {
 			return false, err
 		}
-		o.opened.Go(func() {
-			if _, err := o.call(order.loadOrder); err != nil {
+		h.openCalls.Go(func() {
+			if _, err := h.makeCall(hold.loadRequest); err != nil {
 				failed <- err
 			}
 		})
 	}
-	err := o.awaitHeld(order.Total, failed, end)
+	err := h.awaitHeld(hold.Total, failed, end)
 	return err == nil, err
 }
 
 // awaitHeld waits until n calls stand at the upstreams.
-func (o *outside) awaitHeld(n int, failed <-chan error, end time.Time) error {
-	for int(o.held.Load()) < n {
+func (h *harness) awaitHeld(n int, failed <-chan error, end time.Time) error {
+	for int(h.heldCalls.Load()) < n {
 		if len(failed) > 0 {
 			return <-failed
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d of %d calls in flight", o.held.Load(), n)
+			return fmt.Errorf("%d of %d calls in flight", h.heldCalls.Load(), n)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -168,13 +168,13 @@
 }
 
 // letGo lets all calls in flight end.
-func (o *outside) letGo(struct{}) (bool, error) {
-	o.mu.Lock()
-	if o.release != nil {
-		close(o.release)
-		o.release = nil
+func (h *harness) releaseCalls(struct{}) (bool, error) {
+	h.mu.Lock()
+	if h.release != nil {
+		close(h.release)
+		h.release = nil
 	}
-	o.mu.Unlock()
-	o.opened.Wait()
+	h.mu.Unlock()
+	h.openCalls.Wait()
 	return true, nil
 }
--- a/bench/main_test.go
+++ b/bench/main_test.go
@@ -7,13 +7,13 @@
 )
 
 // outsideEnv makes the test binary play the outside of the daemon.
-const outsideEnv = "WHEATSEAM_BENCH_OUTSIDE"
+const harnessEnv = "WHEATSEAM_BENCH_OUTSIDE"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(outsideEnv) == "" {
+	if os.Getenv(harnessEnv) == "" {
 		os.Exit(m.Run())
 	}
-	if err := runOutside(); err != nil {
+	if err := runHarness(); err != nil {
 		fmt.Fprintln(os.Stderr, "outside:", err)
 		os.Exit(1)
 	}
--- a/bench/measure_test.go
+++ b/bench/measure_test.go
@@ -10,7 +10,7 @@
 )
 
 // processorTime is what this process has used in user and system mode.
-func processorTime(b testing.TB) time.Duration {
+func cpuTime(b testing.TB) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -20,25 +20,25 @@
 }
 
 // memory is what the daemon holds in use, after a collection.
-type memory struct {
+type memoryUse struct {
 	heap, stacks, goroutines float64
 }
 
-func memoryInUse() memory {
+func memoryInUse() memoryUse {
 	// Twice: what finalizers and pools free goes with the second collection.
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	return memory{float64(m.HeapAlloc), float64(m.StackInuse), float64(runtime.NumGoroutine())}
+	return memoryUse{float64(m.HeapAlloc), float64(m.StackInuse), float64(runtime.NumGoroutine())}
 }
 
 // series collects a figure over sizes, the last run of a size counting.
-type series map[float64]float64
+type samples map[float64]float64
 
 // fit returns the least-squares line through the points and the share of the
 // spread that it explains.
-func (s series) fit() (slope, intercept, r2 float64) {
+func (s samples) linearFit() (slope, intercept, r2 float64) {
 	var n, sx, sy, sxx, sxy, syy float64
 	for x, y := range s {
 		n, sx, sy, sxx, sxy, syy = n+1, sx+x, sy+y, sxx+x*x, sxy+x*y, syy+y*y
@@ -51,12 +51,12 @@
 }
 
 // reportFit reports the line through s as a benchmark of its own.
-func reportFit(b *testing.B, s series, unit, per string) {
+func reportFit(b *testing.B, s samples, unit, per string) {
 	b.Run("fit_"+strings.ReplaceAll(unit, "/", "_"), func(b *testing.B) {
 		if len(s) < 4 {
 			b.Skipf("%d sizes were run, 4 are needed", len(s))
 		}
-		slope, intercept, r2 := s.fit()
+		slope, intercept, r2 := s.linearFit()
 		b.ReportMetric(0, "ns/op")
 		b.ReportMetric(slope, unit+"/"+per)
 		b.ReportMetric(intercept, unit+"/fixed")
@@ -64,4 +64,4 @@
 	})
 }
 
-func sized(name string, n int) string { return fmt.Sprintf("%s=%d", name, n) }
+func benchmarkName(name string, n int) string { return fmt.Sprintf("%s=%d", name, n) }
--- a/internal/doccheck/doccheck.go
+++ b/internal/doccheck/doccheck.go
@@ -11,9 +11,9 @@
 
 // Keys returns the YAML paths of every value in a struct, such as
 // "pools[].upstreams[].name", in the order of its fields.
-func Keys(document any) []string { return keys(reflect.TypeOf(document), "") }
+func Keys(document any) []string { return yamlPaths(reflect.TypeOf(document), "") }
 
-func keys(t reflect.Type, prefix string) []string {
+func yamlPaths(t reflect.Type, prefix string) []string {
 	var paths []string
 	for i := range t.NumField() {
 		field := t.Field(i)
@@ -24,9 +24,9 @@
 		path := prefix + key
 		switch {
 		case isSection(field.Type):
-			paths = append(paths, keys(field.Type, path+".")...)
+			paths = append(paths, yamlPaths(field.Type, path+".")...)
 		case field.Type.Kind() == reflect.Slice && isSection(field.Type.Elem()):
-			paths = append(paths, keys(field.Type.Elem(), path+"[].")...)
+			paths = append(paths, yamlPaths(field.Type.Elem(), path+"[].")...)
 		default:
 			paths = append(paths, path)
 		}
@@ -40,7 +40,7 @@
 }
 
 // firstCell matches a table row that starts with a key in backquotes.
-var firstCell = regexp.MustCompile("(?m)^\\| `([^`]+)` \\|")
+var firstCellPattern = regexp.MustCompile("(?m)^\\| `([^`]+)` \\|")
 
 // ListedKeys returns the first cells of the table rows in one section of a
 // Markdown file. heading is the section's heading line.
@@ -55,7 +55,7 @@
 	}
 	section, _, _ = strings.Cut(section, "\n## ")
 	var listed []string
-	for _, match := range firstCell.FindAllStringSubmatch(section, -1) {
+	for _, match := range firstCellPattern.FindAllStringSubmatch(section, -1) {
 		listed = append(listed, match[1])
 	}
 	return listed, nil
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -28,7 +28,7 @@
 		d.unreadable = true
 		return d.Report
 	}
-	d.value(root, reflect.ValueOf(v).Elem(), "")
+	d.decodeValue(root, reflect.ValueOf(v).Elem(), "")
 	return d.Report
 }
 
@@ -50,7 +50,7 @@
 		return nil
 	}
 	if len(file.Docs) > 1 {
-		d.note("", file.Docs[1])
+		d.recordLine("", file.Docs[1])
 		d.Add("", "want one YAML document, got %d", len(file.Docs))
 		return nil
 	}
@@ -68,8 +68,8 @@
 }
 
 // value reads node into v and notes the line of each path.
-func (d *decoder) value(node ast.Node, v reflect.Value, path string) {
-	d.note(path, node)
+func (d *decoder) decodeValue(node ast.Node, v reflect.Value, path string) {
+	d.recordLine(path, node)
 	switch node.(type) {
 	case *ast.NullNode:
 		d.Add(path, "has no value")
@@ -80,17 +80,17 @@
 	}
 	switch {
 	case IsScalar(v.Type()):
-		d.scalar(node, v, path)
+		d.decodeScalar(node, v, path)
 	case v.Kind() == reflect.Struct:
-		d.structure(node, v, path)
+		d.decodeStruct(node, v, path)
 	default:
-		d.sequence(node, v, path)
+		d.decodeSequence(node, v, path)
 	}
 }
 
 // note keeps the first line seen for path: a key's line goes before that of
 // its value.
-func (d *decoder) note(path string, node ast.Node) {
+func (d *decoder) recordLine(path string, node ast.Node) {
 	if _, ok := d.lines[path]; ok {
 		return
 	}
@@ -99,7 +99,7 @@
 	}
 }
 
-func (d *decoder) structure(node ast.Node, v reflect.Value, path string) {
+func (d *decoder) decodeStruct(node ast.Node, v reflect.Value, path string) {
 	var pairs []*ast.MappingValueNode
 	switch n := node.(type) {
 	case *ast.MappingNode:
@@ -107,32 +107,32 @@
 	case *ast.MappingValueNode:
 		pairs = []*ast.MappingValueNode{n}
 	default:
-		d.Add(path, "want a mapping, got %s", kindOf(node))
+		d.Add(path, "want a mapping, got %s", kindName(node))
 		return
 	}
-	fields := fieldsOf(v.Type())
+	fields := fieldIndexes(v.Type())
 	for _, pair := range pairs {
 		key := pair.Key.GetToken().Value
 		child := Join(path, key)
-		d.note(child, pair.Key)
+		d.recordLine(child, pair.Key)
 		index, known := fields[key]
 		if !known {
 			d.Add(child, "unknown key")
 			continue
 		}
-		d.value(pair.Value, v.Field(index), child)
+		d.decodeValue(pair.Value, v.Field(index), child)
 	}
 }
 
-func (d *decoder) sequence(node ast.Node, v reflect.Value, path string) {
+func (d *decoder) decodeSequence(node ast.Node, v reflect.Value, path string) {
 	list, ok := node.(*ast.SequenceNode)
 	if !ok {
-		d.Add(path, "want a list, got %s", kindOf(node))
+		d.Add(path, "want a list, got %s", kindName(node))
 		return
 	}
 	items := reflect.MakeSlice(v.Type(), len(list.Values), len(list.Values))
 	for i, item := range list.Values {
-		d.value(item, items.Index(i), fmt.Sprintf("%s[%d]", path, i))
+		d.decodeValue(item, items.Index(i), fmt.Sprintf("%s[%d]", path, i))
 	}
 	v.Set(items)
 }
@@ -149,13 +149,13 @@
 
 // scalar reads one value. The library would turn a fraction into a whole
 // number or a number into a string, so that the node's kind is checked first.
-func (d *decoder) scalar(node ast.Node, v reflect.Value, path string) {
-	if !fits(node, v.Type()) {
-		d.Add(path, "want %s, got %s", typeName(v.Type()), kindOf(node))
+func (d *decoder) decodeScalar(node ast.Node, v reflect.Value, path string) {
+	if !acceptsNode(node, v.Type()) {
+		d.Add(path, "want %s, got %s", typeDescription(v.Type()), kindName(node))
 		return
 	}
 	if err := convert(node, v); err != nil {
-		d.Add(path, "want %s: %s", typeName(v.Type()), oneLine(err))
+		d.Add(path, "want %s: %s", typeDescription(v.Type()), shortMessage(err))
 	}
 }
 
@@ -171,7 +171,7 @@
 }
 
 // fits says whether a node of this kind may be read into t.
-func fits(node ast.Node, t reflect.Type) bool {
+func acceptsNode(node ast.Node, t reflect.Type) bool {
 	switch node.(type) {
 	case *ast.StringNode:
 		return t.Kind() == reflect.String || t == durationType || t == timeType
@@ -187,7 +187,7 @@
 }
 
 // fieldsOf maps the YAML keys of a struct to its fields.
-func fieldsOf(t reflect.Type) map[string]int {
+func fieldIndexes(t reflect.Type) map[string]int {
 	fields := make(map[string]int, t.NumField())
 	for i := range t.NumField() {
 		if key := Key(t.Field(i)); key != "" && key != "-" {
@@ -203,9 +203,9 @@
 	return key
 }
 
-func kindOf(node ast.Node) string { return strings.ToLower(node.Type().YAMLName()) }
+func kindName(node ast.Node) string { return strings.ToLower(node.Type().YAMLName()) }
 
-func typeName(t reflect.Type) string {
+func typeDescription(t reflect.Type) string {
 	switch {
 	case t == durationType:
 		return "a duration with its unit, such as 250ms"
@@ -222,7 +222,7 @@
 	}
 }
 
-func oneLine(err error) string {
+func shortMessage(err error) string {
 	var located yaml.Error
 	if errors.As(err, &located) {
 		return located.GetMessage()
--- a/internal/uuidtime/uuidtime.go
+++ b/internal/uuidtime/uuidtime.go
@@ -10,7 +10,7 @@
 
 // Parse returns the canonical text of a UUIDv7 and its time, to the
 // millisecond.
-func Parse(text string) (canonical string, made time.Time, err error) {
+func Parse(text string) (canonical string, createdAt time.Time, err error) {
 	id, err := uuid.Parse(text)
 	if err != nil {
 		return "", time.Time{}, fmt.Errorf("not a UUID: %w", err)
--- a/internal/workqueue/workqueue.go
+++ b/internal/workqueue/workqueue.go
@@ -11,13 +11,13 @@
 // bounded elsewhere: handlers wait for their answers, calls have places, and
 // timers post one event at a time.
 type Queue struct {
-	mu   sync.Mutex
-	work []func()
-	wake chan struct{}
+	mu        sync.Mutex
+	work      []func()
+	available chan struct{}
 }
 
 // New returns an empty queue.
-func New() *Queue { return &Queue{wake: make(chan struct{}, 1)} }
+func New() *Queue { return &Queue{available: make(chan struct{}, 1)} }
 
 // Add appends work.
 func (q *Queue) Add(f func()) {
@@ -25,13 +25,13 @@
 	q.work = append(q.work, f)
 	q.mu.Unlock()
 	select {
-	case q.wake <- struct{}{}:
+	case q.available <- struct{}{}:
 	default:
 	}
 }
 
 // take empties the queue.
-func (q *Queue) take() []func() {
+func (q *Queue) takeAll() []func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	work := q.work
@@ -47,8 +47,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-q.wake:
-			for _, f := range q.take() {
+		case <-q.available:
+			for _, f := range q.takeAll() {
 				f()
 			}
 		case <-ticker.C:
--- a/replay/audit/audit.go
+++ b/replay/audit/audit.go
@@ -22,16 +22,16 @@
 	// that no execution stands behind.
 	Lost Kind = "lost"
 	// Doubled: a stage that may not be repeated was begun more than once.
-	Doubled Kind = "doubled"
+	DuplicateExecution Kind = "doubled"
 	// Misdelivered: an answer holds the work of another request.
 	Misdelivered Kind = "misdelivered"
 	// UntrueNotRun: a refusal says not_run, and a stage that may not be
 	// repeated was begun.
-	UntrueNotRun Kind = "untrue_not_run"
+	FalseNotRun Kind = "untrue_not_run"
 )
 
 // Kinds lists every kind.
-var Kinds = []Kind{Lost, Doubled, Misdelivered, UntrueNotRun}
+var Kinds = []Kind{Lost, DuplicateExecution, Misdelivered, FalseNotRun}
 
 // Violation is one violation, with enough to look it up in the decision record.
 type Violation struct {
@@ -55,42 +55,42 @@
 // auditor holds the indexes over one run.
 type auditor struct {
 	pipelines map[string]bundle.Pipeline
-	groups    []*group
+	groups    []*requestGroup
 	// byUUID finds the group of the UUID in a fleet's request id.
-	byUUID  map[string]*group
-	byMark  map[string]*group
-	finding Finding
+	groupsByUUID  map[string]*requestGroup
+	groupsByToken map[string]*requestGroup
+	finding       Finding
 }
 
 // group is one request with all of its tries.
-type group struct {
-	root  string
-	calls []*replay.Call
+type requestGroup struct {
+	firstTryID string
+	calls      []*replay.Call
 	// ids are the fleet's ids of the tries that are known.
-	ids     map[string]bool
-	entries []ledger.Entry
+	requestIDs map[string]bool
+	entries    []ledger.Entry
 }
 
 // Audit judges calls by entries. The pipelines say which stages there are and
 // which may not be repeated.
 func Audit(calls []*replay.Call, entries []ledger.Entry, pipelines []bundle.Pipeline) Finding {
-	a := &auditor{pipelines: map[string]bundle.Pipeline{}, byUUID: map[string]*group{}, byMark: map[string]*group{}}
+	a := &auditor{pipelines: map[string]bundle.Pipeline{}, groupsByUUID: map[string]*requestGroup{}, groupsByToken: map[string]*requestGroup{}}
 	for _, p := range pipelines {
 		a.pipelines[p.Name] = p
 	}
-	a.gather(calls)
-	a.assign(entries)
+	a.groupCalls(calls)
+	a.assignEntries(entries)
 	for _, g := range a.groups {
 		a.findLost(g)
-		a.findDoubled(g)
+		a.findDuplicateExecution(g)
 		a.findMisdelivered(g)
-		a.findUntrueNotRun(g)
+		a.findFalseNotRun(g)
 		a.countUndelivered(g)
 	}
 	return a.finding
 }
 
-func (a *auditor) report(k Kind, c *replay.Call, format string, args ...any) {
+func (a *auditor) addViolation(k Kind, c *replay.Call, format string, args ...any) {
 	a.finding.Violations = append(a.finding.Violations, Violation{
 		Kind: k, Request: c.Request.ID, RequestID: c.RequestID(), Key: c.Key, Detail: fmt.Sprintf(format, args...),
 	})
@@ -99,7 +99,7 @@
 var uuidPattern = regexp.MustCompile(`[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}`)
 
 // identity returns the UUID in a fleet's request id, or the id itself.
-func identity(requestID string) string {
+func requestUUID(requestID string) string {
 	if u := uuidPattern.FindString(requestID); u != "" {
 		return u
 	}
@@ -107,43 +107,43 @@
 }
 
 // gather groups the calls that were sent by their first try.
-func (a *auditor) gather(calls []*replay.Call) {
-	roots := map[string]*group{}
+func (a *auditor) groupCalls(calls []*replay.Call) {
+	roots := map[string]*requestGroup{}
 	for _, c := range calls {
 		if !c.Sent() {
 			continue
 		}
-		g := roots[c.Root]
+		g := roots[c.FirstTryID]
 		if g == nil {
-			g = &group{root: c.Root, ids: map[string]bool{}}
-			roots[c.Root] = g
+			g = &requestGroup{firstTryID: c.FirstTryID, requestIDs: map[string]bool{}}
+			roots[c.FirstTryID] = g
 			a.groups = append(a.groups, g)
 		}
 		g.calls = append(g.calls, c)
-		a.byMark[c.Mark] = g
+		a.groupsByToken[c.CorrelationToken] = g
 		id := c.RequestID()
 		if id == "" {
 			continue
 		}
-		if other := a.byUUID[identity(id)]; other != nil && other != g {
-			a.report(Misdelivered, c, "the request id is also that of %s", other.root)
+		if other := a.groupsByUUID[requestUUID(id)]; other != nil && other != g {
+			a.addViolation(Misdelivered, c, "the request id is also that of %s", other.firstTryID)
 		}
-		g.ids[id] = true
-		a.byUUID[identity(id)] = g
+		g.requestIDs[id] = true
+		a.groupsByUUID[requestUUID(id)] = g
 	}
 }
 
 // assign gives every ledger entry to its group, by key or else by request id.
-func (a *auditor) assign(entries []ledger.Entry) {
+func (a *auditor) assignEntries(entries []ledger.Entry) {
 	type keyOf struct{ customer, key string }
-	byKey := map[keyOf]*group{}
+	byKey := map[keyOf]*requestGroup{}
 	for _, g := range a.groups {
 		if c := g.calls[0]; c.Key != "" {
 			byKey[keyOf{c.Request.Customer, c.Key}] = g
 		}
 	}
 	for _, e := range entries {
-		g := a.byUUID[identity(e.RequestID)]
+		g := a.groupsByUUID[requestUUID(e.RequestID)]
 		if e.Key != "" {
 			if keyed := byKey[keyOf{e.Customer, uuidPattern.FindString(e.Key)}]; keyed != nil {
 				g = keyed
@@ -168,7 +168,7 @@
 }
 
 // nonRepeatable says whether e executes a stage that may not be repeated.
-func (a *auditor) nonRepeatable(g *group, e ledger.Entry) bool {
+func (a *auditor) isNonRepeatable(g *requestGroup, e ledger.Entry) bool {
 	for _, s := range a.pipelines[g.calls[0].Request.Pipeline].Stages {
 		if LedgerStage(s) == e.Stage {
 			return s.NonRepeatable
--- a/replay/audit/audit_test.go
+++ b/replay/audit/audit_test.go
@@ -38,8 +38,8 @@
 
 func call(root, key, pipeline string) *replay.Call {
 	return &replay.Call{
-		Request: trace.Request{ID: root, Customer: "clinic", Pipeline: pipeline, DeadlineMS: 1000},
-		Root:    root, Key: key, Mark: replay.NewMark(), SentAt: start, EndedAt: start.Add(50 * time.Millisecond),
+		Request:    trace.Request{ID: root, Customer: "clinic", Pipeline: pipeline, DeadlineMS: 1000},
+		FirstTryID: root, Key: key, CorrelationToken: replay.NewCorrelationToken(), SentAt: start, EndedAt: start.Add(50 * time.Millisecond),
 	}
 }
 
@@ -61,7 +61,7 @@
 }
 
 func retry(c *replay.Call, of *replay.Call) *replay.Call {
-	c.Root, c.Mark, c.SentAt = of.Root, of.Mark, start.Add(time.Second)
+	c.FirstTryID, c.CorrelationToken, c.SentAt = of.FirstTryID, of.CorrelationToken, start.Add(time.Second)
 	return c
 }
 
@@ -113,22 +113,22 @@
 		Entry("an answer without one of its stages", audit.Lost,
 			func() []*replay.Call { return []*replay.Call{answer(call("c", "", "summary"), idA, `{}`)} },
 			entry("", idA, "generate", 0, ledger.Done)),
-		Entry("two executions of one request", audit.Doubled, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} },
+		Entry("two executions of one request", audit.DuplicateExecution, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} },
 			seal(keyA, idA), seal(keyA, idA)),
-		Entry("an execution for each of two tries", audit.Doubled, func() []*replay.Call {
+		Entry("an execution for each of two tries", audit.DuplicateExecution, func() []*replay.Call {
 			first := silence(a())
 			return []*replay.Call{first, retry(answer(a(), idA2, `{}`), first)}
 		}, seal(keyA, idA), seal(keyA, idA2)),
-		Entry("a failed execution beside another", audit.Doubled, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} },
+		Entry("a failed execution beside another", audit.DuplicateExecution, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} },
 			entry(keyA, idA, "apply", 0, ledger.Failed), seal(keyA, idA)),
-		Entry("two executions to which the key was not forwarded", audit.Doubled, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} },
+		Entry("two executions to which the key was not forwarded", audit.DuplicateExecution, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} },
 			seal("", idA), seal("", idA)),
 		Entry("an answer with another request's id", audit.Misdelivered, func() []*replay.Call {
 			return []*replay.Call{answer(a(), idA, `{"mark":"`+idB+`"}`), refuse(b(), idB, problem.Ran)}
 		}, seal(keyA, idA), seal(keyB, idB)),
 		Entry("an answer with another request's mark", audit.Misdelivered, func() []*replay.Call {
 			other := refuse(b(), idB, problem.NotRun)
-			return []*replay.Call{answer(a(), idA, `{"input":{"text":"`+other.Mark+`"}}`), other}
+			return []*replay.Call{answer(a(), idA, `{"input":{"text":"`+other.CorrelationToken+`"}}`), other}
 		}, seal(keyA, idA)),
 		Entry("one request id in two answers", audit.Misdelivered, func() []*replay.Call {
 			return []*replay.Call{answer(a(), idA, `{}`), answer(b(), idA, `{}`)}
@@ -137,15 +137,15 @@
 			ledger.Entry{RequestID: idA, Stage: "apply", Customer: "town", State: ledger.Done}),
 		Entry("a stream that is not the answer", audit.Misdelivered, func() []*replay.Call {
 			c := answer(a(), idA, `{}`)
-			c.TextDiffers = true
+			c.StreamedTextDiffers = true
 			return []*replay.Call{c}
 		}, seal(keyA, idA)),
-		Entry("not_run beside an execution", audit.UntrueNotRun, func() []*replay.Call { return []*replay.Call{refuse(a(), idA, problem.NotRun)} },
+		Entry("not_run beside an execution", audit.FalseNotRun, func() []*replay.Call { return []*replay.Call{refuse(a(), idA, problem.NotRun)} },
 			seal(keyA, idA)),
-		Entry("not_run beside one that still runs, begun after the refusal", audit.UntrueNotRun,
+		Entry("not_run beside one that still runs, begun after the refusal", audit.FalseNotRun,
 			func() []*replay.Call { return []*replay.Call{refuse(a(), idA, problem.NotRun)} },
 			entry(keyA, idA, "apply", time.Minute, ledger.Running)),
-		Entry("not_run to a retry of what had run", audit.UntrueNotRun, func() []*replay.Call {
+		Entry("not_run to a retry of what had run", audit.FalseNotRun, func() []*replay.Call {
 			first := refuse(a(), idA, problem.MayHaveRun)
 			return []*replay.Call{first, retry(refuse(a(), idA2, problem.NotRun), first)}
 		}, seal(keyA, idA)),
--- a/replay/audit/rules.go
+++ b/replay/audit/rules.go
@@ -9,7 +9,7 @@
 )
 
 // answered returns the first whole answer of the group, in time or late.
-func (g *group) answered() *replay.Call {
+func (g *requestGroup) answered() *replay.Call {
 	for _, c := range g.calls {
 		if c.Outcome == replay.Answered {
 			return c
@@ -18,7 +18,7 @@
 	return nil
 }
 
-func (g *group) unanswered() *replay.Call {
+func (g *requestGroup) unanswered() *replay.Call {
 	for _, c := range g.calls {
 		if c.Outcome == replay.Unanswered {
 			return c
@@ -29,28 +29,28 @@
 
 // findLost reports a request whose caller heard nothing whole, and an answer
 // with a stage that nothing executed.
-func (a *auditor) findLost(g *group) {
+func (a *auditor) findLost(g *requestGroup) {
 	answer := g.answered()
-	silent := g.unanswered()
+	unanswered := g.unanswered()
 	if answer == nil {
-		if silent != nil {
-			a.report(Lost, silent, "neither answered nor refused by %s: %s", silent.Host, silent.Problem)
+		if unanswered != nil {
+			a.addViolation(Lost, unanswered, "neither answered nor refused by %s: %s", unanswered.Host, unanswered.Problem)
 		}
 		return
 	}
-	if silent != nil {
+	if unanswered != nil {
 		// The id of the silent try is unknown, and the answer may rest on
 		// stages that it ran.
 		return
 	}
 	for _, s := range a.pipelines[answer.Request.Pipeline].Stages {
-		if !g.done(LedgerStage(s)) {
-			a.report(Lost, answer, "answered, and stage %s was never done", s.Name)
+		if !g.completed(LedgerStage(s)) {
+			a.addViolation(Lost, answer, "answered, and stage %s was never done", s.Name)
 		}
 	}
 }
 
-func (g *group) done(stage string) bool {
+func (g *requestGroup) completed(stage string) bool {
 	for _, e := range g.entries {
 		if e.Stage == stage && e.State == ledger.Done {
 			return true
@@ -61,10 +61,10 @@
 
 // findDoubled reports a stage that may not be repeated and was begun twice,
 // whatever became of it: an execution that failed may have had its effect.
-func (a *auditor) findDoubled(g *group) {
+func (a *auditor) findDuplicateExecution(g *requestGroup) {
 	begun := map[string][]ledger.Entry{}
 	for _, e := range g.entries {
-		if a.nonRepeatable(g, e) {
+		if a.isNonRepeatable(g, e) {
 			begun[e.Stage] = append(begun[e.Stage], e)
 		}
 	}
@@ -76,40 +76,40 @@
 		for _, e := range entries {
 			where = append(where, e.Upstream+" for "+e.RequestID+" ("+string(e.State)+")")
 		}
-		a.report(Doubled, g.calls[0], "stage %s was begun %d times: %s", stage, len(entries), strings.Join(where, ", "))
+		a.addViolation(DuplicateExecution, g.calls[0], "stage %s was begun %d times: %s", stage, len(entries), strings.Join(where, ", "))
 	}
 }
 
 // findMisdelivered reports an answer that bears the mark or the id of another
 // request, or whose work was executed for another customer.
-func (a *auditor) findMisdelivered(g *group) {
+func (a *auditor) findMisdelivered(g *requestGroup) {
 	for _, c := range g.calls {
 		if c.Outcome != replay.Answered {
 			continue
 		}
-		if c.TextDiffers {
-			a.report(Misdelivered, c, "the streamed text is not the text of the closing event")
+		if c.StreamedTextDiffers {
+			a.addViolation(Misdelivered, c, "the streamed text is not the text of the closing event")
 		}
-		if other := a.foreign(g, c); other != nil {
-			a.report(Misdelivered, c, "the answer holds work of %s", other.root)
+		if other := a.otherGroupIn(g, c); other != nil {
+			a.addViolation(Misdelivered, c, "the answer holds work of %s", other.firstTryID)
 		}
 	}
 	for _, e := range g.entries {
 		if customer := g.calls[0].Request.Customer; e.Customer != customer {
-			a.report(Misdelivered, g.calls[0], "stage %s was executed for customer %q, not %q", e.Stage, e.Customer, customer)
+			a.addViolation(Misdelivered, g.calls[0], "stage %s was executed for customer %q, not %q", e.Stage, e.Customer, customer)
 		}
 	}
 }
 
 // foreign returns another group whose mark or request id stands in c's answer.
-func (a *auditor) foreign(g *group, c *replay.Call) *group {
-	for _, m := range replay.Marks(c.Answer.Result) {
-		if other := a.byMark[m]; m != c.Mark && other != nil {
+func (a *auditor) otherGroupIn(g *requestGroup, c *replay.Call) *requestGroup {
+	for _, m := range replay.FindCorrelationTokens(c.Answer.Result) {
+		if other := a.groupsByToken[m]; m != c.CorrelationToken && other != nil {
 			return other
 		}
 	}
 	for _, u := range uuidPattern.FindAll(c.Answer.Result, -1) {
-		if other := a.byUUID[string(u)]; other != nil && other != g {
+		if other := a.groupsByUUID[string(u)]; other != nil && other != g {
 			return other
 		}
 	}
@@ -119,30 +119,30 @@
 // findUntrueNotRun reports a refusal that says not_run although a stage that
 // may not be repeated was begun for the very request, or for an earlier try of
 // it before this one was even sent.
-func (a *auditor) findUntrueNotRun(g *group) {
+func (a *auditor) findFalseNotRun(g *requestGroup) {
 	for _, c := range g.calls {
 		if c.Outcome != replay.Refused || c.Refusal.Execution != problem.NotRun {
 			continue
 		}
 		for _, e := range g.entries {
-			if !a.nonRepeatable(g, e) {
+			if !a.isNonRepeatable(g, e) {
 				continue
 			}
 			own := e.RequestID == c.Refusal.RequestID
 			if own || e.StartedUnixMS < c.SentAt.UnixMilli() {
-				a.report(UntrueNotRun, c, "refused as %s, and stage %s was begun by %s for %s", c.Refusal.Kind, e.Stage, e.Upstream, e.RequestID)
+				a.addViolation(FalseNotRun, c, "refused as %s, and stage %s was begun by %s for %s", c.Refusal.Kind, e.Stage, e.Upstream, e.RequestID)
 				break
 			}
 		}
 	}
 }
 
-func (a *auditor) countUndelivered(g *group) {
+func (a *auditor) countUndelivered(g *requestGroup) {
 	if g.answered() != nil {
 		return
 	}
 	for _, e := range g.entries {
-		if e.State == ledger.Done && a.nonRepeatable(g, e) {
+		if e.State == ledger.Done && a.isNonRepeatable(g, e) {
 			a.finding.Undelivered++
 			return
 		}
--- a/replay/call.go
+++ b/replay/call.go
@@ -55,15 +55,15 @@
 type Call struct {
 	Request trace.Request
 	// Root is the id of the first try; its own id when it is no retry.
-	Root string
+	FirstTryID string
 	// Host is the address that the request was sent to.
 	Host string
 	// Key is the idempotency key that was sent; may be empty.
 	Key string
 	// Mark is the token in the prompt by which an answer shows its request.
-	Mark string
+	CorrelationToken string
 	// Lag is how long after its offset the request was sent.
-	Lag time.Duration
+	SendLag time.Duration
 	// SentAt and EndedAt are the wall clock at sending and at the last byte.
 	SentAt, EndedAt time.Time
 	// Latency counts from the offset to the last byte.
@@ -71,13 +71,13 @@
 	// FirstToken counts from the offset to the first token; 0 without tokens.
 	FirstToken time.Duration
 	// Gaps are the times between tokens.
-	Gaps []time.Duration
+	InterTokenGaps []time.Duration
 	// TextDiffers says that the streamed tokens are not the text of the
 	// closing event.
-	TextDiffers bool
-	Outcome     Outcome
-	Answer      Answer
-	Refusal     Refusal
+	StreamedTextDiffers bool
+	Outcome             Outcome
+	Answer              Answer
+	Refusal             Refusal
 	// Problem says why the call is unanswered or was not sent.
 	Problem string
 }
--- a/replay/client.go
+++ b/replay/client.go
@@ -17,15 +17,15 @@
 )
 
 // maxAnswer bounds the bytes that are read of one answer.
-const maxAnswer = 8 << 20
+const maxAnswerBytes = 8 << 20
 
 // maxIdlePerHost bounds the idle connections kept to one host.
-const maxIdlePerHost = 1024
+const maxIdleConnsPerHost = 1024
 
 // The media types of the callers' API.
 const (
-	typeProblem = "application/problem+json"
-	typeStream  = "text/event-stream"
+	mediaTypeProblem     = "application/problem+json"
+	mediaTypeEventStream = "text/event-stream"
 )
 
 // The events of a streamed answer.
@@ -43,27 +43,27 @@
 	dialer := &net.Dialer{Timeout: 2 * time.Second}
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: maxIdlePerHost,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		DisableCompression:  true,
 	}}
 }
 
-type input struct {
+type requestInput struct {
 	Text string `json:"text"`
 }
 
 // body is the body of a request of the callers' API.
-type body struct {
-	Input      input  `json:"input"`
-	DeadlineMS int64  `json:"deadline_ms"`
-	Stream     bool   `json:"stream,omitempty"`
-	Prefix     string `json:"prefix,omitempty"`
+type requestBody struct {
+	Input      requestInput `json:"input"`
+	DeadlineMS int64        `json:"deadline_ms"`
+	Stream     bool         `json:"stream,omitempty"`
+	Prefix     string       `json:"prefix,omitempty"`
 }
 
 // exchange sends c and fills in what came back. started is the wall clock of
 // the request's offset.
-func exchange(ctx context.Context, client *http.Client, apiKey string, b body, started time.Time, c *Call) {
-	err := send(ctx, client, apiKey, b, started, c)
+func performCall(ctx context.Context, client *http.Client, apiKey string, b requestBody, started time.Time, c *Call) {
+	err := sendRequest(ctx, client, apiKey, b, started, c)
 	c.EndedAt = time.Now()
 	c.Latency = c.EndedAt.Sub(started)
 	if err != nil {
@@ -72,13 +72,13 @@
 	}
 }
 
-func send(ctx context.Context, client *http.Client, apiKey string, b body, started time.Time, c *Call) error {
-	text, err := json.Marshal(b)
+func sendRequest(ctx context.Context, client *http.Client, apiKey string, b requestBody, started time.Time, c *Call) error {
+	encoded, err := json.Marshal(b)
 	if err != nil {
 		return err
 	}
-	target := "http://" + c.Host + "/v1/pipelines/" + url.PathEscape(c.Request.Pipeline)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(text))
+	requestURL := "http://" + c.Host + "/v1/pipelines/" + url.PathEscape(c.Request.Pipeline)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, requestURL, bytes.NewReader(encoded))
 	if err != nil {
 		return err
 	}
@@ -93,21 +93,21 @@
 		return err
 	}
 	defer resp.Body.Close()
-	media, _, _ := mime.ParseMediaType(resp.Header.Get("Content-Type"))
-	limited := io.LimitReader(resp.Body, maxAnswer)
+	mediaType, _, _ := mime.ParseMediaType(resp.Header.Get("Content-Type"))
+	limited := io.LimitReader(resp.Body, maxAnswerBytes)
 	switch {
-	case media == typeProblem:
-		return c.takeRefusal(json.NewDecoder(limited).Decode)
+	case mediaType == mediaTypeProblem:
+		return c.decodeRefusal(json.NewDecoder(limited).Decode)
 	case resp.StatusCode != http.StatusOK:
 		return fmt.Errorf("status %d without a problem document", resp.StatusCode)
-	case media == typeStream:
+	case mediaType == mediaTypeEventStream:
 		return c.readStream(limited, started)
 	default:
-		return c.takeAnswer(json.NewDecoder(limited).Decode)
+		return c.decodeAnswer(json.NewDecoder(limited).Decode)
 	}
 }
 
-func (c *Call) takeAnswer(decode func(any) error) error {
+func (c *Call) decodeAnswer(decode func(any) error) error {
 	if err := decode(&c.Answer); err != nil {
 		return fmt.Errorf("malformed answer: %w", err)
 	}
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func (c *Call) takeRefusal(decode func(any) error) error {
+func (c *Call) decodeRefusal(decode func(any) error) error {
 	if err := decode(&c.Refusal); err != nil {
 		return fmt.Errorf("malformed problem document: %w", err)
 	}
@@ -130,12 +130,12 @@
 }
 
 // readStream reads server-sent events until one ends the answer.
-func (c *Call) readStream(r io.Reader, started time.Time) error {
+func (c *Call) readStream(r io.Reader, due time.Time) error {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxAnswer)
+	lines.Buffer(nil, maxAnswerBytes)
 	var event string
 	var data strings.Builder
-	stream := tokens{started: started}
+	stream := streamState{due: due}
 	for lines.Scan() {
 		line := lines.Text()
 		switch {
@@ -144,7 +144,7 @@
 		case strings.HasPrefix(line, "data:"):
 			data.WriteString(strings.TrimPrefix(line, "data:"))
 		case line == "" && event != "":
-			end, err := c.takeEvent(event, data.String(), &stream)
+			end, err := c.handleEvent(event, data.String(), &stream)
 			if end || err != nil {
 				return err
 			}
@@ -159,36 +159,36 @@
 }
 
 // tokens is what came of a stream so far.
-type tokens struct {
-	started time.Time
-	last    time.Time
-	text    strings.Builder
+type streamState struct {
+	due       time.Time
+	lastToken time.Time
+	text      strings.Builder
 }
 
 // takeEvent handles one event and says whether it ends the answer.
-func (c *Call) takeEvent(event, data string, t *tokens) (bool, error) {
+func (c *Call) handleEvent(event, data string, t *streamState) (bool, error) {
 	decode := func(into any) error { return json.Unmarshal([]byte(data), into) }
 	switch event {
 	case eventToken:
-		return false, c.takeToken(decode, t)
+		return false, c.handleToken(decode, t)
 	case eventReset:
-		c.FirstToken, t.last = 0, time.Time{}
+		c.FirstToken, t.lastToken = 0, time.Time{}
 		t.text.Reset()
 		return false, nil
 	case eventDone:
-		if err := c.takeAnswer(decode); err != nil {
+		if err := c.decodeAnswer(decode); err != nil {
 			return true, err
 		}
-		c.TextDiffers = differs(t.text.String(), c.Answer.Result)
+		c.StreamedTextDiffers = streamedTextDiffers(t.text.String(), c.Answer.Result)
 		return true, nil
 	case eventError:
-		return true, c.takeRefusal(decode)
+		return true, c.decodeRefusal(decode)
 	default:
 		return false, nil
 	}
 }
 
-func (c *Call) takeToken(decode func(any) error, t *tokens) error {
+func (c *Call) handleToken(decode func(any) error, t *streamState) error {
 	var token struct {
 		Text string `json:"text"`
 	}
@@ -196,24 +196,24 @@
 		return fmt.Errorf("malformed token: %w", err)
 	}
 	now := time.Now()
-	if t.last.IsZero() {
-		c.FirstToken = now.Sub(t.started)
+	if t.lastToken.IsZero() {
+		c.FirstToken = now.Sub(t.due)
 	} else {
-		c.Gaps = append(c.Gaps, now.Sub(t.last))
+		c.InterTokenGaps = append(c.InterTokenGaps, now.Sub(t.lastToken))
 	}
-	t.last = now
+	t.lastToken = now
 	t.text.WriteString(token.Text)
 	return nil
 }
 
 // differs says whether the streamed text is another than that of the result.
 // A result of another form cannot be compared and does not differ.
-func differs(streamed string, result json.RawMessage) bool {
-	var whole struct {
+func streamedTextDiffers(streamed string, result json.RawMessage) bool {
+	var decoded struct {
 		Text *string `json:"text"`
 	}
-	if json.Unmarshal(result, &whole) != nil || whole.Text == nil {
+	if json.Unmarshal(result, &decoded) != nil || decoded.Text == nil {
 		return false
 	}
-	return streamed != "" && streamed != *whole.Text
+	return streamed != "" && streamed != *decoded.Text
 }
--- a/replay/compare/compare.go
+++ b/replay/compare/compare.go
@@ -22,10 +22,10 @@
 const MinPairs = 5
 
 // rows are the metrics that are set side by side.
-var rows = []verdict.Metric{
+var comparedMetrics = []verdict.Metric{
 	verdict.Attainment, verdict.Goodput, verdict.LatencyP50, verdict.LatencyP99, verdict.FirstTokenP50,
 	verdict.RefusedShare, verdict.RefusalP50, verdict.RefusalP99,
-	verdict.EngineSeconds, verdict.EngineSecondsEach, verdict.WastedShare, verdict.ViolationCount,
+	verdict.EngineSeconds, verdict.EngineSecondsPerAttained, verdict.WastedShare, verdict.ViolationCount,
 }
 
 // Set is the runs of one deployment, in the order in which they were made.
@@ -80,12 +80,12 @@
 
 // New compares sets. They must hold equally many runs of the same trace.
 func New(sets []Set) (*Comparison, error) {
-	if err := check(sets); err != nil {
+	if err := validate(sets); err != nil {
 		return nil, err
 	}
 	first := sets[0].Reports[0]
 	c := &Comparison{Trace: first.Trace, Speed: first.Speed}
-	for _, m := range rows {
+	for _, m := range comparedMetrics {
 		row := Row{Metric: m}
 		base := values(sets[0], m)
 		for i, s := range sets {
@@ -96,7 +96,7 @@
 	return c, nil
 }
 
-func check(sets []Set) error {
+func validate(sets []Set) error {
 	if len(sets) < 2 {
 		return errors.New("a comparison needs two sets of runs or more")
 	}
@@ -132,8 +132,8 @@
 }
 
 func newCell(label string, base, own []float64, first bool) Cell {
-	known := slices.DeleteFunc(slices.Clone(own), math.IsNaN)
-	c := Cell{Label: label, Runs: len(known), Values: spread(known)}
+	measured := slices.DeleteFunc(slices.Clone(own), math.IsNaN)
+	c := Cell{Label: label, Runs: len(measured), Values: newSpread(measured)}
 	if first {
 		return c
 	}
@@ -143,13 +143,13 @@
 			differences = append(differences, d)
 		}
 	}
-	c.Difference = spread(differences)
+	c.Difference = newSpread(differences)
 	c.Judgement = judge(differences)
 	return c
 }
 
 func judge(differences []float64) Judgement {
-	s := spread(differences)
+	s := newSpread(differences)
 	switch {
 	case len(differences) < MinPairs:
 		return TooFew
@@ -162,7 +162,7 @@
 	}
 }
 
-func spread(values []float64) Spread {
+func newSpread(values []float64) Spread {
 	if len(values) == 0 {
 		return Spread{}
 	}
--- a/replay/faults.go
+++ b/replay/faults.go
@@ -16,7 +16,7 @@
 const controlTimeout = 5 * time.Second
 
 // targets returns the addresses that f names.
-func targets(standIns map[string][]string, f trace.Fault) ([]string, error) {
+func faultTargets(standIns map[string][]string, f trace.Fault) ([]string, error) {
 	addresses := standIns[f.Pool]
 	if len(addresses) == 0 {
 		return nil, fmt.Errorf("fault at %d ms: no stand-ins known for pool %q", f.AtMS, f.Pool)
@@ -38,16 +38,16 @@
 func (r *runner) injectFaults(ctx context.Context) []FaultReport {
 	var out []FaultReport
 	for _, f := range r.trace.Faults {
-		if !r.waitUntil(ctx, r.offset(f.At())) {
+		if !r.waitUntil(ctx, r.scaledOffset(f.At())) {
 			return append(out, FaultReport{Fault: f, Err: ctx.Err()})
 		}
-		out = append(out, FaultReport{Fault: f, Err: r.inject(ctx, f)})
+		out = append(out, FaultReport{Fault: f, Err: r.injectFault(ctx, f)})
 	}
 	return out
 }
 
-func (r *runner) inject(ctx context.Context, f trace.Fault) error {
-	addresses, err := targets(r.cfg.StandIns, f)
+func (r *runner) injectFault(ctx context.Context, f trace.Fault) error {
+	addresses, err := faultTargets(r.cfg.StandIns, f)
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 		return fmt.Errorf("injecting a fault: %w", err)
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswer))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswerBytes))
 	if resp.StatusCode/100 != 2 {
 		return fmt.Errorf("injecting a fault at %s: status %d", address, resp.StatusCode)
 	}
--- a/replay/fleetfiles/fleetfiles.go
+++ b/replay/fleetfiles/fleetfiles.go
@@ -25,17 +25,17 @@
 
 // The names of the files that Write makes.
 const (
-	FileBundle       = "bundle.yaml"
-	FileSigned       = "bundle.signed.yaml"
-	FilePublicKey    = "bundle.pub"
-	FileHostList     = "hosts.json"
-	FileToken        = "operator.token"
-	FileAPIKeys      = "keys.yaml"
-	FileProcesses    = "processes"
-	FileEnvironment  = "fleet.env"
-	directoryAllowed = 0o755
-	fileAllowed      = 0o644
-	secretAllowed    = 0o600
+	FileBundle      = "bundle.yaml"
+	FileSigned      = "bundle.signed.yaml"
+	FilePublicKey   = "bundle.pub"
+	FileHostList    = "hosts.json"
+	FileToken       = "operator.token"
+	FileAPIKeys     = "keys.yaml"
+	FileProcesses   = "processes"
+	FileEnvironment = "fleet.env"
+	directoryMode   = 0o755
+	fileMode        = 0o644
+	secretFileMode  = 0o600
 )
 
 // Config says what fleet is wanted.
@@ -51,19 +51,19 @@
 }
 
 // fleet is what Write works on.
-type fleet struct {
+type fleetWriter struct {
 	Config
-	bundle   bundle.Bundle
-	ports    *ports
-	platform string
-	control  string
-	hosts    []entryHost
+	bundle          bundle.Bundle
+	ports           *reservedPorts
+	platformAddress string
+	controlAddress  string
+	entryHosts      []entryHost
 }
 
 // entryHost is one daemon with its addresses.
 type entryHost struct {
 	bundle.Host
-	callers, operators string
+	callersAddress, operatorsAddress string
 }
 
 // Write writes all files.
@@ -72,9 +72,9 @@
 	if err != nil {
 		return err
 	}
-	f := &fleet{Config: cfg, bundle: *cfg.Bundle, ports: p}
-	f.move()
-	if err := os.MkdirAll(cfg.Dir, directoryAllowed); err != nil {
+	f := &fleetWriter{Config: cfg, bundle: *cfg.Bundle, ports: p}
+	f.assignAddresses()
+	if err := os.MkdirAll(cfg.Dir, directoryMode); err != nil {
 		return err
 	}
 	return errors.Join(f.writeKeys(), f.writeBundle(), f.writeHostList(), f.writeSettings(), f.writeProcesses())
@@ -91,12 +91,12 @@
 }
 
 // ports are addresses that were free when they were reserved.
-type ports struct{ addresses []string }
+type reservedPorts struct{ addresses []string }
 
 // reservePorts lets the kernel choose n ports, all at a time so that they
 // differ, and frees them again.
-func reservePorts(n int) (*ports, error) {
-	p := &ports{}
+func reservePorts(n int) (*reservedPorts, error) {
+	p := &reservedPorts{}
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -108,43 +108,43 @@
 	return p, nil
 }
 
-func (p *ports) take() string {
+func (p *reservedPorts) next() string {
 	a := p.addresses[0]
 	p.addresses = p.addresses[1:]
 	return a
 }
 
 // move gives every listener a free address.
-func (f *fleet) move() {
-	f.platform, f.control = f.ports.take(), f.ports.take()
+func (f *fleetWriter) assignAddresses() {
+	f.platformAddress, f.controlAddress = f.ports.next(), f.ports.next()
 	if f.Policy != "" {
 		f.bundle.Policy = f.Policy
 	}
 	f.bundle.Hosts, f.bundle.Views = nil, nil
 	for _, h := range f.Config.Bundle.Hosts {
-		h.PeerAddress = f.ports.take()
+		h.PeerAddress = f.ports.next()
 		f.bundle.Hosts = append(f.bundle.Hosts, h)
-		f.hosts = append(f.hosts, entryHost{Host: h, callers: f.ports.take(), operators: f.ports.take()})
+		f.entryHosts = append(f.entryHosts, entryHost{Host: h, callersAddress: f.ports.next(), operatorsAddress: f.ports.next()})
 	}
 	f.bundle.Pools = nil
 	for _, p := range f.Config.Bundle.Pools {
 		upstreams := p.Upstreams
 		p.Upstreams = nil
 		for _, u := range upstreams {
-			u.Address = f.ports.take()
+			u.Address = f.ports.next()
 			p.Upstreams = append(p.Upstreams, u)
 		}
 		f.bundle.Pools = append(f.bundle.Pools, p)
 	}
 }
 
-func (f *fleet) write(name string, text []byte, mode os.FileMode) error {
+func (f *fleetWriter) write(name string, text []byte, mode os.FileMode) error {
 	return os.WriteFile(filepath.Join(f.Dir, name), text, mode)
 }
 
 // writeKeys makes an API key for every customer, since a bundle holds hashes
 // only.
-func (f *fleet) writeKeys() error {
+func (f *fleetWriter) writeKeys() error {
 	keys := struct {
 		Keys map[string]string `yaml:"keys"`
 	}{map[string]string{}}
@@ -160,10 +160,10 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(f.write(FileAPIKeys, text, secretAllowed), f.write(FileToken, []byte(rand.Text()+"\n"), secretAllowed))
+	return errors.Join(f.write(FileAPIKeys, text, secretFileMode), f.write(FileToken, []byte(rand.Text()+"\n"), secretFileMode))
 }
 
-func (f *fleet) writeBundle() error {
+func (f *fleetWriter) writeBundle() error {
 	text, err := yaml.Marshal(f.bundle)
 	if err != nil {
 		return err
@@ -180,13 +180,13 @@
 		return err
 	}
 	return errors.Join(
-		f.write(FileBundle, text, fileAllowed),
-		f.write(FileSigned, bundle.Sign(text, private), fileAllowed),
-		f.write(FilePublicKey, key, fileAllowed),
+		f.write(FileBundle, text, fileMode),
+		f.write(FileSigned, bundle.Sign(text, private), fileMode),
+		f.write(FilePublicKey, key, fileMode),
 	)
 }
 
-func (f *fleet) writeHostList() error {
+func (f *fleetWriter) writeHostList() error {
 	type host struct {
 		Name    string `json:"name"`
 		Address string `json:"address"`
@@ -209,19 +209,19 @@
 	if err != nil {
 		return err
 	}
-	return f.write(FileHostList, text, fileAllowed)
+	return f.write(FileHostList, text, fileMode)
 }
 
 // writeSettings writes HOST.settings.yaml for every host. The daemons talk
 // without TLS: everything is on loopback.
-func (f *fleet) writeSettings() error {
-	for _, h := range f.hosts {
+func (f *fleetWriter) writeSettings() error {
+	for _, h := range f.entryHosts {
 		s := settings.Settings{
 			Host: h.Name, FailureDomain: h.FailureDomain,
-			Listen:            settings.Listen{Callers: h.callers, Peers: h.PeerAddress, Operators: h.operators},
+			Listen:            settings.Listen{Callers: h.callersAddress, Peers: h.PeerAddress, Operators: h.operatorsAddress},
 			InsecurePlaintext: true,
 			Operators:         settings.Operators{TokenFile: FileToken},
-			Platform:          settings.Platform{ConfigService: "http://" + f.platform, HostList: "http://" + f.platform, Key: settings.DefaultBundleKey},
+			Platform:          settings.Platform{ConfigService: "http://" + f.platformAddress, HostList: "http://" + f.platformAddress, Key: settings.DefaultBundleKey},
 			BundlePublicKeys:  []string{FilePublicKey},
 			Limits: settings.Limits{
 				MaxBodyBytes: settings.DefaultMaxBodyBytes, MaxHeaderBytes: settings.DefaultMaxHeaderBytes,
@@ -235,7 +235,7 @@
 		if err != nil {
 			return err
 		}
-		if err := f.write(settingsFile(h), text, fileAllowed); err != nil {
+		if err := f.write(settingsFile(h), text, fileMode); err != nil {
 			return err
 		}
 	}
@@ -247,24 +247,24 @@
 // writeProcesses writes one line for each process: its name, a tab, and the
 // command, to be run in the directory's parent of bin/. The environment file
 // holds the addresses as shell variables.
-func (f *fleet) writeProcesses() error {
+func (f *fleetWriter) writeProcesses() error {
 	in := func(name string) string { return filepath.Join(f.Dir, name) }
 	flags := ""
 	if len(f.StandInFlags) > 0 {
 		flags = " " + strings.Join(f.StandInFlags, " ")
 	}
 	var out, callers, operators strings.Builder
-	fmt.Fprintf(&out, "platform\tbin/standin platform --listen %s --bundle %s --hosts %s\n", f.platform, in(FileSigned), in(FileHostList))
-	fmt.Fprintf(&out, "standins\tbin/standin fleet --bundle %s --control %s%s\n", in(FileBundle), f.control, flags)
-	for i, h := range f.hosts {
+	fmt.Fprintf(&out, "platform\tbin/standin platform --listen %s --bundle %s --hosts %s\n", f.platformAddress, in(FileSigned), in(FileHostList))
+	fmt.Fprintf(&out, "standins\tbin/standin fleet --bundle %s --control %s%s\n", in(FileBundle), f.controlAddress, flags)
+	for i, h := range f.entryHosts {
 		fmt.Fprintf(&out, "%s\tbin/wheatseamd --settings %s\n", h.Name, in(settingsFile(h)))
 		if i > 0 {
 			callers.WriteByte(',')
 			operators.WriteByte(',')
 		}
-		callers.WriteString(h.callers)
-		operators.WriteString(h.operators)
+		callers.WriteString(h.callersAddress)
+		operators.WriteString(h.operatorsAddress)
 	}
-	environment := fmt.Sprintf("CALLERS=%s\nOPERATORS=%s\nCONTROL=%s\nPLATFORM=%s\n", callers.String(), operators.String(), f.control, f.platform)
-	return errors.Join(f.write(FileProcesses, []byte(out.String()), fileAllowed), f.write(FileEnvironment, []byte(environment), fileAllowed))
+	environment := fmt.Sprintf("CALLERS=%s\nOPERATORS=%s\nCONTROL=%s\nPLATFORM=%s\n", callers.String(), operators.String(), f.controlAddress, f.platformAddress)
+	return errors.Join(f.write(FileProcesses, []byte(out.String()), fileMode), f.write(FileEnvironment, []byte(environment), fileMode))
 }
--- a/replay/ledger/ledger.go
+++ b/replay/ledger/ledger.go
@@ -15,8 +15,8 @@
 // timeout bounds one call to a stand-in; settlePoll is the pause between two
 // readings while executions still run.
 const (
-	timeout    = 15 * time.Second
-	settlePoll = 100 * time.Millisecond
+	requestTimeout     = 15 * time.Second
+	settlePollInterval = 100 * time.Millisecond
 )
 
 // State says how far an execution came.
@@ -59,24 +59,24 @@
 
 // Clear empties every ledger.
 func (r *Reader) Clear(ctx context.Context) error {
-	return r.each(ctx, func(ctx context.Context, _ int, u Upstream) error {
+	return r.forEachUpstream(ctx, func(ctx context.Context, _ int, u Upstream) error {
 		return r.call(ctx, http.MethodDelete, u, "", nil)
 	})
 }
 
 // Settle reads all ledgers until no execution runs any more or patience has
 // passed; executions that still run are then among the entries.
-func (r *Reader) Settle(ctx context.Context, patience time.Duration) ([]Entry, error) {
-	end := time.Now().Add(patience)
+func (r *Reader) Settle(ctx context.Context, maxWait time.Duration) ([]Entry, error) {
+	deadline := time.Now().Add(maxWait)
 	for {
 		entries, err := r.Read(ctx)
-		if err != nil || !anyRunning(entries) || time.Now().After(end) {
+		if err != nil || !anyRunning(entries) || time.Now().After(deadline) {
 			return entries, err
 		}
 		select {
 		case <-ctx.Done():
 			return entries, ctx.Err()
-		case <-time.After(settlePoll):
+		case <-time.After(settlePollInterval):
 		}
 	}
 }
@@ -94,7 +94,7 @@
 // limit, since nothing can be judged by the rest.
 func (r *Reader) Read(ctx context.Context) ([]Entry, error) {
 	lists := make([][]Entry, len(r.Upstreams))
-	err := r.each(ctx, func(ctx context.Context, i int, u Upstream) error {
+	err := r.forEachUpstream(ctx, func(ctx context.Context, i int, u Upstream) error {
 		var summary struct {
 			Overwritten int `json:"overwritten"`
 		}
@@ -110,7 +110,7 @@
 		if err := r.call(ctx, http.MethodGet, u, "", &list); err != nil {
 			return err
 		}
-		lists[i] = own(list.Entries, u)
+		lists[i] = ownEntries(list.Entries, u)
 		return nil
 	})
 	var out []Entry
@@ -122,7 +122,7 @@
 
 // own leaves out the entries of other replicas: stand-ins in one process may
 // share a ledger.
-func own(entries []Entry, u Upstream) []Entry {
+func ownEntries(entries []Entry, u Upstream) []Entry {
 	var out []Entry
 	for _, e := range entries {
 		if u.Name == "" || e.Upstream == "" || e.Upstream == u.Name {
@@ -133,7 +133,7 @@
 }
 
 // each calls f for every stand-in at a time and joins their errors.
-func (r *Reader) each(ctx context.Context, f func(context.Context, int, Upstream) error) error {
+func (r *Reader) forEachUpstream(ctx context.Context, f func(context.Context, int, Upstream) error) error {
 	errs := make([]error, len(r.Upstreams))
 	var g errgroup.Group
 	for i, u := range r.Upstreams {
@@ -147,7 +147,7 @@
 }
 
 func (r *Reader) call(ctx context.Context, method string, u Upstream, query string, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+u.Address+"/control/ledger"+query, nil)
 	if err != nil {
--- a/replay/report/calls.go
+++ b/replay/report/calls.go
@@ -11,31 +11,31 @@
 )
 
 // gatherer builds a Group.
-type gatherer struct {
+type groupBuilder struct {
 	group Group
 	// roots says for each request whether any of its tries was answered in time.
-	roots map[string]bool
+	attainedByRequest map[string]bool
 
-	latency, first, between, refusal *hdrhistogram.Histogram
+	latency, firstToken, betweenTokens, refusal *hdrhistogram.Histogram
 }
 
-func newGatherer() *gatherer {
-	return &gatherer{
-		roots: map[string]bool{}, latency: newHistogram(), first: newHistogram(),
-		between: newHistogram(), refusal: newHistogram(),
+func newGatherer() *groupBuilder {
+	return &groupBuilder{
+		attainedByRequest: map[string]bool{}, latency: newHistogram(), firstToken: newHistogram(),
+		betweenTokens: newHistogram(), refusal: newHistogram(),
 	}
 }
 
-func (g *gatherer) take(c *replay.Call) {
+func (g *groupBuilder) add(c *replay.Call) {
 	attained := c.Attained()
-	g.roots[c.Root] = g.roots[c.Root] || attained
+	g.attainedByRequest[c.FirstTryID] = g.attainedByRequest[c.FirstTryID] || attained
 	g.group.Tries.count(attained)
 	if !c.Expected() {
 		g.group.Unexpected++
 	}
 	switch c.Outcome {
 	case replay.Answered:
-		g.takeAnswer(c, attained)
+		g.addAnswer(c, attained)
 	case replay.Refused:
 		g.group.Refused++
 		observe(g.refusal, c.Latency)
@@ -44,52 +44,52 @@
 	}
 }
 
-func (g *gatherer) takeAnswer(c *replay.Call, attained bool) {
+func (g *groupBuilder) addAnswer(c *replay.Call, attained bool) {
 	g.group.Answered++
 	if !attained {
 		g.group.Late++
 	}
 	observe(g.latency, c.Latency)
 	if c.FirstToken > 0 {
-		observe(g.first, c.FirstToken)
+		observe(g.firstToken, c.FirstToken)
 	}
-	for _, gap := range c.Gaps {
-		observe(g.between, gap)
+	for _, gap := range c.InterTokenGaps {
+		observe(g.betweenTokens, gap)
 	}
 }
 
-func (g *gatherer) done() Group {
-	for _, attained := range g.roots {
+func (g *groupBuilder) build() Group {
+	for _, attained := range g.attainedByRequest {
 		g.group.Attainment.count(attained)
 	}
 	g.group.Latency = quantiles(g.latency)
-	g.group.FirstToken = quantiles(g.first)
-	g.group.BetweenTokens = quantiles(g.between)
+	g.group.FirstToken = quantiles(g.firstToken)
+	g.group.BetweenTokens = quantiles(g.betweenTokens)
 	g.group.Refusal = quantiles(g.refusal)
 	return g.group
 }
 
 // gatherers builds the groups of a key, such as the pipeline.
-type gatherers map[string]*gatherer
+type groupBuilders map[string]*groupBuilder
 
-func (g gatherers) take(key string, c *replay.Call) {
+func (g groupBuilders) add(key string, c *replay.Call) {
 	if g[key] == nil {
 		g[key] = newGatherer()
 	}
-	g[key].take(c)
+	g[key].add(c)
 }
 
-func (g gatherers) done() map[string]Group {
+func (g groupBuilders) build() map[string]Group {
 	out := make(map[string]Group, len(g))
 	for key, one := range g {
-		out[key] = one.done()
+		out[key] = one.build()
 	}
 	return out
 }
 
 // countCalls fills in all that follows from the calls alone.
 func (r *Report) countCalls(calls []*replay.Call, speed float64) {
-	all, pipelines, customers := newGatherer(), gatherers{}, gatherers{}
+	all, pipelines, customers := newGatherer(), groupBuilders{}, groupBuilders{}
 	lag := newHistogram()
 	var last time.Duration
 	for _, c := range calls {
@@ -103,13 +103,13 @@
 		}
 		offset := time.Duration(float64(c.Request.At()) / speed)
 		last = max(last, offset)
-		all.take(c)
-		pipelines.take(c.Request.Pipeline, c)
-		customers.take(c.Request.Customer, c)
-		observe(lag, c.Lag)
-		r.countSecond(int(offset/time.Second), c)
+		all.add(c)
+		pipelines.add(c.Request.Pipeline, c)
+		customers.add(c.Request.Customer, c)
+		observe(lag, c.SendLag)
+		r.addToTimeline(int(offset/time.Second), c)
 	}
-	r.All, r.Pipelines, r.Customers = all.done(), pipelines.done(), customers.done()
+	r.All, r.Pipelines, r.Customers = all.build(), pipelines.build(), customers.build()
 	r.SendLag = quantiles(lag)
 	r.SpanSeconds = last.Seconds()
 	if last > 0 {
@@ -117,7 +117,7 @@
 	}
 }
 
-func (r *Report) countSecond(second int, c *replay.Call) {
+func (r *Report) addToTimeline(second int, c *replay.Call) {
 	for len(r.Timeline) <= second {
 		r.Timeline = append(r.Timeline, Second{At: len(r.Timeline)})
 	}
--- a/replay/report/cost.go
+++ b/replay/report/cost.go
@@ -39,7 +39,7 @@
 	WastedShare float64 `json:"wasted_share"`
 }
 
-func (c *StageCost) finish() {
+func (c *StageCost) computeWastedShare() {
 	seconds, calls := 0.0, 0
 	for _, s := range []Spent{c.Retries, c.Hedges, c.Late, c.Cancelled} {
 		seconds += s.EngineSeconds
@@ -54,10 +54,10 @@
 }
 
 // use is what an execution was good for.
-type use uint8
+type executionUse uint8
 
 const (
-	useNeeded use = iota
+	useNeeded executionUse = iota
 	useRetry
 	useHedge
 	useLate
@@ -65,35 +65,35 @@
 )
 
 // unit is all work for one stage of one request.
-type unit struct{ request, stage string }
+type stageWork struct{ request, stage string }
 
 // costs sums up the entries by stage.
-func costs(calls []*replay.Call, entries []ledger.Entry) []StageCost {
-	attained := attainedRequests(calls)
-	units := map[unit][]ledger.Entry{}
+func stageCosts(calls []*replay.Call, entries []ledger.Entry) []StageCost {
+	attained := newRequestIndex(calls)
+	units := map[stageWork][]ledger.Entry{}
 	for _, e := range entries {
-		u := unit{attained.requestOf(e), e.Stage}
+		u := stageWork{attained.requestOf(e), e.Stage}
 		units[u] = append(units[u], e)
 	}
 	stages := map[string]*StageCost{}
-	for u, work := range units {
+	for u, executions := range units {
 		if stages[u.stage] == nil {
 			stages[u.stage] = &StageCost{Stage: u.stage}
 		}
-		for i, s := range uses(work, attained.met[u.request]) {
-			stages[u.stage].take(work[i], s)
+		for i, s := range classifyExecutions(executions, attained.attained[u.request]) {
+			stages[u.stage].addEntry(executions[i], s)
 		}
 	}
 	out := []StageCost{}
 	for _, c := range stages {
-		c.finish()
+		c.computeWastedShare()
 		out = append(out, *c)
 	}
 	slices.SortFunc(out, func(a, b StageCost) int { return cmp.Compare(a.Stage, b.Stage) })
 	return out
 }
 
-func (c *StageCost) take(e ledger.Entry, s use) {
+func (c *StageCost) addEntry(e ledger.Entry, s executionUse) {
 	c.All.add(e)
 	switch s {
 	case useRetry:
@@ -108,29 +108,29 @@
 }
 
 // requests tells which request an execution served and whether it was met.
-type requests struct {
-	byID  map[string]string
-	byKey map[[2]string]string
-	met   map[string]bool
+type requestIndex struct {
+	byID     map[string]string
+	byKey    map[[2]string]string
+	attained map[string]bool
 }
 
-func attainedRequests(calls []*replay.Call) requests {
-	r := requests{byID: map[string]string{}, byKey: map[[2]string]string{}, met: map[string]bool{}}
+func newRequestIndex(calls []*replay.Call) requestIndex {
+	r := requestIndex{byID: map[string]string{}, byKey: map[[2]string]string{}, attained: map[string]bool{}}
 	for _, c := range calls {
 		if id := c.RequestID(); id != "" {
-			r.byID[id] = c.Root
+			r.byID[id] = c.FirstTryID
 		}
 		if c.Key != "" {
-			r.byKey[[2]string{c.Request.Customer, c.Key}] = c.Root
+			r.byKey[[2]string{c.Request.Customer, c.Key}] = c.FirstTryID
 		}
-		r.met[c.Root] = r.met[c.Root] || c.Attained()
+		r.attained[c.FirstTryID] = r.attained[c.FirstTryID] || c.Attained()
 	}
 	return r
 }
 
 // requestOf returns the request that e served; one that no caller's answer
 // names stands for itself and is not met.
-func (r requests) requestOf(e ledger.Entry) string {
+func (r requestIndex) requestOf(e ledger.Entry) string {
 	if root, ok := r.byKey[[2]string{e.Customer, e.Key}]; ok && e.Key != "" {
 		return root
 	}
@@ -141,12 +141,12 @@
 }
 
 // uses says what each execution for one stage of one request was good for.
-func uses(work []ledger.Entry, met bool) []use {
-	out := make([]use, len(work))
-	used := -1
+func classifyExecutions(work []ledger.Entry, met bool) []executionUse {
+	out := make([]executionUse, len(work))
+	firstDone := -1
 	for i, e := range work {
-		if e.State == ledger.Done && (used < 0 || e.FinishedUnixMS < work[used].FinishedUnixMS) {
-			used = i
+		if e.State == ledger.Done && (firstDone < 0 || e.FinishedUnixMS < work[firstDone].FinishedUnixMS) {
+			firstDone = i
 		}
 	}
 	for i, e := range work {
@@ -155,9 +155,9 @@
 			out[i] = useCancelled
 		case !met:
 			out[i] = useLate
-		case i == used:
+		case i == firstDone:
 			out[i] = useNeeded
-		case used >= 0 && overlap(e, work[used]):
+		case firstDone >= 0 && overlap(e, work[firstDone]):
 			out[i] = useHedge
 		default:
 			out[i] = useRetry
@@ -172,7 +172,7 @@
 }
 
 // Sum adds up the costs of several stages.
-func Sum(stages []StageCost) StageCost {
+func SumCosts(stages []StageCost) StageCost {
 	var out StageCost
 	for _, c := range stages {
 		out.All.merge(c.All)
@@ -181,7 +181,7 @@
 		out.Late.merge(c.Late)
 		out.Cancelled.merge(c.Cancelled)
 	}
-	out.finish()
+	out.computeWastedShare()
 	return out
 }
 
--- a/replay/report/quantiles.go
+++ b/replay/report/quantiles.go
@@ -8,9 +8,9 @@
 
 // The histograms hold microseconds from 1 to one hour with 3 digits.
 const (
-	lowest  = 1
-	highest = int64(time.Hour / time.Microsecond)
-	digits  = 3
+	minMicros         = 1
+	maxMicros         = int64(time.Hour / time.Microsecond)
+	significantDigits = 3
 )
 
 // Quantiles sums up a distribution, in milliseconds.
@@ -23,10 +23,12 @@
 	Max   float64 `json:"max"`
 }
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(lowest, highest, digits) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minMicros, maxMicros, significantDigits)
+}
 
 func observe(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), lowest), highest)) // cannot fail in this range
+	_ = h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros)) // cannot fail in this range
 }
 
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
--- a/replay/report/report.go
+++ b/replay/report/report.go
@@ -125,7 +125,7 @@
 	}
 	r.countCalls(run.Calls, speed)
 	r.Refusals = refusals(run.Calls)
-	r.Stages = costs(run.Calls, entries)
+	r.Stages = stageCosts(run.Calls, entries)
 	r.Violations = violations(f)
 	for _, fault := range run.Faults {
 		line := Fault{AtMS: fault.Fault.AtMS, Pool: fault.Fault.Pool, Body: string(fault.Fault.Body)}
--- a/replay/report/report_test.go
+++ b/replay/report/report_test.go
@@ -25,8 +25,8 @@
 
 func call(id, customer string, at int64, o replay.Outcome, latency time.Duration) *replay.Call {
 	c := &replay.Call{
-		Request: trace.Request{ID: id, AtMS: at, Customer: customer, Pipeline: "summary", DeadlineMS: 100},
-		Root:    id, Outcome: o, Latency: latency,
+		Request:    trace.Request{ID: id, AtMS: at, Customer: customer, Pipeline: "summary", DeadlineMS: 100},
+		FirstTryID: id, Outcome: o, Latency: latency,
 	}
 	c.Answer.RequestID = "req-" + id
 	if o == replay.Refused {
@@ -37,7 +37,7 @@
 
 func measure(entries []ledger.Entry, calls ...*replay.Call) *report.Report {
 	return report.New("adaptive", 2, &replay.Result{Calls: calls}, entries, audit.Finding{
-		Violations: []audit.Violation{{Kind: audit.Doubled}, {Kind: audit.Lost}, {Kind: audit.Lost}}, Undelivered: 1,
+		Violations: []audit.Violation{{Kind: audit.DuplicateExecution}, {Kind: audit.Lost}, {Kind: audit.Lost}}, Undelivered: 1,
 	})
 }
 
@@ -71,7 +71,7 @@
 	It("counts a request with its tries once, each try by itself", func() {
 		first := call("a", "clinic", 0, replay.Refused, time.Millisecond)
 		second := call("a2", "clinic", 50, replay.Answered, time.Millisecond)
-		second.Root = "a"
+		second.FirstTryID = "a"
 		r := measure(nil, first, second)
 		Expect(r.All.Attainment).To(Equal(report.Share{Met: 1, Of: 1, Share: 1}))
 		Expect(r.All.Tries).To(Equal(report.Share{Met: 1, Of: 2, Share: 0.5}))
@@ -81,7 +81,7 @@
 		var calls []*replay.Call
 		for i := range 100 {
 			c := call(fmt.Sprint(i), "clinic", 0, replay.Answered, time.Duration(i+1)*time.Millisecond)
-			c.FirstToken, c.Gaps = 5*time.Millisecond, []time.Duration{2 * time.Millisecond}
+			c.FirstToken, c.InterTokenGaps = 5*time.Millisecond, []time.Duration{2 * time.Millisecond}
 			calls = append(calls, c)
 		}
 		calls = append(calls, call("no", "clinic", 0, replay.Refused, 7*time.Millisecond))
@@ -123,7 +123,7 @@
 	It("counts work as needed that a first try did and a retry delivered", func() {
 		first := call("a", "clinic", 0, replay.Unanswered, 0)
 		second := call("a2", "clinic", 50, replay.Answered, time.Millisecond)
-		second.Root = "a"
+		second.FirstTryID = "a"
 		first.Key, second.Key = "k", "k"
 		work := execution("first", "seal", ledger.Done, 0, 5, 100)
 		work.Key = "k"
@@ -133,7 +133,7 @@
 	It("counts violations by kind, and is written as table and JSON", func() {
 		r := measure(nil, call("a", "clinic", 0, replay.Answered, time.Millisecond))
 		Expect(r.Violations.Total).To(Equal(3))
-		Expect(r.Violations.ByKind).To(Equal(map[audit.Kind]int{audit.Lost: 2, audit.Doubled: 1, audit.Misdelivered: 0, audit.UntrueNotRun: 0}))
+		Expect(r.Violations.ByKind).To(Equal(map[audit.Kind]int{audit.Lost: 2, audit.DuplicateExecution: 1, audit.Misdelivered: 0, audit.FalseNotRun: 0}))
 		var table bytes.Buffer
 		Expect(r.WriteTable(&table)).To(Succeed())
 		Expect(table.String()).To(And(ContainSubstring("customer clinic"), ContainSubstring("lost 2"), ContainSubstring("100.00%")))
--- a/replay/run.go
+++ b/replay/run.go
@@ -65,39 +65,39 @@
 
 // runner is one run.
 type runner struct {
-	cfg      Config
-	trace    *trace.Trace
-	prefixes map[string]string
-	random   *rand.Rand
-	slots    chan struct{}
-	started  time.Time
-	pending  sync.WaitGroup
+	cfg         Config
+	trace       *trace.Trace
+	prefixTexts map[string]string
+	rng         *rand.Rand
+	inFlight    chan struct{}
+	started     time.Time
+	pending     sync.WaitGroup
 
-	mu    sync.Mutex // guards what is below, and Outcome of all calls
-	roots map[string]*root
+	mu       sync.Mutex // guards what is below, and Outcome of all calls
+	requests map[string]*requestState
 }
 
 // root is the state of a request over all of its tries.
-type root struct {
-	key, mark, host string
-	answered        bool
+type requestState struct {
+	key, correlationToken, firstHost string
+	answered                         bool
 }
 
 // Run replays t. It returns when every request has ended, at the latest when
 // MaxDuration, the longest deadline and the grace have passed, or ctx ends.
 func Run(ctx context.Context, cfg Config, t *trace.Trace) (*Result, error) {
 	cfg = withDefaults(cfg)
-	if err := check(cfg, t); err != nil {
+	if err := validate(cfg, t); err != nil {
 		return nil, err
 	}
 	r := &runner{
-		cfg:      cfg,
-		trace:    t,
-		prefixes: prefixTexts(t),
-		random:   rand.New(rand.NewPCG(cfg.Seed, t.Header.Seed)),
-		slots:    make(chan struct{}, cfg.MaxInFlight),
-		roots:    map[string]*root{},
-		started:  time.Now(),
+		cfg:         cfg,
+		trace:       t,
+		prefixTexts: expandPrefixes(t),
+		rng:         rand.New(rand.NewPCG(cfg.Seed, t.Header.Seed)),
+		inFlight:    make(chan struct{}, cfg.MaxInFlight),
+		requests:    map[string]*requestState{},
+		started:     time.Now(),
 	}
 	result := &Result{Trace: t.Header, Started: r.started}
 	faults := make(chan []FaultReport, 1)
@@ -128,7 +128,7 @@
 	return cfg
 }
 
-func check(cfg Config, t *trace.Trace) error {
+func validate(cfg Config, t *trace.Trace) error {
 	var errs []error
 	if len(cfg.Hosts) == 0 {
 		errs = append(errs, errors.New("no hosts"))
@@ -144,14 +144,14 @@
 		}
 	}
 	for _, f := range t.Faults {
-		if _, err := targets(cfg.StandIns, f); err != nil {
+		if _, err := faultTargets(cfg.StandIns, f); err != nil {
 			errs = append(errs, err)
 		}
 	}
 	return errors.Join(errs...)
 }
 
-func prefixTexts(t *trace.Trace) map[string]string {
+func expandPrefixes(t *trace.Trace) map[string]string {
 	out := make(map[string]string, len(t.Prefixes))
 	for _, p := range t.Prefixes {
 		out[p.Name] = strings.Repeat(p.Text, max(p.Repeat, 1))
@@ -160,7 +160,7 @@
 }
 
 // offset returns the offset at the speed of the run.
-func (r *runner) offset(d time.Duration) time.Duration {
+func (r *runner) scaledOffset(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / r.cfg.Speed)
 }
 
@@ -181,71 +181,71 @@
 func (r *runner) sendAll(ctx context.Context) []*Call {
 	calls := make([]*Call, 0, len(r.trace.Requests))
 	for _, q := range r.trace.Requests {
-		c := &Call{Request: q, Root: q.ID}
+		c := &Call{Request: q, FirstTryID: q.ID}
 		if q.RetryOf != "" {
-			c.Root = q.RetryOf
+			c.FirstTryID = q.RetryOf
 		}
 		calls = append(calls, c)
-		offset := r.offset(q.At())
+		offset := r.scaledOffset(q.At())
 		if offset > r.cfg.MaxDuration || !r.waitUntil(ctx, offset) {
 			c.Outcome, c.Problem = NotSent, "the run ended before"
 			continue
 		}
-		r.start(ctx, c, r.started.Add(offset))
+		r.startCall(ctx, c, r.started.Add(offset))
 	}
 	return calls
 }
 
 // start sends one request in a goroutine of its own, if its bounds allow.
-func (r *runner) start(ctx context.Context, c *Call, due time.Time) {
-	if !r.prepare(c) {
+func (r *runner) startCall(ctx context.Context, c *Call, due time.Time) {
+	if !r.prepareCall(c) {
 		c.Outcome = Skipped
 		return
 	}
 	select {
-	case r.slots <- struct{}{}:
+	case r.inFlight <- struct{}{}:
 	default:
 		c.Outcome, c.Problem = NotSent, "too many requests in flight"
 		return
 	}
 	q := c.Request
-	b := body{
-		Input:      input{Text: c.Mark + " " + strings.Repeat(q.Prompt, max(q.PromptRepeat, 1))},
+	b := requestBody{
+		Input:      requestInput{Text: c.CorrelationToken + " " + strings.Repeat(q.Prompt, max(q.PromptRepeat, 1))},
 		DeadlineMS: q.DeadlineMS,
 		Stream:     q.Stream,
-		Prefix:     r.prefixes[q.Prefix],
+		Prefix:     r.prefixTexts[q.Prefix],
 	}
 	r.pending.Go(func() {
-		defer func() { <-r.slots }()
-		bounded, cancel := context.WithDeadline(ctx, due.Add(q.Deadline()+r.cfg.Grace))
+		defer func() { <-r.inFlight }()
+		callCtx, cancel := context.WithDeadline(ctx, due.Add(q.Deadline()+r.cfg.Grace))
 		defer cancel()
 		c.SentAt = time.Now()
-		c.Lag = c.SentAt.Sub(due)
-		exchange(bounded, r.cfg.Client, r.cfg.Keys[q.Customer], b, due, c)
-		r.finish(c)
+		c.SendLag = c.SentAt.Sub(due)
+		performCall(callCtx, r.cfg.Client, r.cfg.Keys[q.Customer], b, due, c)
+		r.recordOutcome(c)
 	})
 }
 
 // prepare chooses host, key and mark; false when the retry is not needed.
-func (r *runner) prepare(c *Call) bool {
+func (r *runner) prepareCall(c *Call) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	first, ok := r.roots[c.Root]
+	first, ok := r.requests[c.FirstTryID]
 	if !ok {
-		first = &root{mark: NewMark(), key: makeKey(c.Request.Key), host: r.pickHost("")}
-		r.roots[c.Root] = first
-		c.Host = first.host
+		first = &requestState{correlationToken: NewCorrelationToken(), key: idempotencyKey(c.Request.Key), firstHost: r.pickHost("")}
+		r.requests[c.FirstTryID] = first
+		c.Host = first.firstHost
 	} else {
 		if first.answered && c.Request.When != trace.RetryAlways {
 			return false
 		}
-		c.Host = r.pickHost(first.host)
+		c.Host = r.pickHost(first.firstHost)
 	}
-	c.Key, c.Mark = first.key, first.mark
+	c.Key, c.CorrelationToken = first.key, first.correlationToken
 	return true
 }
 
-func makeKey(key string) string {
+func idempotencyKey(key string) string {
 	if key != trace.AutoKey {
 		return key
 	}
@@ -253,18 +253,18 @@
 }
 
 // pickHost draws a host other than not, if there is one.
-func (r *runner) pickHost(not string) string {
-	hosts := slices.DeleteFunc(slices.Clone(r.cfg.Hosts), func(h string) bool { return h == not })
+func (r *runner) pickHost(exclude string) string {
+	hosts := slices.DeleteFunc(slices.Clone(r.cfg.Hosts), func(h string) bool { return h == exclude })
 	if len(hosts) == 0 {
 		hosts = r.cfg.Hosts
 	}
-	return hosts[r.random.IntN(len(hosts))]
+	return hosts[r.rng.IntN(len(hosts))]
 }
 
-func (r *runner) finish(c *Call) {
+func (r *runner) recordOutcome(c *Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c.Outcome == Answered {
-		r.roots[c.Root].answered = true
+		r.requests[c.FirstTryID].answered = true
 	}
 }
--- a/replay/run_test.go
+++ b/replay/run_test.go
@@ -61,8 +61,8 @@
 		Expect(calls["cut"].Problem).To(ContainSubstring("cut stream"))
 		Expect(calls["refuse"].Refusal.Kind).To(BeEquivalentTo("overloaded"))
 		Expect(calls["stream"].FirstToken).To(BeNumerically(">", 0))
-		Expect(calls["stream"].Gaps).To(HaveLen(2))
-		Expect(replay.Marks(calls["auto"].Answer.Result)).To(Equal([]string{calls["auto"].Mark}))
+		Expect(calls["stream"].InterTokenGaps).To(HaveLen(2))
+		Expect(replay.FindCorrelationTokens(calls["auto"].Answer.Result)).To(Equal([]string{calls["auto"].CorrelationToken}))
 		for _, s := range host.requests() {
 			Expect(s.Auth).To(Equal("Bearer secret"))
 			if s.Pipe == "seal" {
@@ -81,9 +81,9 @@
 		host := newFakeHost()
 		result := run(replay.Config{Hosts: []string{host.address()}},
 			traceOf(request("stream", 0, "stream"), request("reset", 0, "reset"), request("mixed", 0, "mixed")))
-		Expect(result.Calls[0].TextDiffers).To(BeFalse())
-		Expect(result.Calls[1].TextDiffers).To(BeFalse(), "a reset discards the tokens before it")
-		Expect(result.Calls[2].TextDiffers).To(BeTrue())
+		Expect(result.Calls[0].StreamedTextDiffers).To(BeFalse())
+		Expect(result.Calls[1].StreamedTextDiffers).To(BeFalse(), "a reset discards the tokens before it")
+		Expect(result.Calls[2].StreamedTextDiffers).To(BeTrue())
 	})
 
 	It("does not let slow answers slow its own load", func() {
@@ -111,7 +111,7 @@
 		one, two := a.requests()[0], b.requests()[0]
 		Expect(two.Key).To(Equal(one.Key))
 		Expect(two.Text).To(Equal(one.Text))
-		Expect(result.Calls[1].Root).To(Equal("first"))
+		Expect(result.Calls[1].FirstTryID).To(Equal("first"))
 	})
 
 	It("skips a retry that is not needed, unless it is to be sent always", func() {
--- a/replay/scenario/builder.go
+++ b/replay/scenario/builder.go
@@ -36,7 +36,7 @@
 const DefaultPatience = 4
 
 // leastDeadline is the shortest deadline that callers state.
-const leastDeadline = time.Second
+const minDeadline = time.Second
 
 // Limits of Options.
 const (
@@ -44,7 +44,7 @@
 	maxDuration = 20 * time.Minute
 )
 
-func (o Options) check() error {
+func (o Options) validate() error {
 	switch {
 	case o.Load <= 0 || o.Load > maxLoad:
 		return fmt.Errorf("load %g lies outside 0 to %d", o.Load, maxLoad)
@@ -59,41 +59,41 @@
 // builder gathers the lines of a trace.
 type builder struct {
 	Options
-	random *rand.Rand
-	trace  trace.Trace
+	rng   *rand.Rand
+	trace trace.Trace
 	// rate is the mean arrivals a second.
-	rate float64
+	arrivalRate float64
 	// mix holds the weights of the pipelines.
-	mix map[string]float64
+	pipelineWeights map[string]float64
 }
 
 func newBuilder(name string, o Options) *builder {
-	b := &builder{Options: o, random: rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String(name))), mix: map[string]float64{}}
+	b := &builder{Options: o, rng: rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String(name))), pipelineWeights: map[string]float64{}}
 	b.trace.Header = trace.Header{
 		Version: trace.FormatVersion, Name: name, Seed: o.Seed,
 		Program: fmt.Sprintf("wheatseam trace make %s --seed %d --load %g --duration %s --patience %g (bundle %s version %d)",
 			name, o.Seed, o.Load, o.Duration, o.Patience, o.Bundle.Deployment, o.Bundle.Version),
 	}
 	for _, p := range o.Bundle.Pipelines {
-		b.mix[p.Name] = 1
+		b.pipelineWeights[p.Name] = 1
 	}
 	b.addPrefixes()
-	b.rate = o.Load * Capacity(o.Bundle, b.mix)
+	b.arrivalRate = o.Load * Capacity(o.Bundle, b.pipelineWeights)
 	return b
 }
 
 // prefixesEach is the number of shared prefixes of each customer.
-const prefixesEach = 3
+const prefixesPerCustomer = 3
 
 // prefixSentence is 16 words, repeated to the length of a template.
 const prefixSentence = "The parties named below agree to the terms of this instrument as recorded in the register. "
 
 func (b *builder) addPrefixes() {
 	for _, c := range b.Bundle.Customers {
-		for i := range prefixesEach {
+		for i := range prefixesPerCustomer {
 			name := prefixName(c.Name, i)
 			b.trace.Prefixes = append(b.trace.Prefixes, trace.Prefix{
-				Name: name, Text: name + ": " + prefixSentence, Repeat: 4 + b.random.IntN(12),
+				Name: name, Text: name + ": " + prefixSentence, Repeat: 4 + b.rng.IntN(12),
 			})
 		}
 	}
@@ -102,48 +102,48 @@
 func prefixName(customer string, i int) string { return fmt.Sprintf("%s-template-%d", customer, i+1) }
 
 // at returns the offset at a share of the duration, 0 to 1.
-func (b *builder) at(share float64) time.Duration {
+func (b *builder) offsetAt(share float64) time.Duration {
 	return time.Duration(share * float64(b.Duration))
 }
 
 // poisson calls f at random offsets between the shares from and to of the
 // duration. rate is the arrivals a second, highest its upper bound, at a share
 // of the duration.
-func (b *builder) poisson(from, to, highest float64, rate func(share float64) float64, f func(offset time.Duration, share float64)) {
+func (b *builder) poissonArrivals(from, to, maxRate float64, rate func(share float64) float64, f func(offset time.Duration, share float64)) {
 	seconds := b.Duration.Seconds()
 	for at := from * seconds; ; {
-		at += b.random.ExpFloat64() / highest
+		at += b.rng.ExpFloat64() / maxRate
 		share := at / seconds
 		if share >= to {
 			return
 		}
-		if b.random.Float64()*highest < rate(share) {
+		if b.rng.Float64()*maxRate < rate(share) {
 			f(time.Duration(at*float64(time.Second)), share)
 		}
 	}
 }
 
 // constant is a rate that does not change.
-func constant(rate float64) func(float64) float64 { return func(float64) float64 { return rate } }
+func constantRate(rate float64) func(float64) float64 { return func(float64) float64 { return rate } }
 
 // arrive adds a request of a customer drawn by weight for a pipeline drawn by
 // the mix, with boost giving some pipelines another weight.
-func (b *builder) arrive(offset time.Duration, boost map[string]float64) *trace.Request {
+func (b *builder) addRandomRequest(offset time.Duration, boost map[string]float64) *trace.Request {
 	customer := b.drawCustomer()
 	pipeline := b.drawPipeline(customer, boost)
-	return b.request(offset, customer, pipeline)
+	return b.addRequest(offset, customer, pipeline)
 }
 
 func (b *builder) drawCustomer() bundle.Customer {
-	return draw(b.random, b.Bundle.Customers, func(c bundle.Customer) float64 { return c.Weight })
+	return drawWeighted(b.rng, b.Bundle.Customers, func(c bundle.Customer) float64 { return c.Weight })
 }
 
-func (b *builder) drawPipeline(c bundle.Customer, boost map[string]float64) bundle.Pipeline {
-	name := draw(b.random, c.Pipelines, func(name string) float64 {
-		if w, ok := boost[name]; ok {
+func (b *builder) drawPipeline(c bundle.Customer, weightOverrides map[string]float64) bundle.Pipeline {
+	name := drawWeighted(b.rng, c.Pipelines, func(name string) float64 {
+		if w, ok := weightOverrides[name]; ok {
 			return w
 		}
-		return b.mix[name]
+		return b.pipelineWeights[name]
 	})
 	for _, p := range b.Bundle.Pipelines {
 		if p.Name == name {
@@ -154,15 +154,15 @@
 }
 
 // draw draws one of items by weight.
-func draw[T any](random *rand.Rand, items []T, weight func(T) float64) T {
+func drawWeighted[T any](random *rand.Rand, items []T, weight func(T) float64) T {
 	sum := 0.0
 	for _, i := range items {
 		sum += weight(i)
 	}
-	left := random.Float64() * sum
+	remaining := random.Float64() * sum
 	for _, i := range items {
-		left -= weight(i)
-		if left < 0 {
+		remaining -= weight(i)
+		if remaining < 0 {
 			return i
 		}
 	}
@@ -173,17 +173,17 @@
 const streamedShare = 0.7
 
 // request adds one request.
-func (b *builder) request(offset time.Duration, c bundle.Customer, p bundle.Pipeline) *trace.Request {
+func (b *builder) addRequest(offset time.Duration, c bundle.Customer, p bundle.Pipeline) *trace.Request {
 	r := trace.Request{
 		ID: fmt.Sprintf("r%d", len(b.trace.Requests)+1), AtMS: offset.Milliseconds(),
 		Customer: c.Name, Pipeline: p.Name, DeadlineMS: b.deadline(p).Milliseconds(),
-		Prompt: promptSentence, PromptRepeat: b.length(),
+		Prompt: promptSentence, PromptRepeat: b.drawPromptRepeat(),
 	}
-	if generates(p) {
-		r.Prefix = prefixName(c.Name, b.rank(prefixesEach))
-		r.Stream = b.random.Float64() < streamedShare
+	if hasGenerateStage(p) {
+		r.Prefix = prefixName(c.Name, b.drawRank(prefixesPerCustomer))
+		r.Stream = b.rng.Float64() < streamedShare
 	}
-	if needsKey(p) {
+	if hasNonRepeatableStage(p) {
 		r.Key = trace.AutoKey
 	}
 	b.trace.Requests = append(b.trace.Requests, r)
@@ -196,28 +196,28 @@
 	for _, s := range p.Stages {
 		expected += s.Expected
 	}
-	stated := max(leastDeadline, time.Duration(b.Patience*float64(expected)))
-	return min(p.Deadline, stated.Round(time.Millisecond))
+	requested := max(minDeadline, time.Duration(b.Patience*float64(expected)))
+	return min(p.Deadline, requested.Round(time.Millisecond))
 }
 
 const promptSentence = "Rent is due monthly. "
 
 // length draws how often the sentence of a prompt is repeated: median 6, with a
 // heavy tail.
-func (b *builder) length() int {
-	return min(64, max(1, int(6*math.Exp(b.random.NormFloat64()))))
+func (b *builder) drawPromptRepeat() int {
+	return min(64, max(1, int(6*math.Exp(b.rng.NormFloat64()))))
 }
 
 // rank draws one of n, the first ones more often (weights 1, 1/2, 1/3...).
-func (b *builder) rank(n int) int {
+func (b *builder) drawRank(n int) int {
 	ranks := make([]int, n)
 	for i := range ranks {
 		ranks[i] = i
 	}
-	return draw(b.random, ranks, func(i int) float64 { return 1 / float64(i+1) })
+	return drawWeighted(b.rng, ranks, func(i int) float64 { return 1 / float64(i+1) })
 }
 
-func generates(p bundle.Pipeline) bool {
+func hasGenerateStage(p bundle.Pipeline) bool {
 	for _, s := range p.Stages {
 		if s.Kind == bundle.StageGenerate {
 			return true
@@ -226,7 +226,7 @@
 	return false
 }
 
-func needsKey(p bundle.Pipeline) bool {
+func hasNonRepeatableStage(p bundle.Pipeline) bool {
 	for _, s := range p.Stages {
 		if s.NonRepeatable {
 			return true
@@ -236,7 +236,7 @@
 }
 
 // fault adds a fault of replicas of a pool, all of them when none are named.
-func (b *builder) fault(offset time.Duration, pool string, f faults, replicas ...int) {
+func (b *builder) addFault(offset time.Duration, pool string, f faultBody, replicas ...int) {
 	body, err := json.Marshal(f)
 	if err != nil {
 		panic(err) // a struct of plain fields
@@ -247,7 +247,7 @@
 }
 
 // faults is the part of the stand-ins' control messages that scenarios use.
-type faults struct {
+type faultBody struct {
 	SlowFactor float64 `json:"slow_factor,omitempty"`
 	Down       bool    `json:"down,omitempty"`
 }
--- a/replay/scenario/capacity.go
+++ b/replay/scenario/capacity.go
@@ -12,27 +12,27 @@
 // a replay shows what is really carried.
 func Capacity(b *bundle.Bundle, mix map[string]float64) float64 {
 	shares := pipelineShares(b, mix)
-	least := math.Inf(1)
+	lowestRate := math.Inf(1)
 	for _, pool := range b.Pools {
-		need := poolNeed(b, pool.Name, shares)
+		need := slotSecondsPerRequest(b, pool.Name, shares)
 		if need == 0 {
 			continue
 		}
 		slots := float64(len(pool.Upstreams) * pool.Concurrency)
-		least = math.Min(least, slots/need)
+		lowestRate = math.Min(lowestRate, slots/need)
 	}
-	return least
+	return lowestRate
 }
 
 // BusiestPool returns the pool that limits Capacity.
 func BusiestPool(b *bundle.Bundle, mix map[string]float64) bundle.Pool {
 	shares := pipelineShares(b, mix)
 	var busiest bundle.Pool
-	highest := -1.0
+	highestUtilization := -1.0
 	for _, pool := range b.Pools {
-		load := poolNeed(b, pool.Name, shares) / float64(len(pool.Upstreams)*pool.Concurrency)
-		if load > highest {
-			busiest, highest = pool, load
+		utilization := slotSecondsPerRequest(b, pool.Name, shares) / float64(len(pool.Upstreams)*pool.Concurrency)
+		if utilization > highestUtilization {
+			busiest, highestUtilization = pool, utilization
 		}
 	}
 	return busiest
@@ -61,14 +61,14 @@
 }
 
 // poolNeed returns the seconds of a pool's slots that a mean request needs.
-func poolNeed(b *bundle.Bundle, pool string, shares map[string]float64) float64 {
-	need := 0.0
+func slotSecondsPerRequest(b *bundle.Bundle, pool string, shares map[string]float64) float64 {
+	slotSeconds := 0.0
 	for _, p := range b.Pipelines {
 		for _, s := range p.Stages {
 			if s.Pool == pool {
-				need += shares[p.Name] * s.Expected.Seconds()
+				slotSeconds += shares[p.Name] * s.Expected.Seconds()
 			}
 		}
 	}
-	return need
+	return slotSeconds
 }
--- a/replay/scenario/scenario.go
+++ b/replay/scenario/scenario.go
@@ -18,20 +18,20 @@
 type Scenario struct {
 	Name string
 	// Note says in one sentence what its traces stand for.
-	Note string
-	make func(*builder) error
+	Note     string
+	generate func(*builder) error
 }
 
 // Scenarios lists all programs.
 var Scenarios = []Scenario{
-	{"steady", "A constant rate without faults.", makeSteady},
-	{"firma-day", "A day at Firma Abierta, compressed, with a rush of seals before the signing deadline.", makeFirmaDay},
-	{"kawabata-typhoon", "A quiet day at Kawabata, then the surge after a typhoon, which ebbs away slowly.", makeTyphoon},
-	{"stragglers", "In each pool in turn one replica is ten times slower.", makeStragglers},
-	{"upstream-down", "One replica of the busiest pool fails outright and comes back.", makeUpstreamDown},
-	{"greedy-customer", "One customer sends ten times its share.", makeGreedy},
-	{"two-faults", "A straggler in one pool while a replica of another is down.", makeTwoFaults},
-	{"retry-storm", "The busiest pool is down for ten seconds, and callers retry.", makeRetryStorm},
+	{"steady", "A constant rate without faults.", generateSteady},
+	{"firma-day", "A day at Firma Abierta, compressed, with a rush of seals before the signing deadline.", generateFirmaDay},
+	{"kawabata-typhoon", "A quiet day at Kawabata, then the surge after a typhoon, which ebbs away slowly.", generateTyphoon},
+	{"stragglers", "In each pool in turn one replica is ten times slower.", generateStragglers},
+	{"upstream-down", "One replica of the busiest pool fails outright and comes back.", generateUpstreamDown},
+	{"greedy-customer", "One customer sends ten times its share.", generateGreedyCustomer},
+	{"two-faults", "A straggler in one pool while a replica of another is down.", generateTwoFaults},
+	{"retry-storm", "The busiest pool is down for ten seconds, and callers retry.", generateRetryStorm},
 }
 
 // Names lists the names of all programs.
@@ -45,7 +45,7 @@
 
 // Make runs the program called name.
 func Make(name string, o Options) (*trace.Trace, error) {
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return nil, err
 	}
 	i := slices.IndexFunc(Scenarios, func(s Scenario) bool { return s.Name == name })
@@ -54,10 +54,10 @@
 	}
 	b := newBuilder(name, o)
 	b.trace.Header.Note = Scenarios[i].Note
-	if math.IsInf(b.rate, 0) || b.rate <= 0 {
+	if math.IsInf(b.arrivalRate, 0) || b.arrivalRate <= 0 {
 		return nil, errors.New("the bundle has no pool that a pipeline uses")
 	}
-	if err := Scenarios[i].make(b); err != nil {
+	if err := Scenarios[i].generate(b); err != nil {
 		return nil, fmt.Errorf("scenario %s: %w", name, err)
 	}
 	if n := len(b.trace.Requests); n == 0 || n > trace.MaxRequests {
@@ -67,21 +67,21 @@
 	return &b.trace, nil
 }
 
-func makeSteady(b *builder) error {
-	b.steady()
+func generateSteady(b *builder) error {
+	b.addSteadyArrivals()
 	return nil
 }
 
-func (b *builder) steady() {
-	b.poisson(0, 1, b.rate, constant(b.rate), func(at time.Duration, _ float64) { b.arrive(at, nil) })
+func (b *builder) addSteadyArrivals() {
+	b.poissonArrivals(0, 1, b.arrivalRate, constantRate(b.arrivalRate), func(at time.Duration, _ float64) { b.addRandomRequest(at, nil) })
 }
 
 // nonRepeatable returns the mix with the weight of pipelines that need a key
 // multiplied by factor.
-func (b *builder) nonRepeatable(factor float64) map[string]float64 {
-	out := maps.Clone(b.mix)
+func (b *builder) nonRepeatableWeighted(factor float64) map[string]float64 {
+	out := maps.Clone(b.pipelineWeights)
 	for _, p := range b.Bundle.Pipelines {
-		if needsKey(p) {
+		if hasNonRepeatableStage(p) {
 			out[p.Name] *= factor
 		}
 	}
@@ -90,32 +90,32 @@
 
 // The day of makeFirmaDay runs from 8 to 18 o'clock; the rush is before 17.
 const (
-	rushFrom = 0.80
-	rushTo   = 0.90
+	rushStart = 0.80
+	rushEnd   = 0.90
 	// rushRate is the rate in the rush beside the mean, rushSeals how much
 	// more often than usual seals are asked for.
-	rushRate  = 2.5
-	rushSeals = 6
+	rushRateFactor          = 2.5
+	rushNonRepeatableFactor = 6
 	// tidalSwing is how far the rate rises and falls over the day.
-	tidalSwing = 0.4
+	dailyRateAmplitude = 0.4
 )
 
-func makeFirmaDay(b *builder) error {
+func generateFirmaDay(b *builder) error {
 	rate := func(share float64) float64 {
-		if share >= rushFrom && share < rushTo {
-			return rushRate * b.rate
+		if share >= rushStart && share < rushEnd {
+			return rushRateFactor * b.arrivalRate
 		}
 		// Two peaks, at 10:30 and 15:30, with the dip of lunch between.
-		return b.rate * (1 - tidalSwing*math.Cos(4*math.Pi*share))
+		return b.arrivalRate * (1 - dailyRateAmplitude*math.Cos(4*math.Pi*share))
 	}
-	rush := b.nonRepeatable(rushSeals)
-	b.poisson(0, 1, rushRate*b.rate, rate, func(at time.Duration, share float64) {
-		mix := b.mix
-		if share >= rushFrom && share < rushTo {
-			mix = rush
+	rush := b.nonRepeatableWeighted(rushNonRepeatableFactor)
+	b.poissonArrivals(0, 1, rushRateFactor*b.arrivalRate, rate, func(at time.Duration, share float64) {
+		weights := b.pipelineWeights
+		if share >= rushStart && share < rushEnd {
+			weights = rush
 		}
-		r := b.arrive(at, mix)
-		b.impatient(r)
+		r := b.addRandomRequest(at, weights)
+		b.maybeAddDuplicate(r)
 	})
 	return nil
 }
@@ -123,19 +123,19 @@
 // impatience is the share of callers with a key that ask again through another
 // host, and patience how soon.
 const (
-	impatience = 0.05
-	patience   = 300 * time.Millisecond
+	duplicateShare = 0.05
+	duplicateDelay = 300 * time.Millisecond
 )
 
 // impatient adds a caller's retry to some of the requests that have a key.
-func (b *builder) impatient(r *trace.Request) {
-	if r.Key == "" || b.random.Float64() >= impatience {
+func (b *builder) maybeAddDuplicate(r *trace.Request) {
+	if r.Key == "" || b.rng.Float64() >= duplicateShare {
 		return
 	}
-	b.retry(*r, time.Duration(r.AtMS)*time.Millisecond+patience, trace.RetryAlways, 1)
+	b.addRetry(*r, time.Duration(r.AtMS)*time.Millisecond+duplicateDelay, trace.RetryAlways, 1)
 }
 
-func (b *builder) retry(first trace.Request, at time.Duration, when trace.RetryWhen, try int) {
+func (b *builder) addRetry(first trace.Request, at time.Duration, when trace.RetryWhen, try int) {
 	again := first
 	again.ID = fmt.Sprintf("%s-%d", first.ID, try)
 	again.AtMS, again.RetryOf, again.When = at.Milliseconds(), first.ID, when
@@ -144,70 +144,70 @@
 
 // The shape of makeTyphoon, as multiples of the mean rate.
 const (
-	quietRate  = 0.3
-	surgePeak  = 3.0
-	surgeFrom  = 0.3
-	surgeRise  = 0.05
-	surgeDecay = 0.25
+	quietRateFactor = 0.3
+	surgePeakFactor = 3.0
+	surgeStart      = 0.3
+	surgeRise       = 0.05
+	surgeDecay      = 0.25
 )
 
-func makeTyphoon(b *builder) error {
+func generateTyphoon(b *builder) error {
 	rate := func(share float64) float64 {
-		since := share - surgeFrom
+		since := share - surgeStart
 		switch {
 		case since < 0:
-			return quietRate * b.rate
+			return quietRateFactor * b.arrivalRate
 		case since < surgeRise:
-			return b.rate * (quietRate + (surgePeak-quietRate)*since/surgeRise)
+			return b.arrivalRate * (quietRateFactor + (surgePeakFactor-quietRateFactor)*since/surgeRise)
 		default:
-			return b.rate * (quietRate + (surgePeak-quietRate)*math.Exp(-(since-surgeRise)/surgeDecay))
+			return b.arrivalRate * (quietRateFactor + (surgePeakFactor-quietRateFactor)*math.Exp(-(since-surgeRise)/surgeDecay))
 		}
 	}
-	b.poisson(0, 1, surgePeak*b.rate, rate, func(at time.Duration, _ float64) { b.impatient(b.arrive(at, nil)) })
+	b.poissonArrivals(0, 1, surgePeakFactor*b.arrivalRate, rate, func(at time.Duration, _ float64) { b.maybeAddDuplicate(b.addRandomRequest(at, nil)) })
 	return nil
 }
 
 // straggling is how many times slower a straggler is.
-const straggling = 10
+const stragglerSlowFactor = 10
 
 // usedPools lists the pools that pipelines use, in the order of the bundle.
 func (b *builder) usedPools() []bundle.Pool {
-	shares := pipelineShares(b.Bundle, b.mix)
+	shares := pipelineShares(b.Bundle, b.pipelineWeights)
 	var out []bundle.Pool
 	for _, p := range b.Bundle.Pools {
-		if poolNeed(b.Bundle, p.Name, shares) > 0 {
+		if slotSecondsPerRequest(b.Bundle, p.Name, shares) > 0 {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-func makeStragglers(b *builder) error {
-	b.steady()
+func generateStragglers(b *builder) error {
+	b.addSteadyArrivals()
 	pools := b.usedPools()
 	// A quiet stretch of the same length stands before each straggler.
-	stretch := 1 / float64(2*len(pools)+1)
+	interval := 1 / float64(2*len(pools)+1)
 	for i, p := range pools {
-		from := stretch * float64(2*i+1)
-		b.fault(b.at(from), p.Name, faults{SlowFactor: straggling}, 0)
-		b.fault(b.at(from+stretch), p.Name, faults{}, 0)
+		from := interval * float64(2*i+1)
+		b.addFault(b.offsetAt(from), p.Name, faultBody{SlowFactor: stragglerSlowFactor}, 0)
+		b.addFault(b.offsetAt(from+interval), p.Name, faultBody{}, 0)
 	}
 	return nil
 }
 
-func makeUpstreamDown(b *builder) error {
-	b.steady()
-	pool := BusiestPool(b.Bundle, b.mix).Name
-	b.fault(b.at(1.0/3), pool, faults{Down: true}, 0)
-	b.fault(b.at(2.0/3), pool, faults{}, 0)
+func generateUpstreamDown(b *builder) error {
+	b.addSteadyArrivals()
+	pool := BusiestPool(b.Bundle, b.pipelineWeights).Name
+	b.addFault(b.offsetAt(1.0/3), pool, faultBody{Down: true}, 0)
+	b.addFault(b.offsetAt(2.0/3), pool, faultBody{}, 0)
 	return nil
 }
 
 // greed is how many times its share the greedy customer sends.
-const greed = 10
+const greedyFactor = 10
 
-func makeGreedy(b *builder) error {
-	b.steady()
+func generateGreedyCustomer(b *builder) error {
+	b.addSteadyArrivals()
 	customers := b.Bundle.Customers
 	// The customer with the least weight is greedy: its share is the clearest.
 	greedy := slices.MinFunc(customers, func(x, y bundle.Customer) int {
@@ -217,59 +217,59 @@
 	for _, c := range customers {
 		sum += c.Weight
 	}
-	extra := (greed - 1) * b.rate * greedy.Weight / sum
-	b.poisson(0.25, 0.75, extra, constant(extra), func(at time.Duration, _ float64) {
-		b.request(at, greedy, b.drawPipeline(greedy, nil))
+	extra := (greedyFactor - 1) * b.arrivalRate * greedy.Weight / sum
+	b.poissonArrivals(0.25, 0.75, extra, constantRate(extra), func(at time.Duration, _ float64) {
+		b.addRequest(at, greedy, b.drawPipeline(greedy, nil))
 	})
 	b.trace.Header.Note += fmt.Sprintf(" The greedy customer is %s, from a quarter to three quarters of the time.", greedy.Name)
 	return nil
 }
 
-func makeTwoFaults(b *builder) error {
+func generateTwoFaults(b *builder) error {
 	pools := b.usedPools()
 	if len(pools) < 2 {
 		return errors.New("the bundle needs two pools in use")
 	}
-	b.poisson(0, 1, b.rate, constant(b.rate), func(at time.Duration, _ float64) { b.impatient(b.arrive(at, nil)) })
-	down := BusiestPool(b.Bundle, b.mix).Name
+	b.poissonArrivals(0, 1, b.arrivalRate, constantRate(b.arrivalRate), func(at time.Duration, _ float64) { b.maybeAddDuplicate(b.addRandomRequest(at, nil)) })
+	down := BusiestPool(b.Bundle, b.pipelineWeights).Name
 	slow := pools[slices.IndexFunc(pools, func(p bundle.Pool) bool { return p.Name != down })].Name
-	b.fault(b.at(0.25), slow, faults{SlowFactor: straggling}, 0)
-	b.fault(b.at(0.35), down, faults{Down: true}, 0)
-	b.fault(b.at(0.60), slow, faults{}, 0)
-	b.fault(b.at(0.70), down, faults{}, 0)
+	b.addFault(b.offsetAt(0.25), slow, faultBody{SlowFactor: stragglerSlowFactor}, 0)
+	b.addFault(b.offsetAt(0.35), down, faultBody{Down: true}, 0)
+	b.addFault(b.offsetAt(0.60), slow, faultBody{}, 0)
+	b.addFault(b.offsetAt(0.70), down, faultBody{}, 0)
 	return nil
 }
 
 // The storm of makeRetryStorm.
 const (
-	stormLasts = 10 * time.Second
+	outageDuration = 10 * time.Second
 	// stormTries is how often a caller that was not answered asks again, each
 	// time after twice the pause before.
-	stormTries = 3
-	stormPause = time.Second
+	outageRetries   = 3
+	firstRetryDelay = time.Second
 )
 
-func makeRetryStorm(b *builder) error {
-	if b.Duration < 3*stormLasts {
-		return fmt.Errorf("duration must be %v at least", 3*stormLasts)
+func generateRetryStorm(b *builder) error {
+	if b.Duration < 3*outageDuration {
+		return fmt.Errorf("duration must be %v at least", 3*outageDuration)
 	}
-	pool := BusiestPool(b.Bundle, b.mix).Name
-	from := b.at(1.0 / 3)
-	b.poisson(0, 1, b.rate, constant(b.rate), func(at time.Duration, _ float64) {
-		first := *b.arrive(at, nil)
+	pool := BusiestPool(b.Bundle, b.pipelineWeights).Name
+	from := b.offsetAt(1.0 / 3)
+	b.poissonArrivals(0, 1, b.arrivalRate, constantRate(b.arrivalRate), func(at time.Duration, _ float64) {
+		first := *b.addRandomRequest(at, nil)
 		first.Key = trace.AutoKey
 		b.trace.Requests[len(b.trace.Requests)-1].Key = trace.AutoKey
-		if at < from-time.Duration(first.DeadlineMS)*time.Millisecond || at > from+stormLasts {
+		if at < from-time.Duration(first.DeadlineMS)*time.Millisecond || at > from+outageDuration {
 			return
 		}
-		pause := stormPause
-		for try := range stormTries {
+		pause := firstRetryDelay
+		for try := range outageRetries {
 			at += pause
 			pause *= 2
-			b.retry(first, at, trace.RetryUnlessAnswered, try+1)
+			b.addRetry(first, at, trace.RetryUnlessAnswered, try+1)
 		}
 	})
-	b.fault(from, pool, faults{Down: true})
-	b.fault(from+stormLasts, pool, faults{})
+	b.addFault(from, pool, faultBody{Down: true})
+	b.addFault(from+outageDuration, pool, faultBody{})
 	return nil
 }
--- a/replay/trace/parse.go
+++ b/replay/trace/parse.go
@@ -15,12 +15,12 @@
 )
 
 // maxLine bounds the bytes of one line.
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // maxRepeat bounds the repetitions of a text, maxText its length after them.
 const (
-	maxRepeat = 10_000
-	maxText   = 256 << 10
+	maxRepeat    = 10_000
+	maxTextBytes = 256 << 10
 )
 
 // LineError is an error in one line of a trace.
@@ -38,30 +38,30 @@
 
 // parser gathers the lines of one trace and every error in them.
 type parser struct {
-	trace    Trace
-	line     int
-	prefixes map[string]bool
-	requests map[string]Request
-	errs     []error
+	trace        Trace
+	lineNumber   int
+	prefixNames  map[string]bool
+	requestsByID map[string]Request
+	errs         []error
 }
 
 // Parse reads a trace. Its error joins one *LineError for each wrong line.
 func Parse(r io.Reader) (*Trace, error) {
-	p := &parser{prefixes: map[string]bool{}, requests: map[string]Request{}}
+	p := &parser{prefixNames: map[string]bool{}, requestsByID: map[string]Request{}}
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		p.line++
+		p.lineNumber++
 		text := bytes.TrimSpace(lines.Bytes())
 		if len(text) == 0 {
 			continue
 		}
-		if err := p.take(text); err != nil {
-			p.errs = append(p.errs, &LineError{Line: p.line, Err: err})
+		if err := p.parseLine(text); err != nil {
+			p.errs = append(p.errs, &LineError{Line: p.lineNumber, Err: err})
 		}
 	}
 	if err := lines.Err(); err != nil {
-		p.errs = append(p.errs, &LineError{Line: p.line + 1, Err: err})
+		p.errs = append(p.errs, &LineError{Line: p.lineNumber + 1, Err: err})
 	}
 	if p.trace.Header.Version == 0 && len(p.errs) == 0 {
 		p.errs = append(p.errs, &LineError{Line: 1, Err: errors.New("the trace is empty")})
@@ -74,33 +74,33 @@
 	return &p.trace, nil
 }
 
-func (p *parser) take(text []byte) error {
-	var kind struct {
+func (p *parser) parseLine(text []byte) error {
+	var line struct {
 		Type lineType `json:"type"`
 	}
-	if err := json.Unmarshal(text, &kind); err != nil {
+	if err := json.Unmarshal(text, &line); err != nil {
 		return fmt.Errorf("not a JSON object: %w", err)
 	}
-	if kind.Type != typeTrace && p.trace.Header.Version == 0 {
+	if line.Type != typeTrace && p.trace.Header.Version == 0 {
 		p.trace.Header.Version = FormatVersion // report it once
-		return fmt.Errorf("the first line must be of type %q, not %q", typeTrace, kind.Type)
+		return fmt.Errorf("the first line must be of type %q, not %q", typeTrace, line.Type)
 	}
-	switch kind.Type {
+	switch line.Type {
 	case typeTrace:
-		return p.takeHeader(text)
+		return p.parseHeader(text)
 	case typePrefix:
-		return p.takePrefix(text)
+		return p.parsePrefix(text)
 	case typeRequest:
-		return p.takeRequest(text)
+		return p.parseRequest(text)
 	case typeFault:
-		return p.takeFault(text)
+		return p.parseFault(text)
 	default:
-		return fmt.Errorf("unknown type %q", kind.Type)
+		return fmt.Errorf("unknown type %q", line.Type)
 	}
 }
 
 // decode reads one line, in which every member must be known.
-func decode(text []byte, into any) error {
+func decodeLine(text []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
@@ -112,13 +112,13 @@
 	return nil
 }
 
-func (p *parser) takeHeader(text []byte) error {
+func (p *parser) parseHeader(text []byte) error {
 	if p.trace.Header.Version != 0 {
 		return errors.New("a second header")
 	}
 	p.trace.Header.Version = FormatVersion // report a wrong header once
 	var l headerLine
-	if err := decode(text, &l); err != nil {
+	if err := decodeLine(text, &l); err != nil {
 		return err
 	}
 	if l.Version != FormatVersion {
@@ -131,55 +131,55 @@
 	return nil
 }
 
-func (p *parser) takePrefix(text []byte) error {
+func (p *parser) parsePrefix(text []byte) error {
 	var l prefixLine
-	if err := decode(text, &l); err != nil {
+	if err := decodeLine(text, &l); err != nil {
 		return err
 	}
 	if l.Name == "" || l.Text == "" {
 		return errors.New("a prefix needs name and text")
 	}
-	if p.prefixes[l.Name] {
+	if p.prefixNames[l.Name] {
 		return fmt.Errorf("prefix %q stands twice", l.Name)
 	}
-	if err := checkText(l.Text, l.Repeat); err != nil {
+	if err := validateText(l.Text, l.Repeat); err != nil {
 		return err
 	}
-	p.prefixes[l.Name] = true
+	p.prefixNames[l.Name] = true
 	p.trace.Prefixes = append(p.trace.Prefixes, l.Prefix)
 	return nil
 }
 
-func (p *parser) takeRequest(text []byte) error {
+func (p *parser) parseRequest(text []byte) error {
 	var l requestLine
-	if err := decode(text, &l); err != nil {
+	if err := decodeLine(text, &l); err != nil {
 		return err
 	}
 	r := l.Request
 	if r.ID == "" {
 		return errors.New("id is missing")
 	}
-	if _, ok := p.requests[r.ID]; ok {
+	if _, ok := p.requestsByID[r.ID]; ok {
 		return fmt.Errorf("id %q stands twice", r.ID)
 	}
-	if len(p.requests) >= MaxRequests {
+	if len(p.requestsByID) >= MaxRequests {
 		return fmt.Errorf("more than %d requests", MaxRequests)
 	}
-	if err := checkOffset(r.AtMS); err != nil {
+	if err := validateOffset(r.AtMS); err != nil {
 		return err
 	}
-	r, err := p.complete(r)
+	r, err := p.completeRequest(r)
 	if err != nil {
 		return err
 	}
-	p.requests[r.ID] = r
+	p.requestsByID[r.ID] = r
 	p.trace.Requests = append(p.trace.Requests, r)
 	return nil
 }
 
 // complete checks a request and fills in defaults and, for a retry, the
 // members of the request that it repeats.
-func (p *parser) complete(r Request) (Request, error) {
+func (p *parser) completeRequest(r Request) (Request, error) {
 	if r.RetryOf != "" {
 		return p.completeRetry(r)
 	}
@@ -197,16 +197,16 @@
 			return r, fmt.Errorf("key is neither %q nor a UUID: %w", AutoKey, err)
 		}
 	}
-	if r.Prefix != "" && !p.prefixes[r.Prefix] {
+	if r.Prefix != "" && !p.prefixNames[r.Prefix] {
 		return r, fmt.Errorf("prefix %q is not defined above", r.Prefix)
 	}
-	if err := checkText(r.Prompt, r.PromptRepeat); err != nil {
+	if err := validateText(r.Prompt, r.PromptRepeat); err != nil {
 		return r, err
 	}
-	return r, r.checkExpect()
+	return r, r.validateExpectation()
 }
 
-func (r *Request) checkExpect() error {
+func (r *Request) validateExpectation() error {
 	switch r.Expect {
 	case "":
 		r.Expect = ExpectAny
@@ -218,7 +218,7 @@
 }
 
 func (p *parser) completeRetry(r Request) (Request, error) {
-	first, ok := p.requests[r.RetryOf]
+	first, ok := p.requestsByID[r.RetryOf]
 	if !ok {
 		return r, fmt.Errorf("retry_of %q is not defined above", r.RetryOf)
 	}
@@ -231,8 +231,8 @@
 	if first.Key == "" {
 		return r, fmt.Errorf("retry_of %q has no key", r.RetryOf)
 	}
-	bare := Request{ID: r.ID, AtMS: r.AtMS, RetryOf: r.RetryOf, When: r.When}
-	if r != bare {
+	allowed := Request{ID: r.ID, AtMS: r.AtMS, RetryOf: r.RetryOf, When: r.When}
+	if r != allowed {
 		return r, errors.New("a retry states only id, at_ms, retry_of and when")
 	}
 	switch r.When {
@@ -247,12 +247,12 @@
 	return retry, nil
 }
 
-func (p *parser) takeFault(text []byte) error {
+func (p *parser) parseFault(text []byte) error {
 	var l faultLine
-	if err := decode(text, &l); err != nil {
+	if err := decodeLine(text, &l); err != nil {
 		return err
 	}
-	if err := checkOffset(l.AtMS); err != nil {
+	if err := validateOffset(l.AtMS); err != nil {
 		return err
 	}
 	if l.Pool == "" {
@@ -268,19 +268,19 @@
 	return nil
 }
 
-func checkOffset(ms int64) error {
+func validateOffset(ms int64) error {
 	if ms < 0 || ms > MaxOffset.Milliseconds() {
 		return fmt.Errorf("at_ms %d lies outside 0 to %d", ms, MaxOffset.Milliseconds())
 	}
 	return nil
 }
 
-func checkText(text string, repeat int) error {
+func validateText(text string, repeat int) error {
 	if repeat < 0 || repeat > maxRepeat {
 		return fmt.Errorf("repeat %d lies outside 0 to %d", repeat, maxRepeat)
 	}
-	if n := len(text) * max(repeat, 1); n > maxText {
-		return fmt.Errorf("text of %d bytes is longer than %d", n, maxText)
+	if n := len(text) * max(repeat, 1); n > maxTextBytes {
+		return fmt.Errorf("text of %d bytes is longer than %d", n, maxTextBytes)
 	}
 	return nil
 }
--- a/replay/trace/write.go
+++ b/replay/trace/write.go
@@ -34,7 +34,7 @@
 	buffered := bufio.NewWriter(w)
 	enc := json.NewEncoder(buffered)
 	enc.SetEscapeHTML(false)
-	for _, line := range lines(t) {
+	for _, line := range traceLines(t) {
 		if err := enc.Encode(line); err != nil {
 			return err
 		}
@@ -42,23 +42,23 @@
 	return buffered.Flush()
 }
 
-func lines(t *Trace) []any {
+func traceLines(t *Trace) []any {
 	out := []any{headerLine{typeTrace, t.Header}}
 	for _, p := range t.Prefixes {
 		out = append(out, prefixLine{typePrefix, p})
 	}
-	type timed struct {
+	type timedLine struct {
 		at   int64
 		line any
 	}
-	events := make([]timed, 0, len(t.Requests)+len(t.Faults))
+	events := make([]timedLine, 0, len(t.Requests)+len(t.Faults))
 	for _, r := range t.Requests {
-		events = append(events, timed{r.AtMS, requestLine{typeRequest, r.written()}})
+		events = append(events, timedLine{r.AtMS, requestLine{typeRequest, r.withoutDefaults()}})
 	}
 	for _, f := range t.Faults {
-		events = append(events, timed{f.AtMS, faultLine{typeFault, f}})
+		events = append(events, timedLine{f.AtMS, faultLine{typeFault, f}})
 	}
-	slices.SortStableFunc(events, func(a, b timed) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(events, func(a, b timedLine) int { return cmp.Compare(a.at, b.at) })
 	for _, e := range events {
 		out = append(out, e.line)
 	}
@@ -66,7 +66,7 @@
 }
 
 // written leaves out what Parse fills in.
-func (r Request) written() Request {
+func (r Request) withoutDefaults() Request {
 	if r.RetryOf != "" {
 		r = Request{ID: r.ID, AtMS: r.AtMS, RetryOf: r.RetryOf, When: r.When}
 		if r.When == RetryUnlessAnswered {
--- a/replay/verdict/metrics.go
+++ b/replay/verdict/metrics.go
@@ -32,12 +32,12 @@
 	SendLagP99         Metric = "send_lag_p99_ms"
 	EngineSeconds      Metric = "engine_seconds"
 	// EngineSecondsEach is the engine seconds for each request answered in time.
-	EngineSecondsEach Metric = "engine_seconds_per_attained"
-	Tokens            Metric = "tokens"
-	StageCalls        Metric = "stage_calls"
-	WastedShare       Metric = "wasted_share"
-	ViolationCount    Metric = "violations"
-	Undelivered       Metric = "undelivered"
+	EngineSecondsPerAttained Metric = "engine_seconds_per_attained"
+	Tokens                   Metric = "tokens"
+	StageCalls               Metric = "stage_calls"
+	WastedShare              Metric = "wasted_share"
+	ViolationCount           Metric = "violations"
+	Undelivered              Metric = "undelivered"
 )
 
 // scope says what narrows a metric.
@@ -51,7 +51,7 @@
 	scopeWindow
 )
 
-type metric struct {
+type metricSpec struct {
 	scope scope
 	value func(*report.Report, Outcome) (float64, error)
 }
@@ -59,31 +59,31 @@
 var (
 	errNoRequests = errors.New("no such requests in the run")
 	errNoStage    = errors.New("no such stage in the run")
-	errNoSample   = errors.New("nothing was measured")
+	errNoSamples  = errors.New("nothing was measured")
 )
 
-var metrics = map[Metric]metric{
-	Attainment:         ofGroup(func(g report.Group) (float64, error) { return g.Attainment.Share, nil }),
-	TriesAttainment:    ofGroup(func(g report.Group) (float64, error) { return g.Tries.Share, nil }),
-	Unexpected:         ofGroup(func(g report.Group) (float64, error) { return float64(g.Unexpected), nil }),
-	RefusedShare:       ofGroup(func(g report.Group) (float64, error) { return float64(g.Refused) / float64(g.Tries.Of), nil }),
-	LatencyP50:         ofQuantiles(func(g report.Group) (report.Quantiles, float64) { return g.Latency, g.Latency.P50 }),
-	LatencyP99:         ofQuantiles(func(g report.Group) (report.Quantiles, float64) { return g.Latency, g.Latency.P99 }),
-	FirstTokenP50:      ofQuantiles(func(g report.Group) (report.Quantiles, float64) { return g.FirstToken, g.FirstToken.P50 }),
-	FirstTokenP99:      ofQuantiles(func(g report.Group) (report.Quantiles, float64) { return g.FirstToken, g.FirstToken.P99 }),
-	BetweenTokensP99:   ofQuantiles(func(g report.Group) (report.Quantiles, float64) { return g.BetweenTokens, g.BetweenTokens.P99 }),
-	RefusalP50:         ofQuantiles(func(g report.Group) (report.Quantiles, float64) { return g.Refusal, g.Refusal.P50 }),
-	RefusalP99:         ofQuantiles(func(g report.Group) (report.Quantiles, float64) { return g.Refusal, g.Refusal.P99 }),
-	WindowedAttainment: {scopeWindow, windowedAttainment},
-	Goodput:            ofAll(func(r *report.Report) float64 { return r.Goodput }),
-	SendLagP99:         ofAll(func(r *report.Report) float64 { return r.SendLag.P99 }),
-	Undelivered:        ofAll(func(r *report.Report) float64 { return float64(r.Violations.Undelivered) }),
-	EngineSeconds:      ofStages(func(c report.StageCost, _ *report.Report) (float64, error) { return c.All.EngineSeconds, nil }),
-	EngineSecondsEach:  ofStages(engineSecondsEach),
-	Tokens:             ofStages(func(c report.StageCost, _ *report.Report) (float64, error) { return float64(c.All.Tokens), nil }),
-	StageCalls:         ofStages(func(c report.StageCost, _ *report.Report) (float64, error) { return float64(c.All.Calls), nil }),
-	WastedShare:        ofStages(func(c report.StageCost, _ *report.Report) (float64, error) { return c.WastedShare, nil }),
-	ViolationCount:     {scopeViolations, violationCount},
+var metrics = map[Metric]metricSpec{
+	Attainment:               groupMetric(func(g report.Group) (float64, error) { return g.Attainment.Share, nil }),
+	TriesAttainment:          groupMetric(func(g report.Group) (float64, error) { return g.Tries.Share, nil }),
+	Unexpected:               groupMetric(func(g report.Group) (float64, error) { return float64(g.Unexpected), nil }),
+	RefusedShare:             groupMetric(func(g report.Group) (float64, error) { return float64(g.Refused) / float64(g.Tries.Of), nil }),
+	LatencyP50:               quantileMetric(func(g report.Group) (report.Quantiles, float64) { return g.Latency, g.Latency.P50 }),
+	LatencyP99:               quantileMetric(func(g report.Group) (report.Quantiles, float64) { return g.Latency, g.Latency.P99 }),
+	FirstTokenP50:            quantileMetric(func(g report.Group) (report.Quantiles, float64) { return g.FirstToken, g.FirstToken.P50 }),
+	FirstTokenP99:            quantileMetric(func(g report.Group) (report.Quantiles, float64) { return g.FirstToken, g.FirstToken.P99 }),
+	BetweenTokensP99:         quantileMetric(func(g report.Group) (report.Quantiles, float64) { return g.BetweenTokens, g.BetweenTokens.P99 }),
+	RefusalP50:               quantileMetric(func(g report.Group) (report.Quantiles, float64) { return g.Refusal, g.Refusal.P50 }),
+	RefusalP99:               quantileMetric(func(g report.Group) (report.Quantiles, float64) { return g.Refusal, g.Refusal.P99 }),
+	WindowedAttainment:       {scopeWindow, windowedAttainment},
+	Goodput:                  reportMetric(func(r *report.Report) float64 { return r.Goodput }),
+	SendLagP99:               reportMetric(func(r *report.Report) float64 { return r.SendLag.P99 }),
+	Undelivered:              reportMetric(func(r *report.Report) float64 { return float64(r.Violations.Undelivered) }),
+	EngineSeconds:            stageMetric(func(c report.StageCost, _ *report.Report) (float64, error) { return c.All.EngineSeconds, nil }),
+	EngineSecondsPerAttained: stageMetric(engineSecondsPerAttained),
+	Tokens:                   stageMetric(func(c report.StageCost, _ *report.Report) (float64, error) { return float64(c.All.Tokens), nil }),
+	StageCalls:               stageMetric(func(c report.StageCost, _ *report.Report) (float64, error) { return float64(c.All.Calls), nil }),
+	WastedShare:              stageMetric(func(c report.StageCost, _ *report.Report) (float64, error) { return c.WastedShare, nil }),
+	ViolationCount:           {scopeViolations, violationCount},
 }
 
 // Metrics lists the names of all metrics.
@@ -98,12 +98,12 @@
 	return m.value(r, o)
 }
 
-func ofAll(f func(*report.Report) float64) metric {
-	return metric{scopeAll, func(r *report.Report, _ Outcome) (float64, error) { return f(r), nil }}
+func reportMetric(f func(*report.Report) float64) metricSpec {
+	return metricSpec{scopeAll, func(r *report.Report, _ Outcome) (float64, error) { return f(r), nil }}
 }
 
-func ofGroup(f func(report.Group) (float64, error)) metric {
-	return metric{scopeRequests, func(r *report.Report, o Outcome) (float64, error) {
+func groupMetric(f func(report.Group) (float64, error)) metricSpec {
+	return metricSpec{scopeRequests, func(r *report.Report, o Outcome) (float64, error) {
 		g := r.All
 		switch {
 		case o.Pipeline != "":
@@ -118,20 +118,20 @@
 	}}
 }
 
-func ofQuantiles(f func(report.Group) (report.Quantiles, float64)) metric {
-	return ofGroup(func(g report.Group) (float64, error) {
+func quantileMetric(f func(report.Group) (report.Quantiles, float64)) metricSpec {
+	return groupMetric(func(g report.Group) (float64, error) {
 		q, value := f(g)
 		if q.Count == 0 {
-			return 0, errNoSample
+			return 0, errNoSamples
 		}
 		return value, nil
 	})
 }
 
-func ofStages(f func(report.StageCost, *report.Report) (float64, error)) metric {
-	return metric{scopeStages, func(r *report.Report, o Outcome) (float64, error) {
+func stageMetric(f func(report.StageCost, *report.Report) (float64, error)) metricSpec {
+	return metricSpec{scopeStages, func(r *report.Report, o Outcome) (float64, error) {
 		if o.Stage == "" {
-			return f(report.Sum(r.Stages), r)
+			return f(report.SumCosts(r.Stages), r)
 		}
 		for _, c := range r.Stages {
 			if c.Stage == o.Stage {
@@ -142,7 +142,7 @@
 	}}
 }
 
-func engineSecondsEach(c report.StageCost, r *report.Report) (float64, error) {
+func engineSecondsPerAttained(c report.StageCost, r *report.Report) (float64, error) {
 	if r.All.Attainment.Met == 0 {
 		return 0, errNoRequests
 	}
--- a/replay/verdict/verdict.go
+++ b/replay/verdict/verdict.go
@@ -37,7 +37,7 @@
 }
 
 // Line is the judgement of one outcome.
-type Line struct {
+type OutcomeResult struct {
 	Outcome Outcome
 	Value   float64
 	// Err says why there is no value; the outcome is then not met.
@@ -48,8 +48,8 @@
 // Verdict is the judgement of a report.
 type Verdict struct {
 	// Void lists why the run cannot be judged at all.
-	Void  []string
-	Lines []Line
+	InvalidReasons []string
+	Results        []OutcomeResult
 }
 
 // Parse reads outcomes and reports every error in them.
@@ -63,14 +63,14 @@
 		errs = append(errs, errors.New("no outcomes are stated"))
 	}
 	for i, one := range o.Outcomes {
-		if err := one.check(); err != nil {
+		if err := one.validate(); err != nil {
 			errs = append(errs, fmt.Errorf("outcomes[%d]: %w", i, err))
 		}
 	}
 	return &o, errors.Join(errs...)
 }
 
-func (o Outcome) check() error {
+func (o Outcome) validate() error {
 	m, ok := metrics[o.Metric]
 	switch {
 	case !ok:
@@ -96,44 +96,44 @@
 func (o *Outcomes) Judge(r *report.Report) Verdict {
 	var v Verdict
 	if o.Trace != "" && o.Trace != r.Trace {
-		v.Void = append(v.Void, fmt.Sprintf("the outcomes are for trace %s, not %s", o.Trace, r.Trace))
+		v.InvalidReasons = append(v.InvalidReasons, fmt.Sprintf("the outcomes are for trace %s, not %s", o.Trace, r.Trace))
 	}
 	if r.NotSent > 0 {
-		v.Void = append(v.Void, fmt.Sprintf("%d requests could not be sent", r.NotSent))
+		v.InvalidReasons = append(v.InvalidReasons, fmt.Sprintf("%d requests could not be sent", r.NotSent))
 	}
 	for _, f := range r.Faults {
 		if f.Error != "" {
-			v.Void = append(v.Void, fmt.Sprintf("the fault at %d ms was not injected: %s", f.AtMS, f.Error))
+			v.InvalidReasons = append(v.InvalidReasons, fmt.Sprintf("the fault at %d ms was not injected: %s", f.AtMS, f.Error))
 		}
 	}
 	for _, one := range o.Outcomes {
-		v.Lines = append(v.Lines, one.judge(r))
+		v.Results = append(v.Results, one.judge(r))
 	}
 	return v
 }
 
-func (o Outcome) judge(r *report.Report) Line {
+func (o Outcome) judge(r *report.Report) OutcomeResult {
 	value, err := metrics[o.Metric].value(r, o)
 	met := err == nil && (o.Min == nil || value >= *o.Min) && (o.Max == nil || value <= *o.Max)
-	return Line{Outcome: o, Value: value, Err: err, Met: met}
+	return OutcomeResult{Outcome: o, Value: value, Err: err, Met: met}
 }
 
 // Met says whether the run counts and every outcome is met.
 func (v Verdict) Met() bool {
-	for _, l := range v.Lines {
+	for _, l := range v.Results {
 		if !l.Met {
 			return false
 		}
 	}
-	return len(v.Void) == 0
+	return len(v.InvalidReasons) == 0
 }
 
 // Write writes the verdict as text for people.
 func (v Verdict) Write(w io.Writer) error {
-	for _, why := range v.Void {
-		fmt.Fprintf(w, "void: %s\n", why)
+	for _, reason := range v.InvalidReasons {
+		fmt.Fprintf(w, "void: %s\n", reason)
 	}
-	for _, l := range v.Lines {
+	for _, l := range v.Results {
 		fmt.Fprintln(w, l)
 	}
 	result := "met"
@@ -145,12 +145,12 @@
 }
 
 // String implements fmt.Stringer.
-func (l Line) String() string {
-	mark := "ok  "
+func (l OutcomeResult) String() string {
+	status := "ok  "
 	if !l.Met {
-		mark = "FAIL"
+		status = "FAIL"
 	}
-	text := fmt.Sprintf("%s %s%s", mark, l.Outcome.Metric, l.Outcome.selector())
+	text := fmt.Sprintf("%s %s%s", status, l.Outcome.Metric, l.Outcome.selector())
 	if l.Err != nil {
 		return fmt.Sprintf("%s: %v", text, l.Err)
 	}
--- a/replay/verdict/verdict_test.go
+++ b/replay/verdict/verdict_test.go
@@ -30,7 +30,7 @@
 			{Stage: "write", All: report.Spent{Calls: 3, EngineSeconds: 10}, Late: report.Spent{EngineSeconds: 5}, WastedShare: 0.5},
 		},
 		Timeline:   []report.Second{{At: 0, Sent: 10, Attained: 10}, {At: 1, Sent: 10}, {At: 2, Sent: 10, Attained: 5}},
-		Violations: report.Violations{Total: 2, ByKind: map[audit.Kind]int{audit.Doubled: 2}},
+		Violations: report.Violations{Total: 2, ByKind: map[audit.Kind]int{audit.DuplicateExecution: 2}},
 	}
 }
 
@@ -45,7 +45,7 @@
 	DescribeTable("is by the stated bounds",
 		func(outcome string, value float64, met bool) {
 			v := judge(outcome)
-			Expect(v.Lines[0].Value).To(BeNumerically("~", value, 1e-9))
+			Expect(v.Results[0].Value).To(BeNumerically("~", value, 1e-9))
 			Expect(v.Met()).To(Equal(met))
 		},
 		Entry("at least", "{metric: attainment, min: 0.9}", 0.9, true),
@@ -79,7 +79,7 @@
 			o, err := verdict.Parse([]byte("trace: t\noutcomes: [{metric: attainment, min: 0}]"))
 			Expect(err).NotTo(HaveOccurred())
 			v := o.Judge(r)
-			Expect(v.Void).To(HaveLen(1))
+			Expect(v.InvalidReasons).To(HaveLen(1))
 			Expect(v.Met()).To(BeFalse())
 			var text bytes.Buffer
 			Expect(v.Write(&text)).To(Succeed())
