--- a/replay/client.go
+++ b/replay/client.go
@@ -62,18 +62,18 @@
 
 // exchange sends c and fills in what came back. started is the wall clock of
 // the request's offset.
-func performCall(ctx context.Context, client *http.Client, apiKey string, b requestBody, started time.Time, c *Call) {
-	err := sendRequest(ctx, client, apiKey, b, started, c)
+func performCall(ctx context.Context, client *http.Client, apiKey string, body requestBody, due time.Time, c *Call) {
+	err := sendRequest(ctx, client, apiKey, body, due, c)
 	c.EndedAt = time.Now()
-	c.Latency = c.EndedAt.Sub(started)
+	c.Latency = c.EndedAt.Sub(due)
 	if err != nil {
 		c.Outcome = Unanswered
 		c.Problem = err.Error()
 	}
 }
 
-func sendRequest(ctx context.Context, client *http.Client, apiKey string, b requestBody, started time.Time, c *Call) error {
-	encoded, err := json.Marshal(b)
+func sendRequest(ctx context.Context, client *http.Client, apiKey string, body requestBody, due time.Time, c *Call) error {
+	encoded, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 	case resp.StatusCode != http.StatusOK:
 		return fmt.Errorf("status %d without a problem document", resp.StatusCode)
 	case mediaType == mediaTypeEventStream:
-		return c.readStream(limited, started)
+		return c.readStream(limited, due)
 	default:
 		return c.decodeAnswer(json.NewDecoder(limited).Decode)
 	}
@@ -208,12 +208,12 @@
 
 // differs says whether the streamed text is another than that of the result.
 // A result of another form cannot be compared and does not differ.
-func streamedTextDiffers(streamed string, result json.RawMessage) bool {
+func streamedTextDiffers(streamedText string, result json.RawMessage) bool {
 	var decoded struct {
 		Text *string `json:"text"`
 	}
 	if json.Unmarshal(result, &decoded) != nil || decoded.Text == nil {
 		return false
 	}
-	return streamed != "" && streamed != *decoded.Text
+	return streamedText != "" && streamedText != *decoded.Text
 }
--- a/replay/report/cost.go
+++ b/replay/report/cost.go
@@ -141,23 +141,23 @@
 }
 
 // uses says what each execution for one stage of one request was good for.
-func classifyExecutions(work []ledger.Entry, met bool) []executionUse {
-	out := make([]executionUse, len(work))
+func classifyExecutions(executions []ledger.Entry, attained bool) []executionUse {
+	out := make([]executionUse, len(executions))
 	firstDone := -1
-	for i, e := range work {
-		if e.State == ledger.Done && (firstDone < 0 || e.FinishedUnixMS < work[firstDone].FinishedUnixMS) {
+	for i, e := range executions {
+		if e.State == ledger.Done && (firstDone < 0 || e.FinishedUnixMS < executions[firstDone].FinishedUnixMS) {
 			firstDone = i
 		}
 	}
-	for i, e := range work {
+	for i, e := range executions {
 		switch {
-		case !met && e.State == ledger.Cancelled:
+		case !attained && e.State == ledger.Cancelled:
 			out[i] = useCancelled
-		case !met:
+		case !attained:
 			out[i] = useLate
 		case i == firstDone:
 			out[i] = useNeeded
-		case firstDone >= 0 && overlap(e, work[firstDone]):
+		case firstDone >= 0 && overlap(e, executions[firstDone]):
 			out[i] = useHedge
 		default:
 			out[i] = useRetry
--- a/replay/run.go
+++ b/replay/run.go
@@ -209,7 +209,7 @@
 		return
 	}
 	q := c.Request
-	b := requestBody{
+	body := requestBody{
 		Input:      requestInput{Text: c.CorrelationToken + " " + strings.Repeat(q.Prompt, max(q.PromptRepeat, 1))},
 		DeadlineMS: q.DeadlineMS,
 		Stream:     q.Stream,
@@ -221,7 +221,7 @@
 		defer cancel()
 		c.SentAt = time.Now()
 		c.SendLag = c.SentAt.Sub(due)
-		performCall(callCtx, r.cfg.Client, r.cfg.Keys[q.Customer], b, due, c)
+		performCall(callCtx, r.cfg.Client, r.cfg.Keys[q.Customer], body, due, c)
 		r.recordOutcome(c)
 	})
 }
@@ -230,18 +230,18 @@
 func (r *runner) prepareCall(c *Call) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	first, ok := r.requests[c.FirstTryID]
+	state, ok := r.requests[c.FirstTryID]
 	if !ok {
-		first = &requestState{correlationToken: NewCorrelationToken(), key: idempotencyKey(c.Request.Key), firstHost: r.pickHost("")}
-		r.requests[c.FirstTryID] = first
-		c.Host = first.firstHost
+		state = &requestState{correlationToken: NewCorrelationToken(), key: idempotencyKey(c.Request.Key), firstHost: r.pickHost("")}
+		r.requests[c.FirstTryID] = state
+		c.Host = state.firstHost
 	} else {
-		if first.answered && c.Request.When != trace.RetryAlways {
+		if state.answered && c.Request.When != trace.RetryAlways {
 			return false
 		}
-		c.Host = r.pickHost(first.firstHost)
+		c.Host = r.pickHost(state.firstHost)
 	}
-	c.Key, c.CorrelationToken = first.key, first.correlationToken
+	c.Key, c.CorrelationToken = state.key, state.correlationToken
 	return true
 }
 
--- a/replay/scenario/capacity.go
+++ b/replay/scenario/capacity.go
@@ -14,12 +14,12 @@
 	shares := pipelineShares(b, mix)
 	lowestRate := math.Inf(1)
 	for _, pool := range b.Pools {
-		need := slotSecondsPerRequest(b, pool.Name, shares)
-		if need == 0 {
+		slotSeconds := slotSecondsPerRequest(b, pool.Name, shares)
+		if slotSeconds == 0 {
 			continue
 		}
 		slots := float64(len(pool.Upstreams) * pool.Concurrency)
-		lowestRate = math.Min(lowestRate, slots/need)
+		lowestRate = math.Min(lowestRate, slots/slotSeconds)
 	}
 	return lowestRate
 }
