--- a/internal/doccheck/doccheck.go
+++ b/internal/doccheck/doccheck.go
@@ -1,4 +1,5 @@
-// Package doccheck lets tests hold the documentation to the code.
+// Package doccheck helps tests verify that the documentation lists the same keys
+// as the code.
 package doccheck
 
 import (
@@ -9,8 +10,8 @@
 	"strings"
 )
 
-// Keys returns the YAML paths of every value in a struct, such as
-// "pools[].upstreams[].name", in the order of its fields.
+// Keys returns the YAML path of every value in the struct document, such as
+// "pools[].upstreams[].name", in field order. Fields tagged "-" are omitted.
 func Keys(document any) []string { return yamlPaths(reflect.TypeOf(document), "") }
 
 func yamlPaths(t reflect.Type, prefix string) []string {
@@ -34,16 +35,19 @@
 	return paths
 }
 
-// isSection tells a struct with keys from a value such as a time.
+// isSection reports whether t is a struct with YAML keys, as opposed to a struct
+// that is decoded as one value, such as time.Time.
 func isSection(t reflect.Type) bool {
 	return t.Kind() == reflect.Struct && t.NumField() > 0 && t.Field(0).Tag.Get("yaml") != ""
 }
 
-// firstCell matches a table row that starts with a key in backquotes.
+// firstCellPattern matches a Markdown table row whose first cell is a key in
+// backquotes.
 var firstCellPattern = regexp.MustCompile("(?m)^\\| `([^`]+)` \\|")
 
 // ListedKeys returns the first cells of the table rows in one section of a
-// Markdown file. heading is the section's heading line.
+// Markdown file. heading is the whole heading line of the section. It fails if the
+// file cannot be read or has no such section.
 func ListedKeys(file, heading string) ([]string, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/httpbody/broken.go
+++ b/internal/httpbody/broken.go
@@ -7,8 +7,8 @@
 	"syscall"
 )
 
-// BrokenOff reports whether err means that the other side ended a connection,
-// and not that time ran out or that the bytes were wrong.
+// BrokenOff reports whether err means that the peer closed or reset the connection,
+// as opposed to a timeout or a malformed message.
 func BrokenOff(err error) bool {
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
--- a/internal/httpbody/httpbody.go
+++ b/internal/httpbody/httpbody.go
@@ -1,4 +1,6 @@
-// Package httpbody reads bounded HTTP bodies.
+// Package httpbody reads HTTP bodies up to a size limit and holds what is shared
+// by the HTTP clients of upstreams: headers, the transport and the classification
+// of connection errors.
 package httpbody
 
 import (
@@ -7,11 +9,11 @@
 	"io"
 )
 
-// ErrTooLarge is returned for a body over its limit.
+// ErrTooLarge is returned for a body that exceeds its size limit.
 var ErrTooLarge = errors.New("body over the limit")
 
-// Read reads r whole, or fails with ErrTooLarge when it holds more than limit
-// bytes.
+// Read reads r until EOF. It returns an error that wraps ErrTooLarge if r holds
+// more than limit bytes.
 func Read(r io.Reader, limit int64) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
--- a/internal/httpbody/upstream.go
+++ b/internal/httpbody/upstream.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Headers that bind an answer to the attempt that asked for it.
+// Headers that bind a response to the attempt that requested it.
 const (
 	HeaderRequestID = "X-Request-Id"
 	HeaderAttempt   = "X-Attempt"
@@ -17,15 +17,15 @@
 	HeaderNotExecuted = "X-Not-Executed"
 )
 
-// Timeouts and pool bounds of connections to upstreams.
+// Timeouts of connections to upstreams.
 const (
 	dialTimeout     = 500 * time.Millisecond
 	idleConnTimeout = 90 * time.Second
 	keepAlive       = 15 * time.Second
 )
 
-// NewTransport returns an HTTP transport that holds at most maxConns
-// connections to one upstream; 0 is no bound.
+// NewTransport returns an HTTP transport that opens at most maxConns connections to
+// each upstream; 0 means no limit.
 func NewTransport(maxConns int) *http.Transport {
 	return &http.Transport{
 		DialContext:         Dial(&net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}),
@@ -36,7 +36,8 @@
 	}
 }
 
-// Dial returns a transport's way to connect whose failures are DialErrors.
+// Dial returns a DialContext function for an http.Transport. Its errors are
+// *DialError, so that a failure to connect can be told from a later one.
 func Dial(d *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := d.DialContext(ctx, network, address)
@@ -47,7 +48,7 @@
 	}
 }
 
-// DialError is a failure to connect: nothing of the request was sent.
+// DialError is a failure to connect: no part of the request was sent.
 type DialError struct{ Err error }
 
 // Error implements error.
@@ -56,7 +57,7 @@
 // Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Err }
 
-// NotSent reports whether err means that no byte of a request has left.
+// NotSent reports whether err means that no byte of the request was sent.
 func NotSent(err error) bool {
 	var d *DialError
 	return errors.As(err, &d) || errors.Is(err, ErrTooLate)
--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -1,4 +1,4 @@
-// Package periodic waits, and does work at an interval.
+// Package periodic waits with cancellation and runs functions at an interval.
 package periodic
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/wheatseam/wheatseam/internal/clock"
 )
 
-// Sleep waits for d and says whether it did: it returns early when ctx ends.
+// Sleep waits for d and returns true, or returns false as soon as ctx is done.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := clock.NewTimer(d)
 	defer timer.Stop()
@@ -20,8 +20,8 @@
 	}
 }
 
-// Await waits until something can be received from a channel, or it is closed; for
-// d at most, or until ctx ends.
+// Await waits until a value is received from the channel or the channel is closed,
+// until d has passed, or until ctx is done.
 func Await(ctx context.Context, from <-chan struct{}, d time.Duration) {
 	timer := clock.NewTimer(d)
 	defer timer.Stop()
@@ -32,8 +32,8 @@
 	}
 }
 
-// Do calls f at an interval until ctx ends. Calls never overlap: one that takes
-// longer than the interval delays the next.
+// Do calls f at an interval until ctx is done. Calls do not overlap: a call that
+// takes longer than the interval delays the next one.
 func Do(ctx context.Context, interval time.Duration, f func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process starts and ends processes: the daemons of tests and of the
-// soak.
+// Package process starts and stops child processes, such as the daemons of tests
+// and of the soak test.
 package process
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Process is a process that this one has started.
+// Process is a child process.
 type Process struct {
 	cmd  *exec.Cmd
 	log  string
@@ -19,8 +19,8 @@
 	err  error
 }
 
-// Start runs a program whose output is appended to the file log. The process
-// ends with this one.
+// Start runs program and appends its output to the file log. The child is killed
+// when this process ends.
 func Start(log, program string, args ...string) (*Process, error) {
 	out, err := os.OpenFile(log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
@@ -29,12 +29,13 @@
 	defer out.Close()
 	cmd := exec.Command(program, args...)
 	cmd.Stdout, cmd.Stderr = out, out
-	// Whoever started it may be killed and must leave nothing behind.
+	// The parent may itself be killed, and no child may outlive it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	p := &Process{cmd: cmd, log: log, done: make(chan struct{})}
 	started := make(chan error)
 	go func() {
-		// Pdeathsig is tied to the thread that starts the process.
+		// The kernel sends Pdeathsig when the thread that started the child
+		// exits, so that thread must live as long as the child.
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
 		err := cmd.Start()
@@ -51,38 +52,41 @@
 	return p, nil
 }
 
-// Signal sends a signal.
+// Signal sends s to the process.
 func (p *Process) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Freeze stops the process until Thaw.
+// Freeze suspends the process with SIGSTOP until Thaw is called.
 func (p *Process) Freeze() error { return p.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a suspended process with SIGCONT.
 func (p *Process) Thaw() error { return p.Signal(syscall.SIGCONT) }
 
-// Wait waits for the end of the process and returns how it ended.
+// Wait waits until the process has exited and returns the error of its exit. It
+// returns an error if the process is still running after timeout.
 func (p *Process) Wait(timeout time.Duration) error {
 	select {
 	case <-p.done:
 		return p.err
 	case <-time.After(timeout):
-		return fmt.Errorf("process %d still runs after %v", p.cmd.Process.Pid, timeout)
+		return fmt.Errorf("process %d is still running after %v", p.cmd.Process.Pid, timeout)
 	}
 }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has exited.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Err returns how the process ended, once Done is closed.
+// Err returns the error of the exit; nil for exit status 0. It may be called only
+// after Done is closed.
 func (p *Process) Err() error { return p.err }
 
-// Log returns what the process has written so far.
+// Log returns the content of the log file, or the text of the error if the file
+// cannot be read.
 func (p *Process) Log() string {
 	raw, err := os.ReadFile(p.log)
 	if err != nil {
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -12,15 +12,14 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Decode reads the one document of raw into the struct that v points to, and
-// reports every fault. What the document leaves out is left alone in v, so that
-// the caller may put defaults there; what is faulty is undefined.
+// Decode decodes raw, which must hold one document, into the struct that v points to
+// and reports every problem. Fields that the document does not set keep their values
+// in v, so that the caller can set defaults; fields with a problem are undefined.
 //
-// Mappings become structs, by their yaml tags; sequences become slices; scalars
-// become strings, booleans, int, int64, uint64, float64, time.Duration (with a unit)
-// and time.Time (RFC 3339). Keys that the struct lacks, keys without a value,
-// values of another kind, anchors, aliases, tags and further documents are
-// faults.
+// Mappings are decoded into structs by their yaml tags, sequences into slices, and
+// scalars into string, bool, int, int64, uint64, float64, time.Duration (with a
+// unit) and time.Time (RFC 3339). Unknown keys, keys without a value, values of
+// another kind, anchors, aliases, tags and additional documents are problems.
 func Decode(raw []byte, v any) *Report {
 	d := &decoder{&Report{lines: map[string]int{}}}
 	root := d.parseDocument(raw)
@@ -32,13 +31,13 @@
 	return d.Report
 }
 
-// decoder walks a document beside the type that it is read into.
+// decoder walks a document together with the type that it is decoded into.
 type decoder struct {
 	*Report
 }
 
-// parseDocument returns the root of the one document of raw, or nil after
-// noting why there is none.
+// parseDocument returns the root of the only document in raw, or nil after it has
+// recorded a problem.
 func (d *decoder) parseDocument(raw []byte) ast.Node {
 	file, err := parser.ParseBytes(raw, 0)
 	if err != nil {
@@ -67,7 +66,7 @@
 	return p
 }
 
-// value reads node into v and notes the line of each path.
+// decodeValue decodes node into v and records the line of each path.
 func (d *decoder) decodeValue(node ast.Node, v reflect.Value, path string) {
 	d.recordLine(path, node)
 	switch node.(type) {
@@ -88,8 +87,8 @@
 	}
 }
 
-// note keeps the first line seen for path: a key's line goes before that of
-// its value.
+// recordLine records the line of path unless one is recorded already, so that the
+// line of a key has precedence over the line of its value.
 func (d *decoder) recordLine(path string, node ast.Node) {
 	if _, ok := d.lines[path]; ok {
 		return
@@ -142,13 +141,13 @@
 	timeType     = reflect.TypeFor[time.Time]()
 )
 
-// IsScalar says that t is read from one YAML scalar.
+// IsScalar reports whether t is decoded from one YAML scalar.
 func IsScalar(t reflect.Type) bool {
 	return t == timeType || t.Kind() != reflect.Struct && t.Kind() != reflect.Slice
 }
 
-// scalar reads one value. The library would turn a fraction into a whole
-// number or a number into a string, so that the node's kind is checked first.
+// decodeScalar decodes one scalar. It checks the kind of the node first, because the
+// library would convert a fraction to an integer or a number to a string.
 func (d *decoder) decodeScalar(node ast.Node, v reflect.Value, path string) {
 	if !acceptsNode(node, v.Type()) {
 		d.Add(path, "want %s, got %s", typeDescription(v.Type()), kindName(node))
@@ -159,8 +158,8 @@
 	}
 }
 
-// convert sets v from node. Times are read here, since the library takes any
-// text for the zero time.
+// convert sets v from node. It parses times itself, because the library decodes any
+// text as the zero time.
 func convert(node ast.Node, v reflect.Value) error {
 	if v.Type() != timeType {
 		return yaml.NodeToValue(node, v.Addr().Interface(), yaml.Strict())
@@ -170,7 +169,7 @@
 	return err
 }
 
-// fits says whether a node of this kind may be read into t.
+// acceptsNode reports whether a node of this kind may be decoded into t.
 func acceptsNode(node ast.Node, t reflect.Type) bool {
 	switch node.(type) {
 	case *ast.StringNode:
@@ -186,7 +185,7 @@
 	}
 }
 
-// fieldsOf maps the YAML keys of a struct to its fields.
+// fieldIndexes maps the YAML keys of a struct to the indexes of its fields.
 func fieldIndexes(t reflect.Type) map[string]int {
 	fields := make(map[string]int, t.NumField())
 	for i := range t.NumField() {
@@ -197,7 +196,8 @@
 	return fields
 }
 
-// Key returns the YAML key of a struct field; "-" is none.
+// Key returns the YAML key of a struct field; "-" means that the field is not
+// decoded.
 func Key(field reflect.StructField) string {
 	key, _, _ := strings.Cut(field.Tag.Get("yaml"), ",")
 	return key
@@ -230,7 +230,7 @@
 	return err.Error()
 }
 
-// Join returns the path of a key inside path.
+// Join returns the path of key inside path.
 func Join(path, key string) string {
 	if path == "" {
 		return key
--- a/internal/strictyaml/decode_test.go
+++ b/internal/strictyaml/decode_test.go
@@ -34,7 +34,7 @@
 }
 
 var _ = Describe("Decode", func() {
-	It("reads every kind of value and leaves the rest alone", func() {
+	It("decodes every kind of value and keeps fields that the document does not set", func() {
 		out := outer{Name: "kept", Count: 1}
 		r := strictyaml.Decode([]byte("wait: 1m30s\ncount: 7\ninner: {ratio: 2}\nitems:\n  - at: 2026-01-31T12:00:00Z\n  - ratio: 0.5\nflags: [true, false]\n"), &out)
 		Expect(r.Problems).To(BeEmpty())
@@ -45,31 +45,31 @@
 		Expect([]int{r.Line("count"), r.Line("items[1].ratio"), r.Line("items[1].at"), r.Line("items[9]")}).To(Equal([]int{2, 6, 6, 4}))
 	})
 
-	DescribeTable("names", func(text string, want ...string) {
+	DescribeTable("reports the path and line of", func(text string, want ...string) {
 		var lines []string
 		for _, p := range strictyaml.Decode([]byte(text), &outer{}).Problems {
 			lines = append(lines, p.String())
 		}
 		Expect(lines).To(Equal(want))
 	},
-		Entry("several faults", "nmae: x\ncount: 1.5\nitems:\n  - {ratio: high}\n  - 3\n",
+		Entry("several problems", "nmae: x\ncount: 1.5\nitems:\n  - {ratio: high}\n  - 3\n",
 			"line 1: nmae: unknown key",
 			"line 2: count: want a whole number, got float",
 			"line 4: items[0].ratio: want a finite number, got string",
 			"line 5: items[1]: want a mapping, got int"),
-		Entry("a key of a field that YAML does not have", `"-": [x]`, "line 1: -: unknown key"),
+		Entry("the key - of a field that is not decoded", `"-": [x]`, "line 1: -: unknown key"),
 		Entry("an alias", "name: &n x\nflags: *n\n", "line 1: name: anchors, aliases and tags are not allowed",
 			"line 2: flags: anchors, aliases and tags are not allowed"),
 		Entry("a tag", "name: !!str 5\n", "line 1: name: anchors, aliases and tags are not allowed"),
 		Entry("a merge key", "inner:\n  <<: {ratio: 1}\n", "line 2: inner.<<: unknown key"),
 		Entry("an empty document", "# nothing\n", "want one YAML document, got none"),
-		Entry("a number that does not fit", "count: 99999999999999999999\n", "line 1: count: want a whole number, got string"),
-		Entry("a number just too large", "count: 9223372036854775808\n", "line 1: count: want a whole number: cannot unmarshal 9223372036854775808 into Go value of type int ( overflow )"),
+		Entry("a number beyond 64 bits", "count: 99999999999999999999\n", "line 1: count: want a whole number, got string"),
+		Entry("a number that overflows int", "count: 9223372036854775808\n", "line 1: count: want a whole number: cannot unmarshal 9223372036854775808 into Go value of type int ( overflow )"),
 		Entry("a negative version", "version: -1\n", "line 1: version: want a whole number: cannot unmarshal -1 into Go value of type uint64 ( overflow )"),
-		Entry("a number that is none", "inner: {ratio: .nan}\n", "line 1: inner.ratio: want a finite number, got nan"),
+		Entry("not a number", "inner: {ratio: .nan}\n", "line 1: inner.ratio: want a finite number, got nan"),
 	)
 
-	It("survives documents that are damaged anywhere", func() {
+	It("does not panic on corrupted documents", func() {
 		whole, err := os.ReadFile("../../examples/settings.yaml")
 		Expect(err).NotTo(HaveOccurred())
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
--- a/internal/strictyaml/doc.go
+++ b/internal/strictyaml/doc.go
@@ -1,5 +1,5 @@
-// Package strictyaml reads YAML documents of configuration: strictly, and with
-// every fault named at once by path and line. The library beneath stops at the
-// first fault and is lenient with scalars (it reads 8.5 as the whole number 8);
-// it still reads the syntax and converts each scalar.
+// Package strictyaml decodes YAML configuration documents strictly and reports
+// every problem at once with its path and line. The underlying YAML library stops
+// at the first problem and is lenient with scalars (it decodes 8.5 into the integer
+// 8), so it is used only to parse the syntax and to convert single scalars.
 package strictyaml
--- a/internal/strictyaml/report.go
+++ b/internal/strictyaml/report.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// Problem is one fault of a document.
+// Problem is one error in a document.
 type Problem struct {
-	// Path names the place, such as "pools[2].upstreams[0].address"; empty
+	// Path locates the value, such as "pools[2].upstreams[0].address"; empty
 	// for the document as a whole.
 	Path string `json:"path"`
-	// Line counts from 1; 0 when the line is not known.
+	// Line counts from 1; 0 if the line is unknown.
 	Line    int    `json:"line"`
 	Message string `json:"message"`
 }
@@ -28,29 +28,29 @@
 	return strings.Join(append(parts, p.Message), ": ")
 }
 
-// Report collects the faults of one document. The zero Report is one of a
-// document that is not at hand: it knows no lines.
+// Report collects the problems of one document. The zero Report can be used where
+// no source text is available; its problems have no line numbers.
 type Report struct {
 	Problems []Problem
-	// lines maps the paths of the document to their lines; nil when the
-	// document is not at hand.
+	// lines maps the paths of the document to their lines; nil if no source
+	// text is available.
 	lines map[string]int
-	// unreadable says that there was no document to read values from.
+	// unreadable is set if the text could not be parsed into one document.
 	unreadable bool
 }
 
-// Unreadable says that no value was read, so that a check of the values would
-// only name what is missing.
+// Unreadable reports whether no value could be decoded. Validating the values would
+// then only report every required one as missing.
 func (r *Report) Unreadable() bool { return r.unreadable }
 
-// Add notes a fault at path. The line is that of the path or, for a value that
-// is missing, of the nearest value around it.
+// Add records a problem at path. Its line is that of the path or, if the value is
+// missing, of the nearest enclosing value.
 func (r *Report) Add(path, format string, args ...any) {
 	r.Problems = append(r.Problems, Problem{Path: path, Line: r.Line(path), Message: fmt.Sprintf(format, args...)})
 }
 
-// Line returns the line of path, or of the nearest value around it; 0 if that
-// is not known.
+// Line returns the line of path, or of the nearest enclosing value; 0 if neither is
+// known.
 func (r *Report) Line(path string) int {
 	for path != "" {
 		if line, ok := r.lines[path]; ok {
@@ -61,7 +61,7 @@
 	return r.lines[""]
 }
 
-// Has says that a fault was noted at path or at something around it.
+// Has reports whether a problem was recorded at path or at a value that encloses it.
 func (r *Report) Has(path string) bool {
 	return slices.ContainsFunc(r.Problems, func(p Problem) bool {
 		rest, ok := strings.CutPrefix(path, p.Path)
@@ -69,12 +69,12 @@
 	})
 }
 
-// parentPath cuts the last key or index off.
+// parentPath removes the last key or index from path.
 func parentPath(path string) string {
 	return path[:max(strings.LastIndexAny(path, ".["), 0)]
 }
 
-// HasWithin says that a fault was noted at something inside path.
+// HasWithin reports whether a problem was recorded at a value inside path.
 func (r *Report) HasWithin(path string) bool {
 	for _, p := range r.Problems {
 		if strings.HasPrefix(p.Path, path+".") || strings.HasPrefix(p.Path, path+"[") {
@@ -84,7 +84,7 @@
 	return false
 }
 
-// Sort puts the problems in the order of their lines.
+// Sort sorts the problems by line; problems of the same line keep their order.
 func (r *Report) Sort() {
 	slices.SortStableFunc(r.Problems, func(a, b Problem) int { return a.Line - b.Line })
 }
--- a/internal/uuidtime/uuidtime.go
+++ b/internal/uuidtime/uuidtime.go
@@ -1,4 +1,4 @@
-// Package uuidtime reads UUIDv7 keys (RFC 9562), which carry their own time.
+// Package uuidtime parses UUIDv7 keys (RFC 9562), which contain their creation time.
 package uuidtime
 
 import (
@@ -8,8 +8,8 @@
 	"github.com/google/uuid"
 )
 
-// Parse returns the canonical text of a UUIDv7 and its time, to the
-// millisecond.
+// Parse returns the canonical text of a UUIDv7 and its creation time with a
+// resolution of 1 ms. It fails if text is no UUID or a UUID of another version.
 func Parse(text string) (canonical string, createdAt time.Time, err error) {
 	id, err := uuid.Parse(text)
 	if err != nil {
--- a/internal/workqueue/workqueue.go
+++ b/internal/workqueue/workqueue.go
@@ -1,4 +1,4 @@
-// Package workqueue passes work to one goroutine.
+// Package workqueue runs functions one after the other in a single goroutine.
 package workqueue
 
 import (
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Queue is an unbounded queue of work for one goroutine. What fills it is
-// bounded elsewhere: handlers wait for their answers, calls have places, and
-// timers post one event at a time.
+// Queue is an unbounded queue of functions for one goroutine. Its producers are
+// bounded elsewhere: each handler waits for its result before it adds more, the
+// number of calls is limited, and each timer adds one event at a time.
 type Queue struct {
 	mu        sync.Mutex
 	work      []func()
@@ -19,7 +19,7 @@
 // New returns an empty queue.
 func New() *Queue { return &Queue{available: make(chan struct{}, 1)} }
 
-// Add appends work.
+// Add appends f to the queue. It does not block.
 func (q *Queue) Add(f func()) {
 	q.mu.Lock()
 	q.work = append(q.work, f)
@@ -30,7 +30,7 @@
 	}
 }
 
-// take empties the queue.
+// takeAll removes and returns all queued functions.
 func (q *Queue) takeAll() []func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -39,7 +39,7 @@
 	return work
 }
 
-// Run does the work, and tick at intervals, until ctx ends.
+// Run calls the queued functions, and tick at an interval, until ctx is done.
 func (q *Queue) Run(ctx context.Context, interval time.Duration, tick func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -57,8 +57,8 @@
 	}
 }
 
-// Inspect runs f in the queue's goroutine and waits for it, at most until ctx
-// ends.
+// Inspect calls f in the goroutine of Run and waits until f has returned or ctx is
+// done. In the latter case f may still be called later.
 func (q *Queue) Inspect(ctx context.Context, f func()) {
 	done := make(chan struct{})
 	q.Add(func() { f(); close(done) })
