--- a/replay/audit/audit.go
+++ b/replay/audit/audit.go
@@ -1,5 +1,5 @@
-// Package audit compares what callers heard with what the stand-ins executed
-// and finds the violations of what must always hold.
+// Package audit compares the outcomes that callers observed with the executions in the
+// ledgers of the stand-ins and reports violations of the correctness guarantees.
 package audit
 
 import (
@@ -13,66 +13,68 @@
 	"github.com/wheatseam/wheatseam/replay/ledger"
 )
 
-// Kind is a kind of violation.
+// Kind is the kind of a violation.
 type Kind string
 
-// The kinds of violation.
 const (
-	// Lost: a caller heard neither an answer nor a refusal, or had an answer
-	// that no execution stands behind.
+	// Lost means that a caller received neither an answer nor a refusal, or an
+	// answer with a stage that was not executed.
 	Lost Kind = "lost"
-	// Doubled: a stage that may not be repeated was begun more than once.
+	// DuplicateExecution means that a non-repeatable stage was started more than
+	// once for the same request.
 	DuplicateExecution Kind = "doubled"
-	// Misdelivered: an answer holds the work of another request.
+	// Misdelivered means that an answer contains results of another request.
 	Misdelivered Kind = "misdelivered"
-	// UntrueNotRun: a refusal says not_run, and a stage that may not be
-	// repeated was begun.
+	// FalseNotRun means that a refusal stated not_run although a non-repeatable
+	// stage had been started.
 	FalseNotRun Kind = "untrue_not_run"
 )
 
-// Kinds lists every kind.
+// Kinds lists all kinds.
 var Kinds = []Kind{Lost, DuplicateExecution, Misdelivered, FalseNotRun}
 
-// Violation is one violation, with enough to look it up in the decision record.
+// Violation is one violation with the ids needed to find the request in the decision
+// record.
 type Violation struct {
 	Kind Kind `json:"kind"`
-	// Request is the id within the trace, RequestID that of the fleet.
+	// Request is the id in the trace, RequestID the id that the fleet assigned.
 	Request   string `json:"request"`
 	RequestID string `json:"request_id,omitempty"`
 	Key       string `json:"key,omitempty"`
 	Detail    string `json:"detail"`
 }
 
-// Finding is what an audit yields.
+// Finding is the result of an audit.
 type Finding struct {
 	Violations []Violation
-	// Undelivered counts requests whose stage that may not be repeated was
-	// done and whose caller was told so (or that it may be), but never got the
-	// answer. It is honest, and no violation.
+	// Undelivered counts requests whose non-repeatable stage was completed but
+	// whose caller received no answer. This is no violation if the caller was
+	// told that the stage ran or may have run; any other case is reported as a
+	// violation as well.
 	Undelivered int
 }
 
-// auditor holds the indexes over one run.
+// auditor holds the state of one audit.
 type auditor struct {
 	pipelines map[string]bundle.Pipeline
 	groups    []*requestGroup
-	// byUUID finds the group of the UUID in a fleet's request id.
+	// groupsByUUID maps the UUID in a request id of the fleet to its group.
 	groupsByUUID  map[string]*requestGroup
 	groupsByToken map[string]*requestGroup
 	finding       Finding
 }
 
-// group is one request with all of its tries.
+// requestGroup is one request with all of its tries and executions.
 type requestGroup struct {
 	firstTryID string
 	calls      []*replay.Call
-	// ids are the fleet's ids of the tries that are known.
+	// requestIDs are the known ids that the fleet assigned to the tries.
 	requestIDs map[string]bool
 	entries    []ledger.Entry
 }
 
-// Audit judges calls by entries. The pipelines say which stages there are and
-// which may not be repeated.
+// Audit compares calls with ledger entries. The pipelines define the stages and which
+// of them are non-repeatable.
 func Audit(calls []*replay.Call, entries []ledger.Entry, pipelines []bundle.Pipeline) Finding {
 	a := &auditor{pipelines: map[string]bundle.Pipeline{}, groupsByUUID: map[string]*requestGroup{}, groupsByToken: map[string]*requestGroup{}}
 	for _, p := range pipelines {
@@ -98,7 +100,8 @@
 
 var uuidPattern = regexp.MustCompile(`[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}`)
 
-// identity returns the UUID in a fleet's request id, or the id itself.
+// requestUUID returns the UUID in a request id of the fleet, or the id itself if it
+// contains none.
 func requestUUID(requestID string) string {
 	if u := uuidPattern.FindString(requestID); u != "" {
 		return u
@@ -106,7 +109,7 @@
 	return requestID
 }
 
-// gather groups the calls that were sent by their first try.
+// groupCalls groups the sent calls by their first try.
 func (a *auditor) groupCalls(calls []*replay.Call) {
 	roots := map[string]*requestGroup{}
 	for _, c := range calls {
@@ -133,7 +136,8 @@
 	}
 }
 
-// assign gives every ledger entry to its group, by key or else by request id.
+// assignEntries assigns every ledger entry to its group, by idempotency key or else by
+// request id.
 func (a *auditor) assignEntries(entries []ledger.Entry) {
 	type keyOf struct{ customer, key string }
 	byKey := map[keyOf]*requestGroup{}
@@ -158,8 +162,8 @@
 	}
 }
 
-// LedgerStage returns the name under which executions of s stand in a ledger:
-// engines know of no stages and enter all as generations.
+// LedgerStage returns the stage name of executions of s in a ledger. Engines do not
+// receive the stage name, so they record every execution as "generate".
 func LedgerStage(s bundle.Stage) string {
 	if s.Kind == bundle.StageGenerate {
 		return string(bundle.StageGenerate)
@@ -167,7 +171,8 @@
 	return s.Name
 }
 
-// nonRepeatable says whether e executes a stage that may not be repeated.
+// isNonRepeatable reports whether e is an execution of a non-repeatable stage. If the
+// stage is not in the pipeline, a key in the entry indicates a non-repeatable one.
 func (a *auditor) isNonRepeatable(g *requestGroup, e ledger.Entry) bool {
 	for _, s := range a.pipelines[g.calls[0].Request.Pipeline].Stages {
 		if LedgerStage(s) == e.Stage {
--- a/replay/audit/audit_test.go
+++ b/replay/audit/audit_test.go
@@ -81,10 +81,10 @@
 	return out
 }
 
-var _ = Describe("an audit", func() {
+var _ = Describe("Audit", func() {
 	a, b := func() *replay.Call { return call("a", keyA, "seal") }, func() *replay.Call { return call("b", keyB, "seal") }
 
-	It("finds nothing where answers and ledgers agree", func() {
+	It("reports no violation if answers and ledgers agree", func() {
 		one, two := answer(a(), idA, `{"mark":"`+idA+`"}`), refuse(b(), idB, problem.NotRun)
 		summary := answer(call("c", "", "summary"), idA2, `{"text":"x"}`)
 		f := audit.Audit([]*replay.Call{one, two, summary}, []ledger.Entry{
@@ -96,21 +96,21 @@
 		Expect(f.Undelivered).To(BeZero())
 	})
 
-	It("finds nothing wrong in a retry that got the first try's result", func() {
+	It("accepts a retry that receives the result of the first try", func() {
 		first := silence(a())
 		second := retry(answer(a(), idA2, `{"mark":"`+idA+`"}`), first)
 		Expect(audit.Audit([]*replay.Call{first, second}, []ledger.Entry{seal(keyA, idA)}, pipelines).Violations).To(BeEmpty())
 	})
 
-	DescribeTable("finds",
+	DescribeTable("reports",
 		func(kind audit.Kind, calls func() []*replay.Call, entries ...ledger.Entry) {
 			Expect(kinds(audit.Audit(calls(), entries, pipelines))).To(Equal([]audit.Kind{kind}))
 		},
-		Entry("silence", audit.Lost, func() []*replay.Call { return []*replay.Call{silence(a())} }),
-		Entry("an answer that nothing executed", audit.Lost, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} }),
+		Entry("a missing response", audit.Lost, func() []*replay.Call { return []*replay.Call{silence(a())} }),
+		Entry("an answer without an execution", audit.Lost, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} }),
 		Entry("an answer whose execution failed", audit.Lost, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} },
 			entry(keyA, idA, "apply", 0, ledger.Failed)),
-		Entry("an answer without one of its stages", audit.Lost,
+		Entry("an answer with a stage that was not executed", audit.Lost,
 			func() []*replay.Call { return []*replay.Call{answer(call("c", "", "summary"), idA, `{}`)} },
 			entry("", idA, "generate", 0, ledger.Done)),
 		Entry("two executions of one request", audit.DuplicateExecution, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} },
@@ -119,39 +119,39 @@
 			first := silence(a())
 			return []*replay.Call{first, retry(answer(a(), idA2, `{}`), first)}
 		}, seal(keyA, idA), seal(keyA, idA2)),
-		Entry("a failed execution beside another", audit.DuplicateExecution, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} },
+		Entry("a failed and a completed execution", audit.DuplicateExecution, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} },
 			entry(keyA, idA, "apply", 0, ledger.Failed), seal(keyA, idA)),
-		Entry("two executions to which the key was not forwarded", audit.DuplicateExecution, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} },
+		Entry("two executions without the idempotency key", audit.DuplicateExecution, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} },
 			seal("", idA), seal("", idA)),
-		Entry("an answer with another request's id", audit.Misdelivered, func() []*replay.Call {
+		Entry("an answer with the id of another request", audit.Misdelivered, func() []*replay.Call {
 			return []*replay.Call{answer(a(), idA, `{"mark":"`+idB+`"}`), refuse(b(), idB, problem.Ran)}
 		}, seal(keyA, idA), seal(keyB, idB)),
-		Entry("an answer with another request's mark", audit.Misdelivered, func() []*replay.Call {
+		Entry("an answer with the correlation token of another request", audit.Misdelivered, func() []*replay.Call {
 			other := refuse(b(), idB, problem.NotRun)
 			return []*replay.Call{answer(a(), idA, `{"input":{"text":"`+other.CorrelationToken+`"}}`), other}
 		}, seal(keyA, idA)),
-		Entry("one request id in two answers", audit.Misdelivered, func() []*replay.Call {
+		Entry("the same request id in two answers", audit.Misdelivered, func() []*replay.Call {
 			return []*replay.Call{answer(a(), idA, `{}`), answer(b(), idA, `{}`)}
 		}, seal(keyA, idA), seal(keyB, idB)),
-		Entry("work done for another customer", audit.Misdelivered, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} },
+		Entry("an execution for another customer", audit.Misdelivered, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} },
 			ledger.Entry{RequestID: idA, Stage: "apply", Customer: "town", State: ledger.Done}),
-		Entry("a stream that is not the answer", audit.Misdelivered, func() []*replay.Call {
+		Entry("a streamed text that differs from the answer", audit.Misdelivered, func() []*replay.Call {
 			c := answer(a(), idA, `{}`)
 			c.StreamedTextDiffers = true
 			return []*replay.Call{c}
 		}, seal(keyA, idA)),
-		Entry("not_run beside an execution", audit.FalseNotRun, func() []*replay.Call { return []*replay.Call{refuse(a(), idA, problem.NotRun)} },
+		Entry("not_run despite an execution", audit.FalseNotRun, func() []*replay.Call { return []*replay.Call{refuse(a(), idA, problem.NotRun)} },
 			seal(keyA, idA)),
-		Entry("not_run beside one that still runs, begun after the refusal", audit.FalseNotRun,
+		Entry("not_run despite a running execution that started after the refusal", audit.FalseNotRun,
 			func() []*replay.Call { return []*replay.Call{refuse(a(), idA, problem.NotRun)} },
 			entry(keyA, idA, "apply", time.Minute, ledger.Running)),
-		Entry("not_run to a retry of what had run", audit.FalseNotRun, func() []*replay.Call {
+		Entry("not_run for a retry whose first try was executed", audit.FalseNotRun, func() []*replay.Call {
 			first := refuse(a(), idA, problem.MayHaveRun)
 			return []*replay.Call{first, retry(refuse(a(), idA2, problem.NotRun), first)}
 		}, seal(keyA, idA)),
 	)
 
-	It("takes a first try's not_run for true when a later try ran", func() {
+	It("accepts not_run for a first try if only a later try was executed", func() {
 		first := refuse(a(), idA, problem.NotRun)
 		second := retry(answer(a(), idA2, `{}`), first)
 		f := audit.Audit([]*replay.Call{first, second},
@@ -159,13 +159,13 @@
 		Expect(f.Violations).To(BeEmpty())
 	})
 
-	It("counts work that was done and honestly not delivered", func() {
+	It("counts completed executions whose caller was told that they may have run", func() {
 		f := audit.Audit([]*replay.Call{refuse(a(), idA, problem.MayHaveRun)}, []ledger.Entry{seal(keyA, idA)}, pipelines)
 		Expect(f.Violations).To(BeEmpty())
 		Expect(f.Undelivered).To(Equal(1))
 	})
 
-	It("leaves out what was never sent", func() {
+	It("ignores calls that were not sent", func() {
 		c := a()
 		c.Outcome = replay.Skipped
 		Expect(audit.Audit([]*replay.Call{c}, nil, pipelines).Violations).To(BeEmpty())
--- a/replay/audit/rules.go
+++ b/replay/audit/rules.go
@@ -8,7 +8,7 @@
 	"github.com/wheatseam/wheatseam/replay/ledger"
 )
 
-// answered returns the first whole answer of the group, in time or late.
+// answered returns the first call of the group with an answer, in time or late.
 func (g *requestGroup) answered() *replay.Call {
 	for _, c := range g.calls {
 		if c.Outcome == replay.Answered {
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// findLost reports a request whose caller heard nothing whole, and an answer
-// with a stage that nothing executed.
+// findLost reports a request whose caller received neither an answer nor a refusal, and
+// an answer with a stage that was not executed.
 func (a *auditor) findLost(g *requestGroup) {
 	answer := g.answered()
 	unanswered := g.unanswered()
@@ -39,13 +39,13 @@
 		return
 	}
 	if unanswered != nil {
-		// The id of the silent try is unknown, and the answer may rest on
-		// stages that it ran.
+		// The request id of the unanswered try is unknown, and the answer may
+		// be based on stages that this try executed.
 		return
 	}
 	for _, s := range a.pipelines[answer.Request.Pipeline].Stages {
 		if !g.completed(LedgerStage(s)) {
-			a.addViolation(Lost, answer, "answered, and stage %s was never done", s.Name)
+			a.addViolation(Lost, answer, "answered although stage %s was not completed", s.Name)
 		}
 	}
 }
@@ -59,8 +59,9 @@
 	return false
 }
 
-// findDoubled reports a stage that may not be repeated and was begun twice,
-// whatever became of it: an execution that failed may have had its effect.
+// findDuplicateExecution reports a non-repeatable stage that was started more than
+// once, regardless of the state of the executions: a failed one may have had its side
+// effect.
 func (a *auditor) findDuplicateExecution(g *requestGroup) {
 	begun := map[string][]ledger.Entry{}
 	for _, e := range g.entries {
@@ -76,22 +77,23 @@
 		for _, e := range entries {
 			where = append(where, e.Upstream+" for "+e.RequestID+" ("+string(e.State)+")")
 		}
-		a.addViolation(DuplicateExecution, g.calls[0], "stage %s was begun %d times: %s", stage, len(entries), strings.Join(where, ", "))
+		a.addViolation(DuplicateExecution, g.calls[0], "stage %s was started %d times: %s", stage, len(entries), strings.Join(where, ", "))
 	}
 }
 
-// findMisdelivered reports an answer that bears the mark or the id of another
-// request, or whose work was executed for another customer.
+// findMisdelivered reports an answer that contains the correlation token or the id of
+// another request, whose streamed text differs from its final text, or whose stages
+// were executed for another customer.
 func (a *auditor) findMisdelivered(g *requestGroup) {
 	for _, c := range g.calls {
 		if c.Outcome != replay.Answered {
 			continue
 		}
 		if c.StreamedTextDiffers {
-			a.addViolation(Misdelivered, c, "the streamed text is not the text of the closing event")
+			a.addViolation(Misdelivered, c, "the streamed text differs from the text of the final event")
 		}
 		if other := a.otherGroupIn(g, c); other != nil {
-			a.addViolation(Misdelivered, c, "the answer holds work of %s", other.firstTryID)
+			a.addViolation(Misdelivered, c, "the answer contains results of %s", other.firstTryID)
 		}
 	}
 	for _, e := range g.entries {
@@ -101,7 +103,8 @@
 	}
 }
 
-// foreign returns another group whose mark or request id stands in c's answer.
+// otherGroupIn returns another group whose correlation token or request id appears in
+// the answer of c, or nil.
 func (a *auditor) otherGroupIn(g *requestGroup, c *replay.Call) *requestGroup {
 	for _, m := range replay.FindCorrelationTokens(c.Answer.Result) {
 		if other := a.groupsByToken[m]; m != c.CorrelationToken && other != nil {
@@ -116,9 +119,8 @@
 	return nil
 }
 
-// findUntrueNotRun reports a refusal that says not_run although a stage that
-// may not be repeated was begun for the very request, or for an earlier try of
-// it before this one was even sent.
+// findFalseNotRun reports a refusal that states not_run although a non-repeatable stage
+// was started for this try, or for another try of the request before this one was sent.
 func (a *auditor) findFalseNotRun(g *requestGroup) {
 	for _, c := range g.calls {
 		if c.Outcome != replay.Refused || c.Refusal.Execution != problem.NotRun {
@@ -130,7 +132,7 @@
 			}
 			own := e.RequestID == c.Refusal.RequestID
 			if own || e.StartedUnixMS < c.SentAt.UnixMilli() {
-				a.addViolation(FalseNotRun, c, "refused as %s, and stage %s was begun by %s for %s", c.Refusal.Kind, e.Stage, e.Upstream, e.RequestID)
+				a.addViolation(FalseNotRun, c, "refused as %s although stage %s was started by %s for %s", c.Refusal.Kind, e.Stage, e.Upstream, e.RequestID)
 				break
 			}
 		}
--- a/replay/call.go
+++ b/replay/call.go
@@ -8,32 +8,33 @@
 	"github.com/wheatseam/wheatseam/replay/trace"
 )
 
-// Outcome says what a caller heard.
+// Outcome is the result of a call as the caller observed it.
 type Outcome string
 
-// The outcomes.
 const (
-	// Answered is a whole answer, in time or late.
+	// Answered means that a complete answer arrived, within the deadline or late.
 	Answered Outcome = "answered"
-	// Refused is a problem document.
+	// Refused means that a problem document arrived.
 	Refused Outcome = "refused"
-	// Unanswered is neither: a broken connection, a cut stream, a malformed
-	// answer, or silence until the deadline and the grace had passed.
+	// Unanswered means that neither arrived: the connection broke, the stream
+	// was truncated, the response was malformed, or there was no response until
+	// the deadline and the grace period had passed.
 	Unanswered Outcome = "unanswered"
-	// Skipped is a caller's retry that was not needed.
+	// Skipped is a retry that was not sent because an earlier try was answered.
 	Skipped Outcome = "skipped"
-	// NotSent is a request that the tool itself could not send in its bounds.
+	// NotSent is a request that the load generator did not send because of its
+	// own limits.
 	NotSent Outcome = "not_sent"
 )
 
-// StageReport is what an answer tells of one stage.
+// StageReport is the part of an answer that describes one stage.
 type StageReport struct {
 	Name     string  `json:"name"`
 	Attempts int     `json:"attempts"`
 	MS       float64 `json:"ms"`
 }
 
-// Answer is a whole answer of the callers' API.
+// Answer is a complete answer of the callers' API.
 type Answer struct {
 	RequestID     string          `json:"request_id"`
 	Pipeline      string          `json:"pipeline"`
@@ -51,46 +52,48 @@
 	RequestID string            `json:"request_id"`
 }
 
-// Call is one request as it was sent and what its caller heard.
+// Call is one try of a request with its outcome.
 type Call struct {
 	Request trace.Request
-	// Root is the id of the first try; its own id when it is no retry.
+	// FirstTryID is the id of the first try in the trace: the call's own id
+	// unless it is a retry.
 	FirstTryID string
-	// Host is the address that the request was sent to.
+	// Host is the ip:port that the request was sent to.
 	Host string
-	// Key is the idempotency key that was sent; may be empty.
+	// Key is the idempotency key that was sent; empty for none.
 	Key string
-	// Mark is the token in the prompt by which an answer shows its request.
+	// CorrelationToken is the token in the prompt that shows which request an
+	// answer belongs to.
 	CorrelationToken string
-	// Lag is how long after its offset the request was sent.
+	// SendLag is the delay between the offset and the time of sending.
 	SendLag time.Duration
-	// SentAt and EndedAt are the wall clock at sending and at the last byte.
+	// SentAt and EndedAt are the wall-clock times of sending and of the last byte.
 	SentAt, EndedAt time.Time
-	// Latency counts from the offset to the last byte.
+	// Latency is the time from the offset to the last byte.
 	Latency time.Duration
-	// FirstToken counts from the offset to the first token; 0 without tokens.
+	// FirstToken is the time from the offset to the first token; 0 without tokens.
 	FirstToken time.Duration
-	// Gaps are the times between tokens.
+	// InterTokenGaps are the times between consecutive tokens.
 	InterTokenGaps []time.Duration
-	// TextDiffers says that the streamed tokens are not the text of the
-	// closing event.
+	// StreamedTextDiffers is set if the streamed tokens do not form the text of
+	// the final event.
 	StreamedTextDiffers bool
 	Outcome             Outcome
 	Answer              Answer
 	Refusal             Refusal
-	// Problem says why the call is unanswered or was not sent.
+	// Problem is the reason why the call is Unanswered or NotSent.
 	Problem string
 }
 
-// Attained says whether the caller had the whole answer within its deadline.
+// Attained reports whether the complete answer arrived within the deadline.
 func (c *Call) Attained() bool {
 	return c.Outcome == Answered && c.Latency <= c.Request.Deadline()
 }
 
-// Sent says whether the request was sent at all.
+// Sent reports whether the request was sent.
 func (c *Call) Sent() bool { return c.Outcome != Skipped && c.Outcome != NotSent }
 
-// RequestID returns the id that the fleet gave the request; empty if unknown.
+// RequestID returns the id that the fleet assigned to the request; empty if unknown.
 func (c *Call) RequestID() string {
 	switch c.Outcome {
 	case Answered:
@@ -102,7 +105,7 @@
 	}
 }
 
-// Expected says whether the outcome is the one that the trace expects.
+// Expected reports whether the outcome satisfies the expectation in the trace.
 func (c *Call) Expected() bool {
 	switch c.Request.Expect {
 	case trace.ExpectAnswer:
--- a/replay/client.go
+++ b/replay/client.go
@@ -16,29 +16,29 @@
 	"time"
 )
 
-// maxAnswer bounds the bytes that are read of one answer.
+// maxAnswerBytes limits the bytes that are read of one response.
 const maxAnswerBytes = 8 << 20
 
-// maxIdlePerHost bounds the idle connections kept to one host.
+// maxIdleConnsPerHost limits the idle connections to one host.
 const maxIdleConnsPerHost = 1024
 
-// The media types of the callers' API.
+// Media types of responses of the callers' API.
 const (
 	mediaTypeProblem     = "application/problem+json"
 	mediaTypeEventStream = "text/event-stream"
 )
 
-// The events of a streamed answer.
+// Event types of a streamed answer.
 const (
 	eventToken = "token"
-	// eventReset discards the tokens so far: another attempt begins.
+	// eventReset discards all earlier tokens, because another attempt begins.
 	eventReset = "reset"
 	eventDone  = "done"
 	eventError = "error"
 )
 
-// NewClient returns an HTTP client fit for open-loop load: connections are
-// reused, and as many are opened as there are requests in flight.
+// NewClient returns an HTTP client for open-loop load: it reuses connections and does
+// not limit the number of open ones, so that no request waits for a connection.
 func NewClient() *http.Client {
 	dialer := &net.Dialer{Timeout: 2 * time.Second}
 	return &http.Client{Transport: &http.Transport{
@@ -52,7 +52,7 @@
 	Text string `json:"text"`
 }
 
-// body is the body of a request of the callers' API.
+// requestBody is the body of a request to the callers' API.
 type requestBody struct {
 	Input      requestInput `json:"input"`
 	DeadlineMS int64        `json:"deadline_ms"`
@@ -60,8 +60,8 @@
 	Prefix     string       `json:"prefix,omitempty"`
 }
 
-// exchange sends c and fills in what came back. started is the wall clock of
-// the request's offset.
+// performCall sends c and records its outcome. due is the wall-clock time of the
+// request's offset.
 func performCall(ctx context.Context, client *http.Client, apiKey string, body requestBody, due time.Time, c *Call) {
 	err := sendRequest(ctx, client, apiKey, body, due, c)
 	c.EndedAt = time.Now()
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	req.GetBody = nil // net/http must not send it again by itself
+	req.GetBody = nil // prevents net/http from retrying the request
 	req.Header.Set("Authorization", "Bearer "+apiKey)
 	req.Header.Set("Content-Type", "application/json")
 	if c.Key != "" {
@@ -129,7 +129,8 @@
 	return nil
 }
 
-// readStream reads server-sent events until one ends the answer.
+// readStream reads server-sent events until a final one, which is either the answer
+// or a refusal.
 func (c *Call) readStream(r io.Reader, due time.Time) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxAnswerBytes)
@@ -153,19 +154,19 @@
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return fmt.Errorf("cut stream: %w", err)
+		return fmt.Errorf("truncated stream: %w", err)
 	}
-	return errors.New("cut stream: it ended without a closing event")
+	return errors.New("truncated stream: no final event")
 }
 
-// tokens is what came of a stream so far.
+// streamState accumulates the tokens of a stream.
 type streamState struct {
 	due       time.Time
 	lastToken time.Time
 	text      strings.Builder
 }
 
-// takeEvent handles one event and says whether it ends the answer.
+// handleEvent processes one event and reports whether it is the final one.
 func (c *Call) handleEvent(event, data string, t *streamState) (bool, error) {
 	decode := func(into any) error { return json.Unmarshal([]byte(data), into) }
 	switch event {
@@ -206,8 +207,8 @@
 	return nil
 }
 
-// differs says whether the streamed text is another than that of the result.
-// A result of another form cannot be compared and does not differ.
+// streamedTextDiffers reports whether the streamed text differs from the text of the
+// result. A result without text cannot be compared; the function then returns false.
 func streamedTextDiffers(streamedText string, result json.RawMessage) bool {
 	var decoded struct {
 		Text *string `json:"text"`
--- a/replay/compare/compare.go
+++ b/replay/compare/compare.go
@@ -1,9 +1,9 @@
-// Package compare sets reports of paired runs side by side: the same trace,
-// run by turns against several deployments, such as one for each policy.
+// Package compare compares reports of paired runs: the same trace, replayed in
+// alternation against several deployments, such as one for each policy.
 //
-// Runs are paired by their index. A difference counts as a change only if all
-// paired differences have the same sign, that is if zero lies outside of their
-// spread; all else is no change. Below MinPairs pairs nothing is claimed.
+// Runs are paired by their index. A difference counts as a change only if all paired
+// differences have the same sign, that is, if their range does not contain zero.
+// With fewer than MinPairs pairs, no conclusion is drawn.
 package compare
 
 import (
@@ -18,67 +18,67 @@
 	"github.com/wheatseam/wheatseam/replay/verdict"
 )
 
-// MinPairs is the least number of paired runs from which a change is claimed.
+// MinPairs is the smallest number of paired runs from which a change is concluded.
 const MinPairs = 5
 
-// rows are the metrics that are set side by side.
+// comparedMetrics are the metrics of a comparison, in the order of its rows.
 var comparedMetrics = []verdict.Metric{
 	verdict.Attainment, verdict.Goodput, verdict.LatencyP50, verdict.LatencyP99, verdict.FirstTokenP50,
 	verdict.RefusedShare, verdict.RefusalP50, verdict.RefusalP99,
 	verdict.EngineSeconds, verdict.EngineSecondsPerAttained, verdict.WastedShare, verdict.ViolationCount,
 }
 
-// Set is the runs of one deployment, in the order in which they were made.
+// Set holds the runs of one deployment in chronological order.
 type Set struct {
 	Label   string
 	Reports []*report.Report
 }
 
-// Spread is the range of some figures.
+// Spread is the median and the range of a set of values.
 type Spread struct {
 	Median float64 `json:"median"`
 	Min    float64 `json:"min"`
 	Max    float64 `json:"max"`
 }
 
-// Judgement says what a paired difference shows.
+// Judgement is the conclusion from the paired differences.
 type Judgement string
 
-// The judgements.
 const (
 	NoChange Judgement = "no change"
 	Higher   Judgement = "higher"
 	Lower    Judgement = "lower"
-	// TooFew says that there are fewer than MinPairs pairs with a figure.
+	// TooFew means that fewer than MinPairs pairs have values.
 	TooFew Judgement = "too few pairs"
 )
 
 // Cell is one metric of one set.
 type Cell struct {
 	Label string `json:"label"`
-	// Runs is the number of runs that have the figure.
+	// Runs is the number of runs that have a value.
 	Runs   int    `json:"runs"`
 	Values Spread `json:"values"`
-	// Difference is that to the first set, pair by pair; it and Judgement
-	// are empty for the first set itself.
+	// Difference is the spread of the paired differences from the first set.
+	// Difference and Judgement are empty for the first set.
 	Difference Spread    `json:"difference"`
 	Judgement  Judgement `json:"judgement,omitempty"`
 }
 
-// Row is one metric over all sets.
+// Row is one metric for all sets.
 type Row struct {
 	Metric verdict.Metric `json:"metric"`
 	Cells  []Cell         `json:"cells"`
 }
 
-// Comparison is several sets side by side; the first one is the base.
+// Comparison compares several sets of runs; the first set is the baseline.
 type Comparison struct {
 	Trace string  `json:"trace"`
 	Speed float64 `json:"speed"`
 	Rows  []Row   `json:"rows"`
 }
 
-// New compares sets. They must hold equally many runs of the same trace.
+// New compares sets. It fails unless there are at least two sets with the same number
+// of runs, all of the same trace, seed and speed and all valid.
 func New(sets []Set) (*Comparison, error) {
 	if err := validate(sets); err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 
 func validate(sets []Set) error {
 	if len(sets) < 2 {
-		return errors.New("a comparison needs two sets of runs or more")
+		return errors.New("a comparison requires at least two sets of runs")
 	}
 	first := sets[0]
 	for _, s := range sets {
@@ -108,17 +108,17 @@
 		for _, r := range s.Reports {
 			base := first.Reports[0]
 			if r.Trace != base.Trace || r.Seed != base.Seed || r.Program != base.Program || r.Speed != base.Speed {
-				return fmt.Errorf("a run of %s is of another trace, seed or speed than those of %s", s.Label, first.Label)
+				return fmt.Errorf("a run of %s has another trace, seed or speed than those of %s", s.Label, first.Label)
 			}
 			if r.NotSent > 0 {
-				return fmt.Errorf("a run of %s is void: %d requests could not be sent", s.Label, r.NotSent)
+				return fmt.Errorf("a run of %s is invalid: %d requests were not sent", s.Label, r.NotSent)
 			}
 		}
 	}
 	return nil
 }
 
-// values returns the figure of each run; NaN where nothing was measured.
+// values returns the value of the metric for each run; NaN if a run has none.
 func values(s Set, m verdict.Metric) []float64 {
 	out := make([]float64, len(s.Reports))
 	for i, r := range s.Reports {
@@ -175,7 +175,7 @@
 	return Spread{Median: median, Min: sorted[0], Max: sorted[len(sorted)-1]}
 }
 
-// WriteTable writes c as text for people.
+// WriteTable writes c as a human-readable table.
 func (c *Comparison) WriteTable(w io.Writer) error {
 	fmt.Fprintf(w, "trace %s, speed %g; median [min, max]; differences to the first, pair by pair\n", c.Trace, c.Speed)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
--- a/replay/compare/compare_test.go
+++ b/replay/compare/compare_test.go
@@ -36,8 +36,8 @@
 	return compare.Cell{}
 }
 
-var _ = Describe("a comparison", func() {
-	DescribeTable("claims a change only outside of the spread",
+var _ = Describe("Comparison", func() {
+	DescribeTable("concludes a change only if all differences have the same sign",
 		func(base, other compare.Set, judgement compare.Judgement) {
 			c, err := compare.New([]compare.Set{base, other})
 			Expect(err).NotTo(HaveOccurred())
@@ -45,12 +45,12 @@
 		},
 		Entry("higher", set("a", .5, .6, .5, .6, .5), set("b", .7, .7, .6, .9, .7), compare.Higher),
 		Entry("lower", set("a", .5, .6, .5, .6, .5), set("b", .4, .4, .4, .4, .4), compare.Lower),
-		Entry("one pair the other way", set("a", .5, .6, .5, .6, .5), set("b", .9, .9, .9, .9, .4), compare.NoChange),
+		Entry("one pair with the opposite sign", set("a", .5, .6, .5, .6, .5), set("b", .9, .9, .9, .9, .4), compare.NoChange),
 		Entry("equal", set("a", .5, .5, .5, .5, .5), set("b", .5, .5, .5, .5, .5), compare.NoChange),
 		Entry("four pairs", set("a", .5, .5, .5, .5), set("b", .9, .9, .9, .9), compare.TooFew),
 	)
 
-	It("gives medians and spreads, of the paired differences too", func() {
+	It("calculates the spreads of the values and of the paired differences", func() {
 		c, err := compare.New([]compare.Set{set("a", .5, .6, .7), set("b", .6, .8, .7)})
 		Expect(err).NotTo(HaveOccurred())
 		got := cell(c, verdict.Attainment, 1)
@@ -62,15 +62,15 @@
 		Expect(table.String()).To(And(ContainSubstring("0.7 [0.6, 0.8]"), ContainSubstring("too few pairs"), ContainSubstring("not measured")))
 	})
 
-	It("refuses what cannot be paired", func() {
+	It("rejects runs that cannot be paired", func() {
 		other, void := set("b", .5), set("b", .5)
 		other.Reports[0].Trace = "u"
 		void.Reports[0].NotSent = 1
 		for says, sets := range map[string][]compare.Set{
-			"two sets":      {set("a", .5)},
-			"paired":        {set("a", .5, .6), set("b", .5)},
-			"another trace": {set("a", .5), other},
-			"void":          {set("a", .5), void},
+			"at least two sets": {set("a", .5)},
+			"paired":            {set("a", .5, .6), set("b", .5)},
+			"another trace":     {set("a", .5), other},
+			"invalid":           {set("a", .5), void},
 		} {
 			_, err := compare.New(sets)
 			Expect(err).To(MatchError(ContainSubstring(says)))
--- a/replay/correlation.go
+++ b/replay/correlation.go
@@ -6,13 +6,14 @@
 	"github.com/google/uuid"
 )
 
-// markPattern matches every mark in a text.
+// correlationTokenPattern matches a correlation token.
 var correlationTokenPattern = regexp.MustCompile(`mark-[0-9a-f]{8}-[0-9a-f]{4}-4[0-9a-f]{3}-[0-9a-f]{4}-[0-9a-f]{12}`)
 
-// NewMark returns a token that no other request carries.
+// NewCorrelationToken returns a unique token. A request carries it in its prompt, so
+// that an answer that contains it can be attributed to the request.
 func NewCorrelationToken() string { return "mark-" + uuid.NewString() }
 
-// Marks returns the marks in text.
+// FindCorrelationTokens returns the correlation tokens in text, in order.
 func FindCorrelationTokens(text []byte) []string {
 	var out []string
 	for _, m := range correlationTokenPattern.FindAll(text, -1) {
--- a/replay/fake_test.go
+++ b/replay/fake_test.go
@@ -13,7 +13,7 @@
 	"github.com/wheatseam/wheatseam/replay"
 )
 
-// seen is one request as the fake host saw it.
+// receivedRequest is one request that the fake host received.
 type seen struct {
 	At               time.Time
 	Key, Auth, Pipe  string
@@ -22,7 +22,8 @@
 	Stream, Answered bool
 }
 
-// fakeHost answers the callers' API as the pipeline's name says.
+// fakeHost serves the callers' API. The name of the requested pipeline selects how it
+// responds.
 type fakeHost struct {
 	server *httptest.Server
 	mu     sync.Mutex
--- a/replay/faults.go
+++ b/replay/faults.go
@@ -12,10 +12,10 @@
 	"github.com/wheatseam/wheatseam/replay/trace"
 )
 
-// controlTimeout bounds one call to the control interface of a stand-in.
+// controlTimeout limits one call to the control interface of a stand-in.
 const controlTimeout = 5 * time.Second
 
-// targets returns the addresses that f names.
+// faultTargets returns the control addresses of the stand-ins that f applies to.
 func faultTargets(standIns map[string][]string, f trace.Fault) ([]string, error) {
 	addresses := standIns[f.Pool]
 	if len(addresses) == 0 {
@@ -34,7 +34,7 @@
 	return out, nil
 }
 
-// injectFaults posts every fault at its offset.
+// injectFaults posts every fault at its offset until ctx is done.
 func (r *runner) injectFaults(ctx context.Context) []FaultReport {
 	var out []FaultReport
 	for _, f := range r.trace.Faults {
@@ -58,8 +58,9 @@
 	return errors.Join(errs...)
 }
 
-// PostFault replaces the faults of the stand-in at address by body, a JSON
-// object; an empty one clears them.
+// PostFault replaces the active faults of the stand-in at address with body, a JSON
+// object; an empty object clears them. It fails if the stand-in cannot be reached or
+// its status is not 2xx.
 func PostFault(ctx context.Context, client *http.Client, address string, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
@@ -70,12 +71,12 @@
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := client.Do(req)
 	if err != nil {
-		return fmt.Errorf("injecting a fault: %w", err)
+		return fmt.Errorf("inject fault: %w", err)
 	}
 	defer resp.Body.Close()
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswerBytes))
 	if resp.StatusCode/100 != 2 {
-		return fmt.Errorf("injecting a fault at %s: status %d", address, resp.StatusCode)
+		return fmt.Errorf("inject fault at %s: status %d", address, resp.StatusCode)
 	}
 	return nil
 }
--- a/replay/fleetfiles/fleetfiles.go
+++ b/replay/fleetfiles/fleetfiles.go
@@ -1,7 +1,7 @@
-// Package fleetfiles writes the files from which a fleet for measurements is
-// started on loopback: a bundle moved to free ports and signed with a key made
-// for it, the settings of every entry host, the host list, API keys, and the
-// list of processes that scripts/fleet.sh starts.
+// Package fleetfiles writes the files that scripts/fleet.sh needs to start a fleet for
+// measurements on loopback: a bundle with free ports, signed with a newly generated
+// key, the settings of every entry host, the host list, API keys and the list of
+// processes.
 package fleetfiles
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/wheatseam/wheatseam/settings"
 )
 
-// The names of the files that Write makes.
+// Names and modes of the files that Write creates.
 const (
 	FileBundle      = "bundle.yaml"
 	FileSigned      = "bundle.signed.yaml"
@@ -38,19 +38,19 @@
 	secretFileMode  = 0o600
 )
 
-// Config says what fleet is wanted.
+// Config describes the fleet.
 type Config struct {
-	// Bundle is the checked bundle; Write leaves it as it is.
+	// Bundle is a valid bundle; Write does not modify it.
 	Bundle *bundle.Bundle
-	// Policy replaces the bundle's policy, unless it is empty.
+	// Policy replaces the bundle's policy unless it is empty.
 	Policy bundle.Policy
-	// Dir is the directory to write to; it is made.
+	// Dir is the output directory; it is created if needed.
 	Dir string
-	// StandInFlags are further flags of `standin fleet`.
+	// StandInFlags are additional flags of `standin fleet`.
 	StandInFlags []string
 }
 
-// fleet is what Write works on.
+// fleetWriter holds the state of Write.
 type fleetWriter struct {
 	Config
 	bundle          bundle.Bundle
@@ -60,13 +60,13 @@
 	entryHosts      []entryHost
 }
 
-// entryHost is one daemon with its addresses.
+// entryHost is an entry host with the addresses that its daemon listens on.
 type entryHost struct {
 	bundle.Host
 	callersAddress, operatorsAddress string
 }
 
-// Write writes all files.
+// Write writes all files of the fleet.
 func Write(cfg Config) error {
 	p, err := reservePorts(countPorts(cfg.Bundle))
 	if err != nil {
@@ -80,8 +80,9 @@
 	return errors.Join(f.writeKeys(), f.writeBundle(), f.writeHostList(), f.writeSettings(), f.writeProcesses())
 }
 
-// countPorts counts the listeners of a fleet: three for each host, one for
-// each upstream, platform and control.
+// countPorts returns the number of listeners of a fleet: three for each host (callers,
+// peers, operators), one for each upstream, and one each for the platform and the
+// control interface of the stand-ins.
 func countPorts(b *bundle.Bundle) int {
 	n := 3*len(b.Hosts) + 2
 	for _, p := range b.Pools {
@@ -90,17 +91,17 @@
 	return n
 }
 
-// ports are addresses that were free when they were reserved.
+// reservedPorts holds addresses that were free at the time of reservation.
 type reservedPorts struct{ addresses []string }
 
-// reservePorts lets the kernel choose n ports, all at a time so that they
-// differ, and frees them again.
+// reservePorts lets the kernel choose n free ports. It keeps all of them open until the
+// last one is chosen, so that they differ, and then closes them.
 func reservePorts(n int) (*reservedPorts, error) {
 	p := &reservedPorts{}
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return nil, fmt.Errorf("reserving a port: %w", err)
+			return nil, fmt.Errorf("reserve port: %w", err)
 		}
 		defer l.Close()
 		p.addresses = append(p.addresses, l.Addr().String())
@@ -114,7 +115,7 @@
 	return a
 }
 
-// move gives every listener a free address.
+// assignAddresses assigns a reserved address to every listener.
 func (f *fleetWriter) assignAddresses() {
 	f.platformAddress, f.controlAddress = f.ports.next(), f.ports.next()
 	if f.Policy != "" {
@@ -142,8 +143,8 @@
 	return os.WriteFile(filepath.Join(f.Dir, name), text, mode)
 }
 
-// writeKeys makes an API key for every customer, since a bundle holds hashes
-// only.
+// writeKeys generates an API key for every customer, because a bundle contains only
+// the hashes of keys, and the token of the operators.
 func (f *fleetWriter) writeKeys() error {
 	keys := struct {
 		Keys map[string]string `yaml:"keys"`
@@ -169,7 +170,7 @@
 		return err
 	}
 	if _, err := bundle.Parse(text); err != nil {
-		return fmt.Errorf("the moved bundle: %w", err)
+		return fmt.Errorf("bundle with assigned addresses: %w", err)
 	}
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -212,8 +213,8 @@
 	return f.write(FileHostList, text, fileMode)
 }
 
-// writeSettings writes HOST.settings.yaml for every host. The daemons talk
-// without TLS: everything is on loopback.
+// writeSettings writes HOST.settings.yaml for every host. The daemons do not use TLS,
+// because all traffic stays on loopback.
 func (f *fleetWriter) writeSettings() error {
 	for _, h := range f.entryHosts {
 		s := settings.Settings{
@@ -244,9 +245,9 @@
 
 func settingsFile(h entryHost) string { return h.Name + ".settings.yaml" }
 
-// writeProcesses writes one line for each process: its name, a tab, and the
-// command, to be run in the directory's parent of bin/. The environment file
-// holds the addresses as shell variables.
+// writeProcesses writes one line for each process: its name, a tab, and the command,
+// which must be run in the parent directory of bin/. It also writes the environment
+// file, which sets the addresses as shell variables.
 func (f *fleetWriter) writeProcesses() error {
 	in := func(name string) string { return filepath.Join(f.Dir, name) }
 	flags := ""
--- a/replay/fleetfiles/fleetfiles_test.go
+++ b/replay/fleetfiles/fleetfiles_test.go
@@ -28,8 +28,8 @@
 	return b
 }
 
-var _ = Describe("the files of a fleet", func() {
-	It("are a signed bundle with the policy asked for, and settings that load", func() {
+var _ = Describe("Write", func() {
+	It("writes a signed bundle with the given policy and valid settings", func() {
 		dir := GinkgoT().TempDir()
 		b := example()
 		before := b.Hosts[0].PeerAddress
--- a/replay/ledger/ledger.go
+++ b/replay/ledger/ledger.go
@@ -1,4 +1,5 @@
-// Package ledger reads what the stand-ins executed, from GET /control/ledger.
+// Package ledger reads the execution ledgers of the stand-ins, which simulate the
+// upstreams, from GET /control/ledger.
 package ledger
 
 import (
@@ -12,17 +13,17 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// timeout bounds one call to a stand-in; settlePoll is the pause between two
-// readings while executions still run.
+// requestTimeout limits one request to a stand-in. settlePollInterval is the delay
+// between two reads while executions are still running.
 const (
 	requestTimeout     = 15 * time.Second
 	settlePollInterval = 100 * time.Millisecond
 )
 
-// State says how far an execution came.
+// State is the state of an execution.
 type State string
 
-// The states. An execution that failed may have had its effect.
+// States of an execution. A failed execution may have had its side effect.
 const (
 	Running   State = "running"
 	Done      State = "done"
@@ -30,7 +31,7 @@
 	Failed    State = "failed"
 )
 
-// Entry is one execution.
+// Entry is the ledger entry of one execution of a stage.
 type Entry struct {
 	Key            string  `json:"key"`
 	RequestID      string  `json:"request_id"`
@@ -57,15 +58,16 @@
 	Upstreams []Upstream
 }
 
-// Clear empties every ledger.
+// Clear deletes all entries of every ledger.
 func (r *Reader) Clear(ctx context.Context) error {
 	return r.forEachUpstream(ctx, func(ctx context.Context, _ int, u Upstream) error {
 		return r.call(ctx, http.MethodDelete, u, "", nil)
 	})
 }
 
-// Settle reads all ledgers until no execution runs any more or patience has
-// passed; executions that still run are then among the entries.
+// Settle reads all ledgers repeatedly until no execution is running or maxWait has
+// passed, and returns the entries of the last read. After maxWait they may include
+// running executions.
 func (r *Reader) Settle(ctx context.Context, maxWait time.Duration) ([]Entry, error) {
 	deadline := time.Now().Add(maxWait)
 	for {
@@ -90,8 +92,8 @@
 	return false
 }
 
-// Read reads all ledgers once. It fails when a ledger has lost entries to its
-// limit, since nothing can be judged by the rest.
+// Read reads all ledgers once. It fails if a ledger has overwritten entries because of
+// its size limit, since an incomplete ledger cannot be audited.
 func (r *Reader) Read(ctx context.Context) ([]Entry, error) {
 	lists := make([][]Entry, len(r.Upstreams))
 	err := r.forEachUpstream(ctx, func(ctx context.Context, i int, u Upstream) error {
@@ -120,8 +122,8 @@
 	return out, err
 }
 
-// own leaves out the entries of other replicas: stand-ins in one process may
-// share a ledger.
+// ownEntries returns the entries of u. Stand-ins in one process may share a ledger, so
+// that it also has entries of other upstreams.
 func ownEntries(entries []Entry, u Upstream) []Entry {
 	var out []Entry
 	for _, e := range entries {
@@ -132,7 +134,7 @@
 	return out
 }
 
-// each calls f for every stand-in at a time and joins their errors.
+// forEachUpstream calls f concurrently for every stand-in and joins the errors.
 func (r *Reader) forEachUpstream(ctx context.Context, f func(context.Context, int, Upstream) error) error {
 	errs := make([]error, len(r.Upstreams))
 	var g errgroup.Group
--- a/replay/ledger/ledger_test.go
+++ b/replay/ledger/ledger_test.go
@@ -20,7 +20,7 @@
 	RunSpecs(t, "ledger")
 }
 
-// serve serves the ledger of a stand-in.
+// serve starts an HTTP server for the ledger of a stand-in and returns its address.
 func serve(l *standin.Ledger) string {
 	s := httptest.NewServer(l)
 	DeferCleanup(s.Close)
@@ -31,10 +31,10 @@
 	return &ledger.Reader{Client: http.DefaultClient, Upstreams: upstreams}
 }
 
-var _ = Describe("reading ledgers", func() {
+var _ = Describe("Reader", func() {
 	ctx := context.Background()
 
-	It("takes each entry of a shared ledger once", func() {
+	It("returns each entry of a shared ledger once", func() {
 		l := standin.New(0)
 		id := l.Begin(standin.Entry{Key: "k", RequestID: "r", Stage: "seal", Customer: "c", Upstream: "a", Attempt: 2})
 		l.End(id, standin.Done, 12.5, 7)
@@ -51,7 +51,7 @@
 			Upstream: "a", State: ledger.Done, EngineMS: 12.5, Tokens: 7}))
 	})
 
-	It("reads a fleet's ledger whole, and empties it", func() {
+	It("reads and clears the whole ledger of a fleet", func() {
 		l := standin.New(0)
 		l.End(l.Begin(standin.Entry{Upstream: "a"}), standin.Done, 0, 0)
 		r := reader(ledger.Upstream{Address: serve(l)})
@@ -60,7 +60,7 @@
 		Expect(r.Read(ctx)).To(BeEmpty())
 	})
 
-	It("waits for executions that still run, for so long", func() {
+	It("waits for running executions for a limited time", func() {
 		l := standin.New(0)
 		id := l.Begin(standin.Entry{Upstream: "a"})
 		r := reader(ledger.Upstream{Address: serve(l)})
@@ -73,7 +73,7 @@
 		Expect(entries[0].State).To(Equal(ledger.Done))
 	})
 
-	It("fails on a ledger that has lost entries, and on a stand-in that is gone", func() {
+	It("fails if a ledger has lost entries or a stand-in is unreachable", func() {
 		l := standin.New(1)
 		l.Begin(standin.Entry{})
 		l.Begin(standin.Entry{})
--- a/replay/report/calls.go
+++ b/replay/report/calls.go
@@ -10,10 +10,11 @@
 	"github.com/wheatseam/wheatseam/replay"
 )
 
-// gatherer builds a Group.
+// groupBuilder builds a Group from calls.
 type groupBuilder struct {
 	group Group
-	// roots says for each request whether any of its tries was answered in time.
+	// attainedByRequest says for each request, by the id of its first try, whether
+	// any of its tries was answered in time.
 	attainedByRequest map[string]bool
 
 	latency, firstToken, betweenTokens, refusal *hdrhistogram.Histogram
@@ -69,7 +70,7 @@
 	return g.group
 }
 
-// gatherers builds the groups of a key, such as the pipeline.
+// groupBuilders builds one Group for each value of a key, such as the pipeline.
 type groupBuilders map[string]*groupBuilder
 
 func (g groupBuilders) add(key string, c *replay.Call) {
@@ -87,7 +88,7 @@
 	return out
 }
 
-// countCalls fills in all that follows from the calls alone.
+// countCalls fills in the metrics that depend on the calls alone.
 func (r *Report) countCalls(calls []*replay.Call, speed float64) {
 	all, pipelines, customers := newGatherer(), groupBuilders{}, groupBuilders{}
 	lag := newHistogram()
@@ -131,7 +132,7 @@
 	}
 }
 
-// refusals groups the refusals by kind and execution, the most frequent first.
+// refusals groups the refusals by kind and execution, sorted by descending count.
 func refusals(calls []*replay.Call) []Refusal {
 	type kind struct{ kind, execution string }
 	after := map[kind]*hdrhistogram.Histogram{}
--- a/replay/report/cost.go
+++ b/replay/report/cost.go
@@ -8,7 +8,7 @@
 	"github.com/wheatseam/wheatseam/replay/ledger"
 )
 
-// Spent is work of one sort.
+// Spent is the cost of a set of executions.
 type Spent struct {
 	Calls         int     `json:"calls"`
 	EngineSeconds float64 `json:"engine_seconds"`
@@ -21,21 +21,23 @@
 	s.Tokens += e.Tokens
 }
 
-// StageCost is what one stage cost and what share of it was wasted.
+// StageCost is the cost of one stage and the share of it that was wasted.
 type StageCost struct {
 	Stage string `json:"stage"`
 	All   Spent  `json:"all"`
-	// Retries is the work of attempts whose request was answered in time by
-	// another attempt, begun after they had ended.
+	// Retries is the cost of attempts for requests that were answered in time by
+	// another attempt that did not run at the same time.
 	Retries Spent `json:"retries"`
-	// Hedges is the work of attempts that ran beside the one that was used.
+	// Hedges is the cost of attempts that ran at the same time as the attempt
+	// whose result was used.
 	Hedges Spent `json:"hedges"`
-	// Late is work for requests that were not answered in time, Cancelled the
-	// part of such work that was given up on the way.
+	// Late is the cost of executions for requests that were not answered in
+	// time, Cancelled that of such executions that were cancelled. Late does not
+	// include Cancelled.
 	Late      Spent `json:"late"`
 	Cancelled Spent `json:"cancelled"`
-	// WastedShare is the share of the engine seconds, or of the calls where no
-	// engine seconds are known, that the four sorts above make up.
+	// WastedShare is the share of Retries, Hedges, Late and Cancelled in the
+	// engine seconds, or in the calls if no engine seconds are known.
 	WastedShare float64 `json:"wasted_share"`
 }
 
@@ -53,7 +55,7 @@
 	}
 }
 
-// use is what an execution was good for.
+// executionUse says what an execution contributed to its request.
 type executionUse uint8
 
 const (
@@ -64,10 +66,10 @@
 	useCancelled
 )
 
-// unit is all work for one stage of one request.
+// stageWork identifies the executions for one stage of one request.
 type stageWork struct{ request, stage string }
 
-// costs sums up the entries by stage.
+// stageCosts sums up the entries by stage and sorts the result by stage name.
 func stageCosts(calls []*replay.Call, entries []ledger.Entry) []StageCost {
 	attained := newRequestIndex(calls)
 	units := map[stageWork][]ledger.Entry{}
@@ -107,7 +109,8 @@
 	}
 }
 
-// requests tells which request an execution served and whether it was met.
+// requestIndex finds the request of an execution and whether the request was answered
+// in time. Requests are identified by the id of their first try.
 type requestIndex struct {
 	byID     map[string]string
 	byKey    map[[2]string]string
@@ -128,8 +131,8 @@
 	return r
 }
 
-// requestOf returns the request that e served; one that no caller's answer
-// names stands for itself and is not met.
+// requestOf returns the request that e was executed for. If no call has the key or the
+// request id of e, it returns a name of its own, which does not count as attained.
 func (r requestIndex) requestOf(e ledger.Entry) string {
 	if root, ok := r.byKey[[2]string{e.Customer, e.Key}]; ok && e.Key != "" {
 		return root
@@ -140,7 +143,8 @@
 	return "unknown " + e.RequestID
 }
 
-// uses says what each execution for one stage of one request was good for.
+// classifyExecutions returns the use of each execution for one stage of one request.
+// The result of the execution that completed first is the one that was used.
 func classifyExecutions(executions []ledger.Entry, attained bool) []executionUse {
 	out := make([]executionUse, len(executions))
 	firstDone := -1
@@ -166,12 +170,12 @@
 	return out
 }
 
-// overlap says whether two executions ran at the same time.
+// overlap reports whether two executions ran at the same time.
 func overlap(a, b ledger.Entry) bool {
 	return a.StartedUnixMS < b.FinishedUnixMS && (b.StartedUnixMS < a.FinishedUnixMS || a.State == ledger.Running)
 }
 
-// Sum adds up the costs of several stages.
+// SumCosts adds up the costs of several stages.
 func SumCosts(stages []StageCost) StageCost {
 	var out StageCost
 	for _, c := range stages {
--- a/replay/report/quantiles.go
+++ b/replay/report/quantiles.go
@@ -6,14 +6,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The histograms hold microseconds from 1 to one hour with 3 digits.
+// The histograms hold values from 1 microsecond to one hour with 3 significant digits.
 const (
 	minMicros         = 1
 	maxMicros         = int64(time.Hour / time.Microsecond)
 	significantDigits = 3
 )
 
-// Quantiles sums up a distribution, in milliseconds.
+// Quantiles summarizes a distribution of durations, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -28,7 +28,7 @@
 }
 
 func observe(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros)) // cannot fail in this range
+	_ = h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros)) // cannot fail for a value in this range
 }
 
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
--- a/replay/report/report.go
+++ b/replay/report/report.go
@@ -1,5 +1,5 @@
-// Package report turns a run and the ledgers into figures: attainment, latency,
-// refusals, cost by stage and violations.
+// Package report calculates the metrics of a run from its calls and the ledgers:
+// attainment, latency, refusals, cost by stage and violations.
 package report
 
 import (
@@ -10,14 +10,14 @@
 	"github.com/wheatseam/wheatseam/replay/ledger"
 )
 
-// maxExamples bounds the violations that are listed one by one.
+// maxExamples limits the violations that a report lists individually.
 const maxExamples = 50
 
-// Share is a part of a whole.
+// Share is the share of items that meet a condition.
 type Share struct {
 	Met int `json:"met"`
 	Of  int `json:"of"`
-	// Share is Met divided by Of; 0 of nothing.
+	// Share is Met divided by Of; 0 if Of is 0.
 	Share float64 `json:"share"`
 }
 
@@ -29,31 +29,35 @@
 	s.Share = float64(s.Met) / float64(s.Of)
 }
 
-// Group holds the figures of a set of requests: all, those of a pipeline or
-// those of a customer.
+// Group holds the metrics of a set of requests: all of them, those of one pipeline or
+// those of one customer.
 type Group struct {
-	// Attainment counts requests with all of their tries: met is a whole
-	// answer within the deadline of the try that brought it.
+	// Attainment counts requests. A request is met if any of its tries received
+	// a complete answer within the deadline of that try.
 	Attainment Share `json:"attainment"`
-	// Tries counts each request line that was sent by itself.
+	// Tries counts each sent try separately.
 	Tries Share `json:"tries"`
-	// The ends of the tries; Late ones are among the Answered.
+	// The outcomes of the tries. Answered includes Late.
 	Answered   int `json:"answered"`
 	Late       int `json:"late"`
 	Refused    int `json:"refused"`
 	Unanswered int `json:"unanswered"`
-	// Unexpected counts the tries that ended otherwise than the trace expects.
+	// Unexpected counts the tries whose outcome is not the one that the trace
+	// expects.
 	Unexpected int `json:"unexpected"`
-	// Latency is that of whole answers, in milliseconds from the offset.
+	// Latency is the latency of answers, from the offset, in milliseconds.
 	Latency Quantiles `json:"latency_ms"`
-	// FirstToken and BetweenTokens are those of streamed answers.
+	// FirstToken is the time from the offset to the first token of streamed
+	// answers, BetweenTokens the time between consecutive tokens; both in
+	// milliseconds.
 	FirstToken    Quantiles `json:"first_token_ms"`
 	BetweenTokens Quantiles `json:"between_tokens_ms"`
-	// Refusal is how soon the refused callers heard.
+	// Refusal is the time from the offset to a refusal, in milliseconds.
 	Refusal Quantiles `json:"refusal_ms"`
 }
 
-// Refusal holds the figures of one kind of refusal.
+// Refusal holds the metrics of one kind of refusal. After is the time from the offset
+// to the refusal, in milliseconds.
 type Refusal struct {
 	Kind      string    `json:"kind"`
 	Execution string    `json:"execution"`
@@ -61,7 +65,7 @@
 	After     Quantiles `json:"after_ms"`
 }
 
-// Second holds what became of the requests that were due in one second.
+// Second counts the outcomes of the tries that were due in one second of the run.
 type Second struct {
 	At       int `json:"at_s"`
 	Sent     int `json:"sent"`
@@ -69,7 +73,7 @@
 	Refused  int `json:"refused"`
 }
 
-// Violations counts the violations by kind and lists some of them.
+// Violations counts the violations by kind and lists the first maxExamples of them.
 type Violations struct {
 	Total       int                `json:"total"`
 	ByKind      map[audit.Kind]int `json:"by_kind"`
@@ -77,7 +81,7 @@
 	Examples    []audit.Violation  `json:"examples,omitempty"`
 }
 
-// Fault is one fault as it was injected.
+// Fault is one fault of the trace; Error says why it was not injected.
 type Fault struct {
 	AtMS  int64  `json:"at_ms"`
 	Pool  string `json:"pool"`
@@ -85,20 +89,19 @@
 	Error string `json:"error,omitempty"`
 }
 
-// Report is everything measured in one run. Its JSON form is documented in
-// docs/REPLAY.md.
+// Report holds all metrics of one run. Its JSON form is documented in docs/REPLAY.md.
 type Report struct {
-	// Label names what was measured, such as a policy.
+	// Label names the measured configuration, such as a policy.
 	Label string `json:"label"`
 	Trace string `json:"trace"`
-	// Program and Seed say how the trace was made.
+	// Program and Seed are the command and seed that generated the trace.
 	Program string    `json:"program,omitempty"`
 	Seed    uint64    `json:"seed"`
 	Speed   float64   `json:"speed"`
 	Started time.Time `json:"started"`
-	// SpanSeconds is the time from the first offset to the last.
+	// SpanSeconds is the last offset of a sent request, at the speed of the run.
 	SpanSeconds float64 `json:"span_seconds"`
-	// Goodput is the answers in time per second of the span.
+	// Goodput is the number of attained requests per second of the span.
 	Goodput    float64          `json:"goodput"`
 	All        Group            `json:"all"`
 	Pipelines  map[string]Group `json:"pipelines"`
@@ -108,16 +111,17 @@
 	Violations Violations       `json:"violations"`
 	Timeline   []Second         `json:"timeline"`
 	Faults     []Fault          `json:"faults,omitempty"`
-	// Skipped counts retries that were not needed, NotSent those requests
-	// that the tool could not send in its bounds: the run is void then.
+	// Skipped counts retries that were not needed. NotSent counts requests that
+	// the load generator did not send because of its own limits; a run with such
+	// requests is invalid.
 	Skipped int `json:"skipped"`
 	NotSent int `json:"not_sent"`
-	// SendLag is how late the tool itself sent.
+	// SendLag is the delay between the offset and the time of sending.
 	SendLag Quantiles `json:"send_lag_ms"`
 }
 
-// New works out the figures of a run at speed. The entries are those of all
-// stand-ins, the finding that of the audit.
+// New calculates the report of a run that was replayed at speed. entries are the ledger
+// entries of all stand-ins, f is the result of the audit.
 func New(label string, speed float64, run *replay.Result, entries []ledger.Entry, f audit.Finding) *Report {
 	r := &Report{
 		Label: label, Trace: run.Trace.Name, Program: run.Trace.Program, Seed: run.Trace.Seed,
--- a/replay/report/report_test.go
+++ b/replay/report/report_test.go
@@ -46,8 +46,8 @@
 		StartedUnixMS: from, FinishedUnixMS: to, EngineMS: ms, Tokens: 10}
 }
 
-var _ = Describe("a report", func() {
-	It("counts attainment overall, by pipeline and by customer", func() {
+var _ = Describe("Report", func() {
+	It("counts attainment for all requests, by pipeline and by customer", func() {
 		r := measure(nil,
 			call("a", "clinic", 0, replay.Answered, 90*time.Millisecond),
 			call("b", "clinic", 500, replay.Answered, 110*time.Millisecond),
@@ -61,14 +61,14 @@
 		Expect(r.Pipelines["summary"].Late).To(Equal(1))
 		Expect(r.All.Unanswered).To(Equal(1))
 		Expect([]int{r.NotSent, r.Skipped}).To(Equal([]int{1, 1}))
-		Expect(r.SpanSeconds).To(Equal(2.0), "the speed halves the offsets")
+		Expect(r.SpanSeconds).To(Equal(2.0), "speed 2 halves the offsets")
 		Expect(r.Goodput).To(Equal(0.5))
 		Expect(r.Timeline).To(Equal([]report.Second{
 			{At: 0, Sent: 2, Attained: 1}, {At: 1, Sent: 1, Refused: 1}, {At: 2, Sent: 1},
 		}))
 	})
 
-	It("counts a request with its tries once, each try by itself", func() {
+	It("counts a request once in Attainment and each of its tries in Tries", func() {
 		first := call("a", "clinic", 0, replay.Refused, time.Millisecond)
 		second := call("a2", "clinic", 50, replay.Answered, time.Millisecond)
 		second.FirstTryID = "a"
@@ -77,7 +77,7 @@
 		Expect(r.All.Tries).To(Equal(report.Share{Met: 1, Of: 2, Share: 0.5}))
 	})
 
-	It("gives the quantiles of latency, tokens and refusals", func() {
+	It("calculates the quantiles of latency, token times and refusals", func() {
 		var calls []*replay.Call
 		for i := range 100 {
 			c := call(fmt.Sprint(i), "clinic", 0, replay.Answered, time.Duration(i+1)*time.Millisecond)
@@ -96,7 +96,7 @@
 		Expect(r.Refusals[0].After.P50).To(BeNumerically("~", 7, 0.01))
 	})
 
-	It("says what each stage cost and what for", func() {
+	It("classifies the cost of each stage", func() {
 		met := call("met", "clinic", 0, replay.Answered, time.Millisecond)
 		late := call("late", "clinic", 0, replay.Answered, time.Second)
 		r := measure([]ledger.Entry{
@@ -110,7 +110,7 @@
 		}, met, late)
 		Expect(r.Stages).To(HaveLen(2))
 		Expect(r.Stages[0].Stage).To(Equal("encode"))
-		Expect(r.Stages[0].WastedShare).To(Equal(0.5), "by calls, where no engine seconds are known")
+		Expect(r.Stages[0].WastedShare).To(Equal(0.5), "by calls, because no engine seconds are known")
 		rank := r.Stages[1]
 		Expect(rank.All).To(Equal(report.Spent{Calls: 5, EngineSeconds: 15, Tokens: 50}))
 		Expect(rank.Retries.EngineSeconds).To(Equal(1.0))
@@ -120,7 +120,7 @@
 		Expect(rank.WastedShare).To(BeNumerically("~", 13.0/15, 1e-9))
 	})
 
-	It("counts work as needed that a first try did and a retry delivered", func() {
+	It("does not count as wasted an execution of a first try whose result a retry received", func() {
 		first := call("a", "clinic", 0, replay.Unanswered, 0)
 		second := call("a2", "clinic", 50, replay.Answered, time.Millisecond)
 		second.FirstTryID = "a"
@@ -130,7 +130,7 @@
 		Expect(measure([]ledger.Entry{work}, first, second).Stages[0].WastedShare).To(BeZero())
 	})
 
-	It("counts violations by kind, and is written as table and JSON", func() {
+	It("counts violations by kind and can be written as a table and as JSON", func() {
 		r := measure(nil, call("a", "clinic", 0, replay.Answered, time.Millisecond))
 		Expect(r.Violations.Total).To(Equal(3))
 		Expect(r.Violations.ByKind).To(Equal(map[audit.Kind]int{audit.Lost: 2, audit.DuplicateExecution: 1, audit.Misdelivered: 0, audit.FalseNotRun: 0}))
--- a/replay/report/table.go
+++ b/replay/report/table.go
@@ -10,10 +10,11 @@
 	"github.com/wheatseam/wheatseam/replay/audit"
 )
 
-// maxTableExamples bounds the violations that the table lists; the JSON has more.
+// maxTableExamples limits the violations in the table; the JSON lists up to
+// maxExamples.
 const maxTableExamples = 10
 
-// WriteTable writes r as text for people.
+// WriteTable writes r as a human-readable table.
 func (r *Report) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "%s: trace %s, seed %d, speed %g, %.1f s, goodput %.2f/s, send lag p99 %.1f ms\n\n",
--- a/replay/run.go
+++ b/replay/run.go
@@ -16,54 +16,56 @@
 	"github.com/wheatseam/wheatseam/replay/trace"
 )
 
-// Defaults of a Config.
+// Default values of Config.
 const (
 	DefaultGrace       = 2 * time.Second
 	DefaultMaxInFlight = 20_000
 	DefaultMaxDuration = 10 * time.Minute
 )
 
-// Config says whom a trace is replayed against, and how.
+// Config configures a run.
 type Config struct {
-	// Hosts are the callers' addresses of the entry hosts, ip:port.
+	// Hosts are the addresses, as ip:port, on which the entry hosts serve callers.
 	Hosts []string
-	// Keys are the customers' API keys by customer.
+	// Keys maps customers to their API keys.
 	Keys map[string]string
-	// StandIns are the addresses of the stand-ins by pool, for faults.
+	// StandIns maps pools to the control addresses of their stand-ins, to which
+	// faults are posted.
 	StandIns map[string][]string
-	// Seed of the balancer.
+	// Seed of the random choice of hosts.
 	Seed uint64
 	// Speed divides every offset: 2 sends at twice the rate of the trace.
-	// Deadlines stay as they are. 0 stands for 1.
+	// Deadlines are not scaled. 0 means 1.
 	Speed float64
-	// Grace is how long after its deadline a request is still listened to.
+	// Grace is how long a call waits for a response after its deadline.
 	Grace time.Duration
-	// MaxInFlight and MaxDuration bound the run; what lies beyond them is not
-	// sent and counts as NotSent.
+	// MaxInFlight and MaxDuration limit the run; requests beyond these limits
+	// are not sent and count as NotSent.
 	MaxInFlight int
 	MaxDuration time.Duration
-	// Client sends; nil stands for NewClient().
+	// Client sends the requests; nil means NewClient().
 	Client *http.Client
 }
 
-// FaultReport is one fault as it was injected.
+// FaultReport is the result of injecting one fault.
 type FaultReport struct {
 	Fault trace.Fault
-	// Err joins what went wrong; nil when every stand-in took the fault.
+	// Err joins the errors of all stand-ins, or is the reason why the fault was not
+	// injected; nil if every stand-in accepted it.
 	Err error
 }
 
-// Result is what a run yielded.
+// Result is the result of a run.
 type Result struct {
 	Trace   trace.Header
 	Started time.Time
 	Elapsed time.Duration
-	// Calls stand in the order of their offsets.
+	// Calls are in the order of their offsets.
 	Calls  []*Call
 	Faults []FaultReport
 }
 
-// runner is one run.
+// runner holds the state of one run.
 type runner struct {
 	cfg         Config
 	trace       *trace.Trace
@@ -73,18 +75,20 @@
 	started     time.Time
 	pending     sync.WaitGroup
 
-	mu       sync.Mutex // guards what is below, and Outcome of all calls
+	mu       sync.Mutex // guards requests
 	requests map[string]*requestState
 }
 
-// root is the state of a request over all of its tries.
+// requestState is the state that all tries of a request share.
 type requestState struct {
 	key, correlationToken, firstHost string
 	answered                         bool
 }
 
-// Run replays t. It returns when every request has ended, at the latest when
-// MaxDuration, the longest deadline and the grace have passed, or ctx ends.
+// Run replays t. It returns when every call has ended: at the latest after the sum of
+// MaxDuration, the longest deadline and the grace period, or when ctx is done. It
+// fails if cfg has no hosts, a negative speed, no API key for a customer of the trace
+// or no stand-in for one of its faults.
 func Run(ctx context.Context, cfg Config, t *trace.Trace) (*Result, error) {
 	cfg = withDefaults(cfg)
 	if err := validate(cfg, t); err != nil {
@@ -159,12 +163,12 @@
 	return out
 }
 
-// offset returns the offset at the speed of the run.
+// scaledOffset converts an offset of the trace to the speed of the run.
 func (r *runner) scaledOffset(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / r.cfg.Speed)
 }
 
-// waitUntil waits until the offset; false when ctx ended before.
+// waitUntil waits until the offset. It returns false if ctx is done before.
 func (r *runner) waitUntil(ctx context.Context, offset time.Duration) bool {
 	timer := time.NewTimer(time.Until(r.started.Add(offset)))
 	defer timer.Stop()
@@ -176,8 +180,8 @@
 	}
 }
 
-// sendAll starts every request at its offset. The calls are complete only
-// after all pending work has ended.
+// sendAll starts every call at its offset. The returned calls must not be read until
+// r.pending is done, because they are filled in concurrently.
 func (r *runner) sendAll(ctx context.Context) []*Call {
 	calls := make([]*Call, 0, len(r.trace.Requests))
 	for _, q := range r.trace.Requests {
@@ -188,7 +192,7 @@
 		calls = append(calls, c)
 		offset := r.scaledOffset(q.At())
 		if offset > r.cfg.MaxDuration || !r.waitUntil(ctx, offset) {
-			c.Outcome, c.Problem = NotSent, "the run ended before"
+			c.Outcome, c.Problem = NotSent, "the run ended before the request was due"
 			continue
 		}
 		r.startCall(ctx, c, r.started.Add(offset))
@@ -196,7 +200,8 @@
 	return calls
 }
 
-// start sends one request in a goroutine of its own, if its bounds allow.
+// startCall sends one request in a new goroutine, unless it is a retry that is not
+// needed or too many requests are in flight.
 func (r *runner) startCall(ctx context.Context, c *Call, due time.Time) {
 	if !r.prepareCall(c) {
 		c.Outcome = Skipped
@@ -226,7 +231,8 @@
 	})
 }
 
-// prepare chooses host, key and mark; false when the retry is not needed.
+// prepareCall sets the host, idempotency key and correlation token of c. It returns
+// false if c is a retry that is not needed.
 func (r *runner) prepareCall(c *Call) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -252,7 +258,7 @@
 	return uuid.Must(uuid.NewV7()).String()
 }
 
-// pickHost draws a host other than not, if there is one.
+// pickHost returns a random host other than exclude, if there is one.
 func (r *runner) pickHost(exclude string) string {
 	hosts := slices.DeleteFunc(slices.Clone(r.cfg.Hosts), func(h string) bool { return h == exclude })
 	if len(hosts) == 0 {
--- a/replay/run_test.go
+++ b/replay/run_test.go
@@ -35,8 +35,8 @@
 	return result
 }
 
-var _ = Describe("a run", func() {
-	It("sends what the trace says and hears each kind of end", func() {
+var _ = Describe("Run", func() {
+	It("sends the requests of the trace and records each kind of outcome", func() {
 		host := newFakeHost()
 		auto := request("auto", 0, "seal")
 		auto.Key = trace.AutoKey
@@ -58,7 +58,7 @@
 			"auto": replay.Answered, "stream": replay.Answered, "refuse": replay.Refused, "late-error": replay.Refused,
 			"silent": replay.Unanswered, "broken": replay.Unanswered, "bare": replay.Unanswered, "cut": replay.Unanswered,
 		}))
-		Expect(calls["cut"].Problem).To(ContainSubstring("cut stream"))
+		Expect(calls["cut"].Problem).To(ContainSubstring("truncated stream"))
 		Expect(calls["refuse"].Refusal.Kind).To(BeEquivalentTo("overloaded"))
 		Expect(calls["stream"].FirstToken).To(BeNumerically(">", 0))
 		Expect(calls["stream"].InterTokenGaps).To(HaveLen(2))
@@ -77,16 +77,16 @@
 		}
 	})
 
-	It("compares the streamed text with the whole answer", func() {
+	It("compares the streamed text with the final answer", func() {
 		host := newFakeHost()
 		result := run(replay.Config{Hosts: []string{host.address()}},
 			traceOf(request("stream", 0, "stream"), request("reset", 0, "reset"), request("mixed", 0, "mixed")))
 		Expect(result.Calls[0].StreamedTextDiffers).To(BeFalse())
-		Expect(result.Calls[1].StreamedTextDiffers).To(BeFalse(), "a reset discards the tokens before it")
+		Expect(result.Calls[1].StreamedTextDiffers).To(BeFalse(), "a reset event discards the earlier tokens")
 		Expect(result.Calls[2].StreamedTextDiffers).To(BeTrue())
 	})
 
-	It("does not let slow answers slow its own load", func() {
+	It("keeps the rate of the trace when answers are slow", func() {
 		host := newFakeHost()
 		var requests []trace.Request
 		for i := range 20 {
@@ -94,12 +94,12 @@
 		}
 		result := run(replay.Config{Hosts: []string{host.address()}}, traceOf(requests...))
 		seen := host.requests()
-		// Closed-loop sending would take twenty times 150 ms.
+		// A closed-loop sender would need 20 times 150 ms.
 		Expect(seen[len(seen)-1].At.Sub(seen[0].At)).To(BeNumerically("<", 1500*time.Millisecond))
 		Expect(result.Calls[0].Attained()).To(BeTrue())
 	})
 
-	It("sends a caller's retry through another host with the same key and body", func() {
+	It("sends a retry to another host with the same key and body", func() {
 		a, b := newFakeHost(), newFakeHost()
 		first := request("first", 0, "refuse")
 		first.Key = trace.AutoKey
@@ -114,7 +114,7 @@
 		Expect(result.Calls[1].FirstTryID).To(Equal("first"))
 	})
 
-	It("skips a retry that is not needed, unless it is to be sent always", func() {
+	It("skips a retry after an answer, unless the retry is unconditional", func() {
 		host := newFakeHost()
 		first := request("first", 0, "seal")
 		first.Key = trace.AutoKey
@@ -143,7 +143,7 @@
 		Expect(choose(1)).NotTo(Equal(choose(2)))
 	})
 
-	It("stays within its bounds in time and count", func() {
+	It("does not send beyond the limits of duration and requests in flight", func() {
 		host := newFakeHost()
 		result := run(replay.Config{Hosts: []string{host.address()}, MaxInFlight: 1, MaxDuration: 50 * time.Millisecond},
 			traceOf(request("a", 0, "slow"), request("b", 10, "slow"), request("c", 100, "slow")))
@@ -151,7 +151,7 @@
 		Expect(result.Calls[2].Outcome).To(Equal(replay.NotSent))
 	})
 
-	It("injects faults at their offsets and reports those that failed", func() {
+	It("injects faults in the order of their offsets and reports the ones that failed", func() {
 		var bodies []string
 		standIn := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			text, _ := io.ReadAll(r.Body)
@@ -173,7 +173,7 @@
 		Expect(result.Faults[1].Err).To(HaveOccurred())
 	})
 
-	It("refuses to start without a host, a key or a stand-in that it needs", func() {
+	It("fails without a required host, API key or stand-in", func() {
 		t := traceOf(request("a", 0, "seal"))
 		t.Faults = []trace.Fault{{Pool: "seals", Replicas: []int{3}, Body: []byte(`{}`)}}
 		_, err := replay.Run(context.Background(), replay.Config{}, t)
--- a/replay/scenario/builder.go
+++ b/replay/scenario/builder.go
@@ -1,7 +1,7 @@
-// Package scenario makes traces: named programs that, given a bundle and a
-// seed, always make the same trace. The bundle says which customers, pipelines
-// and pools there are, and how much they can carry; the rate of a trace is
-// stated as a multiple of that capacity.
+// Package scenario generates traces. A scenario is a named program that always
+// generates the same trace for the same bundle, options and seed. The bundle defines
+// the customers, pipelines and pools and thereby their capacity; the rate of a trace
+// is a multiple of that capacity.
 package scenario
 
 import (
@@ -17,25 +17,26 @@
 	"github.com/wheatseam/wheatseam/replay/trace"
 )
 
-// Options say what a trace is made for.
+// Options are the parameters of a scenario.
 type Options struct {
-	// Bundle names customers, pipelines and pools. It must be checked.
+	// Bundle defines customers, pipelines and pools. It must be valid.
 	Bundle *bundle.Bundle
 	Seed   uint64
-	// Load is the mean rate as a multiple of the bundle's capacity.
+	// Load is the mean arrival rate as a multiple of the bundle's capacity.
 	Load float64
 	// Duration is the time from the first arrival to the last.
 	Duration time.Duration
-	// Patience is the deadline that callers state, as a multiple of what the
-	// pipeline's stages are expected to take; the pipeline's own deadline and
-	// leastDeadline bound it.
+	// Patience is the callers' deadline as a multiple of the expected duration of
+	// the pipeline's stages. The deadline is at least minDeadline and at most the
+	// pipeline's own deadline.
 	Patience float64
 }
 
-// DefaultPatience is a usual Patience.
+// DefaultPatience is the default of Options.Patience.
 const DefaultPatience = 4
 
-// leastDeadline is the shortest deadline that callers state.
+// minDeadline is the shortest deadline of callers, unless the pipeline's own deadline
+// is shorter.
 const minDeadline = time.Second
 
 // Limits of Options.
@@ -47,23 +48,23 @@
 func (o Options) validate() error {
 	switch {
 	case o.Load <= 0 || o.Load > maxLoad:
-		return fmt.Errorf("load %g lies outside 0 to %d", o.Load, maxLoad)
+		return fmt.Errorf("load %g is outside the range 0 to %d", o.Load, maxLoad)
 	case o.Patience < 1:
 		return fmt.Errorf("patience %g is less than 1", o.Patience)
 	case o.Duration < time.Second || o.Duration > maxDuration:
-		return fmt.Errorf("duration %v lies outside 1s to %v", o.Duration, maxDuration)
+		return fmt.Errorf("duration %v is outside the range 1s to %v", o.Duration, maxDuration)
 	}
 	return nil
 }
 
-// builder gathers the lines of a trace.
+// builder generates one trace.
 type builder struct {
 	Options
 	rng   *rand.Rand
 	trace trace.Trace
-	// rate is the mean arrivals a second.
+	// arrivalRate is the mean number of arrivals per second.
 	arrivalRate float64
-	// mix holds the weights of the pipelines.
+	// pipelineWeights holds the relative frequency of each pipeline.
 	pipelineWeights map[string]float64
 }
 
@@ -82,10 +83,9 @@
 	return b
 }
 
-// prefixesEach is the number of shared prefixes of each customer.
 const prefixesPerCustomer = 3
 
-// prefixSentence is 16 words, repeated to the length of a template.
+// prefixSentence has 16 words. It is repeated to the length of a document template.
 const prefixSentence = "The parties named below agree to the terms of this instrument as recorded in the register. "
 
 func (b *builder) addPrefixes() {
@@ -101,14 +101,14 @@
 
 func prefixName(customer string, i int) string { return fmt.Sprintf("%s-template-%d", customer, i+1) }
 
-// at returns the offset at a share of the duration, 0 to 1.
+// offsetAt returns the offset at a fraction (0 to 1) of the duration.
 func (b *builder) offsetAt(share float64) time.Duration {
 	return time.Duration(share * float64(b.Duration))
 }
 
-// poisson calls f at random offsets between the shares from and to of the
-// duration. rate is the arrivals a second, highest its upper bound, at a share
-// of the duration.
+// poissonArrivals calls f at the arrivals of a Poisson process between the fractions
+// from and to of the duration. rate returns the arrivals per second at a fraction of
+// the duration; maxRate must be an upper bound of it.
 func (b *builder) poissonArrivals(from, to, maxRate float64, rate func(share float64) float64, f func(offset time.Duration, share float64)) {
 	seconds := b.Duration.Seconds()
 	for at := from * seconds; ; {
@@ -123,14 +123,14 @@
 	}
 }
 
-// constant is a rate that does not change.
+// constantRate returns a rate function for poissonArrivals that is constant.
 func constantRate(rate float64) func(float64) float64 { return func(float64) float64 { return rate } }
 
-// arrive adds a request of a customer drawn by weight for a pipeline drawn by
-// the mix, with boost giving some pipelines another weight.
-func (b *builder) addRandomRequest(offset time.Duration, boost map[string]float64) *trace.Request {
+// addRandomRequest adds a request of a random customer for a random pipeline, both
+// chosen by weight. weightOverrides replaces the weights of some pipelines.
+func (b *builder) addRandomRequest(offset time.Duration, weightOverrides map[string]float64) *trace.Request {
 	customer := b.drawCustomer()
-	pipeline := b.drawPipeline(customer, boost)
+	pipeline := b.drawPipeline(customer, weightOverrides)
 	return b.addRequest(offset, customer, pipeline)
 }
 
@@ -153,7 +153,7 @@
 	return bundle.Pipeline{Name: name, Deadline: time.Second}
 }
 
-// draw draws one of items by weight.
+// drawWeighted returns a random element of items, chosen by weight.
 func drawWeighted[T any](random *rand.Rand, items []T, weight func(T) float64) T {
 	sum := 0.0
 	for _, i := range items {
@@ -169,10 +169,11 @@
 	return items[len(items)-1]
 }
 
-// streamedShare is the share of generations that are streamed.
+// streamedShare is the share of requests with a generate stage that are streamed.
 const streamedShare = 0.7
 
-// request adds one request.
+// addRequest adds a request of customer c for pipeline p. The result is valid until
+// the next request is added.
 func (b *builder) addRequest(offset time.Duration, c bundle.Customer, p bundle.Pipeline) *trace.Request {
 	r := trace.Request{
 		ID: fmt.Sprintf("r%d", len(b.trace.Requests)+1), AtMS: offset.Milliseconds(),
@@ -190,7 +191,7 @@
 	return &b.trace.Requests[len(b.trace.Requests)-1]
 }
 
-// deadline returns the deadline that callers of p state.
+// deadline returns the deadline of requests for p.
 func (b *builder) deadline(p bundle.Pipeline) time.Duration {
 	var expected time.Duration
 	for _, s := range p.Stages {
@@ -202,13 +203,14 @@
 
 const promptSentence = "Rent is due monthly. "
 
-// length draws how often the sentence of a prompt is repeated: median 6, with a
-// heavy tail.
+// drawPromptRepeat returns a random number of repetitions of the prompt sentence. The
+// distribution is log-normal with median 6, because prompt lengths have a heavy tail,
+// and is limited to 1 to 64.
 func (b *builder) drawPromptRepeat() int {
 	return min(64, max(1, int(6*math.Exp(b.rng.NormFloat64()))))
 }
 
-// rank draws one of n, the first ones more often (weights 1, 1/2, 1/3...).
+// drawRank returns a random number below n by Zipf's law (weights 1, 1/2, 1/3...).
 func (b *builder) drawRank(n int) int {
 	ranks := make([]int, n)
 	for i := range ranks {
@@ -235,18 +237,18 @@
 	return false
 }
 
-// fault adds a fault of replicas of a pool, all of them when none are named.
+// addFault adds a fault of the given replicas of a pool; none means all replicas.
 func (b *builder) addFault(offset time.Duration, pool string, f faultBody, replicas ...int) {
 	body, err := json.Marshal(f)
 	if err != nil {
-		panic(err) // a struct of plain fields
+		panic(err) // cannot fail: the struct has only plain fields
 	}
 	b.trace.Faults = append(b.trace.Faults, trace.Fault{
 		AtMS: offset.Milliseconds(), Pool: pool, Replicas: replicas, Body: body,
 	})
 }
 
-// faults is the part of the stand-ins' control messages that scenarios use.
+// faultBody holds the members of the stand-ins' fault messages that scenarios use.
 type faultBody struct {
 	SlowFactor float64 `json:"slow_factor,omitempty"`
 	Down       bool    `json:"down,omitempty"`
--- a/replay/scenario/capacity.go
+++ b/replay/scenario/capacity.go
@@ -6,10 +6,11 @@
 	"github.com/wheatseam/wheatseam/bundle"
 )
 
-// Capacity returns the requests a second that the bundle's pools carry at a mix
-// of pipelines (name to weight): the rate at which the busiest pool has all of
-// its slots taken, by the expected durations of the stages. It is an estimate;
-// a replay shows what is really carried.
+// Capacity estimates how many requests per second the bundle's pools can serve for a
+// mix of pipelines (name to weight). It is the rate at which all slots of the busiest
+// pool are in use, calculated from the expected durations of the stages; the rate that
+// a fleet really sustains must be measured with a replay. It is +Inf if no pipeline
+// uses a pool.
 func Capacity(b *bundle.Bundle, mix map[string]float64) float64 {
 	shares := pipelineShares(b, mix)
 	lowestRate := math.Inf(1)
@@ -24,7 +25,8 @@
 	return lowestRate
 }
 
-// BusiestPool returns the pool that limits Capacity.
+// BusiestPool returns the pool that limits Capacity: the one with the highest
+// utilization.
 func BusiestPool(b *bundle.Bundle, mix map[string]float64) bundle.Pool {
 	shares := pipelineShares(b, mix)
 	var busiest bundle.Pool
@@ -38,8 +40,9 @@
 	return busiest
 }
 
-// pipelineShares returns the share of the requests that each pipeline gets, as
-// arrive draws them: a customer by its weight, then one of its pipelines.
+// pipelineShares returns the share of requests of each pipeline. It follows
+// addRandomRequest, which chooses a customer by weight and then one of the customer's
+// pipelines by weight.
 func pipelineShares(b *bundle.Bundle, mix map[string]float64) map[string]float64 {
 	weights := 0.0
 	for _, c := range b.Customers {
@@ -60,7 +63,8 @@
 	return shares
 }
 
-// poolNeed returns the seconds of a pool's slots that a mean request needs.
+// slotSecondsPerRequest returns how long a request occupies slots of the pool on
+// average, in seconds.
 func slotSecondsPerRequest(b *bundle.Bundle, pool string, shares map[string]float64) float64 {
 	slotSeconds := 0.0
 	for _, p := range b.Pipelines {
--- a/replay/scenario/committed_test.go
+++ b/replay/scenario/committed_test.go
@@ -16,7 +16,7 @@
 	"github.com/wheatseam/wheatseam/replay/verdict"
 )
 
-// maxTraceBytes bounds a trace in the repository.
+// maxTraceBytes limits the size of a trace in the repository.
 const maxTraceBytes = 400 << 10
 
 // exampleBundle returns the example bundle of a deployment.
@@ -36,7 +36,7 @@
 }
 
 var _ = Describe("the traces in the repository", func() {
-	It("have stated outcomes that can be read", func() {
+	It("have valid outcomes files", func() {
 		files, err := filepath.Glob("../../traces/outcomes/*.yaml")
 		Expect(err).NotTo(HaveOccurred())
 		for _, file := range append(files, "../../examples/demo-outcomes.yaml") {
@@ -50,7 +50,7 @@
 		}
 	})
 
-	It("are small, and their stated program makes them again (scripts/traces.sh)", func() {
+	It("are small and equal the output of the program in their header (scripts/traces.sh)", func() {
 		files, err := filepath.Glob("../../traces/*.jsonl")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(files)).To(BeNumerically(">=", 8))
@@ -69,7 +69,7 @@
 			o.Duration, err = time.ParseDuration(duration)
 			Expect(err).NotTo(HaveOccurred())
 			o.Bundle = exampleBundle(deployment)
-			Expect(written(create(name, o)) == string(text)).To(BeTrue(), file+" is not what its program makes")
+			Expect(written(create(name, o)) == string(text)).To(BeTrue(), file+" differs from the output of its program")
 		}
 	})
 })
--- a/replay/scenario/scenario.go
+++ b/replay/scenario/scenario.go
@@ -14,15 +14,15 @@
 	"github.com/wheatseam/wheatseam/replay/trace"
 )
 
-// Scenario is one named program.
+// Scenario is a named program that generates a trace.
 type Scenario struct {
 	Name string
-	// Note says in one sentence what its traces stand for.
+	// Note describes in one sentence what the traces represent.
 	Note     string
 	generate func(*builder) error
 }
 
-// Scenarios lists all programs.
+// Scenarios lists all scenarios.
 var Scenarios = []Scenario{
 	{"steady", "A constant rate without faults.", generateSteady},
 	{"firma-day", "A day at Firma Abierta, compressed, with a rush of seals before the signing deadline.", generateFirmaDay},
@@ -34,7 +34,7 @@
 	{"retry-storm", "The busiest pool is down for ten seconds, and callers retry.", generateRetryStorm},
 }
 
-// Names lists the names of all programs.
+// Names returns the names of all scenarios.
 func Names() []string {
 	var out []string
 	for _, s := range Scenarios {
@@ -43,14 +43,15 @@
 	return out
 }
 
-// Make runs the program called name.
+// Make generates a trace with the scenario called name. It fails for an unknown name,
+// invalid options, or a bundle that the scenario cannot be applied to.
 func Make(name string, o Options) (*trace.Trace, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
 	}
 	i := slices.IndexFunc(Scenarios, func(s Scenario) bool { return s.Name == name })
 	if i < 0 {
-		return nil, fmt.Errorf("unknown scenario %q; there are %s", name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("unknown scenario %q; the scenarios are %s", name, strings.Join(Names(), ", "))
 	}
 	b := newBuilder(name, o)
 	b.trace.Header.Note = Scenarios[i].Note
@@ -61,7 +62,7 @@
 		return nil, fmt.Errorf("scenario %s: %w", name, err)
 	}
 	if n := len(b.trace.Requests); n == 0 || n > trace.MaxRequests {
-		return nil, fmt.Errorf("scenario %s: %d requests lie outside 1 to %d", name, n, trace.MaxRequests)
+		return nil, fmt.Errorf("scenario %s: %d requests are outside the range 1 to %d", name, n, trace.MaxRequests)
 	}
 	slices.SortStableFunc(b.trace.Requests, func(x, y trace.Request) int { return cmp.Compare(x.AtMS, y.AtMS) })
 	return &b.trace, nil
@@ -76,8 +77,8 @@
 	b.poissonArrivals(0, 1, b.arrivalRate, constantRate(b.arrivalRate), func(at time.Duration, _ float64) { b.addRandomRequest(at, nil) })
 }
 
-// nonRepeatable returns the mix with the weight of pipelines that need a key
-// multiplied by factor.
+// nonRepeatableWeighted returns the pipeline weights with those of pipelines that have
+// a non-repeatable stage multiplied by factor.
 func (b *builder) nonRepeatableWeighted(factor float64) map[string]float64 {
 	out := maps.Clone(b.pipelineWeights)
 	for _, p := range b.Bundle.Pipelines {
@@ -88,15 +89,17 @@
 	return out
 }
 
-// The day of makeFirmaDay runs from 8 to 18 o'clock; the rush is before 17.
+// Parameters of generateFirmaDay. The simulated day lasts from 8:00 to 18:00; rushStart
+// and rushEnd are fractions of it, so that the rush is the hour before 17:00.
 const (
 	rushStart = 0.80
 	rushEnd   = 0.90
-	// rushRate is the rate in the rush beside the mean, rushSeals how much
-	// more often than usual seals are asked for.
+	// rushRateFactor is the rate during the rush as a multiple of the mean rate.
+	// rushNonRepeatableFactor multiplies the weight of pipelines with a
+	// non-repeatable stage, such as seals.
 	rushRateFactor          = 2.5
 	rushNonRepeatableFactor = 6
-	// tidalSwing is how far the rate rises and falls over the day.
+	// dailyRateAmplitude is the relative amplitude of the rate outside the rush.
 	dailyRateAmplitude = 0.4
 )
 
@@ -105,7 +108,7 @@
 		if share >= rushStart && share < rushEnd {
 			return rushRateFactor * b.arrivalRate
 		}
-		// Two peaks, at 10:30 and 15:30, with the dip of lunch between.
+		// The rate has peaks at 10:30 and 15:30 and a minimum at lunchtime.
 		return b.arrivalRate * (1 - dailyRateAmplitude*math.Cos(4*math.Pi*share))
 	}
 	rush := b.nonRepeatableWeighted(rushNonRepeatableFactor)
@@ -120,14 +123,16 @@
 	return nil
 }
 
-// impatience is the share of callers with a key that ask again through another
-// host, and patience how soon.
+// duplicateShare is the share of requests with an idempotency key whose caller sends
+// them again through another host without waiting for the answer; duplicateDelay is
+// how long after the first try.
 const (
 	duplicateShare = 0.05
 	duplicateDelay = 300 * time.Millisecond
 )
 
-// impatient adds a caller's retry to some of the requests that have a key.
+// maybeAddDuplicate adds an unconditional retry to a random share of the requests that
+// have an idempotency key.
 func (b *builder) maybeAddDuplicate(r *trace.Request) {
 	if r.Key == "" || b.rng.Float64() >= duplicateShare {
 		return
@@ -142,7 +147,8 @@
 	b.trace.Requests = append(b.trace.Requests, again)
 }
 
-// The shape of makeTyphoon, as multiples of the mean rate.
+// Parameters of generateTyphoon. Factors are multiples of the mean rate; the other
+// values are fractions of the duration.
 const (
 	quietRateFactor = 0.3
 	surgePeakFactor = 3.0
@@ -167,10 +173,10 @@
 	return nil
 }
 
-// straggling is how many times slower a straggler is.
+// stragglerSlowFactor is how many times slower a straggler responds.
 const stragglerSlowFactor = 10
 
-// usedPools lists the pools that pipelines use, in the order of the bundle.
+// usedPools returns the pools that pipelines use, in the order of the bundle.
 func (b *builder) usedPools() []bundle.Pool {
 	shares := pipelineShares(b.Bundle, b.pipelineWeights)
 	var out []bundle.Pool
@@ -185,7 +191,8 @@
 func generateStragglers(b *builder) error {
 	b.addSteadyArrivals()
 	pools := b.usedPools()
-	// A quiet stretch of the same length stands before each straggler.
+	// Before and after each straggler is an interval without faults of the same
+	// length.
 	interval := 1 / float64(2*len(pools)+1)
 	for i, p := range pools {
 		from := interval * float64(2*i+1)
@@ -203,13 +210,14 @@
 	return nil
 }
 
-// greed is how many times its share the greedy customer sends.
+// greedyFactor is how many times its share the greedy customer sends.
 const greedyFactor = 10
 
 func generateGreedyCustomer(b *builder) error {
 	b.addSteadyArrivals()
 	customers := b.Bundle.Customers
-	// The customer with the least weight is greedy: its share is the clearest.
+	// The customer with the smallest weight is the greedy one, because it exceeds
+	// its share most clearly.
 	greedy := slices.MinFunc(customers, func(x, y bundle.Customer) int {
 		return cmp.Compare(x.Weight, y.Weight)
 	})
@@ -240,18 +248,18 @@
 	return nil
 }
 
-// The storm of makeRetryStorm.
+// Parameters of generateRetryStorm.
 const (
 	outageDuration = 10 * time.Second
-	// stormTries is how often a caller that was not answered asks again, each
-	// time after twice the pause before.
+	// outageRetries is how many times a caller without an answer retries. The
+	// delay starts at firstRetryDelay and doubles with each retry.
 	outageRetries   = 3
 	firstRetryDelay = time.Second
 )
 
 func generateRetryStorm(b *builder) error {
 	if b.Duration < 3*outageDuration {
-		return fmt.Errorf("duration must be %v at least", 3*outageDuration)
+		return fmt.Errorf("duration must be at least %v", 3*outageDuration)
 	}
 	pool := BusiestPool(b.Bundle, b.pipelineWeights).Name
 	from := b.offsetAt(1.0 / 3)
--- a/replay/scenario/scenario_test.go
+++ b/replay/scenario/scenario_test.go
@@ -22,8 +22,8 @@
 	return bundle.Pool{Name: name, Concurrency: concurrency, Upstreams: make([]bundle.Upstream, replicas)}
 }
 
-// testBundle carries 20 requests a second: half of them are summaries, which
-// take one of the 8 slots of the engines for 800 ms.
+// testBundle returns a bundle with a capacity of 20 requests per second: half of them
+// are summaries, which occupy one of the 8 slots of the engines for 800 ms.
 func testBundle() *bundle.Bundle {
 	return &bundle.Bundle{
 		Version: 3, Deployment: "test",
@@ -76,7 +76,7 @@
 
 var _ = Describe("scenarios", func() {
 	for _, name := range scenario.Names() {
-		It("makes "+name+" the same again for the same seed, and one that can be read", func() {
+		It("generates "+name+" deterministically by seed, as a trace that can be parsed", func() {
 			text := written(create(name, options()))
 			Expect(written(create(name, options()))).To(Equal(text))
 			other := options()
@@ -89,15 +89,15 @@
 		})
 	}
 
-	It("works out the capacity of a bundle", func() {
+	It("calculates the capacity of a bundle", func() {
 		b := testBundle()
 		mix := map[string]float64{"summary": 1, "seal": 1}
-		// 8 slots, and 0.4 s of them for each request.
+		// 8 slots, of which each request occupies one for 0.4 s on average.
 		Expect(scenario.Capacity(b, mix)).To(BeNumerically("~", 20, 1e-9))
 		Expect(scenario.BusiestPool(b, mix).Name).To(Equal("lm"))
 	})
 
-	It("arrives at the rate that the load asks for", func() {
+	It("generates arrivals at the rate given by Load", func() {
 		for _, load := range []float64{0.5, 2} {
 			o := options()
 			o.Load = load
@@ -106,14 +106,14 @@
 		}
 	})
 
-	It("asks for keys where a stage may not be repeated, for prefixes where text is generated", func() {
+	It("sets keys for pipelines with a non-repeatable stage and prefixes for those with a generate stage", func() {
 		for _, r := range create("steady", options()).Requests {
 			Expect(r.Key == trace.AutoKey).To(Equal(r.Pipeline == "seal"))
 			Expect(r.Prefix != "").To(Equal(r.Pipeline == "summary"))
 		}
 	})
 
-	It("states deadlines by the callers' patience, within the bounds", func() {
+	It("calculates deadlines from Patience within the limits", func() {
 		deadlines := map[string]int64{}
 		for _, r := range create("steady", options()).Requests {
 			deadlines[r.Pipeline] = r.DeadlineMS
@@ -121,7 +121,7 @@
 		Expect(deadlines).To(Equal(map[string]int64{"summary": 1600, "seal": 1000}))
 	})
 
-	It("gives the greedy customer its flood", func() {
+	It("raises the share of the greedy customer", func() {
 		small := func(r trace.Request) bool { return r.Customer == "small" }
 		Expect(share(create("steady", options()), small)).To(BeNumerically("~", 0.1, 0.04))
 		middle := create("greedy-customer", options())
@@ -129,14 +129,14 @@
 		Expect(share(middle, flood)).To(BeNumerically(">", 0.3))
 	})
 
-	It("rushes seals before the deadline of the day", func() {
+	It("raises the rate and the share of seals during the rush", func() {
 		day := create("firma-day", options())
 		in := func(r trace.Request) bool { return r.At() >= 32*time.Second && r.At() < 36*time.Second }
-		Expect(share(day, in)).To(BeNumerically(">", 0.17), "a tenth of the time")
+		Expect(share(day, in)).To(BeNumerically(">", 0.17), "a tenth of the duration")
 		Expect(share(day, func(r trace.Request) bool { return in(r) && r.Pipeline == "seal" })).To(BeNumerically(">", 0.6*share(day, in)))
 	})
 
-	It("lets a straggler strike each pool in use in turn and lifts every fault", func() {
+	It("slows one replica in each used pool in turn and clears every fault", func() {
 		t := create("stragglers", options())
 		var pools []string
 		for _, f := range t.Faults {
@@ -156,7 +156,7 @@
 		}
 	})
 
-	It("lets callers retry in the storm, with keys", func() {
+	It("adds retries and idempotency keys in the retry storm", func() {
 		t := create("retry-storm", options())
 		retries := 0
 		for _, r := range t.Requests {
@@ -168,7 +168,7 @@
 		Expect(retries).To(BeNumerically(">", 300))
 	})
 
-	It("refuses what it cannot make", func() {
+	It("rejects invalid options and unknown scenarios", func() {
 		for says, spoil := range map[string]func(*scenario.Options){
 			"load":     func(o *scenario.Options) { o.Load = 0 },
 			"patience": func(o *scenario.Options) { o.Patience = 0 },
--- a/replay/trace/parse.go
+++ b/replay/trace/parse.go
@@ -14,10 +14,11 @@
 	"github.com/google/uuid"
 )
 
-// maxLine bounds the bytes of one line.
+// maxLineBytes limits the length of one line.
 const maxLineBytes = 1 << 20
 
-// maxRepeat bounds the repetitions of a text, maxText its length after them.
+// maxRepeat limits the repetitions of a text, maxTextBytes the length of the repeated
+// text.
 const (
 	maxRepeat    = 10_000
 	maxTextBytes = 256 << 10
@@ -36,7 +37,7 @@
 // Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// parser gathers the lines of one trace and every error in them.
+// parser accumulates the lines of one trace and the errors in them.
 type parser struct {
 	trace        Trace
 	lineNumber   int
@@ -45,7 +46,8 @@
 	errs         []error
 }
 
-// Parse reads a trace. Its error joins one *LineError for each wrong line.
+// Parse reads a trace and sorts its requests and faults by offset. Its error joins
+// one *LineError for each invalid line.
 func Parse(r io.Reader) (*Trace, error) {
 	p := &parser{prefixNames: map[string]bool{}, requestsByID: map[string]Request{}}
 	lines := bufio.NewScanner(r)
@@ -82,7 +84,7 @@
 		return fmt.Errorf("not a JSON object: %w", err)
 	}
 	if line.Type != typeTrace && p.trace.Header.Version == 0 {
-		p.trace.Header.Version = FormatVersion // report it once
+		p.trace.Header.Version = FormatVersion // reports the missing header only once
 		return fmt.Errorf("the first line must be of type %q, not %q", typeTrace, line.Type)
 	}
 	switch line.Type {
@@ -99,7 +101,7 @@
 	}
 }
 
-// decode reads one line, in which every member must be known.
+// decodeLine decodes one line. It rejects unknown members and trailing data.
 func decodeLine(text []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
@@ -114,9 +116,9 @@
 
 func (p *parser) parseHeader(text []byte) error {
 	if p.trace.Header.Version != 0 {
-		return errors.New("a second header")
+		return errors.New("a second header is not allowed")
 	}
-	p.trace.Header.Version = FormatVersion // report a wrong header once
+	p.trace.Header.Version = FormatVersion // reports an invalid header only once
 	var l headerLine
 	if err := decodeLine(text, &l); err != nil {
 		return err
@@ -137,10 +139,10 @@
 		return err
 	}
 	if l.Name == "" || l.Text == "" {
-		return errors.New("a prefix needs name and text")
+		return errors.New("a prefix requires name and text")
 	}
 	if p.prefixNames[l.Name] {
-		return fmt.Errorf("prefix %q stands twice", l.Name)
+		return fmt.Errorf("duplicate prefix %q", l.Name)
 	}
 	if err := validateText(l.Text, l.Repeat); err != nil {
 		return err
@@ -160,7 +162,7 @@
 		return errors.New("id is missing")
 	}
 	if _, ok := p.requestsByID[r.ID]; ok {
-		return fmt.Errorf("id %q stands twice", r.ID)
+		return fmt.Errorf("duplicate id %q", r.ID)
 	}
 	if len(p.requestsByID) >= MaxRequests {
 		return fmt.Errorf("more than %d requests", MaxRequests)
@@ -177,17 +179,17 @@
 	return nil
 }
 
-// complete checks a request and fills in defaults and, for a retry, the
-// members of the request that it repeats.
+// completeRequest validates a request and fills in its defaults. For a retry, it also
+// copies the members of the request that is repeated.
 func (p *parser) completeRequest(r Request) (Request, error) {
 	if r.RetryOf != "" {
 		return p.completeRetry(r)
 	}
 	if r.When != "" {
-		return r, errors.New("when stands only beside retry_of")
+		return r, errors.New("when is only allowed together with retry_of")
 	}
 	if r.Customer == "" || r.Pipeline == "" {
-		return r, errors.New("a request needs customer and pipeline")
+		return r, errors.New("a request requires customer and pipeline")
 	}
 	if r.DeadlineMS <= 0 {
 		return r, errors.New("deadline_ms must be positive")
@@ -198,7 +200,7 @@
 		}
 	}
 	if r.Prefix != "" && !p.prefixNames[r.Prefix] {
-		return r, fmt.Errorf("prefix %q is not defined above", r.Prefix)
+		return r, fmt.Errorf("prefix %q is not defined on an earlier line", r.Prefix)
 	}
 	if err := validateText(r.Prompt, r.PromptRepeat); err != nil {
 		return r, err
@@ -220,20 +222,20 @@
 func (p *parser) completeRetry(r Request) (Request, error) {
 	first, ok := p.requestsByID[r.RetryOf]
 	if !ok {
-		return r, fmt.Errorf("retry_of %q is not defined above", r.RetryOf)
+		return r, fmt.Errorf("retry_of %q is not defined on an earlier line", r.RetryOf)
 	}
 	if first.RetryOf != "" {
-		return r, fmt.Errorf("retry_of %q is a retry itself; name the first try", r.RetryOf)
+		return r, fmt.Errorf("retry_of %q is itself a retry; state the id of the first try", r.RetryOf)
 	}
 	if r.AtMS < first.AtMS {
-		return r, errors.New("a retry comes before its first try")
+		return r, errors.New("the at_ms of a retry is less than that of its first try")
 	}
 	if first.Key == "" {
 		return r, fmt.Errorf("retry_of %q has no key", r.RetryOf)
 	}
 	allowed := Request{ID: r.ID, AtMS: r.AtMS, RetryOf: r.RetryOf, When: r.When}
 	if r != allowed {
-		return r, errors.New("a retry states only id, at_ms, retry_of and when")
+		return r, errors.New("a retry may only have the members id, at_ms, retry_of and when")
 	}
 	switch r.When {
 	case "":
@@ -259,7 +261,7 @@
 		return errors.New("pool is missing")
 	}
 	if slices.ContainsFunc(l.Replicas, func(i int) bool { return i < 0 }) {
-		return errors.New("replicas count from 0")
+		return errors.New("replicas must not be negative")
 	}
 	if !strings.HasPrefix(string(l.Body), "{") {
 		return errors.New("body must be a JSON object")
@@ -270,17 +272,17 @@
 
 func validateOffset(ms int64) error {
 	if ms < 0 || ms > MaxOffset.Milliseconds() {
-		return fmt.Errorf("at_ms %d lies outside 0 to %d", ms, MaxOffset.Milliseconds())
+		return fmt.Errorf("at_ms %d is outside the range 0 to %d", ms, MaxOffset.Milliseconds())
 	}
 	return nil
 }
 
 func validateText(text string, repeat int) error {
 	if repeat < 0 || repeat > maxRepeat {
-		return fmt.Errorf("repeat %d lies outside 0 to %d", repeat, maxRepeat)
+		return fmt.Errorf("repeat %d is outside the range 0 to %d", repeat, maxRepeat)
 	}
 	if n := len(text) * max(repeat, 1); n > maxTextBytes {
-		return fmt.Errorf("text of %d bytes is longer than %d", n, maxTextBytes)
+		return fmt.Errorf("text of %d bytes exceeds the limit of %d", n, maxTextBytes)
 	}
 	return nil
 }
--- a/replay/trace/trace.go
+++ b/replay/trace/trace.go
@@ -1,9 +1,9 @@
-// Package trace holds recorded traces: the requests that callers send at
-// stated offsets and the faults that strike the upstreams meanwhile.
+// Package trace defines recorded traces: requests that callers send at given offsets
+// and faults that are injected into the upstreams at given offsets.
 //
-// A trace is a text of JSON lines (see docs/REPLAY.md). The first line is the
-// Header; each later line is a Prefix, a Request or a Fault, told apart by its
-// "type" member. A Trace is immutable once parsed.
+// A trace is stored as JSON lines (see docs/REPLAY.md). The first line is the Header;
+// each later line is a Prefix, a Request or a Fault, as its "type" member states. A
+// Trace must not be modified after it has been parsed.
 package trace
 
 import (
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// FormatVersion is the version of the format that this package reads.
+// FormatVersion is the only format version that this package supports.
 const FormatVersion = 1
 
-// MaxRequests bounds the requests of one trace.
+// MaxRequests is the largest number of requests in a trace.
 const MaxRequests = 200_000
 
-// MaxOffset bounds the offsets of a trace.
+// MaxOffset is the largest offset in a trace.
 const MaxOffset = time.Hour
 
-// AutoKey asks for an idempotency key made when the request is sent: a UUIDv7,
-// which carries the time of sending.
+// AutoKey, as the key of a request, requests an idempotency key that is generated when
+// the request is sent: a UUIDv7, which contains the time of sending.
 const AutoKey = "auto"
 
 // lineType is the "type" member of a line.
 type lineType string
 
-// The types of line.
+// Types of lines.
 const (
 	typeTrace   lineType = "trace"
 	typePrefix  lineType = "prefix"
@@ -35,87 +35,86 @@
 	typeFault   lineType = "fault"
 )
 
-// Expectation is what the maker of a trace expects of a request.
+// Expectation is the outcome that the author of a trace expects of a request.
 type Expectation string
 
-// The expectations.
 const (
-	// ExpectAny accepts an answer or an honest refusal.
+	// ExpectAny accepts an answer, in time or late, or a refusal.
 	ExpectAny Expectation = "any"
-	// ExpectAnswer accepts a whole answer within the deadline only.
+	// ExpectAnswer accepts only a complete answer within the deadline.
 	ExpectAnswer Expectation = "answer"
-	// ExpectRefusal accepts a refusal only.
+	// ExpectRefusal accepts only a refusal.
 	ExpectRefusal Expectation = "refusal"
 )
 
-// RetryWhen says when a caller's retry is sent.
+// RetryWhen is the condition under which a caller's retry is sent.
 type RetryWhen string
 
-// The conditions of a caller's retry.
 const (
-	// RetryUnlessAnswered sends the retry if no earlier try of the same
-	// request has been answered whole when its time comes. The default.
+	// RetryUnlessAnswered sends the retry if no earlier try of the request has
+	// been answered by the offset of the retry. This is the default.
 	RetryUnlessAnswered RetryWhen = "unless_answered"
-	// RetryAlways sends the retry whatever became of the earlier tries.
+	// RetryAlways sends the retry regardless of the outcome of earlier tries.
 	RetryAlways RetryWhen = "always"
 )
 
-// Header is the first line: what the trace is and how it was made.
+// Header is the first line of a trace. It describes the trace and how it was
+// generated.
 type Header struct {
 	Version int    `json:"version"`
 	Name    string `json:"name"`
-	// Program is the command that made the trace, seed included.
+	// Program is the command that generated the trace, including the seed.
 	Program string `json:"program,omitempty"`
 	Seed    uint64 `json:"seed"`
-	// Note says in one sentence what the trace stands for.
+	// Note describes in one sentence what the trace represents.
 	Note string `json:"note,omitempty"`
 }
 
-// Prefix is a prompt prefix that requests share by its name.
+// Prefix is a prompt prefix that requests share by naming it.
 type Prefix struct {
 	Name string `json:"name"`
 	Text string `json:"text"`
-	// Repeat repeats Text so often; 0 and 1 leave it as it is.
+	// Repeat is how many times Text is repeated; 0 and 1 both mean once.
 	Repeat int `json:"repeat,omitempty"`
 }
 
 // Request is one request of one caller, or a caller's retry of an earlier one.
 type Request struct {
-	// ID names the request within the trace.
+	// ID is unique within the trace.
 	ID string `json:"id"`
 	// AtMS is the arrival offset from the start, in milliseconds.
 	AtMS int64 `json:"at_ms"`
-	// RetryOf names the earlier request that this one repeats: it takes over
-	// all of its members but its id and offset, and goes to another host.
+	// RetryOf is the id of the earlier request that this one repeats. The retry
+	// inherits all members except its id and offset and is sent to another host.
 	RetryOf string    `json:"retry_of,omitempty"`
 	When    RetryWhen `json:"when,omitempty"`
 
 	Customer   string `json:"customer,omitempty"`
 	Pipeline   string `json:"pipeline,omitempty"`
 	DeadlineMS int64  `json:"deadline_ms,omitempty"`
-	// Key is the idempotency key, AutoKey, or empty for none.
+	// Key is the idempotency key: a UUID, AutoKey, or empty for none.
 	Key    string `json:"key,omitempty"`
 	Stream bool   `json:"stream,omitempty"`
-	// Prefix names the shared prefix of the prompt.
+	// Prefix is the name of the shared prefix of the prompt.
 	Prefix string `json:"prefix,omitempty"`
 	Prompt string `json:"prompt,omitempty"`
-	// PromptRepeat repeats Prompt so often; 0 and 1 leave it as it is.
+	// PromptRepeat is how many times Prompt is repeated; 0 and 1 both mean once.
 	PromptRepeat int         `json:"prompt_repeat,omitempty"`
 	Expect       Expectation `json:"expect,omitempty"`
 }
 
-// Fault is a message to the control interface of stand-ins.
+// Fault is a fault that is injected through the control interface of stand-ins.
 type Fault struct {
 	AtMS int64 `json:"at_ms"`
-	// Pool and Replicas name the stand-ins: the pool's upstreams by their
-	// index in the bundle, all of them when Replicas is empty.
+	// Pool and Replicas select the stand-ins. Replicas are the indexes of the
+	// pool's upstreams in the bundle; empty selects all of them.
 	Pool     string `json:"pool"`
 	Replicas []int  `json:"replicas,omitempty"`
-	// Body is posted to /control/faults as it is.
+	// Body is the JSON object that is posted to /control/faults.
 	Body json.RawMessage `json:"body"`
 }
 
-// Trace is a parsed trace, requests and faults in the order of their offsets.
+// Trace is a parsed trace. Requests and faults are sorted by offset.
 type Trace struct {
 	Header   Header
 	Prefixes []Prefix
@@ -126,7 +125,8 @@
 // At returns the arrival offset.
 func (r Request) At() time.Duration { return time.Duration(r.AtMS) * time.Millisecond }
 
-// Deadline returns the time that the caller gives the request.
+// Deadline returns the time within which the caller wants the answer, counted from
+// the arrival.
 func (r Request) Deadline() time.Duration {
 	return time.Duration(r.DeadlineMS) * time.Millisecond
 }
@@ -134,7 +134,7 @@
 // At returns the offset of the fault.
 func (f Fault) At() time.Duration { return time.Duration(f.AtMS) * time.Millisecond }
 
-// Duration returns the last offset of the trace.
+// Duration returns the largest offset of the trace.
 func (t *Trace) Duration() time.Duration {
 	var last time.Duration
 	for _, r := range t.Requests {
--- a/replay/trace/trace_test.go
+++ b/replay/trace/trace_test.go
@@ -27,7 +27,7 @@
 	`{"type":"request","id":"a2","at_ms":20,"retry_of":"a"}` + "\n"
 
 var _ = Describe("a trace", func() {
-	It("is read, and written as it was", func() {
+	It("is unchanged by parsing and writing", func() {
 		t, err := trace.Parse(strings.NewReader(whole))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(t.Header.Seed).To(Equal(uint64(7)))
@@ -42,7 +42,7 @@
 		Expect(out.String()).To(Equal(whole))
 	})
 
-	It("is put in the order of its offsets", func() {
+	It("is sorted by offset", func() {
 		t, err := trace.Parse(strings.NewReader(header +
 			`{"type":"request","id":"late","at_ms":50,"customer":"c","pipeline":"p","deadline_ms":1}` + "\n" +
 			`{"type":"request","id":"early","at_ms":2,"customer":"c","pipeline":"p","deadline_ms":1}`))
@@ -50,7 +50,7 @@
 		Expect(t.Requests[0].ID).To(Equal("early"))
 	})
 
-	DescribeTable("is refused with the line that is wrong",
+	DescribeTable("is rejected with the number of the invalid line",
 		func(text string, line int, says string) {
 			_, err := trace.Parse(strings.NewReader(text))
 			var wrong *trace.LineError
@@ -60,29 +60,29 @@
 		},
 		Entry("empty", "", 1, "empty"),
 		Entry("no header", `{"type":"prefix","name":"a","text":"b"}`, 1, "first line"),
-		Entry("no JSON", header+"\n{", 3, "not a JSON object"),
-		Entry("version", `{"type":"trace","version":2,"name":"t"}`, 1, "version 2"),
+		Entry("invalid JSON", header+"\n{", 3, "not a JSON object"),
+		Entry("unsupported version", `{"type":"trace","version":2,"name":"t"}`, 1, "version 2"),
 		Entry("second header", header+header, 2, "second header"),
-		Entry("type", header+`{"type":"pause"}`, 2, `unknown type "pause"`),
-		Entry("member", header+`{"type":"request","id":"a","dedline_ms":1}`, 2, "dedline_ms"),
+		Entry("unknown type", header+`{"type":"pause"}`, 2, `unknown type "pause"`),
+		Entry("unknown member", header+`{"type":"request","id":"a","dedline_ms":1}`, 2, "dedline_ms"),
 		Entry("two objects", header+`{"type":"prefix","name":"a","text":"b"} {}`, 2, "invalid character"),
-		Entry("id", header+`{"type":"request","customer":"c","pipeline":"p","deadline_ms":1}`, 2, "id is missing"),
-		Entry("id twice", header+strings.Repeat(`{"type":"request","id":"a","customer":"c","pipeline":"p","deadline_ms":1}`+"\n", 2), 3, "stands twice"),
-		Entry("deadline", header+`{"type":"request","id":"a","customer":"c","pipeline":"p"}`, 2, "deadline_ms"),
-		Entry("offset", header+`{"type":"request","id":"a","at_ms":-1,"customer":"c","pipeline":"p","deadline_ms":1}`, 2, "at_ms -1"),
-		Entry("prefix", header+`{"type":"request","id":"a","customer":"c","pipeline":"p","deadline_ms":1,"prefix":"x"}`, 2, `prefix "x"`),
-		Entry("key", header+`{"type":"request","id":"a","customer":"c","pipeline":"p","deadline_ms":1,"key":"x"}`, 2, "key is neither"),
-		Entry("expectation", header+`{"type":"request","id":"a","customer":"c","pipeline":"p","deadline_ms":1,"expect":"luck"}`, 2, "luck"),
-		Entry("retry of nothing", header+`{"type":"request","id":"a","retry_of":"b"}`, 2, `retry_of "b"`),
+		Entry("missing id", header+`{"type":"request","customer":"c","pipeline":"p","deadline_ms":1}`, 2, "id is missing"),
+		Entry("duplicate id", header+strings.Repeat(`{"type":"request","id":"a","customer":"c","pipeline":"p","deadline_ms":1}`+"\n", 2), 3, "duplicate id"),
+		Entry("missing deadline", header+`{"type":"request","id":"a","customer":"c","pipeline":"p"}`, 2, "deadline_ms"),
+		Entry("negative offset", header+`{"type":"request","id":"a","at_ms":-1,"customer":"c","pipeline":"p","deadline_ms":1}`, 2, "at_ms -1"),
+		Entry("undefined prefix", header+`{"type":"request","id":"a","customer":"c","pipeline":"p","deadline_ms":1,"prefix":"x"}`, 2, `prefix "x"`),
+		Entry("invalid key", header+`{"type":"request","id":"a","customer":"c","pipeline":"p","deadline_ms":1,"key":"x"}`, 2, "key is neither"),
+		Entry("unknown expectation", header+`{"type":"request","id":"a","customer":"c","pipeline":"p","deadline_ms":1,"expect":"luck"}`, 2, "luck"),
+		Entry("retry of an undefined request", header+`{"type":"request","id":"a","retry_of":"b"}`, 2, `retry_of "b"`),
 		Entry("retry without key", header+`{"type":"request","id":"a","customer":"c","pipeline":"p","deadline_ms":1}`+"\n"+
 			`{"type":"request","id":"b","retry_of":"a"}`, 3, "has no key"),
-		Entry("retry with more", header+`{"type":"request","id":"a","customer":"c","pipeline":"p","deadline_ms":1,"key":"auto"}`+"\n"+
-			`{"type":"request","id":"b","retry_of":"a","customer":"c"}`, 3, "a retry states only"),
+		Entry("retry with additional members", header+`{"type":"request","id":"a","customer":"c","pipeline":"p","deadline_ms":1,"key":"auto"}`+"\n"+
+			`{"type":"request","id":"b","retry_of":"a","customer":"c"}`, 3, "a retry may only have"),
 		Entry("fault body", header+`{"type":"fault","pool":"p","body":3}`, 2, "body"),
-		Entry("repeat", header+`{"type":"prefix","name":"a","text":"b","repeat":99999}`, 2, "repeat"),
+		Entry("repeat above the limit", header+`{"type":"prefix","name":"a","text":"b","repeat":99999}`, 2, "repeat"),
 	)
 
-	It("reports every wrong line at once", func() {
+	It("reports every invalid line", func() {
 		_, err := trace.Parse(strings.NewReader(header + "{\n{\n"))
 		Expect(err.Error()).To(And(ContainSubstring("line 2"), ContainSubstring("line 3")))
 	})
--- a/replay/trace/write.go
+++ b/replay/trace/write.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// The lines as they stand in a file.
+// The lines of a trace file.
 type (
 	headerLine struct {
 		Type lineType `json:"type"`
@@ -28,8 +28,8 @@
 	}
 )
 
-// Write writes t so that Parse reads it back: header, prefixes, then requests
-// and faults by offset. Retries are written with their own members only.
+// Write writes t in the format that Parse reads: the header, the prefixes, then
+// requests and faults by offset. Members that a retry inherits are omitted.
 func Write(w io.Writer, t *Trace) error {
 	buffered := bufio.NewWriter(w)
 	enc := json.NewEncoder(buffered)
@@ -65,7 +65,7 @@
 	return out
 }
 
-// written leaves out what Parse fills in.
+// withoutDefaults returns r without the members that Parse fills in.
 func (r Request) withoutDefaults() Request {
 	if r.RetryOf != "" {
 		r = Request{ID: r.ID, AtMS: r.AtMS, RetryOf: r.RetryOf, When: r.When}
--- a/replay/verdict/metrics.go
+++ b/replay/verdict/metrics.go
@@ -10,10 +10,10 @@
 	"github.com/wheatseam/wheatseam/replay/report"
 )
 
-// Metric names a figure of a report.
+// Metric is the name of a metric of a report.
 type Metric string
 
-// The metrics. Times are in milliseconds, shares lie between 0 and 1.
+// The metrics. Latencies are in milliseconds; shares are between 0 and 1.
 const (
 	Attainment       Metric = "attainment"
 	TriesAttainment  Metric = "tries_attainment"
@@ -26,12 +26,14 @@
 	RefusedShare     Metric = "refused_share"
 	RefusalP50       Metric = "refusal_p50_ms"
 	RefusalP99       Metric = "refusal_p99_ms"
-	// WindowedAttainment is the attainment of the tries due in a window.
+	// WindowedAttainment is the share of attained tries among those due in a
+	// time window.
 	WindowedAttainment Metric = "windowed_attainment"
 	Goodput            Metric = "goodput"
 	SendLagP99         Metric = "send_lag_p99_ms"
 	EngineSeconds      Metric = "engine_seconds"
-	// EngineSecondsEach is the engine seconds for each request answered in time.
+	// EngineSecondsPerAttained is the engine seconds per request that was answered
+	// in time.
 	EngineSecondsPerAttained Metric = "engine_seconds_per_attained"
 	Tokens                   Metric = "tokens"
 	StageCalls               Metric = "stage_calls"
@@ -40,7 +42,7 @@
 	Undelivered              Metric = "undelivered"
 )
 
-// scope says what narrows a metric.
+// scope says which members of an Outcome may restrict a metric.
 type scope uint8
 
 const (
@@ -86,10 +88,11 @@
 	ViolationCount:           {scopeViolations, violationCount},
 }
 
-// Metrics lists the names of all metrics.
+// Metrics returns the names of all metrics in alphabetical order.
 func Metrics() []Metric { return slices.Sorted(maps.Keys(metrics)) }
 
-// Value returns the figure that o selects in r, bounds left aside.
+// Value returns the value of the metric that o selects in r, regardless of Min and Max.
+// It fails if the metric is unknown or the run has no such requests, stage or samples.
 func (o Outcome) Value(r *report.Report) (float64, error) {
 	m, ok := metrics[o.Metric]
 	if !ok {
--- a/replay/verdict/verdict.go
+++ b/replay/verdict/verdict.go
@@ -1,4 +1,4 @@
-// Package verdict judges a report by stated outcomes.
+// Package verdict evaluates a report against required outcomes.
 package verdict
 
 import (
@@ -11,48 +11,52 @@
 	"github.com/wheatseam/wheatseam/replay/report"
 )
 
-// Outcomes are what is asked of a run; see docs/REPLAY.md.
+// Outcomes are the requirements on a run; see docs/REPLAY.md.
 type Outcomes struct {
-	// Trace is the name of the trace that the outcomes are stated for.
+	// Trace is the name of the trace that the outcomes apply to; empty for any.
 	Trace    string    `yaml:"trace"`
 	Outcomes []Outcome `yaml:"outcomes"`
 }
 
-// Outcome asks one metric to lie within Min and Max.
+// Outcome requires a metric to be at least Min and at most Max. At least one of the two
+// must be set.
 type Outcome struct {
 	Metric Metric `yaml:"metric"`
-	// Pipeline or Customer narrows the metrics of requests.
+	// Pipeline or Customer restricts a metric of requests; only one may be set.
 	Pipeline string `yaml:"pipeline,omitempty"`
 	Customer string `yaml:"customer,omitempty"`
-	// Stage narrows the metrics of cost; empty sums up all stages.
+	// Stage restricts a metric of cost; empty means the sum of all stages.
 	Stage string `yaml:"stage,omitempty"`
-	// Kind narrows violations (lost, doubled, misdelivered, untrue_not_run).
+	// Kind restricts the metric violations to one kind (lost, doubled,
+	// misdelivered, untrue_not_run).
 	Kind string `yaml:"kind,omitempty"`
-	// From and To narrow windowed_attainment to requests due in these seconds
-	// of the run, To left out.
+	// From (inclusive) and To (exclusive; 0 for the end of the run) restrict
+	// windowed_attainment to requests due in these seconds of the run.
 	From int      `yaml:"from_s,omitempty"`
 	To   int      `yaml:"to_s,omitempty"`
 	Min  *float64 `yaml:"min,omitempty"`
 	Max  *float64 `yaml:"max,omitempty"`
 }
 
-// Line is the judgement of one outcome.
+// OutcomeResult is the evaluation of one outcome.
 type OutcomeResult struct {
 	Outcome Outcome
 	Value   float64
-	// Err says why there is no value; the outcome is then not met.
+	// Err is the reason why there is no value; the outcome is then not met.
 	Err error
 	Met bool
 }
 
-// Verdict is the judgement of a report.
+// Verdict is the evaluation of a report.
 type Verdict struct {
-	// Void lists why the run cannot be judged at all.
+	// InvalidReasons lists the reasons why the run cannot be evaluated; empty if
+	// it can.
 	InvalidReasons []string
 	Results        []OutcomeResult
 }
 
-// Parse reads outcomes and reports every error in them.
+// Parse decodes outcomes from YAML and validates them. Its error joins all invalid
+// outcomes.
 func Parse(text []byte) (*Outcomes, error) {
 	var o Outcomes
 	if err := yaml.UnmarshalWithOptions(text, &o, yaml.Strict()); err != nil {
@@ -60,7 +64,7 @@
 	}
 	var errs []error
 	if len(o.Outcomes) == 0 {
-		errs = append(errs, errors.New("no outcomes are stated"))
+		errs = append(errs, errors.New("no outcomes are set"))
 	}
 	for i, one := range o.Outcomes {
 		if err := one.validate(); err != nil {
@@ -76,9 +80,9 @@
 	case !ok:
 		return fmt.Errorf("unknown metric %q", o.Metric)
 	case o.Min == nil && o.Max == nil:
-		return errors.New("neither min nor max is stated")
+		return errors.New("neither min nor max is set")
 	case o.Pipeline != "" && o.Customer != "":
-		return errors.New("pipeline and customer exclude each other")
+		return errors.New("pipeline and customer are mutually exclusive")
 	case (o.Pipeline != "" || o.Customer != "") && m.scope != scopeRequests:
 		return fmt.Errorf("%s has no pipeline or customer", o.Metric)
 	case o.Stage != "" && m.scope != scopeStages:
@@ -86,13 +90,13 @@
 	case o.Kind != "" && m.scope != scopeViolations:
 		return fmt.Errorf("%s has no kind", o.Metric)
 	case (o.From != 0 || o.To != 0) != (m.scope == scopeWindow):
-		return fmt.Errorf("from_s and to_s stand beside %s only", WindowedAttainment)
+		return fmt.Errorf("from_s and to_s are required for %s and not allowed otherwise", WindowedAttainment)
 	default:
 		return nil
 	}
 }
 
-// Judge judges r.
+// Judge evaluates r against the outcomes.
 func (o *Outcomes) Judge(r *report.Report) Verdict {
 	var v Verdict
 	if o.Trace != "" && o.Trace != r.Trace {
@@ -118,7 +122,7 @@
 	return OutcomeResult{Outcome: o, Value: value, Err: err, Met: met}
 }
 
-// Met says whether the run counts and every outcome is met.
+// Met reports whether the run is valid and every outcome is met.
 func (v Verdict) Met() bool {
 	for _, l := range v.Results {
 		if !l.Met {
@@ -128,7 +132,7 @@
 	return len(v.InvalidReasons) == 0
 }
 
-// Write writes the verdict as text for people.
+// Write writes the verdict as human-readable text.
 func (v Verdict) Write(w io.Writer) error {
 	for _, reason := range v.InvalidReasons {
 		fmt.Fprintf(w, "void: %s\n", reason)
--- a/replay/verdict/verdict_test.go
+++ b/replay/verdict/verdict_test.go
@@ -41,17 +41,17 @@
 	return o.Judge(sample())
 }
 
-var _ = Describe("a verdict", func() {
-	DescribeTable("is by the stated bounds",
+var _ = Describe("Verdict", func() {
+	DescribeTable("compares a metric with its limits",
 		func(outcome string, value float64, met bool) {
 			v := judge(outcome)
 			Expect(v.Results[0].Value).To(BeNumerically("~", value, 1e-9))
 			Expect(v.Met()).To(Equal(met))
 		},
-		Entry("at least", "{metric: attainment, min: 0.9}", 0.9, true),
-		Entry("less", "{metric: attainment, min: 0.91}", 0.9, false),
-		Entry("at most", "{metric: refusal_p50_ms, max: 3}", 3.0, true),
-		Entry("more", "{metric: refusal_p99_ms, max: 8}", 9.0, false),
+		Entry("min reached", "{metric: attainment, min: 0.9}", 0.9, true),
+		Entry("below min", "{metric: attainment, min: 0.91}", 0.9, false),
+		Entry("max kept", "{metric: refusal_p50_ms, max: 3}", 3.0, true),
+		Entry("above max", "{metric: refusal_p99_ms, max: 8}", 9.0, false),
 		Entry("by pipeline", "{metric: attainment, pipeline: seal, min: 1}", 1.0, true),
 		Entry("tries", "{metric: tries_attainment, min: 0.7}", 0.75, true),
 		Entry("refused", "{metric: refused_share, max: 0.2}", 0.25, false),
@@ -63,7 +63,7 @@
 		Entry("violations of a kind", "{metric: violations, kind: lost, max: 0}", 0.0, true),
 	)
 
-	DescribeTable("is not met where nothing was measured",
+	DescribeTable("is not met if there is no value",
 		func(outcome string) { Expect(judge(outcome).Met()).To(BeFalse()) },
 		Entry("customer", "{metric: attainment, customer: nobody, min: 0}"),
 		Entry("tokens", "{metric: first_token_p50_ms, max: 1000}"),
@@ -72,7 +72,7 @@
 		Entry("kind", "{metric: violations, kind: luck, max: 9}"),
 	)
 
-	DescribeTable("is void, whatever the figures",
+	DescribeTable("is not met for an invalid run, regardless of the metrics",
 		func(spoil func(*report.Report)) {
 			r := sample()
 			spoil(r)
@@ -90,7 +90,7 @@
 		Entry("a fault that was not injected", func(r *report.Report) { r.Faults = []report.Fault{{Error: "refused"}} }),
 	)
 
-	DescribeTable("needs sound outcomes",
+	DescribeTable("rejects invalid outcomes",
 		func(text, says string) {
 			_, err := verdict.Parse([]byte(text))
 			Expect(err).To(MatchError(ContainSubstring(says)))
@@ -99,14 +99,14 @@
 		Entry("metric", "outcomes: [{metric: luck, min: 1}]", `unknown metric "luck"`),
 		Entry("bounds", "outcomes: [{metric: attainment}]", "neither min nor max"),
 		Entry("member", "outcomes: [{metric: attainment, least: 1}]", "least"),
-		Entry("both", "outcomes: [{metric: attainment, min: 1, pipeline: a, customer: b}]", "exclude"),
+		Entry("both", "outcomes: [{metric: attainment, min: 1, pipeline: a, customer: b}]", "mutually exclusive"),
 		Entry("stage", "outcomes: [{metric: attainment, min: 1, stage: a}]", "no stage"),
 		Entry("kind", "outcomes: [{metric: goodput, min: 1, kind: a}]", "no kind"),
 		Entry("pipeline", "outcomes: [{metric: goodput, min: 1, pipeline: a}]", "no pipeline"),
 		Entry("window", "outcomes: [{metric: attainment, min: 1, from_s: 3}]", "from_s"),
 	)
 
-	It("prints each outcome with its figure", func() {
+	It("prints each outcome with its value", func() {
 		var text strings.Builder
 		Expect(judge("{metric: attainment, pipeline: seal, min: 1}").Write(&text)).To(Succeed())
 		Expect(text.String()).To(Equal("ok   attainment{pipeline=seal} = 1, min 1\nverdict: met\n"))
