--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -9,12 +9,13 @@
 const (
 	requestBody         = `{"input":{"text":"what does the contract say about the notice period of the lease, and where?"}}`
 	streamedRequestBody = `{"input":{"text":"what does the contract say about the notice period of the lease, and where?"},"stream":true}`
-	// busyCallers keep the daemon's processors in use without queueing much.
+	// loadConcurrency is high enough to keep the daemon's processors busy and low
+	// enough to cause little queueing.
 	loadConcurrency = 16
 )
 
-// BenchmarkStages measures the processor time of a request by the number of
-// its stages, each a call to a service that answers at once.
+// BenchmarkStages measures the CPU time of a request by the number of its stages. Each
+// stage is a call to a service that responds immediately.
 func BenchmarkStages(b *testing.B) {
 	f := newDaemonFixture(b)
 	cpu := samples{}
@@ -31,8 +32,8 @@
 	reportFit(b, cpu, "cpu-us", "stage")
 }
 
-// spend runs a load and reports the processor time of one request, in
-// microseconds, and the requests a second that one core carries.
+// measureLoad runs a load and reports the CPU time per request in microseconds, which it
+// also returns, and the requests per second that one core can process.
 func (f *fixture) measureLoad(b *testing.B, load loadRequest) float64 {
 	b.ReportAllocs()
 	before := cpuTime(b)
@@ -45,17 +46,17 @@
 	return cpuPerRequest
 }
 
-// BenchmarkTokens measures the processor time of a streamed generation by its
-// tokens. Paced tokens come one by one, each in a packet of its own, as from an
-// engine; unpaced ones come as fast as they can.
+// BenchmarkTokens measures the CPU time of a streamed generation by the number of its
+// tokens. Paced tokens arrive at an interval, each in a separate packet, as from an
+// engine; unpaced tokens arrive as fast as possible.
 func BenchmarkTokens(b *testing.B) {
 	for _, pace := range []time.Duration{10 * time.Millisecond, 0} {
 		b.Run("pace="+pace.String(), func(b *testing.B) { benchmarkTokens(b, pace) })
 	}
 }
 
-// streams is the number of paced streams at a time: 200 of them make 20,000
-// tokens a second.
+// pacedStreams is the number of concurrent paced streams: 200 streams at an interval of
+// 10 ms produce 20,000 tokens per second.
 const pacedStreams = 200
 
 func benchmarkTokens(b *testing.B, pace time.Duration) {
@@ -80,8 +81,9 @@
 	reportFit(b, processor, "cpu-us", "token")
 }
 
-// BenchmarkAddedTime compares a pipeline's latency with the same calls made
-// directly to the upstreams, one caller at a time, in turn.
+// BenchmarkAddedTime compares the latency of a pipeline with that of the same calls made
+// directly to the upstreams. It runs the two loads one after the other, each with a
+// single caller.
 func BenchmarkAddedTime(b *testing.B) {
 	f := newDaemonFixture(b)
 	median, p99 := samples{}, samples{}
@@ -105,13 +107,13 @@
 	reportFit(b, p99, "p99-us", "stage")
 }
 
-// inFlight are the numbers of requests in flight. Each takes two descriptors
-// here; the largest is what 20,000 descriptors a process allow.
+// inFlightCounts are the measured numbers of requests in flight. Each request uses two
+// file descriptors in this process; the largest number is within a limit of 20,000
+// descriptors per process.
 var inFlightCounts = []int{100, 1000, 4000, 9000}
 
-// BenchmarkInFlight measures what a request in flight holds: memory and
-// goroutines while its call waits at an upstream. One run is enough:
-// -benchtime 1x.
+// BenchmarkInFlight measures the memory and the goroutines of a request whose call waits
+// for an upstream. One iteration is enough: -benchtime 1x.
 func BenchmarkInFlight(b *testing.B) {
 	f := newDaemonFixture(b)
 	load := loadRequest{Target: f.callersAddress, Path: "/v1/pipelines/stages-1", Body: requestBody}
@@ -139,12 +141,12 @@
 	b.ReportMetric(r2, "r2-"+unit)
 }
 
-// finished are the numbers of finished requests whose records are kept. All of
-// a run together stay within the 32 MB that the daemon keeps.
+// finishedCounts are the measured numbers of finished requests with a stored record.
+// All records of one run together fit into the 32 MB that the daemon keeps.
 var finishedCounts = []int{200, 400, 600, 800}
 
-// BenchmarkRecords measures the heap that a finished request leaves behind, its
-// decision record above all, by the number of its stages. One run is enough.
+// BenchmarkRecords measures the heap that remains in use after a request has finished,
+// mainly its decision record, by the number of its stages. One iteration is enough.
 func BenchmarkRecords(b *testing.B) {
 	f := newDaemonFixture(b)
 	heapPerRequest := samples{}
--- a/bench/doc.go
+++ b/bench/doc.go
@@ -1,11 +1,11 @@
-// Package bench measures the entry daemon itself: what it adds to a call, the
-// processor time and memory of a request, and how both grow with the stages,
-// the tokens and the requests in flight. docs/CAPACITY.md works with the slopes.
+// Package bench measures the entry daemon: the latency that it adds to a call, the CPU
+// time and memory per request, and how they grow with the number of stages, tokens and
+// requests in flight. docs/CAPACITY.md uses the slopes.
 //
-// The real daemon runs in the process of the benchmark, so that the process'
-// processor time and heap are the daemon's alone. Callers, upstreams and the
-// platform run in a second process, which the benchmark starts; both talk over
-// loopback. Upstreams answer at once, so that what is measured is the daemon.
+// The real daemon runs in the process of the benchmark, so that the CPU time and heap
+// of the process are those of the daemon alone. Callers, upstreams and the platform run
+// in the harness, a second process that the benchmark starts; the two communicate over
+// loopback. The upstreams respond immediately, so that only the daemon is measured.
 //
 //	go test -run '^$' -bench . -benchtime 5000x -cpu 4 ./bench
 package bench
--- a/bench/fixture_test.go
+++ b/bench/fixture_test.go
@@ -32,28 +32,30 @@
 )
 
 const (
-	// customers is the users' target; calls bear the last one's key.
+	// customerCount is the number of customers that the users require. Calls use
+	// the key of the last customer.
 	customerCount = 410
 	hostName      = "entry-1"
 	domain        = "domain-1"
-	// answerText is what a service answers: about 200 bytes.
+	// serviceResponseText is the result of every service call: about 200 bytes.
 	serviceResponseText = "a passage of the corpus, of about the size that a retriever gives back for one question; " +
 		"what a stage hands to the next is a few of them, and the caller's own input goes along with each call"
-	// startTimeout bounds the start of daemon and outside.
+	// startTimeout limits how long the daemon may take to listen and, separately,
+	// to become ready.
 	startTimeout = 20 * time.Second
 )
 
 func apiKey(i int) string { return fmt.Sprintf("bench-key-%d", i) }
 
-// fixture is a running daemon and its outside.
+// fixture is a running daemon with its harness.
 type fixture struct {
 	b              testing.TB
 	controlAddress string
-	// callers is the daemon's address for callers.
+	// callersAddress is the address on which the daemon serves callers.
 	callersAddress string
 }
 
-// start is shared by all benchmarks of a run: one daemon, one outside.
+// sharedFixture starts the daemon and the harness once for all benchmarks of a run.
 var sharedFixture = sync.OnceValues(newFixture)
 
 func newDaemonFixture(b *testing.B) *fixture {
@@ -88,11 +90,10 @@
 	return &fixture{controlAddress: addresses.Control, callersAddress: callers}, nil
 }
 
-// outsideInput keeps the outside alive until this process ends.
+// harnessStdin is held open so that the harness runs until this process ends.
 var harnessStdin io.WriteCloser
 
-// startOutside starts the second process; it ends with this one, which holds
-// its standard input.
+// startHarness starts the harness, which exits when its standard input is closed.
 func startHarness() (harnessAddresses, error) {
 	var addresses harnessAddresses
 	cmd := exec.Command(os.Args[0])
@@ -121,7 +122,7 @@
 	return l.Addr().String(), l.Close()
 }
 
-// Sizes measured.
+// Measured sizes.
 var (
 	stageCounts = []int{1, 2, 3, 4, 5, 6}
 	tokenCounts = []int{16, 64, 256, 1024}
@@ -208,8 +209,8 @@
 	return nil
 }
 
-// startDaemon runs the daemon and returns its address for callers once it
-// serves under the bundle. It logs like the program does, to /dev/null.
+// startDaemon runs the daemon and returns its address for callers once it serves
+// requests with the bundle. The daemon logs in the format of the program to /dev/null.
 func startDaemon(addresses harnessAddresses, peers, public string) (string, error) {
 	dir, err := os.MkdirTemp("", "bench")
 	if err != nil {
@@ -258,8 +259,8 @@
 	return callers, awaitReady(callers)
 }
 
-// untilReady passes only the line that awaitListener looks for, so that the log
-// of a benchmark takes no memory.
+// listeningFilter passes only the message that awaitListener waits for, so that the
+// observer does not accumulate the log of a benchmark in memory.
 type listeningFilter struct{ zapcore.Core }
 
 func (u *listeningFilter) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
@@ -269,7 +270,7 @@
 	return u.Core.Check(e, ce)
 }
 
-// listeningMessage is the line with which the daemon tells its addresses.
+// listeningMessage is the message with which the daemon logs its addresses.
 const listeningMessage = "listening"
 
 func awaitListener(logs *observer.ObservedLogs) (string, error) {
@@ -285,7 +286,8 @@
 	return "", fmt.Errorf("the daemon did not listen within %v", startTimeout)
 }
 
-// awaitReady waits until the daemon answers a request.
+// awaitReady waits until the daemon answers a request. After startTimeout it returns the
+// error of the last one.
 func awaitReady(callers string) error {
 	h := &harness{client: newClient()}
 	end := time.Now().Add(startTimeout)
@@ -298,7 +300,8 @@
 	}
 }
 
-// ask sends an order to the outside and decodes its answer.
+// callHarness posts request as JSON to the control interface of the harness and decodes
+// the response. It fails the benchmark on an error.
 func callHarness[Out any](f *fixture, path string, request any) Out {
 	f.b.Helper()
 	var out Out
--- a/bench/harness_test.go
+++ b/bench/harness_test.go
@@ -15,24 +15,26 @@
 	"github.com/wheatseam/wheatseam/internal/standin/platform"
 )
 
-// replicas is the number of replicas of each of the two pools: 610 replicas
-// over 27 models and 4 services are about 20 a pool.
+// replicasPerPool is the number of replicas of each of the two pools: 610 replicas for 27
+// models and 4 services are about 20 per pool.
 const replicasPerPool = 20
 
-// addresses is the first line that the outside writes.
+// harnessAddresses is the first line that the harness writes to standard output.
 type harnessAddresses struct {
 	Control   string
 	Platform  string
 	Upstreams []string
 }
 
-// outside is the process around the daemon: upstreams, callers, platform.
+// harness simulates the environment of the daemon: upstreams, callers and platform.
 type harness struct {
 	upstreams []string
 	client    *http.Client
-	// pace is the time between two tokens of a stream, in nanoseconds.
+	// tokenIntervalNS is the interval between two tokens of a stream in
+	// nanoseconds; 0 sends tokens without a pause.
 	tokenIntervalNS atomic.Int64
-	// held counts the calls that wait at the upstreams until release ends.
+	// heldCalls counts the calls that wait at the upstreams until release is
+	// closed.
 	heldCalls atomic.Int64
 
 	mu        sync.Mutex
@@ -40,7 +42,7 @@
 	openCalls sync.WaitGroup
 }
 
-// runOutside serves until the parent closes standard input.
+// runHarness serves until the parent process closes its standard input.
 func runHarness() error {
 	h := &harness{client: newClient()}
 	var addresses harnessAddresses
@@ -82,13 +84,14 @@
 	}
 	go func() {
 		if err := http.Serve(l, h); !errors.Is(err, net.ErrClosed) {
-			fmt.Fprintln(os.Stderr, "outside:", err)
+			fmt.Fprintln(os.Stderr, "bench harness:", err)
 		}
 	}()
 	return l.Addr().String(), nil
 }
 
-// handle makes an HTTP handler of a function over JSON.
+// jsonHandler returns an HTTP handler that decodes the JSON body into the argument of f
+// and encodes the result of f as JSON.
 func jsonHandler[In, Out any](f func(In) (Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in In
@@ -110,7 +113,8 @@
 	return true, nil
 }
 
-// upstreamCall is what the upstreams read of either protocol.
+// upstreamCall holds the members that the upstreams read from requests of both the
+// service and the engine protocol.
 type upstreamCall struct {
 	MaxTokens int             `json:"max_tokens"`
 	Input     json.RawMessage `json:"input"`
@@ -132,7 +136,8 @@
 	_, _ = fmt.Fprintf(w, `{"request_id":%q,"attempt":%s,"result":{"text":%q}}`, id, attempt, serviceResponseText)
 }
 
-// stream writes tokens, each in a packet of its own when they are paced.
+// stream writes tokens as server-sent events. If tokens are paced, it flushes each one
+// separately.
 func (h *harness) stream(w http.ResponseWriter, id, attempt string, tokens int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := w.(http.Flusher)
--- a/bench/load_test.go
+++ b/bench/load_test.go
@@ -14,10 +14,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// loadOrder asks the outside for a closed loop of calls.
+// loadRequest requests a closed-loop load from the harness.
 type loadRequest struct {
-	// Target is the daemon's address; empty calls the upstreams directly,
-	// Stages times one after the other.
+	// Target is the daemon's address. If it is empty, each call is made directly
+	// to Stages upstreams, one after the other.
 	Target      string
 	Path        string
 	Body        string
@@ -26,7 +26,8 @@
 	Concurrency int
 }
 
-// loadResult is what the callers saw; times are in microseconds.
+// loadResult is the result of a load. Median and P99 are latencies in microseconds;
+// Bytes is the total size of the responses.
 type loadResult struct {
 	Median  int64
 	P99     int64
@@ -34,7 +35,7 @@
 	Seconds float64
 }
 
-// Bounds of the callers' histogram, in microseconds.
+// Largest value, in microseconds, and significant digits of the latency histograms.
 const (
 	histogramMax    = 60_000_000
 	histogramDigits = 3
@@ -76,7 +77,7 @@
 	}, nil
 }
 
-// call makes one call and returns the bytes of its answer.
+// makeCall makes one call and returns the size of its response in bytes.
 func (h *harness) makeCall(load loadRequest) (int64, error) {
 	if load.Target != "" {
 		return h.post("http://"+load.Target+load.Path, load.Body)
@@ -92,7 +93,7 @@
 	return sum, nil
 }
 
-var errIncompleteResponse = errors.New("no whole answer")
+var errIncompleteResponse = errors.New("incomplete response")
 
 func (h *harness) post(url, body string) (int64, error) {
 	req, err := http.NewRequest(http.MethodPost, url, bytes.NewReader([]byte(body)))
@@ -117,20 +118,22 @@
 	return int64(len(raw)), nil
 }
 
-// holdOrder asks the outside to have Calls more calls in flight.
+// holdRequest requests Calls more calls from the harness that stay in flight.
 type holdRequest struct {
 	loadRequest
-	// Total is the number of calls in flight that is waited for.
+	// Total is the number of calls in flight to wait for.
 	Total int
 }
 
-// holdTimeout bounds the wait until all calls stand at the upstreams.
+// holdTimeout limits the wait until all calls have reached an upstream.
 const holdTimeout = 30 * time.Second
 
-// openAtOnce bounds the calls that are opened at the same time.
+// maxUnheldCalls limits the calls that have been started and have not yet reached an
+// upstream.
 const maxUnheldCalls = 64
 
-// hold opens calls and returns when all have reached an upstream.
+// holdCalls starts calls and returns when all have reached an upstream, or with the
+// error of a failed one.
 func (h *harness) holdCalls(hold holdRequest) (bool, error) {
 	h.mu.Lock()
 	if h.release == nil {
@@ -153,7 +156,7 @@
 	return err == nil, err
 }
 
-// awaitHeld waits until n calls stand at the upstreams.
+// awaitHeld waits until n calls are held at the upstreams.
 func (h *harness) awaitHeld(n int, failed <-chan error, end time.Time) error {
 	for int(h.heldCalls.Load()) < n {
 		if len(failed) > 0 {
@@ -167,7 +170,7 @@
 	return nil
 }
 
-// letGo lets all calls in flight end.
+// releaseCalls lets all held calls complete and waits for them.
 func (h *harness) releaseCalls(struct{}) (bool, error) {
 	h.mu.Lock()
 	if h.release != nil {
--- a/bench/main_test.go
+++ b/bench/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// outsideEnv makes the test binary play the outside of the daemon.
+// harnessEnv is the environment variable that makes the test binary run as the harness.
 const harnessEnv = "WHEATSEAM_BENCH_OUTSIDE"
 
 func TestMain(m *testing.M) {
@@ -14,7 +14,7 @@
 		os.Exit(m.Run())
 	}
 	if err := runHarness(); err != nil {
-		fmt.Fprintln(os.Stderr, "outside:", err)
+		fmt.Fprintln(os.Stderr, "bench harness:", err)
 		os.Exit(1)
 	}
 }
--- a/bench/measure_test.go
+++ b/bench/measure_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// processorTime is what this process has used in user and system mode.
+// cpuTime returns the CPU time that this process has used in user and system mode.
 func cpuTime(b testing.TB) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
@@ -19,13 +19,15 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// memory is what the daemon holds in use, after a collection.
+// memoryUse is the memory and the number of goroutines of the daemon after a garbage
+// collection; heap and stacks are in bytes.
 type memoryUse struct {
 	heap, stacks, goroutines float64
 }
 
 func memoryInUse() memoryUse {
-	// Twice: what finalizers and pools free goes with the second collection.
+	// Memory that finalizers and sync.Pools release in the first collection is only
+	// freed by the second.
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -33,11 +35,12 @@
 	return memoryUse{float64(m.HeapAlloc), float64(m.StackInuse), float64(runtime.NumGoroutine())}
 }
 
-// series collects a figure over sizes, the last run of a size counting.
+// samples maps a size to the value measured for it. A later run of the same size
+// replaces the value.
 type samples map[float64]float64
 
-// fit returns the least-squares line through the points and the share of the
-// spread that it explains.
+// linearFit returns the least-squares line through the points and its coefficient of
+// determination.
 func (s samples) linearFit() (slope, intercept, r2 float64) {
 	var n, sx, sy, sxx, sxy, syy float64
 	for x, y := range s {
@@ -50,11 +53,11 @@
 	return cov / varX, (sy - cov/varX*sx) / n, cov * cov / (varX * varY)
 }
 
-// reportFit reports the line through s as a benchmark of its own.
+// reportFit reports the least-squares line through s as a separate benchmark.
 func reportFit(b *testing.B, s samples, unit, per string) {
 	b.Run("fit_"+strings.ReplaceAll(unit, "/", "_"), func(b *testing.B) {
 		if len(s) < 4 {
-			b.Skipf("%d sizes were run, 4 are needed", len(s))
+			b.Skipf("%d sizes were measured; a fit requires 4", len(s))
 		}
 		slope, intercept, r2 := s.linearFit()
 		b.ReportMetric(0, "ns/op")
--- a/replay/audit/audit_test.go
+++ b/replay/audit/audit_test.go
@@ -55,7 +55,7 @@
 	return c
 }
 
-func silence(c *replay.Call) *replay.Call {
+func leaveUnanswered(c *replay.Call) *replay.Call {
 	c.Outcome, c.Problem = replay.Unanswered, "timeout"
 	return c
 }
@@ -97,7 +97,7 @@
 	})
 
 	It("accepts a retry that receives the result of the first try", func() {
-		first := silence(a())
+		first := leaveUnanswered(a())
 		second := retry(answer(a(), idA2, `{"mark":"`+idA+`"}`), first)
 		Expect(audit.Audit([]*replay.Call{first, second}, []ledger.Entry{seal(keyA, idA)}, pipelines).Violations).To(BeEmpty())
 	})
@@ -106,7 +106,7 @@
 		func(kind audit.Kind, calls func() []*replay.Call, entries ...ledger.Entry) {
 			Expect(kinds(audit.Audit(calls(), entries, pipelines))).To(Equal([]audit.Kind{kind}))
 		},
-		Entry("a missing response", audit.Lost, func() []*replay.Call { return []*replay.Call{silence(a())} }),
+		Entry("a missing response", audit.Lost, func() []*replay.Call { return []*replay.Call{leaveUnanswered(a())} }),
 		Entry("an answer without an execution", audit.Lost, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} }),
 		Entry("an answer whose execution failed", audit.Lost, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} },
 			entry(keyA, idA, "apply", 0, ledger.Failed)),
@@ -116,7 +116,7 @@
 		Entry("two executions of one request", audit.DuplicateExecution, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} },
 			seal(keyA, idA), seal(keyA, idA)),
 		Entry("an execution for each of two tries", audit.DuplicateExecution, func() []*replay.Call {
-			first := silence(a())
+			first := leaveUnanswered(a())
 			return []*replay.Call{first, retry(answer(a(), idA2, `{}`), first)}
 		}, seal(keyA, idA), seal(keyA, idA2)),
 		Entry("a failed and a completed execution", audit.DuplicateExecution, func() []*replay.Call { return []*replay.Call{answer(a(), idA, `{}`)} },
--- a/replay/compare/compare_test.go
+++ b/replay/compare/compare_test.go
@@ -63,17 +63,17 @@
 	})
 
 	It("rejects runs that cannot be paired", func() {
-		other, void := set("b", .5), set("b", .5)
-		other.Reports[0].Trace = "u"
-		void.Reports[0].NotSent = 1
-		for says, sets := range map[string][]compare.Set{
+		otherTrace, invalid := set("b", .5), set("b", .5)
+		otherTrace.Reports[0].Trace = "u"
+		invalid.Reports[0].NotSent = 1
+		for message, sets := range map[string][]compare.Set{
 			"at least two sets": {set("a", .5)},
 			"paired":            {set("a", .5, .6), set("b", .5)},
-			"another trace":     {set("a", .5), other},
-			"invalid":           {set("a", .5), void},
+			"another trace":     {set("a", .5), otherTrace},
+			"invalid":           {set("a", .5), invalid},
 		} {
 			_, err := compare.New(sets)
-			Expect(err).To(MatchError(ContainSubstring(says)))
+			Expect(err).To(MatchError(ContainSubstring(message)))
 		}
 	})
 })
--- a/replay/fake_test.go
+++ b/replay/fake_test.go
@@ -14,7 +14,7 @@
 )
 
 // receivedRequest is one request that the fake host received.
-type seen struct {
+type receivedRequest struct {
 	At               time.Time
 	Key, Auth, Pipe  string
 	Text, Prefix     string
@@ -25,9 +25,9 @@
 // fakeHost serves the callers' API. The name of the requested pipeline selects how it
 // responds.
 type fakeHost struct {
-	server *httptest.Server
-	mu     sync.Mutex
-	seen   []seen
+	server   *httptest.Server
+	mu       sync.Mutex
+	received []receivedRequest
 }
 
 func newFakeHost() *fakeHost {
@@ -39,10 +39,10 @@
 
 func (h *fakeHost) address() string { return strings.TrimPrefix(h.server.URL, "http://") }
 
-func (h *fakeHost) requests() []seen {
+func (h *fakeHost) requests() []receivedRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]seen(nil), h.seen...)
+	return append([]receivedRequest(nil), h.received...)
 }
 
 func (h *fakeHost) serve(w http.ResponseWriter, r *http.Request) {
@@ -58,15 +58,15 @@
 	}
 	pipeline := strings.TrimPrefix(r.URL.Path, "/v1/pipelines/")
 	h.mu.Lock()
-	h.seen = append(h.seen, seen{At: time.Now(), Key: r.Header.Get("Idempotency-Key"), Auth: r.Header.Get("Authorization"),
+	h.received = append(h.received, receivedRequest{At: time.Now(), Key: r.Header.Get("Idempotency-Key"), Auth: r.Header.Get("Authorization"),
 		Pipe: pipeline, Text: b.Input.Text, Prefix: b.Prefix, DeadlineMS: b.DeadlineMS, Stream: b.Stream})
-	id := fmt.Sprintf("r-%d", len(h.seen))
+	id := fmt.Sprintf("r-%d", len(h.received))
 	h.mu.Unlock()
 	h.answer(w, r, pipeline, id, b.Input.Text)
 }
 
 func (h *fakeHost) answer(w http.ResponseWriter, r *http.Request, pipeline, id, text string) {
-	whole, _ := json.Marshal(replay.Answer{RequestID: id, Pipeline: pipeline, Result: json.RawMessage(`{"text":"` + text + `"}`)})
+	answer, _ := json.Marshal(replay.Answer{RequestID: id, Pipeline: pipeline, Result: json.RawMessage(`{"text":"` + text + `"}`)})
 	streamed, _ := json.Marshal(replay.Answer{RequestID: id, Pipeline: pipeline, Result: json.RawMessage(`{"text":"aaa"}`)})
 	switch pipeline {
 	case "refuse":
@@ -81,7 +81,7 @@
 		w.WriteHeader(http.StatusBadGateway)
 	case "slow":
 		time.Sleep(150 * time.Millisecond)
-		_, _ = w.Write(whole)
+		_, _ = w.Write(answer)
 	case "stream", "cut", "late-error", "reset", "mixed":
 		w.Header().Set("Content-Type", "text/event-stream")
 		for range 3 {
@@ -102,6 +102,6 @@
 			fmt.Fprint(w, "event: error\ndata: {\"kind\":\"deadline_exceeded\",\"execution\":\"not_run\"}\n\n")
 		}
 	default:
-		_, _ = w.Write(whole)
+		_, _ = w.Write(answer)
 	}
 }
--- a/replay/fleetfiles/fleetfiles.go
+++ b/replay/fleetfiles/fleetfiles.go
@@ -115,7 +115,8 @@
 	return a
 }
 
-// assignAddresses assigns a reserved address to every listener.
+// assignAddresses assigns a reserved address to every listener. It also applies Policy
+// and removes the views from the bundle.
 func (f *fleetWriter) assignAddresses() {
 	f.platformAddress, f.controlAddress = f.ports.next(), f.ports.next()
 	if f.Policy != "" {
--- a/replay/fleetfiles/fleetfiles_test.go
+++ b/replay/fleetfiles/fleetfiles_test.go
@@ -43,15 +43,15 @@
 		Expect(err).NotTo(HaveOccurred())
 		signed, err := os.ReadFile(filepath.Join(dir, fleetfiles.FileSigned))
 		Expect(err).NotTo(HaveOccurred())
-		moved, err := bundle.Open(signed, s.BundleKeys)
+		written, err := bundle.Open(signed, s.BundleKeys)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(moved.Policy).To(Equal(bundle.PolicyRoundRobin))
-		Expect(moved.Claims).To(Equal(b.Claims))
-		Expect(moved.Pipelines).To(Equal(b.Pipelines))
-		Expect(moved.Hosts[1].PeerAddress).To(Equal(s.Listen.Peers))
+		Expect(written.Policy).To(Equal(bundle.PolicyRoundRobin))
+		Expect(written.Claims).To(Equal(b.Claims))
+		Expect(written.Pipelines).To(Equal(b.Pipelines))
+		Expect(written.Hosts[1].PeerAddress).To(Equal(s.Listen.Peers))
 
 		addresses := map[string]bool{}
-		for _, p := range moved.Pools {
+		for _, p := range written.Pools {
 			for _, u := range p.Upstreams {
 				addresses[u.Address] = true
 			}
--- a/replay/run_test.go
+++ b/replay/run_test.go
@@ -118,10 +118,10 @@
 		host := newFakeHost()
 		first := request("first", 0, "seal")
 		first.Key = trace.AutoKey
-		needless, always := first, first
-		needless.ID, needless.RetryOf, needless.When, needless.AtMS = "needless", "first", trace.RetryUnlessAnswered, 300
+		unneeded, always := first, first
+		unneeded.ID, unneeded.RetryOf, unneeded.When, unneeded.AtMS = "needless", "first", trace.RetryUnlessAnswered, 300
 		always.ID, always.RetryOf, always.When, always.AtMS = "always", "first", trace.RetryAlways, 301
-		result := run(replay.Config{Hosts: []string{host.address()}}, traceOf(first, needless, always))
+		result := run(replay.Config{Hosts: []string{host.address()}}, traceOf(first, unneeded, always))
 		Expect(result.Calls[1].Outcome).To(Equal(replay.Skipped))
 		Expect(result.Calls[2].Outcome).To(Equal(replay.Answered))
 	})
--- a/replay/scenario/builder.go
+++ b/replay/scenario/builder.go
@@ -102,8 +102,8 @@
 func prefixName(customer string, i int) string { return fmt.Sprintf("%s-template-%d", customer, i+1) }
 
 // offsetAt returns the offset at a fraction (0 to 1) of the duration.
-func (b *builder) offsetAt(share float64) time.Duration {
-	return time.Duration(share * float64(b.Duration))
+func (b *builder) offsetAt(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(b.Duration))
 }
 
 // poissonArrivals calls f at the arrivals of a Poisson process between the fractions
@@ -113,12 +113,12 @@
 	seconds := b.Duration.Seconds()
 	for at := from * seconds; ; {
 		at += b.rng.ExpFloat64() / maxRate
-		share := at / seconds
-		if share >= to {
+		fraction := at / seconds
+		if fraction >= to {
 			return
 		}
-		if b.rng.Float64()*maxRate < rate(share) {
-			f(time.Duration(at*float64(time.Second)), share)
+		if b.rng.Float64()*maxRate < rate(fraction) {
+			f(time.Duration(at*float64(time.Second)), fraction)
 		}
 	}
 }
--- a/replay/scenario/committed_test.go
+++ b/replay/scenario/committed_test.go
@@ -69,7 +69,7 @@
 			o.Duration, err = time.ParseDuration(duration)
 			Expect(err).NotTo(HaveOccurred())
 			o.Bundle = exampleBundle(deployment)
-			Expect(written(create(name, o)) == string(text)).To(BeTrue(), file+" differs from the output of its program")
+			Expect(encode(create(name, o)) == string(text)).To(BeTrue(), file+" differs from the output of its program")
 		}
 	})
 })
--- a/replay/scenario/scenario.go
+++ b/replay/scenario/scenario.go
@@ -104,17 +104,17 @@
 )
 
 func generateFirmaDay(b *builder) error {
-	rate := func(share float64) float64 {
-		if share >= rushStart && share < rushEnd {
+	rate := func(fraction float64) float64 {
+		if fraction >= rushStart && fraction < rushEnd {
 			return rushRateFactor * b.arrivalRate
 		}
 		// The rate has peaks at 10:30 and 15:30 and a minimum at lunchtime.
-		return b.arrivalRate * (1 - dailyRateAmplitude*math.Cos(4*math.Pi*share))
+		return b.arrivalRate * (1 - dailyRateAmplitude*math.Cos(4*math.Pi*fraction))
 	}
 	rush := b.nonRepeatableWeighted(rushNonRepeatableFactor)
-	b.poissonArrivals(0, 1, rushRateFactor*b.arrivalRate, rate, func(at time.Duration, share float64) {
+	b.poissonArrivals(0, 1, rushRateFactor*b.arrivalRate, rate, func(at time.Duration, fraction float64) {
 		weights := b.pipelineWeights
-		if share >= rushStart && share < rushEnd {
+		if fraction >= rushStart && fraction < rushEnd {
 			weights = rush
 		}
 		r := b.addRandomRequest(at, weights)
@@ -158,8 +158,8 @@
 )
 
 func generateTyphoon(b *builder) error {
-	rate := func(share float64) float64 {
-		since := share - surgeStart
+	rate := func(fraction float64) float64 {
+		since := fraction - surgeStart
 		switch {
 		case since < 0:
 			return quietRateFactor * b.arrivalRate
--- a/replay/scenario/scenario_test.go
+++ b/replay/scenario/scenario_test.go
@@ -52,7 +52,7 @@
 	return t
 }
 
-func written(t *trace.Trace) string {
+func encode(t *trace.Trace) string {
 	GinkgoHelper()
 	var out bytes.Buffer
 	Expect(trace.Write(&out, t)).To(Succeed())
@@ -77,14 +77,14 @@
 var _ = Describe("scenarios", func() {
 	for _, name := range scenario.Names() {
 		It("generates "+name+" deterministically by seed, as a trace that can be parsed", func() {
-			text := written(create(name, options()))
-			Expect(written(create(name, options()))).To(Equal(text))
+			text := encode(create(name, options()))
+			Expect(encode(create(name, options()))).To(Equal(text))
 			other := options()
 			other.Seed++
-			Expect(written(create(name, other))).NotTo(Equal(text))
+			Expect(encode(create(name, other))).NotTo(Equal(text))
 			back, err := trace.Parse(bytes.NewBufferString(text))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(written(back)).To(Equal(text))
+			Expect(encode(back)).To(Equal(text))
 			Expect(back.Header.Program).To(ContainSubstring("--seed 11"))
 		})
 	}
@@ -125,15 +125,15 @@
 		small := func(r trace.Request) bool { return r.Customer == "small" }
 		Expect(share(create("steady", options()), small)).To(BeNumerically("~", 0.1, 0.04))
 		middle := create("greedy-customer", options())
-		flood := func(r trace.Request) bool { return small(r) && r.At() > 10*time.Second && r.At() < 30*time.Second }
-		Expect(share(middle, flood)).To(BeNumerically(">", 0.3))
+		fromSmallInWindow := func(r trace.Request) bool { return small(r) && r.At() > 10*time.Second && r.At() < 30*time.Second }
+		Expect(share(middle, fromSmallInWindow)).To(BeNumerically(">", 0.3))
 	})
 
 	It("raises the rate and the share of seals during the rush", func() {
 		day := create("firma-day", options())
-		in := func(r trace.Request) bool { return r.At() >= 32*time.Second && r.At() < 36*time.Second }
-		Expect(share(day, in)).To(BeNumerically(">", 0.17), "a tenth of the duration")
-		Expect(share(day, func(r trace.Request) bool { return in(r) && r.Pipeline == "seal" })).To(BeNumerically(">", 0.6*share(day, in)))
+		inRush := func(r trace.Request) bool { return r.At() >= 32*time.Second && r.At() < 36*time.Second }
+		Expect(share(day, inRush)).To(BeNumerically(">", 0.17), "a tenth of the duration")
+		Expect(share(day, func(r trace.Request) bool { return inRush(r) && r.Pipeline == "seal" })).To(BeNumerically(">", 0.6*share(day, inRush)))
 	})
 
 	It("slows one replica in each used pool in turn and clears every fault", func() {
@@ -169,16 +169,16 @@
 	})
 
 	It("rejects invalid options and unknown scenarios", func() {
-		for says, spoil := range map[string]func(*scenario.Options){
+		for message, invalidate := range map[string]func(*scenario.Options){
 			"load":     func(o *scenario.Options) { o.Load = 0 },
 			"patience": func(o *scenario.Options) { o.Patience = 0 },
 			"duration": func(o *scenario.Options) { o.Duration = time.Hour },
 			"no pool":  func(o *scenario.Options) { o.Bundle.Pipelines = nil },
 		} {
 			o := options()
-			spoil(&o)
+			invalidate(&o)
 			_, err := scenario.Make("steady", o)
-			Expect(err).To(MatchError(ContainSubstring(says)))
+			Expect(err).To(MatchError(ContainSubstring(message)))
 		}
 		_, err := scenario.Make("luck", options())
 		Expect(err).To(MatchError(ContainSubstring("unknown scenario")))
--- a/replay/trace/trace_test.go
+++ b/replay/trace/trace_test.go
@@ -19,7 +19,7 @@
 
 const header = `{"type":"trace","version":1,"name":"t","seed":7}` + "\n"
 
-const whole = header +
+const exampleTrace = header +
 	`{"type":"prefix","name":"lease","text":"All parties ","repeat":3}` + "\n" +
 	`{"type":"request","id":"a","at_ms":5,"customer":"clinic","pipeline":"seal","deadline_ms":900,"key":"auto"}` + "\n" +
 	`{"type":"fault","at_ms":6,"pool":"seals","replicas":[1],"body":{"slow":10}}` + "\n" +
@@ -28,7 +28,7 @@
 
 var _ = Describe("a trace", func() {
 	It("is unchanged by parsing and writing", func() {
-		t, err := trace.Parse(strings.NewReader(whole))
+		t, err := trace.Parse(strings.NewReader(exampleTrace))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(t.Header.Seed).To(Equal(uint64(7)))
 		Expect(t.Requests).To(HaveLen(3))
@@ -39,7 +39,7 @@
 		Expect(retry.When).To(Equal(trace.RetryUnlessAnswered))
 		var out bytes.Buffer
 		Expect(trace.Write(&out, t)).To(Succeed())
-		Expect(out.String()).To(Equal(whole))
+		Expect(out.String()).To(Equal(exampleTrace))
 	})
 
 	It("is sorted by offset", func() {
@@ -51,12 +51,12 @@
 	})
 
 	DescribeTable("is rejected with the number of the invalid line",
-		func(text string, line int, says string) {
+		func(text string, line int, message string) {
 			_, err := trace.Parse(strings.NewReader(text))
-			var wrong *trace.LineError
-			Expect(errors.As(err, &wrong)).To(BeTrue(), "error %v", err)
-			Expect(wrong.Line).To(Equal(line))
-			Expect(wrong.Error()).To(ContainSubstring(says))
+			var lineErr *trace.LineError
+			Expect(errors.As(err, &lineErr)).To(BeTrue(), "error %v", err)
+			Expect(lineErr.Line).To(Equal(line))
+			Expect(lineErr.Error()).To(ContainSubstring(message))
 		},
 		Entry("empty", "", 1, "empty"),
 		Entry("no header", `{"type":"prefix","name":"a","text":"b"}`, 1, "first line"),
--- a/replay/verdict/verdict_test.go
+++ b/replay/verdict/verdict_test.go
@@ -18,7 +18,7 @@
 	RunSpecs(t, "verdict")
 }
 
-func sample() *report.Report {
+func exampleReport() *report.Report {
 	group := report.Group{
 		Attainment: report.Share{Met: 90, Of: 100, Share: 0.9}, Tries: report.Share{Met: 90, Of: 120, Share: 0.75}, Refused: 30,
 		Latency: report.Quantiles{Count: 90, P50: 20, P99: 80}, Refusal: report.Quantiles{Count: 30, P50: 3, P99: 9},
@@ -38,7 +38,7 @@
 	GinkgoHelper()
 	o, err := verdict.Parse([]byte("trace: t\noutcomes:\n  - " + outcome))
 	Expect(err).NotTo(HaveOccurred())
-	return o.Judge(sample())
+	return o.Judge(exampleReport())
 }
 
 var _ = Describe("Verdict", func() {
@@ -73,9 +73,9 @@
 	)
 
 	DescribeTable("is not met for an invalid run, regardless of the metrics",
-		func(spoil func(*report.Report)) {
-			r := sample()
-			spoil(r)
+		func(invalidate func(*report.Report)) {
+			r := exampleReport()
+			invalidate(r)
 			o, err := verdict.Parse([]byte("trace: t\noutcomes: [{metric: attainment, min: 0}]"))
 			Expect(err).NotTo(HaveOccurred())
 			v := o.Judge(r)
@@ -91,9 +91,9 @@
 	)
 
 	DescribeTable("rejects invalid outcomes",
-		func(text, says string) {
+		func(text, message string) {
 			_, err := verdict.Parse([]byte(text))
-			Expect(err).To(MatchError(ContainSubstring(says)))
+			Expect(err).To(MatchError(ContainSubstring(message)))
 		},
 		Entry("none", "trace: t", "no outcomes"),
 		Entry("metric", "outcomes: [{metric: luck, min: 1}]", `unknown metric "luck"`),
