--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -50,8 +50,8 @@
 // tokens. Paced tokens arrive at an interval, each in a separate packet, as from an
 // engine; unpaced tokens arrive as fast as possible.
 func BenchmarkTokens(b *testing.B) {
-	for _, pace := range []time.Duration{10 * time.Millisecond, 0} {
-		b.Run("pace="+pace.String(), func(b *testing.B) { benchmarkTokens(b, pace) })
+	for _, tokenInterval := range []time.Duration{10 * time.Millisecond, 0} {
+		b.Run("pace="+tokenInterval.String(), func(b *testing.B) { benchmarkTokens(b, tokenInterval) })
 	}
 }
 
@@ -59,18 +59,18 @@
 // 10 ms produce 20,000 tokens per second.
 const pacedStreams = 200
 
-func benchmarkTokens(b *testing.B, pace time.Duration) {
+func benchmarkTokens(b *testing.B, tokenInterval time.Duration) {
 	f := newDaemonFixture(b)
 	processor := samples{}
 	for _, n := range tokenCounts {
 		b.Run(benchmarkName("tokens", n), func(b *testing.B) {
 			f.b = b
-			callHarness[bool](f, "/pace", pace)
+			callHarness[bool](f, "/pace", tokenInterval)
 			load := loadRequest{
 				Target: f.callersAddress, Path: fmt.Sprintf("/v1/pipelines/tokens-%d", n), Body: streamedRequestBody,
 				Calls: b.N, Concurrency: loadConcurrency,
 			}
-			if pace > 0 {
+			if tokenInterval > 0 {
 				load.Concurrency = pacedStreams
 			}
 			cpuPerRequest := f.measureLoad(b, load)
--- a/bench/fixture_test.go
+++ b/bench/fixture_test.go
@@ -243,8 +243,8 @@
 	}
 	encoder := zapcore.NewCore(zaplogfmt.NewEncoder(zap.NewProductionEncoderConfig()), zapcore.Lock(null), zapcore.InfoLevel)
 	starts, logs := observer.New(zapcore.InfoLevel)
-	filtered := &listeningFilter{Core: starts}
-	d, err := daemon.New(s, zap.New(zapcore.NewTee(encoder, filtered)))
+	filter := &listeningFilter{Core: starts}
+	d, err := daemon.New(s, zap.New(zapcore.NewTee(encoder, filter)))
 	if err != nil {
 		return "", err
 	}
@@ -263,11 +263,11 @@
 // observer does not accumulate the log of a benchmark in memory.
 type listeningFilter struct{ zapcore.Core }
 
-func (u *listeningFilter) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+func (f *listeningFilter) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if e.Message != listeningMessage {
 		return ce
 	}
-	return u.Core.Check(e, ce)
+	return f.Core.Check(e, ce)
 }
 
 // listeningMessage is the message with which the daemon logs its addresses.
--- a/bench/harness_test.go
+++ b/bench/harness_test.go
@@ -108,8 +108,8 @@
 	}
 }
 
-func (h *harness) setTokenInterval(pace time.Duration) (bool, error) {
-	h.tokenIntervalNS.Store(int64(pace))
+func (h *harness) setTokenInterval(interval time.Duration) (bool, error) {
+	h.tokenIntervalNS.Store(int64(interval))
 	return true, nil
 }
 
@@ -143,9 +143,9 @@
 	flusher := w.(http.Flusher)
 	for range tokens {
 		_, _ = fmt.Fprintf(w, "data: {\"id\":\"c\",\"choices\":[{\"delta\":{\"content\":\"word \"},\"finish_reason\":null}],\"request_id\":%q,\"attempt\":%s}\n\n", id, attempt)
-		if pace := time.Duration(h.tokenIntervalNS.Load()); pace > 0 {
+		if interval := time.Duration(h.tokenIntervalNS.Load()); interval > 0 {
 			flusher.Flush()
-			time.Sleep(pace)
+			time.Sleep(interval)
 		}
 	}
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
--- a/replay/audit/audit_test.go
+++ b/replay/audit/audit_test.go
@@ -36,10 +36,10 @@
 
 var start = time.UnixMilli(1_800_000_000_000)
 
-func call(root, key, pipeline string) *replay.Call {
+func call(firstTryID, key, pipeline string) *replay.Call {
 	return &replay.Call{
-		Request:    trace.Request{ID: root, Customer: "clinic", Pipeline: pipeline, DeadlineMS: 1000},
-		FirstTryID: root, Key: key, CorrelationToken: replay.NewCorrelationToken(), SentAt: start, EndedAt: start.Add(50 * time.Millisecond),
+		Request:    trace.Request{ID: firstTryID, Customer: "clinic", Pipeline: pipeline, DeadlineMS: 1000},
+		FirstTryID: firstTryID, Key: key, CorrelationToken: replay.NewCorrelationToken(), SentAt: start, EndedAt: start.Add(50 * time.Millisecond),
 	}
 }
 
--- a/replay/report/calls.go
+++ b/replay/report/calls.go
@@ -20,7 +20,7 @@
 	latency, firstToken, betweenTokens, refusal *hdrhistogram.Histogram
 }
 
-func newGatherer() *groupBuilder {
+func newGroupBuilder() *groupBuilder {
 	return &groupBuilder{
 		attainedByRequest: map[string]bool{}, latency: newHistogram(), firstToken: newHistogram(),
 		betweenTokens: newHistogram(), refusal: newHistogram(),
@@ -75,7 +75,7 @@
 
 func (g groupBuilders) add(key string, c *replay.Call) {
 	if g[key] == nil {
-		g[key] = newGatherer()
+		g[key] = newGroupBuilder()
 	}
 	g[key].add(c)
 }
@@ -90,7 +90,7 @@
 
 // countCalls fills in the metrics that depend on the calls alone.
 func (r *Report) countCalls(calls []*replay.Call, speed float64) {
-	all, pipelines, customers := newGatherer(), groupBuilders{}, groupBuilders{}
+	all, pipelines, customers := newGroupBuilder(), groupBuilders{}, groupBuilders{}
 	lag := newHistogram()
 	var last time.Duration
 	for _, c := range calls {
--- a/replay/scenario/builder.go
+++ b/replay/scenario/builder.go
@@ -109,7 +109,7 @@
 // poissonArrivals calls f at the arrivals of a Poisson process between the fractions
 // from and to of the duration. rate returns the arrivals per second at a fraction of
 // the duration; maxRate must be an upper bound of it.
-func (b *builder) poissonArrivals(from, to, maxRate float64, rate func(share float64) float64, f func(offset time.Duration, share float64)) {
+func (b *builder) poissonArrivals(from, to, maxRate float64, rate func(fraction float64) float64, f func(offset time.Duration, fraction float64)) {
 	seconds := b.Duration.Seconds()
 	for at := from * seconds; ; {
 		at += b.rng.ExpFloat64() / maxRate
@@ -154,12 +154,12 @@
 }
 
 // drawWeighted returns a random element of items, chosen by weight.
-func drawWeighted[T any](random *rand.Rand, items []T, weight func(T) float64) T {
+func drawWeighted[T any](rng *rand.Rand, items []T, weight func(T) float64) T {
 	sum := 0.0
 	for _, i := range items {
 		sum += weight(i)
 	}
-	remaining := random.Float64() * sum
+	remaining := rng.Float64() * sum
 	for _, i := range items {
 		remaining -= weight(i)
 		if remaining < 0 {
--- a/replay/scenario/capacity.go
+++ b/replay/scenario/capacity.go
@@ -11,8 +11,8 @@
 // pool are in use, calculated from the expected durations of the stages; the rate that
 // a fleet really sustains must be measured with a replay. It is +Inf if no pipeline
 // uses a pool.
-func Capacity(b *bundle.Bundle, mix map[string]float64) float64 {
-	shares := pipelineShares(b, mix)
+func Capacity(b *bundle.Bundle, pipelineWeights map[string]float64) float64 {
+	shares := pipelineShares(b, pipelineWeights)
 	lowestRate := math.Inf(1)
 	for _, pool := range b.Pools {
 		slotSeconds := slotSecondsPerRequest(b, pool.Name, shares)
@@ -27,8 +27,8 @@
 
 // BusiestPool returns the pool that limits Capacity: the one with the highest
 // utilization.
-func BusiestPool(b *bundle.Bundle, mix map[string]float64) bundle.Pool {
-	shares := pipelineShares(b, mix)
+func BusiestPool(b *bundle.Bundle, pipelineWeights map[string]float64) bundle.Pool {
+	shares := pipelineShares(b, pipelineWeights)
 	var busiest bundle.Pool
 	highestUtilization := -1.0
 	for _, pool := range b.Pools {
@@ -43,7 +43,7 @@
 // pipelineShares returns the share of requests of each pipeline. It follows
 // addRandomRequest, which chooses a customer by weight and then one of the customer's
 // pipelines by weight.
-func pipelineShares(b *bundle.Bundle, mix map[string]float64) map[string]float64 {
+func pipelineShares(b *bundle.Bundle, pipelineWeights map[string]float64) map[string]float64 {
 	weights := 0.0
 	for _, c := range b.Customers {
 		weights += c.Weight
@@ -52,11 +52,11 @@
 	for _, c := range b.Customers {
 		sum := 0.0
 		for _, p := range c.Pipelines {
-			sum += mix[p]
+			sum += pipelineWeights[p]
 		}
 		for _, p := range c.Pipelines {
 			if sum > 0 {
-				shares[p] += c.Weight / weights * mix[p] / sum
+				shares[p] += c.Weight / weights * pipelineWeights[p] / sum
 			}
 		}
 	}
--- a/replay/verdict/verdict.go
+++ b/replay/verdict/verdict.go
@@ -111,12 +111,12 @@
 		}
 	}
 	for _, one := range o.Outcomes {
-		v.Results = append(v.Results, one.judge(r))
+		v.Results = append(v.Results, one.evaluate(r))
 	}
 	return v
 }
 
-func (o Outcome) judge(r *report.Report) OutcomeResult {
+func (o Outcome) evaluate(r *report.Report) OutcomeResult {
 	value, err := metrics[o.Metric].value(r, o)
 	met := err == nil && (o.Min == nil || value >= *o.Min) && (o.Max == nil || value <= *o.Max)
 	return OutcomeResult{Outcome: o, Value: value, Err: err, Met: met}
@@ -149,21 +149,21 @@
 }
 
 // String implements fmt.Stringer.
-func (l OutcomeResult) String() string {
+func (r OutcomeResult) String() string {
 	status := "ok  "
-	if !l.Met {
+	if !r.Met {
 		status = "FAIL"
 	}
-	text := fmt.Sprintf("%s %s%s", status, l.Outcome.Metric, l.Outcome.selector())
-	if l.Err != nil {
-		return fmt.Sprintf("%s: %v", text, l.Err)
+	text := fmt.Sprintf("%s %s%s", status, r.Outcome.Metric, r.Outcome.selector())
+	if r.Err != nil {
+		return fmt.Sprintf("%s: %v", text, r.Err)
 	}
-	text += fmt.Sprintf(" = %.6g", l.Value)
-	if l.Outcome.Min != nil {
-		text += fmt.Sprintf(", min %g", *l.Outcome.Min)
+	text += fmt.Sprintf(" = %.6g", r.Value)
+	if r.Outcome.Min != nil {
+		text += fmt.Sprintf(", min %g", *r.Outcome.Min)
 	}
-	if l.Outcome.Max != nil {
-		text += fmt.Sprintf(", max %g", *l.Outcome.Max)
+	if r.Outcome.Max != nil {
+		text += fmt.Sprintf(", max %g", *r.Outcome.Max)
 	}
 	return text
 }
