--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -61,7 +61,7 @@
 
 func benchmarkTokens(b *testing.B, tokenInterval time.Duration) {
 	f := newDaemonFixture(b)
-	processor := samples{}
+	cpu := samples{}
 	for _, n := range tokenCounts {
 		b.Run(benchmarkName("tokens", n), func(b *testing.B) {
 			f.b = b
@@ -75,10 +75,10 @@
 			}
 			cpuPerRequest := f.measureLoad(b, load)
 			b.ReportMetric(float64(n)*1e6/cpuPerRequest, "tokens/s/core")
-			processor[float64(n)] = cpuPerRequest
+			cpu[float64(n)] = cpuPerRequest
 		})
 	}
-	reportFit(b, processor, "cpu-us", "token")
+	reportFit(b, cpu, "cpu-us", "token")
 }
 
 // BenchmarkAddedTime compares the latency of a pipeline with that of the same calls made
--- a/replay/report/cost.go
+++ b/replay/report/cost.go
@@ -71,10 +71,10 @@
 
 // stageCosts sums up the entries by stage and sorts the result by stage name.
 func stageCosts(calls []*replay.Call, entries []ledger.Entry) []StageCost {
-	attained := newRequestIndex(calls)
+	index := newRequestIndex(calls)
 	units := map[stageWork][]ledger.Entry{}
 	for _, e := range entries {
-		u := stageWork{attained.requestOf(e), e.Stage}
+		u := stageWork{index.requestOf(e), e.Stage}
 		units[u] = append(units[u], e)
 	}
 	stages := map[string]*StageCost{}
@@ -82,7 +82,7 @@
 		if stages[u.stage] == nil {
 			stages[u.stage] = &StageCost{Stage: u.stage}
 		}
-		for i, s := range classifyExecutions(executions, attained.attained[u.request]) {
+		for i, s := range classifyExecutions(executions, index.attained[u.request]) {
 			stages[u.stage].addEntry(executions[i], s)
 		}
 	}
@@ -134,11 +134,11 @@
 // requestOf returns the request that e was executed for. If no call has the key or the
 // request id of e, it returns a name of its own, which does not count as attained.
 func (r requestIndex) requestOf(e ledger.Entry) string {
-	if root, ok := r.byKey[[2]string{e.Customer, e.Key}]; ok && e.Key != "" {
-		return root
+	if firstTryID, ok := r.byKey[[2]string{e.Customer, e.Key}]; ok && e.Key != "" {
+		return firstTryID
 	}
-	if root, ok := r.byID[e.RequestID]; ok {
-		return root
+	if firstTryID, ok := r.byID[e.RequestID]; ok {
+		return firstTryID
 	}
 	return "unknown " + e.RequestID
 }
--- a/replay/scenario/capacity.go
+++ b/replay/scenario/capacity.go
@@ -6,11 +6,11 @@
 	"github.com/wheatseam/wheatseam/bundle"
 )
 
-// Capacity estimates how many requests per second the bundle's pools can serve for a
-// mix of pipelines (name to weight). It is the rate at which all slots of the busiest
-// pool are in use, calculated from the expected durations of the stages; the rate that
-// a fleet really sustains must be measured with a replay. It is +Inf if no pipeline
-// uses a pool.
+// Capacity estimates how many requests per second the bundle's pools can serve if
+// pipelines are requested by pipelineWeights (name to relative frequency). It is the
+// rate at which all slots of the busiest pool are in use, calculated from the
+// expected durations of the stages; the rate that a fleet really sustains must be
+// measured with a replay. It is +Inf if no pipeline uses a pool.
 func Capacity(b *bundle.Bundle, pipelineWeights map[string]float64) float64 {
 	shares := pipelineShares(b, pipelineWeights)
 	lowestRate := math.Inf(1)
