--- a/bundle/bench_test.go
+++ b/bundle/bench_test.go
@@ -14,7 +14,8 @@
 	sizes bundletest.Sizes
 }{{"today", bundletest.Today}, {"target", bundletest.Target}}
 
-// BenchmarkOpen measures verifying, parsing and checking a signed bundle.
+// BenchmarkOpen measures the verification, parsing and validation of a signed
+// bundle.
 func BenchmarkOpen(b *testing.B) {
 	key := testKey(1)
 	for _, bench := range benchSizes {
@@ -31,7 +32,7 @@
 	}
 }
 
-// BenchmarkSplit measures cutting a signed bundle into parts.
+// BenchmarkSplit measures the division of a signed bundle into parts.
 func BenchmarkSplit(b *testing.B) {
 	for _, bench := range benchSizes {
 		b.Run(bench.name, func(b *testing.B) {
@@ -46,50 +47,51 @@
 	}
 }
 
-// BenchmarkOneCustomerChange counts the bytes that travel to one daemon when
-// one customer's weight changes, as the mean over every customer: the hashes
-// of the manifest, and the content of the parts that it lacks.
+// BenchmarkOneCustomerChange reports the number of bytes transferred to one daemon
+// when the weight of one customer changes: the hashes of the manifest and the
+// content of the parts that the daemon does not have. It reports the mean over all
+// customers.
 func BenchmarkOneCustomerChange(b *testing.B) {
 	for _, bench := range benchSizes {
 		b.Run(bench.name, func(b *testing.B) {
 			for b.Loop() {
-				reportChange(b, bench.sizes)
+				reportChangeCost(b, bench.sizes)
 			}
 		})
 	}
 }
 
-func reportChange(b *testing.B, sizes bundletest.Sizes) {
+func reportChangeCost(b *testing.B, sizes bundletest.Sizes) {
 	before := bundle.Sign(bundletest.YAML(sizes, 7), testKey(1))
-	known := store{}
-	known.add(before)
-	var partBytes, parts, most float64
+	knownParts := partStore{}
+	knownParts.add(before)
+	var partBytes, parts, maxChangeBytes float64
 	manifestBytes := 0.0
 	for i := range sizes.Customers {
 		after := bundle.Sign(changeWeight(bundletest.YAML(sizes, 8), i), testKey(1))
-		fresh := store{}
-		fresh.add(after)
+		newParts := partStore{}
+		newParts.add(after)
 		manifest := bundle.NewManifest(8, after)
 		manifestBytes = float64(len(manifest.Parts) * len(bundle.Hash{}))
-		sum := 0.0
-		for _, h := range manifest.Missing(known.has) {
-			sum += float64(len(fresh[h]))
+		changeBytes := 0.0
+		for _, h := range manifest.Missing(knownParts.has) {
+			changeBytes += float64(len(newParts[h]))
 			parts++
 		}
-		partBytes += sum
-		most = max(most, sum)
+		partBytes += changeBytes
+		maxChangeBytes = max(maxChangeBytes, changeBytes)
 	}
 	n := float64(sizes.Customers)
 	b.ReportMetric(float64(len(before)), "bundle-bytes")
 	b.ReportMetric(manifestBytes, "manifest-bytes")
 	b.ReportMetric(partBytes/n, "part-bytes/change")
-	b.ReportMetric(most, "max-part-bytes")
+	b.ReportMetric(maxChangeBytes, "max-part-bytes")
 	b.ReportMetric(parts/n, "parts/change")
 }
 
 func changeWeight(raw []byte, customer int) []byte {
 	name := []byte("name: " + bundletest.CustomerName(customer) + "\n")
-	at := bytes.Index(raw, name)
-	tail := bytes.Replace(raw[at:], []byte("weight: "), []byte("weight: 9"), 1)
-	return append(bytes.Clone(raw[:at]), tail...)
+	customerOffset := bytes.Index(raw, name)
+	tail := bytes.Replace(raw[customerOffset:], []byte("weight: "), []byte("weight: 9"), 1)
+	return append(bytes.Clone(raw[:customerOffset]), tail...)
 }
--- a/bundle/bundletest/bundletest.go
+++ b/bundle/bundletest/bundletest.go
@@ -1,5 +1,5 @@
-// Package bundletest writes bundles of a given size for tests and benchmarks.
-// The same sizes always give the same text.
+// Package bundletest generates bundles of given sizes for tests and benchmarks. The
+// same sizes always yield the same text.
 package bundletest
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/wheatseam/wheatseam/bundle"
 )
 
-// Sizes says how much of everything a bundle holds. Every count must be 1 or
-// more, and Upstreams at least Models + the four service pools.
+// Sizes holds the numbers of elements in a bundle. Each must be 1 or more, and
+// Upstreams at least Models plus 4, the number of service pools.
 type Sizes struct {
 	Regions   int
 	Domains   int
@@ -23,23 +23,23 @@
 	Customers int
 }
 
-// Target is the users' target size.
+// Target is the target size of a deployment.
 var Target = Sizes{
 	Regions: 3, Domains: 8, Hosts: 410, Models: 27, Upstreams: 610, Pipelines: 12, Customers: 410,
 }
 
-// Today is about the size that one deployment has today.
+// Today is the approximate size of a current deployment.
 var Today = Sizes{
 	Regions: 1, Domains: 4, Hosts: 7, Models: 1, Upstreams: 36, Pipelines: 4, Customers: 5,
 }
 
-// servicePools are the pools beside the engines.
+// servicePools are the names of the service pools.
 var servicePools = []string{"encoders", "retrievers", "rerankers", "signing"}
 
-// Shares of the upstreams that engines get, in tenths.
-const engineTenths = 6
+// engineUpstreamTenths is the fraction of upstreams that are engines, in tenths.
+const engineUpstreamTenths = 6
 
-// CustomerKey returns the API key of customer i, whose hash the bundle holds.
+// CustomerKey returns the API key of customer i. The bundle contains its hash.
 func CustomerKey(i int) string { return fmt.Sprintf("bundletest-key-%d", i) }
 
 // CustomerName returns the name of customer i.
@@ -48,9 +48,9 @@
 // HostName returns the name of host i.
 func HostName(i int) string { return fmt.Sprintf("entry-%03d", i) }
 
-// YAML returns a valid, unsigned bundle of these sizes at the given version.
+// YAML returns a valid, unsigned bundle of the given sizes and version.
 func YAML(s Sizes, version uint64) []byte {
-	w := &writer{}
+	w := &yamlWriter{}
 	w.line("version: %d", version)
 	w.line("deployment: bundletest")
 	w.line("objective: {attainment: 1, cost_by_stage: 0.5}")
@@ -63,7 +63,8 @@
 	return []byte(w.text.String())
 }
 
-// Bundle returns YAML parsed. It panics when the sizes give no valid bundle.
+// Bundle returns the parsed result of YAML. It panics if the sizes do not yield a
+// valid bundle.
 func Bundle(s Sizes, version uint64) *bundle.Bundle {
 	b, err := bundle.Parse(YAML(s, version))
 	if err != nil {
@@ -79,26 +80,27 @@
 	return bundle.DefaultGroupSize
 }
 
-type writer struct {
+type yamlWriter struct {
 	text strings.Builder
-	// upstreams counts the upstreams written; it numbers their addresses.
+	// upstreams is the number of upstreams written so far. Their addresses are
+	// derived from it.
 	upstreams int
 }
 
-func (w *writer) line(format string, args ...any) {
+func (w *yamlWriter) line(format string, args ...any) {
 	fmt.Fprintf(&w.text, format+"\n", args...)
 }
 
 func domainName(s Sizes, i int) string { return fmt.Sprintf("domain-%d", i%s.Domains) }
 
-func (w *writer) domains(s Sizes) {
+func (w *yamlWriter) domains(s Sizes) {
 	w.line("failure_domains:")
 	for i := range s.Domains {
 		w.line("  - {name: %s, region: region-%d}", domainName(s, i), i%s.Regions)
 	}
 }
 
-func (w *writer) hosts(s Sizes) {
+func (w *yamlWriter) hosts(s Sizes) {
 	w.line("hosts:")
 	for i := range s.Hosts {
 		w.line(`  - {name: %s, failure_domain: %s, peer_address: "10.1.%d.%d:7400"}`,
@@ -106,9 +108,9 @@
 	}
 }
 
-func (w *writer) pools(s Sizes) {
+func (w *yamlWriter) pools(s Sizes) {
 	w.line("pools:")
-	engines := max(s.Upstreams*engineTenths/10, s.Models)
+	engines := max(s.Upstreams*engineUpstreamTenths/10, s.Models)
 	for i := range s.Models {
 		w.line("  - name: lm-%02d", i)
 		w.line("    kind: engine")
@@ -116,19 +118,19 @@
 		w.line(`    model_version: "1.%d"`, i)
 		w.line("    supports: {priority: true, cancellation: true}")
 		w.line("    concurrency: 16")
-		w.poolUpstreams(s, fmt.Sprintf("lm-%02d", i), share(engines, s.Models, i))
+		w.poolUpstreams(s, fmt.Sprintf("lm-%02d", i), evenShare(engines, s.Models, i))
 	}
 	for i, name := range servicePools {
 		w.line("  - name: %s", name)
 		w.line("    kind: service")
 		w.line("    supports: {cancellation: true, status_lookup: %t}", name == "signing")
 		w.line("    concurrency: 8")
-		w.poolUpstreams(s, name, share(s.Upstreams-engines, len(servicePools), i))
+		w.poolUpstreams(s, name, evenShare(s.Upstreams-engines, len(servicePools), i))
 	}
 }
 
-// share splits total over n as evenly as it goes.
-func share(total, n, i int) int {
+// evenShare returns part i of total divided as evenly as possible into n parts.
+func evenShare(total, n, i int) int {
 	count := total / n
 	if i < total%n {
 		count++
@@ -136,7 +138,7 @@
 	return count
 }
 
-func (w *writer) poolUpstreams(s Sizes, pool string, count int) {
+func (w *yamlWriter) poolUpstreams(s Sizes, pool string, count int) {
 	w.line("    upstreams:")
 	for i := range count {
 		n := w.upstreams
@@ -146,9 +148,9 @@
 	}
 }
 
-// pipelines writes summaries over the engine pools; each fourth pipeline is a
-// seal, which may not be repeated.
-func (w *writer) pipelines(s Sizes) {
+// pipelines writes pipelines that end in a generate stage, spread over the engine
+// pools. Every fourth pipeline is a single non-repeatable seal stage instead.
+func (w *yamlWriter) pipelines(s Sizes) {
 	w.line("pipelines:")
 	for i := range s.Pipelines {
 		w.line("  - name: %s", pipelineName(i))
@@ -169,7 +171,7 @@
 
 func pipelineName(i int) string { return fmt.Sprintf("pipeline-%02d", i) }
 
-// customerPipelines returns the names of up to three pipelines.
+// customerPipelines returns the names of the customer's pipelines, up to three.
 func customerPipelines(s Sizes, customer int) []string {
 	names := make([]string, min(s.Pipelines, 3))
 	for i := range names {
@@ -178,7 +180,7 @@
 	return names
 }
 
-func (w *writer) customers(s Sizes) {
+func (w *yamlWriter) customers(s Sizes) {
 	w.line("customers:")
 	for i := range s.Customers {
 		hash := sha256.Sum256([]byte(CustomerKey(i)))
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -8,11 +8,11 @@
 	"github.com/wheatseam/wheatseam/internal/strictyaml"
 )
 
-// checkMeaning checks what values mean beside each other: names that must
-// exist or must differ, and deadlines that can be kept.
-func checkMeaning(b *Bundle, r *strictyaml.Report) {
-	c := &checker{Report: r, b: b}
-	c.index()
+// checkSemantics checks constraints between values: names that must exist or be
+// unique, and deadlines that the stages can meet.
+func checkSemantics(b *Bundle, r *strictyaml.Report) {
+	c := &checker{Report: r, bundle: b}
+	c.indexNames()
 	c.checkObjective()
 	c.checkHosts()
 	c.checkViews()
@@ -22,116 +22,121 @@
 	c.checkCustomers()
 }
 
-// checker holds the names that a bundle defines.
+// checker checks a bundle. It holds the names that the bundle defines and collects
+// problems in the report.
 type checker struct {
 	*strictyaml.Report
-	b         *Bundle
-	domains   map[string]bool
-	pools     map[string]*Pool
-	pipelines map[string]bool
+	bundle         *Bundle
+	failureDomains map[string]bool
+	pools          map[string]*Pool
+	pipelines      map[string]bool
 }
 
-// unique tells the first use of a value from later ones.
-type unique map[string]string
+// firstPaths maps each value to the path of its first use.
+type firstPaths map[string]string
 
-// check notes a fault at path when value was seen before.
-func (u unique) check(c *checker, value, path string) {
+// checkUnique reports a problem at path if value has been used before. Empty
+// values are ignored.
+func (paths firstPaths) checkUnique(c *checker, value, path string) {
 	if value == "" {
 		return
 	}
-	if first, seen := u[value]; seen {
+	if first, seen := paths[value]; seen {
 		c.Add(path, "%q is already used by %s", value, first)
 		return
 	}
-	u[value] = path
+	paths[value] = path
 }
 
-func (c *checker) index() {
-	c.domains = map[string]bool{}
-	domainNames := unique{}
-	for i, d := range c.b.FailureDomains {
-		domainNames.check(c, d.Name, indexed("failure_domains", i)+".name")
-		c.domains[d.Name] = true
+func (c *checker) indexNames() {
+	c.failureDomains = map[string]bool{}
+	domainNames := firstPaths{}
+	for i, d := range c.bundle.FailureDomains {
+		domainNames.checkUnique(c, d.Name, indexedPath("failure_domains", i)+".name")
+		c.failureDomains[d.Name] = true
 	}
 	c.pools = map[string]*Pool{}
-	poolNames := unique{}
-	for i := range c.b.Pools {
-		p := &c.b.Pools[i]
-		poolNames.check(c, p.Name, indexed("pools", i)+".name")
+	poolNames := firstPaths{}
+	for i := range c.bundle.Pools {
+		p := &c.bundle.Pools[i]
+		poolNames.checkUnique(c, p.Name, indexedPath("pools", i)+".name")
 		c.pools[p.Name] = p
 	}
 	c.pipelines = map[string]bool{}
-	pipelineNames := unique{}
-	for i, p := range c.b.Pipelines {
-		pipelineNames.check(c, p.Name, indexed("pipelines", i)+".name")
+	pipelineNames := firstPaths{}
+	for i, p := range c.bundle.Pipelines {
+		pipelineNames.checkUnique(c, p.Name, indexedPath("pipelines", i)+".name")
 		c.pipelines[p.Name] = true
 	}
 }
 
-// address notes a fault when text is no ip:port that can be connected to.
-func (c *checker) address(text, path string) {
+// checkAddress reports a problem unless text is an ip:port to which a client can
+// connect: the port is not 0 and the IP address is not unspecified.
+func (c *checker) checkAddress(text, path string) {
 	address, err := netip.ParseAddrPort(text)
 	if err == nil && address.Port() != 0 && !address.Addr().IsUnspecified() {
 		return
 	}
 	if !c.Has(path) {
-		c.Add(path, "want an address in the form ip:port")
+		c.Add(path, "must be an address in the form ip:port")
 	}
 }
 
-// domain notes a fault when no failure domain has that name.
-func (c *checker) domain(name, path string) {
-	if name != "" && !c.domains[name] {
-		c.Add(path, "there is no failure domain %q", name)
+// checkFailureDomain reports a problem if no failure domain has that name.
+func (c *checker) checkFailureDomain(name, path string) {
+	if name != "" && !c.failureDomains[name] {
+		c.Add(path, "no failure domain is named %q", name)
 	}
 }
 
 func (c *checker) checkObjective() {
-	if c.b.Objective.Attainment == 0 && c.b.Objective.CostByStage == 0 && !c.Has("objective") {
+	if c.bundle.Objective.Attainment == 0 && c.bundle.Objective.CostByStage == 0 && !c.Has("objective") {
 		c.Add("objective", "one of attainment and cost_by_stage must be above 0")
 	}
 }
 
 func (c *checker) checkHosts() {
-	names, addresses := unique{}, unique{}
-	for i, h := range c.b.Hosts {
-		path := indexed("hosts", i)
-		names.check(c, h.Name, path+".name")
-		addresses.check(c, h.PeerAddress, path+".peer_address")
-		c.address(h.PeerAddress, path+".peer_address")
+	names, addresses := firstPaths{}, firstPaths{}
+	for i, h := range c.bundle.Hosts {
+		path := indexedPath("hosts", i)
+		names.checkUnique(c, h.Name, path+".name")
+		addresses.checkUnique(c, h.PeerAddress, path+".peer_address")
+		c.checkAddress(h.PeerAddress, path+".peer_address")
 		if !h.EndedAt.IsZero() {
-			c.Add(path+".ended_at", "belongs to hosts in views")
+			c.Add(path+".ended_at", "is allowed only for hosts in views")
 		}
-		c.domain(h.FailureDomain, path+".failure_domain")
+		c.checkFailureDomain(h.FailureDomain, path+".failure_domain")
 	}
 }
 
-// checkViews wants the earlier host lists newest first. There are never more
-// lists than versions of the bundle. Their failure domains may be gone by now.
+// checkViews checks that the previous host lists are ordered newest first and
+// have epochs below the bundle's version, since there are never more host lists
+// than bundle versions. Their failure domains are not checked, because these may
+// have been removed since.
 func (c *checker) checkViews() {
-	newer := c.b.Version
-	for i, v := range c.b.Views {
-		path := indexed("views", i)
+	newer := c.bundle.Version
+	for i, v := range c.bundle.Views {
+		path := indexedPath("views", i)
 		if v.Version >= newer {
-			c.Add(path+".version", "%d is not below %d: views stand newest first, below the bundle's version", v.Version, newer)
+			c.Add(path+".version", "%d is not below %d: views must be ordered newest first, with versions below the bundle's", v.Version, newer)
 		}
 		newer = v.Version
-		names := unique{}
+		names := firstPaths{}
 		for j, h := range v.Hosts {
-			names.check(c, h.Name, indexed(path+".hosts", j)+".name")
+			names.checkUnique(c, h.Name, indexedPath(path+".hosts", j)+".name")
 		}
 	}
 }
 
 func (c *checker) checkClaims() {
-	p := c.b.Claims
+	p := c.bundle.Claims
 	switch {
 	case p.GroupSize < 1:
 		c.Add("claims.group_size", "must be 1 or more")
 	case p.GroupSize%2 == 0:
-		c.Add("claims.group_size", "%d is even: a majority of it is no safer than of %d", p.GroupSize, p.GroupSize-1)
-	case p.GroupSize > len(c.b.Hosts):
-		c.Add("claims.group_size", "%d is more than the %d hosts", p.GroupSize, len(c.b.Hosts))
+		c.Add("claims.group_size", "%d is even: it tolerates no more failures than %d", p.GroupSize, p.GroupSize-1)
+	case p.GroupSize > len(c.bundle.Hosts):
+		c.Add("claims.group_size", "%d is more than the number of hosts (%d)", p.GroupSize, len(c.bundle.Hosts))
 	}
 	if p.MaxClockSkew <= 0 {
 		c.Add("claims.max_clock_skew", "must be above 0")
@@ -144,54 +149,56 @@
 	}
 }
 
-// checkPools wants upstreams' names and addresses to differ over all pools:
-// the host list names an upstream without its pool.
+// checkPools checks the pools. The names and addresses of upstreams must be unique
+// across all pools, because the platform's host list identifies an upstream
+// without its pool.
 func (c *checker) checkPools() {
-	names, addresses := unique{}, unique{}
-	for i, p := range c.b.Pools {
-		path := indexed("pools", i)
+	names, addresses := firstPaths{}, firstPaths{}
+	for i, p := range c.bundle.Pools {
+		path := indexedPath("pools", i)
 		c.checkPoolKind(p, path)
-		adapters := unique{}
+		adapterNames := firstPaths{}
 		for j, a := range p.Adapters {
-			adapters.check(c, a, indexed(path+".adapters", j))
+			adapterNames.checkUnique(c, a, indexedPath(path+".adapters", j))
 		}
 		for j, u := range p.Upstreams {
-			upstream := indexed(path+".upstreams", j)
-			names.check(c, u.Name, upstream+".name")
-			addresses.check(c, u.Address, upstream+".address")
-			c.address(u.Address, upstream+".address")
-			c.domain(u.FailureDomain, upstream+".failure_domain")
+			upstream := indexedPath(path+".upstreams", j)
+			names.checkUnique(c, u.Name, upstream+".name")
+			addresses.checkUnique(c, u.Address, upstream+".address")
+			c.checkAddress(u.Address, upstream+".address")
+			c.checkFailureDomain(u.FailureDomain, upstream+".failure_domain")
 		}
 	}
 }
 
 func (c *checker) checkPoolKind(p Pool, path string) {
 	if p.Kind == PoolEngine && p.Model == "" {
-		c.Add(path+".model", "an engine pool needs a model")
+		c.Add(path+".model", "is required for an engine pool")
 	}
 	if p.Kind != PoolService {
 		return
 	}
 	if p.Model != "" || p.Version != "" || len(p.Adapters) > 0 || p.Role != "" {
-		c.Add(path, "model, model_version, adapters and role belong to engine pools")
+		c.Add(path, "model, model_version, adapters and role are allowed only for engine pools")
 	}
 }
 
 func (c *checker) checkPipelines() {
-	for i, p := range c.b.Pipelines {
-		path := indexed("pipelines", i)
+	for i, p := range c.bundle.Pipelines {
+		path := indexedPath("pipelines", i)
 		c.checkDeadline(p, path)
-		names := unique{}
+		names := firstPaths{}
 		for j, s := range p.Stages {
-			stage := indexed(path+".stages", j)
-			names.check(c, s.Name, stage+".name")
+			stage := indexedPath(path+".stages", j)
+			names.checkUnique(c, s.Name, stage+".name")
 			c.checkStage(s, stage)
 		}
 	}
 }
 
-// checkDeadline wants a deadline that the stages can meet and, where a stage
-// may not be repeated, one that ends before its claim is forgotten.
+// checkDeadline checks that the expected durations of the stages fit into the
+// deadline and, if a stage is non-repeatable, that the deadline passes before the
+// claim's retention ends.
 func (c *checker) checkDeadline(p Pipeline, path string) {
 	var expected time.Duration
 	nonRepeatable := false
@@ -200,71 +207,72 @@
 		nonRepeatable = nonRepeatable || s.NonRepeatable
 	}
 	if p.Deadline > 0 && expected > p.Deadline {
-		c.Add(path+".deadline", "%s is impossible: the stages are expected to take %s", p.Deadline, expected)
+		c.Add(path+".deadline", "%s cannot be met: the stages are expected to take %s", p.Deadline, expected)
 	}
-	claims := c.b.Claims
+	claims := c.bundle.Claims
 	if nonRepeatable && p.Deadline+claims.MaxClockSkew+claims.MaxKeyAhead >= claims.Retention {
 		c.Add(path+".deadline", "%s with max_clock_skew and max_key_ahead is not below claims.retention (%s), "+
-			"so a claim could be forgotten while its request runs", p.Deadline, claims.Retention)
+			"so a claim could expire while its request is still running", p.Deadline, claims.Retention)
 	}
 }
 
 func (c *checker) checkStage(s Stage, path string) {
 	if s.NonRepeatable && s.Kind != StageCall {
-		c.Add(path+".non_repeatable", "only a stage of kind call can be non-repeatable, not %s", s.Kind)
+		c.Add(path+".non_repeatable", "only a stage of kind call can be non-repeatable; this stage is of kind %s", s.Kind)
 	}
 	if s.MaxTokens > 0 && s.Kind != StageGenerate {
-		c.Add(path+".max_tokens", "belongs to stages of kind generate")
+		c.Add(path+".max_tokens", "is allowed only for stages of kind generate")
 	}
 	if s.Path != "" && !strings.HasPrefix(s.Path, "/") {
 		c.Add(path+".path", "must start with /")
 	}
 	if s.Path != "" && s.Kind == StageGenerate {
-		c.Add(path+".path", "belongs to stages that call services")
+		c.Add(path+".path", "is allowed only for stages that call services")
 	}
 	pool, known := c.pools[s.Pool]
 	switch {
 	case s.Pool == "":
 	case !known:
-		c.Add(path+".pool", "there is no pool %q", s.Pool)
+		c.Add(path+".pool", "no pool is named %q", s.Pool)
 	case s.Kind == StageGenerate && pool.Kind != PoolEngine:
-		c.Add(path+".pool", "a generate stage needs an engine pool; %q is of kind %s", s.Pool, pool.Kind)
+		c.Add(path+".pool", "a generate stage requires an engine pool; %q is of kind %s", s.Pool, pool.Kind)
 	case s.Kind != StageGenerate && pool.Kind != PoolService:
-		c.Add(path+".pool", "a stage of kind %s needs a service pool; %q is of kind %s", s.Kind, s.Pool, pool.Kind)
+		c.Add(path+".pool", "a stage of kind %s requires a service pool; %q is of kind %s", s.Kind, s.Pool, pool.Kind)
 	}
 }
 
 func (c *checker) checkCustomers() {
-	names, hashes := unique{}, unique{}
-	for i, customer := range c.b.Customers {
-		path := indexed("customers", i)
-		names.check(c, customer.Name, path+".name")
+	names, hashes := firstPaths{}, firstPaths{}
+	for i, customer := range c.bundle.Customers {
+		path := indexedPath("customers", i)
+		names.checkUnique(c, customer.Name, path+".name")
 		for j, hash := range customer.KeyHashes {
-			c.checkKeyHash(hashes, hash, indexed(path+".key_hashes", j))
+			c.checkKeyHash(hashes, hash, indexedPath(path+".key_hashes", j))
 		}
-		pipelines := unique{}
+		pipelineNames := firstPaths{}
 		for j, name := range customer.Pipelines {
-			pipeline := indexed(path+".pipelines", j)
-			pipelines.check(c, name, pipeline)
+			pipeline := indexedPath(path+".pipelines", j)
+			pipelineNames.checkUnique(c, name, pipeline)
 			if name != "" && !c.pipelines[name] {
-				c.Add(pipeline, "there is no pipeline %q", name)
+				c.Add(pipeline, "no pipeline is named %q", name)
 			}
 		}
 	}
 }
 
-// checkKeyHash wants each hash once over all customers. Hashes are compared
-// whatever their case, and only their first digits are shown.
-func (c *checker) checkKeyHash(seen unique, hash, path string) {
+// checkKeyHash reports a key hash that is used more than once across all
+// customers. Hashes are compared case-insensitively, and messages contain only
+// their first digits.
+func (c *checker) checkKeyHash(hashPaths firstPaths, hash, path string) {
 	hash = strings.ToLower(hash)
-	if first, known := seen[hash]; known {
+	if first, seen := hashPaths[hash]; seen {
 		c.Add(path, "key hash %s is already used by %s", shortHash(hash), first)
 		return
 	}
-	seen[hash] = path
+	hashPaths[hash] = path
 }
 
-// shortHashDigits is how much of a key hash is shown.
+// shortHashDigits is the number of digits of a key hash that may be displayed.
 const shortHashDigits = 8
 
 func shortHash(hash string) string {
--- a/bundle/diff.go
+++ b/bundle/diff.go
@@ -11,7 +11,7 @@
 	"github.com/wheatseam/wheatseam/internal/strictyaml"
 )
 
-// ChangeKind says what happened to a value.
+// ChangeKind is the kind of a change to a value.
 type ChangeKind string
 
 // The kinds of change.
@@ -19,23 +19,24 @@
 	Added   ChangeKind = "added"
 	Removed ChangeKind = "removed"
 	Changed ChangeKind = "changed"
-	// Reordered lists hold the same items in another order.
+	// Reordered means that the items common to both lists are in a different
+	// order.
 	Reordered ChangeKind = "reordered"
 )
 
 // Change is one difference between two bundles.
 type Change struct {
 	Kind ChangeKind `json:"kind"`
-	// Path names the place; items of lists are named by their name, such as
+	// Path is the path of the value. List items are identified by name, as in
 	// "customers[clinic].weight".
 	Path string `json:"path"`
-	// Before and After are YAML in flow form; Before is empty for what was
-	// added, After for what was removed. Key hashes are shortened.
+	// Before and After are the values in YAML flow style. Before is empty for
+	// an added value, After for a removed one. Key hashes are shortened.
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
 
-// String returns one readable line.
+// String returns the change as one line of text.
 func (c Change) String() string {
 	switch c.Kind {
 	case Added:
@@ -47,11 +48,11 @@
 	}
 }
 
-// Diff returns what changed from a to b, in the order of the document. Lists
-// are compared by the names of their items.
+// Diff returns the changes from a to b in document order. List items are matched by
+// name.
 func Diff(a, b *Bundle) []Change {
 	d := &differ{}
-	d.structure("", reflect.ValueOf(*a), reflect.ValueOf(*b))
+	d.diffStruct("", reflect.ValueOf(*a), reflect.ValueOf(*b))
 	return d.changes
 }
 
@@ -63,74 +64,75 @@
 	d.changes = append(d.changes, Change{Kind: kind, Path: path, Before: before, After: after})
 }
 
-func (d *differ) structure(path string, a, b reflect.Value) {
+func (d *differ) diffStruct(path string, a, b reflect.Value) {
 	for i := range a.NumField() {
 		field := a.Type().Field(i)
-		d.value(strictyaml.Join(path, strictyaml.Key(field)), a.Field(i), b.Field(i), isSecret(field))
+		d.diffValue(strictyaml.Join(path, strictyaml.Key(field)), a.Field(i), b.Field(i), isSecret(field))
 	}
 }
 
-func (d *differ) value(path string, a, b reflect.Value, secret bool) {
+func (d *differ) diffValue(path string, a, b reflect.Value, secret bool) {
 	switch {
 	case a.Kind() == reflect.Slice:
-		d.list(path, a, b, secret)
+		d.diffList(path, a, b, secret)
 	case !strictyaml.IsScalar(a.Type()):
-		d.structure(path, a, b)
+		d.diffStruct(path, a, b)
 	case a.Interface() != b.Interface():
-		d.add(Changed, path, flow(a, secret), flow(b, secret))
+		d.add(Changed, path, formatFlow(a, secret), formatFlow(b, secret))
 	}
 }
 
-// list compares items of the same name; an item's name is unique in its list
-// once a bundle is checked.
-func (d *differ) list(path string, a, b reflect.Value, secret bool) {
-	before, after := itemsOf(a), itemsOf(b)
+// diffList compares list items that have the same name. Names are unique within a
+// list in a valid bundle.
+func (d *differ) diffList(path string, a, b reflect.Value, secret bool) {
+	before, after := indexItems(a), indexItems(b)
 	for _, name := range before.names {
-		place := fmt.Sprintf("%s[%s]", path, shown(name, secret))
-		other, kept := after.byName[name]
+		itemPath := fmt.Sprintf("%s[%s]", path, redact(name, secret))
+		counterpart, found := after.byName[name]
 		switch {
-		case !kept:
-			d.add(Removed, place, flow(before.byName[name], secret), "")
-		case other.Kind() == reflect.Struct:
-			d.structure(place, before.byName[name], other)
+		case !found:
+			d.add(Removed, itemPath, formatFlow(before.byName[name], secret), "")
+		case counterpart.Kind() == reflect.Struct:
+			d.diffStruct(itemPath, before.byName[name], counterpart)
 		}
 	}
 	for _, name := range after.names {
-		if _, old := before.byName[name]; !old {
-			place := fmt.Sprintf("%s[%s]", path, shown(name, secret))
-			d.add(Added, place, "", flow(after.byName[name], secret))
+		if _, found := before.byName[name]; !found {
+			itemPath := fmt.Sprintf("%s[%s]", path, redact(name, secret))
+			d.add(Added, itemPath, "", formatFlow(after.byName[name], secret))
 		}
 	}
-	d.order(path, before, after, secret)
+	d.diffOrder(path, before, after, secret)
 }
 
-// order notes a list whose common items stand in another order.
-func (d *differ) order(path string, before, after items, secret bool) {
-	left, right := before.common(after), after.common(before)
-	if slices.Equal(left, right) {
+// diffOrder adds a change if the items common to both lists are in a different
+// order.
+func (d *differ) diffOrder(path string, before, after namedItems, secret bool) {
+	oldOrder, newOrder := before.commonNames(after), after.commonNames(before)
+	if slices.Equal(oldOrder, newOrder) {
 		return
 	}
-	d.add(Reordered, path, flow(reflect.ValueOf(left), secret), flow(reflect.ValueOf(right), secret))
+	d.add(Reordered, path, formatFlow(reflect.ValueOf(oldOrder), secret), formatFlow(reflect.ValueOf(newOrder), secret))
 }
 
-// items is a list by the names of its items.
-type items struct {
+// namedItems is a list indexed by the names of its items.
+type namedItems struct {
 	names  []string
 	byName map[string]reflect.Value
 }
 
-func itemsOf(list reflect.Value) items {
-	out := items{byName: make(map[string]reflect.Value, list.Len())}
+func indexItems(list reflect.Value) namedItems {
+	out := namedItems{byName: make(map[string]reflect.Value, list.Len())}
 	for i := range list.Len() {
-		name := nameOf(list.Index(i))
+		name := itemName(list.Index(i))
 		out.names = append(out.names, name)
 		out.byName[name] = list.Index(i)
 	}
 	return out
 }
 
-// common returns the names that other has too, in the order of l.
-func (l items) common(other items) []string {
+// commonNames returns the names that are also in other, in the order of l.
+func (l namedItems) commonNames(other namedItems) []string {
 	var names []string
 	for _, name := range l.names {
 		if _, ok := other.byName[name]; ok {
@@ -140,8 +142,8 @@
 	return names
 }
 
-// nameOf returns the name of a list item; views go by their version.
-func nameOf(item reflect.Value) string {
+// itemName returns the name of a list item. The name of a view is its version.
+func itemName(item reflect.Value) string {
 	if item.Kind() == reflect.String {
 		return item.String()
 	}
@@ -151,19 +153,18 @@
 	return item.FieldByName("Name").String()
 }
 
-// isSecret marks the fields whose values are shortened wherever they are
-// shown.
+// isSecret reports whether the values of a field are shortened for display.
 func isSecret(field reflect.StructField) bool { return field.Tag.Get("secret") == "true" }
 
-func shown(text string, secret bool) string {
+func redact(text string, secret bool) string {
 	if secret {
 		return shortHash(text)
 	}
 	return text
 }
 
-// flow returns v as YAML in flow form, without the fields that are zero.
-func flow(v reflect.Value, secret bool) string {
+// formatFlow returns v in YAML flow style, without fields that have a zero value.
+func formatFlow(v reflect.Value, secret bool) string {
 	switch typed := v.Interface().(type) {
 	case time.Duration:
 		return typed.String()
@@ -172,32 +173,32 @@
 	}
 	switch v.Kind() {
 	case reflect.Struct:
-		return flowStruct(v)
+		return formatFlowStruct(v)
 	case reflect.Slice:
 		parts := make([]string, v.Len())
 		for i := range parts {
-			parts[i] = flow(v.Index(i), secret)
+			parts[i] = formatFlow(v.Index(i), secret)
 		}
 		return "[" + strings.Join(parts, ", ") + "]"
 	case reflect.String:
-		return quoteIfNeeded(shown(v.String(), secret))
+		return quoteIfNeeded(redact(v.String(), secret))
 	default:
 		return fmt.Sprint(v.Interface())
 	}
 }
 
-func flowStruct(v reflect.Value) string {
+func formatFlowStruct(v reflect.Value) string {
 	var parts []string
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
 		if !v.Field(i).IsZero() {
-			parts = append(parts, strictyaml.Key(field)+": "+flow(v.Field(i), isSecret(field)))
+			parts = append(parts, strictyaml.Key(field)+": "+formatFlow(v.Field(i), isSecret(field)))
 		}
 	}
 	return "{" + strings.Join(parts, ", ") + "}"
 }
 
-// quoteIfNeeded quotes what flow form would read as something else.
+// quoteIfNeeded quotes text that YAML flow style would not read as a plain string.
 func quoteIfNeeded(text string) string {
 	if text == "" || strings.ContainsAny(text, ":,[]{}#\"'\n") {
 		return strconv.Quote(text)
--- a/bundle/diff_test.go
+++ b/bundle/diff_test.go
@@ -10,7 +10,7 @@
 	"github.com/wheatseam/wheatseam/bundle"
 )
 
-func parsed(raw []byte) *bundle.Bundle {
+func mustParse(raw []byte) *bundle.Bundle {
 	GinkgoHelper()
 	b, err := bundle.Parse(raw)
 	Expect(err).NotTo(HaveOccurred())
@@ -18,80 +18,80 @@
 }
 
 var _ = Describe("Diff", func() {
-	before := func() *bundle.Bundle { return parsed(example("demo.yaml")) }
+	before := func() *bundle.Bundle { return mustParse(readExample("demo.yaml")) }
 
-	It("finds nothing between a bundle and itself, signed or not", func() {
-		signed := bundle.Sign(example("demo.yaml"), testKey(1))
-		Expect(bundle.Diff(before(), parsed(signed))).To(BeEmpty())
+	It("finds no changes between a bundle and the same bundle with a signature", func() {
+		signed := bundle.Sign(readExample("demo.yaml"), testKey(1))
+		Expect(bundle.Diff(before(), mustParse(signed))).To(BeEmpty())
 	})
 
-	DescribeTable("names", func(old, new string, want ...string) {
+	DescribeTable("describes", func(old, new string, want ...string) {
 		var lines []string
-		for _, c := range bundle.Diff(before(), parsed(edit(old, new))) {
+		for _, c := range bundle.Diff(before(), mustParse(replaceInDemo(old, new))) {
 			lines = append(lines, c.String())
 		}
 		Expect(lines).To(Equal(want))
 	},
 		Entry("a changed value", "    weight: 3", "    weight: 4", "~ customers[firma].weight: 3 -> 4"),
 		Entry("a changed duration", "retention: 2m", "retention: 3m", "~ claims.retention: 2m0s -> 3m0s"),
-		Entry("a value that falls back to its default", "    weight: 3\n    requests_per_second: 200\n", "    weight: 3\n",
+		Entry("a value that is reset to its default", "    weight: 3\n    requests_per_second: 200\n", "    weight: 3\n",
 			"~ customers[firma].requests_per_second: 200 -> 0"),
-		Entry("an upstream that is replaced", `{name: encoder-2, failure_domain: lima-b, address: "127.0.0.1:7512"}`,
+		Entry("a replaced upstream", `{name: encoder-2, failure_domain: lima-b, address: "127.0.0.1:7512"}`,
 			`{name: encoder-3, failure_domain: lima-c, address: "127.0.0.1:7513"}`,
 			`- pools[encoders].upstreams[encoder-2]: {name: encoder-2, failure_domain: lima-b, address: "127.0.0.1:7512"}`,
 			`+ pools[encoders].upstreams[encoder-3]: {name: encoder-3, failure_domain: lima-c, address: "127.0.0.1:7513"}`),
-		Entry("a customer's new pipeline list", "requests_per_second: 50\n    pipelines: [contract-summary, seal]",
+		Entry("a pipeline removed from a customer", "requests_per_second: 50\n    pipelines: [contract-summary, seal]",
 			"requests_per_second: 50\n    pipelines: [seal]", "- customers[clinic].pipelines[contract-summary]: contract-summary"),
-		Entry("another order", "requests_per_second: 50\n    pipelines: [contract-summary, seal]",
+		Entry("a different order", "requests_per_second: 50\n    pipelines: [contract-summary, seal]",
 			"requests_per_second: 50\n    pipelines: [seal, contract-summary]",
 			"~ customers[clinic].pipelines: [contract-summary, seal] -> [seal, contract-summary]"),
 	)
 
-	It("shortens key hashes in every form of change", func() {
-		raw := example("demo.yaml")
+	It("shortens key hashes in every kind of change", func() {
+		raw := readExample("demo.yaml")
 		old := before()
 		hash := old.Customers[1].KeyHashes[0]
-		fresh := strings.Repeat("ab", 32)
+		newHash := strings.Repeat("ab", 32)
 		start := bytes.Index(raw, []byte("  - name: clinic"))
-		swapped := bytes.Replace(raw, []byte(hash), []byte(fresh), 1)
+		replaced := bytes.Replace(raw, []byte(hash), []byte(newHash), 1)
 		for _, changes := range [][]bundle.Change{
-			bundle.Diff(old, parsed(swapped)),
-			bundle.Diff(old, parsed(raw[:start])),
-			bundle.Diff(parsed(raw[:start]), old),
+			bundle.Diff(old, mustParse(replaced)),
+			bundle.Diff(old, mustParse(raw[:start])),
+			bundle.Diff(mustParse(raw[:start]), old),
 		} {
 			Expect(changes).NotTo(BeEmpty())
 			for _, c := range changes {
-				Expect(c.String()).To(Or(ContainSubstring(hash[:8]+"..."), ContainSubstring(fresh[:8]+"...")))
-				Expect(c.String()).NotTo(Or(ContainSubstring(hash[:9]), ContainSubstring(fresh[:9])))
+				Expect(c.String()).To(Or(ContainSubstring(hash[:8]+"..."), ContainSubstring(newHash[:8]+"...")))
+				Expect(c.String()).NotTo(Or(ContainSubstring(hash[:9]), ContainSubstring(newHash[:9])))
 			}
 		}
 	})
 })
 
 var _ = Describe("CheckSuccessor", func() {
-	const third = `  - {name: entry-3, failure_domain: lima-c, peer_address: "127.0.0.1:7403"}`
-	const fourth = `  - {name: entry-4, failure_domain: lima-c, peer_address: "127.0.0.1:7404"}`
-	const lineage = `views:
+	const entry3 = `  - {name: entry-3, failure_domain: lima-c, peer_address: "127.0.0.1:7403"}`
+	const entry4 = `  - {name: entry-4, failure_domain: lima-c, peer_address: "127.0.0.1:7404"}`
+	const firstView = `views:
   - version: 1
     hosts:
       - {name: entry-3, failure_domain: lima-c, peer_address: "127.0.0.1:7403"}
       - {name: entry-1, failure_domain: lima-a, peer_address: "127.0.0.1:7401"}
       - {name: entry-2, failure_domain: lima-b, peer_address: "127.0.0.1:7402"}
 `
-	current := func() *bundle.Bundle { return parsed(example("demo.yaml")) }
+	current := func() *bundle.Bundle { return mustParse(readExample("demo.yaml")) }
 	successor := func(replace ...string) *bundle.Bundle {
-		return parsed([]byte(strings.NewReplacer(append(replace, "\nversion: 1\n", "\nversion: 2\n")...).Replace(string(example("demo.yaml")))))
+		return mustParse([]byte(strings.NewReplacer(append(replace, "\nversion: 1\n", "\nversion: 2\n")...).Replace(string(readExample("demo.yaml")))))
 	}
 
-	It("takes a higher version with the same hosts, at other addresses too", func() {
+	It("accepts a higher version with the same hosts, even at other addresses", func() {
 		Expect(bundle.CheckSuccessor(current(), successor())).To(Succeed())
 		Expect(bundle.CheckSuccessor(current(), successor(":7403", ":7409"))).To(Succeed())
 	})
 
-	It("wants the list in force among the views when hosts change", func() {
-		Expect(bundle.CheckSuccessor(current(), successor(third, fourth))).To(
-			MatchError(ContainSubstring("put the list in force first, with version 1")))
-		next := successor(third, fourth, "claims:\n", lineage+"claims:\n")
+	It("requires the active host list in the views when the hosts change", func() {
+		Expect(bundle.CheckSuccessor(current(), successor(entry3, entry4))).To(
+			MatchError(ContainSubstring("add the active list to views as the first entry, with version 1")))
+		next := successor(entry3, entry4, "claims:\n", firstView+"claims:\n")
 		Expect(bundle.CheckSuccessor(current(), next)).To(Succeed())
 
 		later := *next
@@ -100,20 +100,20 @@
 		later.Views = next.Views
 		Expect(bundle.CheckSuccessor(next, &later)).To(Succeed())
 		later.Hosts = next.Hosts[:2]
-		Expect(bundle.CheckSuccessor(next, &later)).To(MatchError(ContainSubstring("put the list in force first, with version 2")))
+		Expect(bundle.CheckSuccessor(next, &later)).To(MatchError(ContainSubstring("add the active list to views as the first entry, with version 2")))
 		later.Views = []bundle.View{{Version: 3, Hosts: next.Hosts}, next.Views[0]}
-		Expect(bundle.CheckSuccessor(next, &later)).To(MatchError(ContainSubstring("views: the host list in force is missing")))
+		Expect(bundle.CheckSuccessor(next, &later)).To(MatchError(ContainSubstring("views: the active host list is missing")))
 		later.Views = []bundle.View{{Version: 2, Hosts: next.Hosts}}
 		Expect(bundle.CheckSuccessor(next, &later)).To(Succeed())
 	})
 
-	It("refuses a view that rewrites an earlier list", func() {
-		rewritten := strings.Replace(lineage, "entry-3, failure_domain: lima-c", "entry-3, failure_domain: lima-a", 1)
-		Expect(bundle.CheckSuccessor(current(), successor("claims:\n", rewritten+"claims:\n"))).To(
+	It("rejects a view that differs from the earlier host list of the same epoch", func() {
+		changedView := strings.Replace(firstView, "entry-3, failure_domain: lima-c", "entry-3, failure_domain: lima-a", 1)
+		Expect(bundle.CheckSuccessor(current(), successor("claims:\n", changedView+"claims:\n"))).To(
 			MatchError(ContainSubstring("views[0].hosts: differ")))
 	})
 
-	It("refuses a version that is no higher, and another deployment", func() {
+	It("rejects a version that is not higher, and another deployment", func() {
 		Expect(bundle.CheckSuccessor(current(), current())).To(MatchError(ContainSubstring("version: 1 is not above 1")))
 		Expect(bundle.CheckSuccessor(current(), successor("deployment: demo", "deployment: other"))).To(
 			MatchError(ContainSubstring("deployment:")))
--- a/bundle/docs_test.go
+++ b/bundle/docs_test.go
@@ -9,17 +9,17 @@
 )
 
 var _ = Describe("docs/CONFIGURATION.md", func() {
-	It("lists the keys of the bundle, all and no other", func() {
+	It("lists exactly the keys of the bundle", func() {
 		listed, err := doccheck.ListedKeys("../docs/CONFIGURATION.md", "## Bundle")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(listed).To(ConsistOf(doccheck.Keys(bundle.Bundle{})))
 	})
 })
 
-var _ = Describe("the examples", func() {
-	DescribeTable("have the brief's sizes of today",
+var _ = Describe("the example bundles", func() {
+	DescribeTable("have the sizes of the current deployments",
 		func(file string, domains, hosts, engines int, services map[string]int) {
-			b := parsed(example(file))
+			b := mustParse(readExample(file))
 			Expect([]int{len(b.FailureDomains), len(b.Hosts), len(b.Customers)}).To(Equal([]int{domains, hosts, 5}))
 			sizes := map[string]int{}
 			for _, p := range b.Pools {
@@ -36,8 +36,8 @@
 			map[string]int{"portal": 4, "flight-log": 3, "imagery": 5, "crew-dispatch": 3}),
 	)
 
-	It("weigh attainment and cost as the brief says", func() {
-		firma, kawabata := parsed(example("firma-abierta.yaml")), parsed(example("kawabata.yaml"))
+	It("weight attainment and cost by each deployment's priorities", func() {
+		firma, kawabata := mustParse(readExample("firma-abierta.yaml")), mustParse(readExample("kawabata.yaml"))
 		Expect(firma.Objective.Attainment).To(BeNumerically(">", firma.Objective.CostByStage))
 		Expect(kawabata.Objective.CostByStage).To(BeNumerically(">", kawabata.Objective.Attainment))
 	})
--- a/bundle/fields.go
+++ b/bundle/fields.go
@@ -11,13 +11,13 @@
 	"github.com/wheatseam/wheatseam/internal/strictyaml"
 )
 
-// namePattern is the form of every name: names stand in URLs, logs and
-// metrics.
+// namePattern is the pattern of all names. It is strict because names appear in
+// URLs, logs and metrics.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9._-]{0,61}[a-z0-9])?$`)
 
-var fieldChecks = newFieldChecks()
+var fieldValidator = newFieldValidator()
 
-func newFieldChecks() *validator.Validate {
+func newFieldValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(strictyaml.Key)
 	must(v.RegisterValidation("name", func(f validator.FieldLevel) bool {
@@ -32,47 +32,47 @@
 	}
 }
 
-// checkFields checks each value by itself, by the validate tags.
+// checkFields checks each value separately by the validate tag of its field.
 func checkFields(b *Bundle, r *strictyaml.Report) {
-	err := fieldChecks.Struct(b)
-	var faults validator.ValidationErrors
-	if !errors.As(err, &faults) {
+	err := fieldValidator.Struct(b)
+	var fieldErrors validator.ValidationErrors
+	if !errors.As(err, &fieldErrors) {
 		return
 	}
-	found := strictyaml.Report{Problems: r.Problems}
-	for _, fault := range faults {
-		_, path, _ := strings.Cut(fault.Namespace(), ".")
-		if found.Has(path) || found.HasWithin(path) {
+	reported := strictyaml.Report{Problems: r.Problems}
+	for _, fieldError := range fieldErrors {
+		_, path, _ := strings.Cut(fieldError.Namespace(), ".")
+		if reported.Has(path) || reported.HasWithin(path) {
 			continue
 		}
-		r.Add(path, "%s", faultMessage(fault))
+		r.Add(path, "%s", validationMessage(fieldError))
 	}
 }
 
-func faultMessage(fault validator.FieldError) string {
-	switch fault.Tag() {
+func validationMessage(fieldError validator.FieldError) string {
+	switch fieldError.Tag() {
 	case "required":
-		return "is needed"
+		return "is required"
 	case "name":
-		return "want a name of a-z, 0-9, '.', '_' and '-', at most 63 long"
+		return "must be a name of a-z, 0-9, '.', '_' and '-', at most 63 characters long"
 	case "hostname_port":
-		return "want an address in the form ip:port"
+		return "must be an address in the form ip:port"
 	case "oneof":
-		return "want one of " + strings.ReplaceAll(fault.Param(), " ", ", ")
+		return "must be one of " + strings.ReplaceAll(fieldError.Param(), " ", ", ")
 	case "len", "hexadecimal":
-		return "want a SHA-256 hash: 64 hexadecimal digits"
+		return "must be a SHA-256 hash: 64 hexadecimal digits"
 	case "gt":
-		return "must be above " + fault.Param()
+		return "must be above " + fieldError.Param()
 	case "gte":
-		if fault.Kind() == reflect.Slice {
-			return "needs " + fault.Param() + " or more items"
+		if fieldError.Kind() == reflect.Slice {
+			return "must have " + fieldError.Param() + " or more items"
 		}
-		return "must be " + fault.Param() + " or more"
+		return "must be " + fieldError.Param() + " or more"
 	case "lt":
-		return "must be below " + fault.Param()
+		return "must be below " + fieldError.Param()
 	case "lte":
-		return "must be " + fault.Param() + " or less"
+		return "must be " + fieldError.Param() + " or less"
 	default:
-		return "breaks the rule " + fault.Tag()
+		return "violates the rule " + fieldError.Tag()
 	}
 }
--- a/bundle/heap_bench_test.go
+++ b/bundle/heap_bench_test.go
@@ -9,14 +9,15 @@
 	"github.com/wheatseam/wheatseam/bundle/bundletest"
 )
 
-// BenchmarkHeap reports what a parsed bundle holds, and its text, as all but
-// pipelines and regions grow up to the users' target size.
+// BenchmarkHeap reports the heap size of a parsed bundle and the size of its text
+// while the numbers of hosts, models, upstreams and customers grow to the target
+// size.
 func BenchmarkHeap(b *testing.B) {
-	t := bundletest.Target
-	for _, part := range []int{8, 4, 2, 1} {
+	target := bundletest.Target
+	for _, divisor := range []int{8, 4, 2, 1} {
 		sizes := bundletest.Sizes{
-			Regions: t.Regions, Domains: t.Domains, Pipelines: t.Pipelines,
-			Hosts: t.Hosts / part, Models: t.Models / part, Upstreams: t.Upstreams / part, Customers: t.Customers / part,
+			Regions: target.Regions, Domains: target.Domains, Pipelines: target.Pipelines,
+			Hosts: target.Hosts / divisor, Models: target.Models / divisor, Upstreams: target.Upstreams / divisor, Customers: target.Customers / divisor,
 		}
 		b.Run(fmt.Sprintf("hosts=%d", sizes.Hosts), func(b *testing.B) {
 			text := bundletest.YAML(sizes, 1)
--- a/bundle/parse.go
+++ b/bundle/parse.go
@@ -7,11 +7,11 @@
 	"github.com/wheatseam/wheatseam/internal/strictyaml"
 )
 
-// MaxSize bounds a signed bundle, in bytes: the configuration service holds
-// values of up to a megabyte.
+// MaxSize is the maximum size of a signed bundle in bytes: the configuration
+// service stores values of up to one megabyte.
 const MaxSize = 1_000_000
 
-// The defaults of values that a bundle leaves out.
+// The defaults of values that a bundle omits.
 const (
 	DefaultGroupSize        = 3
 	DefaultRetention        = 2 * time.Minute
@@ -25,21 +25,21 @@
 	DefaultRole             = "mixed"
 )
 
-// Parse reads one YAML document, signed or not, applies the defaults and
-// checks it. Its error is a *CheckError with every fault that was found. It
-// does not look at the signature; Open does. Any goroutine may call it.
+// Parse decodes one YAML document, signed or not, applies the defaults and
+// validates it. Its error is a *CheckError with every problem found. Parse does
+// not verify the signature; Open does. It is safe for concurrent use.
 func Parse(raw []byte) (*Bundle, error) {
 	if len(raw) > MaxSize {
 		r := &strictyaml.Report{}
-		r.Add("", "%d bytes, at most %d are allowed", len(raw), MaxSize)
+		r.Add("", "%d bytes; at most %d are allowed", len(raw), MaxSize)
 		return nil, checkError(r)
 	}
-	b := withDefaults()
+	b := newBundleWithDefaults()
 	r := strictyaml.Decode(raw, b)
-	b.applyListDefaults()
+	b.applyPoolDefaults()
 	if !r.Unreadable() {
 		checkFields(b, r)
-		checkMeaning(b, r)
+		checkSemantics(b, r)
 	}
 	if err := checkError(r); err != nil {
 		return nil, err
@@ -47,9 +47,10 @@
 	return b, nil
 }
 
-// withDefaults returns a bundle that holds the defaults of the top-level
-// sections; decoding overwrites what the document states, zeros included.
-func withDefaults() *Bundle {
+// newBundleWithDefaults returns a bundle with the defaults of the top-level
+// sections. Decoding overwrites every value that the document states, including
+// zeros.
+func newBundleWithDefaults() *Bundle {
 	return &Bundle{
 		Policy: PolicyAdaptive,
 		Claims: ClaimPolicy{
@@ -63,8 +64,8 @@
 	}
 }
 
-// applyListDefaults fills the values that pools leave out.
-func (b *Bundle) applyListDefaults() {
+// applyPoolDefaults sets the values that pools omit.
+func (b *Bundle) applyPoolDefaults() {
 	for i := range b.Pools {
 		p := &b.Pools[i]
 		if p.MaxConnections == 0 {
@@ -76,5 +77,5 @@
 	}
 }
 
-// indexed returns "list[i]".
-func indexed(list string, i int) string { return fmt.Sprintf("%s[%d]", list, i) }
+// indexedPath returns "list[i]".
+func indexedPath(list string, i int) string { return fmt.Sprintf("%s[%d]", list, i) }
--- a/bundle/parse_test.go
+++ b/bundle/parse_test.go
@@ -12,7 +12,7 @@
 	"github.com/wheatseam/wheatseam/bundle"
 )
 
-func example(name string) []byte {
+func readExample(name string) []byte {
 	GinkgoHelper()
 	raw, err := os.ReadFile("../examples/" + name)
 	Expect(err).NotTo(HaveOccurred())
@@ -28,8 +28,8 @@
 }
 
 var _ = Describe("Parse", func() {
-	It("reads durations and applies the defaults that are left out", func() {
-		raw := example("demo.yaml")
+	It("decodes durations and applies the defaults of omitted values", func() {
+		raw := readExample("demo.yaml")
 		b, err := bundle.Parse(raw)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(b.Claims.Retention).To(Equal(2 * time.Minute))
@@ -42,17 +42,17 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(b.Claims.GroupSize).To(Equal(bundle.DefaultGroupSize))
 		Expect(b.Claims.MaxKeyAhead).To(Equal(time.Second))
-		Expect(b.Retry.BudgetRatio).To(BeZero(), "a stated zero is no default")
+		Expect(b.Retry.BudgetRatio).To(BeZero(), "a stated zero is not replaced by the default")
 		Expect(b.Retry.MaxAttempts).To(Equal(bundle.DefaultMaxAttempts))
 	})
 
-	DescribeTable("refuses", func(old, new string) {
-		text := bytes.Replace(example("demo.yaml"), []byte(old), []byte(new), 1)
+	DescribeTable("rejects", func(old, new string) {
+		text := bytes.Replace(readExample("demo.yaml"), []byte(old), []byte(new), 1)
 		_, err := bundle.Parse(text)
 		Expect(err).To(HaveOccurred())
 	},
 		Entry("an unknown key", "weight: 3", "wieght: 3"),
-		Entry("a key given twice", "weight: 3", "weight: 3\n    weight: 4"),
+		Entry("a duplicate key", "weight: 3", "weight: 3\n    weight: 4"),
 		Entry("a second document", "customers:", "---\ncustomers:"),
 		Entry("an unknown kind", "kind: engine", "kind: motor"),
 		Entry("a duration without a unit", "deadline: 10s", "deadline: 10"),
@@ -63,22 +63,22 @@
 var _ = Describe("signed bundles", func() {
 	key, other := testKey(1), testKey(2)
 
-	It("opens what it signed, and signs again over an earlier signature", func() {
-		signed := bundle.Sign(example("demo.yaml"), other)
+	It("opens a signed bundle and replaces an earlier signature", func() {
+		signed := bundle.Sign(readExample("demo.yaml"), other)
 		signed = bundle.Sign(signed, key)
 		Expect(bytes.Count(signed, []byte("wheatseam-signature"))).To(Equal(1))
 		b, err := bundle.Open(signed, []ed25519.PublicKey{publicOf(other), publicOf(key)})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(b.Deployment).To(Equal("demo"))
-		Expect(bundle.Document(signed)).To(Equal(example("demo.yaml")))
+		Expect(bundle.Document(signed)).To(Equal(readExample("demo.yaml")))
 	})
 
-	It("refuses the unsigned, the changed and the stranger's", func() {
+	It("rejects unsigned and changed bundles and those signed by an untrusted key", func() {
 		trusted := []ed25519.PublicKey{publicOf(key)}
-		_, err := bundle.Open(example("demo.yaml"), trusted)
+		_, err := bundle.Open(readExample("demo.yaml"), trusted)
 		Expect(err).To(MatchError(bundle.ErrUnsigned))
 
-		signed := bundle.Sign(example("demo.yaml"), key)
+		signed := bundle.Sign(readExample("demo.yaml"), key)
 		_, err = bundle.Open(bytes.Replace(signed, []byte("weight: 3"), []byte("weight: 9"), 1), trusted)
 		Expect(err).To(MatchError(bundle.ErrBadSignature))
 
@@ -89,7 +89,7 @@
 		Expect(err).To(MatchError(bundle.ErrUnknownKey))
 	})
 
-	It("reads the key files that it writes", func() {
+	It("parses the key files that it marshals", func() {
 		private, err := bundle.MarshalPrivateKey(key)
 		Expect(err).NotTo(HaveOccurred())
 		public, err := bundle.MarshalPublicKey(publicOf(key))
--- a/bundle/parts.go
+++ b/bundle/parts.go
@@ -12,59 +12,60 @@
 
 // The sizes of parts, in bytes.
 const (
-	// boundaryDistance is the mean distance of two boundaries.
-	boundaryDistance = 1 << 10
-	minPartSize      = 1 << 10
-	// MaxPartSize bounds every part.
+	// meanBoundaryBytes is the mean distance between two boundaries.
+	meanBoundaryBytes = 1 << 10
+	minPartBytes      = 1 << 10
+	// MaxPartSize is the maximum size of a part.
 	MaxPartSize = 4 << 10
 )
 
-// boundaryLines is the number of lines that decide on a boundary: the last one
-// and those before it. One line would not do, since many lines are alike.
-const boundaryLines = 4
+// boundaryWindowLines is the number of consecutive lines whose hash decides whether
+// the last of them ends a part. A single line is not enough, because many lines of
+// a bundle are identical.
+const boundaryWindowLines = 4
 
-// versionPrefix starts the line that every new version changes.
-var versionPrefix = []byte("version:")
+// versionLinePrefix is the start of the line with the bundle's version.
+var versionLinePrefix = []byte("version:")
 
-// Hash is a SHA-256.
+// Hash is a SHA-256 hash.
 type Hash [sha256.Size]byte
 
-// Part is a piece of a signed bundle, known by the hash of its content.
+// Part is a content-addressed piece of a signed bundle.
 type Part struct {
 	Hash Hash
-	// Content is a slice of the bundle that was split; it must not be
-	// changed.
+	// Content is a subslice of the split bundle and must not be modified.
 	Content []byte
 }
 
-// Manifest names a signed bundle and its parts in order. A daemon that has a
-// manifest fetches the parts that it lacks.
+// Manifest lists the hashes of a signed bundle and of its parts, in order. A daemon
+// that receives a manifest fetches the parts that it does not have.
 type Manifest struct {
 	Version uint64
-	// Digest is the hash of the whole signed bundle.
+	// Digest is the hash of the signed bundle.
 	Digest Hash
 	Parts  []Hash
 }
 
 // The errors of Join.
 var (
-	ErrMissingPart = errors.New("bundle: a part is missing")
-	ErrDigest      = errors.New("bundle: the joined parts differ from the digest")
+	ErrMissingPart = errors.New("bundle: part is missing")
+	ErrDigest      = errors.New("bundle: joined parts do not match the digest")
 )
 
 // Digest returns the hash of a signed bundle.
 func Digest(signed []byte) Hash { return sha256.Sum256(signed) }
 
-// Split cuts a signed bundle into parts at lines chosen by their content, so
-// that an edit changes the parts it touches and no other. The same bytes give
-// the same parts on every host. The parts of the empty bundle are none.
+// Split divides a signed bundle into parts by content-defined chunking: boundaries
+// are at line ends selected by the hash of the preceding lines, so that an edit
+// changes only the parts that it touches. The same bytes yield the same parts on
+// every host. An empty bundle has no parts.
 //
-// The version line and the signature line, which every version changes, are
-// parts of their own.
+// The version line and the signature line, which change with every version, are
+// separate parts.
 func Split(signed []byte) []Part {
 	var parts []Part
 	start := 0
-	cut := func(end int) {
+	endPart := func(end int) {
 		for start < end {
 			content := signed[start:min(end, start+MaxPartSize)]
 			parts = append(parts, Part{Hash: sha256.Sum256(content), Content: content})
@@ -77,22 +78,22 @@
 		end := offset + len(line)
 		window.push(offset)
 		switch {
-		case standsAlone(line):
-			cut(offset)
-			cut(end)
+		case isSeparatePart(line):
+			endPart(offset)
+			endPart(end)
 		case end-start > MaxPartSize:
-			cut(offset)
+			endPart(offset)
 		}
-		if end-start >= minPartSize && isBoundary(signed[window.start():end], len(line)) {
-			cut(end)
+		if end-start >= minPartBytes && isBoundary(signed[window.start():end], len(line)) {
+			endPart(end)
 		}
 		offset = end
 	}
-	cut(len(signed))
+	endPart(len(signed))
 	return parts
 }
 
-// lineAt returns the line that starts at offset, its newline included.
+// lineAt returns the line that starts at offset, including its newline.
 func lineAt(text []byte, offset int) []byte {
 	rest := text[offset:]
 	if i := bytes.IndexByte(rest, '\n'); i >= 0 {
@@ -101,40 +102,40 @@
 	return rest
 }
 
-func standsAlone(line []byte) bool {
-	return bytes.HasPrefix(line, versionPrefix) || bytes.HasPrefix(line, []byte(signaturePrefix))
+func isSeparatePart(line []byte) bool {
+	return bytes.HasPrefix(line, versionLinePrefix) || bytes.HasPrefix(line, []byte(signatureLinePrefix))
 }
 
-// lineWindow holds the offsets of the last lines, as a ring.
+// lineWindow is a ring buffer of the offsets of the most recent lines.
 type lineWindow struct {
-	offsets [boundaryLines]int
-	pushed  int
+	offsets   [boundaryWindowLines]int
+	pushCount int
 }
 
 func (w *lineWindow) push(offset int) {
-	w.offsets[w.pushed%boundaryLines] = offset
-	w.pushed++
+	w.offsets[w.pushCount%boundaryWindowLines] = offset
+	w.pushCount++
 }
 
-// start returns the offset of the oldest line held.
+// start returns the offset of the oldest line in the window.
 func (w *lineWindow) start() int {
-	if w.pushed < boundaryLines {
+	if w.pushCount < boundaryWindowLines {
 		return w.offsets[0]
 	}
-	return w.offsets[w.pushed%boundaryLines]
+	return w.offsets[w.pushCount%boundaryWindowLines]
 }
 
-// isBoundary picks lines by the hash of the window that ends with them, in
-// proportion to their length, so that the distance of boundaries does not
-// depend on how long lines are.
+// isBoundary reports whether a part ends after the last line of the window. The
+// probability is proportional to the line's length, so that the mean distance
+// between boundaries does not depend on the length of lines.
 func isBoundary(window []byte, lineLength int) bool {
-	if lineLength >= boundaryDistance {
+	if lineLength >= meanBoundaryBytes {
 		return true
 	}
-	return xxhash.Sum64(window) < math.MaxUint64/boundaryDistance*uint64(lineLength)
+	return xxhash.Sum64(window) < math.MaxUint64/meanBoundaryBytes*uint64(lineLength)
 }
 
-// NewManifest returns the manifest of a signed bundle of that version.
+// NewManifest returns the manifest of a signed bundle with the given version.
 func NewManifest(version uint64, signed []byte) Manifest {
 	m := Manifest{Version: version, Digest: Digest(signed)}
 	for _, p := range Split(signed) {
@@ -143,28 +144,27 @@
 	return m
 }
 
-// Missing returns the hashes of m that have does not know, each once, in
+// Missing returns the distinct part hashes of m for which hasPart returns false, in
 // order.
-func (m Manifest) Missing(have func(Hash) bool) []Hash {
+func (m Manifest) Missing(hasPart func(Hash) bool) []Hash {
 	var missing []Hash
-	asked := make(map[Hash]bool, len(m.Parts))
+	checked := make(map[Hash]bool, len(m.Parts))
 	for _, h := range m.Parts {
-		if !asked[h] && !have(h) {
+		if !checked[h] && !hasPart(h) {
 			missing = append(missing, h)
 		}
-		asked[h] = true
+		checked[h] = true
 	}
 	return missing
 }
 
-// Join puts the signed bundle of m together from its parts and checks the
-// digest. get returns the content of a part, or false when it is not there.
-// Its errors wrap ErrMissingPart or ErrDigest. The signature is not checked;
-// Open does.
-func Join(m Manifest, get func(Hash) ([]byte, bool)) ([]byte, error) {
+// Join reassembles the signed bundle of m from its parts and verifies the digest.
+// getPart returns the content of a part, or false if the part is missing. Errors
+// wrap ErrMissingPart or ErrDigest. Join does not verify the signature; Open does.
+func Join(m Manifest, getPart func(Hash) ([]byte, bool)) ([]byte, error) {
 	var signed []byte
 	for _, h := range m.Parts {
-		content, ok := get(h)
+		content, ok := getPart(h)
 		if !ok {
 			return nil, fmt.Errorf("%w: %x", ErrMissingPart, h[:keyIDBytes])
 		}
--- a/bundle/parts_test.go
+++ b/bundle/parts_test.go
@@ -11,27 +11,27 @@
 	"github.com/wheatseam/wheatseam/bundle/bundletest"
 )
 
-// store holds parts by their hash.
-type store map[bundle.Hash][]byte
+// partStore maps the hash of each part to its content.
+type partStore map[bundle.Hash][]byte
 
-func (s store) add(signed []byte) {
+func (s partStore) add(signed []byte) {
 	for _, p := range bundle.Split(signed) {
 		s[p.Hash] = p.Content
 	}
 }
 
-func (s store) get(h bundle.Hash) ([]byte, bool) {
+func (s partStore) get(h bundle.Hash) ([]byte, bool) {
 	content, ok := s[h]
 	return content, ok
 }
 
-func (s store) has(h bundle.Hash) bool {
+func (s partStore) has(h bundle.Hash) bool {
 	_, ok := s[h]
 	return ok
 }
 
-var _ = Describe("parts", func() {
-	It("join to the same bytes, whatever the bytes are", func() {
+var _ = Describe("bundle parts", func() {
+	It("join to the original bytes for arbitrary input", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			line := rapid.SliceOfN(rapid.Byte(), 0, 40)
 			var text []byte
@@ -39,11 +39,11 @@
 				text = append(append(text, l...), '\n')
 			}
 			text = append(text, bytes.Repeat([]byte("x"), rapid.IntRange(0, 3*bundle.MaxPartSize).Draw(t, "tail"))...)
-			parts := store{}
+			parts := partStore{}
 			parts.add(text)
 			for _, content := range parts {
 				if len(content) == 0 || len(content) > bundle.MaxPartSize {
-					t.Fatalf("a part of %d bytes", len(content))
+					t.Fatalf("part size is %d bytes", len(content))
 				}
 			}
 			joined, err := bundle.Join(bundle.NewManifest(1, text), parts.get)
@@ -53,35 +53,35 @@
 		})
 	})
 
-	It("leaves all parts alone but those that an edit touches", func() {
+	It("change only where an edit touches them", func() {
 		before := bundle.Sign(bundletest.YAML(bundletest.Target, 7), testKey(1))
 		edited := bytes.Replace(bundletest.YAML(bundletest.Target, 8),
 			[]byte("name: customer-200\n"), []byte("name: renamed-customer-200\n"), 1)
 		after := bundle.Sign(edited, testKey(1))
-		known := store{}
-		known.add(before)
-		missing := bundle.NewManifest(8, after).Missing(known.has)
-		Expect(missing).To(HaveLen(3), "the version, the customer's part and the signature")
+		knownParts := partStore{}
+		knownParts.add(before)
+		missing := bundle.NewManifest(8, after).Missing(knownParts.has)
+		Expect(missing).To(HaveLen(3), "the parts with the version, the customer and the signature")
 	})
 
-	It("says what is missing, and refuses parts that differ from the digest", func() {
+	It("fail to join if one is missing or does not match the digest", func() {
 		signed := bundle.Sign(bundletest.YAML(bundletest.Target, 7), testKey(1))
 		manifest := bundle.NewManifest(7, signed)
-		parts := store{}
+		parts := partStore{}
 		parts.add(signed)
-		lost := manifest.Parts[1]
-		content := parts[lost]
-		delete(parts, lost)
-		Expect(manifest.Missing(parts.has)).To(Equal([]bundle.Hash{lost}))
+		lostHash := manifest.Parts[1]
+		content := parts[lostHash]
+		delete(parts, lostHash)
+		Expect(manifest.Missing(parts.has)).To(Equal([]bundle.Hash{lostHash}))
 		_, err := bundle.Join(manifest, parts.get)
 		Expect(err).To(MatchError(bundle.ErrMissingPart))
 
-		parts[lost] = append([]byte("#"), content[1:]...)
+		parts[lostHash] = append([]byte("#"), content[1:]...)
 		_, err = bundle.Join(manifest, parts.get)
 		Expect(err).To(MatchError(bundle.ErrDigest))
 	})
 
-	It("come from valid bundles of any size", func() {
+	It("can be generated from test bundles of the requested sizes", func() {
 		for _, sizes := range []bundletest.Sizes{bundletest.Target, bundletest.Today} {
 			b := bundletest.Bundle(sizes, 3)
 			upstreams := 0
--- a/bundle/problems.go
+++ b/bundle/problems.go
@@ -7,15 +7,15 @@
 	"github.com/wheatseam/wheatseam/internal/strictyaml"
 )
 
-// Problem is one fault of a bundle.
+// Problem is one validation problem of a bundle.
 type Problem = strictyaml.Problem
 
-// CheckError holds every fault of a bundle, in the order of their lines.
+// CheckError holds all validation problems of a bundle, ordered by line.
 type CheckError struct {
 	Problems []Problem
 }
 
-// Error lists the problems, one a line.
+// Error lists the problems, one per line.
 func (e *CheckError) Error() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "bundle: %d problem(s)", len(e.Problems))
@@ -25,8 +25,8 @@
 	return text.String()
 }
 
-// Locate fills in the lines of the problems from the document that the paths
-// refer to.
+// Locate sets the line numbers of the problems. raw is the document that their
+// paths refer to.
 func (e *CheckError) Locate(raw []byte) {
 	r := strictyaml.Decode(raw, &Bundle{})
 	for i := range e.Problems {
@@ -34,7 +34,7 @@
 	}
 }
 
-// checkError returns the faults as a *CheckError, or nil when there are none.
+// checkError returns the problems as a *CheckError, or nil if there are none.
 func checkError(r *strictyaml.Report) error {
 	if len(r.Problems) == 0 {
 		return nil
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -13,15 +13,15 @@
 	"strings"
 )
 
-// signaturePrefix starts the last line of a signed bundle. The line is a YAML
-// comment, so that a signed bundle is still a plain YAML document.
-const signaturePrefix = "# wheatseam-signature: "
+// signatureLinePrefix is the start of the last line of a signed bundle. The line is
+// a YAML comment, so that a signed bundle is still a valid YAML document.
+const signatureLinePrefix = "# wheatseam-signature: "
 
-// signatureContext goes before the signed bytes, so that a signature given
-// for anything else never passes for one of a bundle.
+// signatureContext is prepended to the signed bytes for domain separation: a
+// signature made for another purpose is not valid for a bundle.
 const signatureContext = "wheatseam bundle v1\n"
 
-// keyIDBytes is the number of hash bytes in a key id.
+// keyIDBytes is the number of hash bytes in a key ID.
 const keyIDBytes = 8
 
 // The errors of Open.
@@ -31,7 +31,8 @@
 	ErrBadSignature = errors.New("bundle: signature does not match")
 )
 
-// KeyID names a public key: the first 8 bytes of its SHA-256 in hex.
+// KeyID returns the ID of a public key: the first 8 bytes of its SHA-256 hash in
+// hexadecimal.
 func KeyID(key ed25519.PublicKey) string {
 	sum := sha256.Sum256(key)
 	return hex.EncodeToString(sum[:keyIDBytes])
@@ -47,12 +48,12 @@
 	signature := ed25519.Sign(key, signedBytes(document))
 	public := key.Public().(ed25519.PublicKey)
 	out := bytes.Clone(document)
-	return fmt.Appendf(out, "%s%s %s\n", signaturePrefix, KeyID(public),
+	return fmt.Appendf(out, "%s%s %s\n", signatureLinePrefix, KeyID(public),
 		base64.StdEncoding.EncodeToString(signature))
 }
 
-// Verify checks the signature against the trusted keys. Its error wraps
-// ErrUnsigned, ErrUnknownKey or ErrBadSignature.
+// Verify checks the signature against the trusted keys. Errors wrap ErrUnsigned,
+// ErrUnknownKey or ErrBadSignature.
 func Verify(signed []byte, keys []ed25519.PublicKey) error {
 	document, line := splitSignature(signed)
 	if line == "" {
@@ -72,14 +73,14 @@
 		}
 		return nil
 	}
-	return fmt.Errorf("%w: key id %q", ErrUnknownKey, id)
+	return fmt.Errorf("%w: key ID %q", ErrUnknownKey, id)
 }
 
-// Open verifies a signed bundle and parses it. Nothing of a bundle that does
-// not verify is parsed.
+// Open verifies the signature of a bundle and then parses it. It parses nothing if
+// the verification fails.
 func Open(signed []byte, keys []ed25519.PublicKey) (*Bundle, error) {
 	if len(signed) > MaxSize {
-		return nil, fmt.Errorf("bundle: %d bytes, at most %d are allowed", len(signed), MaxSize)
+		return nil, fmt.Errorf("bundle: %d bytes; at most %d are allowed", len(signed), MaxSize)
 	}
 	if err := Verify(signed, keys); err != nil {
 		return nil, err
@@ -87,22 +88,22 @@
 	return Parse(signed)
 }
 
-// Document returns raw without its signature line, if it has one.
+// Document returns raw without its signature line, if any.
 func Document(raw []byte) []byte {
 	document, _ := splitSignature(raw)
 	return document
 }
 
-// splitSignature cuts the signature line off; line holds what follows the
-// prefix and is empty when the last line is no signature.
+// splitSignature splits raw into the document and the signature line. line is the
+// text after signatureLinePrefix, or empty if the last line is not a signature.
 func splitSignature(raw []byte) (document []byte, line string) {
 	trimmed := bytes.TrimSuffix(raw, []byte("\n"))
 	start := bytes.LastIndexByte(trimmed, '\n') + 1
-	last := trimmed[start:]
-	if !bytes.HasPrefix(last, []byte(signaturePrefix)) {
+	lastLine := trimmed[start:]
+	if !bytes.HasPrefix(lastLine, []byte(signatureLinePrefix)) {
 		return raw, ""
 	}
-	return raw[:start:start], string(last[len(signaturePrefix):])
+	return raw[:start:start], string(lastLine[len(signatureLinePrefix):])
 }
 
 func signedBytes(document []byte) []byte {
@@ -115,8 +116,8 @@
 	pemPrivate = "PRIVATE KEY"
 )
 
-// ParsePublicKey reads an ed25519 public key: PEM (PKIX), or base64 of its 32
-// bytes.
+// ParsePublicKey parses an ed25519 public key in PEM (PKIX) or as the base64
+// encoding of its 32 bytes.
 func ParsePublicKey(text []byte) (ed25519.PublicKey, error) {
 	block, _ := pem.Decode(text)
 	if block == nil {
@@ -132,12 +133,12 @@
 	}
 	key, ok := parsed.(ed25519.PublicKey)
 	if !ok {
-		return nil, fmt.Errorf("bundle: public key is %T, want ed25519", parsed)
+		return nil, fmt.Errorf("bundle: public key type is %T, not ed25519", parsed)
 	}
 	return key, nil
 }
 
-// ParsePrivateKey reads an ed25519 private key in PEM (PKCS #8).
+// ParsePrivateKey parses an ed25519 private key in PEM (PKCS #8).
 func ParsePrivateKey(text []byte) (ed25519.PrivateKey, error) {
 	block, _ := pem.Decode(text)
 	if block == nil {
@@ -149,7 +150,7 @@
 	}
 	key, ok := parsed.(ed25519.PrivateKey)
 	if !ok {
-		return nil, fmt.Errorf("bundle: private key is %T, want ed25519", parsed)
+		return nil, fmt.Errorf("bundle: private key type is %T, not ed25519", parsed)
 	}
 	return key, nil
 }
--- a/bundle/successor.go
+++ b/bundle/successor.go
@@ -6,27 +6,27 @@
 	"github.com/wheatseam/wheatseam/internal/strictyaml"
 )
 
-// CheckSuccessor returns why next must not follow current: a version that is
-// no higher, another deployment, or a lineage of host lists that does not hold
-// the list in force. Its error is a *CheckError without lines; the paths are
-// those of next.
+// CheckSuccessor returns an error if next must not replace current: its version is
+// not higher, its deployment differs, or its history of host lists does not include
+// the active list. The error is a *CheckError without line numbers; its paths refer
+// to next.
 //
-// A host list that vanished from the lineage would let two lists form two
-// majorities for one claim, so daemons refuse such a bundle too.
+// If a host list were missing from the history, two lists could form two separate
+// majorities for one claim. Daemons therefore reject such a bundle as well.
 func CheckSuccessor(current, next *Bundle) error {
 	r := &strictyaml.Report{}
 	if next.Version <= current.Version {
-		r.Add("version", "%d is not above %d, the version in force", next.Version, current.Version)
+		r.Add("version", "%d is not above %d, the active version", next.Version, current.Version)
 	}
 	if next.Deployment != current.Deployment {
-		r.Add("deployment", "%q is not %q, the deployment in force", next.Deployment, current.Deployment)
+		r.Add("deployment", "%q is not %q, the active deployment", next.Deployment, current.Deployment)
 	}
-	checkLineage(current, next, r)
+	checkHostListHistory(current, next, r)
 	return checkError(r)
 }
 
-// HostsEpoch numbers the host list in force: one more than the newest view's
-// number, or 1.
+// HostsEpoch returns the epoch of the active host list: one more than the version
+// of the newest view, or 1 if there are no views.
 func (b *Bundle) HostsEpoch() uint64 {
 	if len(b.Views) == 0 {
 		return 1
@@ -34,26 +34,26 @@
 	return b.Views[0].Version + 1
 }
 
-// checkLineage wants every host list to keep its epoch: the list in force now
-// must be the next bundle's list of the same epoch, and so must each view.
-func checkLineage(current, next *Bundle, r *strictyaml.Report) {
+// checkHostListHistory checks that every host list keeps its epoch: the lists of
+// next must equal the active list and the views of current with the same epochs.
+func checkHostListHistory(current, next *Bundle, r *strictyaml.Report) {
 	epoch := current.HostsEpoch()
 	switch {
 	case next.HostsEpoch() < epoch:
-		r.Add("views", "the newest view must be %d or later: the host list in force is list %d", epoch-1, epoch)
+		r.Add("views", "the newest view must be %d or later: the active host list is list %d", epoch-1, epoch)
 	case next.HostsEpoch() == epoch && !SameHosts(current.Hosts, next.Hosts):
-		r.Add("views", "the host list changed: put the list in force first, with version %d", epoch)
+		r.Add("views", "the host list changed: add the active list to views as the first entry, with version %d", epoch)
 	case next.HostsEpoch() > epoch && !next.hasView(epoch):
-		r.Add("views", "the host list in force is missing: it is list %d", epoch)
+		r.Add("views", "the active host list is missing: it is list %d", epoch)
 	}
-	known := map[uint64][]Host{epoch: current.Hosts}
+	hostsByEpoch := map[uint64][]Host{epoch: current.Hosts}
 	for _, v := range current.Views {
-		known[v.Version] = v.Hosts
+		hostsByEpoch[v.Version] = v.Hosts
 	}
 	for i, v := range next.Views {
-		hosts, ok := known[v.Version]
+		hosts, ok := hostsByEpoch[v.Version]
 		if ok && !SameHosts(hosts, v.Hosts) {
-			r.Add(indexed("views", i)+".hosts", "differ from the hosts of list %d", v.Version)
+			r.Add(indexedPath("views", i)+".hosts", "differ from the hosts of list %d", v.Version)
 		}
 	}
 }
@@ -62,9 +62,9 @@
 	return slices.ContainsFunc(b.Views, func(v View) bool { return v.Version == epoch })
 }
 
-// SameHosts says that two host lists are the same view: the same names in the
-// same failure domains, in any order. Addresses may differ, since a host that
-// is replaced under its name counts as restarted.
+// SameHosts reports whether two host lists are the same view: they have the same
+// names in the same failure domains, in any order. Addresses may differ, because a
+// host that is replaced under the same name counts as restarted.
 func SameHosts(a, b []Host) bool {
 	if len(a) != len(b) {
 		return false
--- a/cmd/standin/fleet.go
+++ b/cmd/standin/fleet.go
@@ -19,7 +19,7 @@
 	var seed uint64
 	cmd := &cobra.Command{
 		Use:   "fleet",
-		Short: "Serve every upstream of a bundle on its address, in one process",
+		Short: "Serve all upstreams of a bundle on their addresses in one process",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			b, err := readBundle(bundleFile)
@@ -40,9 +40,9 @@
 	f := cmd.Flags()
 	f.StringVar(&bundleFile, "bundle", "", "bundle file, unsigned YAML")
 	f.StringVar(&control, "control", "127.0.0.1:0", "ip:port of the control listener")
-	f.StringToStringVar(&medians, "medians", nil, "pool=duration: median service times (default: as the stages expect)")
-	f.Float64Var(&scale, "time-scale", 1, "factor on all service times")
-	f.Uint64Var(&seed, "seed", 1, "seed of everything random")
+	f.StringToStringVar(&medians, "medians", nil, "pool=duration: median service times (default: the expected durations of the stages)")
+	f.Float64Var(&scale, "time-scale", 1, "factor applied to all service times")
+	f.Uint64Var(&seed, "seed", 1, "random seed")
 	engineFlags(f, &cfg.Engine)
 	serviceFlags(f, &cfg.Service)
 	_ = cmd.MarkFlagRequired("bundle")
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,7 +1,7 @@
-// Command standin serves stand-ins for the outside systems that wheatseam talks
-// to: the platform, model engines and plain services. It is for tests and
-// demos. Each subcommand prints "listening address=ip:port" on its standard
-// output once it listens, and stops on SIGTERM or SIGINT.
+// Command standin serves stand-ins that simulate the external systems of wheatseam
+// in tests and demos: the platform, model engines and plain HTTP/JSON services. Each
+// subcommand prints "listening address=ip:port" to standard output when it is
+// listening, and stops on SIGTERM or SIGINT.
 package main
 
 import (
@@ -29,7 +29,7 @@
 func newCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "standin",
-		Short:         "Stand-ins for the systems outside wheatseam",
+		Short:         "Simulate the external systems of wheatseam",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -37,13 +37,13 @@
 	return root
 }
 
-// handler is a stand-in that can be closed.
+// handler is the HTTP handler of a stand-in. Close releases its resources.
 type handler interface {
 	http.Handler
 	Close()
 }
 
-// serve listens on address and serves h until the command is stopped.
+// serve listens on address and serves h until the command's context ends.
 func serve(cmd *cobra.Command, address string, h handler) error {
 	defer h.Close()
 	l, err := standin.Listen(address, cmd.OutOrStdout())
@@ -54,5 +54,5 @@
 }
 
 func listenFlag(cmd *cobra.Command, address *string) {
-	cmd.Flags().StringVar(address, "listen", "127.0.0.1:0", "ip:port to listen on; port 0 picks a free one")
+	cmd.Flags().StringVar(address, "listen", "127.0.0.1:0", "ip:port to listen on; port 0 selects a free port")
 }
--- a/cmd/standin/main_test.go
+++ b/cmd/standin/main_test.go
@@ -30,16 +30,16 @@
 		cmd := newCommand()
 		cmd.SetArgs(args)
 		cmd.SetOut(out)
-		ended := make(chan error, 1)
-		go func() { ended <- cmd.ExecuteContext(ctx) }()
-		return out, ended
+		done := make(chan error, 1)
+		go func() { done <- cmd.ExecuteContext(ctx) }()
+		return out, done
 	}
 
-	DescribeTable("prints its address, serves, and stops when told to",
+	DescribeTable("prints its address, serves requests and stops when its context ends",
 		func(path string, args ...string) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			out, ended := run(ctx, args...)
+			out, done := run(ctx, args...)
 			Eventually(out, 5*time.Second).Should(gbytes.Say(`listening address=127\.0\.0\.1:\d+\n`))
 			address := strings.TrimPrefix(strings.TrimSpace(string(out.Contents())), "listening address=")
 			resp, err := http.Get("http://" + address + path)
@@ -47,49 +47,49 @@
 			Expect(resp.Body.Close()).To(Succeed())
 			Expect(resp.StatusCode).To(Equal(http.StatusOK))
 			cancel()
-			Eventually(ended, 10*time.Second).Should(Receive(BeNil()))
+			Eventually(done, 10*time.Second).Should(Receive(BeNil()))
 		},
 		Entry("platform", "/-/kv-key?key=hosts", "platform"),
 		Entry("engine", "/v1/load", "engine", "--slots", "4"),
 		Entry("service", "/v1/load", "service", "--median", "1ms"),
 	)
 
-	It("serves the files that the platform is given, and ends waiting watches", func() {
+	It("serves the platform's initial files and ends waiting watches on shutdown", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		out, ended := run(ctx, "platform", "--bundle", write("version: 1"), "--hosts", write(`{"hosts":[{"name":"a"}]}`))
+		out, done := run(ctx, "platform", "--bundle", write("version: 1"), "--hosts", write(`{"hosts":[{"name":"a"}]}`))
 		Eventually(out, 5*time.Second).Should(gbytes.Say("\n"))
 		address := strings.TrimPrefix(strings.TrimSpace(string(out.Contents())), "listening address=")
-		resp, err := http.Get("http://" + address + "/-/kv-key?key=" + keyBundle)
+		resp, err := http.Get("http://" + address + "/-/kv-key?key=" + bundleKey)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(resp.Body.Close()).To(Succeed())
 		Expect(resp.StatusCode).To(Equal(http.StatusOK))
-		watched := make(chan int, 1)
+		watchStatus := make(chan int, 1)
 		go func() {
 			defer GinkgoRecover()
-			resp, err := http.Get("http://" + address + "/-/kv-watch?prefix=" + keyBundle + "&wait_ms=60000&after=1000")
+			resp, err := http.Get("http://" + address + "/-/kv-watch?prefix=" + bundleKey + "&wait_ms=60000&after=1000")
 			Expect(err).NotTo(HaveOccurred())
 			_ = resp.Body.Close()
-			watched <- resp.StatusCode
+			watchStatus <- resp.StatusCode
 		}()
-		Consistently(watched, 50*time.Millisecond).ShouldNot(Receive())
+		Consistently(watchStatus, 50*time.Millisecond).ShouldNot(Receive())
 		cancel()
-		Eventually(watched, 4*time.Second).Should(Receive(Equal(http.StatusOK)))
-		Eventually(ended, 10*time.Second).Should(Receive(BeNil()))
+		Eventually(watchStatus, 4*time.Second).Should(Receive(Equal(http.StatusOK)))
+		Eventually(done, 10*time.Second).Should(Receive(BeNil()))
 	})
 
-	DescribeTable("refuses what it cannot serve", func(want string, args ...string) {
-		_, ended := run(context.Background(), args...)
-		Eventually(ended, 5*time.Second).Should(Receive(MatchError(ContainSubstring(want))))
+	DescribeTable("rejects invalid arguments", func(want string, args ...string) {
+		_, done := run(context.Background(), args...)
+		Eventually(done, 5*time.Second).Should(Receive(MatchError(ContainSubstring(want))))
 	},
 		Entry("a missing bundle", "read bundle", "fleet", "--bundle", "no-such-file"),
-		Entry("a bad address", "listen on", "engine", "--listen", "256.0.0.1:0"),
+		Entry("an invalid address", "listen on", "engine", "--listen", "256.0.0.1:0"),
 		Entry("a missing host list", "read hosts", "platform", "--hosts", "no-such-file"),
 	)
 
-	It("refuses a bad bundle and bad medians", func() {
-		_, ended := run(context.Background(), "fleet", "--bundle", write("version: x"))
-		Eventually(ended, 5*time.Second).Should(Receive(MatchError(ContainSubstring("parse bundle"))))
+	It("rejects an invalid bundle and invalid medians", func() {
+		_, done := run(context.Background(), "fleet", "--bundle", write("version: x"))
+		Eventually(done, 5*time.Second).Should(Receive(MatchError(ContainSubstring("parse bundle"))))
 		_, err := parseMedians(map[string]string{"seal": "soon"})
 		Expect(err).To(MatchError(ContainSubstring("median of pool seal")))
 	})
--- a/cmd/standin/platform.go
+++ b/cmd/standin/platform.go
@@ -10,7 +10,7 @@
 	"github.com/wheatseam/wheatseam/internal/standin/platform"
 )
 
-const keyBundle = "bundle"
+const bundleKey = "bundle"
 
 func newPlatformCommand() *cobra.Command {
 	var cfg platform.Config
@@ -21,32 +21,32 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			p := platform.New(cfg)
-			if err := seed(p, bundleFile, hostsFile); err != nil {
+			if err := setInitialState(p, bundleFile, hostsFile); err != nil {
 				return err
 			}
-			// Waiting watches would hold up the shutdown.
+			// Waiting watch requests would delay the shutdown.
 			defer context.AfterFunc(cmd.Context(), p.Close)()
 			return serve(cmd, listen, p)
 		},
 	}
 	f := cmd.Flags()
 	listenFlag(cmd, &listen)
-	f.StringVar(&bundleFile, "bundle", "", "file with the first value of the key bundle")
-	f.StringVar(&hostsFile, "hosts", "", "JSON file with the first host list")
-	f.Float64Var(&cfg.ReadsPerSecond, "reads-per-second", platform.DefaultReadsPerSecond, "limit of reads over all readers")
-	f.DurationVar(&cfg.HostsLag, "hosts-lag", 0, "how long a changed host list stays unpublished")
-	f.Uint64Var(&cfg.FirstRevision, "first-revision", 0, "revision before the first value (0: 1)")
+	f.StringVar(&bundleFile, "bundle", "", "file with the initial value of the key bundle")
+	f.StringVar(&hostsFile, "hosts", "", "JSON file with the initial host list")
+	f.Float64Var(&cfg.ReadsPerSecond, "reads-per-second", platform.DefaultReadsPerSecond, "limit of reads per second across all clients")
+	f.DurationVar(&cfg.HostsLag, "hosts-lag", 0, "delay until a changed host list is published")
+	f.Uint64Var(&cfg.FirstRevision, "first-revision", 0, "revision before the initial values (0: 1)")
 	return cmd
 }
 
-// seed gives p its first bundle and host list.
-func seed(p *platform.Platform, bundleFile, hostsFile string) error {
+// setInitialState sets the initial bundle and host list of p.
+func setInitialState(p *platform.Platform, bundleFile, hostsFile string) error {
 	if bundleFile != "" {
 		body, err := os.ReadFile(bundleFile)
 		if err != nil {
 			return fmt.Errorf("read bundle: %w", err)
 		}
-		p.SetValue(keyBundle, body)
+		p.SetValue(bundleKey, body)
 	}
 	if hostsFile == "" {
 		return nil
--- a/settings/check.go
+++ b/settings/check.go
@@ -15,7 +15,7 @@
 	"github.com/wheatseam/wheatseam/bundle"
 )
 
-// The bounds of limits.
+// The allowed ranges of size limits.
 const (
 	minBodyBytes   = 1 << 10
 	maxBodyBytes   = 64 << 20
@@ -23,35 +23,36 @@
 	maxHeaderBytes = 1 << 20
 )
 
-// Check returns every fault of the settings, joined; it touches no file.
+// Check returns all problems of the settings as one joined error. It accesses no
+// files.
 func (s *Settings) Check() error {
-	var faults []error
+	var errs []error
 	add := func(err error) {
 		if err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 		}
 	}
 	add(required("host", s.Host))
 	add(required("failure_domain", s.FailureDomain))
-	faults = append(faults, s.checkListen()...)
+	errs = append(errs, s.checkListen()...)
 	add(s.checkTLS())
 	add(s.checkOperators())
 	add(checkURL("platform.config_service", s.Platform.ConfigService))
 	add(checkURL("platform.host_list", s.Platform.HostList))
 	add(required("platform.key", s.Platform.Key))
 	if len(s.BundlePublicKeys) == 0 {
-		add(errors.New("bundle_public_keys: at least one is needed"))
+		add(errors.New("bundle_public_keys: at least one is required"))
 	}
-	faults = append(faults, s.checkLimits()...)
+	errs = append(errs, s.checkLimits()...)
 	if _, err := zapcore.ParseLevel(s.Log.Level); err != nil {
 		add(fmt.Errorf("log.level: %w", err))
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-// CheckBundle returns why the daemon cannot run under b: it is not in the host
-// list, stands in another failure domain, or would talk in plain text beyond
-// loopback.
+// CheckBundle returns an error if the daemon cannot run with b: the host is not in
+// the host list, it has another failure domain there, or InsecurePlaintext is set
+// and a peer address is not a loopback address.
 func (s *Settings) CheckBundle(b *bundle.Bundle) error {
 	found := false
 	for _, h := range b.Hosts {
@@ -63,7 +64,7 @@
 		}
 		found = true
 		if h.FailureDomain != s.FailureDomain {
-			return fmt.Errorf("failure_domain: settings say %q, the bundle %q", s.FailureDomain, h.FailureDomain)
+			return fmt.Errorf("failure_domain: %q in the settings, %q in the bundle", s.FailureDomain, h.FailureDomain)
 		}
 	}
 	if !found {
@@ -79,26 +80,26 @@
 		{"listen.peers", s.Listen.Peers},
 		{"listen.operators", s.Listen.Operators},
 	}
-	var faults []error
-	seen := map[string]netip.AddrPort{}
+	var errs []error
+	addressByListener := map[string]netip.AddrPort{}
 	for _, l := range listeners {
 		address, err := netip.ParseAddrPort(l.address)
 		if err != nil {
-			faults = append(faults, fmt.Errorf("%s: want ip:port: %w", l.name, err))
+			errs = append(errs, fmt.Errorf("%s: must be ip:port: %w", l.name, err))
 			continue
 		}
-		for name, other := range seen {
-			if clash(address, other) {
-				faults = append(faults, fmt.Errorf("%s: %s is taken by %s", l.name, address, name))
+		for name, other := range addressByListener {
+			if conflicts(address, other) {
+				errs = append(errs, fmt.Errorf("%s: %s is already used by %s", l.name, address, name))
 			}
 		}
-		seen[l.name] = address
+		addressByListener[l.name] = address
 	}
-	return faults
+	return errs
 }
 
-// clash says that two listeners cannot both be opened.
-func clash(a, b netip.AddrPort) bool {
+// conflicts reports whether two listeners cannot be open at the same time.
+func conflicts(a, b netip.AddrPort) bool {
 	if a.Port() != b.Port() || a.Port() == 0 {
 		return false
 	}
@@ -106,15 +107,15 @@
 }
 
 func (s *Settings) checkTLS() error {
-	given := s.TLS != TLS{}
-	whole := s.TLS.Cert != "" && s.TLS.Key != "" && s.TLS.CA != ""
+	anySet := s.TLS != TLS{}
+	complete := s.TLS.Cert != "" && s.TLS.Key != "" && s.TLS.CA != ""
 	switch {
-	case s.InsecurePlaintext && given:
-		return errors.New("insecure_plaintext: excludes tls")
+	case s.InsecurePlaintext && anySet:
+		return errors.New("insecure_plaintext: cannot be combined with tls")
 	case s.InsecurePlaintext && !isLoopback(s.Listen.Peers):
 		return fmt.Errorf("insecure_plaintext: listen.peers %s is not loopback", s.Listen.Peers)
-	case !s.InsecurePlaintext && !whole:
-		return errors.New("tls: cert, key and ca are needed")
+	case !s.InsecurePlaintext && !complete:
+		return errors.New("tls: cert, key and ca are required")
 	}
 	return nil
 }
@@ -123,36 +124,36 @@
 	o := s.Operators
 	switch {
 	case o.TokenFile == "" && o.ClientCA == "":
-		return errors.New("operators: token_file or client_ca is needed")
+		return errors.New("operators: token_file or client_ca is required")
 	case (o.Cert == "") != (o.Key == ""):
-		return errors.New("operators: cert and key go together")
+		return errors.New("operators: cert and key must be set together")
 	case o.ClientCA != "" && o.Cert == "":
-		return errors.New("operators: client_ca needs cert and key")
+		return errors.New("operators: client_ca requires cert and key")
 	case o.Cert == "" && !isLoopback(s.Listen.Operators):
-		return errors.New("operators: a token beyond loopback needs cert and key")
+		return errors.New("operators: cert and key are required if listen.operators is not loopback")
 	}
 	return nil
 }
 
 func (s *Settings) checkLimits() []error {
-	var faults []error
-	within := func(name string, value, low, high int64) {
+	var errs []error
+	checkRange := func(name string, value, low, high int64) {
 		if value < low || value > high {
-			faults = append(faults, fmt.Errorf("%s: %d is not within %d to %d", name, value, low, high))
+			errs = append(errs, fmt.Errorf("%s: %d is not between %d and %d", name, value, low, high))
 		}
 	}
-	within("limits.max_body_bytes", s.Limits.MaxBodyBytes, minBodyBytes, maxBodyBytes)
-	within("limits.max_header_bytes", int64(s.Limits.MaxHeaderBytes), minHeaderBytes, maxHeaderBytes)
-	positive := func(name string, value int64) {
+	checkRange("limits.max_body_bytes", s.Limits.MaxBodyBytes, minBodyBytes, maxBodyBytes)
+	checkRange("limits.max_header_bytes", int64(s.Limits.MaxHeaderBytes), minHeaderBytes, maxHeaderBytes)
+	checkPositive := func(name string, value int64) {
 		if value <= 0 {
-			faults = append(faults, fmt.Errorf("%s: must be above 0", name))
+			errs = append(errs, fmt.Errorf("%s: must be above 0", name))
 		}
 	}
-	positive("limits.read_header_timeout", int64(s.Limits.ReadHeaderTimeout))
-	positive("limits.read_timeout", int64(s.Limits.ReadTimeout))
-	positive("limits.idle_timeout", int64(s.Limits.IdleTimeout))
-	positive("drain.bound", int64(s.Drain.Bound))
-	return faults
+	checkPositive("limits.read_header_timeout", int64(s.Limits.ReadHeaderTimeout))
+	checkPositive("limits.read_timeout", int64(s.Limits.ReadTimeout))
+	checkPositive("limits.idle_timeout", int64(s.Limits.IdleTimeout))
+	checkPositive("drain.bound", int64(s.Drain.Bound))
+	return errs
 }
 
 func (s *Settings) readBundleKeys() error {
@@ -175,7 +176,8 @@
 	return nil
 }
 
-// isInlineKey tells base64 of a public key from a file name.
+// isInlineKey reports whether entry is the base64 encoding of a public key, and not
+// a file name.
 func isInlineKey(entry string) bool {
 	raw, err := base64.StdEncoding.DecodeString(entry)
 	return err == nil && len(raw) == ed25519.PublicKeySize
@@ -188,7 +190,7 @@
 
 func required(name, value string) error {
 	if strings.TrimSpace(value) == "" {
-		return fmt.Errorf("%s: is needed", name)
+		return fmt.Errorf("%s: is required", name)
 	}
 	return nil
 }
@@ -199,7 +201,7 @@
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	if (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
-		return fmt.Errorf("%s: %q is no http or https URL", name, value)
+		return fmt.Errorf("%s: %q is not an http or https URL", name, value)
 	}
 	return nil
 }
--- a/settings/flags.go
+++ b/settings/flags.go
@@ -2,35 +2,36 @@
 
 import "fmt"
 
-// Flags are the command-line flags of a daemon: where its settings are, and
-// the values that one host or one try-out usually changes.
+// Flags are the command-line flags of a daemon: the path of its settings file, and
+// overrides for the values that most often differ between hosts or test runs.
 type Flags struct {
 	path string
-	// overrides are the values given on the command line; empty ones leave
-	// the file's.
+	// overrides are the values given on the command line. Empty ones do not
+	// override the file.
 	overrides struct {
 		host, failureDomain, callers, peers, operators, logLevel string
 	}
 }
 
-// FlagSet is the part of flag.FlagSet and pflag.FlagSet that Add needs.
+// FlagSet is the part of flag.FlagSet and pflag.FlagSet that Register needs.
 type FlagSet interface {
 	StringVar(p *string, name, value, usage string)
 }
 
-// Add defines the flags on fs.
-func (f *Flags) Add(fs FlagSet) {
+// Register defines the flags on fs.
+func (f *Flags) Register(fs FlagSet) {
 	o := &f.overrides
 	fs.StringVar(&f.path, "settings", "settings.yaml", "the daemon's settings file")
-	fs.StringVar(&o.host, "host", "", "host instead of the file's")
-	fs.StringVar(&o.failureDomain, "failure-domain", "", "failure_domain instead of the file's")
-	fs.StringVar(&o.callers, "listen-callers", "", "listen.callers instead of the file's")
-	fs.StringVar(&o.peers, "listen-peers", "", "listen.peers instead of the file's")
-	fs.StringVar(&o.operators, "listen-operators", "", "listen.operators instead of the file's")
-	fs.StringVar(&o.logLevel, "log-level", "", "log.level instead of the file's")
+	fs.StringVar(&o.host, "host", "", "override host of the settings file")
+	fs.StringVar(&o.failureDomain, "failure-domain", "", "override failure_domain of the settings file")
+	fs.StringVar(&o.callers, "listen-callers", "", "override listen.callers of the settings file")
+	fs.StringVar(&o.peers, "listen-peers", "", "override listen.peers of the settings file")
+	fs.StringVar(&o.operators, "listen-operators", "", "override listen.operators of the settings file")
+	fs.StringVar(&o.logLevel, "log-level", "", "override log.level of the settings file")
 }
 
-// Load reads the settings file, puts the overrides in and checks the result.
+// Load reads the settings file, applies the overrides, checks the result and loads
+// the public keys.
 func (f *Flags) Load() (*Settings, error) {
 	s, err := Read(f.path)
 	if err != nil {
@@ -43,7 +44,7 @@
 	override(&s.Listen.Peers, o.peers)
 	override(&s.Listen.Operators, o.operators)
 	override(&s.Log.Level, o.logLevel)
-	if err := s.Finish(); err != nil {
+	if err := s.CheckAndLoadKeys(); err != nil {
 		return nil, fmt.Errorf("settings %s: %w", f.path, err)
 	}
 	return s, nil
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads and checks the settings of one daemon: who it is,
-// where it listens, which keys it holds and where the platform is. What the
-// whole fleet shares is in the bundle instead.
+// Package settings loads and validates the settings of one daemon: its identity,
+// listen addresses, keys and the addresses of the platform's services. Configuration
+// shared by all hosts is in the bundle.
 package settings
 
 import (
@@ -14,96 +14,97 @@
 	"github.com/wheatseam/wheatseam/internal/strictyaml"
 )
 
-// Settings are the settings of one daemon. They do not change while it runs.
+// Settings are the settings of one daemon. They do not change while it is running.
 type Settings struct {
 	// Host is the daemon's name in the bundle's host list.
 	Host string `yaml:"host"`
-	// FailureDomain is the failure domain that the host stands in.
+	// FailureDomain is the failure domain of the host.
 	FailureDomain string    `yaml:"failure_domain"`
 	Listen        Listen    `yaml:"listen"`
 	TLS           TLS       `yaml:"tls"`
 	Operators     Operators `yaml:"operators"`
-	// InsecurePlaintext lets fellow daemons talk without TLS; it is refused
-	// unless every peer address is a loopback address.
+	// InsecurePlaintext disables TLS between daemons. It is rejected unless
+	// every peer address is a loopback address.
 	InsecurePlaintext bool     `yaml:"insecure_plaintext"`
 	Platform          Platform `yaml:"platform"`
-	// BundlePublicKeys are the keys that may sign bundles: each the path of a
-	// PEM file or base64 of the 32 bytes.
+	// BundlePublicKeys are the public keys trusted to sign bundles. Each is the
+	// path of a PEM file or the base64 encoding of the 32 bytes of the key.
 	BundlePublicKeys []string `yaml:"bundle_public_keys"`
 	Limits           Limits   `yaml:"limits"`
 	Drain            Drain    `yaml:"drain"`
 	Log              Log      `yaml:"log"`
 
-	// BundleKeys are the keys that BundlePublicKeys names; Load fills them.
+	// BundleKeys are the parsed BundlePublicKeys. CheckAndLoadKeys sets them.
 	BundleKeys []ed25519.PublicKey `yaml:"-"`
 }
 
-// Listen holds the three listeners' addresses, each ip:port; port 0 lets the
-// kernel choose.
+// Listen holds the addresses of the three listeners, each ip:port. With port 0 the
+// kernel selects a free port.
 type Listen struct {
 	Callers   string `yaml:"callers"`
 	Peers     string `yaml:"peers"`
 	Operators string `yaml:"operators"`
 }
 
-// TLS holds the PEM files for the sessions between daemons (mutual TLS).
+// TLS holds the PEM files for mutual TLS between daemons.
 type TLS struct {
 	Cert string `yaml:"cert"`
 	Key  string `yaml:"key"`
-	// CA signs the certificates of all daemons.
+	// CA is the certificate of the authority that signs the certificates of
+	// all daemons.
 	CA string `yaml:"ca"`
 }
 
-// Operators says how operators prove who they are: a bearer token, a client
-// certificate, or either. One of the two must be set.
+// Operators configures how operators authenticate: by bearer token, by client
+// certificate, or by either. At least one of TokenFile and ClientCA must be set.
 type Operators struct {
-	// TokenFile holds the token on its first line.
+	// TokenFile is the file with the token on its first line.
 	TokenFile string `yaml:"token_file"`
 	// ClientCA is the PEM file of the authority that signs operators'
-	// certificates; it needs Cert and Key.
+	// certificates. It requires Cert and Key, the listener's key pair.
 	ClientCA string `yaml:"client_ca"`
 	Cert     string `yaml:"cert"`
 	Key      string `yaml:"key"`
 }
 
-// Platform holds where the platform's services are.
+// Platform holds the addresses of the platform's services.
 type Platform struct {
 	// ConfigService is the base URL of the configuration service.
 	ConfigService string `yaml:"config_service"`
-	// HostList is the base URL of the host list.
+	// HostList is the base URL of the host list service.
 	HostList string `yaml:"host_list"`
-	// Key is the name of the bundle's value. Default "bundle".
+	// Key is the configuration key that holds the bundle. Default "bundle".
 	Key string `yaml:"key"`
 }
 
-// Limits bound what one caller can make the daemon hold.
+// Limits bounds the resources that one caller can occupy in the daemon.
 type Limits struct {
-	// MaxBodyBytes bounds a request body. Default 1 MiB.
+	// MaxBodyBytes is the maximum size of a request body. Default 1 MiB.
 	MaxBodyBytes int64 `yaml:"max_body_bytes"`
-	// MaxHeaderBytes bounds a request's headers. Default 16 KiB.
+	// MaxHeaderBytes is the maximum size of a request's headers. Default 16 KiB.
 	MaxHeaderBytes int `yaml:"max_header_bytes"`
-	// ReadHeaderTimeout bounds the wait for the headers. Default 5s.
+	// ReadHeaderTimeout is the maximum time to read the headers. Default 5s.
 	ReadHeaderTimeout time.Duration `yaml:"read_header_timeout"`
-	// ReadTimeout bounds the wait for a whole request. Default 15s.
+	// ReadTimeout is the maximum time to read an entire request. Default 15s.
 	ReadTimeout time.Duration `yaml:"read_timeout"`
-	// IdleTimeout bounds an idle connection. Default 2m.
+	// IdleTimeout is the maximum time that a connection may be idle. Default 2m.
 	IdleTimeout time.Duration `yaml:"idle_timeout"`
 }
 
-// Drain governs the way out.
+// Drain configures a graceful shutdown.
 type Drain struct {
-	// Bound is the longest time that a leaving daemon waits for its requests
+	// Bound is the maximum time that a draining daemon waits for its requests
 	// in flight. Default 30s.
 	Bound time.Duration `yaml:"bound"`
 }
 
-// Log governs the log.
+// Log configures logging.
 type Log struct {
 	// Level is "debug", "info", "warn" or "error". Default "info".
 	Level string `yaml:"level"`
 }
 
-// The defaults of values that settings leave out.
+// The defaults of values that a settings file omits.
 const (
 	DefaultBundleKey         = "bundle"
 	DefaultMaxBodyBytes      = 1 << 20
@@ -115,53 +116,53 @@
 	DefaultLogLevel          = "info"
 )
 
-// Load reads the file, applies the defaults, checks the settings and reads
-// the public keys. File names in the settings are relative to the settings
-// file; Load makes them absolute or relative to the working directory.
+// Load reads the file, applies the defaults, checks the settings and loads the
+// public keys. Relative file names in the settings are relative to the directory of
+// the settings file; Load joins them with that directory.
 func Load(path string) (*Settings, error) {
 	s, err := Read(path)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.Finish(); err != nil {
+	if err := s.CheckAndLoadKeys(); err != nil {
 		return nil, fmt.Errorf("settings %s: %w", path, err)
 	}
 	return s, nil
 }
 
-// Read reads the file and applies the defaults without checking, for a caller
-// that overrides values by flags before Finish.
+// Read reads the file and applies the defaults but does not check the settings. It
+// is for callers that override values by flags before they call CheckAndLoadKeys.
 func Read(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s := defaults()
+	s := newWithDefaults()
 	if err := decode(raw, s); err != nil {
 		return nil, fmt.Errorf("settings %s: %w", path, err)
 	}
-	s.resolve(filepath.Dir(path))
+	s.resolvePaths(filepath.Dir(path))
 	return s, nil
 }
 
-// decode reads raw into s; its error names every fault with path and line.
+// decode decodes raw into s. Its error lists every problem with its path and line.
 func decode(raw []byte, s *Settings) error {
-	var faults []error
+	var errs []error
 	for _, p := range strictyaml.Decode(raw, s).Problems {
-		faults = append(faults, errors.New(p.String()))
+		errs = append(errs, errors.New(p.String()))
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-// Finish checks the settings and reads the public keys.
-func (s *Settings) Finish() error {
+// CheckAndLoadKeys checks the settings and loads the public keys into BundleKeys.
+func (s *Settings) CheckAndLoadKeys() error {
 	if err := s.Check(); err != nil {
 		return err
 	}
 	return s.readBundleKeys()
 }
 
-func defaults() *Settings {
+func newWithDefaults() *Settings {
 	return &Settings{
 		Platform: Platform{Key: DefaultBundleKey},
 		Limits: Limits{
@@ -176,18 +177,18 @@
 	}
 }
 
-// resolve makes file names relative to dir.
-func (s *Settings) resolve(dir string) {
-	names := []*string{
+// resolvePaths joins relative file names with dir.
+func (s *Settings) resolvePaths(dir string) {
+	paths := []*string{
 		&s.TLS.Cert, &s.TLS.Key, &s.TLS.CA,
 		&s.Operators.TokenFile, &s.Operators.ClientCA, &s.Operators.Cert, &s.Operators.Key,
 	}
 	for i := range s.BundlePublicKeys {
 		if !isInlineKey(s.BundlePublicKeys[i]) {
-			names = append(names, &s.BundlePublicKeys[i])
+			paths = append(paths, &s.BundlePublicKeys[i])
 		}
 	}
-	for _, name := range names {
+	for _, name := range paths {
 		if *name != "" && !filepath.IsAbs(*name) {
 			*name = filepath.Join(dir, *name)
 		}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -21,8 +21,8 @@
 	RunSpecs(t, "settings")
 }
 
-// plaintext turns the example into settings without TLS.
-var plaintext = strings.NewReplacer(`tls:
+// toPlaintext changes the example into settings without TLS.
+var toPlaintext = strings.NewReplacer(`tls:
   cert: tls/entry-1.pem
   key: tls/entry-1-key.pem
   ca: tls/ca.pem
@@ -35,7 +35,7 @@
 	return string(raw)
 }
 
-func write(text string) string {
+func writeSettings(text string) string {
 	GinkgoHelper()
 	path := filepath.Join(GinkgoT().TempDir(), "settings.yaml")
 	Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
@@ -43,7 +43,7 @@
 }
 
 var _ = Describe("Load", func() {
-	It("reads the example, names files relative to it and reads the keys", func() {
+	It("reads the example, resolves file names relative to it and loads the keys", func() {
 		s, err := settings.Load("../examples/settings.yaml")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.TLS.Cert).To(Equal("../examples/tls/entry-1.pem"))
@@ -53,27 +53,27 @@
 
 	It("applies the defaults", func() {
 		text, _, _ := strings.Cut(exampleText(), "limits:")
-		s, err := settings.Load(write(text))
+		s, err := settings.Load(writeSettings(text))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Limits.MaxBodyBytes).To(BeEquivalentTo(1 << 20))
 		Expect(s.Drain.Bound).To(Equal(settings.DefaultDrainBound))
 		Expect(s.Log.Level).To(Equal("info"))
 	})
 
-	DescribeTable("refuses", func(old, new, want string) {
+	DescribeTable("rejects", func(old, new, want string) {
 		Expect(exampleText()).To(ContainSubstring(old))
-		_, err := settings.Load(write(strings.Replace(exampleText(), old, new, 1)))
+		_, err := settings.Load(writeSettings(strings.Replace(exampleText(), old, new, 1)))
 		Expect(err).To(MatchError(ContainSubstring(want)))
 	},
 		Entry("an unknown key", "host: entry-1", "hots: entry-1", "line 2: hots: unknown key"),
 		Entry("a duration without unit", "bound: 30s", "bound: 30", "drain.bound: want a duration with its unit"),
 		Entry("a second document", "listen:", "---\nlisten:", "one YAML document"),
 		Entry("a host name as address", "127.0.0.1:7301", "localhost:7301", "listen.callers"),
-		Entry("one address twice", "127.0.0.1:7601", "127.0.0.1:7401", "is taken by listen.peers"),
-		Entry("one port under any address", "127.0.0.1:7601", "0.0.0.0:7401", "is taken by listen.peers"),
+		Entry("one address twice", "127.0.0.1:7601", "127.0.0.1:7401", "is already used by listen.peers"),
+		Entry("one port under any address", "127.0.0.1:7601", "0.0.0.0:7401", "is already used by listen.peers"),
 		Entry("missing TLS", "  key: tls/entry-1-key.pem\n", "", "tls: cert, key and ca"),
 		Entry("no operator credentials", "  token_file: operator.token", "  token_file: ''", "token_file or client_ca"),
-		Entry("an operators' listener open to all without TLS", "127.0.0.1:7601", "10.1.2.3:7601", "beyond loopback"),
+		Entry("an operators' listener without TLS beyond loopback", "127.0.0.1:7601", "10.1.2.3:7601", "if listen.operators is not loopback"),
 		Entry("a platform address without scheme", "http://127.0.0.1:7201", "127.0.0.1:7201", "platform.config_service"),
 		Entry("no signing key", "  - 11qYAYKxCrfVS/7TyWQHOg7hcvPapiMlrwIaaPcHURo=", "  []", "at least one"),
 		Entry("a missing key file", "11qYAYKxCrfVS/7TyWQHOg7hcvPapiMlrwIaaPcHURo=", "none.pem", "none.pem"),
@@ -82,16 +82,16 @@
 		Entry("an unknown level", "level: info", "level: loud", "log.level"),
 	)
 
-	It("names every fault at once", func() {
+	It("reports all problems at once", func() {
 		text := strings.Replace(exampleText(), "host: entry-1", "host: ''", 1)
 		text = strings.Replace(text, "bound: 30s", "bound: -1s", 1)
-		_, err := settings.Load(write(text))
-		Expect(err).To(MatchError(And(ContainSubstring("host: is needed"), ContainSubstring("drain.bound"))))
+		_, err := settings.Load(writeSettings(text))
+		Expect(err).To(MatchError(And(ContainSubstring("host: is required"), ContainSubstring("drain.bound"))))
 	})
 
-	It("allows plain text on loopback only, by its own and by the bundle's addresses", func() {
-		text := plaintext.Replace(exampleText())
-		s, err := settings.Load(write(text))
+	It("allows plaintext only if its own and the bundle's peer addresses are loopback", func() {
+		text := toPlaintext.Replace(exampleText())
+		s, err := settings.Load(writeSettings(text))
 		Expect(err).NotTo(HaveOccurred())
 
 		raw, err := os.ReadFile("../examples/demo.yaml")
@@ -103,17 +103,17 @@
 		b.Hosts[2].PeerAddress = "10.1.2.3:7403"
 		Expect(s.CheckBundle(b)).To(MatchError(ContainSubstring("not loopback")))
 
-		_, err = settings.Load(write(strings.Replace(text, "127.0.0.1:7401", "0.0.0.0:7401", 1)))
+		_, err = settings.Load(writeSettings(strings.Replace(text, "127.0.0.1:7401", "0.0.0.0:7401", 1)))
 		Expect(err).To(MatchError(ContainSubstring("not loopback")))
-		_, err = settings.Load(write(exampleText() + "\ninsecure_plaintext: true\n"))
-		Expect(err).To(MatchError(ContainSubstring("excludes tls")))
+		_, err = settings.Load(writeSettings(exampleText() + "\ninsecure_plaintext: true\n"))
+		Expect(err).To(MatchError(ContainSubstring("cannot be combined with tls")))
 	})
 
-	It("puts flags over the file, and checks the outcome", func() {
+	It("overrides the file by flags and checks the result", func() {
 		load := func(args ...string) (*settings.Settings, error) {
 			var flags settings.Flags
 			fs := flag.NewFlagSet("wheatseamd", flag.ContinueOnError)
-			flags.Add(fs)
+			flags.Register(fs)
 			Expect(fs.Parse(append([]string{"-settings", "../examples/settings.yaml"}, args...))).To(Succeed())
 			return flags.Load()
 		}
@@ -127,10 +127,10 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Host).To(Equal("entry-1"))
 		_, err = load("-listen-callers", "127.0.0.1:7401")
-		Expect(err).To(MatchError(ContainSubstring("is taken by")))
+		Expect(err).To(MatchError(ContainSubstring("is already used by")))
 	})
 
-	It("refuses a bundle that does not place the host where it stands", func() {
+	It("rejects a bundle without the host or with another failure domain for it", func() {
 		s, err := settings.Load("../examples/settings.yaml")
 		Expect(err).NotTo(HaveOccurred())
 		b := &bundle.Bundle{Hosts: []bundle.Host{{Name: "entry-1", FailureDomain: "lima-b"}}}
@@ -141,7 +141,7 @@
 })
 
 var _ = Describe("docs/CONFIGURATION.md", func() {
-	It("lists the keys of the settings, all and no other", func() {
+	It("lists exactly the keys of the settings", func() {
 		listed, err := doccheck.ListedKeys("../docs/CONFIGURATION.md", "## Settings")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(listed).To(ConsistOf(doccheck.Keys(settings.Settings{})))
