--- a/cmd/wheatseam/bundle.go
+++ b/cmd/wheatseam/bundle.go
@@ -13,14 +13,14 @@
 	"github.com/wheatseam/wheatseam/bundle"
 )
 
-// newBundleCommand returns the group of commands around bundles.
+// newBundleCommand returns the commands for bundles.
 func newBundleCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "bundle",
-		Short: "Check, sign and compare bundles of configuration",
-		Long: "Check, sign and compare bundles. Rolling one out: edit it and raise its version,\n" +
-			"`bundle check --previous OLD NEW`, `bundle diff OLD NEW`, have it reviewed,\n" +
-			"`bundle sign`, and publish the signed file in the configuration service.",
+		Short: "Check, sign and compare configuration bundles",
+		Long: "Check, sign and compare bundles. To roll one out: edit it and raise its version,\n" +
+			"run `bundle check --previous OLD NEW` and `bundle diff OLD NEW`, have it reviewed,\n" +
+			"run `bundle sign`, and publish the signed file in the configuration service.",
 	}
 	c.AddCommand(newKeygenCommand(), newSignCommand(), newCheckCommand(), newDiffCommand(), newHashKeyCommand())
 	return c
@@ -31,7 +31,7 @@
 	c := &cobra.Command{
 		Use:   "sign FILE",
 		Short: "Check a bundle and sign it",
-		Long:  "Check a bundle and write it with a signature line at its end. A bundle with\nproblems is not signed.",
+		Long:  "Check a bundle and write it with a signature line at its end. An invalid bundle\nis not signed.",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := os.ReadFile(keyFile)
@@ -50,17 +50,17 @@
 			if _, err := bundle.Parse(signed); err != nil {
 				return reportProblems(cmd.ErrOrStderr(), formatTable, err)
 			}
-			return writeOut(cmd.OutOrStdout(), out, signed)
+			return writeOutput(cmd.OutOrStdout(), out, signed)
 		},
 	}
-	c.Flags().StringVar(&keyFile, "key", "", "file of the private key (required)")
-	c.Flags().StringVar(&out, "out", "", "file to write; standard output if empty")
+	c.Flags().StringVar(&keyFile, "key", "", "private key file (required)")
+	c.Flags().StringVar(&out, "out", "", "output file; standard output if empty")
 	must(c.MarkFlagRequired("key"))
 	return c
 }
 
-// writeOut writes to the file, or to out when file is empty.
-func writeOut(out io.Writer, file string, content []byte) error {
+// writeOutput writes content to the file, or to out if file is empty.
+func writeOutput(out io.Writer, file string, content []byte) error {
 	if file == "" {
 		_, err := out.Write(content)
 		return err
@@ -79,16 +79,16 @@
 	var o checkOptions
 	c := &cobra.Command{
 		Use:   "check FILE",
-		Short: "Name every problem of a bundle, with path and line",
-		Long: "Name every problem of a bundle, with path and line. With --key its signature is\n" +
-			"verified too; with --previous it must be a fit successor of that bundle.\n" +
-			"Exits 1 when there are problems.",
+		Short: "Report every problem of a bundle with its path and line",
+		Long: "Report every problem of a bundle with its path and line. With --key the signature\n" +
+			"is verified as well; with --previous the bundle must be a valid successor of that\n" +
+			"bundle. The exit code is 1 if there are problems.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return o.run(cmd, args[0]) },
 	}
 	addOutputFlag(c, &o.format)
-	c.Flags().StringArrayVar(&o.keys, "key", nil, "file of a trusted public key; may be repeated")
-	c.Flags().StringVar(&o.previous, "previous", "", "file of the bundle now in force")
+	c.Flags().StringArrayVar(&o.keys, "key", nil, "trusted public key file; may be repeated")
+	c.Flags().StringVar(&o.previous, "previous", "", "file of the currently active bundle")
 	return c
 }
 
@@ -97,7 +97,7 @@
 	if err != nil {
 		return fmt.Errorf("read bundle: %w", err)
 	}
-	if err := o.verify(raw); err != nil {
+	if err := o.verifySignature(raw); err != nil {
 		return err
 	}
 	b, err := bundle.Parse(raw)
@@ -110,11 +110,11 @@
 	if o.format == formatJSON {
 		return writeJSON(cmd.OutOrStdout(), []bundle.Problem{})
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "%s: version %d of %s is sound\n", file, b.Version, b.Deployment)
+	fmt.Fprintf(cmd.OutOrStdout(), "%s: version %d of %s is valid\n", file, b.Version, b.Deployment)
 	return nil
 }
 
-func (o *checkOptions) verify(raw []byte) error {
+func (o *checkOptions) verifySignature(raw []byte) error {
 	if len(o.keys) == 0 {
 		return nil
 	}
@@ -133,9 +133,10 @@
 	return bundle.Verify(raw, keys)
 }
 
-// checkSuccessor checks next, read from raw, against the previous bundle.
+// checkSuccessor checks that next may replace the previous bundle. raw is the
+// document of next; it provides the line numbers of problems.
 func (o *checkOptions) checkSuccessor(next *bundle.Bundle, raw []byte) error {
-	current, err := parseFile(o.previous)
+	current, err := parseBundleFile(o.previous)
 	if err != nil {
 		return fmt.Errorf("previous bundle: %v", err)
 	}
@@ -147,7 +148,7 @@
 	return err
 }
 
-func parseFile(file string) (*bundle.Bundle, error) {
+func parseBundleFile(file string) (*bundle.Bundle, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fmt.Errorf("read bundle: %w", err)
@@ -160,7 +161,7 @@
 }
 
 // reportProblems prints the problems of a *bundle.CheckError and returns
-// errFound; any other error is returned as it is.
+// errNegativeResult. It returns any other error unchanged.
 func reportProblems(out io.Writer, format outputFormat, err error) error {
 	var check *bundle.CheckError
 	if !errors.As(err, &check) {
@@ -173,7 +174,7 @@
 	if err := format.write(out, check.Problems, []string{"LINE", "PATH", "PROBLEM"}, rows); err != nil {
 		return err
 	}
-	return errFound
+	return errNegativeResult
 }
 
 func newDiffCommand() *cobra.Command {
@@ -181,16 +182,17 @@
 	var exitCode bool
 	c := &cobra.Command{
 		Use:   "diff OLD NEW",
-		Short: "Show what changes from one bundle to another",
-		Long: "Show what changes from one bundle to another, by the names of things and not by\n" +
-			"lines. Key hashes are shortened. Exits 0; with --exit-code 1 if they differ.",
+		Short: "Show the changes from one bundle to another",
+		Long: "Show the changes from one bundle to another. List items are matched by name, and\n" +
+			"the order of lines in the files is ignored. Key hashes are shortened. The exit\n" +
+			"code is 0; with --exit-code it is 1 if the bundles differ.",
 		Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			before, err := parseFile(args[0])
+			before, err := parseBundleFile(args[0])
 			if err != nil {
 				return err
 			}
-			after, err := parseFile(args[1])
+			after, err := parseBundleFile(args[1])
 			if err != nil {
 				return err
 			}
@@ -199,7 +201,7 @@
 				return err
 			}
 			if exitCode && len(changes) > 0 {
-				return errFound
+				return errNegativeResult
 			}
 			return nil
 		},
--- a/cmd/wheatseam/bundle_test.go
+++ b/cmd/wheatseam/bundle_test.go
@@ -16,25 +16,26 @@
 
 const demoFile = "../../examples/demo.yaml"
 
-// result is what a command left behind.
-type result struct {
+// commandResult is the exit code and output of a command.
+type commandResult struct {
 	code           int
 	stdout, stderr string
 }
 
-func wheatseam(stdin string, args ...string) result {
+func runCommand(stdin string, args ...string) commandResult {
 	GinkgoHelper()
 	var stdout, stderr bytes.Buffer
-	root := newRoot()
+	root := newRootCommand()
 	root.SetIn(strings.NewReader(stdin))
 	root.SetOut(&stdout)
 	root.SetErr(&stderr)
 	root.SetArgs(args)
-	return result{run(root, &stderr), stdout.String(), stderr.String()}
+	return commandResult{run(root, &stderr), stdout.String(), stderr.String()}
 }
 
-// demoWith writes the demo bundle with replacements to a file.
-func demoWith(replace ...string) string {
+// writeDemoWith writes the demo bundle with replacements to a file and returns its
+// path.
+func writeDemoWith(replace ...string) string {
 	GinkgoHelper()
 	raw, err := os.ReadFile(demoFile)
 	Expect(err).NotTo(HaveOccurred())
@@ -45,79 +46,79 @@
 }
 
 var _ = Describe("wheatseam bundle", func() {
-	It("makes keys, signs, and checks what it signed", func() {
+	It("generates keys, signs a bundle and verifies it", func() {
 		dir := GinkgoT().TempDir()
 		keys, signed := filepath.Join(dir, "ops"), filepath.Join(dir, "signed.yaml")
-		Expect(wheatseam("", "bundle", "keygen", "--out", keys).code).To(Equal(exitOK))
+		Expect(runCommand("", "bundle", "keygen", "--out", keys).code).To(Equal(exitOK))
 		info, err := os.Stat(keys + ".key")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(info.Mode().Perm()).To(BeEquivalentTo(0o600))
-		Expect(wheatseam("", "bundle", "keygen", "--out", keys).code).To(Equal(exitFailed), "a key is not written over")
+		Expect(runCommand("", "bundle", "keygen", "--out", keys).code).To(Equal(exitError), "existing keys are not overwritten")
 
-		Expect(wheatseam("", "bundle", "sign", "--key", keys+".key", "--out", signed, demoFile).code).To(Equal(exitOK))
-		Expect(wheatseam("", "bundle", "check", "--key", keys+".pub", signed).code).To(Equal(exitOK))
-		Expect(wheatseam("", "bundle", "check", "--key", keys+".pub", demoFile).stderr).To(ContainSubstring("no signature"))
+		Expect(runCommand("", "bundle", "sign", "--key", keys+".key", "--out", signed, demoFile).code).To(Equal(exitOK))
+		Expect(runCommand("", "bundle", "check", "--key", keys+".pub", signed).code).To(Equal(exitOK))
+		Expect(runCommand("", "bundle", "check", "--key", keys+".pub", demoFile).stderr).To(ContainSubstring("no signature"))
 
-		Expect(wheatseam("", "bundle", "keygen", "--force", "--out", keys).code).To(Equal(exitOK))
-		Expect(wheatseam("", "bundle", "check", "--key", keys+".pub", signed).code).To(Equal(exitFailed))
+		Expect(runCommand("", "bundle", "keygen", "--force", "--out", keys).code).To(Equal(exitOK))
+		Expect(runCommand("", "bundle", "check", "--key", keys+".pub", signed).code).To(Equal(exitError))
 	})
 
-	It("names every problem and signs no such bundle", func() {
-		file := demoWith("pool: encoders", "pool: nowhere", "group_size: 3", "group_size: 4")
-		r := wheatseam("", "bundle", "check", file)
-		Expect(r.code).To(Equal(exitFound))
+	It("reports every problem and refuses to sign an invalid bundle", func() {
+		file := writeDemoWith("pool: encoders", "pool: nowhere", "group_size: 3", "group_size: 4")
+		r := runCommand("", "bundle", "check", file)
+		Expect(r.code).To(Equal(exitNegative))
 		Expect(r.stdout).To(MatchRegexp(`(?s)LINE +PATH +PROBLEM\n20 +claims\.group_size .*\n75 +pipelines\[0\]\.stages\[0\]\.pool `))
 
 		var listed []bundle.Problem
-		r = wheatseam("", "bundle", "check", "-o", "json", file)
+		r = runCommand("", "bundle", "check", "-o", "json", file)
 		Expect(json.Unmarshal([]byte(r.stdout), &listed)).To(Succeed())
 		Expect(listed).To(HaveLen(2))
 
 		keys := filepath.Join(GinkgoT().TempDir(), "ops")
-		Expect(wheatseam("", "bundle", "keygen", "--out", keys).code).To(Equal(exitOK))
-		r = wheatseam("", "bundle", "sign", "--key", keys+".key", file)
-		Expect(r.code).To(Equal(exitFound))
+		Expect(runCommand("", "bundle", "keygen", "--out", keys).code).To(Equal(exitOK))
+		r = runCommand("", "bundle", "sign", "--key", keys+".key", file)
+		Expect(r.code).To(Equal(exitNegative))
 		Expect(r.stdout).To(BeEmpty())
 	})
 
-	It("checks a successor, with the line of what is wrong", func() {
-		same := wheatseam("", "bundle", "check", "--previous", demoFile, demoFile)
-		Expect(same.code).To(Equal(exitFound))
+	It("reports problems of a successor with their lines", func() {
+		same := runCommand("", "bundle", "check", "--previous", demoFile, demoFile)
+		Expect(same.code).To(Equal(exitNegative))
 		Expect(same.stdout).To(MatchRegexp(`\n4 +version +1 is not above 1`))
-		next := demoWith("\nversion: 1\n", "\nversion: 2\n")
-		Expect(wheatseam("", "bundle", "check", "--previous", demoFile, next).code).To(Equal(exitOK))
+		next := writeDemoWith("\nversion: 1\n", "\nversion: 2\n")
+		Expect(runCommand("", "bundle", "check", "--previous", demoFile, next).code).To(Equal(exitOK))
 	})
 
-	It("shows differences", func() {
-		next := demoWith("\nversion: 1\n", "\nversion: 2\n", "    weight: 3\n", "    weight: 5\n")
-		r := wheatseam("", "bundle", "diff", demoFile, next)
-		Expect(r).To(Equal(result{exitOK, "~ version: 1 -> 2\n~ customers[firma].weight: 3 -> 5\n", ""}))
-		Expect(wheatseam("", "bundle", "diff", "--exit-code", demoFile, next).code).To(Equal(exitFound))
-		Expect(wheatseam("", "bundle", "diff", "--exit-code", "-o", "json", demoFile, demoFile)).To(Equal(result{exitOK, "[]\n", ""}))
+	It("prints the changes between two bundles", func() {
+		next := writeDemoWith("\nversion: 1\n", "\nversion: 2\n", "    weight: 3\n", "    weight: 5\n")
+		r := runCommand("", "bundle", "diff", demoFile, next)
+		Expect(r).To(Equal(commandResult{exitOK, "~ version: 1 -> 2\n~ customers[firma].weight: 3 -> 5\n", ""}))
+		Expect(runCommand("", "bundle", "diff", "--exit-code", demoFile, next).code).To(Equal(exitNegative))
+		Expect(runCommand("", "bundle", "diff", "--exit-code", "-o", "json", demoFile, demoFile)).To(Equal(commandResult{exitOK, "[]\n", ""}))
 	})
 
-	It("hashes keys from standard input as the bundle holds them", func() {
+	It("hashes API keys from standard input as in the bundle", func() {
 		raw, err := os.ReadFile(demoFile)
 		Expect(err).NotTo(HaveOccurred())
 		for _, key := range []string{"demo-firma-key", "demo-clinic-key"} {
-			hash := strings.TrimSpace(wheatseam(key+"\n", "bundle", "hash-key").stdout)
+			hash := strings.TrimSpace(runCommand(key+"\n", "bundle", "hash-key").stdout)
 			Expect(string(raw)).To(ContainSubstring(`["` + hash + `"]`))
 		}
-		Expect(wheatseam("", "bundle", "hash-key").code).To(Equal(exitFailed))
-		fresh := wheatseam("", "bundle", "hash-key", "--generate")
-		Expect(wheatseam(fresh.stderr, "bundle", "hash-key").stdout).To(Equal(fresh.stdout))
+		Expect(runCommand("", "bundle", "hash-key").code).To(Equal(exitError))
+		fresh := runCommand("", "bundle", "hash-key", "--generate")
+		Expect(runCommand(fresh.stderr, "bundle", "hash-key").stdout).To(Equal(fresh.stdout))
 	})
 
-	It("refuses an unknown output format", func() {
-		Expect(wheatseam("", "bundle", "check", "-o", "xml", demoFile).code).To(Equal(exitFailed))
+	It("rejects an unknown output format", func() {
+		Expect(runCommand("", "bundle", "check", "-o", "xml", demoFile).code).To(Equal(exitError))
 	})
 })
 
 var _ = Describe("wheatseam errors", func() {
-	It("prints every kind, as a table and as JSON", func() {
-		table := wheatseam("", "errors").stdout
+	It("prints every error kind as a table and as JSON", func() {
+		table := runCommand("", "errors").stdout
 		var rows []errorRow
-		Expect(json.Unmarshal([]byte(wheatseam("", "errors", "-o", "json").stdout), &rows)).To(Succeed())
+		Expect(json.Unmarshal([]byte(runCommand("", "errors", "-o", "json").stdout), &rows)).To(Succeed())
 		Expect(rows).To(HaveLen(len(problem.Table)))
 		for _, row := range problem.Table {
 			Expect(table).To(MatchRegexp(`(?m)^%s +%d +%t +%s$`, row.Kind, row.Status, row.Retry, row.Title))
--- a/cmd/wheatseam/bundlekeys.go
+++ b/cmd/wheatseam/bundlekeys.go
@@ -26,9 +26,9 @@
 	var force bool
 	c := &cobra.Command{
 		Use:   "keygen",
-		Short: "Make a key pair for signing bundles",
-		Long: "Make an ed25519 key pair: the private key goes to OUT.key, readable by its owner\n" +
-			"alone, the public key to OUT.pub, for the settings of every daemon.",
+		Short: "Generate a key pair for signing bundles",
+		Long: "Generate an ed25519 key pair. The private key is written to OUT.key, readable only\n" +
+			"by its owner; the public key to OUT.pub, for the settings of every daemon.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			id, err := writeKeyPair(out, force)
@@ -39,13 +39,13 @@
 			return err
 		},
 	}
-	c.Flags().StringVar(&out, "out", "", "start of the two files' names (required)")
-	c.Flags().BoolVar(&force, "force", false, "replace files that exist")
+	c.Flags().StringVar(&out, "out", "", "path prefix of the two files (required)")
+	c.Flags().BoolVar(&force, "force", false, "replace existing files")
 	must(c.MarkFlagRequired("out"))
 	return c
 }
 
-// writeKeyPair writes both files and returns the key's id.
+// writeKeyPair generates a key pair, writes both files and returns the key ID.
 func writeKeyPair(out string, force bool) (string, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -59,18 +59,18 @@
 	if err != nil {
 		return "", err
 	}
-	if err := writeKey(out+".key", privateText, 0o600, force); err != nil {
+	if err := writeKeyFile(out+".key", privateText, 0o600, force); err != nil {
 		return "", err
 	}
-	if err := writeKey(out+".pub", publicText, 0o644, force); err != nil {
+	if err := writeKeyFile(out+".pub", publicText, 0o644, force); err != nil {
 		return "", err
 	}
 	return bundle.KeyID(public), nil
 }
 
-// writeKey writes a file with that mode. A file that exists is replaced, and
-// not written over, if force is set, so that its mode does not stay.
-func writeKey(file string, text []byte, mode os.FileMode, force bool) error {
+// writeKeyFile creates a file with the given mode. If force is set, an existing file
+// is removed first instead of overwritten, so that it does not keep its mode.
+func writeKeyFile(file string, text []byte, mode os.FileMode, force bool) error {
 	if force {
 		if err := os.Remove(file); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return fmt.Errorf("replace key: %w", err)
@@ -92,11 +92,11 @@
 		Use:   "hash-key",
 		Short: "Print the hash of a customer's API key for the bundle",
 		Long: "Read an API key from the first line of standard input and print its hash for\n" +
-			"key_hashes. With --generate, make a key and print it to standard error: it is\n" +
-			"shown this once.",
+			"key_hashes. With --generate, generate a key and print it to standard error; it\n" +
+			"is not stored and cannot be displayed again.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			key, err := apiKey(cmd, generate)
+			key, err := readOrGenerateAPIKey(cmd, generate)
 			if err != nil {
 				return err
 			}
@@ -105,12 +105,13 @@
 			return err
 		},
 	}
-	c.Flags().BoolVar(&generate, "generate", false, "make a new random key")
+	c.Flags().BoolVar(&generate, "generate", false, "generate a random key")
 	return c
 }
 
-// apiKey reads a key, or makes one.
-func apiKey(cmd *cobra.Command, generate bool) (string, error) {
+// readOrGenerateAPIKey reads a key from standard input, or generates one and prints
+// it to standard error.
+func readOrGenerateAPIKey(cmd *cobra.Command, generate bool) (string, error) {
 	if generate {
 		raw := make([]byte, apiKeyBytes)
 		if _, err := rand.Read(raw); err != nil {
--- a/cmd/wheatseam/call.go
+++ b/cmd/wheatseam/call.go
@@ -19,51 +19,51 @@
 
 // callOptions are the flags of `wheatseam call`.
 type callOptions struct {
-	address  string
-	apiKey   string
-	text     string
-	prefix   string
-	key      string
-	newKey   bool
-	stream   bool
-	deadline time.Duration
-	idFile   string
+	address        string
+	apiKey         string
+	text           string
+	prefix         string
+	idempotencyKey string
+	newKey         bool
+	stream         bool
+	deadline       time.Duration
+	idFile         string
 }
 
 func newCallCommand() *cobra.Command {
 	var o callOptions
 	c := &cobra.Command{
 		Use:   "call PIPELINE",
-		Short: "Send one request as a caller would",
-		Long: "Send one request to an entry host and print its answer. Without a pipeline,\n" +
-			"--new-key prints a fresh idempotency key.",
+		Short: "Send one request as a caller",
+		Long: "Send one request to an entry host and print the response. Without a pipeline,\n" +
+			"--new-key prints a new idempotency key.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
 				if !o.newKey {
-					return errors.New("name a pipeline")
+					return errors.New("missing argument PIPELINE")
 				}
 				fmt.Fprintln(cmd.OutOrStdout(), uuid.Must(uuid.NewV7()))
 				return nil
 			}
-			return o.call(cmd.Context(), cmd.OutOrStdout(), args[0])
+			return o.send(cmd.Context(), cmd.OutOrStdout(), args[0])
 		},
 	}
 	f := c.Flags()
 	f.StringVar(&o.address, "address", "127.0.0.1:7301", "ip:port of an entry host's callers' listener")
 	f.StringVar(&o.apiKey, "api-key", "", "the customer's API key")
-	f.StringVar(&o.text, "text", "", "the input's text")
-	f.StringVar(&o.prefix, "prefix", "", "the prompt's shared prefix")
-	f.StringVar(&o.key, "key", "", "idempotency key, a UUIDv7")
-	f.BoolVar(&o.newKey, "new-key", false, "use a fresh idempotency key")
-	f.BoolVar(&o.stream, "stream", false, "print the text as it comes")
-	f.DurationVar(&o.deadline, "deadline", 0, "deadline; 0 is the pipeline's")
-	f.StringVar(&o.idFile, "id-file", "", "write the request's id to this file")
+	f.StringVar(&o.text, "text", "", "input text")
+	f.StringVar(&o.prefix, "prefix", "", "shared prefix of the prompt")
+	f.StringVar(&o.idempotencyKey, "key", "", "idempotency key, a UUIDv7")
+	f.BoolVar(&o.newKey, "new-key", false, "generate an idempotency key")
+	f.BoolVar(&o.stream, "stream", false, "print the text while it is being generated")
+	f.DurationVar(&o.deadline, "deadline", 0, "deadline; 0 uses the pipeline's")
+	f.StringVar(&o.idFile, "id-file", "", "write the request ID to this file")
 	return c
 }
 
-func (o *callOptions) call(ctx context.Context, out io.Writer, pipeline string) error {
-	req, err := o.request(ctx, pipeline)
+func (o *callOptions) send(ctx context.Context, out io.Writer, pipeline string) error {
+	req, err := o.buildRequest(ctx, pipeline)
 	if err != nil {
 		return err
 	}
@@ -77,16 +77,16 @@
 	}
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return fmt.Errorf("read answer: %w", err)
+		return fmt.Errorf("read response: %w", err)
 	}
 	fmt.Fprint(out, string(raw))
 	if resp.StatusCode != http.StatusOK {
-		return errFound
+		return errNegativeResult
 	}
 	return o.writeID(raw)
 }
 
-func (o *callOptions) request(ctx context.Context, pipeline string) (*http.Request, error) {
+func (o *callOptions) buildRequest(ctx context.Context, pipeline string) (*http.Request, error) {
 	body, err := json.Marshal(map[string]any{
 		"input":       map[string]string{"text": o.text},
 		"prefix":      o.prefix,
@@ -103,16 +103,16 @@
 	}
 	req.Header.Set("Authorization", "Bearer "+o.apiKey)
 	if o.newKey {
-		o.key = uuid.Must(uuid.NewV7()).String()
+		o.idempotencyKey = uuid.Must(uuid.NewV7()).String()
 	}
-	if o.key != "" {
-		req.Header.Set("Idempotency-Key", o.key)
+	if o.idempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", o.idempotencyKey)
 	}
 	return req, nil
 }
 
-// printStream prints the text as it comes and the last event in full. A stream
-// that ends without its last event is no answer.
+// printStream prints the text as it arrives and then the data of the final event. It
+// returns an error if the stream ends without a final event.
 func (o *callOptions) printStream(out io.Writer, r io.Reader) error {
 	const maxEventBytes = 8 << 20
 	scanner := bufio.NewScanner(r)
@@ -136,16 +136,16 @@
 			}
 			fmt.Fprint(out, part.Text)
 		case "reset":
-			fmt.Fprintln(out, "\n(the text so far is void)")
+			fmt.Fprintln(out, "\n(stream reset: discard the text so far)")
 		case "done":
 			fmt.Fprintf(out, "\n%s\n", data)
 			return o.writeID([]byte(data))
 		case "error":
 			fmt.Fprintf(out, "\n%s\n", data)
-			return errFound
+			return errNegativeResult
 		}
 	}
-	return errors.New("the stream was cut: this is no answer")
+	return errors.New("the stream ended without a final event; the answer is incomplete")
 }
 
 func (o *callOptions) writeID(answer []byte) error {
@@ -156,7 +156,7 @@
 		RequestID string `json:"request_id"`
 	}
 	if err := json.Unmarshal(answer, &a); err != nil {
-		return fmt.Errorf("decode answer: %w", err)
+		return fmt.Errorf("decode response: %w", err)
 	}
 	return os.WriteFile(o.idFile, []byte(a.RequestID+"\n"), 0o644)
 }
--- a/cmd/wheatseam/certs.go
+++ b/cmd/wheatseam/certs.go
@@ -22,23 +22,23 @@
 	var o certsOptions
 	c := &cobra.Command{
 		Use:   "certs NAME...",
-		Short: "Make an authority and a key pair for each name",
-		Long: "Make NAME.pem and NAME-key.pem for each name, signed by the authority in ca.pem\n" +
-			"and ca-key.pem, which is made if there is none. A name is a host's name in the\n" +
-			"bundle, or any name for an operator's client certificate.",
+		Short: "Create a certificate authority and a key pair for each name",
+		Long: "Create NAME.pem and NAME-key.pem for each name, signed by the authority in ca.pem\n" +
+			"and ca-key.pem, which is created if it does not exist. A name is the name of a\n" +
+			"host in the bundle, or any name for an operator's client certificate.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, names []string) error {
-			return o.make(cmd, names)
+			return o.writeCerts(cmd, names)
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&o.out, "out", ".", "directory of the files")
-	f.DurationVar(&o.lifetime, "lifetime", 365*24*time.Hour, "how long the certificates are valid")
+	f.StringVar(&o.out, "out", ".", "output directory")
+	f.DurationVar(&o.lifetime, "lifetime", 365*24*time.Hour, "validity period of the certificates")
 	f.IPSliceVar(&o.ips, "ip", []net.IP{net.IPv4(127, 0, 0, 1)}, "IP addresses that the certificates are valid for besides the name")
 	return c
 }
 
-func (o *certsOptions) make(cmd *cobra.Command, names []string) error {
+func (o *certsOptions) writeCerts(cmd *cobra.Command, names []string) error {
 	if err := os.MkdirAll(o.out, 0o700); err != nil {
 		return fmt.Errorf("certs: %w", err)
 	}
--- a/cmd/wheatseam/compare.go
+++ b/cmd/wheatseam/compare.go
@@ -16,15 +16,15 @@
 	var jsonFile string
 	c := &cobra.Command{
 		Use:   "compare LABEL=REPORT.json,... LABEL=REPORT.json,...",
-		Short: "Set the reports of paired runs side by side",
-		Long: "Set the JSON reports of paired runs side by side. The first label is the base;\n" +
-			"the n-th reports of all labels are a pair. A difference within the spread of\n" +
-			"the pairs is no change.",
+		Short: "Compare the reports of paired runs",
+		Long: "Compare the JSON reports of paired runs. The first label is the baseline; the n-th\n" +
+			"reports of all labels form a pair. A difference within the spread of the pairs is\n" +
+			"not reported as a change.",
 		Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var sets []compare.Set
 			for _, arg := range args {
-				s, err := readSet(arg)
+				s, err := readReportSet(arg)
 				if err != nil {
 					return err
 				}
@@ -46,11 +46,11 @@
 	return c
 }
 
-// readSet reads the reports of one argument.
-func readSet(arg string) (compare.Set, error) {
+// readReportSet reads the reports of one LABEL=FILE,FILE argument.
+func readReportSet(arg string) (compare.Set, error) {
 	label, files, ok := strings.Cut(arg, "=")
 	if !ok {
-		return compare.Set{}, fmt.Errorf("%q is not of the form LABEL=FILE,FILE", arg)
+		return compare.Set{}, fmt.Errorf("%q does not have the form LABEL=FILE,FILE", arg)
 	}
 	s := compare.Set{Label: label}
 	for file := range strings.SplitSeq(files, ",") {
--- a/cmd/wheatseam/errors.go
+++ b/cmd/wheatseam/errors.go
@@ -20,9 +20,9 @@
 	var format outputFormat
 	c := &cobra.Command{
 		Use:   "errors",
-		Short: "Print the table from error kind to answer",
-		Long: "Print every kind of error that a caller can get, with the HTTP status and title\n" +
-			"of its answer, and whether coming back later may help.",
+		Short: "Print the response for each error kind",
+		Long: "Print every kind of error that a caller can receive, with the HTTP status and title\n" +
+			"of the response, and whether a later retry may succeed.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			listed := make([]errorRow, 0, len(problem.Table))
--- a/cmd/wheatseam/explain.go
+++ b/cmd/wheatseam/explain.go
@@ -20,10 +20,10 @@
 	var logs []string
 	c := &cobra.Command{
 		Use:   "explain REQUEST-ID",
-		Short: "Print every decision about a request, in order",
-		Long: "Print every decision about a request with the inputs that decided it. Any host\n" +
-			"can be asked. With --log, log files are read instead, of gateways too. The exit\n" +
-			"code is 1 when nothing is known of the request.",
+		Short: "Print every decision about a request in order",
+		Long: "Print every decision about a request with its inputs. Any host can be queried.\n" +
+			"With --log, log files are read instead, including those of gateways. The exit\n" +
+			"code is 1 if there is no record of the request.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(logs) > 0 {
@@ -32,7 +32,7 @@
 			var e operator.Explanation
 			err := client.fetch(cmd.Context(), http.MethodGet, "/v1/explain/"+url.PathEscape(args[0]), &e)
 			if err != nil {
-				return notFound(cmd, err)
+				return reportNotFound(cmd, err)
 			}
 			if format == formatTable {
 				fmt.Fprintf(cmd.OutOrStdout(), "request %s at host %s\n", e.RequestID, e.Host)
@@ -42,22 +42,23 @@
 		},
 	}
 	client.addFlags(c)
-	c.Flags().StringSliceVar(&logs, "log", nil, "log files of hosts to read, in place of asking one")
+	c.Flags().StringSliceVar(&logs, "log", nil, "log files of hosts to read instead of querying a host")
 	addOutputFlag(c, &format)
 	return c
 }
 
-// notFound turns the answer that there is none into errFound.
-func notFound(cmd *cobra.Command, err error) error {
-	refused, ok := err.(*operatorError)
-	if !ok || refused.status != http.StatusNotFound {
+// reportNotFound prints the message of a 404 response and returns errNegativeResult.
+// It returns any other error unchanged.
+func reportNotFound(cmd *cobra.Command, err error) error {
+	response, ok := err.(*operatorError)
+	if !ok || response.status != http.StatusNotFound {
 		return err
 	}
-	fmt.Fprintln(cmd.OutOrStdout(), refused.message)
-	return errFound
+	fmt.Fprintln(cmd.OutOrStdout(), response.message)
+	return errNegativeResult
 }
 
-// explainRows has one row per entry, and below it one per weighed candidate.
+// explainRows returns one row per entry, each followed by one row per candidate.
 func explainRows(entries []record.Entry) [][]string {
 	var rows [][]string
 	for _, e := range entries {
@@ -66,24 +67,25 @@
 			attempt = strconv.Itoa(e.Attempt)
 		}
 		rows = append(rows, []string{
-			since(entries[0].At, e.At), string(e.Step), orDash(e.Stage), attempt, e.Outcome, fieldsText(e.Fields),
+			formatOffset(entries[0].At, e.At), string(e.Step), orDash(e.Stage), attempt, e.Outcome, formatFields(e.Fields),
 		})
 		for _, c := range e.Choices {
-			rows = append(rows, []string{"", "", "", "", "  " + c.Upstream, candidateText(c)})
+			rows = append(rows, []string{"", "", "", "", "  " + c.Upstream, formatCandidate(c)})
 		}
 	}
 	return rows
 }
 
-// since writes the first entry's time in full and the others' distance to it.
-func since(first, at time.Time) string {
+// formatOffset formats the time of the first entry as a time of day, and that of the
+// others as an offset from the first.
+func formatOffset(first, at time.Time) string {
 	if at.Equal(first) {
 		return at.UTC().Format("15:04:05.000")
 	}
 	return "+" + at.Sub(first).Round(10*time.Microsecond).String()
 }
 
-func fieldsText(fields []record.Field) string {
+func formatFields(fields []record.Field) string {
 	var parts []string
 	for _, f := range fields {
 		value := f.Value
@@ -95,7 +97,7 @@
 	return strings.Join(parts, " ")
 }
 
-func candidateText(c record.Candidate) string {
+func formatCandidate(c record.Candidate) string {
 	if c.Refused != "" {
 		return "refused: " + c.Refused
 	}
--- a/cmd/wheatseam/explainlog.go
+++ b/cmd/wheatseam/explainlog.go
@@ -20,13 +20,14 @@
 	Fields []string  `json:"fields"`
 }
 
-// field matches one key=value of a logfmt line; values with spaces are quoted.
-var field = regexp.MustCompile(`([A-Za-z_]+)=("(?:[^"\\]|\\.)*"|\S*)`)
+// logFieldPattern matches one key=value field of a logfmt line. Values with spaces
+// are quoted.
+var logFieldPattern = regexp.MustCompile(`([A-Za-z_]+)=("(?:[^"\\]|\\.)*"|\S*)`)
 
-// parseLine reads a line; false for what is no line of a daemon.
+// parseLine parses a line of a daemon's log. It returns false for any other text.
 func parseLine(text string) (logLine, bool) {
 	var l logLine
-	for _, m := range field.FindAllStringSubmatch(text, -1) {
+	for _, m := range logFieldPattern.FindAllStringSubmatch(text, -1) {
 		key, value := m[1], strings.Trim(m[2], `"`)
 		switch key {
 		case "ts":
@@ -47,17 +48,18 @@
 	return l, !l.At.IsZero() && l.Event != ""
 }
 
-// maxLogLine bounds a line; longer ones are skipped.
-const maxLogLine = 1 << 20
+// maxLogLineBytes is the maximum length of a log line. A longer one is an error.
+const maxLogLineBytes = 1 << 20
 
-// about returns the lines about a request in some logs, in the order of time,
-// and those about the replicas that it was sent to from around then.
-func about(request string, logs []io.Reader) ([]logLine, error) {
-	var mine, others []logLine
-	named := map[string]bool{}
+// requestLines returns the log lines of a request from all logs, ordered by time. It
+// adds the replica events from around that time that concern the replicas and
+// services to which the request was sent.
+func requestLines(request string, logs []io.Reader) ([]logLine, error) {
+	var lines, eventLines []logLine
+	targets := map[string]bool{}
 	for _, r := range logs {
 		s := bufio.NewScanner(r)
-		s.Buffer(nil, maxLogLine)
+		s.Buffer(nil, maxLogLineBytes)
 		for s.Scan() {
 			l, ok := parseLine(s.Text())
 			if !ok {
@@ -65,10 +67,10 @@
 			}
 			switch {
 			case slices.Contains(l.Fields, "request="+request):
-				mine = append(mine, l)
-				noteNamed(named, l)
-			case beliefs[l.Event] != "":
-				others = append(others, l)
+				lines = append(lines, l)
+				collectTargets(targets, l)
+			case replicaEvents[l.Event] != "":
+				eventLines = append(eventLines, l)
 			}
 		}
 		if err := s.Err(); err != nil {
@@ -76,52 +78,53 @@
 		}
 	}
 	byTime := func(a, b logLine) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Host, b.Host)) }
-	slices.SortFunc(mine, byTime)
-	if len(mine) == 0 {
+	slices.SortFunc(lines, byTime)
+	if len(lines) == 0 {
 		return nil, nil
 	}
-	from, to := mine[0].At.Add(-beliefWindow), mine[len(mine)-1].At.Add(beliefWindow)
-	for _, l := range others {
-		if l.At.After(from) && l.At.Before(to) && names(l, named) {
-			mine = append(mine, l)
+	from, to := lines[0].At.Add(-replicaEventWindow), lines[len(lines)-1].At.Add(replicaEventWindow)
+	for _, l := range eventLines {
+		if l.At.After(from) && l.At.Before(to) && concernsTarget(l, targets) {
+			lines = append(lines, l)
 		}
 	}
-	slices.SortFunc(mine, byTime)
-	return mine, nil
+	slices.SortFunc(lines, byTime)
+	return lines, nil
 }
 
-// beliefWindow is how far around a request what was believed of its replicas is
-// shown.
-const beliefWindow = 5 * time.Second
+// replicaEventWindow is the time before the first and after the last line of a
+// request within which replica events are included.
+const replicaEventWindow = 5 * time.Second
 
-// beliefs are the events that change what is believed of replicas, and the field
-// that says of which.
-var beliefs = map[string]string{
+// replicaEvents maps each log event that changes the known state of replicas to the
+// field that names the affected replica or service.
+var replicaEvents = map[string]string{
 	"replica ejected": "replica", "stage replica suspected": "replica", "stage replica trusted again": "replica",
 	"service refuses more than its load explains": "service",
 }
 
-// noteNamed notes the replicas and services that a line about a request names.
-func noteNamed(named map[string]bool, l logLine) {
+// collectTargets adds the replicas and services named in a log line of a request to
+// targets, as key=value fields.
+func collectTargets(targets map[string]bool, l logLine) {
 	for _, f := range l.Fields {
 		switch key, value, _ := strings.Cut(f, "="); key {
 		case "replica", "replicas":
 			for _, id := range strings.Split(strings.Trim(value, `"`), ",") {
-				named["replica="+id] = true
+				targets["replica="+id] = true
 			}
 		case "service":
-			named[f] = true
+			targets[f] = true
 		}
 	}
 }
 
-// names says whether a line changes what is believed of one that is named.
-func names(l logLine, named map[string]bool) bool {
-	about := beliefs[l.Event] + "="
-	return slices.ContainsFunc(l.Fields, func(f string) bool { return strings.HasPrefix(f, about) && named[f] })
+// concernsTarget reports whether the replica event l affects one of the targets.
+func concernsTarget(l logLine, targets map[string]bool) bool {
+	prefix := replicaEvents[l.Event] + "="
+	return slices.ContainsFunc(l.Fields, func(f string) bool { return strings.HasPrefix(f, prefix) && targets[f] })
 }
 
-// explainLogs prints what log files tell of a request.
+// explainLogs prints the lines of the log files that concern a request.
 func explainLogs(out io.Writer, format outputFormat, request string, files []string) error {
 	var logs []io.Reader
 	for _, name := range files {
@@ -132,13 +135,13 @@
 		defer f.Close()
 		logs = append(logs, f)
 	}
-	lines, err := about(request, logs)
+	lines, err := requestLines(request, logs)
 	if err != nil {
 		return err
 	}
 	if len(lines) == 0 {
-		fmt.Fprintf(out, "no line about request %s\n", request)
-		return errFound
+		fmt.Fprintf(out, "no log line of request %s found\n", request)
+		return errNegativeResult
 	}
 	var rows [][]string
 	for _, l := range lines {
--- a/cmd/wheatseam/main.go
+++ b/cmd/wheatseam/main.go
@@ -1,4 +1,4 @@
-// Command wheatseam is the operators' tool.
+// Command wheatseam is the command-line tool for operators of wheatseam.
 package main
 
 import (
@@ -13,18 +13,18 @@
 // The exit codes.
 const (
 	exitOK = 0
-	// exitFound says that the command ran and its answer is "no": a refusal,
-	// problems, differences.
-	exitFound = 1
-	// exitFailed says that the command could not do its work.
-	exitFailed = 2
+	// exitNegative means that the command ran and its result is negative: a
+	// rejection, problems or differences.
+	exitNegative = 1
+	// exitError means that the command failed.
+	exitError = 2
 )
 
-// errFound makes the command exit with exitFound after what was found (a
-// refusal, problems, outcomes not met) has been printed.
-var errFound = errors.New("the answer is no")
+// errNegativeResult makes the command exit with exitNegative. The result (a
+// rejection, problems, unmet outcomes) has already been printed.
+var errNegativeResult = errors.New("negative result")
 
-func main() { os.Exit(run(newRoot(), os.Stderr)) }
+func main() { os.Exit(run(newRootCommand(), os.Stderr)) }
 
 // run executes the command and returns its exit code.
 func run(root *cobra.Command, stderr io.Writer) int {
@@ -32,27 +32,27 @@
 	switch {
 	case err == nil:
 		return exitOK
-	case errors.Is(err, errFound):
-		return exitFound
+	case errors.Is(err, errNegativeResult):
+		return exitNegative
 	default:
 		fmt.Fprintln(stderr, "wheatseam:", err)
-		return exitFailed
+		return exitError
 	}
 }
 
-// must stops on a mistake in the set-up of a command.
+// must panics on an error in the setup of a command.
 func must(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-// newRoot returns the command with all its subcommands, one file per group.
-func newRoot() *cobra.Command {
+// newRootCommand returns the root command with all subcommands.
+func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "wheatseam",
-		Short:         "Operators' tool of wheatseam",
-		Long:          "Operators' tool of wheatseam.\n\nExit codes: 0 done; 1 the answer is no (refused, problems found); 2 failed.",
+		Short:         "Command-line tool for operators of wheatseam",
+		Long:          "Command-line tool for operators of wheatseam.\n\nExit codes: 0 success; 1 negative result (rejected, problems found); 2 failure.",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/wheatseam/operator.go
+++ b/cmd/wheatseam/operator.go
@@ -17,10 +17,10 @@
 	"github.com/wheatseam/wheatseam/operator"
 )
 
-// pollEvery is how often a waiting command asks again.
-const pollEvery = 50 * time.Millisecond
+// pollInterval is the interval at which a waiting command queries a host again.
+const pollInterval = 50 * time.Millisecond
 
-// newOperatorCommands returns the commands that ask an operators' listener.
+// newOperatorCommands returns the commands that query an operators' listener.
 func newOperatorCommands() []*cobra.Command {
 	return []*cobra.Command{
 		newHealthCommand(), newDumpCommand(), newExplainCommand(),
@@ -34,8 +34,8 @@
 	var wait time.Duration
 	c := &cobra.Command{
 		Use:   "health",
-		Short: "Say whether a host is ready",
-		Long:  "Print a host's status. The exit code is 0 when it is ready and 1 when it is not.",
+		Short: "Print whether a host is ready",
+		Long:  "Print a host's status. The exit code is 0 if it is ready and 1 if it is not.",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			st, err := waitReady(cmd.Context(), &client, wait)
@@ -45,34 +45,34 @@
 			if err := writeStatuses(cmd, format, st, []operator.Status{st}); err != nil {
 				return err
 			}
-			return foundUnless(st.Ready)
+			return negativeUnless(st.Ready)
 		},
 	}
 	client.addFlags(c)
 	addOutputFlag(c, &format)
-	c.Flags().DurationVar(&wait, "wait", 0, "wait this long for the host to be ready")
+	c.Flags().DurationVar(&wait, "wait", 0, "maximum time to wait until the host is ready")
 	return c
 }
 
-// waitReady asks for the status until the host is ready or wait is over; it
-// returns the last answer.
+// waitReady queries the status until the host is ready, it responds with an error or
+// the wait time has passed. It returns the last response.
 func waitReady(ctx context.Context, client *operatorClient, wait time.Duration) (operator.Status, error) {
-	limit := time.Now().Add(wait)
+	deadline := time.Now().Add(wait)
 	for {
 		var st operator.Status
 		err := client.fetch(ctx, http.MethodGet, "/v1/status", &st)
-		var refused *operatorError
-		if (err == nil && st.Ready) || errors.As(err, &refused) || !time.Now().Before(limit) {
+		var response *operatorError
+		if (err == nil && st.Ready) || errors.As(err, &response) || !time.Now().Before(deadline) {
 			return st, err
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-// foundUnless returns errFound unless ok.
-func foundUnless(ok bool) error {
+// negativeUnless returns errNegativeResult unless ok is true.
+func negativeUnless(ok bool) error {
 	if !ok {
-		return errFound
+		return errNegativeResult
 	}
 	return nil
 }
@@ -82,19 +82,19 @@
 	var format outputFormat
 	c := &cobra.Command{
 		Use:   "bundle-status",
-		Short: "Print which bundle is in force at every host",
-		Long: "Ask one host for the status of all. The exit code is 1 when hosts differ in the\n" +
-			"bundle in force or one does not answer.",
+		Short: "Print the active bundle of every host",
+		Long: "Query one host for the status of all hosts. The exit code is 1 if their active\n" +
+			"bundles differ or a host does not respond.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var all []operator.Status
-			if err := client.fetch(cmd.Context(), http.MethodGet, "/v1/bundle", &all); err != nil {
+			var statuses []operator.Status
+			if err := client.fetch(cmd.Context(), http.MethodGet, "/v1/bundle", &statuses); err != nil {
 				return err
 			}
-			if err := writeStatuses(cmd, format, all, all); err != nil {
+			if err := writeStatuses(cmd, format, statuses, statuses); err != nil {
 				return err
 			}
-			return foundUnless(sameBundle(all))
+			return negativeUnless(sameBundle(statuses))
 		},
 	}
 	client.addFlags(c)
@@ -102,22 +102,22 @@
 	return c
 }
 
-func sameBundle(all []operator.Status) bool {
-	return !slices.ContainsFunc(all, func(s operator.Status) bool {
-		return s.Error != "" || s.BundleVersion != all[0].BundleVersion || s.BundleDigest != all[0].BundleDigest
+func sameBundle(statuses []operator.Status) bool {
+	return !slices.ContainsFunc(statuses, func(s operator.Status) bool {
+		return s.Error != "" || s.BundleVersion != statuses[0].BundleVersion || s.BundleDigest != statuses[0].BundleDigest
 	})
 }
 
-func writeStatuses(cmd *cobra.Command, format outputFormat, value any, all []operator.Status) error {
+func writeStatuses(cmd *cobra.Command, format outputFormat, value any, statuses []operator.Status) error {
 	var rows [][]string
-	for _, s := range all {
+	for _, s := range statuses {
 		since := "-"
 		if !s.BundleSince.IsZero() {
 			since = s.BundleSince.UTC().Format(time.RFC3339)
 		}
 		rows = append(rows, []string{
-			s.Host, orDash(s.FailureDomain), stateOf(s), strconv.FormatUint(s.BundleVersion, 10),
-			orDash(firstN(s.BundleDigest, 12)), orDash(s.BundleSource), since,
+			s.Host, orDash(s.FailureDomain), hostState(s), strconv.FormatUint(s.BundleVersion, 10),
+			orDash(truncate(s.BundleDigest, 12)), orDash(s.BundleSource), since,
 			strconv.Itoa(s.RequestsInFlight), orDash(s.Reason + s.Error),
 		})
 	}
@@ -125,7 +125,7 @@
 	return format.write(cmd.OutOrStdout(), value, header, rows)
 }
 
-func stateOf(s operator.Status) string {
+func hostState(s operator.Status) string {
 	switch {
 	case s.Error != "":
 		return "unreachable"
@@ -145,7 +145,7 @@
 	return s
 }
 
-func firstN(s string, n int) string { return s[:min(n, len(s))] }
+func truncate(s string, n int) string { return s[:min(n, len(s))] }
 
 func newDrainCommand() *cobra.Command {
 	var client operatorClient
@@ -154,9 +154,9 @@
 	c := &cobra.Command{
 		Use:   "drain",
 		Short: "Take a host out of service",
-		Long: "Tell a host to take no new requests, finish those in flight and exit, as SIGTERM\n" +
-			"does. With --wait the command returns when the host is gone, and with exit code 1\n" +
-			"when it is not gone in time.",
+		Long: "Tell a host to accept no new requests, finish those in flight and exit, as with\n" +
+			"SIGTERM. With --wait the command returns when the host has stopped; the exit code\n" +
+			"is 1 if it has not stopped in time.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var st operator.Status
@@ -166,26 +166,27 @@
 			if err := writeStatuses(cmd, format, st, []operator.Status{st}); err != nil {
 				return err
 			}
-			return waitGone(cmd.Context(), &client, wait)
+			return waitStopped(cmd.Context(), &client, wait)
 		},
 	}
 	client.addFlags(c)
 	addOutputFlag(c, &format)
-	c.Flags().DurationVar(&wait, "wait", 0, "wait this long for the host to be gone")
+	c.Flags().DurationVar(&wait, "wait", 0, "maximum time to wait until the host has stopped")
 	return c
 }
 
-// waitGone asks until the listener no longer answers; wait 0 does not ask.
-func waitGone(ctx context.Context, client *operatorClient, wait time.Duration) error {
+// waitStopped polls the listener until it no longer responds. With wait 0 it returns
+// at once.
+func waitStopped(ctx context.Context, client *operatorClient, wait time.Duration) error {
 	if wait == 0 {
 		return nil
 	}
-	for limit := time.Now().Add(wait); time.Now().Before(limit); time.Sleep(pollEvery) {
+	for deadline := time.Now().Add(wait); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if _, _, err := client.do(ctx, http.MethodGet, "/healthz"); err != nil {
 			return nil
 		}
 	}
-	return errFound
+	return errNegativeResult
 }
 
 func newMetricsCommand() *cobra.Command {
@@ -210,18 +211,20 @@
 	}
 	client.addFlags(c)
 	addOutputFlag(c, &format)
-	c.Flags().StringVar(&match, "match", "", "print only series that contain this")
+	c.Flags().StringVar(&match, "match", "", "print only series that contain this text")
 	return c
 }
 
 // metricValue is one series of `wheatseam metrics -o json`.
 type metricValue struct {
 	Series string `json:"series"`
-	// Value is as the host wrote it: it may be NaN, which JSON numbers can't.
+	// Value is the text returned by the host. It is a string because it may be
+	// NaN, which a JSON number cannot represent.
 	Value string `json:"value"`
 }
 
-// parseMetrics splits lines in the Prometheus text form into series and value.
+// parseMetrics parses metrics in the Prometheus text format into series and values.
+// It returns only the series that contain match.
 func parseMetrics(text, match string) ([]metricValue, [][]string) {
 	values := []metricValue{}
 	var rows [][]string
@@ -244,8 +247,8 @@
 	c := &cobra.Command{
 		Use:   "dump [SECTION]",
 		Short: "Print a host's state",
-		Long: "Print the state of a host: the bundle in force, membership, load, limits, queues,\n" +
-			"requests in flight, claims. Any host can be asked about any other.",
+		Long: "Print the state of a host: the active bundle, membership, load, limits, queues,\n" +
+			"requests in flight, claims. Any host can be queried about any other.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			query := url.Values{}
@@ -258,7 +261,7 @@
 				return err
 			}
 			if len(args) > 0 && len(dump) == 0 {
-				return fmt.Errorf("there is no section %q", args[0])
+				return fmt.Errorf("no section is named %q", args[0])
 			}
 			rows, err := flatten(dump)
 			if err != nil {
@@ -269,11 +272,11 @@
 	}
 	client.addFlags(c)
 	addOutputFlag(c, &format)
-	c.Flags().StringVar(&host, "host", "", "the host to be dumped, if not the one asked")
+	c.Flags().StringVar(&host, "host", "", "host whose state is printed; the queried host if empty")
 	return c
 }
 
-// flatten turns a dump into rows of path and value, sorted by path.
+// flatten converts a dump to rows of path and value, sorted by path.
 func flatten(dump map[string]json.RawMessage) ([][]string, error) {
 	var rows [][]string
 	for _, section := range sortedKeys(dump) {
@@ -299,7 +302,7 @@
 		}
 		return rows
 	default:
-		raw, _ := json.Marshal(v) // was JSON before
+		raw, _ := json.Marshal(v) // cannot fail: v was decoded from JSON
 		return append(rows, []string{path, string(raw)})
 	}
 }
--- a/cmd/wheatseam/operator_test.go
+++ b/cmd/wheatseam/operator_test.go
@@ -22,15 +22,16 @@
 
 const operatorToken = "an operator's token"
 
-// listener answers fixed values by "METHOD path", to bearers of the token.
-type listener struct {
+// fakeListener is an operators' listener with fixed responses by "METHOD path". It
+// requires the operator token.
+type fakeListener struct {
 	server  *httptest.Server
 	answers map[string]any
 	token   string
 }
 
-func newListener() *listener {
-	l := &listener{answers: map[string]any{}}
+func newFakeListener() *fakeListener {
+	l := &fakeListener{answers: map[string]any{}}
 	l.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		answer, ok := l.answers[r.Method+" "+r.URL.RequestURI()]
 		switch {
@@ -56,17 +57,17 @@
 	return l
 }
 
-func (l *listener) run(args ...string) result {
+func (l *fakeListener) run(args ...string) commandResult {
 	GinkgoHelper()
-	return wheatseam("", append(args, "--address", l.server.Listener.Addr().String(), "--token-file", l.token)...)
+	return runCommand("", append(args, "--address", l.server.Listener.Addr().String(), "--token-file", l.token)...)
 }
 
 var _ = Describe("operators' commands", func() {
-	var l *listener
+	var l *fakeListener
 	ready := operator.Status{Host: "entry-1", FailureDomain: "lima-a", Ready: true, BundleVersion: 7, BundleDigest: "0123456789abcdef"}
-	BeforeEach(func() { l = newListener() })
+	BeforeEach(func() { l = newFakeListener() })
 
-	It("health tells a ready host from one that is not by its exit code", func() {
+	It("health reports by its exit code whether a host is ready", func() {
 		l.answers["GET /v1/status"] = ready
 		r := l.run("health")
 		Expect(r.code).To(Equal(exitOK))
@@ -74,42 +75,42 @@
 
 		l.answers["GET /v1/status"] = operator.Status{Host: "entry-1", Reason: "no bundle"}
 		r = l.run("health", "-o", "json")
-		Expect(r.code).To(Equal(exitFound))
+		Expect(r.code).To(Equal(exitNegative))
 		var st operator.Status
 		Expect(json.Unmarshal([]byte(r.stdout), &st)).To(Succeed())
 		Expect(st.Reason).To(Equal("no bundle"))
 	})
 
-	It("health waits for a host to be ready", func() {
-		var asked atomic.Int32
+	It("health waits until a host is ready", func() {
+		var requestCount atomic.Int32
 		l.answers["GET /v1/status"] = func() any {
 			st := ready
-			st.Ready = asked.Add(1) > 2
+			st.Ready = requestCount.Add(1) > 2
 			return st
 		}
 		Expect(l.run("health", "--wait", "10s").code).To(Equal(exitOK))
-		Expect(asked.Load()).To(BeEquivalentTo(3))
+		Expect(requestCount.Load()).To(BeEquivalentTo(3))
 	})
 
-	It("fails without the token, and on a host that does not answer", func() {
-		r := wheatseam("", "health", "--wait", "10s", "--address", l.server.Listener.Addr().String())
-		Expect(r.code).To(Equal(exitFailed))
+	It("fails without the token and if the host does not respond", func() {
+		r := runCommand("", "health", "--wait", "10s", "--address", l.server.Listener.Addr().String())
+		Expect(r.code).To(Equal(exitError))
 		Expect(r.stderr).To(ContainSubstring("401 Unauthorized: token needed"))
 		l.server.Close()
-		Expect(l.run("health").code).To(Equal(exitFailed))
+		Expect(l.run("health").code).To(Equal(exitError))
 	})
 
-	It("bundle-status says no when hosts differ or are silent", func() {
+	It("bundle-status exits with 1 if bundles differ or a host does not respond", func() {
 		other := ready
 		other.Host = "entry-2"
 		l.answers["GET /v1/bundle"] = []operator.Status{ready, other}
 		Expect(l.run("bundle-status").code).To(Equal(exitOK))
 		other.BundleDigest = "fedcba"
 		l.answers["GET /v1/bundle"] = []operator.Status{ready, other}
-		Expect(l.run("bundle-status").code).To(Equal(exitFound))
+		Expect(l.run("bundle-status").code).To(Equal(exitNegative))
 		l.answers["GET /v1/bundle"] = []operator.Status{ready, {Host: "entry-3", Error: "timed out"}}
 		r := l.run("bundle-status")
-		Expect(r.code).To(Equal(exitFound))
+		Expect(r.code).To(Equal(exitNegative))
 		Expect(r.stdout).To(MatchRegexp(`entry-3 +- +unreachable .* timed out`))
 	})
 
@@ -126,7 +127,7 @@
 			`03:04:05.000 +admit +- +- +admitted +bundle=7 why="room left"\n` +
 			`\+1.5ms +route +generate +1 +picked llm-1 *\n +llm-1 +score 0.25\n +llm-2 +refused: leaving\n`))
 		r = l.run("explain", "entry-1.8")
-		Expect(r.code).To(Equal(exitFound))
+		Expect(r.code).To(Equal(exitNegative))
 		Expect(r.stdout).To(ContainSubstring("no record"))
 	})
 
@@ -137,7 +138,7 @@
 		Expect(r.stdout).To(MatchRegexp(`load.ages\[0\] +3\nload.ages\[1\] +4\n`))
 		Expect(l.run("dump", "load", "--host", "entry-2", "-o", "json").stdout).To(MatchJSON(`{"load":{"ages":[3,4]}}`))
 		l.answers["GET /v1/dump?host=&section=none"] = map[string]any{}
-		Expect(l.run("dump", "none").code).To(Equal(exitFailed))
+		Expect(l.run("dump", "none").code).To(Equal(exitError))
 	})
 
 	It("metrics prints the series that match", func() {
@@ -146,19 +147,19 @@
 		Expect(l.run("metrics", "--match", "y").stdout).To(MatchRegexp(`^SERIES +VALUE\ny +NaN\n$`))
 	})
 
-	It("drain waits until the host is gone", func() {
+	It("drain waits until the host has stopped", func() {
 		l.answers["POST /v1/drain"] = operator.Status{Host: "entry-1", Draining: true}
 		l.answers["GET /healthz"] = operator.Health{Status: "ok"}
 		Expect(l.run("drain").code).To(Equal(exitOK))
-		Expect(l.run("drain", "--wait", "150ms").code).To(Equal(exitFound))
+		Expect(l.run("drain", "--wait", "150ms").code).To(Equal(exitNegative))
 		time.AfterFunc(100*time.Millisecond, l.server.Close)
 		Expect(l.run("drain", "--wait", "10s").code).To(Equal(exitOK))
 	})
 
-	It("certs makes key pairs that a transport takes, under one authority", func() {
+	It("certs creates key pairs under one authority that a peer transport accepts", func() {
 		dir := filepath.Join(GinkgoT().TempDir(), "tls")
-		Expect(wheatseam("", "certs", "--out", dir, "entry-1").code).To(Equal(exitOK))
-		Expect(wheatseam("", "certs", "--out", dir, "entry-2").code).To(Equal(exitOK))
+		Expect(runCommand("", "certs", "--out", dir, "entry-1").code).To(Equal(exitOK))
+		Expect(runCommand("", "certs", "--out", dir, "entry-2").code).To(Equal(exitOK))
 		addresses := map[string]string{}
 		for _, name := range []string{"entry-1", "entry-2"} {
 			cert, key := certs.Files(dir, name)
@@ -171,7 +172,7 @@
 			DeferCleanup(t.Close)
 			addresses[name] = t.Addr()
 			err = t.Call(GinkgoT().Context(), "entry-1", "absent", &wire.StatusRequest{}, &wire.StatusResponse{})
-			Expect(err).To(MatchError(peer.ErrUnknownMethod), "over TLS from the second host")
+			Expect(err).To(MatchError(peer.ErrUnknownMethod), "call over TLS from any host to entry-1")
 		}
 	})
 })
--- a/cmd/wheatseam/operatorclient.go
+++ b/cmd/wheatseam/operatorclient.go
@@ -17,10 +17,11 @@
 	"github.com/wheatseam/wheatseam/operator"
 )
 
-// maxOperatorAnswer bounds an answer of the operators' listener, in bytes.
-const maxOperatorAnswer = 128 << 20
+// maxOperatorResponseBytes is the maximum size of a response of the operators'
+// listener. Longer responses are truncated.
+const maxOperatorResponseBytes = 128 << 20
 
-// operatorClient asks a host's operators' listener.
+// operatorClient is a client of a host's operators' listener.
 type operatorClient struct {
 	address   string
 	tokenFile string
@@ -30,18 +31,18 @@
 	timeout   time.Duration
 }
 
-// addFlags gives cmd the flags that name the host and the credentials.
+// addFlags adds the flags for the host's address and the credentials to cmd.
 func (c *operatorClient) addFlags(cmd *cobra.Command) {
 	f := cmd.Flags()
 	f.StringVar(&c.address, "address", "127.0.0.1:7601", "ip:port of an entry host's operators' listener")
-	f.StringVar(&c.tokenFile, "token-file", "", "file with the operators' token")
-	f.StringVar(&c.caFile, "ca", "", "PEM file of the listener's authority; turns TLS on")
+	f.StringVar(&c.tokenFile, "token-file", "", "file with the operator token")
+	f.StringVar(&c.caFile, "ca", "", "PEM file of the authority of the listener's certificate; enables TLS")
 	f.StringVar(&c.certFile, "cert", "", "PEM file of a client certificate")
-	f.StringVar(&c.keyFile, "key", "", "PEM file of the client certificate's key")
-	f.DurationVar(&c.timeout, "timeout", 10*time.Second, "how long to wait for the answer")
+	f.StringVar(&c.keyFile, "key", "", "PEM file of the private key of the client certificate")
+	f.DurationVar(&c.timeout, "timeout", 10*time.Second, "maximum time to wait for the response")
 }
 
-// operatorError is an answer that says no.
+// operatorError is a response with a status other than 2xx.
 type operatorError struct {
 	status  int
 	message string
@@ -49,7 +50,7 @@
 
 // Error implements error.
 func (e *operatorError) Error() string {
-	return fmt.Sprintf("the host answers %d %s: %s", e.status, http.StatusText(e.status), e.message)
+	return fmt.Sprintf("the host responded with %d %s: %s", e.status, http.StatusText(e.status), e.message)
 }
 
 // do sends a request and returns the status and the body.
@@ -75,15 +76,15 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxOperatorAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxOperatorResponseBytes))
 	if err != nil {
-		return 0, nil, fmt.Errorf("read the answer: %w", err)
+		return 0, nil, fmt.Errorf("read the response: %w", err)
 	}
 	return resp.StatusCode, body, nil
 }
 
-// fetch decodes the answer into v. An answer that is no success is an
-// *operatorError.
+// fetch sends a request and decodes the response into v. It returns an *operatorError
+// for a status other than 2xx.
 func (c *operatorClient) fetch(ctx context.Context, method, path string, v any) error {
 	status, body, err := c.do(ctx, method, path)
 	if err != nil {
@@ -93,7 +94,7 @@
 		return newOperatorError(status, body)
 	}
 	if err := json.Unmarshal(body, v); err != nil {
-		return fmt.Errorf("read the answer: %w", err)
+		return fmt.Errorf("read the response: %w", err)
 	}
 	return nil
 }
@@ -106,7 +107,7 @@
 	return &operatorError{status, e.Error}
 }
 
-// client returns an HTTP client and the scheme.
+// client returns an HTTP client and the URL scheme.
 func (c *operatorClient) client() (*http.Client, string, error) {
 	transport := &http.Transport{}
 	client := &http.Client{Transport: transport, Timeout: c.timeout}
--- a/cmd/wheatseam/output.go
+++ b/cmd/wheatseam/output.go
@@ -28,13 +28,13 @@
 // Set implements pflag.Value.
 func (f *outputFormat) Set(text string) error {
 	if text != formatTable && text != formatJSON {
-		return fmt.Errorf("want %s or %s", formatTable, formatJSON)
+		return fmt.Errorf("must be %s or %s", formatTable, formatJSON)
 	}
 	*f = outputFormat(text)
 	return nil
 }
 
-// addOutputFlag gives cmd the flag -o, with the table as its default.
+// addOutputFlag adds the flag -o to cmd. Its default is the table format.
 func addOutputFlag(cmd *cobra.Command, f *outputFormat) {
 	*f = formatTable
 	cmd.Flags().VarP(f, "output", "o", "output format: table or json")
--- a/cmd/wheatseam/prepare.go
+++ b/cmd/wheatseam/prepare.go
@@ -14,10 +14,10 @@
 	var bundleFile, policy string
 	c := &cobra.Command{
 		Use:   "prepare",
-		Short: "Write the files from which scripts/fleet.sh starts a fleet for measurements",
-		Long: "Write the files from which scripts/fleet.sh starts a fleet on loopback: the\n" +
-			"bundle moved to free ports, with fresh API keys and signed with a fresh key, and\n" +
-			"the settings of every entry host. Nothing is started.",
+		Short: "Write the files with which scripts/fleet.sh starts a fleet for measurements",
+		Long: "Write the files with which scripts/fleet.sh starts a fleet on loopback: the bundle\n" +
+			"with free ports and new API keys, signed with a new key, and the settings of every\n" +
+			"entry host. The command starts no processes.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var err error
@@ -33,10 +33,10 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&bundleFile, "bundle", "", "the bundle")
-	f.StringVar(&policy, "policy", "", "policy instead of the bundle's: adaptive, round_robin or least_requests")
-	f.StringVar(&cfg.Dir, "out", "", "directory to write to")
-	f.StringSliceVar(&cfg.StandInFlags, "standin-flags", nil, "further flags of `standin fleet`, such as --time-scale,0.1")
+	f.StringVar(&bundleFile, "bundle", "", "bundle file")
+	f.StringVar(&policy, "policy", "", "override the bundle's policy: adaptive, round_robin or least_requests")
+	f.StringVar(&cfg.Dir, "out", "", "output directory")
+	f.StringSliceVar(&cfg.StandInFlags, "standin-flags", nil, "additional flags of `standin fleet`, such as --time-scale,0.1")
 	_ = c.MarkFlagRequired("bundle")
 	_ = c.MarkFlagRequired("out")
 	return c
--- a/cmd/wheatseam/replay.go
+++ b/cmd/wheatseam/replay.go
@@ -26,41 +26,41 @@
 type replayOptions struct {
 	trace, keys, bundle, outcomes, json, label string
 
-	callers []string
-	control []string
-	seed    uint64
-	speed   float64
-	settle  time.Duration
-	config  replay.Config
+	callers       []string
+	control       []string
+	seed          uint64
+	speed         float64
+	settleTimeout time.Duration
+	config        replay.Config
 }
 
 func newReplayCommand() *cobra.Command {
 	var o replayOptions
 	c := &cobra.Command{
 		Use:   "replay",
-		Short: "Drive a running fleet with a trace and judge what came of it",
-		Long: "Drive a running fleet of entry hosts with a recorded trace, open-loop, and\n" +
-			"compare what the callers heard with the stand-ins' ledgers, which are emptied\n" +
-			"first. The formats are in docs/REPLAY.md. Exits with 1 when the outcomes of\n" +
+		Short: "Replay a trace against a running fleet and evaluate the results",
+		Long: "Replay a recorded trace against a running fleet of entry hosts, open-loop, and\n" +
+			"compare the callers' responses with the stand-ins' ledgers, which are cleared\n" +
+			"first. The formats are in docs/REPLAY.md. The exit code is 1 if the outcomes of\n" +
 			"--outcomes are not met.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return o.run(cmd.Context(), cmd.OutOrStdout()) },
 	}
 	f := c.Flags()
-	f.StringVar(&o.trace, "trace", "", "the trace, a file of JSON lines")
+	f.StringVar(&o.trace, "trace", "", "trace file in JSON Lines format")
 	f.StringVar(&o.keys, "keys", "", "YAML file with the customers' API keys")
 	f.StringSliceVar(&o.callers, "callers", nil, "callers' addresses of the entry hosts, ip:port")
 	f.StringSliceVar(&o.control, "control", nil, "control addresses of stand-in fleets; default: the upstreams of --bundle")
-	f.StringVar(&o.bundle, "bundle", "", "the bundle in use, for its stages and upstreams")
-	f.StringVar(&o.outcomes, "outcomes", "", "YAML file with the stated outcomes")
+	f.StringVar(&o.bundle, "bundle", "", "file of the active bundle, for its stages and upstreams")
+	f.StringVar(&o.outcomes, "outcomes", "", "YAML file with the required outcomes")
 	f.StringVar(&o.json, "json", "", "write the report as JSON to this file")
-	f.StringVar(&o.label, "label", "run", "name of what is measured, such as the policy")
-	f.Uint64Var(&o.seed, "seed", 1, "seed of the choice of hosts")
-	f.Float64Var(&o.speed, "speed", 1, "divides the offsets of the trace; deadlines stay")
-	f.DurationVar(&o.config.Grace, "grace", replay.DefaultGrace, "how long after its deadline a request is listened to")
-	f.IntVar(&o.config.MaxInFlight, "max-in-flight", replay.DefaultMaxInFlight, "requests in flight at most")
-	f.DurationVar(&o.config.MaxDuration, "max-duration", replay.DefaultMaxDuration, "longest time to send for")
-	f.DurationVar(&o.settle, "settle", 5*time.Second, "how long to wait for executions that still run at the end")
+	f.StringVar(&o.label, "label", "run", "name of the measured variant, such as the policy")
+	f.Uint64Var(&o.seed, "seed", 1, "random seed for the choice of hosts")
+	f.Float64Var(&o.speed, "speed", 1, "divisor of the offsets in the trace; deadlines do not change")
+	f.DurationVar(&o.config.Grace, "grace", replay.DefaultGrace, "time after its deadline during which a response is still accepted")
+	f.IntVar(&o.config.MaxInFlight, "max-in-flight", replay.DefaultMaxInFlight, "maximum number of requests in flight")
+	f.DurationVar(&o.config.MaxDuration, "max-duration", replay.DefaultMaxDuration, "maximum time during which requests are sent")
+	f.DurationVar(&o.settleTimeout, "settle", 5*time.Second, "maximum time to wait for executions still running at the end")
 	for _, name := range []string{"trace", "keys", "callers"} {
 		_ = c.MarkFlagRequired(name)
 	}
@@ -68,7 +68,7 @@
 	return c
 }
 
-// replayInput is what the files of the options hold.
+// replayInput is the parsed content of the files named by the options.
 type replayInput struct {
 	trace     *trace.Trace
 	keys      map[string]string
@@ -79,32 +79,33 @@
 
 func (o *replayOptions) run(ctx context.Context, out io.Writer) error {
 	client := replay.NewClient()
-	in, err := o.read(ctx, client)
+	in, err := o.readInput(ctx, client)
 	if err != nil {
 		return err
 	}
-	reader := &ledger.Reader{Client: client, Upstreams: o.ledgers(in.standIns)}
+	reader := &ledger.Reader{Client: client, Upstreams: o.ledgerSources(in.standIns)}
 	if err := reader.Clear(ctx); err != nil {
 		return err
 	}
 	cfg := o.config
 	cfg.Hosts, cfg.Keys, cfg.Seed, cfg.Speed, cfg.Client = o.callers, in.keys, o.seed, o.speed, client
-	cfg.StandIns = byPool(in.standIns)
+	cfg.StandIns = addressesByPool(in.standIns)
 	result, err := replay.Run(ctx, cfg, in.trace)
-	// Whatever became of the run, the stand-ins are left without faults.
-	cleared := clearFaults(context.WithoutCancel(ctx), client, in)
-	if err = errors.Join(err, cleared); err != nil {
+	// Faults are cleared even if the run failed or was cancelled, so that none
+	// remain in the stand-ins.
+	clearErr := clearFaults(context.WithoutCancel(ctx), client, in)
+	if err = errors.Join(err, clearErr); err != nil {
 		return err
 	}
-	entries, err := reader.Settle(ctx, o.settle)
+	entries, err := reader.Settle(ctx, o.settleTimeout)
 	if err != nil {
 		return err
 	}
 	r := report.New(o.label, o.speed, result, entries, audit.Audit(result.Calls, entries, in.pipelines))
-	return o.conclude(out, r, in.outcomes)
+	return o.writeResults(out, r, in.outcomes)
 }
 
-func (o *replayOptions) conclude(out io.Writer, r *report.Report, outcomes *verdict.Outcomes) error {
+func (o *replayOptions) writeResults(out io.Writer, r *report.Report, outcomes *verdict.Outcomes) error {
 	if err := r.WriteTable(out); err != nil {
 		return err
 	}
@@ -121,12 +122,12 @@
 		return err
 	}
 	if !v.Met() {
-		return errFound
+		return errNegativeResult
 	}
 	return nil
 }
 
-func (o *replayOptions) read(ctx context.Context, client *http.Client) (*replayInput, error) {
+func (o *replayOptions) readInput(ctx context.Context, client *http.Client) (*replayInput, error) {
 	var in replayInput
 	var err error
 	if in.trace, err = readTrace(o.trace); err != nil {
@@ -146,15 +147,15 @@
 			return nil, err
 		}
 		in.pipelines = b.Pipelines
-		in.standIns = fromBundle(b)
+		in.standIns = listBundleUpstreams(b)
 	}
 	if len(o.control) > 0 {
-		if in.standIns, err = discover(ctx, client, o.control); err != nil {
+		if in.standIns, err = discoverStandIns(ctx, client, o.control); err != nil {
 			return nil, err
 		}
 	}
 	if len(in.standIns) == 0 {
-		return nil, errors.New("state --control or --bundle: without the stand-ins' ledgers nothing can be judged")
+		return nil, errors.New("--control or --bundle is required: the stand-ins' ledgers are needed to evaluate the run")
 	}
 	return &in, nil
 }
@@ -172,7 +173,7 @@
 	return t, nil
 }
 
-// readKeys reads a file of the form `keys: {customer: API key}`.
+// readKeys reads a YAML file of the form `keys: {customer: API key}`.
 func readKeys(file string) (map[string]string, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/cmd/wheatseam/replay_test.go
+++ b/cmd/wheatseam/replay_test.go
@@ -18,17 +18,17 @@
 	"github.com/wheatseam/wheatseam/replay/report"
 )
 
-// sealHost is a fake entry host that has seals applied by stand-ins, as often
-// as it is told to.
-type sealHost struct {
-	fleet *fleet.Fleet
-	times int
-	count atomic.Int64
+// fakeEntryHost is an entry host that calls a stand-in's seal service a configured
+// number of times per request.
+type fakeEntryHost struct {
+	fleet        *fleet.Fleet
+	executions   int
+	requestCount atomic.Int64
 }
 
-func (h *sealHost) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	id := fmt.Sprintf("entry-1.01900000-0000-7000-8000-%012x", h.count.Add(1))
-	for attempt := range h.times {
+func (h *fakeEntryHost) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	id := fmt.Sprintf("entry-1.01900000-0000-7000-8000-%012x", h.requestCount.Add(1))
+	for attempt := range h.executions {
 		body := fmt.Sprintf(`{"request_id":%q,"attempt":%d,"customer":"firma","stage":"seal","input":{}}`, id, attempt+1)
 		call := httptest.NewRequest(http.MethodPost, "/v1/seal", strings.NewReader(body))
 		call.Header.Set("X-Request-Id", id)
@@ -39,9 +39,9 @@
 }
 
 var _ = Describe("wheatseam replay", func() {
-	// replaySeals replays three seals against a host that applies each so
-	// often.
-	replaySeals := func(times int) (string, report.Report, error) {
+	// replaySeals replays three seal requests against a host that executes each
+	// the given number of times.
+	replaySeals := func(executions int) (string, report.Report, error) {
 		GinkgoHelper()
 		b, err := readBundleFile("../../examples/demo.yaml")
 		Expect(err).NotTo(HaveOccurred())
@@ -49,7 +49,7 @@
 		DeferCleanup(standIns.Close)
 		control := httptest.NewServer(standIns)
 		DeferCleanup(control.Close)
-		host := httptest.NewServer(&sealHost{fleet: standIns, times: times})
+		host := httptest.NewServer(&fakeEntryHost{fleet: standIns, executions: executions})
 		DeferCleanup(host.Close)
 
 		dir := GinkgoT().TempDir()
@@ -65,7 +65,7 @@
 		address := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
 		reportFile := filepath.Join(dir, "report.json")
 		var out bytes.Buffer
-		root := newRoot()
+		root := newRootCommand()
 		root.SetOut(&out)
 		root.SetArgs([]string{"replay", "--trace", file("trace.jsonl", trace), "--keys", file("keys.yaml", "keys: {firma: k}"),
 			"--callers", address(host), "--control", address(control), "--bundle", "../../examples/demo.yaml",
@@ -79,7 +79,7 @@
 		return out.String(), r, err
 	}
 
-	It("meets its outcomes where answers and ledgers agree", func() {
+	It("meets its outcomes if responses and ledgers agree", func() {
 		out, r, err := replaySeals(1)
 		Expect(err).NotTo(HaveOccurred(), out)
 		Expect(out).To(HaveSuffix("verdict: met\n"))
@@ -87,16 +87,16 @@
 		Expect(r.Stages[0].All.Calls).To(Equal(3))
 	})
 
-	It("fails with a verdict where seals are doubled", func() {
+	It("fails with a verdict if seals are executed twice", func() {
 		out, r, err := replaySeals(2)
-		Expect(err).To(MatchError(errFound))
+		Expect(err).To(MatchError(errNegativeResult))
 		Expect(out).To(ContainSubstring("FAIL violations = 3, max 0"))
 		Expect(r.Violations.ByKind).To(HaveKeyWithValue(BeEquivalentTo("doubled"), 3))
 	})
 
-	It("fails where answers came without any execution", func() {
+	It("fails if requests are answered without an execution", func() {
 		_, r, err := replaySeals(0)
-		Expect(err).To(MatchError(errFound))
+		Expect(err).To(MatchError(errNegativeResult))
 		Expect(r.Violations.ByKind).To(HaveKeyWithValue(BeEquivalentTo("lost"), 3))
 	})
 })
--- a/cmd/wheatseam/soak.go
+++ b/cmd/wheatseam/soak.go
@@ -26,22 +26,22 @@
 	var o soakOptions
 	c := &cobra.Command{
 		Use:   "soak",
-		Short: "Run gateway daemons on this machine under random faults and check their promises",
-		Long: "Run gateway daemons as processes on the loopback network, with stand-ins for\n" +
-			"store and replicas, inject faults by a seeded schedule and check the promises\n" +
-			"from what callers and replicas see. Exits with 1 when one is broken; logs are\n" +
-			"kept then.",
+		Short: "Run gateway daemons on this machine under random faults and check their guarantees",
+		Long: "Run gateway daemons as processes on the loopback network, with stand-ins for the\n" +
+			"store and the replicas, inject faults by a seeded schedule, and check the\n" +
+			"guarantees as observed by callers and replicas. If one is violated, the exit code\n" +
+			"is 1 and the logs are not deleted.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return o.run(cmd) },
 	}
 	f := c.Flags()
-	f.StringVar(&o.binary, "daemon", "bin/wheatseamd", "the daemon's program")
-	f.StringVar(&o.dir, "dir", "", "folder for settings and logs (default: a new one)")
-	f.Uint64Var(&o.seed, "seed", uint64(time.Now().UnixNano()%1_000_000), "the first seed")
-	f.IntVar(&o.seeds, "seeds", 1, "how many seeds to play, one after the other")
-	f.DurationVar(&o.duration, "duration", 20*time.Second, "how long faults are injected for each seed")
-	f.IntVar(&o.daemons, "daemons", 4, "daemons")
-	f.IntVar(&o.callers, "callers", 12, "callers")
+	f.StringVar(&o.binary, "daemon", "bin/wheatseamd", "path of the daemon's binary")
+	f.StringVar(&o.dir, "dir", "", "directory for settings and logs (default: a new temporary directory)")
+	f.Uint64Var(&o.seed, "seed", uint64(time.Now().UnixNano()%1_000_000), "first seed")
+	f.IntVar(&o.seeds, "seeds", 1, "number of seeds to run, one after the other")
+	f.DurationVar(&o.duration, "duration", 20*time.Second, "duration of fault injection for each seed")
+	f.IntVar(&o.daemons, "daemons", 4, "number of daemons")
+	f.IntVar(&o.callers, "callers", 12, "number of callers")
 	return c
 }
 
@@ -53,26 +53,27 @@
 			return err
 		}
 	}
-	broken := 0
+	failed := 0
 	for i := range o.seeds {
 		seed := o.seed + uint64(i)
-		ok, err := o.play(cmd.Context(), cmd, seed, filepath.Join(dir, fmt.Sprint(seed)))
+		ok, err := o.runSeed(cmd.Context(), cmd, seed, filepath.Join(dir, fmt.Sprint(seed)))
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
 		if !ok {
-			broken++
+			failed++
 		}
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "%d of %d seeds kept every promise\n", o.seeds-broken, o.seeds)
-	if broken > 0 {
-		return errFound
+	fmt.Fprintf(cmd.OutOrStdout(), "%d of %d seeds without violations\n", o.seeds-failed, o.seeds)
+	if failed > 0 {
+		return errNegativeResult
 	}
 	return nil
 }
 
-// play plays one seed and says whether every promise was kept.
-func (o soakOptions) play(ctx context.Context, cmd *cobra.Command, seed uint64, dir string) (bool, error) {
+// runSeed runs one seed and reports whether there were no violations. Without
+// violations it deletes dir.
+func (o soakOptions) runSeed(ctx context.Context, cmd *cobra.Command, seed uint64, dir string) (bool, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return false, err
 	}
--- a/cmd/wheatseam/standins.go
+++ b/cmd/wheatseam/standins.go
@@ -12,16 +12,16 @@
 	"github.com/wheatseam/wheatseam/replay/ledger"
 )
 
-// standIn is one stand-in for an upstream, as a fleet's control listener
-// lists it.
+// standIn is the stand-in for one upstream, as listed by the control listener of a
+// stand-in fleet.
 type standIn struct {
 	Name    string `json:"name"`
 	Pool    string `json:"pool"`
 	Address string `json:"address"`
 }
 
-// fromBundle lists the upstreams of b.
-func fromBundle(b *bundle.Bundle) []standIn {
+// listBundleUpstreams returns the upstreams of b as stand-ins.
+func listBundleUpstreams(b *bundle.Bundle) []standIn {
 	var out []standIn
 	for _, p := range b.Pools {
 		for _, u := range p.Upstreams {
@@ -31,8 +31,9 @@
 	return out
 }
 
-// discover asks the control listeners of stand-in fleets for their upstreams.
-func discover(ctx context.Context, client *http.Client, control []string) ([]standIn, error) {
+// discoverStandIns queries the control listeners of stand-in fleets for their
+// upstreams.
+func discoverStandIns(ctx context.Context, client *http.Client, control []string) ([]standIn, error) {
 	var out []standIn
 	for _, address := range control {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/control/upstreams", nil)
@@ -54,8 +55,10 @@
 	return out, nil
 }
 
-// ledgers lists whose ledgers are read: a fleet has one over all upstreams.
-func (o *replayOptions) ledgers(standIns []standIn) []ledger.Upstream {
+// ledgerSources returns the addresses from which ledgers are read: the control
+// listeners, since a fleet has one ledger for all its upstreams, or else the stand-ins
+// themselves.
+func (o *replayOptions) ledgerSources(standIns []standIn) []ledger.Upstream {
 	var out []ledger.Upstream
 	for _, address := range o.control {
 		out = append(out, ledger.Upstream{Address: address})
@@ -69,8 +72,8 @@
 	return out
 }
 
-// byPool groups the addresses by pool.
-func byPool(standIns []standIn) map[string][]string {
+// addressesByPool groups the addresses of stand-ins by pool.
+func addressesByPool(standIns []standIn) map[string][]string {
 	out := map[string][]string{}
 	for _, s := range standIns {
 		out[s.Pool] = append(out[s.Pool], s.Address)
@@ -78,15 +81,16 @@
 	return out
 }
 
-// clearFaults lifts all faults in the pools that the trace names.
+// clearFaults removes the faults from all stand-ins in the pools to whose upstreams
+// the trace injects faults.
 func clearFaults(ctx context.Context, client *http.Client, in *replayInput) error {
-	struck := map[string]bool{}
+	faultyPools := map[string]bool{}
 	for _, f := range in.trace.Faults {
-		struck[f.Pool] = true
+		faultyPools[f.Pool] = true
 	}
 	var errs []error
 	for _, s := range in.standIns {
-		if struck[s.Pool] {
+		if faultyPools[s.Pool] {
 			errs = append(errs, replay.PostFault(ctx, client, s.Address, []byte("{}")))
 		}
 	}
--- a/cmd/wheatseam/trace.go
+++ b/cmd/wheatseam/trace.go
@@ -14,7 +14,7 @@
 )
 
 func newTraceCommand() *cobra.Command {
-	c := &cobra.Command{Use: "trace", Short: "Make and check traces for replay"}
+	c := &cobra.Command{Use: "trace", Short: "Generate and check traces for replay"}
 	c.AddCommand(newTraceMakeCommand(), newTraceCheckCommand())
 	return c
 }
@@ -24,8 +24,8 @@
 	var bundleFile, out string
 	c := &cobra.Command{
 		Use:   "make SCENARIO",
-		Short: "Make a trace for a bundle; the same seed makes the same trace",
-		Long:  "Make a trace for a bundle; the same seed makes the same trace. Scenarios:\n\n" + scenarioList(),
+		Short: "Generate a trace for a bundle; the same seed yields the same trace",
+		Long:  "Generate a trace for a bundle; the same seed yields the same trace. Scenarios:\n\n" + scenarioList(),
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var err error
@@ -40,12 +40,12 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&bundleFile, "bundle", "", "the bundle that the trace is for")
-	f.Uint64Var(&o.Seed, "seed", 1, "seed of everything random")
-	f.Float64Var(&o.Load, "load", 1, "mean rate as a multiple of the bundle's capacity")
+	f.StringVar(&bundleFile, "bundle", "", "bundle file")
+	f.Uint64Var(&o.Seed, "seed", 1, "random seed")
+	f.Float64Var(&o.Load, "load", 1, "mean request rate as a multiple of the bundle's capacity")
 	f.DurationVar(&o.Duration, "duration", time.Minute, "time from the first arrival to the last")
-	f.Float64Var(&o.Patience, "patience", scenario.DefaultPatience, "deadlines as a multiple of the expected time")
-	f.StringVar(&out, "out", "", "file to write to; default standard output")
+	f.Float64Var(&o.Patience, "patience", scenario.DefaultPatience, "deadlines as a multiple of the expected duration")
+	f.StringVar(&out, "out", "", "output file; standard output if empty")
 	_ = c.MarkFlagRequired("bundle")
 	return c
 }
@@ -76,7 +76,7 @@
 func newTraceCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a trace: every error at once, with its line",
+		Short: "Check a trace and report all errors with their lines",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			t, err := readTrace(args[0])
--- a/cmd/wheatseamd/gateway.go
+++ b/cmd/wheatseamd/gateway.go
@@ -19,35 +19,35 @@
 	"github.com/wheatseam/wheatseam/logging"
 )
 
-// newGateway is the command that serves on the users' platform.
-func newGateway() *cobra.Command {
+// newGatewayCommand returns the command that runs the gateway on the platform.
+func newGatewayCommand() *cobra.Command {
 	var path string
-	var simulated time.Duration
+	var simulatedSuspension time.Duration
 	settingsPath := func() (string, error) {
 		if path == "" {
 			path = os.Getenv(gateway.SettingsEnv)
 		}
 		if path == "" {
-			return "", fmt.Errorf("no settings: give --settings or set %s", gateway.SettingsEnv)
+			return "", fmt.Errorf("no settings file: set --settings or %s", gateway.SettingsEnv)
 		}
 		return path, nil
 	}
 	cmd := &cobra.Command{
 		Use:   "gateway",
-		Short: "Serve on the platform: routes and replicas from its store",
+		Short: "Run the gateway with routes and replicas from the platform's store",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			path, err := settingsPath()
 			if err != nil {
 				return err
 			}
-			return runGateway(path, simulated)
+			return runGateway(path, simulatedSuspension)
 		},
 	}
 	cmd.PersistentFlags().StringVar(&path, "settings", "", "settings file (default $"+gateway.SettingsEnv+")")
-	const sleepFlag = "simulated-sleep"
-	cmd.Flags().DurationVar(&simulated, sleepFlag, 0, "for tests: at SIGUSR1 take the host to have slept for so long; 0 never")
-	cmd.Flags().Lookup(sleepFlag).Hidden = true
+	const suspensionFlag = "simulated-sleep"
+	cmd.Flags().DurationVar(&simulatedSuspension, suspensionFlag, 0, "for tests: simulate a host suspension of this duration at each SIGUSR1; 0 disables it")
+	cmd.Flags().Lookup(suspensionFlag).Hidden = true
 	cmd.AddCommand(&cobra.Command{
 		Use:   "check",
 		Short: "Check the settings and exit",
@@ -67,17 +67,18 @@
 	return cmd
 }
 
-// memoryShare is the part of the machine's memory from which the collector
-// works harder: a process over the limit is ended.
-const memoryShare = 0.6
+// memoryLimitRatio is the fraction of limits.memory_mb set as the soft memory limit
+// of the Go runtime, above which the garbage collector runs more often. A process
+// that exceeds the host's limit is killed.
+const memoryLimitRatio = 0.6
 
-func runGateway(path string, simulated time.Duration) error {
+func runGateway(path string, simulatedSuspension time.Duration) error {
 	s, err := gateway.LoadSettings(path)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(s.Limits.Processors)
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.Limits.MemoryMB<<20)))
+	debug.SetMemoryLimit(int64(memoryLimitRatio * float64(s.Limits.MemoryMB<<20)))
 	log, err := logging.NewBounded(os.Stdout, s.Log.Level)
 	if err != nil {
 		return err
@@ -88,60 +89,61 @@
 		return err
 	}
 	ctx, _ := notifyContexts()
-	if simulated > 0 {
-		go simulateSleeps(ctx, simulated)
+	if simulatedSuspension > 0 {
+		go simulateSuspensions(ctx, simulatedSuspension)
 	}
 	go reloadSettings(ctx, path, g, log)
 	return g.Run(ctx)
 }
 
-// simulateSleeps has this process believe at each SIGUSR1 that its host has slept,
-// until ctx ends.
-func simulateSleeps(ctx context.Context, d time.Duration) {
-	usr1 := make(chan os.Signal, 1)
-	signal.Notify(usr1, syscall.SIGUSR1)
+// simulateSuspensions simulates a host suspension of duration d at each SIGUSR1 until
+// ctx ends.
+func simulateSuspensions(ctx context.Context, d time.Duration) {
+	suspendSignals := make(chan os.Signal, 1)
+	signal.Notify(suspendSignals, syscall.SIGUSR1)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-usr1:
+		case <-suspendSignals:
 			clock.Simulate(d)
 		}
 	}
 }
 
-// settingsEvery is how often the settings file is looked at: it may change
-// without a signal, and nothing in it is more urgent than that.
-const settingsEvery = 5 * time.Second
+// settingsPollInterval is the interval at which the settings file is checked for
+// changes, because it may change without a signal. No setting is urgent enough to
+// need a shorter interval.
+const settingsPollInterval = 5 * time.Second
 
-// reloadSettings takes the settings anew at SIGHUP and when the file changes,
-// until ctx ends. A file that is faulty changes nothing.
+// reloadSettings reloads the settings at SIGHUP and when the file changes, until ctx
+// ends. An invalid file is logged and the current settings stay in effect.
 func reloadSettings(ctx context.Context, path string, g *gateway.Gateway, log *logging.Bounded) {
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	tick := time.NewTicker(settingsEvery)
-	defer tick.Stop()
-	var seen []byte
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	pollTicker := time.NewTicker(settingsPollInterval)
+	defer pollTicker.Stop()
+	var lastRead []byte
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hup:
-			log.Logger.Info("asked to reload the settings", zap.String("path", path))
-		case <-tick.C:
+		case <-reloadSignals:
+			log.Logger.Info("received SIGHUP; checking the settings file", zap.String("path", path))
+		case <-pollTicker.C:
 		}
 		raw, err := os.ReadFile(path)
-		if err == nil && bytes.Equal(raw, seen) {
+		if err == nil && bytes.Equal(raw, lastRead) {
 			continue
 		}
-		seen = raw
+		lastRead = raw
 		s, err := gateway.LoadSettings(path)
 		if err != nil {
 			log.Logger.Error("settings refused, the old ones stay", zap.Error(err))
 			continue
 		}
 		if err := log.Level.UnmarshalText([]byte(s.Log.Level)); err != nil {
-			log.Logger.Error("log level refused", zap.Error(err))
+			log.Logger.Error("failed to set the log level", zap.Error(err))
 		}
 		g.Reload(s)
 	}
--- a/cmd/wheatseamd/main.go
+++ b/cmd/wheatseamd/main.go
@@ -1,5 +1,5 @@
-// Command wheatseamd is the entry daemon: it stands between callers and
-// upstreams on an entry host.
+// Command wheatseamd is the daemon of an entry host. It accepts requests from callers
+// and routes them to upstreams.
 package main
 
 import (
@@ -18,24 +18,24 @@
 )
 
 func main() {
-	if err := newRoot().Execute(); err != nil {
+	if err := newRootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "wheatseamd:", err)
 		os.Exit(1)
 	}
 }
 
-func newRoot() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	var flags settings.Flags
 	root := &cobra.Command{
 		Use:           "wheatseamd",
-		Short:         "Entry daemon of wheatseam",
+		Short:         "Run the entry daemon of wheatseam",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(*cobra.Command, []string) error {
 			return run(&flags)
 		},
 	}
-	flags.Add(root.PersistentFlags())
+	flags.Register(root.PersistentFlags())
 	root.AddCommand(&cobra.Command{
 		Use:   "check",
 		Short: "Check the settings and exit",
@@ -47,7 +47,7 @@
 			return nil
 		},
 	})
-	root.AddCommand(newGateway())
+	root.AddCommand(newGatewayCommand())
 	return root
 }
 
@@ -60,16 +60,17 @@
 	if err != nil {
 		return err
 	}
-	ctx, cut := notifyContexts()
+	ctx, cutCtx := notifyContexts()
 	d, err := daemon.New(s, log.With(zap.String("host", s.Host)))
 	if err != nil {
 		return err
 	}
-	return d.Run(ctx, cut)
+	return d.Run(ctx, cutCtx)
 }
 
-// notifyContexts returns a context that ends at the first signal and one that
-// ends at the second.
+// notifyContexts returns two contexts. SIGTERM or SIGINT cancels the first, which
+// starts a graceful shutdown; a second signal cancels the second context, which ends
+// the shutdown at once.
 func notifyContexts() (first, second context.Context) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
