--- a/bundle/check_test.go
+++ b/bundle/check_test.go
@@ -132,7 +132,7 @@
 	})
 
 	It("rejects more than a megabyte", func() {
-		raw := append(readExample("demo.yaml"), bytes.Repeat([]byte("# filler\n"), bundle.MaxSize/9)...)
+		raw := append(readExample("demo.yaml"), bytes.Repeat([]byte("# filler\n"), bundle.MaxSignedBytes/9)...)
 		Expect(parseProblems(raw)).To(ConsistOf(HaveField("Message", ContainSubstring("at most 1000000"))))
 	})
 })
--- a/bundle/parse.go
+++ b/bundle/parse.go
@@ -7,9 +7,9 @@
 	"github.com/wheatseam/wheatseam/internal/strictyaml"
 )
 
-// MaxSize is the maximum size of a signed bundle in bytes: the configuration
+// MaxSignedBytes is the maximum size of a signed bundle: the configuration
 // service stores values of up to one megabyte.
-const MaxSize = 1_000_000
+const MaxSignedBytes = 1_000_000
 
 // The defaults of values that a bundle omits.
 const (
@@ -29,9 +29,9 @@
 // validates it. Its error is a *CheckError with every problem found. Parse does
 // not verify the signature; Open does. It is safe for concurrent use.
 func Parse(raw []byte) (*Bundle, error) {
-	if len(raw) > MaxSize {
+	if len(raw) > MaxSignedBytes {
 		r := &strictyaml.Report{}
-		r.Add("", "%d bytes; at most %d are allowed", len(raw), MaxSize)
+		r.Add("", "%d bytes; at most %d are allowed", len(raw), MaxSignedBytes)
 		return nil, checkError(r)
 	}
 	b := newBundleWithDefaults()
--- a/bundle/parse_test.go
+++ b/bundle/parse_test.go
@@ -70,7 +70,7 @@
 		b, err := bundle.Open(signed, []ed25519.PublicKey{publicOf(other), publicOf(key)})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(b.Deployment).To(Equal("demo"))
-		Expect(bundle.Document(signed)).To(Equal(readExample("demo.yaml")))
+		Expect(bundle.StripSignature(signed)).To(Equal(readExample("demo.yaml")))
 	})
 
 	It("rejects unsigned and changed bundles and those signed by an untrusted key", func() {
--- a/bundle/parts.go
+++ b/bundle/parts.go
@@ -15,8 +15,8 @@
 	// meanBoundaryBytes is the mean distance between two boundaries.
 	meanBoundaryBytes = 1 << 10
 	minPartBytes      = 1 << 10
-	// MaxPartSize is the maximum size of a part.
-	MaxPartSize = 4 << 10
+	// MaxPartBytes is the maximum size of a part.
+	MaxPartBytes = 4 << 10
 )
 
 // boundaryWindowLines is the number of consecutive lines whose hash decides whether
@@ -48,8 +48,8 @@
 
 // The errors of Join.
 var (
-	ErrMissingPart = errors.New("bundle: part is missing")
-	ErrDigest      = errors.New("bundle: joined parts do not match the digest")
+	ErrMissingPart    = errors.New("bundle: part is missing")
+	ErrDigestMismatch = errors.New("bundle: joined parts do not match the digest")
 )
 
 // Digest returns the hash of a signed bundle.
@@ -67,7 +67,7 @@
 	start := 0
 	endPart := func(end int) {
 		for start < end {
-			content := signed[start:min(end, start+MaxPartSize)]
+			content := signed[start:min(end, start+MaxPartBytes)]
 			parts = append(parts, Part{Hash: sha256.Sum256(content), Content: content})
 			start += len(content)
 		}
@@ -81,7 +81,7 @@
 		case isSeparatePart(line):
 			endPart(offset)
 			endPart(end)
-		case end-start > MaxPartSize:
+		case end-start > MaxPartBytes:
 			endPart(offset)
 		}
 		if end-start >= minPartBytes && isBoundary(signed[window.start():end], len(line)) {
@@ -160,7 +160,8 @@
 
 // Join reassembles the signed bundle of m from its parts and verifies the digest.
 // getPart returns the content of a part, or false if the part is missing. Errors
-// wrap ErrMissingPart or ErrDigest. Join does not verify the signature; Open does.
+// wrap ErrMissingPart or ErrDigestMismatch. Join does not verify the signature; Open
+// does.
 func Join(m Manifest, getPart func(Hash) ([]byte, bool)) ([]byte, error) {
 	var signed []byte
 	for _, h := range m.Parts {
@@ -168,13 +169,13 @@
 		if !ok {
 			return nil, fmt.Errorf("%w: %x", ErrMissingPart, h[:keyIDBytes])
 		}
-		if len(signed)+len(content) > MaxSize {
-			return nil, fmt.Errorf("%w: more than %d bytes", ErrDigest, MaxSize)
+		if len(signed)+len(content) > MaxSignedBytes {
+			return nil, fmt.Errorf("%w: more than %d bytes", ErrDigestMismatch, MaxSignedBytes)
 		}
 		signed = append(signed, content...)
 	}
 	if Digest(signed) != m.Digest {
-		return nil, ErrDigest
+		return nil, ErrDigestMismatch
 	}
 	return signed, nil
 }
--- a/bundle/parts_test.go
+++ b/bundle/parts_test.go
@@ -38,11 +38,11 @@
 			for _, l := range rapid.SliceOfN(line, 0, 400).Draw(t, "lines") {
 				text = append(append(text, l...), '\n')
 			}
-			text = append(text, bytes.Repeat([]byte("x"), rapid.IntRange(0, 3*bundle.MaxPartSize).Draw(t, "tail"))...)
+			text = append(text, bytes.Repeat([]byte("x"), rapid.IntRange(0, 3*bundle.MaxPartBytes).Draw(t, "tail"))...)
 			parts := partStore{}
 			parts.add(text)
 			for _, content := range parts {
-				if len(content) == 0 || len(content) > bundle.MaxPartSize {
+				if len(content) == 0 || len(content) > bundle.MaxPartBytes {
 					t.Fatalf("part size is %d bytes", len(content))
 				}
 			}
@@ -78,7 +78,7 @@
 
 		parts[lostHash] = append([]byte("#"), content[1:]...)
 		_, err = bundle.Join(manifest, parts.get)
-		Expect(err).To(MatchError(bundle.ErrDigest))
+		Expect(err).To(MatchError(bundle.ErrDigestMismatch))
 	})
 
 	It("can be generated from test bundles of the requested sizes", func() {
--- a/bundle/problems.go
+++ b/bundle/problems.go
@@ -25,9 +25,9 @@
 	return text.String()
 }
 
-// Locate sets the line numbers of the problems. raw is the document that their
+// SetLines sets the line numbers of the problems. raw is the document that their
 // paths refer to.
-func (e *CheckError) Locate(raw []byte) {
+func (e *CheckError) SetLines(raw []byte) {
 	r := strictyaml.Decode(raw, &Bundle{})
 	for i := range e.Problems {
 		e.Problems[i].Line = r.Line(e.Problems[i].Path)
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -41,7 +41,7 @@
 // Sign returns raw followed by its signature line. An earlier signature line
 // is replaced; raw need not end in a newline.
 func Sign(raw []byte, key ed25519.PrivateKey) []byte {
-	document := Document(raw)
+	document := StripSignature(raw)
 	if !bytes.HasSuffix(document, []byte("\n")) {
 		document = append(bytes.Clone(document), '\n')
 	}
@@ -79,8 +79,8 @@
 // Open verifies the signature of a bundle and then parses it. It parses nothing if
 // the verification fails.
 func Open(signed []byte, keys []ed25519.PublicKey) (*Bundle, error) {
-	if len(signed) > MaxSize {
-		return nil, fmt.Errorf("bundle: %d bytes; at most %d are allowed", len(signed), MaxSize)
+	if len(signed) > MaxSignedBytes {
+		return nil, fmt.Errorf("bundle: %d bytes; at most %d are allowed", len(signed), MaxSignedBytes)
 	}
 	if err := Verify(signed, keys); err != nil {
 		return nil, err
@@ -88,8 +88,8 @@
 	return Parse(signed)
 }
 
-// Document returns raw without its signature line, if any.
-func Document(raw []byte) []byte {
+// StripSignature returns raw without its signature line, if any.
+func StripSignature(raw []byte) []byte {
 	document, _ := splitSignature(raw)
 	return document
 }
--- a/cmd/wheatseam/bundle.go
+++ b/cmd/wheatseam/bundle.go
@@ -143,7 +143,7 @@
 	err = bundle.CheckSuccessor(current, next)
 	var check *bundle.CheckError
 	if errors.As(err, &check) {
-		check.Locate(raw)
+		check.SetLines(raw)
 	}
 	return err
 }
@@ -183,9 +183,8 @@
 	c := &cobra.Command{
 		Use:   "diff OLD NEW",
 		Short: "Show the changes from one bundle to another",
-		Long: "Show the changes from one bundle to another. List items are matched by name, and\n" +
-			"the order of lines in the files is ignored. Key hashes are shortened. The exit\n" +
-			"code is 0; with --exit-code it is 1 if the bundles differ.",
+		Long: "Show the changes from one bundle to another, matching list items by name. Key\n" +
+			"hashes are shortened. With --exit-code, the exit code is 1 if the bundles differ.",
 		Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			before, err := parseBundleFile(args[0])
--- a/cmd/wheatseam/replay.go
+++ b/cmd/wheatseam/replay.go
@@ -205,7 +205,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b, err := bundle.Parse(bundle.Document(text))
+	b, err := bundle.Parse(bundle.StripSignature(text))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
