--- a/claims/acquire.go
+++ b/claims/acquire.go
@@ -101,7 +101,7 @@
 	case claim.Refuse:
 		return s.refusal(ctx, r, a)
 	default:
-		return refuse(problem.Of(fmt.Errorf("claim ended with %T", end)))
+		return refuse(problem.FromError(fmt.Errorf("claim ended with %T", end)))
 	}
 }
 
@@ -110,7 +110,7 @@
 func (s *Service) refusal(ctx context.Context, r *run, a claim.Refuse) request.ClaimDecided {
 	e := problem.New(a.Kind, "%s", describe(a))
 	e.Execution = a.Execution
-	if problem.Lookup(a.Kind).Retry {
+	if problem.Lookup(a.Kind).Retryable {
 		e.RetryAfter = retryAfter
 	}
 	if a.Execution == problem.NotRun && a.Kind != problem.KeyReused {
--- a/cluster/cluster.go
+++ b/cluster/cluster.go
@@ -44,7 +44,7 @@
 type Cluster struct {
 	cfg   Config
 	log   *zap.Logger
-	calls *membership.Calls
+	calls *membership.CallPool
 
 	members  *membership.Loop
 	rollouts *rolloutLoop
@@ -67,7 +67,7 @@
 	}
 	now := clock.Now()
 	cfg.Member.Slots = append(cfg.Member.Slots, member.SlotConfig{ID: member.SlotBundle, MaxBytes: maxBundleMarkBytes})
-	c := &Cluster{cfg: cfg, log: cfg.Logger, calls: membership.NewCalls()}
+	c := &Cluster{cfg: cfg, log: cfg.Logger, calls: membership.NewCallPool()}
 	members, err := membership.New(cfg.Member, cfg.Seed, cfg.Mux, c.calls, c.hooks(), cfg.Logger)
 	if err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 // Run runs membership, the bundle rollout and the reading of the host list until ctx
 // ends. Requests from peers that arrive before Run is called wait for it.
 func (c *Cluster) Run(ctx context.Context, caller peer.Caller) error {
-	c.calls.Use(caller)
+	c.calls.SetCaller(caller)
 	var group errgroup.Group
 	group.Go(func() error { c.members.Run(ctx); return nil })
 	group.Go(func() error { c.rollouts.run(ctx); return nil })
--- a/cluster/hosts.go
+++ b/cluster/hosts.go
@@ -101,7 +101,7 @@
 	for err == nil && ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-clock.After(hostListDelay(c.members.View().Living)):
+		case <-clock.After(hostListDelay(c.members.View().LiveCount)):
 			_ = c.readHostsOnce(ctx) // readHostsOnce logs the error; the next read follows anyway
 		}
 	}
--- a/cluster/members.go
+++ b/cluster/members.go
@@ -21,7 +21,7 @@
 
 // hooks returns the callbacks that connect membership to the rest of the cluster.
 func (c *Cluster) hooks() membership.Hooks {
-	return membership.Hooks{Slot: c.handleSlot, Changed: c.handleMemberChange, Fresh: c.handleFreshness, View: c.handleViewChange}
+	return membership.Hooks{SlotReceived: c.handleSlot, MemberChanged: c.handleMemberChange, FreshnessChanged: c.handleFreshness, ViewChanged: c.handleViewChange}
 }
 
 // handleSlot passes the bundle mark to the rollout and any other extension's value to
@@ -56,8 +56,8 @@
 }
 
 func (c *Cluster) handleViewChange(next, old *membership.View) {
-	if next.Living != old.Living || !slices.Equal(next.Neighbours, old.Neighbours) {
-		c.rollouts.post(rollout.PeersChanged{Neighbours: next.Neighbours, LiveHosts: next.Living})
+	if next.LiveCount != old.LiveCount || !slices.Equal(next.Neighbours, old.Neighbours) {
+		c.rollouts.post(rollout.PeersChanged{Neighbours: next.Neighbours, LiveHosts: next.LiveCount})
 		c.slots.retain(next.Members)
 	}
 	if !slices.Equal(next.Leaving, old.Leaving) {
--- a/cluster/slots.go
+++ b/cluster/slots.go
@@ -15,7 +15,7 @@
 	Incarnation uint64
 	Value       []byte
 	// At is when the value arrived.
-	At time.Time
+	ReceivedAt time.Time
 	// SentAt is the sender's wall clock time when it sent the value directly. It is
 	// zero for a value of a fleet-wide extension, which peers relay and which may have
 	// been in transit for seconds.
@@ -47,7 +47,7 @@
 	if known && old.Incarnation > s.Incarnation || !known && len(hosts) >= maxSlotHosts {
 		return
 	}
-	v := SlotValue{Host: s.Host, Incarnation: s.Incarnation, Value: s.Value, At: now}
+	v := SlotValue{Host: s.Host, Incarnation: s.Incarnation, Value: s.Value, ReceivedAt: now}
 	if s.SentUnixMS != 0 {
 		v.SentAt = time.UnixMilli(s.SentUnixMS)
 	}
--- a/cmd/wheatseam/explain.go
+++ b/cmd/wheatseam/explain.go
@@ -69,7 +69,7 @@
 		rows = append(rows, []string{
 			formatOffset(entries[0].At, e.At), string(e.Step), orDash(e.Stage), attempt, e.Outcome, formatFields(e.Fields),
 		})
-		for _, c := range e.Choices {
+		for _, c := range e.Candidates {
 			rows = append(rows, []string{"", "", "", "", "  " + c.Upstream, formatCandidate(c)})
 		}
 	}
@@ -98,8 +98,8 @@
 }
 
 func formatCandidate(c record.Candidate) string {
-	if c.Refused != "" {
-		return "refused: " + c.Refused
+	if c.RefusalReason != "" {
+		return "refused: " + c.RefusalReason
 	}
 	return "score " + strconv.FormatFloat(c.Score, 'g', 4, 64)
 }
--- a/cmd/wheatseamd/gateway.go
+++ b/cmd/wheatseamd/gateway.go
@@ -79,7 +79,7 @@
 	}
 	runtime.GOMAXPROCS(s.Limits.Processors)
 	debug.SetMemoryLimit(int64(memoryLimitRatio * float64(s.Limits.MemoryMB<<20)))
-	log, err := logging.NewBounded(os.Stdout, s.Log.Level)
+	log, err := logging.NewBoundedLog(os.Stdout, s.Log.Level)
 	if err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 		case <-ctx.Done():
 			return
 		case <-suspendSignals:
-			clock.Simulate(d)
+			clock.SimulateSuspension(d)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 
 // reloadSettings reloads the settings at SIGHUP and when the file changes, until ctx
 // ends. An invalid file is logged and the current settings stay in effect.
-func reloadSettings(ctx context.Context, path string, g *gateway.Gateway, log *logging.Bounded) {
+func reloadSettings(ctx context.Context, path string, g *gateway.Gateway, log *logging.BoundedLog) {
 	reloadSignals := make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
 	pollTicker := time.NewTicker(settingsPollInterval)
--- a/core/request/finish.go
+++ b/core/request/finish.go
@@ -14,7 +14,7 @@
 
 func (m *Machine) newProblem(kind problem.Kind, format string, args ...any) *problem.Error {
 	e := problem.New(kind, format, args...)
-	if problem.Lookup(kind).Retry {
+	if problem.Lookup(kind).Retryable {
 		e.RetryAfter = defaultRetryAfter
 	}
 	return e
--- a/core/route/router_test.go
+++ b/core/route/router_test.go
@@ -155,10 +155,10 @@
 		Expect(rec).To(HaveLen(1))
 		e := rec[0]
 		Expect(e.Outcome).To(Equal(c.Upstream))
-		Expect(e.Choices).To(HaveLen(maxRecordedCandidates))
-		Expect(e.Choices[0].Upstream).To(Equal(c.Upstream))
-		Expect(e.Choices[0].Score).To(BeNumerically(">", 0))
-		Expect(e.Choices[maxRecordedCandidates-1].Refused).To(Equal("tried: tried"))
+		Expect(e.Candidates).To(HaveLen(maxRecordedCandidates))
+		Expect(e.Candidates[0].Upstream).To(Equal(c.Upstream))
+		Expect(e.Candidates[0].Score).To(BeNumerically(">", 0))
+		Expect(e.Candidates[maxRecordedCandidates-1].RefusalReason).To(Equal("tried: tried"))
 	})
 
 	It("returns measured latencies from 20 calls on", func() {
--- a/daemon/call.go
+++ b/daemon/call.go
@@ -43,7 +43,7 @@
 	began := startCall()
 	output, err := client.Do(ctx, service.Call{
 		Address: c.Choice.Address, Path: pathOf(c.Stage), RequestID: s.id, Attempt: c.Attempt,
-		Customer: s.sub.Customer.Name, Stage: c.Stage.Name, Key: c.Key, Input: c.Input, NotAfter: c.NotAfter,
+		Customer: s.sub.Customer.Name, Stage: c.Stage.Name, IdempotencyKey: c.Key, Input: c.Input, NotAfter: c.NotAfter,
 	})
 	d.noteCall(s, c, began, err)
 	ended := callEnded(ctx, c.Attempt, err)
@@ -94,14 +94,14 @@
 	return raw
 }
 
-func (d *Daemon) generation(s *session, c request.Call) engine.Generation {
+func (d *Daemon) generation(s *session, c request.Call) engine.GenerateRequest {
 	var messages []engine.Message
 	if s.sub.Prefix != "" {
 		messages = append(messages, engine.Message{Role: "system", Content: s.sub.Prefix})
 	}
 	messages = append(messages, engine.Message{Role: "user", Content: textOf(c.Input)})
 	pool := s.clients.pools[c.Stage.Pool]
-	return engine.Generation{
+	return engine.GenerateRequest{
 		Address: c.Choice.Address, Model: pool.Model, Priority: priorityOf(pool, c.LatestStart),
 		RequestID: s.id, Attempt: c.Attempt, Customer: s.sub.Customer.Name,
 		Messages: messages, MaxTokens: c.Stage.MaxTokens, NotAfter: c.NotAfter,
@@ -175,7 +175,7 @@
 	answers := make(chan service.Status, len(upstreams))
 	for _, u := range upstreams {
 		go func() {
-			status, err := s.clients.services[a.Pool].LookUp(ctx, u.Address, a.Key)
+			status, err := s.clients.services[a.Pool].LookUpStatus(ctx, u.Address, a.Key)
 			if err != nil {
 				status = service.Status{State: service.StatusUnknown}
 			}
--- a/daemon/loadexchange.go
+++ b/daemon/loadexchange.go
@@ -48,8 +48,8 @@
 	known := make(map[string]bool, len(slots))
 	for _, s := range slots {
 		known[s.Host] = true
-		if s.At.After(heard[s.Host]) {
-			heard[s.Host] = s.At
+		if s.ReceivedAt.After(heard[s.Host]) {
+			heard[s.Host] = s.ReceivedAt
 			news = append(news, s)
 		}
 	}
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -42,7 +42,7 @@
 			TokenFile: o.TokenFile, ClientCA: o.ClientCA, Cert: o.Cert, Key: o.Key,
 		},
 		Local:   local,
-		Fleet:   operator.NewFleet(local, d.records, d.sections, d.peers, d.peerMux),
+		Querier: operator.NewFleetQuerier(local, d.records, d.sections, d.peers, d.peerMux),
 		Metrics: []*metrics.Set{d.metrics}, WriteMetrics: d.writeStates,
 		Logger: d.log,
 	})
@@ -63,7 +63,7 @@
 		Host: d.settings.Host, FailureDomain: d.settings.FailureDomain,
 		Draining: d.draining.Load(), RequestsInFlight: d.table.Len(),
 	}
-	if err := d.Admittable(); err != nil {
+	if err := d.CheckAdmission(); err != nil {
 		st.Reason = err.Detail
 	}
 	st.Ready = st.Reason == ""
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -75,7 +75,7 @@
 		}
 		e := problem.New(problem.Quarantined, "upstreams ended under its stage %s", stage.Name)
 		e.RetryAfter = v.RetryAfter(d.Now())
-		if s.sub.Key != "" {
+		if s.sub.IdempotencyKey != "" {
 			e.Execution = problem.MayHaveRun
 		}
 		return e
@@ -103,7 +103,7 @@
 	asleep time.Duration
 }
 
-func startCall() callStart { return callStart{clock.Now(), clock.Asleep()} }
+func startCall() callStart { return callStart{clock.Now(), clock.SuspendedTime()} }
 
 // noteCall passes on what the end of a call says of its upstream: that it lives, or
 // that it broke off and may have ended.
@@ -112,7 +112,7 @@
 	switch {
 	case ranWell(err):
 		d.quarantine.RunSucceeded(content)
-	case !httpbody.BrokenOff(err) || clock.Asleep() > began.asleep || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
+	case !httpbody.BrokenOff(err) || clock.SuspendedTime() > began.asleep || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
 		// It says nothing of the upstream, or has its reason.
 	default:
 		d.quarantine.AttemptInterrupted(quarantine.InterruptedAttempt{
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -201,7 +201,7 @@
 			Eventually(f.version(name), "2s").Should(Equal(uint64(1)))
 		}
 		Eventually(func() string { return f.discoveries["host-4"].View().Source }, "2s").Should(Equal("host-2"))
-		before := f.store.Calls()
+		before := f.store.CallCount()
 		f.writeConfig(2)
 		f.writeReplica("i-1", "draining")
 		for name := range f.discoveries {
@@ -209,7 +209,7 @@
 			Eventually(func() bool { return f.discoveries[name].View().Replicas["i-1"].Draining }, bound).Should(BeTrue())
 		}
 		time.Sleep(bound)
-		Expect(f.store.Calls()-before).To(BeNumerically("<", 12), "the reads of one host")
+		Expect(f.store.CallCount()-before).To(BeNumerically("<", 12), "the reads of one host")
 	})
 
 	It("does not restore removed replicas from a host that was disconnected when they were removed", func() {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -67,7 +67,7 @@
 	log        *zap.Logger
 	roster     *roster
 	loop       *membership.Loop
-	calls      *membership.Calls
+	calls      *membership.CallPool
 	transport  *peer.Transport
 	seeds      atomic.Pointer[[]string]
 	formed     chan struct{}
@@ -85,12 +85,12 @@
 func New(cfg Config) (*Fleet, error) {
 	incarnation := uint64(time.Now().UnixMilli())
 	cfg.Self.Incarnation = incarnation
-	f := &Fleet{cfg: cfg, log: cfg.Logger, roster: newRoster(cfg.Self), calls: membership.NewCalls(), formed: make(chan struct{})}
+	f := &Fleet{cfg: cfg, log: cfg.Logger, roster: newRoster(cfg.Self), calls: membership.NewCallPool(), formed: make(chan struct{})}
 	f.SetSeeds(cfg.Seeds)
 	peer.Handle(cfg.Mux, methodRoster, f.handleRosterRequest)
 	members := member.DefaultConfig(cfg.Self.Host, incarnation)
 	members.Slots = cfg.HeartbeatExtensions
-	loop, err := membership.New(members, rand.Uint64(), cfg.Mux, f.calls, membership.Hooks{Changed: f.memberChanged, Slot: cfg.OnSlotUpdate}, cfg.Logger)
+	loop, err := membership.New(members, rand.Uint64(), cfg.Mux, f.calls, membership.Hooks{MemberChanged: f.memberChanged, SlotReceived: cfg.OnSlotUpdate}, cfg.Logger)
 	if err != nil {
 		return nil, err
 	}
@@ -98,12 +98,12 @@
 	f.transport, err = peer.NewTransport(peer.Config{
 		Host: cfg.Self.Name, Incarnation: incarnation, Listen: cfg.Listen,
 		Plaintext: true, PrivateNetwork: true, Resolve: resolve, Mux: cfg.Mux, Logger: cfg.Logger,
-		MaxMessage: maxMessage, DialTimeout: dialTimeout, SilenceTimeout: silenceTimeout, MaxBackoff: maxBackoff,
+		MaxMessageBytes: maxMessage, DialTimeout: dialTimeout, SilenceTimeout: silenceTimeout, MaxBackoff: maxBackoff,
 	})
 	if err != nil {
 		return nil, err
 	}
-	f.calls.Use(f.transport)
+	f.calls.SetCaller(f.transport)
 	return f, nil
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -154,7 +154,7 @@
 	group.Go(func() error { g.quarantine.Run(runCtx); return nil })
 	group.Go(func() error { return g.fleet.Run(runCtx) })
 	g.serveMetrics(runCtx, &group)
-	if !clock.CountsSleep() {
+	if !clock.DetectsSuspension() {
 		g.log.Warn("the time that this host spent suspended cannot be read; suspends are not accounted for")
 	}
 	g.log.Info("started", zap.String("callers", s.Listen.Callers), zap.String("store", s.Store.Address),
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -66,7 +66,7 @@
 	gauge("wheatseam_replicas_said_leaving", func() float64 { return float64(len(g.notices.leavingStates(clock.Now()))) })
 	gauge("wheatseam_replicas_resting", func() float64 { return float64(len(g.notices.backoffStates(clock.Now()))) })
 	gauge("wheatseam_domains_evacuated", func() float64 { return float64(len(g.discovery.View().Evacuations.Domains)) })
-	gauge("wheatseam_asleep_seconds", func() float64 { return clock.Asleep().Seconds() })
+	gauge("wheatseam_asleep_seconds", func() float64 { return clock.SuspendedTime().Seconds() })
 	gauge("wheatseam_requests_condemned", func() float64 { return float64(g.quarantine.QuarantinedCount()) })
 	gauge("wheatseam_jobs_planned", func() float64 { return float64(g.stages.Dump().Planned) })
 }
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -136,7 +136,7 @@
 func (x *exchange) attempt(choice request.Choice, reservation string) (attemptEnd, *problem.Error) {
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	defer cancel(nil)
-	t := &attempt{x: x, runNumber: x.runs + 1, ctx: ctx, choice: choice, reservation: reservation, copyFrom: x.sendingToEngine(choice), began: clock.Now(), suspended: clock.Asleep(), cancel: cancel}
+	t := &attempt{x: x, runNumber: x.runs + 1, ctx: ctx, choice: choice, reservation: reservation, copyFrom: x.sendingToEngine(choice), began: clock.Now(), suspended: clock.SuspendedTime(), cancel: cancel}
 	end, err := t.run()
 	t.reportOutcome(end)
 	t.logAttempt(end, err)
@@ -263,7 +263,7 @@
 func (t *attempt) reportBrokenConnection() {
 	x := t.x
 	r, listed := x.g.discovery.View().Replicas[t.choice.Upstream]
-	if !listed || r.Draining || clock.Asleep() > t.suspended {
+	if !listed || r.Draining || clock.SuspendedTime() > t.suspended {
 		return
 	}
 	x.g.quarantine.AttemptInterrupted(quarantine.InterruptedAttempt{
--- a/gateway/stallwatch.go
+++ b/gateway/stallwatch.go
@@ -102,7 +102,7 @@
 	if x.routeRetryDenied(t.runNumber) == "" {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.suspended = clock.Asleep()
+		w.suspended = clock.SuspendedTime()
 		w.nextTick = clock.Now().Add(suspectAfter - runQueryTimeout)
 		w.timer = clock.AfterFunc(suspectAfter-runQueryTimeout, w.tick)
 	}
@@ -182,7 +182,7 @@
 // detectSuspend tells the machine if this host was suspended since the last tick was due;
 // mu must be held.
 func (w *stallWatch) detectSuspend(now time.Time) {
-	suspended := clock.Asleep()
+	suspended := clock.SuspendedTime()
 	if suspended == w.suspended && now.Sub(w.nextTick) <= suspendTolerance {
 		return
 	}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -90,7 +90,7 @@
 	x.w.Header().Del("Content-Length")
 	x.w.WriteHeader(resp.StatusCode)
 	// Limits the time for writing to a caller that does not read.
-	_ = http.NewResponseController(x.w).SetWriteDeadline(clock.Steady(x.deadline))
+	_ = http.NewResponseController(x.w).SetWriteDeadline(clock.ToMonotonic(x.deadline))
 }
 
 // sendEvent sends one event to the caller.
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -166,7 +166,7 @@
 // Simulate makes this process behave as if the host had been suspended for d until now.
 // It is for tests and the soak test, since suspending a real host needs privileges over
 // it.
-func Simulate(d time.Duration) {
+func SimulateSuspension(d time.Duration) {
 	simulatedSuspension.Add(int64(d))
 	host.now()
 }
@@ -188,7 +188,7 @@
 
 // OnWake calls f in its own goroutine after each suspension of the host, until stop is
 // called.
-func OnWake(f func(suspendedFor time.Duration)) (stop func()) { return host.onResume(f) }
+func OnResume(f func(suspendedFor time.Duration)) (stop func()) { return host.onResume(f) }
 
 func (c *Clock) onResume(f func(suspendedFor time.Duration)) (stop func()) {
 	c.mu.Lock()
@@ -203,15 +203,15 @@
 
 // Steady converts a time of this package to one for the standard library's deadlines,
 // which follow the monotonic clock.
-func Steady(t time.Time) time.Time { return time.Now().Add(Until(t)) }
+func ToMonotonic(t time.Time) time.Time { return time.Now().Add(Until(t)) }
 
 // Asleep returns the total time for which the host has been suspended since the process
 // started.
-func Asleep() time.Duration { return host.suspendedTime() }
+func SuspendedTime() time.Duration { return host.suspendedTime() }
 
 // CountsSleep reports whether this host provides its uptime. Without it, suspended time
 // is not counted.
-func CountsSleep() bool {
+func DetectsSuspension() bool {
 	_, ok := host.clocks.uptime()
 	return ok
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -164,11 +164,11 @@
 	Expect(ok).To(BeTrue())
 	before := Now()
 	Expect(Since(before)).To(BeNumerically("<", timeTolerance))
-	Expect(Steady(Now().Add(time.Hour))).To(BeTemporally("~", time.Now().Add(time.Hour), timeTolerance))
-	Expect(Asleep()).To(BeNumerically("<", timeTolerance))
-	Simulate(time.Hour)
+	Expect(ToMonotonic(Now().Add(time.Hour))).To(BeTemporally("~", time.Now().Add(time.Hour), timeTolerance))
+	Expect(SuspendedTime()).To(BeNumerically("<", timeTolerance))
+	SimulateSuspension(time.Hour)
 	Expect(Since(before)).To(BeNumerically("~", time.Hour, timeTolerance))
-	Expect(Steady(Now().Add(time.Hour))).To(BeTemporally("~", time.Now().Add(time.Hour), timeTolerance))
+	Expect(ToMonotonic(Now().Add(time.Hour))).To(BeTemporally("~", time.Now().Add(time.Hour), timeTolerance))
 }
 
 func BenchmarkNow(b *testing.B) {
--- a/membership/calls.go
+++ b/membership/calls.go
@@ -19,21 +19,21 @@
 
 // Calls makes calls to peers, each in its own goroutine. The number of calls in
 // flight is bounded.
-type Calls struct {
+type CallPool struct {
 	caller  peer.Caller
 	permits chan struct{}
 }
 
 // NewCalls returns a pool. Use must be called before the first call.
-func NewCalls() *Calls { return &Calls{permits: make(chan struct{}, maxCallsInFlight)} }
+func NewCallPool() *CallPool { return &CallPool{permits: make(chan struct{}, maxCallsInFlight)} }
 
 // Use sets the caller. It is called once, before the first call.
-func (c *Calls) Use(caller peer.Caller) { c.caller = caller }
+func (c *CallPool) SetCaller(caller peer.Caller) { c.caller = caller }
 
 // Go calls method at host in its own goroutine and passes the result to done, at the
 // latest after timeout. If maxCallsInFlight calls are in flight it passes ErrBusy at
 // once. done is called exactly once.
-func (c *Calls) Go(host, method string, req, resp proto.Message, timeout time.Duration, done func(error)) {
+func (c *CallPool) Go(host, method string, req, resp proto.Message, timeout time.Duration, done func(error)) {
 	select {
 	case c.permits <- struct{}{}:
 	default:
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -36,14 +36,14 @@
 // block. Each may be nil.
 type Hooks struct {
 	// Slot is called with each extension value that arrives.
-	Slot func(member.SlotReceived)
+	SlotReceived func(member.SlotReceived)
 	// Changed is called with each change of a member's state.
-	Changed func(member.Member)
+	MemberChanged func(member.Member)
 	// Fresh is called when the views become stale, and when they have been renewed
 	// after the start or after a pause.
-	Fresh func(bool)
+	FreshnessChanged func(bool)
 	// View is called with each new snapshot and the one before it.
-	View func(next, old *View)
+	ViewChanged func(next, old *View)
 }
 
 // View is an immutable snapshot of membership.
@@ -51,7 +51,7 @@
 	// Members lists all hosts including this one, sorted by name.
 	Members    []member.Member
 	Neighbours []string
-	Living     int
+	LiveCount  int
 	// Leaving lists the names of the upstreams that are leaving, sorted.
 	Leaving    []string
 	Fresh      bool
@@ -61,7 +61,7 @@
 
 // Loop runs the membership state machine.
 type Loop struct {
-	calls   *Calls
+	calls   *CallPool
 	hooks   Hooks
 	log     *zap.Logger
 	machine *member.Machine
@@ -79,7 +79,7 @@
 const publishInterval = time.Second
 
 // New returns a loop that has not started, and registers its methods in mux. The error names an invalid extension of cfg.
-func New(cfg member.Config, seed uint64, mux *peer.Mux, calls *Calls, hooks Hooks, log *zap.Logger) (*Loop, error) {
+func New(cfg member.Config, seed uint64, mux *peer.Mux, calls *CallPool, hooks Hooks, log *zap.Logger) (*Loop, error) {
 	m, err := member.New(cfg, clock.Now(), rand.New(rand.NewPCG(seed, 1)))
 	if err != nil {
 		return nil, err
@@ -158,21 +158,21 @@
 	case member.Send:
 		l.send(a)
 	case member.SlotReceived:
-		if l.hooks.Slot != nil {
-			l.hooks.Slot(a)
+		if l.hooks.SlotReceived != nil {
+			l.hooks.SlotReceived(a)
 		}
 	case member.MemberChanged:
 		log.Info("member changed", zap.String("peer", a.Member.Host.Name), zap.Stringer("state", a.Member.State),
 			zap.Uint64("incarnation", a.Member.Incarnation))
-		if l.hooks.Changed != nil {
-			l.hooks.Changed(a.Member)
+		if l.hooks.MemberChanged != nil {
+			l.hooks.MemberChanged(a.Member)
 		}
 	case member.UpstreamChanged:
 		log.Info("upstream leaving state changed", zap.String("upstream", a.Name), zap.Bool("leaving", a.Leaving))
 	case member.FreshnessChanged:
 		log.Info("freshness of the membership views changed", zap.Bool("fresh", a.Fresh))
-		if l.hooks.Fresh != nil {
-			l.hooks.Fresh(a.Fresh)
+		if l.hooks.FreshnessChanged != nil {
+			l.hooks.FreshnessChanged(a.Fresh)
 		}
 	case member.SkewChanged:
 		log.Warn("clock skew against the peers' median changed", zap.Bool("skewed", a.Skewed), zap.Duration("offset", a.Offset))
@@ -200,12 +200,12 @@
 	l.viewChanged, l.lastPublished = false, clock.Now()
 	old := l.view.Load()
 	next := &View{
-		Members: l.machine.Members(), Neighbours: l.machine.Neighbours(), Living: l.machine.LiveHosts(), Leaving: l.machine.LeavingUpstreams(),
+		Members: l.machine.Members(), Neighbours: l.machine.Neighbours(), LiveCount: l.machine.LiveHosts(), Leaving: l.machine.LeavingUpstreams(),
 		Fresh: l.machine.Fresh(), Skewed: l.machine.Skewed(), Superseded: l.machine.Superseded(),
 	}
 	l.view.Store(next)
-	if l.hooks.View != nil {
-		l.hooks.View(next, old)
+	if l.hooks.ViewChanged != nil {
+		l.hooks.ViewChanged(next, old)
 	}
 }
 
--- a/peer/call.go
+++ b/peer/call.go
@@ -186,7 +186,7 @@
 		left := time.Until(deadline).Milliseconds()
 		env.TimeoutMs = uint32(min(max(left, 1), math.MaxUint32))
 	}
-	return encode(env, s.transport.cfg.MaxMessage)
+	return encode(env, s.transport.cfg.MaxMessageBytes)
 }
 
 // exchange sends a frame on a new stream and reads the answer. It sets sent before the
@@ -206,7 +206,7 @@
 	if _, err := stream.Write(frame); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
-	env, n, err := readFrame(stream, s.transport.cfg.MaxMessage)
+	env, n, err := readFrame(stream, s.transport.cfg.MaxMessageBytes)
 	s.transport.counters.countReceived(method, roleCaller, n)
 	switch {
 	case errors.Is(err, ErrTooLarge), errors.Is(err, ErrMalformed):
--- a/peer/call_test.go
+++ b/peer/call_test.go
@@ -146,7 +146,7 @@
 	It("rejects messages over the size limit on each side", func() {
 		big := strings.Repeat("x", 5000)
 		ac, bc := f.config("a"), f.config("b")
-		ac.MaxMessage, bc.MaxMessage = 10000, 4000
+		ac.MaxMessageBytes, bc.MaxMessageBytes = 10000, 4000
 		peer.Handle(ac.Mux, "grow", func(context.Context, peer.Sender, *text) (*text, error) {
 			return wrapperspb.String(big + big), nil
 		})
@@ -170,7 +170,7 @@
 
 	It("transfers messages much larger than a stream's window", func() {
 		ac, bc := f.config("a"), f.config("b")
-		ac.MaxMessage, bc.MaxMessage = 4<<20, 4<<20
+		ac.MaxMessageBytes, bc.MaxMessageBytes = 4<<20, 4<<20
 		a := f.start(ac)
 		f.start(bc)
 		big := strings.Repeat("0123456789abcdef", 3<<16)
--- a/peer/config.go
+++ b/peer/config.go
@@ -63,7 +63,7 @@
 	Metrics *metrics.Set
 
 	// MaxMessage is the maximum size of an encoded envelope in bytes.
-	MaxMessage int
+	MaxMessageBytes int
 	// MaxInFlight bounds the calls in flight on one session, in each direction.
 	MaxInFlight int
 	// MaxWaiting bounds the calls that wait until one session has fewer than
@@ -100,7 +100,7 @@
 			*v = d
 		}
 	}
-	orInt(&c.MaxMessage, DefaultMaxMessageBytes)
+	orInt(&c.MaxMessageBytes, DefaultMaxMessageBytes)
 	orInt(&c.MaxInFlight, DefaultMaxInFlight)
 	orInt(&c.MaxWaiting, DefaultMaxWaiting)
 	orInt(&c.MaxHandlers, DefaultMaxHandlers)
--- a/peer/transport.go
+++ b/peer/transport.go
@@ -85,7 +85,7 @@
 	}
 	t.counters = newCounters(cfg.Metrics, t.countSessions)
 	t.ctx, t.cancel = context.WithCancel(context.Background())
-	t.stopOnResume = clock.OnWake(t.verifyAllSessions)
+	t.stopOnResume = clock.OnResume(t.verifyAllSessions)
 	t.wg.Go(t.acceptLoop)
 	t.wg.Go(t.closeIdleLoop)
 	return t, nil
--- a/proofs/caller_gone_test.go
+++ b/proofs/caller_gone_test.go
@@ -33,7 +33,7 @@
 
 	It("leaves a sent call that may not be repeated to be seen through and recorded", func() {
 		f := startFleet(proctest.Options{})
-		f.Fault("signing", standin.Faults{LateByMS: 400})
+		f.Fault("signing", standin.Faults{ResponseDelayMS: 400})
 		key := proctest.NewKey()
 		callThenLeave(f, proctest.PipelineSeal, key)
 		again := f.Call(1, proctest.PipelineSeal, key, "text")
--- a/proofs/config_test.go
+++ b/proofs/config_test.go
@@ -77,7 +77,7 @@
 
 	It("stays that of a request which was admitted under it", func() {
 		f := startFleet(proctest.Options{})
-		f.Fault("encoders", standin.Faults{LateByMS: 600})
+		f.Fault("encoders", standin.Faults{ResponseDelayMS: 600})
 		done := make(chan proctest.Outcome, 1)
 		go func() { done <- f.Call(0, proctest.PipelineSummary, "", "text") }()
 		Eventually(f.Begun).Should(Equal(1))
--- a/proofs/fault_pairs_test.go
+++ b/proofs/fault_pairs_test.go
@@ -39,7 +39,7 @@
 		func(f *proctest.Fleet) { f.Platform.Faults().Set(standin.Faults{Down: true}) },
 		func(f *proctest.Fleet) { f.Platform.Faults().Set(standin.Faults{}) }},
 	{"upstreams lose answers",
-		func(f *proctest.Fleet) { f.Fault("signing", standin.Faults{DropAnswer: true}) },
+		func(f *proctest.Fleet) { f.Fault("signing", standin.Faults{DropResponse: true}) },
 		func(f *proctest.Fleet) { f.Fault("signing", standin.Faults{}) }},
 }
 
--- a/proofs/resume_test.go
+++ b/proofs/resume_test.go
@@ -11,7 +11,7 @@
 var _ = Describe("A completed stage", func() {
 	It("is not done again when its host dies and the caller tries elsewhere", func() {
 		f := startFleet(proctest.Options{})
-		f.Fault("encoders", standin.Faults{LateByMS: 3000})
+		f.Fault("encoders", standin.Faults{ResponseDelayMS: 3000})
 		key := proctest.NewKey()
 		gone := make(chan struct{})
 		go func() {
--- a/proofs/shutdown_test.go
+++ b/proofs/shutdown_test.go
@@ -17,8 +17,8 @@
 var _ = Describe("A graceful shutdown", func() {
 	It("interrupts no request in flight, takes no new one and exits 0", func() {
 		f := startFleet(proctest.Options{})
-		f.Fault("encoders", standin.Faults{LateByMS: 400})
-		f.Fault("signing", standin.Faults{LateByMS: 400})
+		f.Fault("encoders", standin.Faults{ResponseDelayMS: 400})
+		f.Fault("signing", standin.Faults{ResponseDelayMS: 400})
 		const inFlight = 40
 		heard := make([]proctest.Outcome, inFlight)
 		var wg sync.WaitGroup
@@ -49,7 +49,7 @@
 
 	It("is cut short by a second signal, which the log names", func() {
 		f := startFleet(proctest.Options{})
-		f.Fault("encoders", standin.Faults{LateByMS: 3000})
+		f.Fault("encoders", standin.Faults{ResponseDelayMS: 3000})
 		done := make(chan proctest.Outcome, 1)
 		go func() { done <- f.Call(0, proctest.PipelineSummary, "", "slow") }()
 		Eventually(f.Begun).Should(Equal(1))
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -303,7 +303,7 @@
 		}
 		expectQuarantined(n.all()...)
 		Expect(n.all()[2].QuarantinedCount()).To(Equal(1))
-		clock.Simulate(poison.Lifetime)
+		clock.SimulateSuspension(poison.Lifetime)
 		for range 3 {
 			n.deliverHeartbeats()
 			time.Sleep(600 * time.Millisecond) // longer than the minimum interval between exchanges, 500 ms
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -92,7 +92,7 @@
 		for range 10 {
 			s := serve(func(_ http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
-				clock.Simulate(500 * time.Millisecond)
+				clock.SimulateSuspension(500 * time.Millisecond)
 			})
 			Expect(release(s)).To(Succeed())
 			Expect(s.calls.Load()).To(Equal(int64(1)))
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -38,12 +38,12 @@
 // draw draws a request.
 func (r *Run) draw(rng *rand.Rand, id string) site.Call {
 	c := site.Call{ID: id, Deadline: callDeadline, Key: r.drawKey(rng)}
-	c.Path = []string{site.SealPath, site.SealPath, site.SafePath, site.StreamPath, site.ResumePath, site.ResumePath}[rng.IntN(6)]
+	c.Path = []string{site.UnsafePath, site.UnsafePath, site.SafePath, site.StreamPath, site.ResumablePath, site.ResumablePath}[rng.IntN(6)]
 	if rng.IntN(forgeOneIn) == 0 {
-		c.Forge = site.Forgeable[rng.IntN(len(site.Forgeable))]
+		c.ForgedHeader = site.ForgeableHeaders[rng.IntN(len(site.ForgeableHeaders))]
 	}
-	if c.Path == site.ResumePath {
-		c.Pieces = []int{1 + rng.IntN(3), 1 + rng.IntN(4)}
+	if c.Path == site.ResumablePath {
+		c.PieceCounts = []int{1 + rng.IntN(3), 1 + rng.IntN(4)}
 	}
 	return c
 }
@@ -64,7 +64,7 @@
 		defer cancel()
 	}
 	x := done{call: c, daemon: d, life: d.lives(), began: time.Now()}
-	x.heard = site.Do(ctx, client, d.callers(), c)
+	x.heard = site.Send(ctx, client, d.callers(), c)
 	x.ended = time.Now()
 	x.left = left && ctx.Err() != nil
 	r.mu.Lock()
--- a/soak/check.go
+++ b/soak/check.go
@@ -21,7 +21,7 @@
 		r.count(x)
 		r.checkOne(x, runs)
 		service := "plain"
-		if x.call.Path == site.StreamPath || x.call.Path == site.ResumePath {
+		if x.call.Path == site.StreamPath || x.call.Path == site.ResumablePath {
 			service = "llm"
 		}
 		firsts[service]++
@@ -41,7 +41,7 @@
 	r.checkLimits()
 	r.checkLeavers()
 	r.checkRests()
-	for _, f := range r.ledger.Faults() {
+	for _, f := range r.ledger.Violations() {
 		r.violate("replicas: %s", f)
 	}
 	for _, d := range r.daemons {
@@ -59,7 +59,7 @@
 		r.report.Broken++
 	case x.heard.Status == http.StatusOK:
 		r.report.Served++
-	case x.heard.NotRun():
+	case x.heard.NotExecuted():
 		r.report.Refused++
 	default:
 		r.report.Failed++
@@ -69,21 +69,21 @@
 // checkOne holds one attempt to the promises about it.
 func (r *Run) checkOne(x done, runs []site.Run) {
 	id := x.call.ID
-	once := x.call.Path == site.SealPath || x.call.Path == site.StreamPath
+	once := x.call.Path == site.UnsafePath || x.call.Path == site.StreamPath
 	if once && len(runs) > 1 {
 		r.violate("at most once: %s ran %d times", id, len(runs))
 	}
 	if len(runs) > 2 {
 		r.violate("attempts: %s ran %d times", id, len(runs))
 	}
-	if x.heard.NotRun() && len(runs) > 0 && once {
+	if x.heard.NotExecuted() && len(runs) > 0 && once {
 		r.violate("refusal: %s was answered %d and ran", id, x.heard.Status)
 	}
 	if wrong := x.call.Check(x.heard, eventsOfStream); wrong != "" {
 		r.violate("answer: %s: %s", id, wrong)
 	}
 	for _, run := range runs {
-		if run.Key || run.Tenant != "firma" || run.Body != x.call.Carries() || run.Target != x.call.Path+x.call.Carries() {
+		if run.HasAPIKey || run.Tenant != "firma" || run.Body != x.call.Payload() || run.Target != x.call.Path+x.call.Payload() {
 			r.violate("request: %s reached %s changed", id, run.Replica)
 		}
 	}
@@ -109,7 +109,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, run := range runs {
-		if rep := r.replica(run.Replica); rep == nil || rep.Misbehaved() {
+		if rep := r.replica(run.Replica); rep == nil || rep.WasUnhealthy() {
 			return false
 		}
 	}
--- a/soak/culprits.go
+++ b/soak/culprits.go
@@ -25,10 +25,10 @@
 var culprits = []culprit{{"culprit-1", site.SafePath}, {"culprit-2", site.StreamPath}}
 
 // poison is what crashes a replica.
-func poison(rep *site.Replica, rng *rand.Rand, crashed func(string)) site.Poison {
-	p := site.Poison{
-		After: time.Duration(5+rng.IntN(60)) * time.Millisecond, Down: time.Duration(700+rng.IntN(1200)) * time.Millisecond,
-		Crashed: crashed,
+func poison(rep *site.Replica, rng *rand.Rand, crashed func(string)) site.PoisonRequest {
+	p := site.PoisonRequest{
+		CrashDelay: time.Duration(5+rng.IntN(60)) * time.Millisecond, Downtime: time.Duration(700+rng.IntN(1200)) * time.Millisecond,
+		OnCrash: crashed,
 	}
 	switch rep.Kind {
 	case site.Plain:
@@ -53,7 +53,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, leaving := r.draining[rep.ID]; !leaving {
-		r.store.Put("servers/"+rep.ID, site.Entry(rep, "ready"))
+		r.store.Put("servers/"+rep.ID, site.StoreEntry(rep, "ready"))
 	}
 }
 
@@ -94,9 +94,9 @@
 		}
 		third := crashed[crashesToKnow-1]
 		late := 0
-		for _, run := range r.ledger.RunsOf(c.content) {
-			x, ok := calls[run.Request]
-			if ok && run.At.After(third.Add(contact)) && x.daemon.calm(third) && x.life == x.daemon.lives() {
+		for _, run := range r.ledger.RunsWithBody(c.content) {
+			x, ok := calls[run.RequestID]
+			if ok && run.StartedAt.After(third.Add(contact)) && x.daemon.calm(third) && x.life == x.daemon.lives() {
 				late++
 			}
 		}
--- a/soak/evacuate.go
+++ b/soak/evacuate.go
@@ -32,7 +32,7 @@
 		r.note("failure domain %s is taken back", domain)
 		r.mu.Lock()
 		r.evacuations[len(r.evacuations)-1].withdrawn = time.Now()
-		r.store.TakeBack(domain)
+		r.store.CancelEvacuation(domain)
 		r.mu.Unlock()
 	}
 }
@@ -43,7 +43,7 @@
 	for _, run := range runs {
 		domain := r.domainOf(run.Replica)
 		for _, e := range r.evacuations {
-			if e.domain == domain && x.began.After(e.ordered.Add(drainBound)) && (e.withdrawn.IsZero() || run.At.Before(e.withdrawn)) &&
+			if e.domain == domain && x.began.After(e.ordered.Add(drainBound)) && (e.withdrawn.IsZero() || run.StartedAt.Before(e.withdrawn)) &&
 				x.daemon.calm(e.ordered.Add(-settle)) {
 				r.violate("evacuation: %s ran at %s %s after %s was evacuated", x.call.ID, run.Replica, x.began.Sub(e.ordered).Round(time.Millisecond), domain)
 			}
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -154,15 +154,15 @@
 	r.note("the store is %s for %s", []string{"down", "busy", "slow"}[kind], for1)
 	switch kind {
 	case 0:
-		r.store.Fail(503)
+		r.store.SetFailure(503)
 	case 1:
-		r.store.Fail(429)
+		r.store.SetFailure(429)
 	default:
-		r.store.Delay(400 * time.Millisecond)
+		r.store.SetDelay(400 * time.Millisecond)
 	}
 	time.AfterFunc(for1, func() {
-		r.store.Fail(0)
-		r.store.Delay(0)
+		r.store.SetFailure(0)
+		r.store.SetDelay(0)
 		for _, d := range r.daemons {
 			d.touched()
 		}
@@ -175,21 +175,21 @@
 		name string
 		b    site.Behaviour
 	}{
-		{"breaks off before its answers", site.Behaviour{CutBefore: true}},
-		{"breaks its answers off", site.Behaviour{Truncate: true, CutAfterEvents: 2}},
+		{"breaks off before its answers", site.Behaviour{AbortBeforeResponse: true}},
+		{"breaks its answers off", site.Behaviour{Truncate: true, AbortAfterEvents: 2}},
 		{"refuses", site.Behaviour{Shed: true}},
-		{"refuses without a word", site.Behaviour{ShedSilently: true}},
+		{"refuses without a word", site.Behaviour{UnavailableAfterRun: true}},
 		{"hangs", site.Behaviour{Hang: true}},
-		{"sends no length", site.Behaviour{Unframed: true}},
-		{"sends a second answer", site.Behaviour{Extra: true}},
+		{"sends no length", site.Behaviour{NoContentLength: true}},
+		{"sends a second answer", site.Behaviour{ExtraResponse: true}},
 		{"sends no signature", site.Behaviour{Unsigned: true}},
-		{"is slow", site.Behaviour{Work: 300 * time.Millisecond}},
+		{"is slow", site.Behaviour{ServiceTime: 300 * time.Millisecond}},
 		{"fails", site.Behaviour{Status: 500}},
 	}
 	k := kinds[r.rng.IntN(len(kinds))]
 	r.note("%s %s for %s", rep.ID, k.name, for1)
-	rep.Behave(k.b)
-	time.AfterFunc(for1, func() { rep.Behave(site.Behaviour{}) })
+	rep.SetBehaviour(k.b)
+	time.AfterFunc(for1, func() { rep.SetBehaviour(site.Behaviour{}) })
 }
 
 // replace adds a replica and lets one of its service drain.
@@ -206,7 +206,7 @@
 		r.violate("replica %s: %v", id, err)
 		return
 	}
-	r.store.Put("servers/"+rep.ID, site.Entry(rep, "draining"))
+	r.store.Put("servers/"+rep.ID, site.StoreEntry(rep, "draining"))
 	r.mu.Lock()
 	r.draining[rep.ID] = time.Now()
 	r.mu.Unlock()
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -37,12 +37,12 @@
 		spell := &r.limits[len(r.limits)-1]
 		r.mu.Unlock()
 		r.note("%s names a limit of %g a second", rep.ID, perSecond)
-		rep.NameLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
+		rep.AdvertiseRateLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
 		rest(ctx, between(rng, 4*time.Second, 9*time.Second))
 		r.mu.Lock()
 		spell.until = time.Now()
 		r.mu.Unlock()
-		rep.NameLimit("")
+		rep.AdvertiseRateLimit("")
 		r.note("%s names no limit any more", rep.ID)
 	}
 }
@@ -78,11 +78,11 @@
 	told := map[daemonLife]time.Time{}
 	for _, x := range r.calls {
 		for _, run := range r.ledger.Runs(x.call.ID) {
-			if run.Replica != s.replica || run.At.Before(s.from) || !s.until.IsZero() && run.At.After(s.until) {
+			if run.Replica != s.replica || run.StartedAt.Before(s.from) || !s.until.IsZero() && run.StartedAt.After(s.until) {
 				continue
 			}
 			p := daemonLife{x.daemon, x.life}
-			all = append(all, arrival{run.At, p})
+			all = append(all, arrival{run.StartedAt, p})
 			if at, known := told[p]; !known || x.ended.Before(at) {
 				told[p] = x.ended
 			}
--- a/soak/notices.go
+++ b/soak/notices.go
@@ -39,7 +39,7 @@
 		r.mu.Lock()
 		r.leavers[rep.ID] = time.Now()
 		r.mu.Unlock()
-		rep.SayLeaving()
+		rep.AdvertiseLeaving()
 		time.AfterFunc(2*drainBound, func() { r.store.Delete("servers/" + rep.ID) })
 	}
 }
@@ -54,9 +54,9 @@
 		r.mu.Unlock()
 		seconds := strconv.FormatFloat(0.5+2.5*rng.Float64(), 'f', 2, 64)
 		r.note("%s turns all work away and asks for %s s of rest", rep.ID, seconds)
-		rep.RefuseForRest(seconds)
+		rep.RefuseWithRetryAfter(seconds)
 		rest(ctx, between(rng, 500*time.Millisecond, 3*time.Second))
-		rep.RefuseForRest("")
+		rep.RefuseWithRetryAfter("")
 	}
 }
 
@@ -84,16 +84,16 @@
 		for _, x := range r.calls {
 			for _, run := range r.ledger.Runs(x.call.ID) {
 				p := daemonLife{x.daemon, x.life}
-				if at, known := told[p]; run.Replica == replica && run.At.After(since) && (!known || x.ended.Before(at)) {
+				if at, known := told[p]; run.Replica == replica && run.StartedAt.After(since) && (!known || x.ended.Before(at)) {
 					told[p] = x.ended
 				}
 			}
 		}
 		for _, a := range r.replica(replica).Arrivals() {
-			s, known := senders[a.Request]
+			s, known := senders[a.RequestID]
 			at, heard := told[s.daemonLife]
-			if known && heard && s.began.Sub(at) > drainBound && s.daemon.ranThrough(at, a.At) {
-				r.violate("leaving: %s reached %s %s after it had told %s that it leaves", a.Request, replica, s.began.Sub(at).Round(time.Millisecond), s.daemon.name)
+			if known && heard && s.began.Sub(at) > drainBound && s.daemon.ranThrough(at, a.ArrivedAt) {
+				r.violate("leaving: %s reached %s %s after it had told %s that it leaves", a.RequestID, replica, s.began.Sub(at).Round(time.Millisecond), s.daemon.name)
 			}
 		}
 	}
@@ -105,14 +105,14 @@
 	for _, rep := range r.replicas {
 		arrivals := rep.Arrivals()
 		for i, asked := range arrivals {
-			seconds, err := strconv.ParseFloat(asked.Rest, 64)
-			s, known := senders[asked.Request]
+			seconds, err := strconv.ParseFloat(asked.RetryAfter, 64)
+			s, known := senders[asked.RequestID]
 			if err != nil || !known {
 				continue
 			}
-			until := asked.At.Add(time.Duration(seconds * float64(time.Second)))
-			if n := s.sentBetween(arrivals[i+1:], senders, asked.At.Add(restPassing), until); n > restAllowed && s.daemon.ranThrough(asked.At.Add(-settle), until) {
-				r.violate("rest: %s got %d requests from %s in the %s s for which it had asked for rest", rep.ID, n, s.daemon.name, asked.Rest)
+			until := asked.ArrivedAt.Add(time.Duration(seconds * float64(time.Second)))
+			if n := s.sentBetween(arrivals[i+1:], senders, asked.ArrivedAt.Add(restPassing), until); n > restAllowed && s.daemon.ranThrough(asked.ArrivedAt.Add(-settle), until) {
+				r.violate("rest: %s got %d requests from %s in the %s s for which it had asked for rest", rep.ID, n, s.daemon.name, asked.RetryAfter)
 			}
 		}
 	}
@@ -122,7 +122,7 @@
 func (p daemonLife) sentBetween(arrivals []site.Arrival, senders map[string]sender, from, until time.Time) int {
 	n := 0
 	for _, a := range arrivals {
-		if !a.At.Before(from) && a.At.Before(until) && senders[a.Request].daemonLife == p {
+		if !a.ArrivedAt.Before(from) && a.ArrivedAt.Before(until) && senders[a.RequestID].daemonLife == p {
 			n++
 		}
 	}
--- a/soak/run.go
+++ b/soak/run.go
@@ -77,7 +77,7 @@
 // done is one attempt of a caller and what came of it.
 type done struct {
 	call   site.Call
-	heard  site.Heard
+	heard  site.CallResponse
 	daemon *daemon
 	life   int
 	began  time.Time
@@ -180,11 +180,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.replicas = append(r.replicas, rep)
-	rep.Born = time.Now().UnixMilli()
+	rep.StartUnixMS = time.Now().UnixMilli()
 	rep.FailureDomain = domains[len(r.replicas)%len(domains)]
-	rep.CrashUnder(poison(rep, rand.New(rand.NewPCG(r.cfg.Seed, uint64(1000+len(r.replicas)))), r.noteCrash))
-	rep.Returned = r.returned
-	r.store.Put("servers/"+id, site.Entry(rep, "ready"))
+	rep.SetPoisonRequest(poison(rep, rand.New(rand.NewPCG(r.cfg.Seed, uint64(1000+len(r.replicas)))), r.noteCrash))
+	rep.OnRestart = r.returned
+	r.store.Put("servers/"+id, site.StoreEntry(rep, "ready"))
 	return nil
 }
 
@@ -193,16 +193,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
-	r.store.Put("op/config", site.Configuration(r.version, r.keys))
+	r.store.Put("op/config", site.GatewayConfig(r.version, r.keys))
 }
 
 // recover ends all faults and holds the daemons to serving again.
 func (r *Run) recover() {
-	r.store.Fail(0)
-	r.store.Delay(0)
+	r.store.SetFailure(0)
+	r.store.SetDelay(0)
 	r.mu.Lock()
 	for _, rep := range r.replicas {
-		rep.Behave(site.Behaviour{})
+		rep.SetBehaviour(site.Behaviour{})
 		rep.PauseStreams(0, 0)
 	}
 	r.mu.Unlock()
@@ -219,7 +219,7 @@
 		ok := false
 		for n := range 20 {
 			c := site.Call{ID: fmt.Sprintf("recover-%d-%d", i, n), Path: site.SafePath, Key: r.goodKey(), Deadline: callDeadline}
-			if site.Do(context.Background(), http.DefaultClient, d.callers(), c).Status == http.StatusOK {
+			if site.Send(context.Background(), http.DefaultClient, d.callers(), c).Status == http.StatusOK {
 				ok = true
 				break
 			}
--- a/soak/silence.go
+++ b/soak/silence.go
@@ -70,12 +70,12 @@
 	if last.Service != "llm" || !r.sound(last, x) {
 		return
 	}
-	if last.End == site.Complete && last.Ended.Sub(last.At) >= leastPause {
+	if last.End == site.Completed && last.EndedAt.Sub(last.StartedAt) >= leastPause {
 		r.report.Paused++
 	}
 	switch {
-	case last.End == site.Cancelled && x.inTime(last.Ended):
-		r.violate("silence: %s of %s was ended at %s after %s, and nothing went on", x.call.ID, x.daemon.name, last.Replica, last.Ended.Sub(last.At).Round(time.Millisecond))
+	case last.End == site.Cancelled && x.inTime(last.EndedAt):
+		r.violate("silence: %s of %s was ended at %s after %s, and nothing went on", x.call.ID, x.daemon.name, last.Replica, last.EndedAt.Sub(last.StartedAt).Round(time.Millisecond))
 	case x.heard.Err != nil && x.inTime(x.ended):
 		r.violate("silence: %s of %s was broken off after %s; %s had it %s", x.call.ID, x.daemon.name, x.ended.Sub(x.began).Round(time.Millisecond), last.Replica, last.End)
 	}
@@ -92,5 +92,5 @@
 	}
 	since, draining := r.draining[run.Replica]
 	leaving := draining && since.Before(x.ended)
-	return !leaving && rep.WellThrough(run.At.Add(-begun), x.ended)
+	return !leaving && rep.HealthyThroughout(run.StartedAt.Add(-begun), x.ended)
 }
--- a/stages/planner_test.go
+++ b/stages/planner_test.go
@@ -117,7 +117,7 @@
 		}).Should(Equal(2))
 		out, _, _ := p.checkJobs("peer", []string{"reported"}, true)
 		Expect(out.completed["reported"]).To(HaveLen(1))
-		clock.Simulate(2 * orphanTimeout)
+		clock.SimulateSuspension(2 * orphanTimeout)
 		p.tick()
 		Eventually(replicas.released).Should(Equal([]string{"unreported/0"}))
 		Consistently(replicas.released, 2*releaseDelay).Should(HaveLen(1))
@@ -137,13 +137,13 @@
 		Expect(ok).To(BeTrue())
 		Eventually(replicas.calls.Load).Should(BeEquivalentTo(1))
 		for range 3 {
-			clock.Simulate(2 * time.Second)
+			clock.SimulateSuspension(2 * time.Second)
 			p.tick()
 		}
 		Eventually(replicas.calls.Load).Should(BeEquivalentTo(2), "the pieces are called again")
 		Consistently(replicas.cancelled.Load, 20*time.Millisecond).Should(BeZero())
 		p.dropJobs("", []string{"own"}, false)
-		clock.Simulate(time.Second)
+		clock.SimulateSuspension(time.Second)
 		p.tick()
 		Eventually(replicas.cancelled.Load).Should(BeEquivalentTo(1))
 		Consistently(replicas.cancelled.Load, 20*time.Millisecond).Should(BeEquivalentTo(1), "the replica may be executing the first call")
@@ -168,7 +168,7 @@
 		}
 		out, _, _ := p.checkJobs("peer", []string{"theirs"}, true)
 		Expect(out.unknown).To(BeEmpty())
-		clock.Simulate(2 * orphanTimeout)
+		clock.SimulateSuspension(2 * orphanTimeout)
 		p.tick()
 		out, _, _ = p.checkJobs("peer", []string{"theirs"}, true)
 		Expect(out.unknown).To(ConsistOf("theirs"))
@@ -178,7 +178,7 @@
 
 		By("not treating a period without jobs as a suspension")
 		p.dropJobs("", []string{"own"}, false)
-		clock.Simulate(2 * orphanTimeout)
+		clock.SimulateSuspension(2 * orphanTimeout)
 		p.tick()
 		_, ok := p.submit("peer", job("later"))
 		Expect(ok).To(BeTrue())
