--- a/internal/faultrelay/relay.go
+++ b/internal/faultrelay/relay.go
@@ -1,26 +1,28 @@
-// Package faultrelay is a TCP relay on loopback that brings about network
-// faults between processes under test: cuts, one-way and two-way blackholes,
-// and delay, switched at run time.
+// Package faultrelay is a TCP relay on the loopback interface that injects network
+// faults between processes under test: connection resets, one-way and two-way
+// blackholes, and delay. Faults can be changed while the relay runs.
 //
-// What a TCP endpoint sees of each fault:
+// The faults, as a TCP endpoint sees them:
 //
 //   - Cut: established connections are reset, and new ones are reset right after
 //     they are accepted.
-//   - Blackhole of a direction: bytes, and the end of the stream, go no further
-//     in that direction. TCP retransmits, so they are held and not lost: after
-//     the fault they arrive in order. A new connection is accepted, but its
-//     target is dialled only when neither direction is a blackhole, since a
-//     handshake needs both.
-//   - Silence of the open connections: nothing passes on them any more, in either
-//     direction and for good, and neither side is told. New connections work.
-//   - Delay of a direction: all bytes arrive so much later; it is not a limit
-//     of bandwidth up to 512 KiB in flight.
+//   - Blackhole of a direction: neither data nor the end of the stream passes in
+//     that direction. Because TCP retransmits, the relay buffers the data instead of
+//     dropping it and delivers it in order when the fault ends. A new connection is
+//     accepted, but its target is dialled only when neither direction is a
+//     blackhole, since a handshake needs both.
+//   - Silence: every connection that is open at that moment becomes a permanent
+//     blackhole in both directions, without either side being notified. New
+//     connections work.
+//   - Delay of a direction: all data arrives later by that time. With up to 512 KiB
+//     in flight the delay does not limit the bandwidth.
 //
-// Acknowledgements are not modelled: a one-way blackhole leaves the other
-// direction whole, which would stall before long in a real network.
+// TCP acknowledgements are not modelled: a one-way blackhole leaves the opposite
+// direction working, which in a real network would soon stall for lack of
+// acknowledgements.
 //
-// The relay holds at most MaxConnections connections, each with 512 KiB at most
-// in a direction; further connections are reset.
+// The relay keeps at most MaxConnections connections, each with at most 512 KiB
+// buffered per direction. It resets further connections.
 package faultrelay
 
 import (
@@ -31,7 +33,7 @@
 	"time"
 )
 
-// DefaultMaxConnections is the default bound on connections.
+// DefaultMaxConnections is the default of Config.MaxConnections.
 const DefaultMaxConnections = 256
 
 const dialTimeout = 2 * time.Second
@@ -40,9 +42,11 @@
 type Config struct {
 	// Listen is the ip:port to listen on; default 127.0.0.1:0.
 	Listen string
-	// Target is the ip:port to forward to; it need not listen yet.
+	// Target is the ip:port to forward to. It need not be listening when the relay
+	// starts.
 	Target string
-	// MaxConnections bounds the connections; default DefaultMaxConnections.
+	// MaxConnections limits the simultaneous connections; default
+	// DefaultMaxConnections.
 	MaxConnections int
 }
 
@@ -52,44 +56,45 @@
 	Delay     time.Duration
 }
 
-// Conditions are the faults in force; the zero value is none.
+// Conditions are the active faults; the zero value means none.
 type Conditions struct {
 	Cut      bool
 	ToTarget Direction
 	ToCaller Direction
 }
 
-// Stats counts what a relay did.
+// Stats holds the counters of a relay.
 type Stats struct {
-	// Accepted counts connections that were taken up, Reset those that the
-	// relay reset for a cut, for its bound or at its end.
+	// Accepted counts the connections that the relay accepted and relays. Reset counts
+	// those that it reset because of a cut, its connection limit or Close.
 	Accepted int
 	Reset    int
-	// BytesToTarget and BytesToCaller count the bytes delivered.
+	// BytesToTarget and BytesToCaller count the delivered bytes.
 	BytesToTarget int64
 	BytesToCaller int64
 }
 
-// Relay forwards TCP connections under changing conditions. Its methods are
-// safe for concurrent use.
+// Relay forwards TCP connections under Conditions that can change at any time. Its
+// methods are safe for concurrent use.
 type Relay struct {
-	listener net.Listener
-	limit    int
-	tasks    sync.WaitGroup
+	listener       net.Listener
+	maxConnections int
+	goroutines     sync.WaitGroup
 
 	mu         sync.Mutex
 	target     string
 	conditions Conditions
-	// from holds the conditions of single callers by their IP.
-	from map[string]Conditions
-	// changed is closed and replaced when the conditions change.
+	// callerConditions overrides conditions for single callers, by caller IP.
+	callerConditions map[string]Conditions
+	// changed is closed and replaced whenever the conditions change.
 	changed chan struct{}
 	links   map[*link]struct{}
 	stats   Stats
 	closed  bool
 }
 
-// New starts a relay; the caller must Close it.
+// New starts a relay; the caller must Close it. It returns an error if it can't
+// listen.
 func New(cfg Config) (*Relay, error) {
 	if cfg.Listen == "" {
 		cfg.Listen = "127.0.0.1:0"
@@ -102,14 +107,14 @@
 		return nil, fmt.Errorf("relay to %s: %w", cfg.Target, err)
 	}
 	r := &Relay{
-		listener: l,
-		limit:    cfg.MaxConnections,
-		target:   cfg.Target,
-		changed:  make(chan struct{}),
-		links:    map[*link]struct{}{},
-		from:     map[string]Conditions{},
+		listener:         l,
+		maxConnections:   cfg.MaxConnections,
+		target:           cfg.Target,
+		changed:          make(chan struct{}),
+		links:            map[*link]struct{}{},
+		callerConditions: map[string]Conditions{},
 	}
-	r.tasks.Add(1)
+	r.goroutines.Add(1)
 	go r.accept()
 	return r, nil
 }
@@ -117,73 +122,76 @@
 // Address returns the ip:port that the relay listens on.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// SetTarget changes the target of connections to come.
+// SetTarget changes the target of connections that the relay dials from now on.
 func (r *Relay) SetTarget(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = address
 }
 
-// Set puts c into force, for established connections too. Callers for which
-// SetFrom was called keep their own conditions.
+// Set applies c to new and established connections. Callers with conditions set by
+// SetFrom keep those.
 func (r *Relay) Set(c Conditions) {
-	r.change(func() { r.conditions = c })
+	r.update(func() { r.conditions = c })
 }
 
-// SetFrom puts c into force for the connections of the caller at ip.
+// SetFrom applies c to the connections of the caller at ip, in place of those of
+// Set.
 func (r *Relay) SetFrom(ip string, c Conditions) {
-	r.change(func() { r.from[ip] = c })
+	r.update(func() { r.callerConditions[ip] = c })
 }
 
-// Silence silences every connection that is open now, for good: only a time-out
-// of either side shows it. It returns how many there were.
+// Silence makes every connection that is open now a permanent blackhole in both
+// directions: the endpoints can detect this only by a timeout. It returns the number
+// of these connections.
 func (r *Relay) Silence() int {
 	var n int
-	r.change(func() {
+	r.update(func() {
 		n = len(r.links)
 		for l := range r.links {
-			l.silenced = true
+			l.blackholed = true
 		}
 	})
 	return n
 }
 
-// Heal ends all faults, but for connections that were silenced.
+// Heal ends all faults except those of connections that Silence affected.
 func (r *Relay) Heal() {
-	r.change(func() {
+	r.update(func() {
 		r.conditions = Conditions{}
-		clear(r.from)
+		clear(r.callerConditions)
 	})
 }
 
-// change changes the conditions and resets the links that are now cut.
-func (r *Relay) change(set func()) {
+// update changes the conditions with set, wakes the waiting links and resets those
+// that are now cut.
+func (r *Relay) update(set func()) {
 	r.mu.Lock()
 	set()
 	close(r.changed)
 	r.changed = make(chan struct{})
-	cut := r.takeLinks(func(l *link) bool { return r.of(l).Cut })
+	cut := r.removeLinks(func(l *link) bool { return r.conditionsOf(l).Cut })
 	r.mu.Unlock()
 	for _, l := range cut {
 		l.reset()
 	}
 }
 
-// silent are the conditions of a silenced connection.
-var silent = Conditions{ToTarget: Direction{Blackhole: true}, ToCaller: Direction{Blackhole: true}}
+// fullBlackhole is in force for connections that Silence affected.
+var fullBlackhole = Conditions{ToTarget: Direction{Blackhole: true}, ToCaller: Direction{Blackhole: true}}
 
-// of returns the conditions of a link; the caller holds mu.
-func (r *Relay) of(l *link) Conditions {
-	if l.silenced {
-		return silent
+// conditionsOf returns the conditions of a link; the caller holds mu.
+func (r *Relay) conditionsOf(l *link) Conditions {
+	if l.blackholed {
+		return fullBlackhole
 	}
-	if c, ok := r.from[l.ip]; ok {
+	if c, ok := r.callerConditions[l.callerIP]; ok {
 		return c
 	}
 	return r.conditions
 }
 
-// Stats returns the counts so far.
+// Stats returns the counters so far.
 func (r *Relay) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -195,21 +203,21 @@
 	err := r.listener.Close()
 	r.mu.Lock()
 	r.closed = true
-	links := r.takeLinks(func(*link) bool { return true })
+	links := r.removeLinks(func(*link) bool { return true })
 	r.mu.Unlock()
 	for _, l := range links {
 		l.reset()
 	}
-	r.tasks.Wait()
+	r.goroutines.Wait()
 	if errors.Is(err, net.ErrClosed) {
 		return nil
 	}
 	return err
 }
 
-// takeLinks takes the links that satisfy which out of the set and counts them
-// as reset; the caller holds mu and resets them.
-func (r *Relay) takeLinks(which func(*link) bool) []*link {
+// removeLinks removes the links that satisfy which, counts them as reset and returns
+// them. The caller holds mu, and resets them after releasing it.
+func (r *Relay) removeLinks(which func(*link) bool) []*link {
 	var links []*link
 	for l := range r.links {
 		if which(l) {
@@ -221,16 +229,16 @@
 	return links
 }
 
-// state returns the conditions of a link and a channel that is closed when they
-// change.
-func (r *Relay) state(l *link) (Conditions, <-chan struct{}) {
+// conditionsAndChange returns the conditions of a link and a channel that is closed
+// when any conditions change.
+func (r *Relay) conditionsAndChange(l *link) (Conditions, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.of(l), r.changed
+	return r.conditionsOf(l), r.changed
 }
 
 func (r *Relay) accept() {
-	defer r.tasks.Done()
+	defer r.goroutines.Done()
 	for {
 		conn, err := r.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -240,45 +248,46 @@
 			continue
 		}
 		l := newLink(r, conn.(*net.TCPConn))
-		if !r.admit(l) {
+		if !r.startLink(l) {
 			l.reset()
 		}
 	}
 }
 
-// admit starts l, or returns false when it is to be reset.
-func (r *Relay) admit(l *link) bool {
+// startLink starts relaying l. It returns false if l must be reset instead: the
+// relay is closed or at its limit, or the caller is cut off.
+func (r *Relay) startLink(l *link) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.closed || r.of(l).Cut || len(r.links) >= r.limit {
+	if r.closed || r.conditionsOf(l).Cut || len(r.links) >= r.maxConnections {
 		r.stats.Reset++
 		return false
 	}
 	r.links[l] = struct{}{}
 	r.stats.Accepted++
-	r.tasks.Add(1)
+	r.goroutines.Add(1)
 	go func() {
-		defer r.tasks.Done()
+		defer r.goroutines.Done()
 		l.run()
-		r.forget(l)
+		r.removeLink(l)
 	}()
 	return true
 }
 
-func (r *Relay) forget(l *link) {
+func (r *Relay) removeLink(l *link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.links, l)
 }
 
-// dialAddress returns the target of a connection that is dialled now.
-func (r *Relay) dialAddress() string {
+// currentTarget returns the ip:port to dial for a new connection.
+func (r *Relay) currentTarget() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.target
 }
 
-func (r *Relay) count(toTarget, toCaller int) {
+func (r *Relay) addBytes(toTarget, toCaller int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stats.BytesToTarget += int64(toTarget)
--- a/internal/faultrelay/relay_test.go
+++ b/internal/faultrelay/relay_test.go
@@ -17,18 +17,18 @@
 }
 
 const (
-	soon   = 5 * time.Second
-	little = 50 * time.Millisecond
+	eventTimeout = 5 * time.Second
+	shortDelay   = 50 * time.Millisecond
 )
 
 var _ = Describe("Relay", func() {
 	var target net.Listener
 	var relay *Relay
 
-	// accepted yields the target's ends of the relayed connections.
+	// accepted receives the target's ends of the relayed connections.
 	var accepted chan *net.TCPConn
 
-	startWith := func(cfg Config) {
+	startRelay := func(cfg Config) {
 		var err error
 		cfg.Target = target.Addr().String()
 		relay, err = New(cfg)
@@ -59,35 +59,35 @@
 		DeferCleanup(func() { _ = c.Close() })
 		return c.(*net.TCPConn)
 	}
-	pair := func() (caller, far *net.TCPConn) {
+	connect := func() (caller, server *net.TCPConn) {
 		caller = dial()
-		Eventually(accepted, soon).Should(Receive(&far))
-		DeferCleanup(func() { _ = far.Close() })
-		return caller, far
+		Eventually(accepted, eventTimeout).Should(Receive(&server))
+		DeferCleanup(func() { _ = server.Close() })
+		return caller, server
 	}
 	send := func(c *net.TCPConn, text string) {
 		_, err := c.Write([]byte(text))
 		Expect(err).NotTo(HaveOccurred())
 	}
 	receive := func(c *net.TCPConn, want string) {
-		Expect(c.SetReadDeadline(time.Now().Add(soon))).To(Succeed())
+		Expect(c.SetReadDeadline(time.Now().Add(eventTimeout))).To(Succeed())
 		got := make([]byte, len(want))
 		_, err := io.ReadFull(c, got)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(got)).To(Equal(want))
 	}
-	silent := func(c *net.TCPConn) {
-		Expect(c.SetReadDeadline(time.Now().Add(little))).To(Succeed())
+	expectNoData := func(c *net.TCPConn) {
+		Expect(c.SetReadDeadline(time.Now().Add(shortDelay))).To(Succeed())
 		_, err := c.Read(make([]byte, 1))
 		Expect(err).To(MatchError(ContainSubstring("timeout")))
 	}
-	isReset := func(c *net.TCPConn) {
-		Expect(c.SetReadDeadline(time.Now().Add(soon))).To(Succeed())
+	expectReset := func(c *net.TCPConn) {
+		Expect(c.SetReadDeadline(time.Now().Add(eventTimeout))).To(Succeed())
 		_, err := c.Read(make([]byte, 1))
 		Expect(err).To(MatchError(ContainSubstring("reset by peer")))
 	}
 
-	// The reset may come as early as in the connect.
+	// The reset may arrive during connect already, so that Dial fails.
 	expectRefused := func() {
 		c, err := net.Dial("tcp", relay.Address())
 		if err != nil {
@@ -95,101 +95,101 @@
 			return
 		}
 		defer c.Close()
-		isReset(c.(*net.TCPConn))
+		expectReset(c.(*net.TCPConn))
 	}
 
-	It("cuts one caller and leaves the others", func() {
-		startWith(Config{})
-		caller, far := pair()
+	It("resets one caller's connections and relays the others", func() {
+		startRelay(Config{})
+		caller, server := connect()
 		relay.SetFrom("127.0.0.9", Conditions{Cut: true})
 		send(caller, "on")
-		receive(far, "on")
+		receive(server, "on")
 		relay.SetFrom("127.0.0.1", Conditions{Cut: true})
-		isReset(caller)
+		expectReset(caller)
 		expectRefused()
 		relay.Heal()
-		caller, far = pair()
+		caller, server = connect()
 		send(caller, "again")
-		receive(far, "again")
+		receive(server, "again")
 	})
 
-	It("relays both ways, whole, and passes on the end of each stream", func() {
-		startWith(Config{})
-		caller, far := pair()
+	It("relays both directions completely and passes on the end of each stream", func() {
+		startRelay(Config{})
+		caller, server := connect()
 		big := bytes.Repeat([]byte("wheat"), 1<<20)
 		go func() {
 			_, _ = caller.Write(big)
 			_ = caller.CloseWrite()
 		}()
-		Expect(far.SetReadDeadline(time.Now().Add(soon))).To(Succeed())
-		got, err := io.ReadAll(far)
+		Expect(server.SetReadDeadline(time.Now().Add(eventTimeout))).To(Succeed())
+		got, err := io.ReadAll(server)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(bytes.Equal(got, big)).To(BeTrue())
-		send(far, "answer")
-		Expect(far.Close()).To(Succeed())
+		send(server, "answer")
+		Expect(server.Close()).To(Succeed())
 		receive(caller, "answer")
 		_, err = caller.Read(make([]byte, 1))
 		Expect(err).To(MatchError(io.EOF))
 		Expect(relay.Stats()).To(Equal(Stats{Accepted: 1, BytesToTarget: int64(len(big)), BytesToCaller: 6}))
 	})
 
-	It("cuts: resets old and new connections until healed", func() {
-		startWith(Config{})
-		caller, far := pair()
+	It("resets established and new connections while cut, until healed", func() {
+		startRelay(Config{})
+		caller, server := connect()
 		relay.Set(Conditions{Cut: true})
-		isReset(caller)
-		isReset(far)
+		expectReset(caller)
+		expectReset(server)
 		expectRefused()
 		Expect(relay.Stats().Reset).To(Equal(2))
 		Expect(accepted).To(BeEmpty())
 		relay.Heal()
-		caller, far = pair()
+		caller, server = connect()
 		send(caller, "again")
-		receive(far, "again")
+		receive(server, "again")
 	})
 
-	DescribeTable("blackholes one way, and delivers what was held once healed",
-		func(c Conditions, dark func(caller, far *net.TCPConn) (from, to *net.TCPConn)) {
-			startWith(Config{})
-			caller, far := pair()
+	DescribeTable("blackholes one direction and delivers the buffered data once healed",
+		func(c Conditions, endpoints func(caller, server *net.TCPConn) (from, to *net.TCPConn)) {
+			startRelay(Config{})
+			caller, server := connect()
 			relay.Set(c)
-			from, to := dark(caller, far)
+			from, to := endpoints(caller, server)
 			send(from, "held")
-			silent(to)
+			expectNoData(to)
 			send(to, "passes")
 			receive(from, "passes")
 			relay.Heal()
 			receive(to, "held")
 		},
 		Entry("to the target", Conditions{ToTarget: Direction{Blackhole: true}},
-			func(caller, far *net.TCPConn) (*net.TCPConn, *net.TCPConn) { return caller, far }),
+			func(caller, server *net.TCPConn) (*net.TCPConn, *net.TCPConn) { return caller, server }),
 		Entry("to the caller", Conditions{ToCaller: Direction{Blackhole: true}},
-			func(caller, far *net.TCPConn) (*net.TCPConn, *net.TCPConn) { return far, caller }),
+			func(caller, server *net.TCPConn) (*net.TCPConn, *net.TCPConn) { return server, caller }),
 	)
 
-	It("blackholes both ways, new connections too", func() {
-		startWith(Config{})
-		caller, far := pair()
-		dark := Direction{Blackhole: true}
-		relay.Set(Conditions{ToTarget: dark, ToCaller: dark})
+	It("blackholes both directions, for new connections too", func() {
+		startRelay(Config{})
+		caller, server := connect()
+		blackhole := Direction{Blackhole: true}
+		relay.Set(Conditions{ToTarget: blackhole, ToCaller: blackhole})
 		send(caller, "there")
-		send(far, "back")
-		silent(far)
-		silent(caller)
+		send(server, "back")
+		expectNoData(server)
+		expectNoData(caller)
 		late := dial()
 		send(late, "late")
-		Consistently(accepted, little).ShouldNot(Receive())
+		Consistently(accepted, shortDelay).ShouldNot(Receive())
 		relay.Heal()
-		receive(far, "there")
+		receive(server, "there")
 		receive(caller, "back")
-		var lateFar *net.TCPConn
-		Eventually(accepted, soon).Should(Receive(&lateFar))
-		receive(lateFar, "late")
-		Expect(lateFar.Close()).To(Succeed())
+		var lateServer *net.TCPConn
+		Eventually(accepted, eventTimeout).Should(Receive(&lateServer))
+		receive(lateServer, "late")
+		Expect(lateServer.Close()).To(Succeed())
 	})
 
-	It("silences the connections that are open, for good, and no others", func() {
-		startWith(Config{})
+	It("blackholes open connections permanently and leaves new ones working", func() {
+		startRelay(Config{})
 		old := dial()
 		oldServer := <-accepted
 		_, err := old.Write([]byte("1"))
@@ -200,76 +200,76 @@
 		relay.Heal()
 		_, err = old.Write([]byte("2"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(oldServer.SetReadDeadline(time.Now().Add(little))).To(Succeed())
+		Expect(oldServer.SetReadDeadline(time.Now().Add(shortDelay))).To(Succeed())
 		_, err = oldServer.Read(one)
 		Expect(err).To(MatchError(ContainSubstring("timeout")))
 		recent := dial()
 		recentServer := <-accepted
 		_, err = recent.Write([]byte("3"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(recentServer.SetReadDeadline(time.Now().Add(soon))).To(Succeed())
+		Expect(recentServer.SetReadDeadline(time.Now().Add(eventTimeout))).To(Succeed())
 		Expect(recentServer.Read(one)).To(Equal(1))
 	})
 
-	It("hides the death of one side behind a blackhole", func() {
-		startWith(Config{})
-		caller, far := pair()
+	It("hides the reset by one side while there is a blackhole", func() {
+		startRelay(Config{})
+		caller, server := connect()
 		relay.Set(Conditions{ToCaller: Direction{Blackhole: true}})
-		Expect(abort(far)).To(Succeed())
-		silent(caller)
+		Expect(closeWithReset(server)).To(Succeed())
+		expectNoData(caller)
 		relay.Heal()
-		isReset(caller)
+		expectReset(caller)
 	})
 
-	It("delays a direction, and ends the delay when healed", func() {
-		startWith(Config{})
-		caller, far := pair()
-		relay.Set(Conditions{ToTarget: Direction{Delay: little}})
+	It("delays one direction until healed", func() {
+		startRelay(Config{})
+		caller, server := connect()
+		relay.Set(Conditions{ToTarget: Direction{Delay: shortDelay}})
 		start := time.Now()
 		send(caller, "slow")
-		receive(far, "slow")
-		Expect(time.Since(start)).To(BeNumerically(">=", little))
+		receive(server, "slow")
+		Expect(time.Since(start)).To(BeNumerically(">=", shortDelay))
 		relay.Set(Conditions{ToTarget: Direction{Delay: time.Hour}})
 		send(caller, "slower")
-		silent(far)
+		expectNoData(server)
 		relay.Heal()
-		receive(far, "slower")
+		receive(server, "slower")
 	})
 
-	It("bounds its connections and what it holds", func() {
-		startWith(Config{MaxConnections: 1})
-		caller, _ := pair()
+	It("limits its connections and the data it buffers", func() {
+		startRelay(Config{MaxConnections: 1})
+		caller, _ := connect()
 		expectRefused()
 		relay.Set(Conditions{ToTarget: Direction{Blackhole: true}})
-		Expect(caller.SetWriteDeadline(time.Now().Add(4 * little))).To(Succeed())
+		Expect(caller.SetWriteDeadline(time.Now().Add(4 * shortDelay))).To(Succeed())
 		n, err := caller.Write(make([]byte, 64<<20))
 		Expect(err).To(MatchError(ContainSubstring("timeout")))
 		Expect(n).To(BeNumerically("<", 32<<20))
 	})
 
-	It("resets a caller whose target does not listen, and finds a new target", func() {
-		startWith(Config{})
+	It("resets a caller whose target does not listen, and dials a new target", func() {
+		startRelay(Config{})
 		address := target.Addr().String()
-		gone, err := net.Listen("tcp", "127.0.0.1:0")
+		closedListener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		relay.SetTarget(gone.Addr().String())
-		Expect(gone.Close()).To(Succeed())
+		relay.SetTarget(closedListener.Addr().String())
+		Expect(closedListener.Close()).To(Succeed())
 		expectRefused()
 		relay.SetTarget(address)
-		caller, far := pair()
+		caller, server := connect()
 		send(caller, "found")
-		receive(far, "found")
+		receive(server, "found")
 	})
 
-	It("ends all connections when it is closed, also those in a blackhole", func() {
-		startWith(Config{})
-		caller, _ := pair()
+	It("resets all connections when it is closed, including those in a blackhole", func() {
+		startRelay(Config{})
+		caller, _ := connect()
 		relay.Set(Conditions{ToTarget: Direction{Blackhole: true}})
 		send(caller, "held")
 		waiting := dial()
-		Eventually(func() int { return relay.Stats().Accepted }, soon).Should(Equal(2))
+		Eventually(func() int { return relay.Stats().Accepted }, eventTimeout).Should(Equal(2))
 		Expect(relay.Close()).To(Succeed())
-		isReset(caller)
-		isReset(waiting)
+		expectReset(caller)
+		expectReset(waiting)
 	})
 })
--- a/internal/proctest/bundle.go
+++ b/internal/proctest/bundle.go
@@ -9,22 +9,22 @@
 	"github.com/wheatseam/wheatseam/bundle"
 )
 
-// The names used by the fleet's bundle.
+// Names in the fleet's bundle.
 const (
-	// APIKey is the key of the one customer.
+	// APIKey is the key of the only customer.
 	APIKey   = "proctest-key"
 	Customer = "firma"
-	// PipelineSeal has one stage that may not be repeated.
+	// PipelineSeal has a single stage, which may not be repeated.
 	PipelineSeal = "seal"
-	// PipelineSummary encodes, then generates.
+	// PipelineSummary has an encode stage and then a generate stage.
 	PipelineSummary = "summary"
-	// PipelineQuotation generates, encodes, then calls a stage that may not
-	// be repeated.
+	// PipelineQuotation has a generate stage, an encode stage and then a call
+	// stage that may not be repeated.
 	PipelineQuotation = "quotation"
 )
 
-// peerIP is the loopback address that host i talks to its fellows from, so
-// that the relays know who calls.
+// peerIP returns the loopback IP from which host i connects to its peers. Each
+// host has its own, by which the relays tell the callers apart.
 func peerIP(i int) string { return fmt.Sprintf("127.0.0.%d", 10+i) }
 
 func newBundle(peers []string, listen func(string) (string, error)) (*bundle.Bundle, error) {
@@ -74,8 +74,8 @@
 // replicasPerPool is the number of upstreams in each pool.
 const replicasPerPool = 3
 
-// addPools adds the pools; listen opens the listener of an upstream and returns
-// its address.
+// addPools adds the pools with their upstreams; listen opens the listener of an
+// upstream and returns its ip:port.
 func addPools(b *bundle.Bundle, listen func(name string) (string, error)) error {
 	b.Pools = []bundle.Pool{
 		{Name: "encoders", Kind: bundle.PoolService, Concurrency: 32, Supports: bundle.Supports{Cancellation: true}},
--- a/internal/proctest/call.go
+++ b/internal/proctest/call.go
@@ -15,41 +15,42 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// Outcome is what a caller heard.
+// Outcome is the result of a request as its caller sees it.
 type Outcome struct {
-	// Err is set when there was no answer at all.
-	Err       error
-	Status    int
-	RequestID string            `json:"request_id"`
-	Result    json.RawMessage   `json:"result"`
-	Kind      problem.Kind      `json:"kind"`
-	Execution problem.Execution `json:"execution"`
-	Detail    string            `json:"detail"`
-	Bundle    uint64            `json:"bundle_version"`
-	// RetryAfter is the header's value.
+	// Err is set if there was no answer, or none that could be read and decoded.
+	Err           error
+	Status        int
+	RequestID     string            `json:"request_id"`
+	Result        json.RawMessage   `json:"result"`
+	Kind          problem.Kind      `json:"kind"`
+	Execution     problem.Execution `json:"execution"`
+	Detail        string            `json:"detail"`
+	BundleVersion uint64            `json:"bundle_version"`
+	// RetryAfter is the value of the Retry-After header.
 	RetryAfter string
 	Took       time.Duration
-	// Heard is when the caller had its answer.
+	// Heard is when the answer was complete or the request failed.
 	Heard time.Time
 }
 
-// Answered reports whether the caller has its whole answer.
+// Answered reports whether the caller received a complete answer with status 200.
 func (o Outcome) Answered() bool { return o.Err == nil && o.Status == http.StatusOK }
 
 // NewKey returns a fresh idempotency key.
 func NewKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// callTimeout is how long a caller waits for its answer.
+// callTimeout is how long a caller waits for an answer.
 const callTimeout = 10 * time.Second
 
-// Call sends one request through host i and waits for what it hears.
+// Call sends one request to host i and waits for its outcome. An empty key sends no
+// idempotency key.
 func (f *Fleet) Call(i int, pipeline, key, text string) Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	return f.CallContext(ctx, i, pipeline, key, text)
 }
 
-// CallContext is Call for a caller that goes away when ctx ends.
+// CallContext is Call for a caller that abandons the request when ctx ends.
 func (f *Fleet) CallContext(ctx context.Context, i int, pipeline, key, text string) Outcome {
 	began := time.Now()
 	o := f.call(ctx, i, pipeline, key, text)
@@ -72,7 +73,7 @@
 	if key != "" {
 		req.Header.Set("Idempotency-Key", key)
 	}
-	// The client must not send a request again by itself.
+	// Without GetBody the HTTP client cannot resend the request on its own.
 	req.GetBody = nil
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -88,9 +89,9 @@
 	return o
 }
 
-// operate calls the operators' listener of daemon i.
-func (f *Fleet) operate(i int, method, path string) (*http.Response, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), operateTimeout)
+// callOperatorAPI sends a request to the operators' listener of daemon i.
+func (f *Fleet) callOperatorAPI(i int, method, path string) (*http.Response, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+f.operatorAddress(i)+path, nil)
 	if err != nil {
@@ -107,11 +108,12 @@
 	return resp, err
 }
 
-const operateTimeout = time.Second
+const operatorTimeout = time.Second
 
-// Operate calls the operators' listener of daemon i and decodes its answer.
-func (f *Fleet) Operate(i int, method, path string, into any) error {
-	resp, err := f.operate(i, method, path)
+// CallOperatorAPI calls the operators' listener of daemon i and decodes the JSON
+// answer into into, if that is not nil. Any status but 200 is an error.
+func (f *Fleet) CallOperatorAPI(i int, method, path string, into any) error {
+	resp, err := f.callOperatorAPI(i, method, path)
 	if err != nil {
 		return err
 	}
@@ -128,9 +130,9 @@
 	return json.Unmarshal(raw, into)
 }
 
-// Metrics returns the metrics of daemon i in Prometheus form.
+// Metrics returns the metrics of daemon i in the Prometheus text format.
 func (f *Fleet) Metrics(i int) (string, error) {
-	resp, err := f.operate(i, http.MethodGet, "/metrics")
+	resp, err := f.callOperatorAPI(i, http.MethodGet, "/metrics")
 	if err != nil {
 		return "", err
 	}
@@ -138,7 +140,7 @@
 	return string(raw), err
 }
 
-// Executions returns the executions begun at a stage under an idempotency key.
+// Executions returns the executions that have started under an idempotency key.
 func (f *Fleet) Executions(key string) []ledger.Entry {
 	var found []ledger.Entry
 	for _, e := range f.Upstream.Ledger().Entries() {
@@ -149,11 +151,11 @@
 	return found
 }
 
-// Begun counts all executions that have begun.
-func (f *Fleet) Begun() int { return len(f.Upstream.Ledger().Entries()) }
+// StartedCount returns the number of executions that have started.
+func (f *Fleet) StartedCount() int { return len(f.Upstream.Ledger().Entries()) }
 
-// Running counts the executions that have begun and not ended.
-func (f *Fleet) Running() int {
+// RunningCount returns the number of executions that have started and not ended.
+func (f *Fleet) RunningCount() int {
 	n := 0
 	for _, e := range f.Upstream.Ledger().Entries() {
 		if e.State == ledger.Running {
--- a/internal/proctest/crash.go
+++ b/internal/proctest/crash.go
@@ -11,63 +11,64 @@
 	"time"
 )
 
-// Crashes has the upstreams of a fleet end under a text. The zero value has none do.
-type Crashes struct {
-	mu    sync.Mutex
-	text  string
-	down  time.Duration
-	count int
+// CrashInjector makes the upstreams of a fleet crash when they receive a given text.
+// The zero value injects no crashes.
+type CrashInjector struct {
+	mu       sync.Mutex
+	trigger  string
+	downtime time.Duration
+	count    int
 }
 
-// Under has an upstream's process end, with all its connections, when it is sent a
-// body with the text, and start again after a while; "" ends that.
-func (c *Crashes) Under(text string, down time.Duration) {
+// CrashOn makes an upstream close all its connections when it receives a body that
+// contains text, and listen again after the time down; "" turns this off.
+func (c *CrashInjector) CrashOn(text string, down time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.text, c.down = text, down
+	c.trigger, c.downtime = text, down
 }
 
-// Count returns the number of crashes.
-func (c *Crashes) Count() int {
+// Count returns the number of crashes so far.
+func (c *CrashInjector) Count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.count
 }
 
-// crashAfter is how long an upstream has begun to run a request when it crashes.
-const crashAfter = 20 * time.Millisecond
+// crashDelay is the time between the arrival of a request and the crash.
+const crashDelay = 20 * time.Millisecond
 
-// serve serves an upstream, from one crash to the next, until ctx ends.
-func (c *Crashes) serve(ctx context.Context, l net.Listener, h http.Handler) error {
+// serve serves an upstream until ctx ends and restarts the server after each crash.
+func (c *CrashInjector) serve(ctx context.Context, l net.Listener, h http.Handler) error {
 	address := l.Addr().String()
 	for {
 		crashed := make(chan time.Duration, 1)
 		s := &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if c.crashes(r) {
-				time.Sleep(crashAfter)
-				c.crash(crashed)
+			if c.triggersCrash(r) {
+				time.Sleep(crashDelay)
+				c.reportCrash(crashed)
 				panic(http.ErrAbortHandler)
 			}
 			h.ServeHTTP(w, r)
 		})}
-		go func() { _ = s.Serve(l) }() // ends with Close
+		go func() { _ = s.Serve(l) }() // returns after Close
 		select {
 		case <-ctx.Done():
 			return s.Close()
 		case down := <-crashed:
-			_ = s.Close() // a crash asks nobody
+			_ = s.Close() // an error here does not matter: the server is crashing
 			time.Sleep(down)
 		}
 		var err error
 		if l, err = net.Listen("tcp", address); err != nil {
-			return fmt.Errorf("start again after a crash: %w", err)
+			return fmt.Errorf("listen again after a crash: %w", err)
 		}
 	}
 }
 
-// crashes says whether a request crashes its upstream. Questions about earlier
-// requests have no body.
-func (c *Crashes) crashes(r *http.Request) bool {
+// triggersCrash reports whether the body of a request contains the trigger. Status
+// lookups of earlier requests have no body and never do.
+func (c *CrashInjector) triggersCrash(r *http.Request) bool {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return false
@@ -75,16 +76,17 @@
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.text != "" && bytes.Contains(body, []byte(c.text))
+	return c.trigger != "" && bytes.Contains(body, []byte(c.trigger))
 }
 
-// crash counts a crash and tells the server of it, once.
-func (c *Crashes) crash(crashed chan<- time.Duration) {
+// reportCrash counts a crash and sends its downtime to the server. It has no effect
+// while an earlier crash of that server is pending.
+func (c *CrashInjector) reportCrash(crashed chan<- time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case crashed <- c.down:
+	case crashed <- c.downtime:
 		c.count++
-	default: // it crashes already
+	default: // already crashing
 	}
 }
--- a/internal/proctest/doc.go
+++ b/internal/proctest/doc.go
@@ -1,7 +1,7 @@
-// Package proctest starts a fleet for process tests: entry daemons as real
-// processes, the platform and the upstreams as stand-ins within the test's own
-// process. Faults are real signals to the daemons, and the stand-ins' ledger
-// says what was executed.
+// Package proctest starts a fleet for process tests. The entry daemons are real
+// processes; the platform and the upstreams are simulated in the test's own
+// process. Tests inject faults by signals to the daemons, by the relays between
+// them and in the simulated upstreams, whose ledger records what was executed.
 //
-// Only tests import it.
+// Only tests import this package.
 package proctest
--- a/internal/proctest/fleet.go
+++ b/internal/proctest/fleet.go
@@ -26,57 +26,58 @@
 	"github.com/wheatseam/wheatseam/internal/standin/service"
 )
 
-// Options change a fleet before it starts.
+// Options configure a fleet.
 type Options struct {
-	// Hosts is the number of entry hosts. Default 3.
+	// Hosts is the number of entry hosts that the first bundle lists; default 3.
 	Hosts int
-	// Spare is the number of further daemons that the first bundle does not
-	// list.
-	Spare int
-	// Bundle changes the bundle, if set.
-	Bundle func(*bundle.Bundle)
+	// SpareHosts is the number of further hosts, with running daemons, that the
+	// first bundle does not list.
+	SpareHosts int
+	// ModifyBundle, if set, changes the first bundle before it is published.
+	ModifyBundle func(*bundle.Bundle)
 }
 
 // Fleet is a running fleet.
 type Fleet struct {
 	Bundle *bundle.Bundle
-	// Hosts lists all hosts, those that the bundle does not list last.
+	// Hosts lists all hosts; the spare hosts come last.
 	Hosts    []bundle.Host
 	Platform *platform.Platform
 	Upstream *fleet.Fleet
 	Daemons  []*Process
-	// Crashes makes upstreams crash.
-	Crashes Crashes
+	// Crashes injects crashes into the upstreams.
+	Crashes CrashInjector
 
-	dir       string
-	program   string
-	key       ed25519.PrivateKey
-	platform  string
-	mu        sync.RWMutex // guards callers and operators
-	callers   []string
-	relays    []*faultrelay.Relay
-	listeners map[string]net.Listener
-	starts    int
-	operators []string
-	stop      context.CancelFunc
-	serving   errgroup.Group
+	dir               string
+	daemonPath        string
+	signingKey        ed25519.PrivateKey
+	platformURL       string
+	mu                sync.RWMutex // guards callerAddresses and operatorAddresses
+	callerAddresses   []string
+	peerRelays        []*faultrelay.Relay
+	upstreamListeners map[string]net.Listener
+	startCount        int
+	operatorAddresses []string
+	cancel            context.CancelFunc
+	servers           errgroup.Group
 }
 
-// operatorToken is the token of the operators' listeners.
+// operatorToken authorizes requests to the operators' listeners.
 const operatorToken = "proctest-operator-token"
 
-// Start starts a fleet and waits until every daemon is ready.
+// Start starts a fleet with its files in dir and waits until every daemon that the
+// first bundle lists is ready.
 func Start(dir string, o Options) (*Fleet, error) {
 	if o.Hosts == 0 {
 		o.Hosts = 3
 	}
-	all := o.Hosts + o.Spare
+	all := o.Hosts + o.SpareHosts
 	f := &Fleet{
-		dir: dir, Daemons: make([]*Process, all), listeners: make(map[string]net.Listener),
-		callers: make([]string, all), operators: make([]string, all),
+		dir: dir, Daemons: make([]*Process, all), upstreamListeners: make(map[string]net.Listener),
+		callerAddresses: make([]string, all), operatorAddresses: make([]string, all),
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	f.stop = stop
+	f.cancel = stop
 	if err := f.start(ctx, o); err != nil {
 		f.Close()
 		return nil, err
@@ -94,16 +95,16 @@
 	}
 	f.Hosts = f.Bundle.Hosts
 	f.Bundle.Hosts = f.Hosts[:o.Hosts]
-	if o.Bundle != nil {
-		o.Bundle(f.Bundle)
+	if o.ModifyBundle != nil {
+		o.ModifyBundle(f.Bundle)
 	}
-	if f.program, err = daemonBinary(); err != nil {
+	if f.daemonPath, err = daemonBinary(); err != nil {
 		return err
 	}
 	if err := f.startStandIns(ctx); err != nil {
 		return err
 	}
-	if err := f.writeKeys(); err != nil {
+	if err := f.writeCredentials(); err != nil {
 		return err
 	}
 	if err := f.Publish(f.Bundle); err != nil {
@@ -117,8 +118,8 @@
 	return f.WaitReady(readyTimeout)
 }
 
-// startRelays puts a relay before each daemon's peer listener and returns the
-// relays' addresses, which the bundle names.
+// startRelays starts a relay for each daemon's peer listener and returns the
+// relays' addresses, which the bundle uses as peer addresses.
 func (f *Fleet) startRelays(hosts int) ([]string, error) {
 	var addresses []string
 	for range hosts {
@@ -126,42 +127,46 @@
 		if err != nil {
 			return nil, err
 		}
-		f.relays = append(f.relays, r)
+		f.peerRelays = append(f.peerRelays, r)
 		addresses = append(addresses, r.Address())
 	}
 	return addresses, nil
 }
 
-// Link sets the conditions of the path from host i to host j.
-func (f *Fleet) Link(i, j int, c faultrelay.Conditions) { f.relays[j].SetFrom(peerIP(i), c) }
+// SetLinkConditions sets the conditions of the connections that host i opens to
+// host j.
+func (f *Fleet) SetLinkConditions(i, j int, c faultrelay.Conditions) {
+	f.peerRelays[j].SetFrom(peerIP(i), c)
+}
 
-// Isolate cuts host i off from all fellow daemons, both ways.
+// Isolate cuts the connections between host i and all other hosts in both
+// directions.
 func (f *Fleet) Isolate(i int) {
-	for j := range f.relays {
+	for j := range f.peerRelays {
 		if j != i {
-			f.Link(i, j, faultrelay.Conditions{Cut: true})
-			f.Link(j, i, faultrelay.Conditions{Cut: true})
+			f.SetLinkConditions(i, j, faultrelay.Conditions{Cut: true})
+			f.SetLinkConditions(j, i, faultrelay.Conditions{Cut: true})
 		}
 	}
 }
 
-// Heal ends all faults between daemons.
+// Heal ends all faults between hosts.
 func (f *Fleet) Heal() {
-	for _, r := range f.relays {
+	for _, r := range f.peerRelays {
 		r.Heal()
 	}
 }
 
 const readyTimeout = 20 * time.Second
 
-// listenUpstream opens the listener of an upstream before the bundle that
-// names its address is made.
+// listenUpstream opens the listener of an upstream. It must run before the bundle
+// is built, because the bundle contains the address.
 func (f *Fleet) listenUpstream(name string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("listen for %s: %w", name, err)
 	}
-	f.listeners[name] = l
+	f.upstreamListeners[name] = l
 	return l.Addr().String(), nil
 }
 
@@ -171,25 +176,25 @@
 	if err != nil {
 		return fmt.Errorf("listen for the platform: %w", err)
 	}
-	f.platform = "http://" + l.Addr().String()
-	f.serving.Go(func() error { return standin.Serve(ctx, l, f.Platform) })
+	f.platformURL = "http://" + l.Addr().String()
+	f.servers.Go(func() error { return standin.Serve(ctx, l, f.Platform) })
 	f.Upstream = fleet.New(fleet.Config{
 		Bundle:  f.Bundle,
 		Engine:  engine.Config{Seed: 1, TimeScale: 0.1},
 		Service: service.Config{Seed: 1},
 	})
-	for name, l := range f.listeners {
-		f.serving.Go(func() error { return f.Crashes.serve(ctx, l, f.Upstream.Handler(name)) })
+	for name, l := range f.upstreamListeners {
+		f.servers.Go(func() error { return f.Crashes.serve(ctx, l, f.Upstream.Handler(name)) })
 	}
 	return nil
 }
 
-func (f *Fleet) writeKeys() error {
+func (f *Fleet) writeCredentials() error {
 	pub, key, err := ed25519.GenerateKey(nil)
 	if err != nil {
 		return fmt.Errorf("generate key: %w", err)
 	}
-	f.key = key
+	f.signingKey = key
 	text, err := bundle.MarshalPublicKey(pub)
 	if err != nil {
 		return err
@@ -203,10 +208,11 @@
 	return f.writeCerts()
 }
 
-// certLifetime is how long the keys of a test fleet are valid.
+// certLifetime is how long the certificates of a test fleet are valid.
 const certLifetime = time.Hour
 
-// writeCerts makes the keys with which the daemons talk.
+// writeCerts writes the TLS certificates and keys for the connections between
+// daemons.
 func (f *Fleet) writeCerts() error {
 	now := time.Now()
 	authority, err := certs.OpenAuthority(f.dir, now, certLifetime)
@@ -225,7 +231,8 @@
 	return nil
 }
 
-// SignedBundle returns b as operators would publish it.
+// SignedBundle returns b encoded and signed, in the form that operators publish.
+// It returns an error if b is invalid.
 func (f *Fleet) SignedBundle(b *bundle.Bundle) ([]byte, error) {
 	raw, err := yaml.Marshal(b)
 	if err != nil {
@@ -234,10 +241,10 @@
 	if _, err := bundle.Parse(raw); err != nil {
 		return nil, fmt.Errorf("bundle: %w", err)
 	}
-	return bundle.Sign(raw, f.key), nil
+	return bundle.Sign(raw, f.signingKey), nil
 }
 
-// Publish puts b into the configuration service.
+// Publish signs b and puts it into the configuration service.
 func (f *Fleet) Publish(b *bundle.Bundle) error {
 	signed, err := f.SignedBundle(b)
 	if err != nil {
@@ -247,52 +254,53 @@
 	return nil
 }
 
-// StartDaemon starts daemon i, or starts it again after its end, and waits
-// until it listens.
+// StartDaemon starts daemon i, or restarts it after its process has ended, and
+// waits until it listens.
 func (f *Fleet) StartDaemon(i int) error {
 	path := filepath.Join(f.dir, hostName(i)+".yaml")
 	if err := os.WriteFile(path, []byte(f.settings(i)), 0o644); err != nil {
 		return err
 	}
-	log := filepath.Join(f.dir, fmt.Sprintf("%s.%d.log", hostName(i), f.starts))
-	f.starts++
-	p, err := process.Start(log, f.program, "--settings", path)
+	log := filepath.Join(f.dir, fmt.Sprintf("%s.%d.log", hostName(i), f.startCount))
+	f.startCount++
+	p, err := process.Start(log, f.daemonPath, "--settings", path)
 	if err != nil {
 		return err
 	}
 	f.Daemons[i] = &Process{p}
-	return f.learnAddresses(i)
+	return f.readListenAddresses(i)
 }
 
-// listening matches the log line in which a daemon names its ports.
-var listening = regexp.MustCompile(`msg=listening .*callers=(\S+) peers=(\S+) operators=(\S+)`)
+// listeningLine matches the log line with the addresses that a daemon listens on.
+var listeningLine = regexp.MustCompile(`msg=listening .*callers=(\S+) peers=(\S+) operators=(\S+)`)
 
-// learnAddresses reads the ports that the kernel picked from the daemon's log.
-func (f *Fleet) learnAddresses(i int) error {
+// readListenAddresses reads the addresses of daemon i, whose ports the kernel
+// picks, from its log and passes the peer address to the daemon's relay.
+func (f *Fleet) readListenAddresses(i int) error {
 	end := time.Now().Add(readyTimeout)
 	for time.Now().Before(end) {
-		if m := listening.FindStringSubmatch(f.Daemons[i].Log()); m != nil {
+		if m := listeningLine.FindStringSubmatch(f.Daemons[i].Log()); m != nil {
 			f.mu.Lock()
-			f.callers[i], f.operators[i] = m[1], m[3]
+			f.callerAddresses[i], f.operatorAddresses[i] = m[1], m[3]
 			f.mu.Unlock()
-			f.relays[i].SetTarget(m[2])
+			f.peerRelays[i].SetTarget(m[2])
 			return nil
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
-	return fmt.Errorf("%s does not listen: %s", hostName(i), f.Daemons[i].Log())
+	return fmt.Errorf("%s does not listen; its log: %s", hostName(i), f.Daemons[i].Log())
 }
 
 func (f *Fleet) callerAddress(i int) string {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	return f.callers[i]
+	return f.callerAddresses[i]
 }
 
 func (f *Fleet) operatorAddress(i int) string {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	return f.operators[i]
+	return f.operatorAddresses[i]
 }
 
 func (f *Fleet) settings(i int) string {
@@ -307,30 +315,30 @@
 bundle_public_keys: [bundle.pub]
 drain: {bound: 10s}
 `, host.Name, host.FailureDomain, peerIP(i),
-		cert, key, filepath.Join(f.dir, certs.AuthorityCert), f.platform, f.platform)
+		cert, key, filepath.Join(f.dir, certs.AuthorityCert), f.platformURL, f.platformURL)
 }
 
-// WaitReady waits until every daemon that the first bundle lists says that it
+// WaitReady waits until every daemon that the first bundle lists reports that it
 // is ready.
 func (f *Fleet) WaitReady(timeout time.Duration) error {
 	end := time.Now().Add(timeout)
 	for i := range f.Bundle.Hosts {
 		for !f.Ready(i) {
 			if time.Now().After(end) {
-				return fmt.Errorf("%s is not ready after %v: %s", hostName(i), timeout, f.Daemons[i].Log())
+				return fmt.Errorf("%s is not ready after %v; its log: %s", hostName(i), timeout, f.Daemons[i].Log())
 			}
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
 }
 
-// pollEvery is the time between two looks at something awaited.
-const pollEvery = 10 * time.Millisecond
+// pollInterval is the time between two checks of a condition being awaited.
+const pollInterval = 10 * time.Millisecond
 
-// Ready reports whether daemon i says that it is ready.
+// Ready reports whether the readiness endpoint of daemon i answers 200.
 func (f *Fleet) Ready(i int) bool {
-	resp, err := f.operate(i, http.MethodGet, "/readyz")
+	resp, err := f.callOperatorAPI(i, http.MethodGet, "/readyz")
 	if err != nil {
 		return false
 	}
@@ -338,7 +346,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Close ends the fleet.
+// Close kills the daemons and stops the relays, the platform and the upstreams.
 func (f *Fleet) Close() {
 	for _, p := range f.Daemons {
 		if p != nil {
@@ -346,11 +354,11 @@
 			p.Kill()
 		}
 	}
-	for _, r := range f.relays {
+	for _, r := range f.peerRelays {
 		_ = r.Close()
 	}
-	f.stop()
-	_ = f.serving.Wait()
+	f.cancel()
+	_ = f.servers.Wait()
 	if f.Upstream != nil {
 		f.Upstream.Close()
 		f.Platform.Close()
--- a/internal/proctest/inspect.go
+++ b/internal/proctest/inspect.go
@@ -10,7 +10,8 @@
 	"github.com/wheatseam/wheatseam/results"
 )
 
-// Pool returns a pool of the fleet's first bundle.
+// Pool returns a pool of the fleet's first bundle; the zero Pool if there is none
+// of that name.
 func (f *Fleet) Pool(name string) bundle.Pool {
 	for _, p := range f.Bundle.Pools {
 		if p.Name == name {
@@ -20,24 +21,25 @@
 	return bundle.Pool{}
 }
 
-// Fault sets the faults of every replica of a pool.
-func (f *Fleet) Fault(pool string, faults standin.Faults) {
+// SetPoolFaults sets the faults of every upstream in a pool.
+func (f *Fleet) SetPoolFaults(pool string, faults standin.Faults) {
 	for _, u := range f.Pool(pool).Upstreams {
 		f.Upstream.Faults(u.Name).Set(faults)
 	}
 }
 
-// Successor returns the fleet's first bundle under another version.
-func (f *Fleet) Successor(version uint64) *bundle.Bundle {
+// BundleWithVersion returns a copy of the fleet's first bundle with another version.
+func (f *Fleet) BundleWithVersion(version uint64) *bundle.Bundle {
 	b := *f.Bundle
 	b.Version = version
 	return &b
 }
 
-// Version returns the version in force at host i, 0 when it does not answer.
-func (f *Fleet) Version(i int) uint64 {
+// BundleVersion returns the version of the bundle in force at host i; 0 if the host
+// does not answer.
+func (f *Fleet) BundleVersion(i int) uint64 {
 	var hosts []operator.Status
-	if err := f.Operate(i, http.MethodGet, "/v1/bundle", &hosts); err != nil {
+	if err := f.CallOperatorAPI(i, http.MethodGet, "/v1/bundle", &hosts); err != nil {
 		return 0
 	}
 	for _, h := range hosts {
@@ -48,17 +50,19 @@
 	return 0
 }
 
-// Versions returns the versions in force at all hosts.
-func (f *Fleet) Versions() []uint64 {
+// BundleVersions returns the versions of the bundles in force at all hosts, by host
+// index.
+func (f *Fleet) BundleVersions() []uint64 {
 	all := make([]uint64, len(f.Daemons))
 	for i := range all {
-		all[i] = f.Version(i)
+		all[i] = f.BundleVersion(i)
 	}
 	return all
 }
 
-// Leaving returns the upstreams that host i believes to leave.
-func (f *Fleet) Leaving(i int) []string {
+// LeavingUpstreams returns the names of the upstreams that host i considers to be
+// leaving; nil if the host does not answer.
+func (f *Fleet) LeavingUpstreams(i int) []string {
 	var dump struct {
 		Cluster struct {
 			Membership struct {
@@ -66,26 +70,26 @@
 			} `json:"membership"`
 		} `json:"cluster"`
 	}
-	if err := f.Operate(i, http.MethodGet, "/v1/dump?section=cluster", &dump); err != nil {
+	if err := f.CallOperatorAPI(i, http.MethodGet, "/v1/dump?section=cluster", &dump); err != nil {
 		return nil
 	}
 	return dump.Cluster.Membership.Leaving
 }
 
-// Kept returns the number of requests that host i keeps results of, -1 when it
-// does not answer.
-func (f *Fleet) Kept(i int) int {
+// KeptResults returns the number of requests for which host i keeps stage results;
+// -1 if the host does not answer.
+func (f *Fleet) KeptResults(i int) int {
 	var dump struct {
 		Kept results.Stats `json:"kept_results"`
 	}
-	if err := f.Operate(i, http.MethodGet, "/v1/dump?section=kept_results", &dump); err != nil {
+	if err := f.CallOperatorAPI(i, http.MethodGet, "/v1/dump?section=kept_results", &dump); err != nil {
 		return -1
 	}
 	return dump.Kept.Requests
 }
 
-// BegunAt counts the executions that have begun at a pool.
-func (f *Fleet) BegunAt(pool string) int {
+// StartedCountIn returns the number of executions that have started in a pool.
+func (f *Fleet) StartedCountIn(pool string) int {
 	n := 0
 	for _, u := range f.Pool(pool).Upstreams {
 		for _, e := range f.Upstream.Ledger().Entries() {
@@ -97,8 +101,9 @@
 	return n
 }
 
-// LastBegun returns when the last execution at an upstream began.
-func (f *Fleet) LastBegun(upstream string) time.Time {
+// LastStart returns when the latest execution at an upstream started; the Unix
+// epoch if there was none.
+func (f *Fleet) LastStart(upstream string) time.Time {
 	var last int64
 	for _, e := range f.Upstream.Ledger().Entries() {
 		if e.Upstream == upstream {
--- a/internal/proctest/process.go
+++ b/internal/proctest/process.go
@@ -11,14 +11,14 @@
 	"github.com/wheatseam/wheatseam/internal/process"
 )
 
-// RaceEnv is the environment variable that has the daemons built with the race
-// detector. What it finds is in their logs (see RaceFound).
+// RaceEnv is the environment variable that, if not empty, enables the race
+// detector in the daemons. It reports races in their logs (see RaceFound).
 const RaceEnv = "WHEATSEAM_RACE"
 
-// Process is a daemon that a test started.
+// Process is a daemon process that a test started.
 type Process struct{ *process.Process }
 
-// RaceFound reports whether the race detector has found a race in the process.
+// RaceFound reports whether the process has logged a data race.
 func (p *Process) RaceFound() bool { return strings.Contains(p.Log(), "WARNING: DATA RACE") }
 
 var build struct {
@@ -27,7 +27,8 @@
 	err  error
 }
 
-// daemonBinary builds wheatseamd once for the test binary.
+// daemonBinary returns the path of wheatseamd, which it builds once per test
+// process.
 func daemonBinary() (string, error) {
 	build.once.Do(func() {
 		build.dir, build.err = os.MkdirTemp("", "wheatseam-proctest")
@@ -46,7 +47,7 @@
 	return filepath.Join(build.dir, "wheatseamd"), build.err
 }
 
-// Cleanup removes the built binary. Call it once when all tests are over.
+// Cleanup removes the daemon binary. Call it once after all tests.
 func Cleanup() {
 	if build.dir != "" {
 		_ = os.RemoveAll(build.dir)
--- a/proofs/at_most_once_test.go
+++ b/proofs/at_most_once_test.go
@@ -27,16 +27,16 @@
 			Expect(again.Answered()).To(BeTrue(), "%+v", again)
 			Expect(again.Result).To(MatchJSON(first.Result))
 		}
-		expectHonest(f, key, first)
+		expectAtMostOnce(f, key, first)
 	})
 
 	It("when it is sent through all hosts at the same time", func() {
 		f := startFleet(proctest.Options{})
 		for n := range 20 {
 			key := proctest.NewKey()
-			heard := callAtOnce(f, key, fmt.Sprintf("deed %d", n))
-			expectHonest(f, key, heard...)
-			Expect(heard).To(ContainElement(HaveField("Answered()", BeTrue())))
+			outcomes := callThroughAllHosts(f, key, fmt.Sprintf("deed %d", n))
+			expectAtMostOnce(f, key, outcomes...)
+			Expect(outcomes).To(ContainElement(HaveField("Answered()", BeTrue())))
 		}
 	})
 
@@ -52,26 +52,26 @@
 
 	It("when its host is killed after sending", func() {
 		f := startFleet(proctest.Options{})
-		f.Fault("signing", standin.Faults{LateByMS: 300})
+		f.SetPoolFaults("signing", standin.Faults{LateByMS: 300})
 		key := proctest.NewKey()
 		sent := callInBackground(f, 0, key)
 		Eventually(func() int { return len(f.Executions(key)) }).Should(Equal(1))
 		f.Daemons[0].Kill()
 		<-sent
-		again := retryUntilHeard(f, 1, proctest.PipelineSeal, key, "deed")
-		expectHonest(f, key, again)
+		again := retryUntilConclusive(f, 1, proctest.PipelineSeal, key, "deed")
+		expectAtMostOnce(f, key, again)
 	})
 
 	It("when its host is frozen after sending, and wakes", func() {
 		f := startFleet(proctest.Options{})
-		f.Fault("signing", standin.Faults{LateByMS: 300})
+		f.SetPoolFaults("signing", standin.Faults{LateByMS: 300})
 		key := proctest.NewKey()
 		sent := callInBackground(f, 0, key)
 		Eventually(func() int { return len(f.Executions(key)) }).Should(Equal(1))
 		Expect(f.Daemons[0].Freeze()).To(Succeed())
-		again := retryUntilHeard(f, 1, proctest.PipelineSeal, key, "deed")
+		again := retryUntilConclusive(f, 1, proctest.PipelineSeal, key, "deed")
 		Expect(f.Daemons[0].Thaw()).To(Succeed())
-		expectHonest(f, key, again, <-sent)
+		expectAtMostOnce(f, key, again, <-sent)
 	})
 
 	It("when a claim holder restarts and has forgotten", func() {
@@ -82,8 +82,8 @@
 		f.Daemons[1].Kill()
 		Expect(f.StartDaemon(1)).To(Succeed())
 		Expect(f.WaitReady(15 * time.Second)).To(Succeed())
-		again := retryUntilHeard(f, 1, proctest.PipelineSeal, key, "deed")
-		expectHonest(f, key, first, again)
+		again := retryUntilConclusive(f, 1, proctest.PipelineSeal, key, "deed")
+		expectAtMostOnce(f, key, first, again)
 	})
 
 	It("when two of three holders restart: then it says that it may have run", func() {
@@ -97,26 +97,26 @@
 		Expect(f.StartDaemon(2)).To(Succeed())
 		for _, i := range []int{1, 2} {
 			o := f.Call(i, proctest.PipelineSeal, key, "deed")
-			expectHonest(f, key, first, o)
+			expectAtMostOnce(f, key, first, o)
 		}
 	})
 
 	It("when the upstream loses its answer", func() {
 		f := startFleet(proctest.Options{})
-		f.Fault("signing", standin.Faults{DropAnswer: true})
+		f.SetPoolFaults("signing", standin.Faults{DropAnswer: true})
 		key := proctest.NewKey()
 		first := f.Call(0, proctest.PipelineSeal, key, "deed")
 		Expect(first.Execution).To(Equal(problem.MayHaveRun), "%+v", first)
-		f.Fault("signing", standin.Faults{})
+		f.SetPoolFaults("signing", standin.Faults{})
 		again := f.Call(1, proctest.PipelineSeal, key, "deed")
-		expectHonest(f, key, first, again)
+		expectAtMostOnce(f, key, first, again)
 	})
 
 	It("and a retry finds the result by status look-up after its host died", func() {
-		f := startFleet(proctest.Options{Bundle: func(b *bundle.Bundle) {
+		f := startFleet(proctest.Options{ModifyBundle: func(b *bundle.Bundle) {
 			b.Pools[2].Supports.StatusLookup = true
 		}})
-		f.Fault("signing", standin.Faults{LateByMS: 300})
+		f.SetPoolFaults("signing", standin.Faults{LateByMS: 300})
 		key := proctest.NewKey()
 		sent := callInBackground(f, 0, key)
 		Eventually(func() int { return len(f.Executions(key)) }).Should(Equal(1))
@@ -124,7 +124,7 @@
 		<-sent
 		again := f.Call(1, proctest.PipelineSeal, key, "deed")
 		Expect(again.Answered()).To(BeTrue(), "%+v", again)
-		expectHonest(f, key, again)
+		expectAtMostOnce(f, key, again)
 	})
 
 	It("refuses at once, unrun, while no majority of holders can be reached", func() {
@@ -136,12 +136,12 @@
 		Expect(o.Kind).To(Equal(problem.NoMajority), "%+v", o)
 		Expect(o.RetryAfter).NotTo(BeEmpty())
 		Expect(o.Took).To(BeNumerically("<", 4*time.Second))
-		expectHonest(f, key, o)
+		expectAtMostOnce(f, key, o)
 	})
 
 	It("under random kills and freezes, with callers that retry elsewhere", func() {
 		f := startFleet(proctest.Options{})
-		f.Fault("signing", standin.Faults{LateByMS: 150})
+		f.SetPoolFaults("signing", standin.Faults{LateByMS: 150})
 		const callers, rounds = 24, 5
 		stop := make(chan struct{})
 		var chaos, load sync.WaitGroup
@@ -149,25 +149,25 @@
 		go func() {
 			defer chaos.Done()
 			defer GinkgoRecover()
-			disturb(f, stop)
+			disturbDaemons(f, stop)
 		}()
-		heard := make([]map[string][]proctest.Outcome, callers)
+		outcomes := make([]map[string][]proctest.Outcome, callers)
 		for c := range callers {
-			heard[c] = make(map[string][]proctest.Outcome)
+			outcomes[c] = make(map[string][]proctest.Outcome)
 			load.Add(1)
 			go func() {
 				defer load.Done()
 				rng := rand.New(rand.NewPCG(7, uint64(c)))
 				for range rounds {
 					key := proctest.NewKey()
-					heard[c][key] = callUntilAnswered(f, rng, key)
+					outcomes[c][key] = callUntilAnswered(f, rng, key)
 				}
 			}()
 		}
 		load.Wait()
 		close(stop)
 		chaos.Wait()
-		answered := judge(f, heard)
+		answered := checkOutcomes(f, outcomes)
 		AddReportEntry("answered", fmt.Sprintf("%d of %d", answered, callers*rounds))
 		Expect(answered).To(BeNumerically(">", 0))
 	})
@@ -180,38 +180,38 @@
 }
 
 // callAtOnce sends one key through all hosts at the same time.
-func callAtOnce(f *proctest.Fleet, key, text string) []proctest.Outcome {
-	heard := make([]proctest.Outcome, len(f.Daemons))
+func callThroughAllHosts(f *proctest.Fleet, key, text string) []proctest.Outcome {
+	outcomes := make([]proctest.Outcome, len(f.Daemons))
 	var wg sync.WaitGroup
 	for i := range f.Daemons {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			heard[i] = f.Call(i, proctest.PipelineSeal, key, text)
+			outcomes[i] = f.Call(i, proctest.PipelineSeal, key, text)
 		}()
 	}
 	wg.Wait()
-	return heard
+	return outcomes
 }
 
 // callUntilAnswered sends a key through random hosts until it is answered, at
 // most maxTries times.
 func callUntilAnswered(f *proctest.Fleet, rng *rand.Rand, key string) []proctest.Outcome {
 	const maxTries = 6
-	var heard []proctest.Outcome
+	var outcomes []proctest.Outcome
 	for range maxTries {
 		o := f.Call(rng.IntN(len(f.Daemons)), proctest.PipelineSeal, key, "deed")
-		heard = append(heard, o)
+		outcomes = append(outcomes, o)
 		if o.Answered() {
 			break
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return heard
+	return outcomes
 }
 
 // disturb kills or freezes one daemon at a time until stop is closed.
-func disturb(f *proctest.Fleet, stop <-chan struct{}) {
+func disturbDaemons(f *proctest.Fleet, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(11, 13))
 	for {
 		select {
--- a/proofs/config_test.go
+++ b/proofs/config_test.go
@@ -16,32 +16,32 @@
 var _ = Describe("An accepted configuration", func() {
 	It("is in force everywhere within seconds, as one host sees it", func() {
 		f := startFleet(proctest.Options{})
-		Expect(f.Publish(f.Successor(2))).To(Succeed())
+		Expect(f.Publish(f.BundleWithVersion(2))).To(Succeed())
 		began := time.Now()
-		Eventually(f.Versions).Should(Equal([]uint64{2, 2, 2}))
+		Eventually(f.BundleVersions).Should(Equal([]uint64{2, 2, 2}))
 		AddReportEntry("in force everywhere after", time.Since(began).Round(time.Millisecond).String())
 	})
 
 	It("never reverts when the service serves an old value, not even at a host that restarts", func() {
 		f := startFleet(proctest.Options{})
-		Expect(f.Publish(f.Successor(3))).To(Succeed())
-		Eventually(f.Versions).Should(Equal([]uint64{3, 3, 3}))
-		Expect(f.Publish(f.Successor(2))).To(Succeed())
+		Expect(f.Publish(f.BundleWithVersion(3))).To(Succeed())
+		Eventually(f.BundleVersions).Should(Equal([]uint64{3, 3, 3}))
+		Expect(f.Publish(f.BundleWithVersion(2))).To(Succeed())
 		f.Daemons[0].Kill()
 		Expect(f.StartDaemon(0)).To(Succeed())
 		Eventually(func() bool { return f.Ready(0) }).Should(BeTrue())
-		Expect(f.Version(0)).To(BeEquivalentTo(3), "ready with an old bundle")
-		Consistently(f.Versions, time.Second).Should(Equal([]uint64{3, 3, 3}))
+		Expect(f.BundleVersion(0)).To(BeEquivalentTo(3), "ready with an old bundle")
+		Consistently(f.BundleVersions, time.Second).Should(Equal([]uint64{3, 3, 3}))
 	})
 
 	It("is kept, and served under, while the service is down, and a restarted host gets it from its fellows", func() {
 		f := startFleet(proctest.Options{})
-		Expect(f.Publish(f.Successor(4))).To(Succeed())
-		Eventually(f.Versions).Should(Equal([]uint64{4, 4, 4}))
+		Expect(f.Publish(f.BundleWithVersion(4))).To(Succeed())
+		Eventually(f.BundleVersions).Should(Equal([]uint64{4, 4, 4}))
 		f.Platform.Faults().Set(standin.Faults{Down: true})
 		f.Daemons[2].Kill()
 		Expect(f.StartDaemon(2)).To(Succeed())
-		Eventually(func() uint64 { return f.Version(2) }).Should(BeEquivalentTo(4))
+		Eventually(func() uint64 { return f.BundleVersion(2) }).Should(BeEquivalentTo(4))
 		o := f.Call(0, proctest.PipelineSummary, "", "text")
 		Expect(o.Answered()).To(BeTrue(), "%+v", o)
 	})
@@ -50,61 +50,61 @@
 		f := startFleet(proctest.Options{})
 		f.Isolate(2)
 		f.Platform.Faults().Set(standin.Faults{Stale: true})
-		Consistently(f.Versions, 300*time.Millisecond).Should(Equal([]uint64{1, 1, 1}))
+		Consistently(f.BundleVersions, 300*time.Millisecond).Should(Equal([]uint64{1, 1, 1}))
 		f.Platform.Faults().Set(standin.Faults{})
-		Expect(f.Publish(f.Successor(5))).To(Succeed())
-		Eventually(func() []uint64 { return f.Versions()[:2] }).Should(Equal([]uint64{5, 5}))
+		Expect(f.Publish(f.BundleWithVersion(5))).To(Succeed())
+		Eventually(func() []uint64 { return f.BundleVersions()[:2] }).Should(Equal([]uint64{5, 5}))
 		f.Heal()
-		Eventually(f.Versions).Should(Equal([]uint64{5, 5, 5}))
+		Eventually(f.BundleVersions).Should(Equal([]uint64{5, 5, 5}))
 	})
 
 	It("is refused loudly when it is not signed, or the same version with other content", func() {
 		f := startFleet(proctest.Options{})
-		Expect(f.Publish(f.Successor(2))).To(Succeed())
-		Eventually(f.Versions).Should(Equal([]uint64{2, 2, 2}))
-		other := f.Successor(2)
+		Expect(f.Publish(f.BundleWithVersion(2))).To(Succeed())
+		Eventually(f.BundleVersions).Should(Equal([]uint64{2, 2, 2}))
+		other := f.BundleWithVersion(2)
 		other.Deployment = "another"
 		Expect(f.Publish(other)).To(Succeed())
 		anyLog := func() string { return f.Daemons[0].Log() + f.Daemons[1].Log() + f.Daemons[2].Log() }
 		Eventually(anyLog).Should(ContainSubstring("bundle conflict"))
-		signed, err := f.SignedBundle(f.Successor(9))
+		signed, err := f.SignedBundle(f.BundleWithVersion(9))
 		Expect(err).NotTo(HaveOccurred())
 		signed[20] ^= 1
 		f.Platform.SetValue("bundle", signed)
 		Eventually(anyLog).Should(ContainSubstring("bundle rejected"))
-		Expect(f.Versions()).To(Equal([]uint64{2, 2, 2}))
+		Expect(f.BundleVersions()).To(Equal([]uint64{2, 2, 2}))
 	})
 
 	It("stays that of a request which was admitted under it", func() {
 		f := startFleet(proctest.Options{})
-		f.Fault("encoders", standin.Faults{LateByMS: 600})
+		f.SetPoolFaults("encoders", standin.Faults{LateByMS: 600})
 		done := make(chan proctest.Outcome, 1)
 		go func() { done <- f.Call(0, proctest.PipelineSummary, "", "text") }()
-		Eventually(f.Begun).Should(Equal(1))
-		Expect(f.Publish(f.Successor(2))).To(Succeed())
-		Eventually(f.Versions).Should(Equal([]uint64{2, 2, 2}))
+		Eventually(f.StartedCount).Should(Equal(1))
+		Expect(f.Publish(f.BundleWithVersion(2))).To(Succeed())
+		Eventually(f.BundleVersions).Should(Equal([]uint64{2, 2, 2}))
 		o := <-done
 		Expect(o.Answered()).To(BeTrue(), "%+v", o)
-		Expect(o.Bundle).To(BeEquivalentTo(1))
+		Expect(o.BundleVersion).To(BeEquivalentTo(1))
 	})
 
 	It("is the highest version when operators race", func() {
 		f := startFleet(proctest.Options{})
 		highest := uint64(0)
 		for _, v := range []uint64{5, 3, 7, 6, 4} {
-			Expect(f.Publish(f.Successor(v))).To(Succeed())
+			Expect(f.Publish(f.BundleWithVersion(v))).To(Succeed())
 			highest = max(highest, v)
 			if v == highest {
-				Eventually(f.Versions).Should(Equal([]uint64{v, v, v}))
+				Eventually(f.BundleVersions).Should(Equal([]uint64{v, v, v}))
 			} else {
-				Consistently(f.Versions, 500*time.Millisecond).Should(HaveEach(highest))
+				Consistently(f.BundleVersions, 500*time.Millisecond).Should(HaveEach(highest))
 			}
 		}
 	})
 })
 
 var _ = Describe("An upstream that is leaving receives no new work after a few seconds", func() {
-	const gone = "encoders-1"
+	const leaving = "encoders-1"
 
 	DescribeTable("known from", func(announce func(f *proctest.Fleet)) {
 		f := startFleet(proctest.Options{})
@@ -116,7 +116,7 @@
 			for i := range f.Daemons {
 				f.Call(i, proctest.PipelineSummary, "", "text")
 			}
-			if t := f.LastBegun(gone); t.After(last) {
+			if t := f.LastStart(leaving); t.After(last) {
 				last = t
 			}
 			return time.Since(last) > 2*time.Second
@@ -126,18 +126,18 @@
 	},
 		Entry("the host list", func(f *proctest.Fleet) {
 			f.Platform.SetHosts([]platform.Host{{
-				Name: gone, Address: f.Pool("encoders").Upstreams[0].Address, Role: "upstream", State: "leaving",
+				Name: leaving, Address: f.Pool("encoders").Upstreams[0].Address, Role: "upstream", State: "leaving",
 			}})
 		}),
 		Entry("its own load report, while the platform is down", func(f *proctest.Fleet) {
 			f.Platform.Faults().Set(standin.Faults{Down: true})
-			f.Upstream.Faults(gone).Set(standin.Faults{Leaving: true})
+			f.Upstream.Faults(leaving).Set(standin.Faults{Leaving: true})
 		}),
 		Entry("a peer, at a host that cannot see the host list", func(f *proctest.Fleet) {
 			f.Platform.SetHosts([]platform.Host{{
-				Name: gone, Address: f.Pool("encoders").Upstreams[0].Address, Role: "upstream", State: "leaving",
+				Name: leaving, Address: f.Pool("encoders").Upstreams[0].Address, Role: "upstream", State: "leaving",
 			}})
-			Eventually(func() []string { return f.Leaving(0) }).Should(ContainElement(gone))
+			Eventually(func() []string { return f.LeavingUpstreams(0) }).Should(ContainElement(leaving))
 			f.Platform.Faults().Set(standin.Faults{Down: true})
 			f.Daemons[2].Kill()
 			Expect(f.StartDaemon(2)).To(Succeed())
@@ -155,21 +155,21 @@
 			Expect(o.Answered()).To(BeTrue(), "host %d: %+v", i, o)
 		}
 		key := proctest.NewKey()
-		heard := callAtOnce(f, key, "deed")
-		expectHonest(f, key, heard...)
-		Expect(heard[0].Answered()).To(BeFalse(), "%+v", heard[0])
+		outcomes := callThroughAllHosts(f, key, "deed")
+		expectAtMostOnce(f, key, outcomes...)
+		Expect(outcomes[0].Answered()).To(BeFalse(), "%+v", outcomes[0])
 		f.Heal()
 		Eventually(func() bool { return f.Call(0, proctest.PipelineSeal, proctest.NewKey(), "deed").Answered() }).Should(BeTrue())
 	})
 
 	It("of one direction does not double either", func() {
 		f := startFleet(proctest.Options{})
-		f.Link(0, 1, faultrelay.Conditions{ToTarget: faultrelay.Direction{Blackhole: true}})
-		f.Link(1, 0, faultrelay.Conditions{ToCaller: faultrelay.Direction{Blackhole: true}})
+		f.SetLinkConditions(0, 1, faultrelay.Conditions{ToTarget: faultrelay.Direction{Blackhole: true}})
+		f.SetLinkConditions(1, 0, faultrelay.Conditions{ToCaller: faultrelay.Direction{Blackhole: true}})
 		for n := range 5 {
 			key := proctest.NewKey()
-			heard := callAtOnce(f, key, fmt.Sprintf("deed %d", n))
-			expectHonest(f, key, heard...)
+			outcomes := callThroughAllHosts(f, key, fmt.Sprintf("deed %d", n))
+			expectAtMostOnce(f, key, outcomes...)
 		}
 	})
 })
--- a/proofs/crash_test.go
+++ b/proofs/crash_test.go
@@ -14,32 +14,32 @@
 // back with what crashes upstreams, under new ids and keys, at any host.
 var _ = Describe("A request that crashes its upstreams", func() {
 	const (
-		contact       = 3 * time.Second
-		crashesToKnow = 3
-		moreAllowed   = 3
-		culprit       = "culprit"
+		propagationTime     = 3 * time.Second
+		crashesToQuarantine = 3
+		maxLateCrashes      = 3
+		poisonText          = "culprit"
 	)
 
 	DescribeTable("reaches few more after the third, from any host",
 		func(pipeline string, key func() string) {
 			f := startFleet(proctest.Options{})
-			f.Crashes.Under(culprit, 700*time.Millisecond)
+			f.Crashes.CrashOn(poisonText, 700*time.Millisecond)
 			sent := 0
-			for deadline := time.Now().Add(30 * time.Second); f.Crashes.Count() < crashesToKnow; sent++ {
+			for deadline := time.Now().Add(30 * time.Second); f.Crashes.Count() < crashesToQuarantine; sent++ {
 				Expect(time.Now()).To(BeTemporally("<", deadline))
-				f.Call(sent%len(f.Daemons), pipeline, key(), culprit)
+				f.Call(sent%len(f.Daemons), pipeline, key(), poisonText)
 				time.Sleep(50 * time.Millisecond)
 			}
-			time.Sleep(contact)
+			time.Sleep(propagationTime)
 			before := f.Crashes.Count()
-			for i := range 4 * moreAllowed {
-				o := f.Call(i%len(f.Daemons), pipeline, key(), culprit)
+			for i := range 4 * maxLateCrashes {
+				o := f.Call(i%len(f.Daemons), pipeline, key(), poisonText)
 				Expect(o.Answered()).To(BeFalse())
 				time.Sleep(100 * time.Millisecond)
 			}
-			Expect(f.Crashes.Count() - before).To(BeNumerically("<=", moreAllowed))
+			Expect(f.Crashes.Count() - before).To(BeNumerically("<=", maxLateCrashes))
 			for i := range f.Daemons {
-				o := f.Call(i, pipeline, key(), culprit)
+				o := f.Call(i, pipeline, key(), poisonText)
 				Expect(o.Kind).To(Equal(problem.Quarantined))
 				o = f.Call(i, pipeline, key(), "harmless")
 				Expect(o.Answered()).To(BeTrue(), "%+v", o)
--- a/proofs/delivery_test.go
+++ b/proofs/delivery_test.go
@@ -14,10 +14,10 @@
 
 var _ = Describe("A result is delivered to its own request only", func() {
 	DescribeTable("with thousands of requests at once",
-		func(faults standin.Faults, least int) {
+		func(faults standin.Faults, minAnswered int) {
 			f := startFleet(proctest.Options{})
-			f.Fault("encoders", faults)
-			f.Fault("signing", faults)
+			f.SetPoolFaults("encoders", faults)
+			f.SetPoolFaults("signing", faults)
 			const callers, each = 60, 40
 			answered := make([]int, callers)
 			var wg sync.WaitGroup
@@ -27,7 +27,7 @@
 					defer wg.Done()
 					defer GinkgoRecover()
 					for n := range each {
-						answered[c] += callMarked(f, c, n)
+						answered[c] += callAndCheckAnswer(f, c, n)
 					}
 				}()
 			}
@@ -37,7 +37,7 @@
 				total += n
 			}
 			AddReportEntry("answered", fmt.Sprintf("%d of %d", total, callers*each))
-			Expect(total).To(BeNumerically(">=", least))
+			Expect(total).To(BeNumerically(">=", minAnswered))
 		},
 		Entry("without faults", standin.Faults{}, 2000),
 		Entry("with answers written twice", standin.Faults{DuplicateAnswer: true}, 1),
@@ -47,7 +47,7 @@
 
 // callMarked sends a request and checks that its answer bears its own id and
 // its own text. It returns 1 when the request was answered.
-func callMarked(f *proctest.Fleet, c, n int) int {
+func callAndCheckAnswer(f *proctest.Fleet, c, n int) int {
 	GinkgoHelper()
 	pipeline, key := proctest.PipelineSummary, ""
 	if n%2 == 0 {
--- a/proofs/fault_pairs_test.go
+++ b/proofs/fault_pairs_test.go
@@ -15,12 +15,12 @@
 )
 
 // disturbance is a fault that can be brought about and ended.
-type disturbance struct {
+type injectedFault struct {
 	name       string
 	begin, end func(f *proctest.Fleet)
 }
 
-var disturbances = []disturbance{
+var injectedFaults = []injectedFault{
 	{"a host is killed and starts again",
 		func(f *proctest.Fleet) { f.Daemons[0].Kill() },
 		func(f *proctest.Fleet) { Expect(f.StartDaemon(0)).To(Succeed()) }},
@@ -32,40 +32,40 @@
 		func(f *proctest.Fleet) { f.Heal() }},
 	{"one direction between two hosts is lost",
 		func(f *proctest.Fleet) {
-			f.Link(0, 1, faultrelay.Conditions{ToTarget: faultrelay.Direction{Blackhole: true}})
+			f.SetLinkConditions(0, 1, faultrelay.Conditions{ToTarget: faultrelay.Direction{Blackhole: true}})
 		},
-		func(f *proctest.Fleet) { f.Link(0, 1, faultrelay.Conditions{}) }},
+		func(f *proctest.Fleet) { f.SetLinkConditions(0, 1, faultrelay.Conditions{}) }},
 	{"the platform is down",
 		func(f *proctest.Fleet) { f.Platform.Faults().Set(standin.Faults{Down: true}) },
 		func(f *proctest.Fleet) { f.Platform.Faults().Set(standin.Faults{}) }},
 	{"upstreams lose answers",
-		func(f *proctest.Fleet) { f.Fault("signing", standin.Faults{DropAnswer: true}) },
-		func(f *proctest.Fleet) { f.Fault("signing", standin.Faults{}) }},
+		func(f *proctest.Fleet) { f.SetPoolFaults("signing", standin.Faults{DropAnswer: true}) },
+		func(f *proctest.Fleet) { f.SetPoolFaults("signing", standin.Faults{}) }},
 }
 
 // allPairs makes the table hold all pairs of disturbances; by default each is
 // paired with the next, which keeps the run short.
-const allPairs = "WHEATSEAM_ALL_PAIRS"
+const allPairsEnv = "WHEATSEAM_ALL_PAIRS"
 
-func pairs() []TableEntry {
+func faultPairs() []TableEntry {
 	var entries []TableEntry
-	add := func(a, b disturbance) { entries = append(entries, Entry(a.name+", and "+b.name, a, b)) }
-	for i, a := range disturbances {
-		if os.Getenv(allPairs) == "" {
-			add(a, disturbances[(i+1)%len(disturbances)])
+	add := func(a, b injectedFault) { entries = append(entries, Entry(a.name+", and "+b.name, a, b)) }
+	for i, a := range injectedFaults {
+		if os.Getenv(allPairsEnv) == "" {
+			add(a, injectedFaults[(i+1)%len(injectedFaults)])
 			continue
 		}
-		for _, b := range disturbances[i+1:] {
+		for _, b := range injectedFaults[i+1:] {
 			add(a, b)
 		}
 	}
 	return entries
 }
 
-var _ = DescribeTable("At most once, and no untrue not_run, while", func(a, b disturbance) {
+var _ = DescribeTable("At most once, and no untrue not_run, while", func(a, b injectedFault) {
 	f := startFleet(proctest.Options{})
 	stop := make(chan struct{})
-	heard, load := sealUntil(f, stop)
+	outcomes, load := sendSealsUntil(f, stop)
 	for _, step := range []func(*proctest.Fleet){a.begin, b.begin, a.end, b.end} {
 		time.Sleep(250 * time.Millisecond)
 		step(f)
@@ -73,19 +73,19 @@
 	Expect(f.WaitReady(15 * time.Second)).To(Succeed())
 	close(stop)
 	load.Wait()
-	Expect(judge(f, heard)).To(BeNumerically(">", 0))
+	Expect(checkOutcomes(f, outcomes)).To(BeNumerically(">", 0))
 	Eventually(func() bool {
 		return f.Call(0, proctest.PipelineSeal, proctest.NewKey(), "after").Answered()
 	}).Should(BeTrue(), "seals after the faults")
-}, pairs())
+}, faultPairs())
 
 // sealUntil runs callers that send seals and retry them through other hosts,
 // until stop is closed. What they heard may be read once load is done.
-func sealUntil(f *proctest.Fleet, stop <-chan struct{}) (heard []map[string][]proctest.Outcome, load *sync.WaitGroup) {
+func sendSealsUntil(f *proctest.Fleet, stop <-chan struct{}) (outcomes []map[string][]proctest.Outcome, load *sync.WaitGroup) {
 	const callers = 6
-	heard, load = make([]map[string][]proctest.Outcome, callers), new(sync.WaitGroup)
+	outcomes, load = make([]map[string][]proctest.Outcome, callers), new(sync.WaitGroup)
 	for c := range callers {
-		heard[c] = make(map[string][]proctest.Outcome)
+		outcomes[c] = make(map[string][]proctest.Outcome)
 		load.Add(1)
 		go func() {
 			defer load.Done()
@@ -97,9 +97,9 @@
 				default:
 				}
 				key := proctest.NewKey()
-				heard[c][key] = callUntilAnswered(f, rng, key)
+				outcomes[c][key] = callUntilAnswered(f, rng, key)
 			}
 		}()
 	}
-	return heard, load
+	return outcomes, load
 }
--- a/proofs/recovery_bench_test.go
+++ b/proofs/recovery_bench_test.go
@@ -15,13 +15,13 @@
 
 // The course of one run of BenchmarkRecovery.
 const (
-	recoveryFaultAt  = 1 * time.Second
-	recoveryFaultEnd = 3 * time.Second
-	recoveryEnd      = 9 * time.Second
-	recoveryEvery    = 10 * time.Millisecond
+	recoveryFaultStart      = 1 * time.Second
+	recoveryFaultEnd        = 3 * time.Second
+	recoveryEnd             = 9 * time.Second
+	recoveryRequestInterval = 10 * time.Millisecond
 	// recoveryQuiet is how long no request may fail for the fleet to count as
 	// recovered.
-	recoveryQuiet = time.Second
+	recoveryFailureFree = time.Second
 )
 
 // sample is one request of BenchmarkRecovery.
@@ -38,7 +38,7 @@
 //	go test -run '^$' -bench Recovery -benchtime 1x ./proofs
 func BenchmarkRecovery(b *testing.B) {
 	RegisterTestingT(b)
-	for _, fault := range disturbances {
+	for _, fault := range injectedFaults {
 		b.Run(fault.name, func(b *testing.B) {
 			for range b.N {
 				f, err := proctest.Start(b.TempDir(), proctest.Options{})
@@ -53,7 +53,7 @@
 	}
 }
 
-func loadThroughFault(f *proctest.Fleet, fault disturbance) []sample {
+func loadThroughFault(f *proctest.Fleet, fault injectedFault) []sample {
 	began := time.Now()
 	var (
 		mu  sync.Mutex
@@ -61,7 +61,7 @@
 		wg  sync.WaitGroup
 	)
 	rng := rand.New(rand.NewPCG(3, 5))
-	time.AfterFunc(recoveryFaultAt, func() { fault.begin(f) })
+	time.AfterFunc(recoveryFaultStart, func() { fault.begin(f) })
 	time.AfterFunc(recoveryFaultEnd, func() { fault.end(f) })
 	for n := 0; time.Since(began) < recoveryEnd; n++ {
 		host, seal := rng.IntN(len(f.Daemons)), n%2 == 0
@@ -78,7 +78,7 @@
 			defer mu.Unlock()
 			all = append(all, sample{sent, o})
 		}()
-		time.Sleep(recoveryEvery)
+		time.Sleep(recoveryRequestInterval)
 	}
 	wg.Wait()
 	return all
@@ -90,31 +90,31 @@
 	for _, s := range samples {
 		ok := s.outcome.Answered()
 		switch {
-		case s.sent < recoveryFaultAt:
+		case s.sent < recoveryFaultStart:
 		case s.sent < recoveryFaultEnd:
 			during++
-			duringOK += count(ok)
+			duringOK += boolToFloat(ok)
 		default:
 			after++
-			afterOK += count(ok)
+			afterOK += boolToFloat(ok)
 		}
 		if ok {
 			continue
 		}
 		failures = append(failures, s.sent)
-		notRun += count(s.outcome.Execution == problem.NotRun)
-		mayHaveRun += count(s.outcome.Execution == problem.MayHaveRun)
-		unheard += count(s.outcome.Err != nil)
+		notRun += boolToFloat(s.outcome.Execution == problem.NotRun)
+		mayHaveRun += boolToFloat(s.outcome.Execution == problem.MayHaveRun)
+		unheard += boolToFloat(s.outcome.Err != nil)
 	}
 	b.ReportMetric(100*duringOK/during, "%during")
 	b.ReportMetric(100*afterOK/after, "%after")
-	b.ReportMetric(recoveredAfter(failures).Seconds(), "s-to-recover")
+	b.ReportMetric(recoveryTime(failures).Seconds(), "s-to-recover")
 	b.ReportMetric(notRun, "not_run")
 	b.ReportMetric(mayHaveRun, "may_have_run")
 	b.ReportMetric(unheard, "unheard")
 }
 
-func count(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -123,11 +123,11 @@
 
 // recoveredAfter is the time from the fault's end to the last failure before a
 // second without any.
-func recoveredAfter(failures []time.Duration) time.Duration {
+func recoveryTime(failures []time.Duration) time.Duration {
 	slices.Sort(failures)
 	last := recoveryFaultEnd
 	for _, f := range failures {
-		if f > last && f-last <= recoveryQuiet {
+		if f > last && f-last <= recoveryFailureFree {
 			last = f
 		}
 	}
--- a/proofs/resume_test.go
+++ b/proofs/resume_test.go
@@ -11,22 +11,22 @@
 var _ = Describe("A completed stage", func() {
 	It("is not done again when its host dies and the caller tries elsewhere", func() {
 		f := startFleet(proctest.Options{})
-		f.Fault("encoders", standin.Faults{LateByMS: 3000})
+		f.SetPoolFaults("encoders", standin.Faults{LateByMS: 3000})
 		key := proctest.NewKey()
-		gone := make(chan struct{})
+		firstDone := make(chan struct{})
 		go func() {
-			defer close(gone)
+			defer close(firstDone)
 			f.Call(0, proctest.PipelineQuotation, key, "roof 7")
 		}()
-		Eventually(func() int { return f.BegunAt("encoders") }).Should(Equal(1))
-		Eventually(func() int { return f.Kept(1) }).Should(Equal(1))
+		Eventually(func() int { return f.StartedCountIn("encoders") }).Should(Equal(1))
+		Eventually(func() int { return f.KeptResults(1) }).Should(Equal(1))
 		f.Daemons[0].Kill()
-		<-gone
-		f.Fault("encoders", standin.Faults{})
+		<-firstDone
+		f.SetPoolFaults("encoders", standin.Faults{})
 		again := f.Call(1, proctest.PipelineQuotation, key, "roof 7")
 		Expect(again.Answered()).To(BeTrue(), "%+v", again)
-		Expect(f.BegunAt("lm")).To(Equal(1), "%+v", f.Upstream.Ledger().Entries())
-		expectHonest(f, key, again)
+		Expect(f.StartedCountIn("lm")).To(Equal(1), "%+v", f.Upstream.Ledger().Entries())
+		expectAtMostOnce(f, key, again)
 	})
 
 	It("is done anew for another input under the same key", func() {
@@ -34,7 +34,7 @@
 		key := proctest.NewKey()
 		Expect(f.Call(0, proctest.PipelineQuotation, key, "roof 7").Answered()).To(BeTrue())
 		f.Call(1, proctest.PipelineQuotation, key, "roof 8")
-		Expect(f.BegunAt("lm")).To(Equal(2))
+		Expect(f.StartedCountIn("lm")).To(Equal(2))
 		Expect(f.Executions(key)).To(HaveLen(1))
 	})
 })
--- a/proofs/shutdown_test.go
+++ b/proofs/shutdown_test.go
@@ -17,10 +17,10 @@
 var _ = Describe("A graceful shutdown", func() {
 	It("interrupts no request in flight, takes no new one and exits 0", func() {
 		f := startFleet(proctest.Options{})
-		f.Fault("encoders", standin.Faults{LateByMS: 400})
-		f.Fault("signing", standin.Faults{LateByMS: 400})
+		f.SetPoolFaults("encoders", standin.Faults{LateByMS: 400})
+		f.SetPoolFaults("signing", standin.Faults{LateByMS: 400})
 		const inFlight = 40
-		heard := make([]proctest.Outcome, inFlight)
+		outcomes := make([]proctest.Outcome, inFlight)
 		var wg sync.WaitGroup
 		for n := range inFlight {
 			wg.Add(1)
@@ -30,10 +30,10 @@
 				if n%2 == 0 {
 					pipeline, key = proctest.PipelineQuotation, proctest.NewKey()
 				}
-				heard[n] = f.Call(0, pipeline, key, fmt.Sprintf("text %d", n))
+				outcomes[n] = f.Call(0, pipeline, key, fmt.Sprintf("text %d", n))
 			}()
 		}
-		Eventually(f.Begun).Should(BeNumerically(">=", inFlight))
+		Eventually(f.StartedCount).Should(BeNumerically(">=", inFlight))
 		Expect(f.Daemons[0].Signal(syscall.SIGTERM)).To(Succeed())
 		Eventually(func() bool { return f.Ready(0) }).Should(BeFalse())
 		late := f.Call(0, proctest.PipelineSummary, "", "late")
@@ -41,7 +41,7 @@
 			Expect(late.Kind).To(Equal(problem.Draining), "%+v", late)
 		}
 		wg.Wait()
-		for _, o := range heard {
+		for _, o := range outcomes {
 			Expect(o.Answered()).To(BeTrue(), "%+v", o)
 		}
 		Expect(f.Daemons[0].Wait(10 * time.Second)).To(Succeed())
@@ -49,10 +49,10 @@
 
 	It("is cut short by a second signal, which the log names", func() {
 		f := startFleet(proctest.Options{})
-		f.Fault("encoders", standin.Faults{LateByMS: 3000})
+		f.SetPoolFaults("encoders", standin.Faults{LateByMS: 3000})
 		done := make(chan proctest.Outcome, 1)
 		go func() { done <- f.Call(0, proctest.PipelineSummary, "", "slow") }()
-		Eventually(f.Begun).Should(Equal(1))
+		Eventually(f.StartedCount).Should(Equal(1))
 		Expect(f.Daemons[0].Signal(syscall.SIGTERM)).To(Succeed())
 		Eventually(f.Daemons[0].Log).Should(ContainSubstring("draining"))
 		Expect(f.Daemons[0].Signal(syscall.SIGTERM)).To(Succeed())
--- a/proofs/suite_test.go
+++ b/proofs/suite_test.go
@@ -43,23 +43,23 @@
 }
 
 // expectHonest checks a seal's outcome against the ledger.
-func expectHonest(f *proctest.Fleet, key string, heard ...proctest.Outcome) {
+func expectAtMostOnce(f *proctest.Fleet, key string, outcomes ...proctest.Outcome) {
 	GinkgoHelper()
 	executions := f.Executions(key)
 	Expect(len(executions)).To(BeNumerically("<=", 1), "executions of %s: %+v", key, executions)
-	for _, o := range heard {
+	for _, o := range outcomes {
 		if o.Answered() {
 			Expect(executions).To(HaveLen(1), "answered, yet not executed: %+v", o)
 		}
 		if o.Err == nil && o.Execution == problem.NotRun {
-			expectNotRun(o, executions)
+			expectNoEarlierRun(o, executions)
 		}
 	}
 }
 
 // expectNotRun checks that nothing ran before the caller heard not_run. A try
 // that the caller makes later with the same key may run.
-func expectNotRun(o proctest.Outcome, executions []ledger.Entry) {
+func expectNoEarlierRun(o proctest.Outcome, executions []ledger.Entry) {
 	GinkgoHelper()
 	for _, e := range executions {
 		Expect(e.RequestID).NotTo(Equal(o.RequestID), "said not_run: %+v", o)
@@ -69,7 +69,7 @@
 
 // retryUntilHeard sends a key again through host i until it gets an answer or
 // a refusal that says that the request may have run.
-func retryUntilHeard(f *proctest.Fleet, i int, pipeline, key, text string) proctest.Outcome {
+func retryUntilConclusive(f *proctest.Fleet, i int, pipeline, key, text string) proctest.Outcome {
 	GinkgoHelper()
 	var last proctest.Outcome
 	Eventually(func() bool {
@@ -81,13 +81,13 @@
 
 // judge checks what every caller heard of every key, once no execution runs any
 // more, and returns the number of keys that were answered in the end.
-func judge(f *proctest.Fleet, heard []map[string][]proctest.Outcome) int {
+func checkOutcomes(f *proctest.Fleet, outcomesByCaller []map[string][]proctest.Outcome) int {
 	GinkgoHelper()
-	Eventually(f.Running).Should(BeZero())
+	Eventually(f.RunningCount).Should(BeZero())
 	answered := 0
-	for _, byKey := range heard {
+	for _, byKey := range outcomesByCaller {
 		for key, outcomes := range byKey {
-			expectHonest(f, key, outcomes...)
+			expectAtMostOnce(f, key, outcomes...)
 			if outcomes[len(outcomes)-1].Answered() {
 				answered++
 			}
--- a/proofs/view_change_test.go
+++ b/proofs/view_change_test.go
@@ -13,8 +13,8 @@
 )
 
 // replaced returns a bundle in which the spare host takes the place of host 0.
-func replaced(f *proctest.Fleet, version uint64) *bundle.Bundle {
-	b := f.Successor(version)
+func bundleReplacingHost0(f *proctest.Fleet, version uint64) *bundle.Bundle {
+	b := f.BundleWithVersion(version)
 	b.Hosts = f.Hosts[1:]
 	b.Views = []bundle.View{{Version: 1, Hosts: f.Hosts[:3]}}
 	return b
@@ -23,18 +23,18 @@
 var _ = Describe("A replaced host does not double a claim", func() {
 	var f *proctest.Fleet
 
-	BeforeEach(func() { f = startFleet(proctest.Options{Spare: 1}) })
+	BeforeEach(func() { f = startFleet(proctest.Options{SpareHosts: 1}) })
 
 	It("that was granted under the old host list", func() {
 		key := proctest.NewKey()
 		first := f.Call(0, proctest.PipelineSeal, key, "deed")
 		Expect(first.Answered()).To(BeTrue(), "%+v", first)
-		Expect(f.Publish(replaced(f, 2))).To(Succeed())
-		Eventually(f.Versions).Should(HaveEach(BeEquivalentTo(2)))
+		Expect(f.Publish(bundleReplacingHost0(f, 2))).To(Succeed())
+		Eventually(f.BundleVersions).Should(HaveEach(BeEquivalentTo(2)))
 		f.Daemons[0].Kill()
 		for i := 1; i < 4; i++ {
-			again := retryUntilHeard(f, i, proctest.PipelineSeal, key, "deed")
-			expectHonest(f, key, first, again)
+			again := retryUntilConclusive(f, i, proctest.PipelineSeal, key, "deed")
+			expectAtMostOnce(f, key, first, again)
 		}
 		began := time.Now()
 		Eventually(func() bool {
@@ -45,26 +45,26 @@
 
 	It("while a host that was frozen and cut off still believes in the old list", func() {
 		Expect(f.Daemons[0].Freeze()).To(Succeed())
-		Expect(f.Publish(replaced(f, 2))).To(Succeed())
-		Eventually(func() []uint64 { return []uint64{f.Version(1), f.Version(2), f.Version(3)} }).
+		Expect(f.Publish(bundleReplacingHost0(f, 2))).To(Succeed())
+		Eventually(func() []uint64 { return []uint64{f.BundleVersion(1), f.BundleVersion(2), f.BundleVersion(3)} }).
 			Should(HaveEach(BeEquivalentTo(2)))
 		f.Isolate(0)
 		f.Platform.Faults().Set(standin.Faults{Down: true})
 		Expect(f.Daemons[0].Thaw()).To(Succeed())
 		for n := range 10 {
 			key := proctest.NewKey()
-			heard := callAtOnce(f, key, fmt.Sprintf("deed %d", n))
-			expectHonest(f, key, heard...)
+			outcomes := callThroughAllHosts(f, key, fmt.Sprintf("deed %d", n))
+			expectAtMostOnce(f, key, outcomes...)
 		}
 	})
 
 	It("and a bundle whose lineage lacks the list in force is refused loudly", func() {
-		b := replaced(f, 2)
+		b := bundleReplacingHost0(f, 2)
 		b.Views = []bundle.View{{Version: 1, Hosts: f.Hosts[:2]}}
 		Expect(f.Publish(b)).To(Succeed())
 		Eventually(func() string { return f.Daemons[1].Log() }).Should(ContainSubstring("not a successor"))
 		key := proctest.NewKey()
-		heard := callAtOnce(f, key, "deed")
-		expectHonest(f, key, heard...)
+		outcomes := callThroughAllHosts(f, key, "deed")
+		expectAtMostOnce(f, key, outcomes...)
 	})
 })
--- /dev/null
+++ b/soak/backoff.go
@@ -0,0 +1,134 @@
+package soak
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"strconv"
+	"time"
+
+	"github.com/wheatseam/wheatseam/internal/standin/site"
+)
+
+// The guarantee for replicas that ask a daemon to back off: after a replica has refused a
+// request of a daemon process, from backoffPropagation later until the end of the requested
+// back-off, at most maxRequestsDuringBackoff requests of that process reach the replica.
+const (
+	backoffPropagation       = 500 * time.Millisecond
+	maxRequestsDuringBackoff = 2
+)
+
+// announceLeaving lets replicas leave, one after the other, until ctx ends. They announce it
+// only in their answers: their entries in the store don't say so and are deleted when the
+// replicas have left.
+func (r *runner) announceLeaving(ctx context.Context, rng *rand.Rand) {
+	for n := 0; ctx.Err() == nil; n++ {
+		sleep(ctx, randomDuration(rng, 2*time.Second, 5*time.Second))
+		r.mu.Lock()
+		rep := r.replicas[rng.IntN(len(r.replicas))]
+		_, draining := r.drainingSince[rep.ID]
+		_, leaving := r.leavingSince[rep.ID]
+		r.mu.Unlock()
+		if draining || leaving || ctx.Err() != nil {
+			continue
+		}
+		id := fmt.Sprintf("%s-unregistered-%d", rep.Service, n)
+		if err := r.addReplica(id, rep.Service, rep.Kind); err != nil {
+			r.recordViolation("replica %s: %v", id, err)
+			return
+		}
+		r.recordFault("%s announces in its answers, but not in its entry, that it is leaving; %s replaces it", rep.ID, id)
+		r.mu.Lock()
+		r.leavingSince[rep.ID] = time.Now()
+		r.mu.Unlock()
+		rep.SayLeaving()
+		time.AfterFunc(2*drainBound, func() { r.store.Delete("servers/" + rep.ID) })
+	}
+}
+
+// requestBackoffs lets replicas refuse all work and ask for a back-off, one after the other,
+// until ctx ends.
+func (r *runner) requestBackoffs(ctx context.Context, rng *rand.Rand) {
+	for ctx.Err() == nil {
+		sleep(ctx, randomDuration(rng, 500*time.Millisecond, 2*time.Second))
+		r.mu.Lock()
+		rep := r.replicas[rng.IntN(len(r.replicas))]
+		r.mu.Unlock()
+		seconds := strconv.FormatFloat(0.5+2.5*rng.Float64(), 'f', 2, 64)
+		r.recordFault("%s refuses all work and asks for a back-off of %s s", rep.ID, seconds)
+		rep.RefuseForRest(seconds)
+		sleep(ctx, randomDuration(rng, 500*time.Millisecond, 3*time.Second))
+		rep.RefuseForRest("")
+	}
+}
+
+// sender is the daemon process that a caller sent a request to, and when.
+type sender struct {
+	daemonIncarnation
+	startedAt time.Time
+}
+
+// sendersByRequest returns the sender of each request, by request id.
+func (r *runner) sendersByRequest() map[string]sender {
+	out := make(map[string]sender, len(r.attempts))
+	for _, att := range r.attempts {
+		out[att.call.ID] = sender{daemonIncarnation{att.daemon, att.incarnation}, att.startedAt}
+	}
+	return out
+}
+
+// checkLeaving checks that a daemon process that has passed on an answer in which a replica
+// announces that it is leaving, and has run uninterrupted since, sends that replica no new
+// requests after drainBound.
+func (r *runner) checkLeaving() {
+	senders := r.sendersByRequest()
+	for replica, since := range r.leavingSince {
+		informedAt := map[daemonIncarnation]time.Time{}
+		for _, att := range r.attempts {
+			for _, run := range r.ledger.Runs(att.call.ID) {
+				p := daemonIncarnation{att.daemon, att.incarnation}
+				if at, known := informedAt[p]; run.Replica == replica && run.At.After(since) && (!known || att.endedAt.Before(at)) {
+					informedAt[p] = att.endedAt
+				}
+			}
+		}
+		for _, a := range r.replicaByID(replica).Arrivals() {
+			s, known := senders[a.Request]
+			toldAt, informed := informedAt[s.daemonIncarnation]
+			if known && informed && s.startedAt.Sub(toldAt) > drainBound && s.daemon.ranUninterrupted(toldAt, a.At) {
+				r.recordViolation("leaving: %s reached %s %s after it had told %s that it is leaving", a.Request, replica, s.startedAt.Sub(toldAt).Round(time.Millisecond), s.daemon.name)
+			}
+		}
+	}
+}
+
+// checkBackoffs checks that daemon processes that ran uninterrupted keep to the back-offs
+// that replicas asked for.
+func (r *runner) checkBackoffs() {
+	senders := r.sendersByRequest()
+	for _, rep := range r.replicas {
+		arrivals := rep.Arrivals()
+		for i, refusal := range arrivals {
+			seconds, err := strconv.ParseFloat(refusal.Rest, 64)
+			s, known := senders[refusal.Request]
+			if err != nil || !known {
+				continue
+			}
+			until := refusal.At.Add(time.Duration(seconds * float64(time.Second)))
+			if n := s.countArrivals(arrivals[i+1:], senders, refusal.At.Add(backoffPropagation), until); n > maxRequestsDuringBackoff && s.daemon.ranUninterrupted(refusal.At.Add(-undisturbedMargin), until) {
+				r.recordViolation("back-off: %s got %d requests from %s in the back-off of %s s that it had asked for", rep.ID, n, s.daemon.name, refusal.Rest)
+			}
+		}
+	}
+}
+
+// countArrivals counts the arrivals that process p sent, from inclusive to until exclusive.
+func (p daemonIncarnation) countArrivals(arrivals []site.Arrival, senders map[string]sender, from, until time.Time) int {
+	n := 0
+	for _, a := range arrivals {
+		if !a.At.Before(from) && a.At.Before(until) && senders[a.Request].daemonIncarnation == p {
+			n++
+		}
+	}
+	return n
+}
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -11,9 +11,9 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// caller sends requests one after the other, on kept connections, until ctx
-// ends; it uses a connection until the process at its other end is gone.
-func (r *Run) caller(ctx context.Context, rng *rand.Rand, number int) {
+// runCaller sends requests one after the other until ctx ends. It reuses its connections
+// until the daemon process at the other end has gone.
+func (r *runner) runCaller(ctx context.Context, rng *rand.Rand, number int) {
 	transport := &http.Transport{
 		DisableCompression: true, MaxIdleConnsPerHost: 2,
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -25,21 +25,21 @@
 		if rng.IntN(20) == 0 {
 			d = r.daemons[rng.IntN(len(r.daemons))]
 		}
-		c := r.draw(rng, fmt.Sprintf("%d-%d-%d", r.cfg.Seed, number, n))
+		c := r.randomCall(rng, fmt.Sprintf("%d-%d-%d", r.cfg.Seed, number, n))
 		r.send(client, rng, d, c)
 		time.Sleep(time.Duration(5+rng.IntN(30)) * time.Millisecond)
 	}
 }
 
-// forgeOneIn is the number of requests of which one carries a header that its
-// caller may not set.
-const forgeOneIn = 10
+// forgedHeaderOneIn is the number of requests of which, on average, one carries a header that
+// callers may not set.
+const forgedHeaderOneIn = 10
 
-// draw draws a request.
-func (r *Run) draw(rng *rand.Rand, id string) site.Call {
-	c := site.Call{ID: id, Deadline: callDeadline, Key: r.drawKey(rng)}
+// randomCall draws a request.
+func (r *runner) randomCall(rng *rand.Rand, id string) site.Call {
+	c := site.Call{ID: id, Deadline: callDeadline, Key: r.randomKey(rng)}
 	c.Path = []string{site.SealPath, site.SealPath, site.SafePath, site.StreamPath, site.ResumePath, site.ResumePath}[rng.IntN(6)]
-	if rng.IntN(forgeOneIn) == 0 {
+	if rng.IntN(forgedHeaderOneIn) == 0 {
 		c.Forge = site.Forgeable[rng.IntN(len(site.Forgeable))]
 	}
 	if c.Path == site.ResumePath {
@@ -48,26 +48,27 @@
 	return c
 }
 
-func (r *Run) drawKey(rng *rand.Rand) string {
+func (r *runner) randomKey(rng *rand.Rand) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.keys[rng.IntN(len(r.keys))]
+	return r.apiKeys[rng.IntN(len(r.apiKeys))]
 }
 
-// send sends one request; some callers leave early.
-func (r *Run) send(client *http.Client, rng *rand.Rand, d *daemon, c site.Call) {
+// send sends one request and records the attempt. One request in 25 is abandoned by its
+// caller early.
+func (r *runner) send(client *http.Client, rng *rand.Rand, d *daemon, c site.Call) {
 	ctx, cancel := context.WithTimeout(context.Background(), callDeadline+2*time.Second)
 	defer cancel()
-	left := rng.IntN(25) == 0
-	if left {
+	leavesEarly := rng.IntN(25) == 0
+	if leavesEarly {
 		ctx, cancel = context.WithTimeout(ctx, time.Duration(5+rng.IntN(100))*time.Millisecond)
 		defer cancel()
 	}
-	x := done{call: c, daemon: d, life: d.lives(), began: time.Now()}
-	x.heard = site.Do(ctx, client, d.callers(), c)
-	x.ended = time.Now()
-	x.left = left && ctx.Err() != nil
+	att := attempt{call: c, daemon: d, incarnation: d.currentIncarnation(), startedAt: time.Now()}
+	att.response = site.Do(ctx, client, d.callerAddress(), c)
+	att.endedAt = time.Now()
+	att.abandoned = leavesEarly && ctx.Err() != nil
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.calls = append(r.calls, x)
+	r.attempts = append(r.attempts, att)
 }
--- a/soak/check.go
+++ b/soak/check.go
@@ -8,156 +8,158 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// eventsOfStream is the number of events of an engine's stream.
-const eventsOfStream = 5
+// eventsPerStream is the number of events in a complete stream of an engine.
+const eventsPerStream = 5
 
-// check holds what callers heard against what replicas did.
-func (r *Run) check() {
-	r.report.Requests = len(r.calls)
-	firsts := map[string]int{}
+// checkGuarantees compares what callers received with what replicas ran and records the
+// violations.
+func (r *runner) checkGuarantees() {
+	r.report.Requests = len(r.attempts)
+	requests := map[string]int{}
 	repeats := map[string]int{}
-	for _, x := range r.calls {
-		runs := r.ledger.Runs(x.call.ID)
-		r.count(x)
-		r.checkOne(x, runs)
+	for _, att := range r.attempts {
+		runs := r.ledger.Runs(att.call.ID)
+		r.countOutcome(att)
+		r.checkAttempt(att, runs)
 		service := "plain"
-		if x.call.Path == site.StreamPath || x.call.Path == site.ResumePath {
+		if att.call.Path == site.StreamPath || att.call.Path == site.ResumePath {
 			service = "llm"
 		}
-		firsts[service]++
+		requests[service]++
 		repeats[service] += max(0, len(runs)-1)
-		r.checkDrain(x, runs)
-		r.checkEvacuations(x, runs)
-		r.checkSilence(x, runs)
+		r.checkDrain(att, runs)
+		r.checkEvacuations(att, runs)
+		r.checkStreams(att, runs)
 	}
 	windows := max(1, r.cfg.Duration.Seconds()/10)
 	for service, n := range repeats {
-		if float64(n) > budgetRatio*float64(firsts[service])+budgetSlack*(windows+1) {
-			r.violate("budget: %d repeats for %d requests of %s", n, firsts[service], service)
+		if float64(n) > budgetRatio*float64(requests[service])+budgetSlack*(windows+1) {
+			r.recordViolation("budget: %d retries for %d requests of %s", n, requests[service], service)
 		}
 	}
-	r.checkVersions()
-	r.checkCulprits()
+	r.checkConfigurations()
+	r.checkPoisonRequests()
 	r.checkLimits()
-	r.checkLeavers()
-	r.checkRests()
+	r.checkLeaving()
+	r.checkBackoffs()
 	for _, f := range r.ledger.Faults() {
-		r.violate("replicas: %s", f)
+		r.recordViolation("replicas: %s", f)
 	}
 	for _, d := range r.daemons {
-		if d.ends > 0 {
-			r.violate("%s ended by itself %d times", d.name, d.ends)
+		if d.unexpectedExits > 0 {
+			r.recordViolation("%s exited unexpectedly %d times", d.name, d.unexpectedExits)
 		}
 	}
 }
 
-func (r *Run) count(x done) {
+func (r *runner) countOutcome(att attempt) {
 	switch {
-	case x.left:
-		r.report.Left++
-	case x.heard.Err != nil:
-		r.report.Broken++
-	case x.heard.Status == http.StatusOK:
+	case att.abandoned:
+		r.report.Abandoned++
+	case att.response.Err != nil:
+		r.report.Incomplete++
+	case att.response.Status == http.StatusOK:
 		r.report.Served++
-	case x.heard.NotRun():
+	case att.response.NotRun():
 		r.report.Refused++
 	default:
 		r.report.Failed++
 	}
 }
 
-// checkOne holds one attempt to the promises about it.
-func (r *Run) checkOne(x done, runs []site.Run) {
-	id := x.call.ID
-	once := x.call.Path == site.SealPath || x.call.Path == site.StreamPath
-	if once && len(runs) > 1 {
-		r.violate("at most once: %s ran %d times", id, len(runs))
+// checkAttempt checks the guarantees that concern a single attempt.
+func (r *runner) checkAttempt(att attempt, runs []site.Run) {
+	id := att.call.ID
+	atMostOnce := att.call.Path == site.SealPath || att.call.Path == site.StreamPath
+	if atMostOnce && len(runs) > 1 {
+		r.recordViolation("at most once: %s ran %d times", id, len(runs))
 	}
 	if len(runs) > 2 {
-		r.violate("attempts: %s ran %d times", id, len(runs))
+		r.recordViolation("attempts: %s ran %d times", id, len(runs))
 	}
-	if x.heard.NotRun() && len(runs) > 0 && once {
-		r.violate("refusal: %s was answered %d and ran", id, x.heard.Status)
+	if att.response.NotRun() && len(runs) > 0 && atMostOnce {
+		r.recordViolation("refusal: %s was answered %d, which says that it did not run, but it ran", id, att.response.Status)
 	}
-	if wrong := x.call.Check(x.heard, eventsOfStream); wrong != "" {
-		r.violate("answer: %s: %s", id, wrong)
+	if mismatch := att.call.Check(att.response, eventsPerStream); mismatch != "" {
+		r.recordViolation("answer: %s: %s", id, mismatch)
 	}
 	for _, run := range runs {
-		if run.Key || run.Tenant != "firma" || run.Body != x.call.Carries() || run.Target != x.call.Path+x.call.Carries() {
-			r.violate("request: %s reached %s changed", id, run.Replica)
+		if run.Key || run.Tenant != "firma" || run.Body != att.call.Carries() || run.Target != att.call.Path+att.call.Carries() {
+			r.recordViolation("request: %s reached %s with changed content or headers", id, run.Replica)
 		}
 	}
-	if x.heard.Err != nil && !x.left && x.inTime(x.ended) && r.gracefulOnly(x) && len(runs) > 0 && r.answersWell(runs) {
-		r.violate("graceful stop: %s of %s was broken off: %v", id, x.daemon.name, x.heard.Err)
+	if att.response.Err != nil && !att.abandoned && att.beforeDeadline(att.endedAt) && r.onlyStoppedGracefully(att) && len(runs) > 0 && r.neverMisbehaved(runs) {
+		r.recordViolation("graceful stop: %s of %s was broken off: %v", id, att.daemon.name, att.response.Err)
 	}
 }
 
-// gracefulOnly says whether the daemon was asked to stop and nothing else
-// touched it around a request. A daemon that was not stopped at all may break
-// off what a replica broke off.
-func (r *Run) gracefulOnly(x done) bool {
-	x.daemon.mu.Lock()
-	graceful, life := x.daemon.graceful, x.daemon.life
-	x.daemon.mu.Unlock()
-	return (graceful || life > x.life) && x.daemon.calm(x.began.Add(-settle))
+// onlyStoppedGracefully reports whether the daemon was asked to stop and no other fault
+// disturbed it around a request. A daemon that was not stopped is excluded, since it may
+// break off an answer that a replica broke off.
+func (r *runner) onlyStoppedGracefully(att attempt) bool {
+	att.daemon.mu.Lock()
+	sigtermSent, incarnation := att.daemon.sigtermSent, att.daemon.incarnation
+	att.daemon.mu.Unlock()
+	return (sigtermSent || incarnation > att.incarnation) && att.daemon.undisturbedSince(att.startedAt.Add(-undisturbedMargin))
 }
 
-// answersWell says whether the replicas of runs had no misbehaviour during the
-// soak that could have broken the answer off. Replicas change by the second, so
-// that only those are taken that never misbehaved.
-func (r *Run) answersWell(runs []site.Run) bool {
+// neverMisbehaved reports whether none of the replicas of runs misbehaved at any time
+// during the soak, so that none of them can have broken the answer off. Replicas change
+// their behaviour within seconds, so checking only the time of the request is not enough.
+func (r *runner) neverMisbehaved(runs []site.Run) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, run := range runs {
-		if rep := r.replica(run.Replica); rep == nil || rep.Misbehaved() {
+		if rep := r.replicaByID(run.Replica); rep == nil || rep.Misbehaved() {
 			return false
 		}
 	}
 	return true
 }
 
-// replica returns a replica by its id; nil without it. The lock is held.
-func (r *Run) replica(id string) *site.Replica {
+// replicaByID returns the replica with the id, or nil. The caller holds mu while the
+// soak runs.
+func (r *runner) replicaByID(id string) *site.Replica {
 	if i := slices.IndexFunc(r.replicas, func(rep *site.Replica) bool { return rep.ID == id }); i >= 0 {
 		return r.replicas[i]
 	}
 	return nil
 }
 
-// checkDrain holds runs at draining replicas to the bound, for daemons that
-// nothing touched meanwhile.
-func (r *Run) checkDrain(x done, runs []site.Run) {
+// checkDrain checks that a draining replica got no new work after drainBound, from
+// daemons that were undisturbed in the meantime.
+func (r *runner) checkDrain(att attempt, runs []site.Run) {
 	for _, run := range runs {
-		since, draining := r.draining[run.Replica]
-		if draining && x.began.After(since.Add(drainBound)) && x.daemon.calm(since.Add(-settle)) {
-			r.violate("drain: %s ran at %s %s after it drained", x.call.ID, run.Replica, x.began.Sub(since).Round(time.Millisecond))
+		since, draining := r.drainingSince[run.Replica]
+		if draining && att.startedAt.After(since.Add(drainBound)) && att.daemon.undisturbedSince(since.Add(-undisturbedMargin)) {
+			r.recordViolation("drain: %s ran at %s %s after it began to drain", att.call.ID, run.Replica, att.startedAt.Sub(since).Round(time.Millisecond))
 		}
 	}
 }
 
-// checkVersions holds each life of a daemon to never going back: once it has
-// refused a key that was taken away, it serves it no more.
-func (r *Run) checkVersions() {
-	type life struct {
-		daemon *daemon
-		number int
-		key    string
-	}
-	refused := map[life]time.Time{}
-	calls := slices.Clone(r.calls)
-	slices.SortFunc(calls, func(a, b done) int { return a.ended.Compare(b.ended) })
-	for _, x := range calls {
-		l := life{x.daemon, x.life, x.call.Key}
-		takenAway, revoked := r.revoked[x.call.Key]
-		if !revoked || x.heard.Err != nil || x.began.Before(takenAway) {
-			continue // also a key that this daemon does not know yet is refused
+// checkConfigurations checks that no daemon process goes back to an older configuration:
+// once it has refused a revoked key, it serves no later request with that key.
+func (r *runner) checkConfigurations() {
+	type incarnationKey struct {
+		daemon      *daemon
+		incarnation int
+		key         string
+	}
+	refusedAt := map[incarnationKey]time.Time{}
+	attempts := slices.Clone(r.attempts)
+	slices.SortFunc(attempts, func(a, b attempt) int { return a.endedAt.Compare(b.endedAt) })
+	for _, att := range attempts {
+		inc := incarnationKey{att.daemon, att.incarnation, att.call.Key}
+		revokedAt, revoked := r.revokedAt[att.call.Key]
+		if !revoked || att.response.Err != nil || att.startedAt.Before(revokedAt) {
+			continue // before the revocation, 401 may mean that the daemon does not know the key yet
 		}
-		at, known := refused[l]
+		firstRefusal, refused := refusedAt[inc]
 		switch {
-		case x.heard.Status == http.StatusUnauthorized && !known:
-			refused[l] = x.ended
-		case x.heard.Status == http.StatusOK && known && x.began.After(at) && x.daemon.lives() == x.life:
-			r.violate("configuration: %s served %s after it had refused its key", x.daemon.name, x.call.ID)
+		case att.response.Status == http.StatusUnauthorized && !refused:
+			refusedAt[inc] = att.endedAt
+		case att.response.Status == http.StatusOK && refused && att.startedAt.After(firstRefusal) && att.daemon.currentIncarnation() == att.incarnation:
+			r.recordViolation("configuration: %s served %s with a revoked key that it had refused before", att.daemon.name, att.call.ID)
 		}
 	}
 }
--- a/soak/daemon.go
+++ b/soak/daemon.go
@@ -18,79 +18,81 @@
 	"github.com/wheatseam/wheatseam/platform"
 )
 
-// The ports of a daemon; each has an IP of its own on the loopback network.
+// The ports of a daemon. Each daemon has its own loopback IP.
 const (
-	portCallers   = 7501
-	portReadiness = 7502
-	portPeers     = 7503
-	portRelayed   = 7504 // where the fellows reach it, through a relay
+	portCallers      = 7501
+	portReadiness    = 7502
+	portPeers        = 7503
+	portRelayedPeers = 7504 // relay to portPeers, where the other daemons connect
 )
 
-var nextIP atomic.Uint32
+var lastIPByte atomic.Uint32
 
-// ownIP is an address on the loopback network that no other process uses.
-func ownIP() string {
-	return fmt.Sprintf("127.%d.%d.%d", 130+os.Getpid()>>8&0x3f, os.Getpid()&0xff, 1+nextIP.Add(1)%250)
+// uniqueLoopbackIP returns a loopback IP that no other process uses.
+func uniqueLoopbackIP() string {
+	return fmt.Sprintf("127.%d.%d.%d", 130+os.Getpid()>>8&0x3f, os.Getpid()&0xff, 1+lastIPByte.Add(1)%250)
 }
 
-// simulatedSleep is what a daemon is told at SIGUSR1 that its host has slept: hosts
-// cannot be put to sleep here.
+// simulatedSleep is the time that a daemon takes its host to have slept when it gets
+// SIGUSR1. It stands for real host sleep, which a test cannot cause.
 const simulatedSleep = 4 * time.Second
 
-// daemon is one gateway process, restarted with the same settings.
+// daemon is one gateway daemon, which may be restarted with the same settings.
 type daemon struct {
 	name, ip, dir string
 	binary        string
-	store         *faultrelay.Relay // its way to the store
-	peers         *faultrelay.Relay // its fellows' way to it
+	storeRelay    *faultrelay.Relay // from the daemon to the store
+	peerRelay     *faultrelay.Relay // from the other daemons to this one
 
-	// restarting is held while the process is ended and started again.
+	// restarting is held while the process is being restarted.
 	restarting sync.Mutex
 
-	mu      sync.Mutex
-	process *process.Process
-	ended   chan struct{}
-	life    int
-	revised int
-	// graceful says that the process was asked to stop and not harmed since.
-	graceful bool
-	// disturbed is when a fault that may cost requests last touched it.
-	disturbed time.Time
-	// halts are when the process was killed, stopped and continued; stopped says that
-	// it is stopped.
-	halts   []time.Time
-	stopped bool
-	// stops are when it was asked to stop.
-	stops []time.Time
-	// ends counts processes that ended without being told to.
-	ends int
-}
-
-func (d *daemon) callers() string   { return fmt.Sprintf("%s:%d", d.ip, portCallers) }
-func (d *daemon) readiness() string { return fmt.Sprintf("%s:%d", d.ip, portReadiness) }
-func (d *daemon) host() string      { return d.peers.Address() }
-
-// newDaemon prepares a daemon behind relays.
+	mu               sync.Mutex
+	process          *process.Process
+	exited           chan struct{}
+	incarnation      int
+	settingsRevision int
+	// sigtermSent is set when the running process was sent SIGTERM.
+	sigtermSent bool
+	// lastDisturbed is the time of the last fault that may make its requests fail.
+	lastDisturbed time.Time
+	// interruptions are the times at which the process was killed, paused (SIGSTOP) or
+	// resumed (SIGCONT); paused is set while it is paused.
+	interruptions []time.Time
+	paused        bool
+	// sigtermTimes are the times at which SIGTERM was sent.
+	sigtermTimes []time.Time
+	// unexpectedExits counts exits that no signal requested or caused.
+	unexpectedExits int
+}
+
+func (d *daemon) callerAddress() string    { return fmt.Sprintf("%s:%d", d.ip, portCallers) }
+func (d *daemon) readinessAddress() string { return fmt.Sprintf("%s:%d", d.ip, portReadiness) }
+func (d *daemon) peerAddress() string      { return d.peerRelay.Address() }
+
+// newDaemon prepares a daemon whose connections to the store and from its peers pass
+// through relays. It does not start the process.
 func newDaemon(name, binary, dir, store string) (*daemon, error) {
-	d := &daemon{name: name, ip: ownIP(), dir: dir, binary: binary}
+	d := &daemon{name: name, ip: uniqueLoopbackIP(), dir: dir, binary: binary}
 	var err error
-	if d.store, err = faultrelay.New(faultrelay.Config{Target: store}); err != nil {
+	if d.storeRelay, err = faultrelay.New(faultrelay.Config{Target: store}); err != nil {
 		return nil, err
 	}
-	d.peers, err = faultrelay.New(faultrelay.Config{
-		Listen: fmt.Sprintf("%s:%d", d.ip, portRelayed), Target: fmt.Sprintf("%s:%d", d.ip, portPeers),
+	d.peerRelay, err = faultrelay.New(faultrelay.Config{
+		Listen: fmt.Sprintf("%s:%d", d.ip, portRelayedPeers), Target: fmt.Sprintf("%s:%d", d.ip, portPeers),
 	})
 	if err != nil {
-		return nil, errors.Join(err, d.store.Close())
+		return nil, errors.Join(err, d.storeRelay.Close())
 	}
 	return d, nil
 }
 
-// writeSettings writes the settings file; each call changes something in it.
+// writeSettings writes the settings file. Each call changes the budget's slack, so that
+// there is something to reload.
 func (d *daemon) writeSettings(seeds []string) error {
 	d.mu.Lock()
-	d.revised++
-	revised := d.revised
+	d.settingsRevision++
+	revision := d.settingsRevision
 	d.mu.Unlock()
 	text := fmt.Sprintf(`host: %q
 name: %q
@@ -102,13 +104,13 @@
 drain: {grace: 4s}
 budget: {ratio: 0.2, slack: %d, window: 10s}
 limits: {processors: 1, memory_mb: 256}
-`, d.host(), d.name, d.callers(), d.readiness(), d.ip, portPeers, quoted(seeds), d.store.Address(), budgetSlack+revised%2)
-	return os.WriteFile(d.settings(), []byte(text), 0o600)
+`, d.peerAddress(), d.name, d.callerAddress(), d.readinessAddress(), d.ip, portPeers, quoteAll(seeds), d.storeRelay.Address(), budgetSlack+revision%2)
+	return os.WriteFile(d.settingsPath(), []byte(text), 0o600)
 }
 
-func (d *daemon) settings() string { return filepath.Join(d.dir, d.name+".yaml") }
+func (d *daemon) settingsPath() string { return filepath.Join(d.dir, d.name+".yaml") }
 
-func quoted(names []string) string {
+func quoteAll(names []string) string {
 	var out string
 	for i, n := range names {
 		if i > 0 {
@@ -123,27 +125,27 @@
 func (d *daemon) start() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	p, err := process.Start(filepath.Join(d.dir, d.name+".log"), d.binary, "gateway", "--settings", d.settings(), "--simulated-sleep", simulatedSleep.String())
+	p, err := process.Start(filepath.Join(d.dir, d.name+".log"), d.binary, "gateway", "--settings", d.settingsPath(), "--simulated-sleep", simulatedSleep.String())
 	if err != nil {
 		return err
 	}
-	ended := make(chan struct{})
-	d.process, d.ended, d.graceful = p, ended, false
-	d.life++
+	exited := make(chan struct{})
+	d.process, d.exited, d.sigtermSent = p, exited, false
+	d.incarnation++
 	go func() {
 		<-p.Done()
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if err := p.Err(); !d.graceful && (err == nil || !signalled(err)) {
-			d.ends++
+		if err := p.Err(); !d.sigtermSent && (err == nil || !killedBySignal(err)) {
+			d.unexpectedExits++
 		}
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
 
-// signalled says whether a process was ended by a signal.
-func signalled(err error) bool {
+// killedBySignal reports whether a signal ended a process.
+func killedBySignal(err error) bool {
 	var e *exec.ExitError
 	if !errors.As(err, &e) {
 		return false
@@ -152,7 +154,7 @@
 	return ok && status.Signaled()
 }
 
-// signal sends a signal to the process, if it runs.
+// signal records a signal and sends it to the process, if one was started.
 func (d *daemon) signal(s syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -161,47 +163,48 @@
 	}
 	switch s {
 	case syscall.SIGTERM:
-		d.graceful = true
-		d.stops = append(d.stops, time.Now())
+		d.sigtermSent = true
+		d.sigtermTimes = append(d.sigtermTimes, time.Now())
 	case syscall.SIGKILL, syscall.SIGSTOP:
-		d.disturbed = time.Now()
+		d.lastDisturbed = time.Now()
 	}
-	if s == syscall.SIGKILL || s == syscall.SIGSTOP || s == syscall.SIGCONT && d.stopped {
-		d.halts = append(d.halts, time.Now())
-		d.stopped = s == syscall.SIGSTOP
+	if s == syscall.SIGKILL || s == syscall.SIGSTOP || s == syscall.SIGCONT && d.paused {
+		d.interruptions = append(d.interruptions, time.Now())
+		d.paused = s == syscall.SIGSTOP
 	}
-	_ = d.process.Signal(s) // a process that has ended takes none
+	_ = d.process.Signal(s) // fails if the process has exited
 }
 
-// stop ends the process, at the latest after the grace, and waits for it.
+// stop resumes the process, sends it s and waits for its exit. If it does not exit within
+// a second after shutdownGrace, stop kills it.
 func (d *daemon) stop(s syscall.Signal) {
 	d.signal(syscall.SIGCONT)
 	d.signal(s)
 	d.mu.Lock()
-	ended := d.ended
+	exited := d.exited
 	d.mu.Unlock()
-	if ended == nil {
+	if exited == nil {
 		return
 	}
 	select {
-	case <-ended:
-	case <-time.After(grace + time.Second):
+	case <-exited:
+	case <-time.After(shutdownGrace + time.Second):
 		d.signal(syscall.SIGKILL)
-		<-ended
+		<-exited
 	}
 }
 
-// close ends process and relays.
+// close kills the process and closes the relays.
 func (d *daemon) close() {
 	d.stop(syscall.SIGKILL)
-	_ = d.store.Close()
-	_ = d.peers.Close()
+	_ = d.storeRelay.Close()
+	_ = d.peerRelay.Close()
 }
 
-// ready says whether the daemon takes requests.
+// ready reports whether the daemon's readiness endpoint answers 200.
 func (d *daemon) ready() bool {
 	client := http.Client{Timeout: 200 * time.Millisecond}
-	resp, err := client.Get("http://" + d.readiness() + platform.ReadyPath)
+	resp, err := client.Get("http://" + d.readinessAddress() + platform.ReadyPath)
 	if err != nil {
 		return false
 	}
@@ -209,40 +212,41 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// touched notes a fault that may cost requests.
-func (d *daemon) touched() {
+// recordDisturbance records a fault that may make requests fail.
+func (d *daemon) recordDisturbance() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.disturbed = time.Now()
+	d.lastDisturbed = time.Now()
 }
 
-// calm says whether no such fault touched the daemon since a time.
-func (d *daemon) calm(since time.Time) bool {
+// undisturbedSince reports whether the daemon's last such fault was before since.
+func (d *daemon) undisturbedSince(since time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.disturbed.Before(since)
+	return d.lastDisturbed.Before(since)
 }
 
-// ranThrough says whether the process ran on all the time from one moment to another.
-func (d *daemon) ranThrough(from, to time.Time) bool {
+// ranUninterrupted reports whether the process was not killed, paused or resumed between
+// from and to.
+func (d *daemon) ranUninterrupted(from, to time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !slices.ContainsFunc(d.halts, func(at time.Time) bool { return at.After(from) && at.Before(to) })
+	return !slices.ContainsFunc(d.interruptions, func(at time.Time) bool { return at.After(from) && at.Before(to) })
 }
 
-// graceOver says whether the last part of the grace had come at a moment, for what began
-// at another.
-func (d *daemon) graceOver(began, at time.Time) bool {
+// graceEnding reports whether a request that began at startedAt had reached the tail of
+// the shutdown grace at the time at, so that the daemon was allowed to end it.
+func (d *daemon) graceEnding(startedAt, at time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.ContainsFunc(d.stops, func(stop time.Time) bool {
-		return began.Before(stop.Add(grace)) && at.After(stop.Add(grace-lastOfGrace))
+	return slices.ContainsFunc(d.sigtermTimes, func(stop time.Time) bool {
+		return startedAt.Before(stop.Add(shutdownGrace)) && at.After(stop.Add(shutdownGrace-shutdownGraceTail))
 	})
 }
 
-// lives returns which life of the daemon runs.
-func (d *daemon) lives() int {
+// currentIncarnation returns the number of the daemon's current process, counted from 1.
+func (d *daemon) currentIncarnation() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.life
+	return d.incarnation
 }
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,21 +1,30 @@
 // Package soak runs real gateway daemons as processes on this machine, injects
-// faults from outside them by a seeded schedule, and checks their promises from
-// what callers and replicas see.
+// faults into them from outside on a seeded schedule, and checks the daemons'
+// guarantees against what callers and replicas observe.
 //
-// The faults: processes are stopped, paused, killed and restarted by signals and
-// told to reload; a relay on the loopback interface delays, cuts, resets and
-// silences their connections to the store and to each other, also one way, and
-// those that are open for good;
-// the store fails and is slow; replicas break off, refuse, hang, drain and are
-// replaced; keys are taken away; requests crash the replicas that run them; hosts
-// sleep, of which the daemon is told by a signal. Series overlap.
+// The faults, which may overlap:
+//   - Daemons are stopped, paused, killed and restarted by signals, and told to
+//     reload their settings.
+//   - Relays on the loopback interface delay, reset or blackhole the daemons'
+//     connections to the store and to each other, in one or both directions, or
+//     make the connections that are open at one moment a permanent blackhole.
+//   - The store fails or is slow.
+//   - Replicas break off answers, refuse, hang, drain and are replaced.
+//   - API keys are revoked.
+//   - Requests crash the replicas that run them.
+//   - Hosts sleep; a signal simulates this to the daemon.
 //
-// The promises: a request that may not be repeated runs at most once; a success
-// is whole, signed and the caller's own; an answer that promises that nothing
-// has run is true, also later; results of stages go to their own request; a
-// draining replica gets no new work after the bound; a daemon does not go back
-// to an older configuration; repeats stay within the budget; a graceful stop
-// breaks no request off; a request that has crashed three replicas reaches few more.
+// The guarantees:
+//   - A request that may not be repeated runs at most once.
+//   - A successful answer is complete, signed and belongs to the caller's request.
+//   - If an answer says that the request has not run, it has not run and does not
+//     run later.
+//   - The results of stages go to the request that they belong to.
+//   - A draining replica gets no new work after the drain bound.
+//   - A daemon does not go back to an older configuration.
+//   - Retries stay within the retry budget.
+//   - A graceful shutdown breaks off no request.
+//   - A request that has crashed three replicas is sent to only a few more.
 //
-// A Run ends only processes that it started, by their ids.
+// A run ends only processes that it started itself, by their process ids.
 package soak
--- a/soak/evacuate.go
+++ b/soak/evacuate.go
@@ -8,54 +8,54 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// domains are where the replicas stand.
-var domains = []string{"x", "y", "z"}
+// failureDomains are the failure domains of the replicas.
+var failureDomains = []string{"x", "y", "z"}
 
-// evacuation is an order to give the replicas of a failure domain no new work.
+// evacuation is an operator's order to send the replicas of a failure domain no new work.
 type evacuation struct {
 	domain string
-	// withdrawn is zero while the order stands.
-	ordered, withdrawn time.Time
+	// withdrawnAt is zero while the order is in force.
+	orderedAt, withdrawnAt time.Time
 }
 
-// evacuateDomains has failure domains evacuated and taken back until ctx ends.
-func (r *Run) evacuateDomains(ctx context.Context, rng *rand.Rand) {
+// evacuateDomains orders and withdraws evacuations of random failure domains until ctx ends.
+func (r *runner) evacuateDomains(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		rest(ctx, between(rng, time.Second, 3*time.Second))
-		domain := domains[rng.IntN(len(domains))]
-		r.note("failure domain %s is evacuated", domain)
+		sleep(ctx, randomDuration(rng, time.Second, 3*time.Second))
+		domain := failureDomains[rng.IntN(len(failureDomains))]
+		r.recordFault("failure domain %s is evacuated", domain)
 		r.mu.Lock()
 		r.store.Evacuate(domain)
-		r.evacuations = append(r.evacuations, evacuation{domain: domain, ordered: time.Now()})
+		r.evacuations = append(r.evacuations, evacuation{domain: domain, orderedAt: time.Now()})
 		r.mu.Unlock()
-		rest(ctx, between(rng, time.Second, drainBound+3*time.Second))
-		r.note("failure domain %s is taken back", domain)
+		sleep(ctx, randomDuration(rng, time.Second, drainBound+3*time.Second))
+		r.recordFault("the evacuation of failure domain %s is withdrawn", domain)
 		r.mu.Lock()
-		r.evacuations[len(r.evacuations)-1].withdrawn = time.Now()
+		r.evacuations[len(r.evacuations)-1].withdrawnAt = time.Now()
 		r.store.TakeBack(domain)
 		r.mu.Unlock()
 	}
 }
 
-// checkEvacuations holds runs in evacuated failure domains to the bound of drains, for
-// daemons that nothing touched meanwhile.
-func (r *Run) checkEvacuations(x done, runs []site.Run) {
+// checkEvacuations checks that replicas in an evacuated failure domain got no new work after
+// drainBound, from daemons that were undisturbed in the meantime.
+func (r *runner) checkEvacuations(att attempt, runs []site.Run) {
 	for _, run := range runs {
 		domain := r.domainOf(run.Replica)
 		for _, e := range r.evacuations {
-			if e.domain == domain && x.began.After(e.ordered.Add(drainBound)) && (e.withdrawn.IsZero() || run.At.Before(e.withdrawn)) &&
-				x.daemon.calm(e.ordered.Add(-settle)) {
-				r.violate("evacuation: %s ran at %s %s after %s was evacuated", x.call.ID, run.Replica, x.began.Sub(e.ordered).Round(time.Millisecond), domain)
+			if e.domain == domain && att.startedAt.After(e.orderedAt.Add(drainBound)) && (e.withdrawnAt.IsZero() || run.At.Before(e.withdrawnAt)) &&
+				att.daemon.undisturbedSince(e.orderedAt.Add(-undisturbedMargin)) {
+				r.recordViolation("evacuation: %s ran at %s %s after %s was evacuated", att.call.ID, run.Replica, att.startedAt.Sub(e.orderedAt).Round(time.Millisecond), domain)
 			}
 		}
 	}
 }
 
-// domainOf returns where a replica stands.
-func (r *Run) domainOf(replica string) string {
+// domainOf returns a replica's failure domain.
+func (r *runner) domainOf(replica string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if rep := r.replica(replica); rep != nil {
+	if rep := r.replicaByID(replica); rep != nil {
 		return rep.FailureDomain
 	}
 	return ""
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -10,59 +10,59 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// inject draws faults by the seed until ctx ends. Each lasts a while beside
-// those that follow.
-func (r *Run) inject(ctx context.Context) {
+// injectFaults injects random faults from the seed until ctx ends. A fault may still
+// last when the next ones begin.
+func (r *runner) injectFaults(ctx context.Context) {
 	for ctx.Err() == nil {
-		r.draws()()
+		r.nextFault()()
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(100+r.rng.IntN(900)) * time.Millisecond):
+		case <-time.After(time.Duration(100+r.faultRNG.IntN(900)) * time.Millisecond):
 		}
 	}
 }
 
-// draws returns the next fault.
-func (r *Run) draws() func() {
-	d := r.daemons[r.rng.IntN(len(r.daemons))]
-	for1 := time.Duration(200+r.rng.IntN(2500)) * time.Millisecond
-	rep := r.anyReplica()
+// nextFault draws a fault and returns the function that injects it.
+func (r *runner) nextFault() func() {
+	d := r.daemons[r.faultRNG.IntN(len(r.daemons))]
+	duration := time.Duration(200+r.faultRNG.IntN(2500)) * time.Millisecond
+	rep := r.randomReplica()
 	faults := []func(){
-		func() { r.restart(d, syscall.SIGTERM, "stopped") },
-		func() { r.restart(d, syscall.SIGKILL, "killed") },
-		func() { r.pause(d, for1) },
-		func() { r.reload(d) },
-		func() { r.relayFault(d, d.store, "store", for1) },
-		func() { r.relayFault(d, d.peers, "fellows", for1) },
-		func() { r.silence(d, d.store, "store") },
-		func() { r.silence(d, d.peers, "fellows") },
-		func() { r.storeFault(for1) },
-		func() { r.behave(rep, for1) },
-		func() { r.behave(rep, for1) },
-		func() { r.replace(rep) },
-		func() { r.changeKeys() },
+		func() { r.restartDaemon(d, syscall.SIGTERM, "stopped") },
+		func() { r.restartDaemon(d, syscall.SIGKILL, "killed") },
+		func() { r.pauseDaemon(d, duration) },
+		func() { r.reloadSettings(d) },
+		func() { r.injectRelayFault(d, d.storeRelay, "store", duration) },
+		func() { r.injectRelayFault(d, d.peerRelay, "fellows", duration) },
+		func() { r.blackholeOpenConnections(d, d.storeRelay, "store") },
+		func() { r.blackholeOpenConnections(d, d.peerRelay, "fellows") },
+		func() { r.injectStoreFault(duration) },
+		func() { r.injectMisbehaviour(rep, duration) },
+		func() { r.injectMisbehaviour(rep, duration) },
+		func() { r.replaceReplica(rep) },
+		func() { r.rotateKeys() },
 	}
-	return faults[r.rng.IntN(len(faults))]
+	return faults[r.faultRNG.IntN(len(faults))]
 }
 
-// note adds a fault to the report.
-func (r *Run) note(format string, args ...any) {
+// recordFault adds a fault to the report.
+func (r *runner) recordFault(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := time.Since(r.began).Round(time.Millisecond)
+	at := time.Since(r.startedAt).Round(time.Millisecond)
 	r.report.Faults = append(r.report.Faults, fmt.Sprintf("%8s  %s", at, fmt.Sprintf(format, args...)))
 }
 
-func (r *Run) anyReplica() *site.Replica {
+func (r *runner) randomReplica() *site.Replica {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.replicas[r.rng.IntN(len(r.replicas))]
+	return r.replicas[r.faultRNG.IntN(len(r.replicas))]
 }
 
-// restart ends a daemon and starts it again; one that is on its way out gets
-// the further signal only.
-func (r *Run) restart(d *daemon, s syscall.Signal, how string) {
-	r.note("%s is %s", d.name, how)
+// restartDaemon stops a daemon with s and starts it again. A daemon that is already
+// being restarted only gets the signal, so that it is not started twice.
+func (r *runner) restartDaemon(d *daemon, s syscall.Signal, how string) {
+	r.recordFault("%s is %s", d.name, how)
 	go func() {
 		if !d.restarting.TryLock() {
 			d.signal(s)
@@ -71,87 +71,88 @@
 		defer d.restarting.Unlock()
 		d.stop(s)
 		if err := d.start(); err != nil {
-			r.violate("%s does not start: %v", d.name, err)
+			r.recordViolation("%s does not start: %v", d.name, err)
 		}
 	}()
 	time.Sleep(20 * time.Millisecond)
 }
 
-func (r *Run) pause(d *daemon, for1 time.Duration) {
-	r.note("%s stands still for %s", d.name, for1)
+func (r *runner) pauseDaemon(d *daemon, duration time.Duration) {
+	r.recordFault("%s is paused for %s", d.name, duration)
 	d.signal(syscall.SIGSTOP)
-	time.AfterFunc(for1, func() {
-		d.touched()
+	time.AfterFunc(duration, func() {
+		d.recordDisturbance()
 		d.signal(syscall.SIGCONT)
 	})
 }
 
-// suspend has a daemon stand still, and find as it goes on that its host has slept
-// for longer than the steady clock says.
-// A process that has not begun to serve would end at the signal.
-func (r *Run) suspend(d *daemon, for1 time.Duration) {
-	life := d.lives()
+// suspendHost pauses a daemon and, when it resumes it, tells it by SIGUSR1 that its host
+// has slept for longer than the monotonic clock shows. It skips a daemon that is not
+// ready, since SIGUSR1 would end a process that has not yet installed its handler.
+func (r *runner) suspendHost(d *daemon, duration time.Duration) {
+	incarnation := d.currentIncarnation()
 	if !d.ready() {
 		return
 	}
-	r.note("the host of %s sleeps for %s", d.name, for1+simulatedSleep)
+	r.recordFault("the host of %s sleeps for %s", d.name, duration+simulatedSleep)
 	d.signal(syscall.SIGSTOP)
-	time.AfterFunc(for1, func() {
-		d.touched()
-		if d.lives() == life {
+	time.AfterFunc(duration, func() {
+		d.recordDisturbance()
+		if d.currentIncarnation() == incarnation {
 			d.signal(syscall.SIGUSR1)
 		}
 		d.signal(syscall.SIGCONT)
 	})
 }
 
-// reload changes the settings and tells the daemon.
-func (r *Run) reload(d *daemon) {
-	r.note("%s reloads its settings", d.name)
+// reloadSettings changes the daemon's settings file and sends it SIGHUP.
+func (r *runner) reloadSettings(d *daemon) {
+	r.recordFault("%s reloads its settings", d.name)
 	var seeds []string
 	for _, o := range r.daemons[:min(3, len(r.daemons))] {
-		seeds = append(seeds, o.host())
+		seeds = append(seeds, o.peerAddress())
 	}
 	if err := d.writeSettings(seeds); err != nil {
-		r.violate("settings of %s: %v", d.name, err)
+		r.recordViolation("settings of %s: %v", d.name, err)
 	}
 	d.signal(syscall.SIGHUP)
 }
 
-// relayFault cuts, delays or silences a way to or from a daemon.
-func (r *Run) relayFault(d *daemon, relay *faultrelay.Relay, way string, for1 time.Duration) {
-	silent := faultrelay.Direction{Blackhole: true}
-	slow := faultrelay.Direction{Delay: time.Duration(20+r.rng.IntN(300)) * time.Millisecond}
+// injectRelayFault resets, delays or blackholes the connections of a relay to or from a
+// daemon. The peer is named in the report.
+func (r *runner) injectRelayFault(d *daemon, relay *faultrelay.Relay, peer string, duration time.Duration) {
+	blackhole := faultrelay.Direction{Blackhole: true}
+	delayed := faultrelay.Direction{Delay: time.Duration(20+r.faultRNG.IntN(300)) * time.Millisecond}
 	kinds := []struct {
 		name string
 		c    faultrelay.Conditions
 	}{
 		{"cut", faultrelay.Conditions{Cut: true}},
-		{"silenced", faultrelay.Conditions{ToTarget: silent, ToCaller: silent}},
-		{"silenced one way", faultrelay.Conditions{ToCaller: silent}},
-		{"silenced the other way", faultrelay.Conditions{ToTarget: silent}},
-		{"slow", faultrelay.Conditions{ToTarget: slow, ToCaller: slow}},
+		{"silenced", faultrelay.Conditions{ToTarget: blackhole, ToCaller: blackhole}},
+		{"silenced one way", faultrelay.Conditions{ToCaller: blackhole}},
+		{"silenced the other way", faultrelay.Conditions{ToTarget: blackhole}},
+		{"slow", faultrelay.Conditions{ToTarget: delayed, ToCaller: delayed}},
 	}
-	k := kinds[r.rng.IntN(len(kinds))]
-	r.note("%s and its %s: %s for %s", d.name, way, k.name, for1)
+	k := kinds[r.faultRNG.IntN(len(kinds))]
+	r.recordFault("%s and its %s: %s for %s", d.name, peer, k.name, duration)
 	relay.Set(k.c)
-	time.AfterFunc(for1, func() {
-		d.touched()
+	time.AfterFunc(duration, func() {
+		d.recordDisturbance()
 		relay.Heal()
 	})
 }
 
-// silence silences the connections that a daemon has open to or from others,
-// for good; new ones work.
-func (r *Run) silence(d *daemon, relay *faultrelay.Relay, way string) {
+// blackholeOpenConnections makes the connections that a relay to or from a daemon has
+// open a permanent blackhole; new connections work.
+func (r *runner) blackholeOpenConnections(d *daemon, relay *faultrelay.Relay, peer string) {
 	n := relay.Silence()
-	d.touched()
-	r.note("%s and its %s: %d open connections silenced for good", d.name, way, n)
+	d.recordDisturbance()
+	r.recordFault("%s and its %s: %d open connections are a permanent blackhole", d.name, peer, n)
 }
 
-func (r *Run) storeFault(for1 time.Duration) {
-	kind := r.rng.IntN(3)
-	r.note("the store is %s for %s", []string{"down", "busy", "slow"}[kind], for1)
+func (r *runner) injectStoreFault(duration time.Duration) {
+	kind := r.faultRNG.IntN(3)
+	r.recordFault("the store is %s for %s", []string{"down", "busy", "slow"}[kind], duration)
 	switch kind {
 	case 0:
 		r.store.Fail(503)
@@ -160,17 +161,17 @@
 	default:
 		r.store.Delay(400 * time.Millisecond)
 	}
-	time.AfterFunc(for1, func() {
+	time.AfterFunc(duration, func() {
 		r.store.Fail(0)
 		r.store.Delay(0)
 		for _, d := range r.daemons {
-			d.touched()
+			d.recordDisturbance()
 		}
 	})
 }
 
-// behave makes a replica misbehave for a while.
-func (r *Run) behave(rep *site.Replica, for1 time.Duration) {
+// injectMisbehaviour makes a replica misbehave for the duration.
+func (r *runner) injectMisbehaviour(rep *site.Replica, duration time.Duration) {
 	kinds := []struct {
 		name string
 		b    site.Behaviour
@@ -178,7 +179,7 @@
 		{"breaks off before its answers", site.Behaviour{CutBefore: true}},
 		{"breaks its answers off", site.Behaviour{Truncate: true, CutAfterEvents: 2}},
 		{"refuses", site.Behaviour{Shed: true}},
-		{"refuses without a word", site.Behaviour{ShedSilently: true}},
+		{"refuses without saying that nothing ran", site.Behaviour{ShedSilently: true}},
 		{"hangs", site.Behaviour{Hang: true}},
 		{"sends no length", site.Behaviour{Unframed: true}},
 		{"sends a second answer", site.Behaviour{Extra: true}},
@@ -186,39 +187,40 @@
 		{"is slow", site.Behaviour{Work: 300 * time.Millisecond}},
 		{"fails", site.Behaviour{Status: 500}},
 	}
-	k := kinds[r.rng.IntN(len(kinds))]
-	r.note("%s %s for %s", rep.ID, k.name, for1)
+	k := kinds[r.faultRNG.IntN(len(kinds))]
+	r.recordFault("%s %s for %s", rep.ID, k.name, duration)
 	rep.Behave(k.b)
-	time.AfterFunc(for1, func() { rep.Behave(site.Behaviour{}) })
+	time.AfterFunc(duration, func() { rep.Behave(site.Behaviour{}) })
 }
 
-// replace adds a replica and lets one of its service drain.
-func (r *Run) replace(rep *site.Replica) {
+// replaceReplica adds a replica to the service of rep and sets rep to draining, unless
+// it is draining already.
+func (r *runner) replaceReplica(rep *site.Replica) {
 	r.mu.Lock()
-	_, leaving := r.draining[rep.ID]
+	_, leaving := r.drainingSince[rep.ID]
 	id := fmt.Sprintf("%s-%d", rep.Service, len(r.replicas))
 	r.mu.Unlock()
 	if leaving {
 		return
 	}
-	r.note("%s drains, %s replaces it", rep.ID, id)
+	r.recordFault("%s drains, %s replaces it", rep.ID, id)
 	if err := r.addReplica(id, rep.Service, rep.Kind); err != nil {
-		r.violate("replica %s: %v", id, err)
+		r.recordViolation("replica %s: %v", id, err)
 		return
 	}
 	r.store.Put("servers/"+rep.ID, site.Entry(rep, "draining"))
 	r.mu.Lock()
-	r.draining[rep.ID] = time.Now()
+	r.drainingSince[rep.ID] = time.Now()
 	r.mu.Unlock()
 	time.AfterFunc(2*drainBound, func() { r.store.Delete("servers/" + rep.ID) })
 }
 
-// changeKeys adds a key and takes the oldest away.
-func (r *Run) changeKeys() {
+// rotateKeys adds an API key and revokes the oldest one.
+func (r *runner) rotateKeys() {
 	r.mu.Lock()
-	r.revoked[r.keys[0]] = time.Now()
-	r.keys = append(r.keys[1:], fmt.Sprintf("key-%d", r.version+1))
+	r.revokedAt[r.apiKeys[0]] = time.Now()
+	r.apiKeys = append(r.apiKeys[1:], fmt.Sprintf("key-%d", r.configVersion+1))
 	r.mu.Unlock()
-	r.configure()
-	r.note("a key is taken away and one added")
+	r.publishConfiguration()
+	r.recordFault("an API key is revoked and another one added")
 }
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -8,107 +8,111 @@
 	"time"
 )
 
-// The promise on replicas that name a limit: from contact after it was first named, processes
-// that had passed an answer of it on limitTold before send no more in limitWindow than
-// limitOverage times what it allows, and limitSlack.
+// The guarantee for replicas that announce a rate limit, from propagationTime after a caller
+// first received it: in any limitWindow, the daemon processes that had passed on an answer
+// with the limit at least limitPropagation before send the replica, all together, at most
+// limitOverage times the requests that the limit allows, plus limitSlack.
 const (
-	limitTold    = 500 * time.Millisecond
-	limitWindow  = 4 * time.Second
-	limitOverage = 1.5
-	limitSlack   = 5
+	limitPropagation = 500 * time.Millisecond
+	limitWindow      = 4 * time.Second
+	limitOverage     = 1.5
+	limitSlack       = 5
 )
 
-// limitSpell is a time during which a replica names a limit in all its answers.
-type limitSpell struct {
+// limitPeriod is a period during which a replica announces a rate limit in all its answers.
+type limitPeriod struct {
 	replica   string
 	perSecond float64
-	// until is zero while it lasts.
+	// until is zero while the period lasts.
 	from, until time.Time
 }
 
-// nameLimits has replicas name limits, one after the other, until ctx ends.
-func (r *Run) nameLimits(ctx context.Context, rng *rand.Rand) {
+// announceLimits lets replicas announce rate limits, one after the other, until ctx ends.
+func (r *runner) announceLimits(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		rest(ctx, between(rng, 200*time.Millisecond, 1500*time.Millisecond))
+		sleep(ctx, randomDuration(rng, 200*time.Millisecond, 1500*time.Millisecond))
 		perSecond := []float64{0, 0.5, 1, 3}[rng.IntN(4)]
 		r.mu.Lock()
 		rep := r.replicas[rng.IntN(len(r.replicas))]
-		r.limits = append(r.limits, limitSpell{replica: rep.ID, perSecond: perSecond, from: time.Now()})
-		spell := &r.limits[len(r.limits)-1]
+		r.limits = append(r.limits, limitPeriod{replica: rep.ID, perSecond: perSecond, from: time.Now()})
+		period := &r.limits[len(r.limits)-1]
 		r.mu.Unlock()
-		r.note("%s names a limit of %g a second", rep.ID, perSecond)
+		r.recordFault("%s announces a limit of %g requests a second", rep.ID, perSecond)
 		rep.NameLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
-		rest(ctx, between(rng, 4*time.Second, 9*time.Second))
+		sleep(ctx, randomDuration(rng, 4*time.Second, 9*time.Second))
 		r.mu.Lock()
-		spell.until = time.Now()
+		period.until = time.Now()
 		r.mu.Unlock()
 		rep.NameLimit("")
-		r.note("%s names no limit any more", rep.ID)
+		r.recordFault("%s no longer announces a limit", rep.ID)
 	}
 }
 
-// checkLimits holds processes that ran on meanwhile to the limits that they were told.
-func (r *Run) checkLimits() {
+// checkLimits checks that daemon processes that ran uninterrupted keep to the limits that
+// they were told.
+func (r *runner) checkLimits() {
 	for _, s := range r.limits {
-		first, counted := r.toldOf(s)
-		if first.IsZero() {
+		informedAt, arrivals := r.informedArrivals(s)
+		if informedAt.IsZero() {
 			continue
 		}
 		bound := int(limitOverage*s.perSecond*limitWindow.Seconds()) + limitSlack
-		if n := mostWithin(counted, first.Add(contact), limitWindow); n > bound {
-			r.violate("limit: %s got %d requests in %s when it had named %g a second; allowed %d", s.replica, n, limitWindow, s.perSecond, bound)
+		if n := maxInWindow(arrivals, informedAt.Add(propagationTime), limitWindow); n > bound {
+			r.recordViolation("limit: %s got %d requests in %s while its limit was %g a second; allowed %d", s.replica, n, limitWindow, s.perSecond, bound)
 		}
 	}
 }
 
-// daemonLife is one life of a daemon.
-type daemonLife struct {
-	daemon *daemon
-	life   int
+// daemonIncarnation identifies one process of a daemon.
+type daemonIncarnation struct {
+	daemon      *daemon
+	incarnation int
 }
 
-// toldOf returns when a limit was first told, and when requests arrived of processes that
-// had been told and ran through since.
-func (r *Run) toldOf(s limitSpell) (first time.Time, arrived []time.Time) {
+// informedArrivals returns when a caller first received an answer with the limit, and when
+// requests arrived from daemon processes that had been told at least limitPropagation before
+// and ran uninterrupted. The first is zero if no request ran at the replica in the period.
+func (r *runner) informedArrivals(s limitPeriod) (firstInformed time.Time, arrivals []time.Time) {
 	type arrival struct {
 		at   time.Time
-		from daemonLife
+		from daemonIncarnation
 	}
 	var all []arrival
-	told := map[daemonLife]time.Time{}
-	for _, x := range r.calls {
-		for _, run := range r.ledger.Runs(x.call.ID) {
+	informedAt := map[daemonIncarnation]time.Time{}
+	for _, att := range r.attempts {
+		for _, run := range r.ledger.Runs(att.call.ID) {
 			if run.Replica != s.replica || run.At.Before(s.from) || !s.until.IsZero() && run.At.After(s.until) {
 				continue
 			}
-			p := daemonLife{x.daemon, x.life}
+			p := daemonIncarnation{att.daemon, att.incarnation}
 			all = append(all, arrival{run.At, p})
-			if at, known := told[p]; !known || x.ended.Before(at) {
-				told[p] = x.ended
+			if at, known := informedAt[p]; !known || att.endedAt.Before(at) {
+				informedAt[p] = att.endedAt
 			}
-			if first.IsZero() || x.ended.Before(first) {
-				first = x.ended
+			if firstInformed.IsZero() || att.endedAt.Before(firstInformed) {
+				firstInformed = att.endedAt
 			}
 		}
 	}
 	for _, a := range all {
-		if a.at.Sub(told[a.from]) >= limitTold && a.from.daemon.ranThrough(s.from.Add(-settle), a.at) {
-			arrived = append(arrived, a.at)
+		if a.at.Sub(informedAt[a.from]) >= limitPropagation && a.from.daemon.ranUninterrupted(s.from.Add(-undisturbedMargin), a.at) {
+			arrivals = append(arrivals, a.at)
 		}
 	}
-	return first, arrived
+	return firstInformed, arrivals
 }
 
-// mostWithin is the largest number of times, from a moment on, within a span.
-func mostWithin(times []time.Time, from time.Time, span time.Duration) int {
+// maxInWindow returns the largest number of times, not counting those before from, that lie
+// within one window.
+func maxInWindow(times []time.Time, from time.Time, window time.Duration) int {
 	times = slices.DeleteFunc(times, func(t time.Time) bool { return t.Before(from) })
 	slices.SortFunc(times, time.Time.Compare)
-	most, first := 0, 0
+	maxCount, first := 0, 0
 	for i := range times {
-		for times[i].Sub(times[first]) >= span {
+		for times[i].Sub(times[first]) >= window {
 			first++
 		}
-		most = max(most, i-first+1)
+		maxCount = max(maxCount, i-first+1)
 	}
-	return most
+	return maxCount
 }
--- a/soak/report.go
+++ b/soak/report.go
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// Report is what came of a soak.
+// Report is the result of a soak.
 type Report struct {
 	Seed     uint64
 	Dir      string
 	Daemons  int
 	Duration time.Duration
 	Requests int
-	// Served, Refused (truly not run), Failed, Broken (no complete answer) and
-	// Left (the caller gave up) add up to Requests.
-	Served, Refused, Failed, Broken, Left int
-	// Paused are the runs of streams at sound replicas that were silent for long.
-	Paused int
-	Faults []string
-	// Violations are the promises that were broken.
+	// Served, Refused (answered as not run), Failed, Incomplete (no complete answer) and
+	// Abandoned (the caller gave up) add up to Requests.
+	Served, Refused, Failed, Incomplete, Abandoned int
+	// PausedStreams counts the streams at healthy replicas that ran to completion for at
+	// least minStreamPause, the shortest pause that the soak injects.
+	PausedStreams int
+	Faults        []string
+	// Violations describe the guarantees that were violated.
 	Violations []string
 }
 
-// Print writes the report for a person.
+// Print writes the report as text. It includes the faults only if there are violations.
 func (r Report) Print(w io.Writer) {
-	verdict := "kept every promise"
+	verdict := "no violations"
 	if len(r.Violations) > 0 {
-		verdict = fmt.Sprintf("BROKE %d PROMISES", len(r.Violations))
+		verdict = fmt.Sprintf("%d VIOLATIONS", len(r.Violations))
 	}
 	fmt.Fprintf(w, "seed %d: %d daemons for %s under %d faults: %s\n", r.Seed, r.Daemons, r.Duration, len(r.Faults), verdict)
-	fmt.Fprintf(w, "  %d requests: %d served, %d refused, %d failed, %d broken off, %d left by their callers; %d streams paused\n",
-		r.Requests, r.Served, r.Refused, r.Failed, r.Broken, r.Left, r.Paused)
+	fmt.Fprintf(w, "  %d requests: %d served, %d refused, %d failed, %d incomplete, %d abandoned by their callers; %d streams paused\n",
+		r.Requests, r.Served, r.Refused, r.Failed, r.Incomplete, r.Abandoned, r.PausedStreams)
 	const shown = 20
 	for i, v := range r.Violations {
 		if i == shown {
 			fmt.Fprintf(w, "  and %d more\n", len(r.Violations)-shown)
 			break
 		}
-		fmt.Fprintf(w, "  broken: %s\n", v)
+		fmt.Fprintf(w, "  violation: %s\n", v)
 	}
 	if len(r.Violations) == 0 {
 		return
--- a/soak/run.go
+++ b/soak/run.go
@@ -14,117 +14,127 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// The figures of a soak.
+// Bounds that the checks apply.
 const (
-	// grace is the daemons' time from SIGTERM to their end.
-	grace = 4 * time.Second
-	// lastOfGrace is the part of it at whose beginning they may end what still runs.
-	lastOfGrace = grace / 6
-	// budgetSlack and the ratio of 0.2 bound repeats in 10 s over all daemons.
+	// shutdownGrace is the time that the daemons have between SIGTERM and their exit.
+	shutdownGrace = 4 * time.Second
+	// shutdownGraceTail is the last part of shutdownGrace, in which daemons may end
+	// requests that are still running.
+	shutdownGraceTail = shutdownGrace / 6
+	// budgetSlack and budgetRatio (0.2) limit the retries of all daemons together: in
+	// any 10 s, budgetRatio times the requests plus budgetSlack.
 	budgetSlack = 40
 	budgetRatio = 0.2
-	// drainBound is when a draining replica gets no new work any more, with a
-	// second for requests on the way and for a busy machine.
+	// drainBound is the time after which a draining replica gets no new work. It
+	// includes a second for requests in transit and for a busy machine.
 	drainBound = 3 * time.Second
-	// settle is how long a daemon must have been undisturbed for the checks
-	// that hold for undisturbed ones.
-	settle = 3 * time.Second
-	// callDeadline is what callers give a request.
+	// undisturbedMargin is how long before the event being checked a daemon must have
+	// been free of faults, for the checks that hold only for undisturbed daemons.
+	undisturbedMargin = 3 * time.Second
+	// callDeadline is the deadline that callers set for a request.
 	callDeadline = 2500 * time.Millisecond
 )
 
-// Config is what a run needs.
+// Config configures a run.
 type Config struct {
-	// Binary is wheatseamd, Dir an empty folder for settings and logs.
+	// Binary is the path of wheatseamd, Dir that of an empty folder for settings and
+	// logs.
 	Binary, Dir string
 	Seed        uint64
 	// Duration is how long faults are injected.
 	Duration time.Duration
-	// Daemons and Callers are their numbers.
+	// Daemons and Callers are the numbers of daemons and of concurrent callers.
 	Daemons, Callers int
 }
 
-// Run is one soak.
-type Run struct {
-	cfg     Config
-	rng     *rand.Rand
-	began   time.Time
-	store   *site.Store
-	ledger  *site.Ledger
-	daemons []*daemon
-	server  *http.Server
+// runner holds the state of one run.
+type runner struct {
+	cfg       Config
+	faultRNG  *rand.Rand
+	startedAt time.Time
+	store     *site.Store
+	ledger    *site.Ledger
+	daemons   []*daemon
+	server    *http.Server
 
 	mu       sync.Mutex
 	replicas []*site.Replica
-	// draining maps replicas to when they said so.
-	draining map[string]time.Time
-	// crashed maps culprits to when replicas crashed under them.
-	crashed map[string][]time.Time
-	version int
-	keys    []string
-	// revoked maps keys to when they were taken away.
-	revoked map[string]time.Time
-	// evacuations are the operator's orders, in their order.
+	// drainingSince maps a replica to the time at which its entry in the store was set
+	// to draining.
+	drainingSince map[string]time.Time
+	// crashTimes maps the content of a poison request to the times at which replicas
+	// crashed while running it.
+	crashTimes    map[string][]time.Time
+	configVersion int
+	apiKeys       []string
+	// revokedAt maps an API key to the time at which it was revoked.
+	revokedAt map[string]time.Time
+	// evacuations are the operator's evacuation orders, oldest first.
 	evacuations []evacuation
-	// limits are those that replicas named, in their order.
-	limits []limitSpell
-	// leavers maps replicas to when they first said in their answers that they leave.
-	leavers map[string]time.Time
-	report  Report
-	calls   []done
+	// limits are the limits that replicas announced, oldest first.
+	limits []limitPeriod
+	// leavingSince maps a replica to the time from which its answers announce that it
+	// is leaving.
+	leavingSince map[string]time.Time
+	report       Report
+	attempts     []attempt
 }
 
-// done is one attempt of a caller and what came of it.
-type done struct {
-	call   site.Call
-	heard  site.Heard
-	daemon *daemon
-	life   int
-	began  time.Time
-	ended  time.Time
-	// left says that the caller gave up first.
-	left bool
+// attempt is one request of a caller and its outcome.
+type attempt struct {
+	call        site.Call
+	response    site.Heard
+	daemon      *daemon
+	incarnation int
+	startedAt   time.Time
+	endedAt     time.Time
+	// abandoned is set when the caller gave up before it had an answer.
+	abandoned bool
 }
 
-// inTime says whether a moment is before the caller's deadline.
-func (x done) inTime(at time.Time) bool { return at.Before(x.began.Add(callDeadline)) }
+// beforeDeadline reports whether at is before the caller's deadline.
+func (att attempt) beforeDeadline(at time.Time) bool {
+	return at.Before(att.startedAt.Add(callDeadline))
+}
 
-// Do plays a soak and returns its report. The error says that it could not be
-// played.
+// Do runs a soak and returns its report. It returns an error if the soak could not
+// be run; violated guarantees are in the report.
 func Do(ctx context.Context, cfg Config) (Report, error) {
-	r := &Run{
-		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), began: time.Now(), store: site.NewStore(), ledger: site.NewLedger(),
-		draining: map[string]time.Time{}, crashed: map[string][]time.Time{}, revoked: map[string]time.Time{}, leavers: map[string]time.Time{}, keys: []string{"key-0", "key-1"},
+	r := &runner{
+		cfg: cfg, faultRNG: rand.New(rand.NewPCG(cfg.Seed, 1)), startedAt: time.Now(), store: site.NewStore(), ledger: site.NewLedger(),
+		drainingSince: map[string]time.Time{}, crashTimes: map[string][]time.Time{}, revokedAt: map[string]time.Time{}, leavingSince: map[string]time.Time{}, apiKeys: []string{"key-0", "key-1"},
 	}
 	r.report = Report{Seed: cfg.Seed, Dir: cfg.Dir, Daemons: cfg.Daemons, Duration: cfg.Duration}
 	defer r.close()
 	if err := r.start(); err != nil {
 		return r.report, err
 	}
-	playing, cancel := context.WithTimeout(ctx, cfg.Duration)
+	faultCtx, cancel := context.WithTimeout(ctx, cfg.Duration)
 	defer cancel()
 	var wg sync.WaitGroup
 	for i := range cfg.Callers {
 		rng := rand.New(rand.NewPCG(cfg.Seed, uint64(100+i)))
-		wg.Go(func() { r.caller(playing, rng, i) })
+		wg.Go(func() { r.runCaller(faultCtx, rng, i) })
 	}
-	// Sources of randomness of their own: the faults of a seed stay what they were.
-	wg.Go(func() { r.sendCulprits(playing, rand.New(rand.NewPCG(cfg.Seed, 2))) })
-	wg.Go(func() { r.suspendHosts(playing, rand.New(rand.NewPCG(cfg.Seed, 3))) })
-	wg.Go(func() { r.pauseEngines(playing, rand.New(rand.NewPCG(cfg.Seed, 4))) })
-	wg.Go(func() { r.evacuateDomains(playing, rand.New(rand.NewPCG(cfg.Seed, 5))) })
-	wg.Go(func() { r.nameLimits(playing, rand.New(rand.NewPCG(cfg.Seed, 6))) })
-	wg.Go(func() { r.leaveUnregistered(playing, rand.New(rand.NewPCG(cfg.Seed, 7))) })
-	wg.Go(func() { r.askForRest(playing, rand.New(rand.NewPCG(cfg.Seed, 8))) })
-	r.inject(playing)
+	// Each has its own random source, so that adding one does not change the fault
+	// schedule of existing seeds.
+	wg.Go(func() { r.sendPoisonRequests(faultCtx, rand.New(rand.NewPCG(cfg.Seed, 2))) })
+	wg.Go(func() { r.suspendHosts(faultCtx, rand.New(rand.NewPCG(cfg.Seed, 3))) })
+	wg.Go(func() { r.pauseEngines(faultCtx, rand.New(rand.NewPCG(cfg.Seed, 4))) })
+	wg.Go(func() { r.evacuateDomains(faultCtx, rand.New(rand.NewPCG(cfg.Seed, 5))) })
+	wg.Go(func() { r.announceLimits(faultCtx, rand.New(rand.NewPCG(cfg.Seed, 6))) })
+	wg.Go(func() { r.announceLeaving(faultCtx, rand.New(rand.NewPCG(cfg.Seed, 7))) })
+	wg.Go(func() { r.requestBackoffs(faultCtx, rand.New(rand.NewPCG(cfg.Seed, 8))) })
+	r.injectFaults(faultCtx)
 	wg.Wait()
-	r.recover()
-	r.check()
+	r.checkRecovery()
+	r.checkGuarantees()
 	return r.report, nil
 }
 
-// start starts store, replicas and daemons and waits until all take requests.
-func (r *Run) start() error {
+// start starts the store, the replicas and the daemons and waits until all daemons
+// are ready.
+func (r *runner) start() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -137,7 +147,7 @@
 			return err
 		}
 	}
-	r.configure()
+	r.publishConfiguration()
 	var seeds []string
 	for i := range r.cfg.Daemons {
 		d, err := newDaemon(fmt.Sprintf("d%d", i), r.cfg.Binary, r.cfg.Dir, l.Addr().String())
@@ -146,7 +156,7 @@
 		}
 		r.daemons = append(r.daemons, d)
 		if len(seeds) < 3 {
-			seeds = append(seeds, d.host())
+			seeds = append(seeds, d.peerAddress())
 		}
 	}
 	for _, d := range r.daemons {
@@ -157,9 +167,9 @@
 	return r.awaitReady(10 * time.Second)
 }
 
-var errNotReady = errors.New("soak: daemons do not become ready")
+var errNotReady = errors.New("soak: daemon is not ready in time")
 
-func (r *Run) awaitReady(within time.Duration) error {
+func (r *runner) awaitReady(within time.Duration) error {
 	deadline := time.Now().Add(within)
 	for _, d := range r.daemons {
 		for !d.ready() {
@@ -172,7 +182,7 @@
 	return nil
 }
 
-func (r *Run) addReplica(id, service string, kind site.Kind) error {
+func (r *runner) addReplica(id, service string, kind site.Kind) error {
 	rep, err := site.StartReplica(r.ledger, id, service, kind, "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -181,23 +191,23 @@
 	defer r.mu.Unlock()
 	r.replicas = append(r.replicas, rep)
 	rep.Born = time.Now().UnixMilli()
-	rep.FailureDomain = domains[len(r.replicas)%len(domains)]
-	rep.CrashUnder(poison(rep, rand.New(rand.NewPCG(r.cfg.Seed, uint64(1000+len(r.replicas)))), r.noteCrash))
-	rep.Returned = r.returned
+	rep.FailureDomain = failureDomains[len(r.replicas)%len(failureDomains)]
+	rep.CrashUnder(poisonFor(rep, rand.New(rand.NewPCG(r.cfg.Seed, uint64(1000+len(r.replicas)))), r.recordCrash))
+	rep.Returned = r.registerRestarted
 	r.store.Put("servers/"+id, site.Entry(rep, "ready"))
 	return nil
 }
 
-// configure puts the next version of the configuration in the store.
-func (r *Run) configure() {
+// publishConfiguration writes the next version of the configuration to the store.
+func (r *runner) publishConfiguration() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.version++
-	r.store.Put("op/config", site.Configuration(r.version, r.keys))
+	r.configVersion++
+	r.store.Put("op/config", site.Configuration(r.configVersion, r.apiKeys))
 }
 
-// recover ends all faults and holds the daemons to serving again.
-func (r *Run) recover() {
+// checkRecovery ends all faults and checks that every daemon serves requests again.
+func (r *runner) checkRecovery() {
 	r.store.Fail(0)
 	r.store.Delay(0)
 	r.mu.Lock()
@@ -207,38 +217,38 @@
 	}
 	r.mu.Unlock()
 	for _, d := range r.daemons {
-		d.store.Heal()
-		d.peers.Heal()
+		d.storeRelay.Heal()
+		d.peerRelay.Heal()
 		d.signal(syscall.SIGCONT)
 	}
 	if err := r.awaitReady(15 * time.Second); err != nil {
-		r.violate("recovery: %v", err)
+		r.recordViolation("recovery: %v", err)
 		return
 	}
 	for i, d := range r.daemons {
 		ok := false
 		for n := range 20 {
-			c := site.Call{ID: fmt.Sprintf("recover-%d-%d", i, n), Path: site.SafePath, Key: r.goodKey(), Deadline: callDeadline}
-			if site.Do(context.Background(), http.DefaultClient, d.callers(), c).Status == http.StatusOK {
+			c := site.Call{ID: fmt.Sprintf("recover-%d-%d", i, n), Path: site.SafePath, Key: r.newestKey(), Deadline: callDeadline}
+			if site.Do(context.Background(), http.DefaultClient, d.callerAddress(), c).Status == http.StatusOK {
 				ok = true
 				break
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
 		if !ok {
-			r.violate("recovery: %s serves nothing 4 s after the last fault", d.name)
+			r.recordViolation("recovery: %s serves no request within 4 s after the last fault", d.name)
 		}
 	}
 }
 
-// goodKey returns a key that is in force.
-func (r *Run) goodKey() string {
+// newestKey returns the API key that was added last, which is not revoked.
+func (r *runner) newestKey() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.keys[len(r.keys)-1]
+	return r.apiKeys[len(r.apiKeys)-1]
 }
 
-func (r *Run) close() {
+func (r *runner) close() {
 	for _, d := range r.daemons {
 		d.close()
 	}
@@ -250,8 +260,8 @@
 	}
 }
 
-// violate notes a broken promise.
-func (r *Run) violate(format string, args ...any) {
+// recordViolation adds a violated guarantee to the report.
+func (r *runner) recordViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Violations = append(r.report.Violations, fmt.Sprintf(format, args...))
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -19,8 +19,9 @@
 	RunSpecs(t, "soak")
 }
 
-// binary builds the daemon once, with the race detector where the tests have it.
-var binary = func() string {
+// daemonBinary is the path of the daemon, built once for all tests, with the race detector
+// if WHEATSEAM_RACE is set.
+var daemonBinary = func() string {
 	dir, err := os.MkdirTemp("", "wheatseam-soak-test-")
 	if err != nil {
 		panic(err)
@@ -36,19 +37,19 @@
 	return path
 }()
 
-// TestMain removes the binary after all tests: those after the suite need it too.
+// TestMain removes the binary after all tests, since tests outside the suite need it too.
 func TestMain(m *testing.M) {
 	code := m.Run()
-	_ = os.RemoveAll(filepath.Dir(binary)) // a folder of temporary files
+	_ = os.RemoveAll(filepath.Dir(daemonBinary)) // a leftover temporary folder does no harm
 	os.Exit(code)
 }
 
-// play plays a soak that is to keep every promise.
-func play(seed uint64, daemons int, duration time.Duration) {
+// expectNoViolations runs a soak and expects it to violate no guarantee.
+func expectNoViolations(seed uint64, daemons int, duration time.Duration) {
 	dir, err := os.MkdirTemp("", "wheatseam-soak-test-")
 	Expect(err).NotTo(HaveOccurred())
 	report, err := soak.Do(context.Background(), soak.Config{
-		Binary: binary, Dir: dir, Seed: seed, Duration: duration, Daemons: daemons, Callers: 2 * daemons,
+		Binary: daemonBinary, Dir: dir, Seed: seed, Duration: duration, Daemons: daemons, Callers: 2 * daemons,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	report.Print(GinkgoWriter)
@@ -57,24 +58,24 @@
 	Expect(os.RemoveAll(dir)).To(Succeed())
 }
 
-// A run of CI's length for each of some seeds; a seed that ever failed stays,
-// with a line on its cause.
+// Each seed runs for as long as CI can afford. Seeds that once failed stay, with the
+// cause of the failure.
 var _ = Describe("a soak", func() {
-	// The daemons and the duration decide the schedule of a seed's faults.
-	DescribeTable("keeps every promise", play,
+	// A seed's fault schedule also depends on the number of daemons and the duration.
+	DescribeTable("violates no guarantee", expectNoViolations,
 		Entry("seed 2", uint64(2), 3, 6*time.Second),
 		Entry("seed 7", uint64(7), 3, 6*time.Second),
-		// Two faults of the soak restarted one daemon at the same time, so that
-		// it ran twice.
+		// Seed 100: two faults of the soak restarted the same daemon at the same time,
+		// so that it ran twice.
 		Entry("seed 100", uint64(100), 4, 8*time.Second),
 		Entry("seed 128", uint64(128), 4, 8*time.Second),
 		Entry("seed 140", uint64(140), 4, 8*time.Second),
 		Entry("seed 151", uint64(151), 4, 8*time.Second),
-		// A planner that stood still twice gave results up that the next planner had
-		// given up too, or the other way round: a replica was told twice.
+		// Seed 52018: a planner was paused twice, and it and the planner that took over
+		// both released the same results, so that the replica was told twice.
 		Entry("seed 52018", uint64(52018), 4, 8*time.Second),
-		// A planner that stood still had a call that gives results up made again
-		// beside its answer.
+		// Seed 32007: while a planner was paused, its call that releases results was
+		// answered, but it sent the call again as well.
 		Entry("seed 32007", uint64(32007), 4, 8*time.Second),
 	)
 })
