--- a/proofs/at_most_once_test.go
+++ b/proofs/at_most_once_test.go
@@ -40,7 +40,7 @@
 		}
 	})
 
-	It("refuses the same key for another input", func() {
+	It("and its key is refused for another input", func() {
 		f := startFleet(proctest.Options{})
 		key := proctest.NewKey()
 		Expect(f.Call(0, proctest.PipelineSeal, key, "deed 1").Answered()).To(BeTrue())
@@ -62,7 +62,7 @@
 		expectAtMostOnce(f, key, again)
 	})
 
-	It("when its host is frozen after sending, and wakes", func() {
+	It("when its host is frozen after sending and resumes later", func() {
 		f := startFleet(proctest.Options{})
 		f.SetPoolFaults("signing", standin.Faults{LateByMS: 300})
 		key := proctest.NewKey()
@@ -74,7 +74,7 @@
 		expectAtMostOnce(f, key, again, <-sent)
 	})
 
-	It("when a claim holder restarts and has forgotten", func() {
+	It("when a claim holder restarts and has lost its claims", func() {
 		f := startFleet(proctest.Options{})
 		key := proctest.NewKey()
 		first := f.Call(0, proctest.PipelineSeal, key, "deed")
@@ -86,7 +86,7 @@
 		expectAtMostOnce(f, key, first, again)
 	})
 
-	It("when two of three holders restart: then it says that it may have run", func() {
+	It("when two of three claim holders restart", func() {
 		f := startFleet(proctest.Options{})
 		key := proctest.NewKey()
 		first := f.Call(0, proctest.PipelineSeal, key, "deed")
@@ -101,7 +101,7 @@
 		}
 	})
 
-	It("when the upstream loses its answer", func() {
+	It("when the upstream drops its answer", func() {
 		f := startFleet(proctest.Options{})
 		f.SetPoolFaults("signing", standin.Faults{DropAnswer: true})
 		key := proctest.NewKey()
@@ -112,7 +112,7 @@
 		expectAtMostOnce(f, key, first, again)
 	})
 
-	It("and a retry finds the result by status look-up after its host died", func() {
+	It("and a retry gets the result by a status lookup after its host died", func() {
 		f := startFleet(proctest.Options{ModifyBundle: func(b *bundle.Bundle) {
 			b.Pools[2].Supports.StatusLookup = true
 		}})
@@ -127,7 +127,7 @@
 		expectAtMostOnce(f, key, again)
 	})
 
-	It("refuses at once, unrun, while no majority of holders can be reached", func() {
+	It("and is refused promptly, without having run, while no majority of claim holders is reachable", func() {
 		f := startFleet(proctest.Options{})
 		f.Daemons[1].Kill()
 		f.Daemons[2].Kill()
@@ -139,15 +139,15 @@
 		expectAtMostOnce(f, key, o)
 	})
 
-	It("under random kills and freezes, with callers that retry elsewhere", func() {
+	It("under random kills and freezes, with callers that retry through other hosts", func() {
 		f := startFleet(proctest.Options{})
 		f.SetPoolFaults("signing", standin.Faults{LateByMS: 150})
 		const callers, rounds = 24, 5
 		stop := make(chan struct{})
-		var chaos, load sync.WaitGroup
-		chaos.Add(1)
+		var faultInjection, load sync.WaitGroup
+		faultInjection.Add(1)
 		go func() {
-			defer chaos.Done()
+			defer faultInjection.Done()
 			defer GinkgoRecover()
 			disturbDaemons(f, stop)
 		}()
@@ -166,7 +166,7 @@
 		}
 		load.Wait()
 		close(stop)
-		chaos.Wait()
+		faultInjection.Wait()
 		answered := checkOutcomes(f, outcomes)
 		AddReportEntry("answered", fmt.Sprintf("%d of %d", answered, callers*rounds))
 		Expect(answered).To(BeNumerically(">", 0))
@@ -179,7 +179,8 @@
 	return out
 }
 
-// callAtOnce sends one key through all hosts at the same time.
+// callThroughAllHosts sends one request with the same key through all hosts at the
+// same time and returns the outcomes by host index.
 func callThroughAllHosts(f *proctest.Fleet, key, text string) []proctest.Outcome {
 	outcomes := make([]proctest.Outcome, len(f.Daemons))
 	var wg sync.WaitGroup
@@ -194,12 +195,12 @@
 	return outcomes
 }
 
-// callUntilAnswered sends a key through random hosts until it is answered, at
-// most maxTries times.
+// callUntilAnswered sends a request with the same key through random hosts until it is
+// answered, at most maxAttempts times, and returns all outcomes.
 func callUntilAnswered(f *proctest.Fleet, rng *rand.Rand, key string) []proctest.Outcome {
-	const maxTries = 6
+	const maxAttempts = 6
 	var outcomes []proctest.Outcome
-	for range maxTries {
+	for range maxAttempts {
 		o := f.Call(rng.IntN(len(f.Daemons)), proctest.PipelineSeal, key, "deed")
 		outcomes = append(outcomes, o)
 		if o.Answered() {
@@ -210,7 +211,7 @@
 	return outcomes
 }
 
-// disturb kills or freezes one daemon at a time until stop is closed.
+// disturbDaemons kills and restarts or freezes one daemon at a time until stop is closed.
 func disturbDaemons(f *proctest.Fleet, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(11, 13))
 	for {
--- a/proofs/caller_gone_test.go
+++ b/proofs/caller_gone_test.go
@@ -11,7 +11,7 @@
 	"github.com/wheatseam/wheatseam/internal/standin/ledger"
 )
 
-// callThenLeave sends a request and goes away once its first execution began.
+// callThenCancel sends a request and cancels it once its first execution has started.
 func callThenCancel(f *proctest.Fleet, pipeline, key string) {
 	GinkgoHelper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -22,7 +22,7 @@
 	Expect((<-outcome).Err).To(HaveOccurred())
 }
 
-var _ = Describe("A caller that goes away", func() {
+var _ = Describe("A caller that disconnects", func() {
 	It("has its remaining work cancelled", func() {
 		f := startFleet(proctest.Options{})
 		f.SetPoolFaults("encoders", standin.Faults{SlowFactor: 400})
@@ -31,7 +31,7 @@
 		Expect(f.StartedCount()).To(Equal(1), "no later stage")
 	})
 
-	It("leaves a sent call that may not be repeated to be seen through and recorded", func() {
+	It("leaves a non-repeatable call that was already sent to complete and to be recorded", func() {
 		f := startFleet(proctest.Options{})
 		f.SetPoolFaults("signing", standin.Faults{LateByMS: 400})
 		key := proctest.NewKey()
--- a/proofs/config_test.go
+++ b/proofs/config_test.go
@@ -14,15 +14,15 @@
 )
 
 var _ = Describe("An accepted configuration", func() {
-	It("is in force everywhere within seconds, as one host sees it", func() {
+	It("is in force on all hosts within seconds", func() {
 		f := startFleet(proctest.Options{})
 		Expect(f.Publish(f.BundleWithVersion(2))).To(Succeed())
 		began := time.Now()
 		Eventually(f.BundleVersions).Should(Equal([]uint64{2, 2, 2}))
-		AddReportEntry("in force everywhere after", time.Since(began).Round(time.Millisecond).String())
+		AddReportEntry("in force on all hosts after", time.Since(began).Round(time.Millisecond).String())
 	})
 
-	It("never reverts when the service serves an old value, not even at a host that restarts", func() {
+	It("does not revert when the service returns an older version, not even on a host that restarts", func() {
 		f := startFleet(proctest.Options{})
 		Expect(f.Publish(f.BundleWithVersion(3))).To(Succeed())
 		Eventually(f.BundleVersions).Should(Equal([]uint64{3, 3, 3}))
@@ -30,11 +30,11 @@
 		f.Daemons[0].Kill()
 		Expect(f.StartDaemon(0)).To(Succeed())
 		Eventually(func() bool { return f.Ready(0) }).Should(BeTrue())
-		Expect(f.BundleVersion(0)).To(BeEquivalentTo(3), "ready with an old bundle")
+		Expect(f.BundleVersion(0)).To(BeEquivalentTo(3), "ready with an older bundle")
 		Consistently(f.BundleVersions, time.Second).Should(Equal([]uint64{3, 3, 3}))
 	})
 
-	It("is kept, and served under, while the service is down, and a restarted host gets it from its fellows", func() {
+	It("stays in use while the service is down, and a restarted host gets it from its peers", func() {
 		f := startFleet(proctest.Options{})
 		Expect(f.Publish(f.BundleWithVersion(4))).To(Succeed())
 		Eventually(f.BundleVersions).Should(Equal([]uint64{4, 4, 4}))
@@ -46,7 +46,7 @@
 		Expect(o.Answered()).To(BeTrue(), "%+v", o)
 	})
 
-	It("reaches a host that was cut off, once it is heard again", func() {
+	It("reaches a host that was isolated once its connections work again", func() {
 		f := startFleet(proctest.Options{})
 		f.Isolate(2)
 		f.Platform.Faults().Set(standin.Faults{Stale: true})
@@ -58,7 +58,7 @@
 		Eventually(f.BundleVersions).Should(Equal([]uint64{5, 5, 5}))
 	})
 
-	It("is refused loudly when it is not signed, or the same version with other content", func() {
+	It("is rejected with a log message if its signature is wrong or its version has other content", func() {
 		f := startFleet(proctest.Options{})
 		Expect(f.Publish(f.BundleWithVersion(2))).To(Succeed())
 		Eventually(f.BundleVersions).Should(Equal([]uint64{2, 2, 2}))
@@ -75,7 +75,7 @@
 		Expect(f.BundleVersions()).To(Equal([]uint64{2, 2, 2}))
 	})
 
-	It("stays that of a request which was admitted under it", func() {
+	It("remains that of a request admitted under it when a new one arrives", func() {
 		f := startFleet(proctest.Options{})
 		f.SetPoolFaults("encoders", standin.Faults{LateByMS: 600})
 		done := make(chan proctest.Outcome, 1)
@@ -88,7 +88,7 @@
 		Expect(o.BundleVersion).To(BeEquivalentTo(1))
 	})
 
-	It("is the highest version when operators race", func() {
+	It("is the highest version when operators publish concurrently", func() {
 		f := startFleet(proctest.Options{})
 		highest := uint64(0)
 		for _, v := range []uint64{5, 3, 7, 6, 4} {
@@ -110,7 +110,7 @@
 		f := startFleet(proctest.Options{})
 		began := time.Now()
 		announce(f)
-		// The last execution that begins there tells how long it took.
+		// The start of the last execution there shows when new work stopped.
 		last := began
 		Eventually(func() bool {
 			for i := range f.Daemons {
@@ -121,7 +121,7 @@
 			}
 			return time.Since(last) > 2*time.Second
 		}).Should(BeTrue())
-		AddReportEntry("last new work after", last.Sub(began).Round(time.Millisecond).String())
+		AddReportEntry("last new work started after", last.Sub(began).Round(time.Millisecond).String())
 		Expect(last.Sub(began)).To(BeNumerically("<", 6*time.Second))
 	},
 		Entry("the host list", func(f *proctest.Fleet) {
@@ -129,11 +129,11 @@
 				Name: leaving, Address: f.Pool("encoders").Upstreams[0].Address, Role: "upstream", State: "leaving",
 			}})
 		}),
-		Entry("its own load report, while the platform is down", func(f *proctest.Fleet) {
+		Entry("its own load report while the platform is down", func(f *proctest.Fleet) {
 			f.Platform.Faults().Set(standin.Faults{Down: true})
 			f.Upstream.Faults(leaving).Set(standin.Faults{Leaving: true})
 		}),
-		Entry("a peer, at a host that cannot see the host list", func(f *proctest.Fleet) {
+		Entry("a peer, on a host that cannot read the host list", func(f *proctest.Fleet) {
 			f.Platform.SetHosts([]platform.Host{{
 				Name: leaving, Address: f.Pool("encoders").Upstreams[0].Address, Role: "upstream", State: "leaving",
 			}})
@@ -147,7 +147,7 @@
 })
 
 var _ = Describe("A partition", func() {
-	It("leaves both sides serving what may be repeated, and seals on one side at most", func() {
+	It("lets both sides serve repeatable requests, and non-repeatable ones on one side at most", func() {
 		f := startFleet(proctest.Options{})
 		f.Isolate(0)
 		for i := range f.Daemons {
@@ -162,7 +162,7 @@
 		Eventually(func() bool { return f.Call(0, proctest.PipelineSeal, proctest.NewKey(), "deed").Answered() }).Should(BeTrue())
 	})
 
-	It("of one direction does not double either", func() {
+	It("in one direction only does not run a non-repeatable request twice either", func() {
 		f := startFleet(proctest.Options{})
 		f.SetLinkConditions(0, 1, faultrelay.Conditions{ToTarget: faultrelay.Direction{Blackhole: true}})
 		f.SetLinkConditions(1, 0, faultrelay.Conditions{ToCaller: faultrelay.Direction{Blackhole: true}})
--- a/proofs/crash_test.go
+++ b/proofs/crash_test.go
@@ -10,8 +10,9 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// The same as for requests that crash replicas on the users' platform: callers come
-// back with what crashes upstreams, under new ids and keys, at any host.
+// Callers resend a request that crashes upstreams, under new ids and keys and through
+// any host. After three crashes the hosts quarantine its content, as the gateway does
+// for requests that crash replicas.
 var _ = Describe("A request that crashes its upstreams", func() {
 	const (
 		propagationTime     = 3 * time.Second
@@ -20,7 +21,7 @@
 		poisonText          = "culprit"
 	)
 
-	DescribeTable("reaches few more after the third, from any host",
+	DescribeTable("crashes only a few more after the third crash, whichever host receives it",
 		func(pipeline string, key func() string) {
 			f := startFleet(proctest.Options{})
 			f.Crashes.CrashOn(poisonText, 700*time.Millisecond)
@@ -45,7 +46,7 @@
 				Expect(o.Answered()).To(BeTrue(), "%+v", o)
 			}
 		},
-		Entry("under a key, at most once", proctest.PipelineSeal, proctest.NewKey),
+		Entry("with a key, at most once", proctest.PipelineSeal, proctest.NewKey),
 		Entry("idempotent, with hedges", proctest.PipelineSummary, func() string { return "" }),
 	)
 })
--- a/proofs/delivery_test.go
+++ b/proofs/delivery_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("A result is delivered to its own request only", func() {
-	DescribeTable("with thousands of requests at once",
+	DescribeTable("with thousands of requests from concurrent callers",
 		func(faults standin.Faults, minAnswered int) {
 			f := startFleet(proctest.Options{})
 			f.SetPoolFaults("encoders", faults)
@@ -40,13 +40,14 @@
 			Expect(total).To(BeNumerically(">=", minAnswered))
 		},
 		Entry("without faults", standin.Faults{}, 2000),
-		Entry("with answers written twice", standin.Faults{DuplicateAnswer: true}, 1),
-		Entry("with answers of other requests", standin.Faults{WrongAnswer: true}, 0),
+		Entry("with answers sent twice", standin.Faults{DuplicateAnswer: true}, 1),
+		Entry("with answers to other requests", standin.Faults{WrongAnswer: true}, 0),
 	)
 })
 
-// callMarked sends a request and checks that its answer bears its own id and
-// its own text. It returns 1 when the request was answered.
+// callAndCheckAnswer sends a request and checks that its answer contains the request's
+// own id and, for PipelineSeal, its own text. It returns 1 if the request was answered,
+// else 0.
 func callAndCheckAnswer(f *proctest.Fleet, c, n int) int {
 	GinkgoHelper()
 	pipeline, key := proctest.PipelineSummary, ""
@@ -58,7 +59,7 @@
 	if !o.Answered() {
 		return 0
 	}
-	Expect(bytes.Contains(o.Result, []byte(o.RequestID))).To(BeTrue(), "mark of another request: %s", o.Result)
+	Expect(bytes.Contains(o.Result, []byte(o.RequestID))).To(BeTrue(), "answer to another request: %s", o.Result)
 	if pipeline == proctest.PipelineSeal {
 		Expect(bytes.Contains(o.Result, []byte(text))).To(BeTrue(), "text of another request: %s", o.Result)
 	}
--- a/proofs/fault_pairs_test.go
+++ b/proofs/fault_pairs_test.go
@@ -14,7 +14,7 @@
 	"github.com/wheatseam/wheatseam/internal/standin"
 )
 
-// disturbance is a fault that can be brought about and ended.
+// injectedFault is a fault that a test can begin and end.
 type injectedFault struct {
 	name       string
 	begin, end func(f *proctest.Fleet)
@@ -24,13 +24,13 @@
 	{"a host is killed and starts again",
 		func(f *proctest.Fleet) { f.Daemons[0].Kill() },
 		func(f *proctest.Fleet) { Expect(f.StartDaemon(0)).To(Succeed()) }},
-	{"a host is frozen and wakes",
+	{"a host is frozen and resumed",
 		func(f *proctest.Fleet) { Expect(f.Daemons[1].Freeze()).To(Succeed()) },
 		func(f *proctest.Fleet) { Expect(f.Daemons[1].Thaw()).To(Succeed()) }},
-	{"a host is cut off",
+	{"a host is isolated",
 		func(f *proctest.Fleet) { f.Isolate(2) },
 		func(f *proctest.Fleet) { f.Heal() }},
-	{"one direction between two hosts is lost",
+	{"one direction between two hosts is a blackhole",
 		func(f *proctest.Fleet) {
 			f.SetLinkConditions(0, 1, faultrelay.Conditions{ToTarget: faultrelay.Direction{Blackhole: true}})
 		},
@@ -43,8 +43,9 @@
 		func(f *proctest.Fleet) { f.SetPoolFaults("signing", standin.Faults{}) }},
 }
 
-// allPairs makes the table hold all pairs of disturbances; by default each is
-// paired with the next, which keeps the run short.
+// allPairsEnv is the environment variable that, if not empty, makes the table cover
+// all pairs of faults. By default each fault is paired only with the next one, which
+// keeps the run short.
 const allPairsEnv = "WHEATSEAM_ALL_PAIRS"
 
 func faultPairs() []TableEntry {
@@ -62,7 +63,7 @@
 	return entries
 }
 
-var _ = DescribeTable("At most once, and no untrue not_run, while", func(a, b injectedFault) {
+var _ = DescribeTable("Non-repeatable requests run at most once, and not_run is true, while", func(a, b injectedFault) {
 	f := startFleet(proctest.Options{})
 	stop := make(chan struct{})
 	outcomes, load := sendSealsUntil(f, stop)
@@ -76,11 +77,12 @@
 	Expect(checkOutcomes(f, outcomes)).To(BeNumerically(">", 0))
 	Eventually(func() bool {
 		return f.Call(0, proctest.PipelineSeal, proctest.NewKey(), "after").Answered()
-	}).Should(BeTrue(), "seals after the faults")
+	}).Should(BeTrue(), "non-repeatable requests are answered after the faults")
 }, faultPairs())
 
-// sealUntil runs callers that send seals and retry them through other hosts,
-// until stop is closed. What they heard may be read once load is done.
+// sendSealsUntil runs callers that send non-repeatable requests (PipelineSeal) and
+// retry them through other hosts, until stop is closed. The outcomes may be read once
+// load is done.
 func sendSealsUntil(f *proctest.Fleet, stop <-chan struct{}) (outcomes []map[string][]proctest.Outcome, load *sync.WaitGroup) {
 	const callers = 6
 	outcomes, load = make([]map[string][]proctest.Outcome, callers), new(sync.WaitGroup)
--- a/proofs/recovery_bench_test.go
+++ b/proofs/recovery_bench_test.go
@@ -13,14 +13,14 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// The course of one run of BenchmarkRecovery.
+// The timeline of one run of BenchmarkRecovery.
 const (
 	recoveryFaultStart      = 1 * time.Second
 	recoveryFaultEnd        = 3 * time.Second
 	recoveryEnd             = 9 * time.Second
 	recoveryRequestInterval = 10 * time.Millisecond
-	// recoveryQuiet is how long no request may fail for the fleet to count as
-	// recovered.
+	// recoveryFailureFree is the time without a failed request after which the fleet
+	// counts as recovered.
 	recoveryFailureFree = time.Second
 )
 
@@ -30,10 +30,10 @@
 	outcome proctest.Outcome
 }
 
-// BenchmarkRecovery sends 100 requests a second, seals and summaries by turns,
-// each to a random host without a retry, brings each fault about for two
-// seconds, and reports the attainment while it lasts and after, and how long
-// after its end the last request failed.
+// BenchmarkRecovery sends 100 requests a second, PipelineSeal and PipelineSummary
+// alternately, each to a random host and without retries. It injects each fault for
+// two seconds and reports the share of answered requests during and after the fault,
+// and how long after the end of the fault requests still failed.
 //
 //	go test -run '^$' -bench Recovery -benchtime 1x ./proofs
 func BenchmarkRecovery(b *testing.B) {
@@ -121,8 +121,8 @@
 	return 0
 }
 
-// recoveredAfter is the time from the fault's end to the last failure before a
-// second without any.
+// recoveryTime returns the time from the end of the fault to the last failure before
+// the first second without failures.
 func recoveryTime(failures []time.Duration) time.Duration {
 	slices.Sort(failures)
 	last := recoveryFaultEnd
--- a/proofs/resume_test.go
+++ b/proofs/resume_test.go
@@ -9,7 +9,7 @@
 )
 
 var _ = Describe("A completed stage", func() {
-	It("is not done again when its host dies and the caller tries elsewhere", func() {
+	It("does not run again when its host dies and the caller retries on another host", func() {
 		f := startFleet(proctest.Options{})
 		f.SetPoolFaults("encoders", standin.Faults{LateByMS: 3000})
 		key := proctest.NewKey()
@@ -29,7 +29,7 @@
 		expectAtMostOnce(f, key, again)
 	})
 
-	It("is done anew for another input under the same key", func() {
+	It("runs again for another input under the same key", func() {
 		f := startFleet(proctest.Options{})
 		key := proctest.NewKey()
 		Expect(f.Call(0, proctest.PipelineQuotation, key, "roof 7").Answered()).To(BeTrue())
--- a/proofs/shutdown_test.go
+++ b/proofs/shutdown_test.go
@@ -15,7 +15,7 @@
 )
 
 var _ = Describe("A graceful shutdown", func() {
-	It("interrupts no request in flight, takes no new one and exits 0", func() {
+	It("completes the requests in flight, accepts no new ones and exits with 0", func() {
 		f := startFleet(proctest.Options{})
 		f.SetPoolFaults("encoders", standin.Faults{LateByMS: 400})
 		f.SetPoolFaults("signing", standin.Faults{LateByMS: 400})
@@ -47,7 +47,7 @@
 		Expect(f.Daemons[0].Wait(10 * time.Second)).To(Succeed())
 	})
 
-	It("is cut short by a second signal, which the log names", func() {
+	It("is ended early by a second signal, which the log records", func() {
 		f := startFleet(proctest.Options{})
 		f.SetPoolFaults("encoders", standin.Faults{LateByMS: 3000})
 		done := make(chan proctest.Outcome, 1)
--- a/proofs/suite_test.go
+++ b/proofs/suite_test.go
@@ -1,5 +1,6 @@
-// Package proofs holds the process tests of what must always hold: real daemons
-// under real signals, judged by the ledger of the stand-ins.
+// Package proofs holds the process tests of the system's guarantees. They run real
+// daemons, inject faults and compare what callers receive with what the simulated
+// upstreams' ledger says was executed.
 package proofs
 
 import (
@@ -23,7 +24,8 @@
 
 var _ = AfterSuite(proctest.Cleanup)
 
-// startFleet starts a fleet that ends with the spec; logs are shown on failure.
+// startFleet starts a fleet that is closed at the end of the spec. The spec fails if
+// a daemon logs a data race, and prints the daemons' logs if it fails.
 func startFleet(o proctest.Options) *proctest.Fleet {
 	GinkgoHelper()
 	f, err := proctest.Start(GinkgoT().TempDir(), o)
@@ -42,14 +44,16 @@
 	return f
 }
 
-// expectHonest checks a seal's outcome against the ledger.
+// expectAtMostOnce checks the outcomes of a request that may not be repeated against
+// the ledger: it ran at most once, it ran if it was answered, and it had not run when
+// a caller received not_run.
 func expectAtMostOnce(f *proctest.Fleet, key string, outcomes ...proctest.Outcome) {
 	GinkgoHelper()
 	executions := f.Executions(key)
 	Expect(len(executions)).To(BeNumerically("<=", 1), "executions of %s: %+v", key, executions)
 	for _, o := range outcomes {
 		if o.Answered() {
-			Expect(executions).To(HaveLen(1), "answered, yet not executed: %+v", o)
+			Expect(executions).To(HaveLen(1), "answered but not executed: %+v", o)
 		}
 		if o.Err == nil && o.Execution == problem.NotRun {
 			expectNoEarlierRun(o, executions)
@@ -57,18 +61,18 @@
 	}
 }
 
-// expectNotRun checks that nothing ran before the caller heard not_run. A try
-// that the caller makes later with the same key may run.
+// expectNoEarlierRun checks that nothing ran before the caller received not_run. A
+// later attempt of the caller with the same key may run.
 func expectNoEarlierRun(o proctest.Outcome, executions []ledger.Entry) {
 	GinkgoHelper()
 	for _, e := range executions {
-		Expect(e.RequestID).NotTo(Equal(o.RequestID), "said not_run: %+v", o)
-		Expect(e.StartedUnixMS).To(BeNumerically(">=", o.Heard.UnixMilli()), "said not_run: %+v, yet %+v", o, e)
+		Expect(e.RequestID).NotTo(Equal(o.RequestID), "answered not_run: %+v", o)
+		Expect(e.StartedUnixMS).To(BeNumerically(">=", o.Heard.UnixMilli()), "answered not_run: %+v, but ran: %+v", o, e)
 	}
 }
 
-// retryUntilHeard sends a key again through host i until it gets an answer or
-// a refusal that says that the request may have run.
+// retryUntilConclusive retries a request with the same key through host i until it
+// gets an answer or a refusal that says that the request may have run.
 func retryUntilConclusive(f *proctest.Fleet, i int, pipeline, key, text string) proctest.Outcome {
 	GinkgoHelper()
 	var last proctest.Outcome
@@ -79,8 +83,9 @@
 	return last
 }
 
-// judge checks what every caller heard of every key, once no execution runs any
-// more, and returns the number of keys that were answered in the end.
+// checkOutcomes waits until no execution is running, checks the outcomes that each
+// caller received for each key, and returns the number of keys whose last outcome is
+// an answer.
 func checkOutcomes(f *proctest.Fleet, outcomesByCaller []map[string][]proctest.Outcome) int {
 	GinkgoHelper()
 	Eventually(f.RunningCount).Should(BeZero())
--- a/proofs/view_change_test.go
+++ b/proofs/view_change_test.go
@@ -12,7 +12,8 @@
 	"github.com/wheatseam/wheatseam/internal/standin"
 )
 
-// replaced returns a bundle in which the spare host takes the place of host 0.
+// bundleReplacingHost0 returns a bundle with this version in which the spare host
+// replaces host 0.
 func bundleReplacingHost0(f *proctest.Fleet, version uint64) *bundle.Bundle {
 	b := f.BundleWithVersion(version)
 	b.Hosts = f.Hosts[1:]
@@ -20,12 +21,12 @@
 	return b
 }
 
-var _ = Describe("A replaced host does not double a claim", func() {
+var _ = Describe("Replacing a host does not lead to a second claim", func() {
 	var f *proctest.Fleet
 
 	BeforeEach(func() { f = startFleet(proctest.Options{SpareHosts: 1}) })
 
-	It("that was granted under the old host list", func() {
+	It("on a key claimed under the old host list", func() {
 		key := proctest.NewKey()
 		first := f.Call(0, proctest.PipelineSeal, key, "deed")
 		Expect(first.Answered()).To(BeTrue(), "%+v", first)
@@ -40,10 +41,10 @@
 		Eventually(func() bool {
 			return f.Call(3, proctest.PipelineSeal, proctest.NewKey(), "new deed").Answered()
 		}).Should(BeTrue())
-		AddReportEntry("fresh keys under the new list after", time.Since(began).Round(time.Millisecond).String())
+		AddReportEntry("new keys accepted under the new list after", time.Since(began).Round(time.Millisecond).String())
 	})
 
-	It("while a host that was frozen and cut off still believes in the old list", func() {
+	It("while a host that was frozen and isolated still uses the old host list", func() {
 		Expect(f.Daemons[0].Freeze()).To(Succeed())
 		Expect(f.Publish(bundleReplacingHost0(f, 2))).To(Succeed())
 		Eventually(func() []uint64 { return []uint64{f.BundleVersion(1), f.BundleVersion(2), f.BundleVersion(3)} }).
@@ -58,7 +59,7 @@
 		}
 	})
 
-	It("and a bundle whose lineage lacks the list in force is refused loudly", func() {
+	It("and a bundle whose earlier views lack the host list in force is rejected with a log message", func() {
 		b := bundleReplacingHost0(f, 2)
 		b.Views = []bundle.View{{Version: 1, Hosts: f.Hosts[:2]}}
 		Expect(f.Publish(b)).To(Succeed())
