--- a/daemon/operators_test.go
+++ b/daemon/operators_test.go
@@ -36,7 +36,7 @@
 
 	get := func(i int, path string, into any) {
 		GinkgoHelper()
-		Expect(f.CallOperatorAPI(i, http.MethodGet, path, into)).To(Succeed())
+		Expect(f.Operate(i, http.MethodGet, path, into)).To(Succeed())
 	}
 
 	It("explains an answered request at any host, from receipt to finish", func() {
@@ -104,7 +104,7 @@
 
 	It("leaves on an operator's word as on SIGTERM", func() {
 		var st operator.Status
-		Expect(f.CallOperatorAPI(2, http.MethodPost, "/v1/drain", &st)).To(Succeed())
+		Expect(f.Operate(2, http.MethodPost, "/v1/drain", &st)).To(Succeed())
 		Expect(st.Draining).To(BeTrue())
 		Expect(f.Daemons[2].Wait(10 * time.Second)).To(Succeed())
 		Expect(f.Daemons[2].Log()).To(ContainSubstring("msg=drained"))
--- a/proofs/config_test.go
+++ b/proofs/config_test.go
@@ -58,7 +58,7 @@
 		Eventually(f.BundleVersions).Should(Equal([]uint64{5, 5, 5}))
 	})
 
-	It("is rejected with a log message if its signature is wrong or its version has other content", func() {
+	It("is rejected with a log message if its signature is invalid or a known version has other content", func() {
 		f := startFleet(proctest.Options{})
 		Expect(f.Publish(f.BundleWithVersion(2))).To(Succeed())
 		Eventually(f.BundleVersions).Should(Equal([]uint64{2, 2, 2}))
--- a/soak/check.go
+++ b/soak/check.go
@@ -16,7 +16,7 @@
 func (r *runner) checkGuarantees() {
 	r.report.Requests = len(r.attempts)
 	requests := map[string]int{}
-	repeats := map[string]int{}
+	retries := map[string]int{}
 	for _, att := range r.attempts {
 		runs := r.ledger.Runs(att.call.ID)
 		r.countOutcome(att)
@@ -26,13 +26,13 @@
 			service = "llm"
 		}
 		requests[service]++
-		repeats[service] += max(0, len(runs)-1)
+		retries[service] += max(0, len(runs)-1)
 		r.checkDrain(att, runs)
 		r.checkEvacuations(att, runs)
 		r.checkStreams(att, runs)
 	}
 	windows := max(1, r.cfg.Duration.Seconds()/10)
-	for service, n := range repeats {
+	for service, n := range retries {
 		if float64(n) > budgetRatio*float64(requests[service])+budgetSlack*(windows+1) {
 			r.recordViolation("budget: %d retries for %d requests of %s", n, requests[service], service)
 		}
--- a/soak/daemon.go
+++ b/soak/daemon.go
@@ -26,11 +26,12 @@
 	portRelayedPeers = 7504 // relay to portPeers, where the other daemons connect
 )
 
-var lastIPByte atomic.Uint32
+// ipCounter numbers the IPs that uniqueLoopbackIP has returned.
+var ipCounter atomic.Uint32
 
 // uniqueLoopbackIP returns a loopback IP that no other process uses.
 func uniqueLoopbackIP() string {
-	return fmt.Sprintf("127.%d.%d.%d", 130+os.Getpid()>>8&0x3f, os.Getpid()&0xff, 1+lastIPByte.Add(1)%250)
+	return fmt.Sprintf("127.%d.%d.%d", 130+os.Getpid()>>8&0x3f, os.Getpid()&0xff, 1+ipCounter.Add(1)%250)
 }
 
 // simulatedSleep is the time that a daemon takes its host to have slept when it gets
--- a/soak/report.go
+++ b/soak/report.go
@@ -16,7 +16,7 @@
 	// Served, Refused (answered as not run), Failed, Incomplete (no complete answer) and
 	// Abandoned (the caller gave up) add up to Requests.
 	Served, Refused, Failed, Incomplete, Abandoned int
-	// PausedStreams counts the streams at healthy replicas that ran to completion for at
+	// PausedStreams counts the runs of streams at healthy replicas that completed after at
 	// least minStreamPause, the shortest pause that the soak injects.
 	PausedStreams int
 	Faults        []string
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -65,17 +65,17 @@
 	DescribeTable("violates no guarantee", expectNoViolations,
 		Entry("seed 2", uint64(2), 3, 6*time.Second),
 		Entry("seed 7", uint64(7), 3, 6*time.Second),
-		// Seed 100: two faults of the soak restarted the same daemon at the same time,
+		// Two faults of the soak restarted the same daemon at the same time,
 		// so that it ran twice.
 		Entry("seed 100", uint64(100), 4, 8*time.Second),
 		Entry("seed 128", uint64(128), 4, 8*time.Second),
 		Entry("seed 140", uint64(140), 4, 8*time.Second),
 		Entry("seed 151", uint64(151), 4, 8*time.Second),
-		// Seed 52018: a planner was paused twice, and it and the planner that took over
+		// A planner was paused twice, and it and the planner that took over
 		// both released the same results, so that the replica was told twice.
 		Entry("seed 52018", uint64(52018), 4, 8*time.Second),
-		// Seed 32007: while a planner was paused, its call that releases results was
-		// answered, but it sent the call again as well.
+		// A planner was paused. Its call that releases results was sent again although
+		// the first call was answered.
 		Entry("seed 32007", uint64(32007), 4, 8*time.Second),
 	)
 })
