--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -46,7 +46,7 @@
 }
 
 func (b *backend) Bundle() *bundle.Bundle { return b.bundle }
-func (b *backend) Admittable() *problem.Error {
+func (b *backend) CheckAdmission() *problem.Error {
 	if b.draining {
 		return problem.New(problem.Draining, "leaving")
 	}
@@ -55,7 +55,7 @@
 func (b *backend) VoidKey(context.Context, Submission) bool { return b.voids }
 func (b *backend) NewRequestID() string                     { return "h1.id" }
 func (b *backend) Now() time.Time                           { return time.Now() }
-func (b *backend) Refused(_ string, e *problem.Error)       { b.refused = append(b.refused, e.Kind) }
+func (b *backend) RecordRefusal(_ string, e *problem.Error) { b.refused = append(b.refused, e.Kind) }
 func (b *backend) Serve(_ context.Context, s Submission, sink Sink) (*request.Answer, *problem.Error) {
 	defer b.served.Add(1)
 	b.got = append(b.got, s)
--- a/caller/decode.go
+++ b/caller/decode.go
@@ -56,7 +56,7 @@
 	if sub.Deadline, err = deadline(sub, parsed.DeadlineMs); err != nil {
 		return sub, err
 	}
-	sub.Key, err = idempotencyKey(r, sub)
+	sub.IdempotencyKey, err = idempotencyKey(r, sub)
 	return sub, err
 }
 
--- a/caller/server.go
+++ b/caller/server.go
@@ -15,16 +15,16 @@
 
 // Submission is an authenticated request.
 type Submission struct {
-	RequestID string
-	Bundle    *bundle.Bundle
-	Customer  *bundle.Customer
-	Pipeline  *bundle.Pipeline
-	Arrived   time.Time
-	Deadline  time.Time
-	Key       string
-	Stream    bool
-	Prefix    string
-	Input     json.RawMessage
+	RequestID      string
+	Bundle         *bundle.Bundle
+	Customer       *bundle.Customer
+	Pipeline       *bundle.Pipeline
+	Arrived        time.Time
+	Deadline       time.Time
+	IdempotencyKey string
+	Stream         bool
+	Prefix         string
+	Input          json.RawMessage
 }
 
 // Sink takes what a streaming caller gets before its answer. It is called by
@@ -43,7 +43,7 @@
 	// Bundle returns the configuration in force, or nil.
 	Bundle() *bundle.Bundle
 	// Admittable returns why the host takes no requests, or nil.
-	Admittable() *problem.Error
+	CheckAdmission() *problem.Error
 	// VoidKey makes sure that no try at the submission's key which arrived
 	// before has run or will, and reports whether that succeeded.
 	VoidKey(ctx context.Context, s Submission) bool
@@ -55,7 +55,7 @@
 	// went away.
 	Serve(ctx context.Context, s Submission, sink Sink) (*request.Answer, *problem.Error)
 	// Refused takes note of a request that was refused before it was served.
-	Refused(requestID string, e *problem.Error)
+	RecordRefusal(requestID string, e *problem.Error)
 }
 
 // Config configures a Server.
@@ -134,7 +134,7 @@
 // admit returns why the host takes no requests, or nil. It says not_run of a
 // request that may not be repeated only if no earlier try has run or will.
 func (s *Server) admit(ctx context.Context, sub Submission) *problem.Error {
-	err := s.cfg.Backend.Admittable()
+	err := s.cfg.Backend.CheckAdmission()
 	if err != nil && needsKey(sub.Pipeline) && !s.cfg.Backend.VoidKey(ctx, sub) {
 		err.Execution = problem.MayHaveRun
 	}
@@ -142,7 +142,7 @@
 }
 
 func (s *Server) refuse(w http.ResponseWriter, id string, err *problem.Error) {
-	s.cfg.Backend.Refused(id, err)
+	s.cfg.Backend.RecordRefusal(id, err)
 	writeProblem(w, id, err)
 }
 
--- a/caller/write.go
+++ b/caller/write.go
@@ -30,7 +30,7 @@
 		Type: "urn:wheatseam:problem:" + string(row.Kind), Title: row.Title, Status: row.Status,
 		Detail: e.Detail, Kind: row.Kind, Execution: e.Execution, StagesRun: e.StagesRun, RequestID: id,
 	}
-	if row.Retry {
+	if row.Retryable {
 		d.RetryAfterMs = e.RetryAfter.Milliseconds()
 	}
 	return d
--- a/certs/certs.go
+++ b/certs/certs.go
@@ -22,8 +22,8 @@
 
 // The names of the authority's files in a directory of keys.
 const (
-	AuthorityCert = "ca.pem"
-	AuthorityKey  = "ca-key.pem"
+	AuthorityCertFile = "ca.pem"
+	AuthorityKey      = "ca-key.pem"
 )
 
 const (
@@ -34,7 +34,7 @@
 )
 
 // Pair is a certificate with its private key, both in PEM.
-type Pair struct {
+type KeyPair struct {
 	Cert []byte
 	Key  []byte
 }
@@ -43,7 +43,7 @@
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
-	pair Pair
+	pair KeyPair
 }
 
 // NewAuthority makes an authority whose certificate is valid for lifetime from
@@ -80,18 +80,18 @@
 }
 
 // Pair returns the authority's own certificate and key.
-func (a *Authority) Pair() Pair { return a.pair }
+func (a *Authority) KeyPair() KeyPair { return a.pair }
 
 // Issue makes a key pair for a host or an operator's client, valid for the
 // name and the given IP addresses.
-func (a *Authority) Issue(name string, now time.Time, lifetime time.Duration, ips ...net.IP) (Pair, error) {
+func (a *Authority) Issue(name string, now time.Time, lifetime time.Duration, ips ...net.IP) (KeyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, fmt.Errorf("certs: key: %w", err)
+		return KeyPair{}, fmt.Errorf("certs: key: %w", err)
 	}
 	template, err := newTemplate(name, now, lifetime)
 	if err != nil {
-		return Pair{}, err
+		return KeyPair{}, err
 	}
 	template.DNSNames = []string{name}
 	template.IPAddresses = ips
@@ -99,7 +99,7 @@
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	if err != nil {
-		return Pair{}, fmt.Errorf("certs: certificate of %s: %w", name, err)
+		return KeyPair{}, fmt.Errorf("certs: certificate of %s: %w", name, err)
 	}
 	return encodePair(der, key)
 }
@@ -117,24 +117,24 @@
 	}, nil
 }
 
-func encodePair(der []byte, key *ecdsa.PrivateKey) (Pair, error) {
+func encodePair(der []byte, key *ecdsa.PrivateKey) (KeyPair, error) {
 	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return Pair{}, fmt.Errorf("certs: key: %w", err)
+		return KeyPair{}, fmt.Errorf("certs: key: %w", err)
 	}
-	return Pair{
+	return KeyPair{
 		Cert: pem.EncodeToMemory(&pem.Block{Type: typeCertificate, Bytes: der}),
 		Key:  pem.EncodeToMemory(&pem.Block{Type: typeKey, Bytes: keyDER}),
 	}, nil
 }
 
 // Files returns the paths of a host's certificate and key in dir.
-func Files(dir, name string) (cert, key string) {
+func KeyPairFiles(dir, name string) (cert, key string) {
 	return filepath.Join(dir, name+".pem"), filepath.Join(dir, name+"-key.pem")
 }
 
 // Write writes a pair to two files; the key is readable by its owner only.
-func (p Pair) Write(certFile, keyFile string) error {
+func (p KeyPair) Write(certFile, keyFile string) error {
 	if err := os.WriteFile(certFile, p.Cert, 0o644); err != nil {
 		return fmt.Errorf("certs: %w", err)
 	}
@@ -147,7 +147,7 @@
 // OpenAuthority reads the authority in dir, or makes one there if there is
 // none.
 func OpenAuthority(dir string, now time.Time, lifetime time.Duration) (*Authority, error) {
-	certFile, keyFile := filepath.Join(dir, AuthorityCert), filepath.Join(dir, AuthorityKey)
+	certFile, keyFile := filepath.Join(dir, AuthorityCertFile), filepath.Join(dir, AuthorityKey)
 	a, err := readAuthority(certFile, keyFile)
 	if !errors.Is(err, os.ErrNotExist) {
 		return a, err
--- a/claims/acquire.go
+++ b/claims/acquire.go
@@ -89,9 +89,9 @@
 			s.mu.Unlock()
 			return request.ClaimDecided{Won: true}
 		}
-		r.sendAll(r.claim.GiveUp(problem.DeadlineExceeded))
+		r.sendAll(r.claim.Abort(problem.DeadlineExceeded))
 		return s.refusal(ctx, r, claim.Refuse{Kind: problem.DeadlineExceeded, Execution: problem.NotRun})
-	case claim.Lost:
+	case claim.AlreadyExecuted:
 		if a.Record.Truncated {
 			e := problem.New(problem.OutcomeUnknown, "it has run; its result was too large to be kept")
 			e.Execution = problem.Ran
@@ -101,7 +101,7 @@
 	case claim.Refuse:
 		return s.refusal(ctx, r, a)
 	default:
-		return refuse(problem.Of(fmt.Errorf("claim ended with %T", end)))
+		return refuse(problem.FromError(fmt.Errorf("claim ended with %T", end)))
 	}
 }
 
@@ -110,7 +110,7 @@
 func (s *Service) refusal(ctx context.Context, r *run, a claim.Refuse) request.ClaimDecided {
 	e := problem.New(a.Kind, "%s", describe(a))
 	e.Execution = a.Execution
-	if problem.Lookup(a.Kind).Retry {
+	if problem.Lookup(a.Kind).Retryable {
 		e.RetryAfter = retryAfter
 	}
 	if a.Execution == problem.NotRun && a.Kind != problem.KeyReused {
@@ -152,7 +152,7 @@
 		return err
 	}
 	o.claim.NotExecuted()
-	s.sendReleases(o.claim.GiveUp(problem.DeadlineExceeded))
+	s.sendReleases(o.claim.Abort(problem.DeadlineExceeded))
 	return s.void(ctx, k, s.owner(id), o.epoch, o.quorums)
 }
 
--- a/claims/bench_test.go
+++ b/claims/bench_test.go
@@ -47,7 +47,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		cert, key := certs.Files(dir, h.Name)
+		cert, key := certs.KeyPairFiles(dir, h.Name)
 		if err := pair.Write(cert, key); err != nil {
 			b.Fatal(err)
 		}
@@ -56,7 +56,7 @@
 		transport, err := peer.NewTransport(peer.Config{
 			Host: h.Name, Incarnation: uint64(now.UnixMilli()), Listen: "127.0.0.1:0", Mux: mux, Resolve: resolve,
 			Metrics: metrics.NewSet(),
-			TLS:     peer.TLSFiles{CertFile: cert, KeyFile: key, CAFile: filepath.Join(dir, certs.AuthorityCert)},
+			TLS:     peer.TLSFiles{CertFile: cert, KeyFile: key, CAFile: filepath.Join(dir, certs.AuthorityCertFile)},
 		})
 		if err != nil {
 			b.Fatal(err)
--- a/claims/codec.go
+++ b/claims/codec.go
@@ -63,23 +63,23 @@
 	return time.UnixMicro(us)
 }
 
-func encodeAsk(a claim.Ask) *wire.ClaimAsk {
+func encodeAsk(a claim.Acquire) *wire.ClaimAsk {
 	return &wire.ClaimAsk{
 		Key: encodeKey(a.Key), Owner: encodeOwner(a.Owner), Digest: a.Digest[:],
 		Round: a.Round, Epoch: a.Epoch, ArrivedUnixUs: encodeTime(a.Arrived),
 	}
 }
 
-func decodeAsk(m *wire.ClaimAsk) (claim.Ask, error) {
+func decodeAsk(m *wire.ClaimAsk) (claim.Acquire, error) {
 	key, err := decodeKey(m.Key)
 	if err != nil {
-		return claim.Ask{}, err
+		return claim.Acquire{}, err
 	}
 	digest, err := decodeDigest(m.Digest)
 	if err != nil {
-		return claim.Ask{}, err
+		return claim.Acquire{}, err
 	}
-	return claim.Ask{
+	return claim.Acquire{
 		Key: key, Owner: decodeOwner(m.Owner), Digest: digest,
 		Round: m.Round, Epoch: m.Epoch, Arrived: decodeTime(m.ArrivedUnixUs),
 	}, nil
--- a/claims/run.go
+++ b/claims/run.go
@@ -56,7 +56,7 @@
 			r.wait = nil
 			end = r.perform(ctx, r.again())
 		case <-ctx.Done():
-			end = r.perform(ctx, r.claim.GiveUp(problem.DeadlineExceeded))
+			end = r.perform(ctx, r.claim.Abort(problem.DeadlineExceeded))
 		}
 	}
 	return end
@@ -65,21 +65,21 @@
 func (r *run) take(a answer) []claim.Action {
 	now := r.service.cfg.Now()
 	if a.err != nil {
-		return r.claim.Unreachable(now, a.holder, a.round)
+		return r.claim.HandleUnreachable(now, a.holder, a.round)
 	}
 	if a.reply.Verdict == claim.Taken {
 		r.blocking = a.reply.Owner
 	}
-	return r.claim.Reply(now, a.reply)
+	return r.claim.HandleReply(now, a.reply)
 }
 
 // again starts the next round, unless the owner that stands in the way has
 // ended: then nobody will release the key or record a result.
 func (r *run) again() []claim.Action {
 	if r.blocking.Host != "" && r.service.cfg.Gone(r.blocking.Host, r.blocking.Incarnation) {
-		return r.claim.GiveUp(problem.OutcomeUnknown)
+		return r.claim.Abort(problem.OutcomeUnknown)
 	}
-	return r.claim.Timer()
+	return r.claim.HandleTimer()
 }
 
 // perform carries out actions and returns the one that ends the claim, if any.
@@ -87,7 +87,7 @@
 	var end claim.Action
 	for _, action := range actions {
 		switch a := action.(type) {
-		case claim.SendAsk:
+		case claim.SendAcquire:
 			go r.sendAsk(ctx, a)
 		case claim.SendRelease:
 			go r.service.sendRelease(a)
@@ -103,12 +103,12 @@
 // sendAll carries out the releases among actions.
 func (r *run) sendAll(actions []claim.Action) { r.service.sendReleases(actions) }
 
-func (r *run) sendAsk(ctx context.Context, a claim.SendAsk) {
+func (r *run) sendAsk(ctx context.Context, a claim.SendAcquire) {
 	callCtx, cancel := clock.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	out := answer{holder: a.Holder, round: a.Ask.Round}
+	out := answer{holder: a.Holder, round: a.Acquire.Round}
 	var resp wire.ClaimReply
-	out.err = r.service.cfg.Caller.Call(callCtx, a.Holder, methodAsk, encodeAsk(a.Ask), &resp)
+	out.err = r.service.cfg.Caller.Call(callCtx, a.Holder, methodAsk, encodeAsk(a.Acquire), &resp)
 	if out.err == nil {
 		out.reply, out.err = decodeReply(a.Holder, &resp)
 	}
@@ -208,8 +208,8 @@
 	for ; pending > 0; pending-- {
 		select {
 		case r := <-replies:
-			for _, action := range o.claim.Stored(r) {
-				if _, kept := action.(claim.Kept); kept {
+			for _, action := range o.claim.HandleStoreReply(r) {
+				if _, kept := action.(claim.ResultStored); kept {
 					return nil
 				}
 			}
--- a/claims/serve.go
+++ b/claims/serve.go
@@ -38,7 +38,7 @@
 		return nil, errNoBundle
 	}
 	env := claim.Env{
-		Now: s.cfg.Now(), Epoch: s.views.Epoch(), Ready: s.views.Serves() && s.cfg.Trusted(),
+		Now: s.cfg.Now(), Epoch: s.views.Epoch(), Ready: s.views.CanGrant() && s.cfg.Trusted(),
 	}
 	shard := &s.holders[key.Hash()%holderShards]
 	shard.mu.Lock()
@@ -60,7 +60,7 @@
 		return nil, errMalformed
 	}
 	return s.withHolder(ask.Key, func(h *claim.Holder, env claim.Env) claim.Reply {
-		return h.Ask(env, ask)
+		return h.Acquire(env, ask)
 	})
 }
 
--- a/claims/status.go
+++ b/claims/status.go
@@ -119,7 +119,7 @@
 	s.viewsMu.Lock()
 	defer s.viewsMu.Unlock()
 	if s.views != nil {
-		s.views.Hear(decodeStatus(host, m))
+		s.views.HandleStatus(decodeStatus(host, m))
 	}
 }
 
--- a/cluster/cluster.go
+++ b/cluster/cluster.go
@@ -22,7 +22,7 @@
 type Platform interface {
 	// Read returns the bundle's value, or platform.ErrUnchanged unless its
 	// revision is above after (0 reads whatever there is).
-	Read(ctx context.Context, after uint64) (platform.Value, error)
+	ReadBundle(ctx context.Context, after uint64) (platform.Value, error)
 	Hosts(ctx context.Context) (platform.HostList, error)
 }
 
@@ -44,20 +44,20 @@
 type Cluster struct {
 	cfg   Config
 	log   *zap.Logger
-	calls *membership.Calls
+	calls *membership.CallPool
 
 	members  *membership.Loop
 	rollouts *rolloutLoop
 	hosts    hostBook
 	slots    slotTable
 
-	inForce atomic.Pointer[rollout.InForce]
+	inForce atomic.Pointer[rollout.ActiveBundle]
 	ready   atomic.Bool
 
 	onBundle  []func(*bundle.Bundle)
 	onLeaving []func([]string)
 	onMember  []func(member.Member)
-	onSlot    map[member.SlotID]func(member.SlotHeard)
+	onSlot    map[member.SlotID]func(member.SlotReceived)
 }
 
 // New returns a cluster that has not started and registers its methods in
@@ -67,8 +67,8 @@
 		cfg.Seed = rand.Uint64()
 	}
 	now := clock.Now()
-	cfg.Member.Extensions = append(cfg.Member.Extensions, member.Extension{ID: member.SlotBundle, MaxBytes: maxMarkBytes})
-	c := &Cluster{cfg: cfg, log: cfg.Logger, calls: membership.NewCalls()}
+	cfg.Member.Slots = append(cfg.Member.Slots, member.SlotConfig{ID: member.SlotBundle, MaxBytes: maxMarkBytes})
+	c := &Cluster{cfg: cfg, log: cfg.Logger, calls: membership.NewCallPool()}
 	members, err := membership.New(cfg.Member, cfg.Seed, cfg.Mux, c.calls, c.hooks(), cfg.Logger)
 	if err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 // Run acts together with the other daemons until ctx ends. Handlers that are
 // called before Run wait for it.
 func (c *Cluster) Run(ctx context.Context, caller peer.Caller) error {
-	c.calls.Use(caller)
+	c.calls.SetCaller(caller)
 	var group errgroup.Group
 	group.Go(func() error { c.members.Run(ctx); return nil })
 	group.Go(func() error { c.rollouts.run(ctx); return nil })
@@ -107,9 +107,9 @@
 
 // OnSlot registers f for the values of an extension, which Slots then does not keep.
 // f is called by one goroutine at a time and must not block.
-func (c *Cluster) OnSlot(id member.SlotID, f func(member.SlotHeard)) {
+func (c *Cluster) OnSlot(id member.SlotID, f func(member.SlotReceived)) {
 	if c.onSlot == nil {
-		c.onSlot = map[member.SlotID]func(member.SlotHeard){}
+		c.onSlot = map[member.SlotID]func(member.SlotReceived){}
 	}
 	c.onSlot[id] = f
 }
--- a/cluster/cluster_test.go
+++ b/cluster/cluster_test.go
@@ -83,16 +83,16 @@
 	host := member.Host{Name: bundletest.HostName(i), FailureDomain: fmt.Sprintf("domain-%d", i%f.sizes.Domains)}
 	incarnation := uint64(time.Now().UnixMilli())
 	mc := member.DefaultConfig(host, incarnation)
-	mc.Interval, mc.ProbeTimeout = 200*time.Millisecond, 100*time.Millisecond
+	mc.ProbeInterval, mc.ProbeTimeout = 200*time.Millisecond, 100*time.Millisecond
 	mc.SuspicionMin, mc.SuspicionMax = time.Second, 2*time.Second
 	mc.SyncInterval = time.Second
-	mc.Extensions = []member.Extension{{ID: slotTest, MaxBytes: 16}, {ID: slotFleet, MaxBytes: 16, Fleet: true}}
+	mc.Slots = []member.SlotConfig{{ID: slotTest, MaxBytes: 16}, {ID: slotFleet, MaxBytes: 16, FleetWide: true}}
 	rc := rollout.DefaultConfig(cluster.NewCodec([]ed25519.PublicKey{f.key.Public().(ed25519.PublicKey)}))
-	rc.PollMin = 300 * time.Millisecond
+	rc.MinPollInterval = 300 * time.Millisecond
 	mux := peer.NewMux()
 	c, err := cluster.New(cluster.Config{
 		Member: mc, Rollout: rc, Mux: mux, Logger: zap.NewNop(),
-		Platform: platform.New(platform.Config{ConfigService: f.url, HostList: f.url, Key: "bundle"}),
+		Platform: platform.NewClient(platform.ClientConfig{ConfigService: f.url, HostList: f.url, Key: "bundle"}),
 	})
 	Expect(err).NotTo(HaveOccurred())
 	t, err := peer.NewTransport(peer.Config{
--- a/cluster/hosts.go
+++ b/cluster/hosts.go
@@ -101,7 +101,7 @@
 	for err == nil && ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-clock.After(hostListWait(c.members.View().Living)):
+		case <-clock.After(hostListWait(c.members.View().LiveCount)):
 			_ = c.readHostsOnce(ctx) // logged there; the next read comes anyway
 		}
 	}
--- a/cluster/members.go
+++ b/cluster/members.go
@@ -21,11 +21,11 @@
 
 // hooks connect membership to the other parts.
 func (c *Cluster) hooks() membership.Hooks {
-	return membership.Hooks{Slot: c.slotHeard, Changed: c.memberChanged, Fresh: c.freshness, View: c.viewChanged}
+	return membership.Hooks{SlotReceived: c.slotHeard, MemberChanged: c.memberChanged, FreshnessChanged: c.freshness, ViewChanged: c.viewChanged}
 }
 
 // slotHeard keeps an extension's value, or hands the bundle's mark over.
-func (c *Cluster) slotHeard(a member.SlotHeard) {
+func (c *Cluster) slotHeard(a member.SlotReceived) {
 	if f := c.onSlot[a.ID]; f != nil {
 		f(a)
 		return
@@ -39,7 +39,7 @@
 		c.log.Warn("bundle mark unreadable", zap.String("peer", a.Host), zap.Error(err))
 		return
 	}
-	c.rollouts.post(rollout.PeerHeard{Host: a.Host, Mark: mark, Solicited: a.Solicited})
+	c.rollouts.post(rollout.PeerMarkReceived{Host: a.Host, Mark: mark, Solicited: a.Solicited})
 }
 
 func (c *Cluster) memberChanged(m member.Member) {
@@ -50,13 +50,13 @@
 
 func (c *Cluster) freshness(fresh bool) {
 	if !fresh {
-		c.rollouts.post(rollout.Woke{})
+		c.rollouts.post(rollout.Resumed{})
 	}
 }
 
 func (c *Cluster) viewChanged(next, old *membership.View) {
-	if next.Living != old.Living || !slices.Equal(next.Neighbours, old.Neighbours) {
-		c.rollouts.post(rollout.PeersChanged{Neighbours: next.Neighbours, Living: next.Living})
+	if next.LiveCount != old.LiveCount || !slices.Equal(next.Neighbours, old.Neighbours) {
+		c.rollouts.post(rollout.PeersChanged{Neighbours: next.Neighbours, LiveHosts: next.LiveCount})
 		c.slots.retain(next.Members)
 	}
 	if !slices.Equal(next.Leaving, old.Leaving) {
--- a/cluster/rollouts.go
+++ b/cluster/rollouts.go
@@ -97,23 +97,23 @@
 		log.Error("bundle rejected", zap.Stringer("source", a.Source), zap.Uint64("version", a.Version), hex("digest", a.Digest), zap.Error(a.Err))
 	case rollout.Conflict:
 		log.Error("bundle conflict", zap.Stringer("source", a.Source), zap.Uint64("version", a.Version),
-			hex("in_force", a.InForce), hex("other", a.Other))
+			hex("in_force", a.ActiveDigest), hex("other", a.OtherDigest))
 	case rollout.ServiceStale:
-		log.Warn("configuration service stale", zap.Uint64("served", a.Served), zap.Uint64("in_force", a.InForce))
-	case rollout.Readiness:
-		log.Info("configuration ready", zap.Bool("alone", a.Alone))
+		log.Warn("configuration service stale", zap.Uint64("served", a.ServedVersion), zap.Uint64("in_force", a.ActiveVersion))
+	case rollout.BecameReady:
+		log.Info("configuration ready", zap.Bool("alone", a.Unconfirmed))
 	}
 }
 
 // adopt puts a bundle into force: subscribers first, then whoever asks.
 func (l *rolloutLoop) adopt(a rollout.Adopt) {
-	b := a.InForce.Bundle
+	b := a.Active.Bundle
 	l.c.log.Info("bundle adopted", zap.Uint64("version", b.Version), zap.Stringer("source", a.Source))
 	l.c.hosts.bundle(b)
 	for _, f := range l.c.onBundle {
 		f(b)
 	}
-	l.c.inForce.Store(a.InForce)
+	l.c.inForce.Store(a.Active)
 	l.c.members.Post(configuredBy(b))
 }
 
@@ -145,7 +145,7 @@
 func (l *rolloutLoop) read(after uint64) {
 	ctx, cancel := clock.WithTimeout(l.ctx, l.c.cfg.Rollout.PollTimeout)
 	defer cancel()
-	v, err := l.c.cfg.Platform.Read(ctx, after)
+	v, err := l.c.cfg.Platform.ReadBundle(ctx, after)
 	switch {
 	case err == nil:
 		l.post(rollout.ServiceAnswered{Revision: v.Revision, Signed: v.Body})
--- a/cluster/slots.go
+++ b/cluster/slots.go
@@ -15,7 +15,7 @@
 	Incarnation uint64
 	Value       []byte
 	// At is when the value arrived.
-	At time.Time
+	ReceivedAt time.Time
 	// SentAt is the sender's clock when it sent a direct value; the zero time
 	// for a fleet value, which may have been on its way for seconds.
 	SentAt time.Time
@@ -31,7 +31,7 @@
 }
 
 // put keeps a value unless a later process's is known.
-func (t *slotTable) put(s member.SlotHeard, now time.Time) {
+func (t *slotTable) put(s member.SlotReceived, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.byID == nil {
@@ -46,7 +46,7 @@
 	if known && old.Incarnation > s.Incarnation || !known && len(hosts) >= maxSlotHosts {
 		return
 	}
-	v := SlotValue{Host: s.Host, Incarnation: s.Incarnation, Value: s.Value, At: now}
+	v := SlotValue{Host: s.Host, Incarnation: s.Incarnation, Value: s.Value, ReceivedAt: now}
 	if s.SentUnixMS != 0 {
 		v.SentAt = time.UnixMilli(s.SentUnixMS)
 	}
--- a/cmd/standin/upstreams.go
+++ b/cmd/standin/upstreams.go
@@ -48,7 +48,7 @@
 	f.Float64Var(&cfg.OutputSigma, "output-sigma", 0.5, "standard deviation of the logarithm of an answer's tokens")
 	f.DurationVar(&cfg.LoadLag, "engine-load-lag", d.LoadLag, "how far engines' load reports lag")
 	f.DurationVar(&cfg.EventLag, "event-lag", d.EventLag, "how far cache events lag")
-	f.Float64Var(&cfg.EventGap, "event-gap", 0, "share of cache events that are never published")
+	f.Float64Var(&cfg.EventLossRatio, "event-gap", 0, "share of cache events that are never published")
 }
 
 func newServiceCommand() *cobra.Command {
--- a/cmd/wheatseam/bundle_test.go
+++ b/cmd/wheatseam/bundle_test.go
@@ -120,7 +120,7 @@
 		Expect(json.Unmarshal([]byte(wheatseam("", "errors", "-o", "json").stdout), &rows)).To(Succeed())
 		Expect(rows).To(HaveLen(len(problem.Table)))
 		for _, row := range problem.Table {
-			Expect(table).To(MatchRegexp(`(?m)^%s +%d +%t +%s$`, row.Kind, row.Status, row.Retry, row.Title))
+			Expect(table).To(MatchRegexp(`(?m)^%s +%d +%t +%s$`, row.Kind, row.Status, row.Retryable, row.Title))
 		}
 	})
 })
--- a/cmd/wheatseam/certs.go
+++ b/cmd/wheatseam/certs.go
@@ -52,7 +52,7 @@
 		if err != nil {
 			return err
 		}
-		certFile, keyFile := certs.Files(o.out, name)
+		certFile, keyFile := certs.KeyPairFiles(o.out, name)
 		if err := pair.Write(certFile, keyFile); err != nil {
 			return err
 		}
--- a/cmd/wheatseam/errors.go
+++ b/cmd/wheatseam/errors.go
@@ -28,8 +28,8 @@
 			listed := make([]errorRow, 0, len(problem.Table))
 			var rows [][]string
 			for _, r := range problem.Table {
-				listed = append(listed, errorRow{r.Kind, r.Status, r.Retry, r.Title})
-				rows = append(rows, []string{string(r.Kind), strconv.Itoa(r.Status), strconv.FormatBool(r.Retry), r.Title})
+				listed = append(listed, errorRow{r.Kind, r.Status, r.Retryable, r.Title})
+				rows = append(rows, []string{string(r.Kind), strconv.Itoa(r.Status), strconv.FormatBool(r.Retryable), r.Title})
 			}
 			return format.write(cmd.OutOrStdout(), listed, []string{"KIND", "STATUS", "RETRY", "TITLE"}, rows)
 		},
--- a/cmd/wheatseam/explain.go
+++ b/cmd/wheatseam/explain.go
@@ -68,7 +68,7 @@
 		rows = append(rows, []string{
 			since(entries[0].At, e.At), string(e.Step), orDash(e.Stage), attempt, e.Outcome, fieldsText(e.Fields),
 		})
-		for _, c := range e.Choices {
+		for _, c := range e.Candidates {
 			rows = append(rows, []string{"", "", "", "", "  " + c.Upstream, candidateText(c)})
 		}
 	}
@@ -96,8 +96,8 @@
 }
 
 func candidateText(c record.Candidate) string {
-	if c.Refused != "" {
-		return "refused: " + c.Refused
+	if c.RefusalReason != "" {
+		return "refused: " + c.RefusalReason
 	}
 	return "score " + strconv.FormatFloat(c.Score, 'g', 4, 64)
 }
--- a/cmd/wheatseam/operator_test.go
+++ b/cmd/wheatseam/operator_test.go
@@ -118,7 +118,7 @@
 		l.answers["GET /v1/explain/entry-1.9"] = operator.Explanation{RequestID: "entry-1.9", Host: "entry-1", Entries: []record.Entry{
 			{At: at, Step: "admit", Outcome: "admitted", Fields: []record.Field{{Key: "bundle", Value: "7"}, {Key: "why", Value: "room left"}}},
 			{At: at.Add(1500 * time.Microsecond), Step: "route", Stage: "generate", Attempt: 1, Outcome: "picked llm-1",
-				Choices: []record.Candidate{{Upstream: "llm-1", Score: 0.25}, {Upstream: "llm-2", Refused: "leaving"}}},
+				Candidates: []record.Candidate{{Upstream: "llm-1", Score: 0.25}, {Upstream: "llm-2", RefusalReason: "leaving"}}},
 		}}
 		r := l.run("explain", "entry-1.9")
 		Expect(r.code).To(Equal(exitOK))
@@ -161,10 +161,10 @@
 		Expect(wheatseam("", "certs", "--out", dir, "entry-2").code).To(Equal(exitOK))
 		addresses := map[string]string{}
 		for _, name := range []string{"entry-1", "entry-2"} {
-			cert, key := certs.Files(dir, name)
+			cert, key := certs.KeyPairFiles(dir, name)
 			t, err := peer.NewTransport(peer.Config{
 				Host: name, Incarnation: 1, Listen: net.JoinHostPort("127.0.0.1", "0"),
-				TLS:     peer.TLSFiles{CertFile: cert, KeyFile: key, CAFile: filepath.Join(dir, certs.AuthorityCert)},
+				TLS:     peer.TLSFiles{CertFile: cert, KeyFile: key, CAFile: filepath.Join(dir, certs.AuthorityCertFile)},
 				Resolve: func(host string) (string, bool) { a, ok := addresses[host]; return a, ok },
 			})
 			Expect(err).NotTo(HaveOccurred())
--- a/cmd/wheatseamd/gateway.go
+++ b/cmd/wheatseamd/gateway.go
@@ -78,7 +78,7 @@
 	}
 	runtime.GOMAXPROCS(s.Limits.Processors)
 	debug.SetMemoryLimit(int64(memoryShare * float64(s.Limits.MemoryMB<<20)))
-	log, err := logging.NewBounded(os.Stdout, s.Log.Level)
+	log, err := logging.NewBoundedLog(os.Stdout, s.Log.Level)
 	if err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 		case <-ctx.Done():
 			return
 		case <-usr1:
-			clock.Simulate(d)
+			clock.SimulateSuspension(d)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 
 // reloadSettings takes the settings anew at SIGHUP and when the file changes,
 // until ctx ends. A file that is faulty changes nothing.
-func reloadSettings(ctx context.Context, path string, g *gateway.Gateway, log *logging.Bounded) {
+func reloadSettings(ctx context.Context, path string, g *gateway.Gateway, log *logging.BoundedLog) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	tick := time.NewTicker(settingsEvery)
--- a/core/breaker/breaker.go
+++ b/core/breaker/breaker.go
@@ -103,7 +103,7 @@
 }
 
 // Open returns the names of the open pools, for the operators' state dump.
-func (s *Set) Open() []string {
+func (s *Set) OpenPools() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	open := []string{}
--- a/core/breaker/breaker_test.go
+++ b/core/breaker/breaker_test.go
@@ -38,7 +38,7 @@
 
 	It("opens a pool after consecutive failures and admits one request per probe interval", func() {
 		fail(12)
-		Expect(s.Open()).To(Equal([]string{"lm"}))
+		Expect(s.OpenPools()).To(Equal([]string{"lm"}))
 		admitted := 0
 		for range 100 {
 			now = now.Add(10 * time.Millisecond)
@@ -54,7 +54,7 @@
 		Expect(allowed()).To(BeFalse())
 		s.Succeeded("lm")
 		Expect(allowed()).To(BeTrue())
-		Expect(s.Open()).To(BeEmpty())
+		Expect(s.OpenPools()).To(BeEmpty())
 	})
 
 	It("admits requests that do not need the open pool", func() {
--- a/core/catalog/catalog_test.go
+++ b/core/catalog/catalog_test.go
@@ -43,7 +43,7 @@
 
 	DescribeTable("split requests by weight", func(draw float64, want string) {
 		r := &catalog.Route{Split: []catalog.Target{{Service: "x", Weight: 90}, {Service: "y", Weight: 10}}}
-		Expect(r.Target(draw)).To(Equal(want))
+		Expect(r.PickService(draw)).To(Equal(want))
 	},
 		Entry("first", 0.0, "x"), Entry("still first", 0.89, "x"), Entry("second", 0.91, "y"), Entry("last", 0.9999, "y"),
 	)
@@ -51,9 +51,9 @@
 	DescribeTable("report whether requests may be repeated", func(r catalog.Route, want bool) {
 		Expect(r.MayRepeat()).To(Equal(want))
 	},
-		Entry("idempotent", catalog.Route{Repeat: catalog.Idempotent}, true),
-		Entry("at most once", catalog.Route{Repeat: catalog.AtMostOnce}, false),
-		Entry("stream", catalog.Route{Streaming: true, Repeat: catalog.Idempotent}, false),
+		Entry("idempotent", catalog.Route{RepeatPolicy: catalog.Idempotent}, true),
+		Entry("at most once", catalog.Route{RepeatPolicy: catalog.AtMostOnce}, false),
+		Entry("stream", catalog.Route{Streaming: true, RepeatPolicy: catalog.Idempotent}, false),
 		Entry("resumable stream", catalog.Route{Streaming: true, Resumable: true}, true),
 	)
 })
@@ -73,15 +73,15 @@
 		var g catalog.Registry
 		g.Update(start, []catalog.Replica{one, two})
 		back := start.Add(10 * time.Second)
-		Expect(g.Uncertain()).To(BeFalse())
+		Expect(g.RetainsLapsed()).To(BeFalse())
 		g.Update(back, []catalog.Replica{two})
 		Expect(g.Replicas()).To(HaveLen(2))
-		Expect(g.Uncertain()).To(BeTrue())
+		Expect(g.RetainsLapsed()).To(BeTrue())
 		g.Update(back.Add(time.Second), []catalog.Replica{two})
 		Expect(g.Replicas()).To(HaveLen(2))
 		g.Update(back.Add(2*time.Second), []catalog.Replica{two})
 		Expect(g.Replicas()).To(HaveLen(1))
-		Expect(g.Uncertain()).To(BeFalse())
+		Expect(g.RetainsLapsed()).To(BeFalse())
 	})
 
 	It("removes a lapsed entry whose address a restarted replica uses", func() {
@@ -96,10 +96,10 @@
 	It("replaces its replicas by those of another host", func() {
 		var g catalog.Registry
 		g.Update(start, []catalog.Replica{one})
-		g.Adopt(start.Add(9*time.Second), []catalog.Replica{two})
+		g.ReplaceFromPeer(start.Add(9*time.Second), []catalog.Replica{two})
 		Expect(g.Replicas()).To(HaveKey("two"))
-		Expect(g.Uncertain()).To(BeFalse(), "the other host would have reported uncertainty")
-		g.Adopt(start.Add(10*time.Second), nil)
+		Expect(g.RetainsLapsed()).To(BeFalse(), "the other host would have reported uncertainty")
+		g.ReplaceFromPeer(start.Add(10*time.Second), nil)
 		Expect(g.Replicas()).To(HaveLen(1))
 		By("not treating its own next read as the return of the store")
 		g.Update(start.Add(11*time.Second), []catalog.Replica{one})
--- a/core/catalog/config.go
+++ b/core/catalog/config.go
@@ -7,12 +7,12 @@
 )
 
 // Repeat is the policy on repeated execution of a route's requests.
-type Repeat uint8
+type RepeatPolicy uint8
 
 // The repeat policies.
 const (
 	// AtMostOnce requests are executed at most once per request ID.
-	AtMostOnce Repeat = iota
+	AtMostOnce RepeatPolicy = iota
 	// Idempotent requests may be executed again after any failure.
 	Idempotent
 )
@@ -23,14 +23,14 @@
 	Services map[string]*Service
 	// Tenants maps an API key to the customer that holds it. It is nil if the configuration
 	// has no customers; requests then need no key.
-	Tenants map[string]*Tenant
-	Limits  Limits
+	Customers map[string]*CustomerConfig
+	Limits    Limits
 	// hosts maps a lower-case host name to its routes, longest prefix first.
 	hosts map[string][]*Route
 }
 
 // Tenant is a customer in the operator's configuration.
-type Tenant struct {
+type CustomerConfig struct {
 	Name string
 	// Priority takes precedence over the route's priority; nil if the customer has none. 0
 	// is the highest.
@@ -50,8 +50,8 @@
 	Host   string
 	Prefix string
 	// Streaming says that responses are event streams.
-	Streaming bool
-	Repeat    Repeat
+	Streaming    bool
+	RepeatPolicy RepeatPolicy
 	// Resumable streams may be continued at another replica after the last event.
 	Resumable bool
 	// Objective is the operator's target for the time to the response, or to the first
@@ -95,11 +95,11 @@
 	// Engine says that the service runs generations in batches.
 	Engine bool
 	// Pieces is set for services that run stages; nil for others.
-	Pieces *Pieces
+	StageProfile *StageProfile
 }
 
 // Pieces describes the capacity and timing of one replica of a service that runs stages.
-type Pieces struct {
+type StageProfile struct {
 	// Concurrency is the maximum number of concurrent calls.
 	Concurrency int
 	// Batch is the maximum number of pieces per call.
@@ -108,15 +108,15 @@
 	// piece.
 	CallTime, PieceTime time.Duration
 	// RoomBytes is the maximum total size of the results that a replica holds.
-	RoomBytes int64
+	ResultCapacityBytes int64
 	// ResultLife is how long a result is kept unless it is released earlier.
-	ResultLife time.Duration
+	ResultTTL time.Duration
 }
 
 // NewConfig returns a configuration whose routes are indexed by host and prefix.
-func NewConfig(version uint64, routes []*Route, services []*Service, tenants map[string]*Tenant, limits Limits) *Config {
+func NewConfig(version uint64, routes []*Route, services []*Service, tenants map[string]*CustomerConfig, limits Limits) *Config {
 	c := &Config{
-		Version: version, Tenants: tenants, Limits: limits,
+		Version: version, Customers: tenants, Limits: limits,
 		Services: make(map[string]*Service, len(services)),
 		hosts:    make(map[string][]*Route),
 	}
@@ -158,7 +158,7 @@
 }
 
 // Target selects the service of a request by weight; draw is uniform in [0, 1).
-func (r *Route) Target(draw float64) string {
+func (r *Route) PickService(draw float64) string {
 	var sum float64
 	for _, t := range r.Split {
 		sum += t.Weight
@@ -181,5 +181,5 @@
 	if r.Streaming {
 		return r.Resumable
 	}
-	return r.Repeat == Idempotent
+	return r.RepeatPolicy == Idempotent
 }
--- a/core/catalog/evacuation.go
+++ b/core/catalog/evacuation.go
@@ -38,7 +38,7 @@
 }
 
 // Same reports whether the same failure domains are evacuated, regardless of the revisions.
-func (e Evacuations) Same(o Evacuations) bool { return slices.Equal(e.Domains, o.Domains) }
+func (e Evacuations) SameDomains(o Evacuations) bool { return slices.Equal(e.Domains, o.Domains) }
 
 // With returns the orders after applying changes, which may be unordered and contain
 // duplicates. Changes up to the current revision are ignored, since the orders already
--- a/core/catalog/evacuation_test.go
+++ b/core/catalog/evacuation_test.go
@@ -21,7 +21,7 @@
 	DescribeTable("apply changes", func(changes []catalog.EvacuationChange, want catalog.Evacuations) {
 		got := catalog.NewEvacuations(10, []string{"b"}).With(changes)
 		Expect(got.Revision).To(Equal(want.Revision))
-		Expect(got.Same(want)).To(BeTrue(), "%v", got.Domains)
+		Expect(got.SameDomains(want)).To(BeTrue(), "%v", got.Domains)
 	},
 		Entry("none", nil, catalog.NewEvacuations(10, []string{"b"})),
 		Entry("a second domain", []catalog.EvacuationChange{ordered(12, "a")}, catalog.NewEvacuations(12, []string{"a", "b"})),
--- a/core/catalog/rank.go
+++ b/core/catalog/rank.go
@@ -9,7 +9,7 @@
 
 // RankOf returns the rank of a customer's request; customer may be nil. If the customer has
 // no priority, the route's priority is used for both fields.
-func RankOf(customer *Tenant, route *Route) Rank {
+func RankOf(customer *CustomerConfig, route *Route) Rank {
 	r := Rank{Customer: max(0, route.Priority), Route: max(0, route.Priority)}
 	if customer != nil && customer.Priority != nil {
 		r.Customer = max(0, *customer.Priority)
--- a/core/catalog/rank_test.go
+++ b/core/catalog/rank_test.go
@@ -10,14 +10,14 @@
 var _ = Describe("ranks", func() {
 	intPtr := func(n int) *int { return &n }
 
-	DescribeTable("use the customer's priority, else the route's", func(customer *catalog.Tenant, route int, want catalog.Rank) {
+	DescribeTable("use the customer's priority, else the route's", func(customer *catalog.CustomerConfig, route int, want catalog.Rank) {
 		Expect(catalog.RankOf(customer, &catalog.Route{Priority: route})).To(Equal(want))
 	},
-		Entry("of a customer with a priority", &catalog.Tenant{Priority: intPtr(1)}, 2, catalog.Rank{Customer: 1, Route: 2}),
-		Entry("of a customer with the highest priority", &catalog.Tenant{Priority: intPtr(0)}, 2, catalog.Rank{Customer: 0, Route: 2}),
-		Entry("of a customer without a priority", &catalog.Tenant{}, 2, catalog.Rank{Customer: 2, Route: 2}),
+		Entry("of a customer with a priority", &catalog.CustomerConfig{Priority: intPtr(1)}, 2, catalog.Rank{Customer: 1, Route: 2}),
+		Entry("of a customer with the highest priority", &catalog.CustomerConfig{Priority: intPtr(0)}, 2, catalog.Rank{Customer: 0, Route: 2}),
+		Entry("of a customer without a priority", &catalog.CustomerConfig{}, 2, catalog.Rank{Customer: 2, Route: 2}),
 		Entry("without a customer", nil, 1, catalog.Rank{Customer: 1, Route: 1}),
-		Entry("of priorities below zero", &catalog.Tenant{Priority: intPtr(-3)}, -1, catalog.Rank{}),
+		Entry("of priorities below zero", &catalog.CustomerConfig{Priority: intPtr(-3)}, -1, catalog.Rank{}),
 	)
 
 	It("order requests consistently with their levels", func() {
--- a/core/catalog/replica.go
+++ b/core/catalog/replica.go
@@ -46,11 +46,11 @@
 // Uncertain reports whether some of the replicas are not listed by the store and may be
 // gone, because this host lost contact with the store or the store was unavailable a moment
 // ago.
-func (g *Registry) Uncertain() bool { return g.retainsLapsed }
+func (g *Registry) RetainsLapsed() bool { return g.retainsLapsed }
 
 // Adopt replaces the replicas by those of another host as of the given time. If replicas is
 // nil, the other host has the same replicas.
-func (g *Registry) Adopt(asOf time.Time, replicas []Replica) {
+func (g *Registry) ReplaceFromPeer(asOf time.Time, replicas []Replica) {
 	if asOf.After(g.lastUpdate) {
 		g.lastUpdate = asOf
 	}
--- a/core/claim/bench_test.go
+++ b/core/claim/bench_test.go
@@ -25,14 +25,14 @@
 func BenchmarkAsk(b *testing.B) {
 	h := NewHolder("a", 1, base.Add(-time.Hour), benchPolicy(b.N))
 	env := Env{Now: base, Epoch: 1, Ready: true}
-	asks := make([]Ask, b.N)
+	asks := make([]Acquire, b.N)
 	for i := range asks {
-		asks[i] = Ask{Key: benchKey(i), Owner: ownerOf("a", "0198c5a0-0000-7000-8000-000000000000"), Round: 1, Epoch: 1}
+		asks[i] = Acquire{Key: benchKey(i), Owner: ownerOf("a", "0198c5a0-0000-7000-8000-000000000000"), Round: 1, Epoch: 1}
 	}
 	before := heap()
 	b.ResetTimer()
 	for _, a := range asks {
-		h.Ask(env, a)
+		h.Acquire(env, a)
 	}
 	b.StopTimer()
 	b.ReportMetric(float64(heap()-before)/float64(b.N), "heap-B/claim")
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -38,9 +38,9 @@
 type (
 	// SendAsk sends an Ask to a holder; the answer or the failure of the call
 	// goes to Claim.Reply or Claim.Unreachable.
-	SendAsk struct {
-		Holder string
-		Ask    Ask
+	SendAcquire struct {
+		Holder  string
+		Acquire Acquire
 	}
 	// SendRelease sends a Release to a holder, best with a few retries.
 	SendRelease struct {
@@ -57,7 +57,7 @@
 	// Won says that the request may be sent, after Claim.Send allowed it.
 	Won struct{}
 	// Lost says that the request ran already, and gives its result.
-	Lost struct {
+	AlreadyExecuted struct {
 		Owner  Owner
 		Record Record
 	}
@@ -73,17 +73,17 @@
 		Verdict Verdict
 	}
 	// Kept says that a majority of each quorum holds the result.
-	Kept struct{}
+	ResultStored struct{}
 )
 
-func (SendAsk) action()     {}
-func (SendRelease) action() {}
-func (SendStore) action()   {}
-func (Wait) action()        {}
-func (Won) action()         {}
-func (Lost) action()        {}
-func (Refuse) action()      {}
-func (Kept) action()        {}
+func (SendAcquire) action()     {}
+func (SendRelease) action()     {}
+func (SendStore) action()       {}
+func (Wait) action()            {}
+func (Won) action()             {}
+func (AlreadyExecuted) action() {}
+func (Refuse) action()          {}
+func (ResultStored) action()    {}
 
 // phase is where a Claim stands.
 type phase uint8
@@ -151,19 +151,19 @@
 func (c *Claim) ask() []Action {
 	c.phase = asking
 	c.round++
-	a := Ask{Key: c.cfg.Key, Owner: c.cfg.Owner, Digest: c.cfg.Digest, Round: c.round, Epoch: c.cfg.Epoch, Arrived: c.cfg.Arrived}
+	a := Acquire{Key: c.cfg.Key, Owner: c.cfg.Owner, Digest: c.cfg.Digest, Round: c.round, Epoch: c.cfg.Epoch, Arrived: c.cfg.Arrived}
 	actions := make([]Action, 0, len(c.slots))
 	for i := range c.slots {
 		if c.round > 1 && !c.off.noReplyRound {
 			c.slots[i] = slot{holder: c.slots[i].holder}
 		}
-		actions = append(actions, SendAsk{c.slots[i].holder, a})
+		actions = append(actions, SendAcquire{c.slots[i].holder, a})
 	}
 	return actions
 }
 
 // Reply takes a holder's answer to an Ask.
-func (c *Claim) Reply(now time.Time, r Reply) []Action {
+func (c *Claim) HandleReply(now time.Time, r Reply) []Action {
 	s := c.slot(r.Holder)
 	if s == nil {
 		return nil
@@ -207,7 +207,7 @@
 }
 
 // Unreachable takes the failure of an Ask of a round.
-func (c *Claim) Unreachable(now time.Time, holder string, round uint32) []Action {
+func (c *Claim) HandleUnreachable(now time.Time, holder string, round uint32) []Action {
 	s := c.slot(holder)
 	if s == nil || c.phase != asking || round != c.round || s.verdict != 0 {
 		return nil
@@ -217,7 +217,7 @@
 }
 
 // Timer ends the wait after a split vote.
-func (c *Claim) Timer() []Action {
+func (c *Claim) HandleTimer() []Action {
 	if c.phase != backingOff {
 		return nil
 	}
@@ -246,7 +246,7 @@
 
 // GiveUp ends a claim that was not sent: its deadline passed, its caller went
 // away or no upstream is available. It does nothing after Send.
-func (c *Claim) GiveUp(kind problem.Kind) []Action {
+func (c *Claim) Abort(kind problem.Kind) []Action {
 	if c.phase == ended || c.Sent() && !c.off.noSentCheck {
 		return nil
 	}
@@ -280,7 +280,7 @@
 }
 
 // Stored takes a holder's answer to a Store.
-func (c *Claim) Stored(r Reply) []Action {
+func (c *Claim) HandleStoreReply(r Reply) []Action {
 	s := c.slot(r.Holder)
 	if s == nil || c.phase != sent || r.Verdict != Recorded {
 		return nil
@@ -290,5 +290,5 @@
 		return nil
 	}
 	c.phase = stored
-	return []Action{Kept{}}
+	return []Action{ResultStored{}}
 }
--- a/core/claim/decide.go
+++ b/core/claim/decide.go
@@ -36,7 +36,7 @@
 	}
 	actions := c.release()
 	c.phase = ended
-	return append(actions, Lost{Owner: s.owner, Record: *s.record})
+	return append(actions, AlreadyExecuted{Owner: s.owner, Record: *s.record})
 }
 
 // reused says that another owner claims the key for another request.
--- a/core/claim/encode_test.go
+++ b/core/claim/encode_test.go
@@ -78,7 +78,7 @@
 	var c code
 	c.num(uint64(m.to), uint64(m.owner))
 	switch p := m.payload.(type) {
-	case Ask:
+	case Acquire:
 		c.num(1, uint64(p.Round), p.Epoch)
 	case Release:
 		c.num(2, uint64(p.Round))
--- a/core/claim/holder.go
+++ b/core/claim/holder.go
@@ -67,7 +67,7 @@
 }
 
 // Ask grants a key or says why not.
-func (h *Holder) Ask(env Env, a Ask) Reply {
+func (h *Holder) Acquire(env Env, a Acquire) Reply {
 	h.forget(env.Now)
 	r := h.reply(env, a.Round)
 	e := h.entries[a.Key]
@@ -95,7 +95,7 @@
 }
 
 // refusal returns the verdict that keeps a free key from being granted, or 0.
-func (h *Holder) refusal(env Env, a Ask, e *entry) Verdict {
+func (h *Holder) refusal(env Env, a Acquire, e *entry) Verdict {
 	switch {
 	case !env.Ready:
 		return NotReady
@@ -125,7 +125,7 @@
 }
 
 // superseded says that the ask's own release came first.
-func (e *entry) superseded(a Ask) bool {
+func (e *entry) superseded(a Acquire) bool {
 	if e == nil {
 		return false
 	}
--- a/core/claim/holder_test.go
+++ b/core/claim/holder_test.go
@@ -74,7 +74,7 @@
 var _ = Describe("Holder memory", func() {
 	env := Env{Now: base, Epoch: 1, Ready: true}
 	ask := func(h *Holder, e Env, tail byte) Verdict {
-		return h.Ask(e, Ask{Key: keyAt(e.Now, tail), Owner: ownerOf("a", "r"), Round: 1, Epoch: 1}).Verdict
+		return h.Acquire(e, Acquire{Key: keyAt(e.Now, tail), Owner: ownerOf("a", "r"), Round: 1, Epoch: 1}).Verdict
 	}
 	It("refuses new keys when full, and forgets none early", func() {
 		h := NewHolder("a", 1, base.Add(-time.Hour), testPolicy)
@@ -120,8 +120,8 @@
 	}
 	win := func(c *Claim) {
 		c.Start()
-		c.Reply(base, Reply{Holder: "a", Incarnation: 1, Verdict: Granted, Round: 1})
-		Expect(c.Reply(base, Reply{Holder: "b", Incarnation: 1, Verdict: Granted, Round: 1})).To(Equal([]Action{Won{}}))
+		c.HandleReply(base, Reply{Holder: "a", Incarnation: 1, Verdict: Granted, Round: 1})
+		Expect(c.HandleReply(base, Reply{Holder: "b", Incarnation: 1, Verdict: Granted, Round: 1})).To(Equal([]Action{Won{}}))
 	}
 	It("sends once, and not from the deadline on", func() {
 		c := newClaim(base.Add(time.Second))
@@ -129,14 +129,14 @@
 		Expect(c.Send(base.Add(time.Second))).To(BeFalse())
 		Expect(c.Send(base)).To(BeTrue())
 		Expect(c.Send(base)).To(BeFalse())
-		Expect(c.GiveUp(problem.DeadlineExceeded)).To(BeEmpty())
+		Expect(c.Abort(problem.DeadlineExceeded)).To(BeEmpty())
 	})
 	It("drops what a dead incarnation granted", func() {
 		c := newClaim(base.Add(time.Second))
 		c.Start()
-		c.Reply(base, Reply{Holder: "a", Incarnation: 1, Verdict: Granted, Round: 1})
-		c.Reply(base, Reply{Holder: "a", Incarnation: 2, Verdict: Forgotten, Round: 1})
-		Expect(c.Reply(base, Reply{Holder: "b", Incarnation: 1, Verdict: Granted, Round: 1})).To(BeEmpty())
+		c.HandleReply(base, Reply{Holder: "a", Incarnation: 1, Verdict: Granted, Round: 1})
+		c.HandleReply(base, Reply{Holder: "a", Incarnation: 2, Verdict: Forgotten, Round: 1})
+		Expect(c.HandleReply(base, Reply{Holder: "b", Incarnation: 1, Verdict: Granted, Round: 1})).To(BeEmpty())
 	})
 	DescribeTable("refuses at once when a majority is out of reach",
 		func(v Verdict, kind problem.Kind, execution problem.Execution) {
@@ -145,9 +145,9 @@
 			var last []Action
 			for _, h := range []string{"a", "b"} {
 				if v == 0 {
-					last = c.Unreachable(base, h, 1)
+					last = c.HandleUnreachable(base, h, 1)
 				} else {
-					last = c.Reply(base, Reply{Holder: h, Incarnation: 1, Verdict: v, Round: 1})
+					last = c.HandleReply(base, Reply{Holder: h, Incarnation: 1, Verdict: v, Round: 1})
 				}
 			}
 			Expect(last).To(ContainElement(Refuse{Kind: kind, Execution: execution, Verdict: v}))
@@ -162,9 +162,9 @@
 		c := newClaim(base.Add(time.Second))
 		c.Start()
 		for _, h := range []string{"a", "b"} {
-			c.Reply(base, Reply{Holder: h, Incarnation: 1, Verdict: Taken, Round: 1, Owner: ownerOf("b", "q")})
+			c.HandleReply(base, Reply{Holder: h, Incarnation: 1, Verdict: Taken, Round: 1, Owner: ownerOf("b", "q")})
 		}
-		Expect(c.GiveUp(problem.OutcomeUnknown)).To(ContainElement(
+		Expect(c.Abort(problem.OutcomeUnknown)).To(ContainElement(
 			Refuse{Kind: problem.OutcomeUnknown, Execution: problem.MayHaveRun, Owner: ownerOf("b", "q")}))
 	})
 })
@@ -199,9 +199,9 @@
 	})
 	It("goes by the median of the clocks", func() {
 		v := NewViews("a", 1, base, Lineage{Current: view(1, "a")}, testPolicy)
-		v.SetClock([]time.Duration{time.Hour, 0, 0})
+		v.SetClockOffsets([]time.Duration{time.Hour, 0, 0})
 		Expect(v.Ready()).To(BeTrue())
-		v.SetClock([]time.Duration{time.Hour, time.Hour, 0})
+		v.SetClockOffsets([]time.Duration{time.Hour, time.Hour, 0})
 		Expect(v.Ready()).To(BeFalse())
 	})
 })
--- a/core/claim/messages.go
+++ b/core/claim/messages.go
@@ -52,7 +52,7 @@
 }
 
 // Ask asks a holder for a key.
-type Ask struct {
+type Acquire struct {
 	Key    Key
 	Owner  Owner
 	Digest Digest
--- a/core/claim/steps_test.go
+++ b/core/claim/steps_test.go
@@ -75,7 +75,7 @@
 		}
 	case backingOff:
 		if int(a.claim.round) < w.sc.rounds[i] {
-			step(func(c *world) { c.carryOut(i, c.writeClaim(i).Timer()) })
+			step(func(c *world) { c.carryOut(i, c.writeClaim(i).HandleTimer()) })
 		}
 	case won:
 		step(func(c *world) { c.send(i) })
@@ -85,7 +85,7 @@
 		}
 	}
 	if w.sc.givesUp[i] && a.claim.phase != ended && (!a.claim.Sent() || w.off.noSentCheck) {
-		step(func(c *world) { c.carryOut(i, c.writeClaim(i).GiveUp(problem.DeadlineExceeded)) })
+		step(func(c *world) { c.carryOut(i, c.writeClaim(i).Abort(problem.DeadlineExceeded)) })
 	}
 }
 
@@ -131,7 +131,7 @@
 func (w *world) fail(i int, holder string) {
 	w.failures--
 	c := w.writeClaim(i)
-	w.carryOut(i, c.Unreachable(w.now(w.sc.owners[i]), holder, c.round))
+	w.carryOut(i, c.HandleUnreachable(w.now(w.sc.owners[i]), holder, c.round))
 }
 
 func (w *world) send(i int) {
@@ -154,8 +154,8 @@
 		w.net = append(w.net[:i:i], w.net[i+1:]...)
 	}
 	switch p := m.payload.(type) {
-	case Ask:
-		r := w.writeHolder(m.to).Ask(w.env(m.to), p)
+	case Acquire:
+		r := w.writeHolder(m.to).Acquire(w.env(m.to), p)
 		if w.sc.atomicCalls[m.owner] && (m.owner != 0 || r.Holder != w.sc.late) {
 			w.answer(m.owner, r)
 			return
@@ -175,13 +175,13 @@
 	case Reply:
 		w.answer(m.owner, p)
 	case Status:
-		w.writeViews(m.to).Hear(p)
+		w.writeViews(m.to).HandleStatus(p)
 	}
 }
 
 func (w *world) answer(i int, r Reply) {
 	if !w.attempts[i].dead {
-		w.carryOut(i, w.writeClaim(i).Reply(w.now(w.sc.owners[i]), r))
+		w.carryOut(i, w.writeClaim(i).HandleReply(w.now(w.sc.owners[i]), r))
 	}
 }
 
@@ -210,7 +210,7 @@
 			offsets = append(offsets, w.nodes[i].skew-w.nodes[n].skew)
 		}
 	}
-	w.nodes[n].views.SetClock(offsets)
+	w.nodes[n].views.SetClockOffsets(offsets)
 }
 
 func (w *world) newest() Lineage { return w.sc.lineages[len(w.sc.lineages)-1] }
@@ -225,6 +225,6 @@
 func (w *world) query(asker, peer int) {
 	w.statuses--
 	p := w.writeViews(peer)
-	p.Hear(w.nodes[asker].views.Status())
+	p.HandleStatus(w.nodes[asker].views.Status())
 	w.post(message{to: asker, payload: p.Status()})
 }
--- a/core/claim/views.go
+++ b/core/claim/views.go
@@ -135,7 +135,7 @@
 func (v *Views) ack() Ack { return Ack{v.incarnation, v.adopted} }
 
 // Hear takes a peer's status.
-func (v *Views) Hear(s Status) {
+func (v *Views) HandleStatus(s Status) {
 	if s.Incarnation < v.incarnations[s.Host] {
 		return
 	}
@@ -167,7 +167,7 @@
 
 // SetClock tells by how much the peers' clocks differ from this host's. The
 // median decides, so that one wrong clock puts only its own host out.
-func (v *Views) SetClock(offsets []time.Duration) {
+func (v *Views) SetClockOffsets(offsets []time.Duration) {
 	v.clockOff = false
 	if len(offsets) == 0 {
 		return
@@ -184,7 +184,7 @@
 
 // Serves says whether the daemon may grant: as Ready, but a host that the
 // current list has dropped still serves the earlier lists' groups.
-func (v *Views) Serves() bool { return v.synced && !v.clockOff }
+func (v *Views) CanGrant() bool { return v.synced && !v.clockOff }
 
 // Epoch returns the number of the current list.
 func (v *Views) Epoch() uint64 { return v.lineage.Current.Epoch }
--- a/core/claim/void.go
+++ b/core/claim/void.go
@@ -29,7 +29,7 @@
 		r.Verdict = Taken
 		return r
 	}
-	ask := Ask{Key: m.Key, Owner: m.Owner, Round: neverReleased, Epoch: m.Epoch}
+	ask := Acquire{Key: m.Key, Owner: m.Owner, Round: neverReleased, Epoch: m.Epoch}
 	if r.Verdict = h.refusal(env, ask, e); r.Verdict != 0 {
 		return r
 	}
--- a/core/claim/world_test.go
+++ b/core/claim/world_test.go
@@ -157,7 +157,7 @@
 func (w *world) exchangeAll() {
 	for i := range w.nodes {
 		for j := range w.nodes {
-			w.nodes[i].views.Hear(w.nodes[j].views.Status())
+			w.nodes[i].views.HandleStatus(w.nodes[j].views.Status())
 		}
 	}
 }
@@ -216,7 +216,7 @@
 
 func (w *world) env(n int) Env {
 	v := w.nodes[n].views
-	return Env{Now: w.now(n), Epoch: v.Epoch(), Ready: v.Serves()}
+	return Env{Now: w.now(n), Epoch: v.Epoch(), Ready: v.CanGrant()}
 }
 
 func (w *world) nodeOf(host string) int { return slices.Index(w.sc.nodes, host) }
@@ -243,11 +243,11 @@
 func (w *world) carryOut(i int, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case SendAsk:
-			if a.Ask.Round == 1 && a.Holder == w.sc.lostAsks[i] {
+		case SendAcquire:
+			if a.Acquire.Round == 1 && a.Holder == w.sc.lostAsks[i] {
 				continue
 			}
-			w.post(message{to: w.nodeOf(a.Holder), owner: i, payload: a.Ask})
+			w.post(message{to: w.nodeOf(a.Holder), owner: i, payload: a.Acquire})
 		case SendRelease:
 			if w.sc.loseReleases {
 				continue
@@ -255,7 +255,7 @@
 			w.post(message{to: w.nodeOf(a.Holder), owner: i, payload: a.Release})
 		case SendStore:
 			w.post(message{to: w.nodeOf(a.Holder), owner: i, payload: a.Store})
-		case Lost:
+		case AlreadyExecuted:
 			w.checkLost(i, a)
 		case Refuse:
 			if w.sc.voids {
@@ -268,7 +268,7 @@
 }
 
 // checkLost: a result that is delivered is the one of the attempt that sent.
-func (w *world) checkLost(i int, l Lost) {
+func (w *world) checkLost(i int, l AlreadyExecuted) {
 	from := int(l.Record.Result[0])
 	if !w.attempts[from].sent || w.sc.digests[from] != w.sc.digests[i] {
 		w.violation = fmt.Sprintf("attempt %d got the result of %d", i, from)
--- a/core/estimate/estimate.go
+++ b/core/estimate/estimate.go
@@ -11,14 +11,14 @@
 
 // Line models a duration as a linear function of a size: a constant plus a cost for
 // each unit, fitted by least squares. The zero value has no measurements.
-type Line struct {
+type LinearModel struct {
 	// Sums over the measurements, weighted by age: the weights, the sizes, the
 	// durations in seconds, the squared sizes, and the products of size and duration.
 	n, x, y, xx, xy float64
 }
 
 // Observe adds a measured duration for a size.
-func (l *Line) Observe(size float64, took time.Duration) {
+func (l *LinearModel) Observe(size float64, took time.Duration) {
 	const decay = 1 - 1.0/decayCount
 	y := took.Seconds()
 	l.n = decay*l.n + 1
@@ -34,7 +34,7 @@
 
 // At returns the estimated duration for a size, or false while there are too few
 // measurements. The estimate never decreases with the size and is never negative.
-func (l *Line) At(size float64) (time.Duration, bool) {
+func (l *LinearModel) At(size float64) (time.Duration, bool) {
 	if l.n < minMeasurements {
 		return 0, false
 	}
--- a/core/estimate/estimate_test.go
+++ b/core/estimate/estimate_test.go
@@ -19,7 +19,7 @@
 var _ = Describe("a linear model", func() {
 	ms := func(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
-	at := func(l *estimate.Line, size float64) time.Duration {
+	at := func(l *estimate.LinearModel, size float64) time.Duration {
 		GinkgoHelper()
 		took, ok := l.At(size)
 		Expect(ok).To(BeTrue())
@@ -27,14 +27,14 @@
 	}
 
 	It("has no estimate before it has measurements", func() {
-		var l estimate.Line
+		var l estimate.LinearModel
 		_, ok := l.At(1)
 		Expect(ok).To(BeFalse())
 	})
 
 	It("fits the constant and the cost per unit despite noise", func() {
 		r := rand.New(rand.NewPCG(1, 2))
-		var l estimate.Line
+		var l estimate.LinearModel
 		for range 2000 {
 			size := 1000 + 20000*r.Float64()
 			l.Observe(size, ms(50+0.02*size+20*(r.Float64()-0.5)))
@@ -45,7 +45,7 @@
 	})
 
 	It("returns the mean when all sizes are equal, and never decreases with the size", func() {
-		var equalSizes, decreasing estimate.Line
+		var equalSizes, decreasing estimate.LinearModel
 		for i := range 50 {
 			equalSizes.Observe(7, ms(100))
 			decreasing.Observe(float64(i), ms(float64(100-i)))
@@ -55,7 +55,7 @@
 	})
 
 	It("adapts to a change", func() {
-		var l estimate.Line
+		var l estimate.LinearModel
 		for range 1000 {
 			l.Observe(1, ms(100))
 		}
@@ -66,7 +66,7 @@
 	})
 
 	It("never returns a negative duration", func() {
-		var l estimate.Line
+		var l estimate.LinearModel
 		for i := range 50 {
 			l.Observe(float64(100+i), ms(float64(10*i)))
 		}
--- a/core/intake/account.go
+++ b/core/intake/account.go
@@ -7,7 +7,7 @@
 )
 
 // Limited is a replica's limit as known to one host.
-type Limited struct {
+type ReplicaLimit struct {
 	Replica string
 	Limit   Limit
 	// Round counts the changes of the limit. It identifies outdated reports, since the
@@ -15,7 +15,7 @@
 	Round uint64
 	// Since is when the limit was first observed, and At when a response last announced it
 	// or showed that it was lifted.
-	Since, At time.Time
+	Since, LastObserved time.Time
 }
 
 const (
@@ -35,12 +35,12 @@
 
 // Account holds one host's knowledge of the limits that replicas announce. The zero value
 // is ready to use.
-type Account struct {
+type LimitTable struct {
 	entries map[string]*limitEntry
 }
 
 type limitEntry struct {
-	Limited
+	ReplicaLimit
 	// lastListed is when the replica was last listed, or when its limit was first observed.
 	lastListed time.Time
 }
@@ -49,45 +49,45 @@
 // limit is in force until a served response omits it whose request was sent after the limit
 // was last announced; responses to earlier requests are ignored, since responses may be
 // reordered.
-func (a *Account) Hear(now time.Time, response Answer) (Limited, bool) {
+func (a *LimitTable) Observe(now time.Time, response ReplicaResponse) (ReplicaLimit, bool) {
 	known := a.entries[response.Replica]
 	limit := response.Notice.Limit
 	switch {
-	case limit.Named && known == nil:
-		l := Limited{Replica: response.Replica, Limit: limit, Round: 1, Since: now, At: now}
+	case limit.Announced && known == nil:
+		l := ReplicaLimit{Replica: response.Replica, Limit: limit, Round: 1, Since: now, LastObserved: now}
 		return l, a.add(now, l)
-	case limit.Named:
-		known.At = now
+	case limit.Announced:
+		known.LastObserved = now
 		if known.Limit == limit {
-			return known.Limited, false
+			return known.ReplicaLimit, false
 		}
-		if !known.Limit.Named {
+		if !known.Limit.Announced {
 			known.Since = now
 		}
 		known.Limit, known.Round = limit, known.Round+1
-		return known.Limited, true
-	case known == nil || !known.Limit.Named || !response.Served || !response.Sent.After(known.At):
-		return Limited{}, false
+		return known.ReplicaLimit, true
+	case known == nil || !known.Limit.Announced || !response.Served || !response.Sent.After(known.LastObserved):
+		return ReplicaLimit{}, false
 	}
-	known.Limit, known.Round, known.At = Limit{}, known.Round+1, now
-	return known.Limited, true
+	known.Limit, known.Round, known.LastObserved = Limit{}, known.Round+1, now
+	return known.ReplicaLimit, true
 }
 
 // supersedes reports whether a report replaces another one. If two hosts observed different
 // limits in the same round, the stricter one is used; the next response to a served run
 // corrects it.
-func (l *Limited) supersedes(o *Limited) bool {
+func (l *ReplicaLimit) supersedes(o *ReplicaLimit) bool {
 	switch {
 	case l.Round != o.Round:
 		return l.Round > o.Round
-	case l.Limit.Named != o.Limit.Named:
-		return l.Limit.Named
+	case l.Limit.Announced != o.Limit.Announced:
+		return l.Limit.Announced
 	}
 	return l.Limit.PerSecond < o.Limit.PerSecond
 }
 
 // add inserts the limit of a new replica; it returns false if the table is full.
-func (a *Account) add(now time.Time, l Limited) bool {
+func (a *LimitTable) add(now time.Time, l ReplicaLimit) bool {
 	if len(a.entries) >= maxReplicas {
 		return false
 	}
@@ -100,56 +100,56 @@
 
 // Learn merges the reports of a peer. It returns the limits that changed here, and those
 // that are newer here than in the peer's reports, to be sent to the peer.
-func (a *Account) Learn(now time.Time, reports []Limited) (changed, newer []Limited) {
+func (a *LimitTable) Merge(now time.Time, reports []ReplicaLimit) (changed, newer []ReplicaLimit) {
 	for _, l := range reports {
 		known := a.entries[l.Replica]
 		switch {
 		case known == nil:
-			if l.Limit.Named && a.add(now, l) {
+			if l.Limit.Announced && a.add(now, l) {
 				changed = append(changed, l)
 			}
 		case known.Limit == l.Limit:
 			known.Round = max(known.Round, l.Round)
-			if l.At.Sub(known.At) > refreshThreshold {
-				known.At = l.At
+			if l.LastObserved.Sub(known.LastObserved) > refreshThreshold {
+				known.LastObserved = l.LastObserved
 			}
-		case l.supersedes(&known.Limited):
-			known.Limited = l
+		case l.supersedes(&known.ReplicaLimit):
+			known.ReplicaLimit = l
 			changed = append(changed, l)
 		default:
-			newer = append(newer, known.Limited)
+			newer = append(newer, known.ReplicaLimit)
 		}
 	}
 	return changed, newer
 }
 
 // News returns the limits observed after a time, here or by a peer.
-func (a *Account) News(after time.Time) []Limited {
-	return a.filter(func(l *limitEntry) bool { return l.At.After(after) })
+func (a *LimitTable) ObservedAfter(after time.Time) []ReplicaLimit {
+	return a.filter(func(l *limitEntry) bool { return l.LastObserved.After(after) })
 }
 
 // Forget removes replicas that have been unlisted for longer than unlistedRetention, and
 // limits that were lifted more than liftedRetention ago.
-func (a *Account) Forget(now time.Time, listed func(replica string) bool) {
+func (a *LimitTable) RemoveExpired(now time.Time, listed func(replica string) bool) {
 	maps.DeleteFunc(a.entries, func(replica string, l *limitEntry) bool {
 		if listed(replica) {
 			l.lastListed = now
 		}
-		return now.Sub(l.lastListed) > unlistedRetention || !l.Limit.Named && now.Sub(l.At) > liftedRetention
+		return now.Sub(l.lastListed) > unlistedRetention || !l.Limit.Announced && now.Sub(l.LastObserved) > liftedRetention
 	})
 }
 
 // Limits returns the limits in force, ordered by replica.
-func (a *Account) Limits() []Limited {
-	return a.filter(func(l *limitEntry) bool { return l.Limit.Named })
+func (a *LimitTable) Limits() []ReplicaLimit {
+	return a.filter(func(l *limitEntry) bool { return l.Limit.Announced })
 }
 
 // filter returns the entries that include selects, ordered by replica.
-func (a *Account) filter(include func(*limitEntry) bool) []Limited {
-	var out []Limited
+func (a *LimitTable) filter(include func(*limitEntry) bool) []ReplicaLimit {
+	var out []ReplicaLimit
 	for _, id := range slices.Sorted(maps.Keys(a.entries)) {
 		if l := a.entries[id]; include(l) {
-			out = append(out, l.Limited)
+			out = append(out, l.ReplicaLimit)
 		}
 	}
 	return out
--- a/core/intake/account_test.go
+++ b/core/intake/account_test.go
@@ -14,72 +14,74 @@
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
 // runResponse is the response to a served run; it announces no limit if limit is negative.
-func runResponse(sent, limit float64) intake.Answer {
-	a := intake.Answer{Replica: "r", Sent: at(sent), Served: true}
+func runResponse(sent, limit float64) intake.ReplicaResponse {
+	a := intake.ReplicaResponse{Replica: "r", Sent: at(sent), Served: true}
 	if limit >= 0 {
-		a.Notice.Limit = intake.Limit{Named: true, PerSecond: limit}
+		a.Notice.Limit = intake.Limit{Announced: true, PerSecond: limit}
 	}
 	return a
 }
 
 func TestLimitHoldsUntilAServedResponseOmitsIt(t *testing.T) {
 	g := NewWithT(t)
-	var a intake.Account
-	_, changed := a.Hear(at(1), runResponse(0, -1))
+	var a intake.LimitTable
+	_, changed := a.Observe(at(1), runResponse(0, -1))
 	g.Expect(changed).To(BeFalse())
-	l, changed := a.Hear(at(2), runResponse(1.9, 4))
+	l, changed := a.Observe(at(2), runResponse(1.9, 4))
 	g.Expect(changed).To(BeTrue())
-	g.Expect(l).To(Equal(intake.Limited{Replica: "r", Limit: intake.Limit{Named: true, PerSecond: 4}, Round: 1, Since: at(2), At: at(2)}))
-	_, changed = a.Hear(at(3), runResponse(2.9, 4))
+	g.Expect(l).To(Equal(intake.ReplicaLimit{Replica: "r", Limit: intake.Limit{Announced: true, PerSecond: 4}, Round: 1, Since: at(2), LastObserved: at(2)}))
+	_, changed = a.Observe(at(3), runResponse(2.9, 4))
 	g.Expect(changed).To(BeFalse())
-	l, changed = a.Hear(at(4), runResponse(3.9, 0.5))
+	l, changed = a.Observe(at(4), runResponse(3.9, 0.5))
 	g.Expect(changed).To(BeTrue(), "it announces a different limit")
 	g.Expect(l.Since).To(Equal(at(2)))
 	g.Expect(a.Limits()).To(ConsistOf(l))
 
 	refused := runResponse(4.5, -1)
 	refused.Served = false
-	_, changed = a.Hear(at(5), refused)
+	_, changed = a.Observe(at(5), refused)
 	g.Expect(changed).To(BeFalse(), "a refusal")
-	l, changed = a.Hear(at(6), runResponse(5.9, -1))
+	l, changed = a.Observe(at(6), runResponse(5.9, -1))
 	g.Expect(changed).To(BeTrue())
-	g.Expect(l.Limit.Named).To(BeFalse())
+	g.Expect(l.Limit.Announced).To(BeFalse())
 	g.Expect(a.Limits()).To(BeEmpty())
 }
 
 func TestReorderedResponseDoesNotLiftLimit(t *testing.T) {
 	g := NewWithT(t)
-	var a intake.Account
-	a.Hear(at(2), runResponse(1, 4))
-	_, changed := a.Hear(at(2.001), runResponse(1.5, -1))
+	var a intake.LimitTable
+	a.Observe(at(2), runResponse(1, 4))
+	_, changed := a.Observe(at(2.001), runResponse(1.5, -1))
 	g.Expect(changed).To(BeFalse())
 	g.Expect(a.Limits()).To(HaveLen(1))
 }
 
 func TestUnlistedReplicasExpire(t *testing.T) {
 	g := NewWithT(t)
-	var a intake.Account
-	a.Hear(at(1), runResponse(0, 4))
-	a.Forget(at(100), func(string) bool { return true })
-	a.Forget(at(150), func(string) bool { return false })
+	var a intake.LimitTable
+	a.Observe(at(1), runResponse(0, 4))
+	a.RemoveExpired(at(100), func(string) bool { return true })
+	a.RemoveExpired(at(150), func(string) bool { return false })
 	g.Expect(a.Limits()).To(HaveLen(1), "retained in case the list contains it again")
-	a.Forget(at(161), func(string) bool { return false })
+	a.RemoveExpired(at(161), func(string) bool { return false })
 	g.Expect(a.Limits()).To(BeEmpty())
 }
 
 // peerReport is a peer's report; a negative limit means that it was lifted.
-func peerReport(limit float64, round uint64, seen float64) intake.Limited {
-	l := intake.Limited{Replica: "r", Round: round, Since: start, At: at(seen)}
+func peerReport(limit float64, round uint64, seen float64) intake.ReplicaLimit {
+	l := intake.ReplicaLimit{Replica: "r", Round: round, Since: start, LastObserved: at(seen)}
 	if limit >= 0 {
-		l.Limit = intake.Limit{Named: true, PerSecond: limit}
+		l.Limit = intake.Limit{Announced: true, PerSecond: limit}
 	}
 	return l
 }
 
 func TestLatestPeerReportWins(t *testing.T) {
 	g := NewWithT(t)
-	var a intake.Account
-	learn := func(l intake.Limited) (changed, newer []intake.Limited) { return a.Learn(at(1), []intake.Limited{l}) }
+	var a intake.LimitTable
+	learn := func(l intake.ReplicaLimit) (changed, newer []intake.ReplicaLimit) {
+		return a.Merge(at(1), []intake.ReplicaLimit{l})
+	}
 	changed, newer := learn(peerReport(-1, 4, 1))
 	g.Expect(changed).To(BeEmpty(), "the end of an unknown limit")
 	g.Expect(newer).To(BeEmpty())
@@ -88,10 +90,10 @@
 
 	changed, _ = learn(peerReport(2, 1, 3.5))
 	g.Expect(changed).To(BeEmpty())
-	g.Expect(a.News(at(3))).To(BeEmpty(), "too little newer to count as a new response")
+	g.Expect(a.ObservedAfter(at(3))).To(BeEmpty(), "too little newer to count as a new response")
 	changed, _ = learn(peerReport(2, 1, 5))
 	g.Expect(changed).To(BeEmpty())
-	g.Expect(a.News(at(3))).To(ConsistOf(peerReport(2, 1, 5)))
+	g.Expect(a.ObservedAfter(at(3))).To(ConsistOf(peerReport(2, 1, 5)))
 
 	changed, _ = learn(peerReport(-1, 2, 4))
 	g.Expect(changed).To(HaveLen(1), "a later round, regardless of its time")
@@ -111,11 +113,11 @@
 
 func TestLiftedLimitIsRetained(t *testing.T) {
 	g := NewWithT(t)
-	var a intake.Account
-	a.Hear(at(1), runResponse(0, 2))
-	a.Hear(at(3), runResponse(2, -1))
-	a.Forget(at(12), func(string) bool { return true })
-	g.Expect(a.News(at(2))).To(HaveLen(1), "peers are notified that it was lifted")
-	a.Forget(at(14), func(string) bool { return true })
-	g.Expect(a.News(at(2))).To(BeEmpty())
+	var a intake.LimitTable
+	a.Observe(at(1), runResponse(0, 2))
+	a.Observe(at(3), runResponse(2, -1))
+	a.RemoveExpired(at(12), func(string) bool { return true })
+	g.Expect(a.ObservedAfter(at(2))).To(HaveLen(1), "peers are notified that it was lifted")
+	a.RemoveExpired(at(14), func(string) bool { return true })
+	g.Expect(a.ObservedAfter(at(2))).To(BeEmpty())
 }
--- a/core/intake/gate.go
+++ b/core/intake/gate.go
@@ -14,12 +14,12 @@
 	// Cold limits the calls to replicas that have just started.
 	Cold Source = iota
 	// Named limits the calls to replicas that announce a limit in their responses.
-	Named
+	AnnouncedLimit
 	// Leaving blocks the calls to replicas that announced in a response that they are
 	// leaving.
 	Leaving
 	// Resting temporarily blocks the calls to replicas that asked this host for a backoff.
-	Resting
+	BackingOff
 	sourceCount
 )
 
@@ -29,7 +29,7 @@
 }
 
 // Part is one host's quota of the calls to a replica.
-type Part struct {
+type Quota struct {
 	// Calls is the maximum number of calls that may begin in any interval of length Window;
 	// values above MaxTrackedCalls are treated as MaxTrackedCalls. If Calls is 0, other
 	// hosts have the quota, and Window is the time within which one of them may begin a
@@ -42,19 +42,19 @@
 	ProbeInterval time.Duration
 	// Until is the time until which no call may begin, and from which the quota no longer
 	// applies; zero for a quota without an end.
-	Until time.Time
+	BlockedUntil time.Time
 }
 
 // MaxTrackedCalls is the maximum number of calls of a Part that a Gate tracks.
 const MaxTrackedCalls = 16
 
 // Gate is the limiter of the calls to one replica. It is safe for concurrent use.
-type Gate struct {
+type Limiter struct {
 	// bounded says that any quota is set. It spares calls to unlimited replicas the lock.
 	bounded atomic.Bool
 
 	mu     sync.Mutex
-	quotas [sourceCount]*Part
+	quotas [sourceCount]*Quota
 	// callTimes is a ring buffer of the last calls, with the latest at index newest. It is
 	// also kept up while no quota is set.
 	callTimes [MaxTrackedCalls]time.Time
@@ -62,7 +62,7 @@
 }
 
 // Begin records a call.
-func (g *Gate) Begin(now time.Time) {
+func (g *Limiter) RecordCall(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.newest = (g.newest + 1) % MaxTrackedCalls
@@ -71,7 +71,7 @@
 
 // Refuses reports whether a call may not begin now, and the source of the quota that blocks
 // it.
-func (g *Gate) Refuses(now time.Time) (Source, bool) {
+func (g *Limiter) Blocked(now time.Time) (Source, bool) {
 	if !g.bounded.Load() {
 		return 0, false
 	}
@@ -88,7 +88,7 @@
 // Opens returns when a call is allowed by all quotas, at this host or, where this host has
 // no quota, at another one. It is a time in the far future for a replica that is leaving,
 // and not after now if a call is allowed now.
-func (g *Gate) Opens(now time.Time) time.Time {
+func (g *Limiter) NextAllowed(now time.Time) time.Time {
 	if !g.bounded.Load() {
 		return now
 	}
@@ -100,7 +100,7 @@
 			continue
 		}
 		opens := g.allowedAt(p)
-		if othersOpen := now.Add(p.Window); p.Until.IsZero() && p.Calls < 1 && p.Window > 0 && opens.After(othersOpen) {
+		if othersOpen := now.Add(p.Window); p.BlockedUntil.IsZero() && p.Calls < 1 && p.Window > 0 && opens.After(othersOpen) {
 			opens = othersOpen
 		}
 		if opens.After(at) {
@@ -113,18 +113,18 @@
 // TurnsAway reports whether the replica itself announced that it accepts nothing from this
 // host, because it is leaving or requested a backoff. A call that was assigned to the
 // replica before is then not to be sent.
-func (g *Gate) TurnsAway(now time.Time) bool {
+func (g *Limiter) RefusedByReplica(now time.Time) bool {
 	if !g.bounded.Load() {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	rest := g.quotas[Resting]
-	return g.quotas[Leaving] != nil || rest != nil && now.Before(rest.Until)
+	rest := g.quotas[BackingOff]
+	return g.quotas[Leaving] != nil || rest != nil && now.Before(rest.BlockedUntil)
 }
 
 // Leaves reports whether the replica is leaving and accepts no new work.
-func (g *Gate) Leaves() bool {
+func (g *Limiter) IsLeaving() bool {
 	if !g.bounded.Load() {
 		return false
 	}
@@ -134,18 +134,18 @@
 }
 
 // Bounded reports whether any quota is set.
-func (g *Gate) Bounded() bool { return g.bounded.Load() }
+func (g *Limiter) HasQuota() bool { return g.bounded.Load() }
 
 // Rate returns how many calls per second this host may begin; bounded is false if no quota
 // applies.
-func (g *Gate) Rate(now time.Time) (perSecond float64, bounded bool) {
+func (g *Limiter) Rate(now time.Time) (perSecond float64, bounded bool) {
 	if !g.bounded.Load() {
 		return 0, false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.quotas {
-		if p == nil || !p.Until.IsZero() && !now.Before(p.Until) {
+		if p == nil || !p.BlockedUntil.IsZero() && !now.Before(p.BlockedUntil) {
 			continue
 		}
 		var rate float64
@@ -160,10 +160,10 @@
 }
 
 // allowedAt returns when a quota allows this host's next call. The caller holds the lock.
-func (g *Gate) allowedAt(p *Part) time.Time {
+func (g *Limiter) allowedAt(p *Quota) time.Time {
 	switch {
-	case !p.Until.IsZero():
-		return p.Until
+	case !p.BlockedUntil.IsZero():
+		return p.BlockedUntil
 	case p.Calls < 1:
 		return g.probeAllowedAt(p)
 	}
@@ -176,7 +176,7 @@
 
 // probeAllowedAt returns when a quota of no calls allows the next probe call. The caller
 // holds the lock.
-func (g *Gate) probeAllowedAt(p *Part) time.Time {
+func (g *Limiter) probeAllowedAt(p *Quota) time.Time {
 	last := g.callTimes[g.newest]
 	switch {
 	case p.ProbeFrom.IsZero():
@@ -191,31 +191,31 @@
 var farFuture = time.Unix(1<<40, 0)
 
 // setQuota replaces the quota of a source; nil removes it.
-func (g *Gate) setQuota(s Source, p *Part) {
+func (g *Limiter) setQuota(s Source, p *Quota) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.quotas[s] = p
-	g.bounded.Store(g.quotas != [sourceCount]*Part{})
+	g.bounded.Store(g.quotas != [sourceCount]*Quota{})
 }
 
 // Gates holds the gates of all replicas by ID. It is safe for concurrent use.
-type Gates struct {
+type Limiters struct {
 	mu     sync.Mutex
-	gates  map[string]*Gate
-	quotas [sourceCount]map[string]Part
+	gates  map[string]*Limiter
+	quotas [sourceCount]map[string]Quota
 }
 
 // NewGates returns Gates without quotas.
-func NewGates() *Gates { return &Gates{gates: map[string]*Gate{}} }
+func NewLimiters() *Limiters { return &Limiters{gates: map[string]*Limiter{}} }
 
 // Of returns the gate of a replica, creating it if needed. It returns the same gate until
 // Keep removes it.
-func (gs *Gates) Of(replica string) *Gate {
+func (gs *Limiters) Get(replica string) *Limiter {
 	gs.mu.Lock()
 	defer gs.mu.Unlock()
 	g := gs.gates[replica]
 	if g == nil {
-		g = &Gate{}
+		g = &Limiter{}
 		gs.gates[replica] = g
 		for s := range gs.quotas {
 			gs.applyQuota(Source(s), replica, g)
@@ -226,7 +226,7 @@
 
 // SetParts replaces all quotas of a source, by replica. They also apply to gates that are
 // created later.
-func (gs *Gates) SetParts(s Source, quotas map[string]Part) {
+func (gs *Limiters) SetQuotas(s Source, quotas map[string]Quota) {
 	gs.mu.Lock()
 	defer gs.mu.Unlock()
 	gs.quotas[s] = quotas
@@ -236,7 +236,7 @@
 }
 
 // applyQuota sets a gate's quota of a source. The caller holds the lock.
-func (gs *Gates) applyQuota(s Source, replica string, g *Gate) {
+func (gs *Limiters) applyQuota(s Source, replica string, g *Limiter) {
 	if p, ok := gs.quotas[s][replica]; ok {
 		g.setQuota(s, &p)
 		return
@@ -245,7 +245,7 @@
 }
 
 // Keep removes the gates of replicas that are not listed.
-func (gs *Gates) Keep(listed func(replica string) bool) {
+func (gs *Limiters) RemoveUnlisted(listed func(replica string) bool) {
 	gs.mu.Lock()
 	defer gs.mu.Unlock()
 	for replica := range gs.gates {
--- a/core/intake/leaving.go
+++ b/core/intake/leaving.go
@@ -7,16 +7,16 @@
 )
 
 // Leaver is a replica that announced that it is leaving, as known to one host.
-type Leaver struct {
+type LeavingReplica struct {
 	Replica string
 	// At is when the announcement was first observed.
-	At time.Time
+	AnnouncedAt time.Time
 }
 
 // Leavers holds the replicas that announced that they are leaving. An announcement is
 // final, since it concerns one start of a replica: after a restart the replica has another
 // ID. The zero value is ready to use.
-type Leavers struct {
+type LeavingReplicas struct {
 	entries map[string]*leavingEntry
 }
 
@@ -29,36 +29,36 @@
 
 // Hear processes a response, and reports whether it is the first one that announces that
 // its replica is leaving.
-func (l *Leavers) Hear(now time.Time, response Answer) (Leaver, bool) {
+func (l *LeavingReplicas) Observe(now time.Time, response ReplicaResponse) (LeavingReplica, bool) {
 	if !response.Notice.Leaving {
-		return Leaver{}, false
+		return LeavingReplica{}, false
 	}
-	heard := Leaver{Replica: response.Replica, At: now}
+	heard := LeavingReplica{Replica: response.Replica, AnnouncedAt: now}
 	return heard, l.add(now, heard)
 }
 
 // Learn merges the reports of a peer, and returns those that are new here. It modifies the
 // slice.
-func (l *Leavers) Learn(now time.Time, reports []Leaver) []Leaver {
-	return slices.DeleteFunc(reports, func(report Leaver) bool { return !l.add(now, report) })
+func (l *LeavingReplicas) Merge(now time.Time, reports []LeavingReplica) []LeavingReplica {
+	return slices.DeleteFunc(reports, func(report LeavingReplica) bool { return !l.add(now, report) })
 }
 
 // add inserts a replica; it returns false if the replica is known already or the table is
 // full.
-func (l *Leavers) add(now time.Time, report Leaver) bool {
+func (l *LeavingReplicas) add(now time.Time, report LeavingReplica) bool {
 	if l.entries[report.Replica] != nil || len(l.entries) >= maxReplicas {
 		return false
 	}
 	if l.entries == nil {
 		l.entries = map[string]*leavingEntry{}
 	}
-	l.entries[report.Replica] = &leavingEntry{announcedAt: report.At, lastListed: now}
+	l.entries[report.Replica] = &leavingEntry{announcedAt: report.AnnouncedAt, lastListed: now}
 	return true
 }
 
 // Forget removes replicas that have been unlisted for longer than unlistedRetention, and
 // reports whether there were any.
-func (l *Leavers) Forget(now time.Time, listed func(replica string) bool) bool {
+func (l *LeavingReplicas) RemoveExpired(now time.Time, listed func(replica string) bool) bool {
 	before := len(l.entries)
 	maps.DeleteFunc(l.entries, func(replica string, k *leavingEntry) bool {
 		if listed(replica) {
@@ -70,15 +70,15 @@
 }
 
 // All returns all leaving replicas, ordered by ID.
-func (l *Leavers) All() []Leaver { return l.Since(time.Time{}) }
+func (l *LeavingReplicas) All() []LeavingReplica { return l.ObservedAfter(time.Time{}) }
 
 // Since returns the replicas whose announcement was first observed after a time, ordered by
 // ID.
-func (l *Leavers) Since(after time.Time) []Leaver {
-	var out []Leaver
+func (l *LeavingReplicas) ObservedAfter(after time.Time) []LeavingReplica {
+	var out []LeavingReplica
 	for _, replica := range slices.Sorted(maps.Keys(l.entries)) {
 		if at := l.entries[replica].announcedAt; at.After(after) {
-			out = append(out, Leaver{Replica: replica, At: at})
+			out = append(out, LeavingReplica{Replica: replica, AnnouncedAt: at})
 		}
 	}
 	return out
--- a/core/intake/limit.go
+++ b/core/intake/limit.go
@@ -41,12 +41,12 @@
 
 // OfRole returns how many of the given calls over all hosts this host may begin at a
 // replica in its role.
-func (s *Shares) OfRole(replica string, calls int, role Role) int {
+func (s *Shares) CallsForRole(replica string, calls int, role Role) int {
 	if role == Requester {
-		return s.Of(replica, calls)
+		return s.Calls(replica, calls)
 	}
 	plannerCalls := int(math.Ceil(plannerShare * float64(calls)))
-	ownCalls := s.Of(replica, calls-plannerCalls)
+	ownCalls := s.Calls(replica, calls-plannerCalls)
 	if role == Planner {
 		ownCalls += plannerCalls
 	}
@@ -54,7 +54,7 @@
 }
 
 // OfLimit returns this host's quota of a replica's limit in its role.
-func (s *Shares) OfLimit(l Limited, role Role) Part {
+func (s *Shares) LimitQuota(l ReplicaLimit, role Role) Quota {
 	perSecond, plannerRate := l.Limit.PerSecond, 0.0
 	switch role {
 	case Planner:
@@ -63,13 +63,13 @@
 		perSecond = (1 - plannerShare) * perSecond
 	}
 	rank := s.rank(l.Replica)
-	p := quotaOf(s.Of, l.Replica, perSecond)
+	p := quotaOf(s.Calls, l.Replica, perSecond)
 	if plannerRate > 0 {
 		p = p.combine(quotaOf(func(_ string, calls int) int { return calls }, l.Replica, plannerRate))
 	}
 	if p.Calls < 1 {
 		p.ProbeInterval = time.Duration(rank+1) * probeInterval
-		p.ProbeFrom = l.At.Add(p.ProbeInterval)
+		p.ProbeFrom = l.LastObserved.Add(p.ProbeInterval)
 	}
 	return p.capped()
 }
@@ -77,18 +77,18 @@
 // quotaOf returns a quota of a rate; share returns this host's number of the calls that the
 // rate allows per window. A rate of less than one call per quotaWindow uses a longer window
 // that allows one call.
-func quotaOf(share func(replica string, calls int) int, replica string, perSecond float64) Part {
+func quotaOf(share func(replica string, calls int) int, replica string, perSecond float64) Quota {
 	window := quotaWindow
 	if perSecond*window.Seconds() < 1 {
 		window = time.Duration(float64(time.Second) / max(perSecond, 1/probeInterval.Seconds()))
 	}
 	calls := perSecond * window.Seconds()
 	const rounding = 1e-9
-	return Part{Calls: share(replica, int(math.Min(calls+rounding, math.MaxInt32))), Window: window}
+	return Quota{Calls: share(replica, int(math.Min(calls+rounding, math.MaxInt32))), Window: window}
 }
 
 // combine returns a quota that allows the calls of both, over the longer window.
-func (p Part) combine(o Part) Part {
+func (p Quota) combine(o Quota) Quota {
 	if p.Calls < 1 {
 		return o
 	}
@@ -96,18 +96,18 @@
 		return p
 	}
 	window := max(p.Window, o.Window)
-	return Part{Calls: p.callsIn(window) + o.callsIn(window), Window: window}
+	return Quota{Calls: p.callsIn(window) + o.callsIn(window), Window: window}
 }
 
 // callsIn returns the number of calls that the quota allows in a window that is at least
 // its own.
-func (p Part) callsIn(window time.Duration) int {
+func (p Quota) callsIn(window time.Duration) int {
 	return int(float64(p.Calls) * float64(window) / float64(p.Window))
 }
 
 // capped returns the quota with at most MaxTrackedCalls calls and a proportionally shorter
 // window.
-func (p Part) capped() Part {
+func (p Quota) capped() Quota {
 	if p.Calls > MaxTrackedCalls {
 		p.Window = time.Duration(float64(p.Window) * MaxTrackedCalls / float64(p.Calls))
 		p.Calls = MaxTrackedCalls
@@ -128,4 +128,4 @@
 }
 
 // NoPart returns the quota of a host that does not know its fleet yet.
-func NoPart() Part { return Part{Window: quotaWindow} }
+func NoQuota() Quota { return Quota{Window: quotaWindow} }
--- a/core/intake/limit_test.go
+++ b/core/intake/limit_test.go
@@ -11,12 +11,12 @@
 )
 
 // replicaLimit is the limit of a replica that announced it at start.
-func replicaLimit(replica string, perSecond float64) intake.Limited {
-	return intake.Limited{Replica: replica, Limit: intake.Limit{Named: true, PerSecond: perSecond}, Since: start, At: start}
+func replicaLimit(replica string, perSecond float64) intake.ReplicaLimit {
+	return intake.ReplicaLimit{Replica: replica, Limit: intake.Limit{Announced: true, PerSecond: perSecond}, Since: start, LastObserved: start}
 }
 
 // rateOf returns the rate of a quota in calls per second.
-func rateOf(p intake.Part) float64 { return float64(p.Calls) / p.Window.Seconds() }
+func rateOf(p intake.Quota) float64 { return float64(p.Calls) / p.Window.Seconds() }
 
 func TestQuotasAddUpToTheLimitRate(t *testing.T) {
 	for _, n := range []int{1, 6, 60, 300} {
@@ -24,7 +24,7 @@
 		for _, limit := range []float64{0.1, 0.2, 0.25, 0.5, 1, 2.5, 20, 100, 1e6} {
 			sum := 0.0
 			for _, h := range hosts {
-				p := intake.NewShares(h, hosts).OfLimit(replicaLimit("r", limit), intake.Requester)
+				p := intake.NewShares(h, hosts).LimitQuota(replicaLimit("r", limit), intake.Requester)
 				NewWithT(t).Expect(p.Calls).To(BeNumerically("<=", intake.MaxTrackedCalls))
 				sum += rateOf(p)
 			}
@@ -46,10 +46,10 @@
 			if i < 2 {
 				role = intake.Planner
 			}
-			calls += intake.NewShares(h, hosts).OfLimit(replicaLimit("r", limit), role).Calls
+			calls += intake.NewShares(h, hosts).LimitQuota(replicaLimit("r", limit), role).Calls
 		}
 		g.Expect(calls).To(BeNumerically("<=", allowedRequests(limit)), "%v a second", limit)
-		planner := intake.NewShares(hosts[0], hosts).OfLimit(replicaLimit("r", limit), intake.Planner)
+		planner := intake.NewShares(hosts[0], hosts).LimitQuota(replicaLimit("r", limit), intake.Planner)
 		g.Expect(rateOf(planner)).To(BeNumerically(">=", 0.5*limit))
 	}
 }
@@ -63,10 +63,10 @@
 			if i == 7 {
 				role = intake.Planner
 			}
-			sum += intake.NewShares(h, hosts).OfRole("r", calls, role)
+			sum += intake.NewShares(h, hosts).CallsForRole("r", calls, role)
 		}
 		NewWithT(t).Expect(sum).To(Equal(calls))
-		NewWithT(t).Expect(intake.NewShares(hosts[7], hosts).OfRole("r", calls, intake.Planner)).To(BeNumerically(">=", 0.75*float64(calls)))
+		NewWithT(t).Expect(intake.NewShares(hosts[7], hosts).CallsForRole("r", calls, intake.Planner)).To(BeNumerically(">=", 0.75*float64(calls)))
 	}
 }
 
@@ -76,14 +76,14 @@
 	for _, limit := range []float64{0, 0.01} {
 		var probeTimes []time.Duration
 		for _, h := range hosts {
-			limiters := intake.NewGates()
-			limiter := limiters.Of("r")
-			limiters.SetParts(intake.Named, map[string]intake.Part{"r": intake.NewShares(h, hosts).OfLimit(replicaLimit("r", limit), intake.Requester)})
+			limiters := intake.NewLimiters()
+			limiter := limiters.Get("r")
+			limiters.SetQuotas(intake.AnnouncedLimit, map[string]intake.Quota{"r": intake.NewShares(h, hosts).LimitQuota(replicaLimit("r", limit), intake.Requester)})
 			for d := time.Duration(0); d < 2*time.Minute; d += 100 * time.Millisecond {
-				if _, refuses := limiter.Refuses(start.Add(d)); !refuses {
+				if _, refuses := limiter.Blocked(start.Add(d)); !refuses {
 					probeTimes = append(probeTimes, d)
-					limiter.Begin(start.Add(d))
-					_, refuses = limiter.Refuses(start.Add(d))
+					limiter.RecordCall(start.Add(d))
+					_, refuses = limiter.Blocked(start.Add(d))
 					g.Expect(refuses).To(BeTrue(), "one call only")
 					break
 				}
@@ -95,47 +95,47 @@
 
 func TestLimiterReportsWhenTheNextCallIsAllowed(t *testing.T) {
 	g := NewWithT(t)
-	limiters := intake.NewGates()
-	limiter := limiters.Of("r")
-	g.Expect(limiter.Opens(start)).To(Equal(start))
-	limiters.SetParts(intake.Named, map[string]intake.Part{"r": {Calls: 2, Window: 4 * time.Second}})
-	limiter.Begin(start)
-	g.Expect(limiter.Opens(at(1))).To(Equal(at(1)))
-	limiter.Begin(at(1))
-	g.Expect(limiter.Opens(at(2))).To(Equal(at(4)))
-	source, refuses := limiter.Refuses(at(2))
+	limiters := intake.NewLimiters()
+	limiter := limiters.Get("r")
+	g.Expect(limiter.NextAllowed(start)).To(Equal(start))
+	limiters.SetQuotas(intake.AnnouncedLimit, map[string]intake.Quota{"r": {Calls: 2, Window: 4 * time.Second}})
+	limiter.RecordCall(start)
+	g.Expect(limiter.NextAllowed(at(1))).To(Equal(at(1)))
+	limiter.RecordCall(at(1))
+	g.Expect(limiter.NextAllowed(at(2))).To(Equal(at(4)))
+	source, refuses := limiter.Blocked(at(2))
 	g.Expect(refuses).To(BeTrue())
 	g.Expect(fmt.Sprint(source)).To(Equal("limited"))
 
-	limiters.SetParts(intake.Cold, map[string]intake.Part{"r": {Window: time.Second}})
-	g.Expect(limiter.Opens(at(2))).To(Equal(at(4)), "both quotas apply")
-	g.Expect(limiter.Opens(at(5))).To(Equal(at(6)), "another host may begin a call")
-	limiters.SetParts(intake.Resting, map[string]intake.Part{"r": {Until: at(9)}})
-	g.Expect(limiter.Opens(at(5))).To(Equal(at(9)))
+	limiters.SetQuotas(intake.Cold, map[string]intake.Quota{"r": {Window: time.Second}})
+	g.Expect(limiter.NextAllowed(at(2))).To(Equal(at(4)), "both quotas apply")
+	g.Expect(limiter.NextAllowed(at(5))).To(Equal(at(6)), "another host may begin a call")
+	limiters.SetQuotas(intake.BackingOff, map[string]intake.Quota{"r": {BlockedUntil: at(9)}})
+	g.Expect(limiter.NextAllowed(at(5))).To(Equal(at(9)))
 	_, bounded := limiter.Rate(at(5))
 	g.Expect(bounded).To(BeTrue())
-	limiters.SetParts(intake.Cold, nil)
-	limiters.SetParts(intake.Named, nil)
-	source, refuses = limiter.Refuses(at(8.9))
+	limiters.SetQuotas(intake.Cold, nil)
+	limiters.SetQuotas(intake.AnnouncedLimit, nil)
+	source, refuses = limiter.Blocked(at(8.9))
 	g.Expect(refuses).To(BeTrue())
-	g.Expect(source).To(Equal(intake.Resting))
-	_, refuses = limiter.Refuses(at(9))
+	g.Expect(source).To(Equal(intake.BackingOff))
+	_, refuses = limiter.Blocked(at(9))
 	g.Expect(refuses).To(BeFalse())
 	_, bounded = limiter.Rate(at(9))
 	g.Expect(bounded).To(BeFalse())
-	limiters.SetParts(intake.Resting, nil)
+	limiters.SetQuotas(intake.BackingOff, nil)
 
-	limiters.SetParts(intake.Leaving, map[string]intake.Part{"r": {}})
-	g.Expect(limiter.Leaves()).To(BeTrue())
-	g.Expect(limiter.Opens(at(5))).To(BeTemporally(">", at(1e9)))
-	limiters.SetParts(intake.Leaving, nil)
-	g.Expect(limiter.Leaves()).To(BeFalse())
-	limiters.SetParts(intake.Cold, nil)
-	limiters.SetParts(intake.Named, nil)
-	_, refuses = limiter.Refuses(at(2))
+	limiters.SetQuotas(intake.Leaving, map[string]intake.Quota{"r": {}})
+	g.Expect(limiter.IsLeaving()).To(BeTrue())
+	g.Expect(limiter.NextAllowed(at(5))).To(BeTemporally(">", at(1e9)))
+	limiters.SetQuotas(intake.Leaving, nil)
+	g.Expect(limiter.IsLeaving()).To(BeFalse())
+	limiters.SetQuotas(intake.Cold, nil)
+	limiters.SetQuotas(intake.AnnouncedLimit, nil)
+	_, refuses = limiter.Blocked(at(2))
 	g.Expect(refuses).To(BeFalse())
 
-	limiters.SetParts(intake.Named, map[string]intake.Part{"later": {Window: time.Second}})
-	_, refuses = limiters.Of("later").Refuses(start)
+	limiters.SetQuotas(intake.AnnouncedLimit, map[string]intake.Quota{"later": {Window: time.Second}})
+	_, refuses = limiters.Get("later").Blocked(start)
 	g.Expect(refuses).To(BeTrue(), "a gate created after the quota was set")
 }
--- a/core/intake/notice.go
+++ b/core/intake/notice.go
@@ -13,14 +13,14 @@
 	Leaving bool
 	// Rest is the time for which the replica asks this host to send nothing, as it refuses
 	// a call; 0 for none. UnreadRest is the header's value if it could not be parsed.
-	Rest       time.Duration
-	UnreadRest string
+	Backoff         time.Duration
+	UnparsedBackoff string
 }
 
 // Limit is the rate of requests that a replica accepts from all hosts together.
 type Limit struct {
 	// Named says that the response announces a limit.
-	Named bool
+	Announced bool
 	// PerSecond is finite and not negative.
 	PerSecond float64
 }
@@ -29,7 +29,7 @@
 func (l Limit) Valid() bool { return l.PerSecond >= 0 && !math.IsInf(l.PerSecond, 0) }
 
 // Answer is a response of the replica that the call was meant for.
-type Answer struct {
+type ReplicaResponse struct {
 	// Replica is the ID of the replica's start that was called, and Address its address.
 	Replica, Address string
 	// Sent is when the request of this response was sent.
--- a/core/intake/random_test.go
+++ b/core/intake/random_test.go
@@ -45,17 +45,17 @@
 	knownHosts []string
 	// startsAt is when the host begins to send requests.
 	startsAt time.Time
-	account  intake.Account
-	limiters *intake.Gates
-	limiter  *intake.Gate
+	account  intake.LimitTable
+	limiters *intake.Limiters
+	limiter  *intake.Limiter
 	// limitHeardAt is when the host first got a response that announces a limit, and
 	// leavingHeardAt one that announces that the replica is leaving.
 	limitHeardAt, leavingHeardAt time.Time
-	leavers                      intake.Leavers
-	backoffs                     intake.Rests
+	leavers                      intake.LeavingReplicas
+	backoffs                     intake.Backoffs
 	// requestedBackoffs are the backoffs that the replica asked this host for: when, and until
 	// when.
-	requestedBackoffs []intake.Rest
+	requestedBackoffs []intake.Backoff
 	// appliesQuotas says that the host applies its quotas.
 	appliesQuotas bool
 	// neighbours are the peers to which the host sends new observations; calls with the
@@ -67,21 +67,21 @@
 
 // updateQuotas recomputes the host's quotas.
 func (h *simHost) updateQuotas() {
-	quotas := map[string]intake.Part{}
+	quotas := map[string]intake.Quota{}
 	for _, l := range h.account.Limits() {
-		quotas[l.Replica] = intake.NewShares(h.name, h.knownHosts).OfLimit(l, intake.Requester)
+		quotas[l.Replica] = intake.NewShares(h.name, h.knownHosts).LimitQuota(l, intake.Requester)
 	}
-	leaving, resting := map[string]intake.Part{}, map[string]intake.Part{}
+	leaving, resting := map[string]intake.Quota{}, map[string]intake.Quota{}
 	for _, l := range h.leavers.All() {
-		leaving[l.Replica] = intake.Part{}
+		leaving[l.Replica] = intake.Quota{}
 	}
 	for _, r := range h.backoffs.All() {
-		resting[r.Replica] = intake.Part{Until: r.Until}
+		resting[r.Replica] = intake.Quota{BlockedUntil: r.Until}
 	}
 	if h.appliesQuotas {
-		h.limiters.SetParts(intake.Named, quotas)
-		h.limiters.SetParts(intake.Leaving, leaving)
-		h.limiters.SetParts(intake.Resting, resting)
+		h.limiters.SetQuotas(intake.AnnouncedLimit, quotas)
+		h.limiters.SetQuotas(intake.Leaving, leaving)
+		h.limiters.SetQuotas(intake.BackingOff, resting)
 	}
 }
 
@@ -89,7 +89,7 @@
 type simResponse struct {
 	at   time.Time
 	host *simHost
-	intake.Answer
+	intake.ReplicaResponse
 }
 
 // simPeerCall is a message with one host's observations to another host.
@@ -98,8 +98,8 @@
 	to   *simHost
 	from *simHost
 	// limits have times as of when they were sent.
-	limits  []intake.Limited
-	leavers []intake.Leaver
+	limits  []intake.ReplicaLimit
+	leavers []intake.LeavingReplica
 	sent    time.Time
 }
 
@@ -138,7 +138,7 @@
 	all := hostNames(n + n/2)
 	living, dead, late := all[:n], all[n:], f.rng.IntN(4)
 	for i, name := range living {
-		h := &simHost{name: name, limiters: intake.NewGates(), knownHosts: slices.Clone(living), appliesQuotas: true, startsAt: start}
+		h := &simHost{name: name, limiters: intake.NewLimiters(), knownHosts: slices.Clone(living), appliesQuotas: true, startsAt: start}
 		if i >= n-late {
 			h.startsAt = start.Add(time.Duration(f.rng.IntN(15)) * time.Second)
 		} else if f.rng.IntN(3) == 0 {
@@ -149,7 +149,7 @@
 				h.knownHosts = append(h.knownHosts, d)
 			}
 		}
-		h.limiter = h.limiters.Of(replica)
+		h.limiter = h.limiters.Get(replica)
 		f.hosts = append(f.hosts, h)
 	}
 	for i, h := range f.hosts {
@@ -161,7 +161,7 @@
 }
 
 // broadcastLimits sends limits to all neighbours of a host except one.
-func (f *simFleet) broadcastLimits(h, except *simHost, limits []intake.Limited) {
+func (f *simFleet) broadcastLimits(h, except *simHost, limits []intake.ReplicaLimit) {
 	if !f.gossips {
 		return
 	}
@@ -173,7 +173,7 @@
 }
 
 // sendLimits sends limits from one host to another.
-func (f *simFleet) sendLimits(from, to *simHost, limits []intake.Limited) {
+func (f *simFleet) sendLimits(from, to *simHost, limits []intake.ReplicaLimit) {
 	if len(limits) > 0 && !f.now.Before(from.partitionedUntil) && !f.now.Before(to.partitionedUntil) && !f.now.Before(to.startsAt) {
 		f.peerCallCount++
 		f.peerCalls = append(f.peerCalls, simPeerCall{at: f.peerCallArrival(), to: to, from: from, limits: limits, sent: f.now})
@@ -186,7 +186,7 @@
 }
 
 // broadcastLeavers sends leaving replicas to all neighbours of a host except one.
-func (f *simFleet) broadcastLeavers(h, except *simHost, leavers []intake.Leaver) {
+func (f *simFleet) broadcastLeavers(h, except *simHost, leavers []intake.LeavingReplica) {
 	for _, to := range h.neighbours {
 		if f.gossips && to != except && !f.now.Before(h.partitionedUntil) && !f.now.Before(to.partitionedUntil) {
 			f.peerCalls = append(f.peerCalls, simPeerCall{at: f.peerCallArrival(), to: to, from: h, leavers: leavers, sent: f.now})
@@ -206,18 +206,18 @@
 			continue
 		}
 		delay := f.now.Sub(c.sent)
-		var limits []intake.Limited
+		var limits []intake.ReplicaLimit
 		for _, l := range c.limits {
-			l.At, l.Since = l.At.Add(delay), l.Since.Add(delay)
+			l.LastObserved, l.Since = l.LastObserved.Add(delay), l.Since.Add(delay)
 			limits = append(limits, l)
 		}
-		changed, newer := c.to.account.Learn(f.now, limits)
+		changed, newer := c.to.account.Merge(f.now, limits)
 		if len(changed) > 0 {
 			c.to.updateQuotas()
 			f.broadcastLimits(c.to, c.from, changed)
 		}
 		f.sendLimits(c.to, c.from, newer)
-		if news := c.to.leavers.Learn(f.now, slices.Clone(c.leavers)); len(news) > 0 {
+		if news := c.to.leavers.Merge(f.now, slices.Clone(c.leavers)); len(news) > 0 {
 			c.to.updateQuotas()
 			f.broadcastLeavers(c.to, c.from, news)
 		}
@@ -227,7 +227,7 @@
 // repeatLimits sends the limits that a host observed since the last repetition.
 func (f *simFleet) repeatLimits(h *simHost) {
 	if f.now.Sub(h.lastRepeat) >= repeatInterval {
-		f.broadcastLimits(h, nil, h.account.News(h.lastRepeat))
+		f.broadcastLimits(h, nil, h.account.ObservedAfter(h.lastRepeat))
 		h.lastRepeat = f.now
 	}
 }
@@ -239,15 +239,15 @@
 		f.deliverPeerCalls()
 		for _, h := range f.hosts {
 			if f.now.Sub(start)%quotaInterval == 0 {
-				h.account.Forget(f.now, func(string) bool { return true })
-				h.backoffs.End(f.now)
+				h.account.RemoveExpired(f.now, func(string) bool { return true })
+				h.backoffs.RemoveExpired(f.now)
 				h.updateQuotas()
 				f.repeatLimits(h)
 			}
 			if f.now.Before(h.startsAt) || f.rng.Float64() >= float64(simStep)/float64(f.requestInterval) {
 				continue
 			}
-			if _, refuses := h.limiter.Refuses(f.now); !refuses {
+			if _, refuses := h.limiter.Blocked(f.now); !refuses {
 				f.sendRequest(h)
 			}
 		}
@@ -257,16 +257,16 @@
 // sendRequest sends a request to the replica and schedules the response. One request in ten
 // is refused without announcing the limit.
 func (f *simFleet) sendRequest(h *simHost) {
-	h.limiter.Begin(f.now)
+	h.limiter.RecordCall(f.now)
 	arrives := f.now.Add(time.Duration(f.rng.IntN(50)) * time.Millisecond)
 	f.arrivals = append(f.arrivals, simArrival{arrives, h})
-	a := intake.Answer{Replica: replica, Sent: f.now, Served: f.rng.IntN(10) > 0}
+	a := intake.ReplicaResponse{Replica: replica, Sent: f.now, Served: f.rng.IntN(10) > 0}
 	if f.limit >= 0 && a.Served {
-		a.Notice.Limit = intake.Limit{Named: true, PerSecond: f.limit}
+		a.Notice.Limit = intake.Limit{Announced: true, PerSecond: f.limit}
 	}
 	a.Notice.Leaving = f.leaving
 	if f.backoff > 0 && f.rng.IntN(2) == 0 {
-		a.Served, a.Notice.Rest = false, f.backoff
+		a.Served, a.Notice.Backoff = false, f.backoff
 	}
 	f.responses = append(f.responses, simResponse{arrives.Add(time.Duration(10+f.rng.IntN(400)) * time.Millisecond), h, a})
 }
@@ -277,20 +277,20 @@
 		if f.now.Before(a.at) {
 			return false
 		}
-		if l, changed := a.host.account.Hear(f.now, a.Answer); changed {
+		if l, changed := a.host.account.Observe(f.now, a.ReplicaResponse); changed {
 			a.host.updateQuotas()
-			f.broadcastLimits(a.host, nil, []intake.Limited{l})
+			f.broadcastLimits(a.host, nil, []intake.ReplicaLimit{l})
 		}
-		if l, first := a.host.leavers.Hear(f.now, a.Answer); first {
+		if l, first := a.host.leavers.Observe(f.now, a.ReplicaResponse); first {
 			a.host.leavingHeardAt = f.now
 			a.host.updateQuotas()
-			f.broadcastLeavers(a.host, nil, []intake.Leaver{l})
+			f.broadcastLeavers(a.host, nil, []intake.LeavingReplica{l})
 		}
-		if r, _, changed := a.host.backoffs.Hear(f.now, a.Answer, maxBackoff); changed {
-			a.host.requestedBackoffs = append(a.host.requestedBackoffs, intake.Rest{Since: f.now, Until: r.Until})
+		if r, _, changed := a.host.backoffs.Observe(f.now, a.ReplicaResponse, maxBackoff); changed {
+			a.host.requestedBackoffs = append(a.host.requestedBackoffs, intake.Backoff{Since: f.now, Until: r.Until})
 			a.host.updateQuotas()
 		}
-		if a.Notice.Limit.Named && a.host.limitHeardAt.IsZero() {
+		if a.Notice.Limit.Announced && a.host.limitHeardAt.IsZero() {
 			a.host.limitHeardAt = f.now
 			if f.limitHeardAt.IsZero() {
 				f.limitHeardAt = f.now
@@ -439,8 +439,8 @@
 				for _, h := range f.hosts {
 					h.startsAt = start
 				}
-				l, _ := f.hosts[0].account.Hear(f.now, intake.Answer{Replica: replica, Notice: intake.Notice{Limit: intake.Limit{Named: true, PerSecond: 1}}})
-				f.broadcastLimits(f.hosts[0], nil, []intake.Limited{l})
+				l, _ := f.hosts[0].account.Observe(f.now, intake.ReplicaResponse{Replica: replica, Notice: intake.Notice{Limit: intake.Limit{Announced: true, PerSecond: 1}}})
+				f.broadcastLimits(f.hosts[0], nil, []intake.ReplicaLimit{l})
 				for f.hostsWithLimit() < n {
 					f.advance(simStep)
 				}
--- a/core/intake/rest.go
+++ b/core/intake/rest.go
@@ -7,7 +7,7 @@
 )
 
 // Rest is a period in which a replica asked this host to send nothing.
-type Rest struct {
+type Backoff struct {
 	// Replica is the ID of the replica's start that was called. The process at the address
 	// that asked for the backoff may be a later start, which the list does not contain yet.
 	Replica, Address string
@@ -17,27 +17,27 @@
 
 // Rests holds the replicas that asked this host for a backoff. The zero value is ready to
 // use.
-type Rests struct {
-	entries map[string]*Rest
+type Backoffs struct {
+	entries map[string]*Backoff
 }
 
 // Hear processes a response, and reports whether it begins a backoff, and whether it begins
 // or extends one. A backoff lasts at most maxBackoff from the response that asks for it; a
 // later response never shortens it.
-func (r *Rests) Hear(now time.Time, response Answer, maxBackoff time.Duration) (backoff Rest, began, changed bool) {
-	if response.Notice.Rest <= 0 {
-		return Rest{}, false, false
+func (r *Backoffs) Observe(now time.Time, response ReplicaResponse, maxBackoff time.Duration) (backoff Backoff, began, changed bool) {
+	if response.Notice.Backoff <= 0 {
+		return Backoff{}, false, false
 	}
-	until := now.Add(min(response.Notice.Rest, maxBackoff))
+	until := now.Add(min(response.Notice.Backoff, maxBackoff))
 	known := r.entries[response.Replica]
 	if known == nil || !now.Before(known.Until) {
 		if known == nil && len(r.entries) >= maxReplicas {
-			return Rest{}, false, false
+			return Backoff{}, false, false
 		}
 		if r.entries == nil {
-			r.entries = map[string]*Rest{}
+			r.entries = map[string]*Backoff{}
 		}
-		known = &Rest{Replica: response.Replica, Address: response.Address, Since: now, Until: until}
+		known = &Backoff{Replica: response.Replica, Address: response.Address, Since: now, Until: until}
 		r.entries[response.Replica] = known
 		return *known, true, true
 	}
@@ -49,15 +49,15 @@
 }
 
 // End removes the backoffs that are over, and reports whether there were any.
-func (r *Rests) End(now time.Time) bool {
+func (r *Backoffs) RemoveExpired(now time.Time) bool {
 	before := len(r.entries)
-	maps.DeleteFunc(r.entries, func(_ string, k *Rest) bool { return !now.Before(k.Until) })
+	maps.DeleteFunc(r.entries, func(_ string, k *Backoff) bool { return !now.Before(k.Until) })
 	return len(r.entries) < before
 }
 
 // All returns the backoffs that have not been removed, ordered by replica.
-func (r *Rests) All() []Rest {
-	out := make([]Rest, 0, len(r.entries))
+func (r *Backoffs) All() []Backoff {
+	out := make([]Backoff, 0, len(r.entries))
 	for _, replica := range slices.Sorted(maps.Keys(r.entries)) {
 		out = append(out, *r.entries[replica])
 	}
--- a/core/intake/rest_test.go
+++ b/core/intake/rest_test.go
@@ -12,25 +12,25 @@
 func TestBackoffLastsAsRequestedUpToTheMaximum(t *testing.T) {
 	const maxRequested = 30 * time.Second
 	g := NewWithT(t)
-	var r intake.Rests
-	hear := func(now, backoff float64) (intake.Rest, bool, bool) {
+	var r intake.Backoffs
+	hear := func(now, backoff float64) (intake.Backoff, bool, bool) {
 		d := time.Duration(backoff * float64(time.Second))
-		return r.Hear(at(now), intake.Answer{Replica: "r", Address: "a", Notice: intake.Notice{Rest: d}}, maxRequested)
+		return r.Observe(at(now), intake.ReplicaResponse{Replica: "r", Address: "a", Notice: intake.Notice{Backoff: d}}, maxRequested)
 	}
 	_, began, changed := hear(0, 0)
 	g.Expect(began || changed).To(BeFalse())
 	backoff, began, changed := hear(1, 3)
 	g.Expect(began && changed).To(BeTrue())
-	g.Expect(backoff).To(Equal(intake.Rest{Replica: "r", Address: "a", Since: at(1), Until: at(4)}))
+	g.Expect(backoff).To(Equal(intake.Backoff{Replica: "r", Address: "a", Since: at(1), Until: at(4)}))
 	_, began, changed = hear(2, 1)
 	g.Expect(began || changed).To(BeFalse(), "a shorter backoff does not replace the current one")
 	backoff, began, changed = hear(3, 2)
 	g.Expect(began).To(BeFalse())
 	g.Expect(changed).To(BeTrue())
 	g.Expect(backoff.Until).To(Equal(at(5)))
-	g.Expect(r.End(at(4.9))).To(BeFalse())
+	g.Expect(r.RemoveExpired(at(4.9))).To(BeFalse())
 	g.Expect(r.All()).To(HaveLen(1))
-	g.Expect(r.End(at(5))).To(BeTrue())
+	g.Expect(r.RemoveExpired(at(5))).To(BeTrue())
 	g.Expect(r.All()).To(BeEmpty())
 	backoff, _, _ = hear(10, 1e9)
 	g.Expect(backoff.Until).To(Equal(at(40)))
--- a/core/intake/shares.go
+++ b/core/intake/shares.go
@@ -27,7 +27,7 @@
 }
 
 // Of returns how many of the given calls over all hosts this host may begin at a replica.
-func (s *Shares) Of(replica string, calls int) int {
+func (s *Shares) Calls(replica string, calls int) int {
 	replicaHash := xxhash.Sum64String(replica)
 	own, rank := hostWeight(s.self, replicaHash), 0
 	for _, o := range s.others {
--- a/core/intake/shares_test.go
+++ b/core/intake/shares_test.go
@@ -32,7 +32,7 @@
 			for u := range 5 {
 				sum := 0
 				for _, s := range shares {
-					sum += s.Of(fmt.Sprint("u", u), limit)
+					sum += s.Calls(fmt.Sprint("u", u), limit)
 				}
 				g.Expect(sum).To(Equal(limit), "%d hosts, limit %d", n, limit)
 			}
@@ -47,7 +47,7 @@
 	for _, h := range hosts {
 		s, total := intake.NewShares(h, hosts), 0
 		for u := range upstreams {
-			total += s.Of(fmt.Sprint("u", u), limit)
+			total += s.Calls(fmt.Sprint("u", u), limit)
 		}
 		// An even distribution is 12 calls for each host.
 		g.Expect(total).To(BeNumerically("~", limit, limit-1), h)
@@ -75,7 +75,7 @@
 					known = append(known, d)
 				}
 			}
-			sum += intake.NewShares(h, known).Of("u", limit)
+			sum += intake.NewShares(h, known).Calls("u", limit)
 		}
 		g.Expect(sum).To(BeNumerically("<=", limit+unknownHosts), "seed %d", seed)
 		if unknownHosts == 0 {
@@ -102,7 +102,7 @@
 			for at := time.Duration(rng.Int64N(int64(100 * time.Millisecond))); at < demand; at += gap {
 				spaced = append(spaced, at)
 			}
-			for range intake.NewShares(h, hosts).Of("u", limit) {
+			for range intake.NewShares(h, hosts).Calls("u", limit) {
 				at := time.Duration(rng.Int64N(int64(100 * time.Millisecond)))
 				ranked = append(ranked, at, at+1100*time.Millisecond)
 			}
@@ -139,7 +139,7 @@
 		b.Run(fmt.Sprint("hosts-", n), func(b *testing.B) {
 			s := intake.NewShares("10.0.0.1:7000", hostNames(n))
 			for b.Loop() {
-				s.Of("u", 12)
+				s.Calls("u", 12)
 			}
 		})
 	}
--- a/core/load/fleet_bench_test.go
+++ b/core/load/fleet_bench_test.go
@@ -61,9 +61,9 @@
 func (f *benchFleet) run(rng *rand.Rand) {
 	for now := start; now.Before(start.Add(benchDuration)); now = now.Add(benchStep) {
 		for i, t := range f.tables {
-			for _, u := range t.Due(now) {
+			for _, u := range t.DuePolls(now) {
 				f.polls++
-				t.Polled(now, Report{Upstream: u, AsOf: now, Running: rng.IntN(20)})
+				t.ObservePoll(now, Report{Upstream: u, AsOf: now, Running: rng.IntN(20)})
 			}
 			if len(f.peers[i]) > 0 && now.Sub(start)%time.Second == f.heartbeatOffsets[i] {
 				f.exchange(now, t, f.tables[f.peers[i][rng.IntN(len(f.peers[i]))]])
@@ -139,7 +139,7 @@
 		hosts := testHosts(2)
 		from, to := testTable("entry-0", names, hosts), testTable("entry-1", names, hosts)
 		for i, u := range names {
-			from.Polled(start, Report{Upstream: u, AsOf: start.Add(-time.Duration(i) * asOfResolution / 10), Running: i % 20})
+			from.ObservePoll(start, Report{Upstream: u, AsOf: start.Add(-time.Duration(i) * asOfResolution / 10), Running: i % 20})
 		}
 		b.Run(fmt.Sprintf("digest/upstreams=%d", upstreams), func(b *testing.B) {
 			b.ReportAllocs()
--- a/core/load/table.go
+++ b/core/load/table.go
@@ -125,7 +125,7 @@
 
 // Due returns the upstreams to poll now. Each of them is due again after the interval,
 // regardless of the outcome of the poll.
-func (t *Table) Due(now time.Time) []string {
+func (t *Table) DuePolls(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var due []string
@@ -143,7 +143,7 @@
 
 // Polled stores the report that a poll returned. It reports whether it is newer than
 // the stored one.
-func (t *Table) Polled(now time.Time, r Report) bool {
+func (t *Table) ObservePoll(now time.Time, r Report) bool {
 	if r.AsOf.After(now.Add(maxClockSkew)) {
 		r.AsOf = now
 	}
@@ -229,7 +229,7 @@
 
 // Polling returns the upstreams that this daemon polls and the interval between two
 // polls of the same upstream.
-func (t *Table) Polling() (upstreams []string, interval time.Duration) {
+func (t *Table) AssignedPolls() (upstreams []string, interval time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.entries {
--- a/core/load/table_test.go
+++ b/core/load/table_test.go
@@ -84,13 +84,13 @@
 		t := testTable("entry-0", testUpstreams(60), testHosts(1))
 		polls, peak := 0, 0
 		for now := start; now.Before(start.Add(20 * time.Second)); now = now.Add(100 * time.Millisecond) {
-			n := len(t.Due(now))
+			n := len(t.DuePolls(now))
 			polls, peak = polls+n, max(peak, n)
 		}
 		Expect(polls).To(BeNumerically("~", 120, 6))
 		Expect(peak).To(BeNumerically("<=", 6))
-		Expect(len(t.Due(start.Add(time.Hour)))).To(Equal(60))
-		Expect(t.Due(start.Add(time.Hour))).To(BeEmpty())
+		Expect(len(t.DuePolls(start.Add(time.Hour)))).To(Equal(60))
+		Expect(t.DuePolls(start.Add(time.Hour))).To(BeEmpty())
 	})
 })
 
@@ -100,15 +100,15 @@
 	ginkgo.It("keeps the report with the later AsOf, whether polled or merged", func() {
 		a, b := testTable("entry-0", upstreams, testHosts(2)), testTable("entry-1", upstreams, testHosts(2))
 		now := start.Add(time.Second)
-		Expect(a.Polled(now, Report{Upstream: "upstream-0", AsOf: start, Running: 3, Queued: 2, Leaving: true})).To(BeTrue())
-		Expect(b.Polled(now, Report{Upstream: "upstream-0", AsOf: start.Add(500 * time.Millisecond), Running: 1})).To(BeTrue())
+		Expect(a.ObservePoll(now, Report{Upstream: "upstream-0", AsOf: start, Running: 3, Queued: 2, Leaving: true})).To(BeTrue())
+		Expect(b.ObservePoll(now, Report{Upstream: "upstream-0", AsOf: start.Add(500 * time.Millisecond), Running: 1})).To(BeTrue())
 		digest := a.Digest(now, 512)
 		Expect(b.Merge(now, digest)).To(BeEmpty())
 		updated, err := a.Merge(now, b.Digest(now, 512))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(updated).To(HaveLen(1))
 		Expect(a.Reports()).To(Equal(b.Reports()))
-		Expect(a.Polled(now, Report{Upstream: "upstream-0", AsOf: start})).To(BeFalse())
+		Expect(a.ObservePoll(now, Report{Upstream: "upstream-0", AsOf: start})).To(BeFalse())
 
 		c := testTable("entry-2", upstreams, testHosts(3))
 		updated, err = c.Merge(now, digest)
@@ -122,7 +122,7 @@
 	ginkgo.It("limits the digest size and sends the reports sent least often first", func() {
 		t := testTable("entry-0", upstreams, testHosts(1))
 		for i, u := range upstreams {
-			t.Polled(start, Report{Upstream: u, AsOf: start.Add(time.Duration(i) * time.Second)})
+			t.ObservePoll(start, Report{Upstream: u, AsOf: start.Add(time.Duration(i) * time.Second)})
 		}
 		now := start.Add(2 * time.Second)
 		seen := map[string]bool{}
@@ -138,14 +138,14 @@
 
 	ginkgo.It("limits AsOf to the present, so that a wrong clock does not suppress later reports", func() {
 		t := testTable("entry-0", upstreams, testHosts(1))
-		Expect(t.Polled(start, Report{Upstream: "upstream-0", AsOf: start.Add(time.Hour)})).To(BeTrue())
-		Expect(t.Polled(start.Add(time.Second), Report{Upstream: "upstream-0", AsOf: start.Add(time.Second)})).To(BeTrue())
+		Expect(t.ObservePoll(start, Report{Upstream: "upstream-0", AsOf: start.Add(time.Hour)})).To(BeTrue())
+		Expect(t.ObservePoll(start.Add(time.Second), Report{Upstream: "upstream-0", AsOf: start.Add(time.Second)})).To(BeTrue())
 	})
 
 	ginkgo.It("ignores a digest for another list of upstreams and rejects a truncated one", func() {
 		t := testTable("entry-0", upstreams[:2], testHosts(1))
 		other := testTable("entry-1", upstreams, testHosts(1))
-		other.Polled(start, Report{Upstream: "upstream-1", AsOf: start})
+		other.ObservePoll(start, Report{Upstream: "upstream-1", AsOf: start})
 		digest := other.Digest(start, 512)
 		Expect(t.Merge(start, digest)).To(BeEmpty())
 		_, err := t.Merge(start, digest[:5])
--- a/core/member/bench_test.go
+++ b/core/member/bench_test.go
@@ -24,8 +24,8 @@
 // benchFleet starts a fleet whose extensions are full, and lets it settle.
 func benchFleet(n int, seed uint64) *fleet {
 	f := newFleet(n, benchDomains, seed, func(c *Config) {
-		c.Extensions = []Extension{
-			{ID: slotTest, MaxBytes: benchDirectBytes}, {ID: slotFleet, MaxBytes: benchFleetBytes, Fleet: true},
+		c.Slots = []SlotConfig{
+			{ID: slotTest, MaxBytes: benchDirectBytes}, {ID: slotFleet, MaxBytes: benchFleetBytes, FleetWide: true},
 		}
 	})
 	f.wireCopy = true
@@ -146,7 +146,7 @@
 		return
 	}
 	f.cut = func(string, string) bool { return false }
-	_, healed, healPeak := f.watch(f.each(func(m *node) bool { return m.m.Living() == n }), func() bool { return true })
+	_, healed, healPeak := f.watch(f.each(func(m *node) bool { return m.m.LiveHosts() == n }), func() bool { return true })
 	b.ReportMetric(healed.Seconds(), "s-healed")
 	b.ReportMetric(healPeak, "heal-peak-B/s")
 }
--- a/core/member/config.go
+++ b/core/member/config.go
@@ -30,13 +30,13 @@
 )
 
 // Extension registers a slot on the heartbeats.
-type Extension struct {
+type SlotConfig struct {
 	ID SlotID
 	// MaxBytes bounds one value; longer ones are refused.
 	MaxBytes int
 	// Fleet values are passed on to every host; the others reach neighbours
 	// only, with every ping and ack.
-	Fleet bool
+	FleetWide bool
 }
 
 // The bounds on what extensions may register.
@@ -53,7 +53,7 @@
 	// Rings is the number of neighbours that a daemon probes.
 	Rings int
 	// Interval is the time between two probes.
-	Interval time.Duration
+	ProbeInterval time.Duration
 	// ProbeTimeout is the wait for an ack before others are asked to probe.
 	ProbeTimeout time.Duration
 	// IndirectProbes is the number of daemons asked.
@@ -76,7 +76,7 @@
 	// LeavingHoldDown is how much newer than a leaving mark a host list must
 	// be before its word "live" ends the mark.
 	LeavingHoldDown time.Duration
-	Extensions      []Extension
+	Slots           []SlotConfig
 }
 
 // DefaultConfig returns the constants that docs/decisions/0005-membership.md
@@ -86,7 +86,7 @@
 		Self:            self,
 		Incarnation:     incarnation,
 		Rings:           8,
-		Interval:        time.Second,
+		ProbeInterval:   time.Second,
 		ProbeTimeout:    400 * time.Millisecond,
 		IndirectProbes:  3,
 		SuspicionMin:    3 * time.Second,
@@ -105,15 +105,15 @@
 func (c Config) validate() error {
 	direct := 0
 	seen := map[SlotID]bool{}
-	for _, e := range c.Extensions {
+	for _, e := range c.Slots {
 		if seen[e.ID] {
 			return fmt.Errorf("member: extension %d is registered twice", e.ID)
 		}
 		seen[e.ID] = true
-		if e.Fleet && e.MaxBytes > MaxFleetBytes {
+		if e.FleetWide && e.MaxBytes > MaxFleetBytes {
 			return fmt.Errorf("member: extension %d wants %d bytes, the bound is %d", e.ID, e.MaxBytes, MaxFleetBytes)
 		}
-		if !e.Fleet {
+		if !e.FleetWide {
 			direct += e.MaxBytes
 		}
 	}
@@ -124,11 +124,11 @@
 }
 
 // extension returns the registration of id.
-func (c Config) extension(id SlotID) (Extension, bool) {
-	for _, e := range c.Extensions {
+func (c Config) extension(id SlotID) (SlotConfig, bool) {
+	for _, e := range c.Slots {
 		if e.ID == id {
 			return e, true
 		}
 	}
-	return Extension{}, false
+	return SlotConfig{}, false
 }
--- a/core/member/event.go
+++ b/core/member/event.go
@@ -21,13 +21,13 @@
 // wire/member.proto. A *wire.MemberPing is answered by exactly one Send of a
 // *wire.MemberAck of the same seq, a *wire.MemberSync by one Send of a
 // *wire.MemberSyncReply, both to the sender.
-type Received struct {
+type MessageReceived struct {
 	From string
 	Msg  proto.Message
 }
 
 // Failed says that a sent message did not reach its host.
-type Failed struct {
+type SendFailed struct {
 	To  string
 	Msg proto.Message
 }
@@ -76,8 +76,8 @@
 }
 
 func (Tick) isEvent()             {}
-func (Received) isEvent()         {}
-func (Failed) isEvent()           {}
+func (MessageReceived) isEvent()  {}
+func (SendFailed) isEvent()       {}
 func (Configured) isEvent()       {}
 func (HostList) isEvent()         {}
 func (UpstreamReported) isEvent() {}
@@ -95,10 +95,10 @@
 }
 
 // Changed says that the belief about a host changed.
-type Changed struct{ Member Member }
+type MemberChanged struct{ Member Member }
 
 // SlotHeard hands over another host's value of an extension.
-type SlotHeard struct {
+type SlotReceived struct {
 	ID          SlotID
 	Host        string
 	Incarnation uint64
@@ -118,7 +118,7 @@
 }
 
 // Freshness says whether the views are renewed (after a start or a pause).
-type Freshness struct{ Fresh bool }
+type FreshnessChanged struct{ Fresh bool }
 
 // SkewChanged says that this host's clock left or rejoined the peers' median.
 type SkewChanged struct {
@@ -128,22 +128,22 @@
 
 // Superseded says that a later process of this host's name lives. This one
 // must stop serving.
-type Superseded struct{ By uint64 }
+type Superseded struct{ Incarnation uint64 }
 
 // Refused says that an event or message broke a bound and was dropped.
-type Refused struct {
+type Rejected struct {
 	From   string
 	Reason string
 }
 
-func (Send) isAction()            {}
-func (Changed) isAction()         {}
-func (SlotHeard) isAction()       {}
-func (UpstreamChanged) isAction() {}
-func (Freshness) isAction()       {}
-func (SkewChanged) isAction()     {}
-func (Superseded) isAction()      {}
-func (Refused) isAction()         {}
+func (Send) isAction()             {}
+func (MemberChanged) isAction()    {}
+func (SlotReceived) isAction()     {}
+func (UpstreamChanged) isAction()  {}
+func (FreshnessChanged) isAction() {}
+func (SkewChanged) isAction()      {}
+func (Superseded) isAction()       {}
+func (Rejected) isAction()         {}
 
 // State is what is believed of a host.
 type State uint8
@@ -179,7 +179,7 @@
 
 // Living says that the host is believed to live: a suspect counts until it is
 // held dead.
-func (m Member) Living() bool { return m.State == Alive || m.State == Suspect }
+func (m Member) Live() bool { return m.State == Alive || m.State == Suspect }
 
 // Stats counts what a Machine did since its start.
 type Stats struct {
--- a/core/member/fleet_test.go
+++ b/core/member/fleet_test.go
@@ -129,13 +129,13 @@
 	to := f.nodes[s.To]
 	switch {
 	case to == nil || !to.up:
-		f.deliver(f.latency*2, from, Failed(s))
+		f.deliver(f.latency*2, from, SendFailed(s))
 	case f.cut(from, s.To):
-		f.deliver(time.Second, from, Failed(s))
+		f.deliver(time.Second, from, SendFailed(s))
 	default:
 		to.bytes += size
 		jitter := time.Duration(f.rng.Int64N(int64(f.latency)))
-		f.deliver(f.latency+jitter, s.To, Received{from, msg})
+		f.deliver(f.latency+jitter, s.To, MessageReceived{from, msg})
 	}
 }
 
--- a/core/member/machine.go
+++ b/core/member/machine.go
@@ -80,7 +80,7 @@
 	m.fresh.lose(now)
 	// The first probe comes at a random part of the interval, so that daemons
 	// which start together do not probe together.
-	m.nextAt = now.Add(time.Duration(rng.Int64N(int64(cfg.Interval))))
+	m.nextAt = now.Add(time.Duration(rng.Int64N(int64(cfg.ProbeInterval))))
 	m.self = &entry{host: cfg.Self, incarnation: cfg.Incarnation, state: wire.MemberState_MEMBER_ALIVE, since: now}
 	m.configure(now, Configured{})
 	m.rehash(m.self)
@@ -99,9 +99,9 @@
 	switch e := event.(type) {
 	case Tick:
 		m.tick(now)
-	case Received:
+	case MessageReceived:
 		m.receive(now, e.From, e.Msg)
-	case Failed:
+	case SendFailed:
 		m.failed(now, e)
 	case Configured:
 		m.configure(now, e)
@@ -131,7 +131,7 @@
 	m.expireProbes(now)
 	m.expireSuspicions(now)
 	if !now.Before(m.nextAt) {
-		m.nextAt = now.Add(m.cfg.Interval)
+		m.nextAt = now.Add(m.cfg.ProbeInterval)
 		m.probeNext(now)
 		if c, changed := m.clock.check(now, m.cfg.MaxClockSkew); changed {
 			m.act(c)
@@ -160,7 +160,7 @@
 	case *wire.MemberPush:
 		m.mergeItems(now, from, msg.GetItems())
 	default:
-		m.act(Refused{from, "unknown message"})
+		m.act(Rejected{from, "unknown message"})
 	}
 }
 
@@ -224,7 +224,7 @@
 	m.self.since = now
 	m.news(m.self)
 	m.push.urgent()
-	m.act(Changed{m.self.member(false)})
+	m.act(MemberChanged{m.self.member(false)})
 }
 
 // paused begins a stale time: nothing that was believed counts until the
@@ -240,7 +240,7 @@
 		}
 	}
 	if m.fresh.fresh {
-		m.act(Freshness{false})
+		m.act(FreshnessChanged{false})
 	}
 	m.fresh.lose(now)
 	m.sync = syncs{}
@@ -272,7 +272,7 @@
 		return
 	}
 	m.fresh.fresh = true
-	m.act(Freshness{true})
+	m.act(FreshnessChanged{true})
 }
 
 // act queues an action.
@@ -310,7 +310,7 @@
 }
 
 // Living returns the number of hosts not believed dead, this one included.
-func (m *Machine) Living() int {
+func (m *Machine) LiveHosts() int {
 	n := 0
 	for _, e := range m.hosts {
 		if e.state != wire.MemberState_MEMBER_DEAD {
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -21,7 +21,7 @@
 const slotFleet SlotID = 101
 
 func withSlots(c *Config) {
-	c.Extensions = []Extension{{ID: slotTest, MaxBytes: 64}, {ID: slotFleet, MaxBytes: 64, Fleet: true}}
+	c.Slots = []SlotConfig{{ID: slotTest, MaxBytes: 64}, {ID: slotFleet, MaxBytes: 64, FleetWide: true}}
 }
 
 var _ = Describe("the overlay", func() {
@@ -61,7 +61,7 @@
 var _ = Describe("membership", func() {
 	It("finds everybody alive and fresh, and stays quiet", func() {
 		f := newFleet(40, 4, 1, nil)
-		_, ok := f.until(60*time.Second, f.each(func(n *node) bool { return n.m.Fresh() && n.m.Living() == 40 }))
+		_, ok := f.until(60*time.Second, f.each(func(n *node) bool { return n.m.Fresh() && n.m.LiveHosts() == 40 }))
 		Expect(ok).To(BeTrue())
 		f.run(60 * time.Second)
 		for _, name := range f.names {
@@ -100,11 +100,11 @@
 		Expect(f.nodes["entry-000"].m.rumors.queue).To(BeEmpty())
 		// It notices the pause with whatever comes first.
 		out := old.m.Step(f.now, SetSlot{ID: slotTest})
-		Expect(out).To(ConsistOf(Freshness{false}, BeAssignableToTypeOf(Refused{})))
+		Expect(out).To(ConsistOf(FreshnessChanged{false}, BeAssignableToTypeOf(Rejected{})))
 		ping := &wire.MemberPing{Seq: 9, Digest: old.m.digest(f.now, "entry-000", false)}
-		for _, a := range f.nodes["entry-000"].m.Step(f.now, Received{"entry-002", ping}) {
+		for _, a := range f.nodes["entry-000"].m.Step(f.now, MessageReceived{"entry-002", ping}) {
 			if s, ok := a.(Send); ok {
-				old.m.Step(f.now, Received{"entry-000", s.Msg})
+				old.m.Step(f.now, MessageReceived{"entry-000", s.Msg})
 			}
 		}
 		Expect(old.m.Superseded()).To(BeTrue())
@@ -171,10 +171,10 @@
 		f.run(20 * time.Second)
 		side := func(name string) bool { return f.nodes[name].m.cfg.Self.FailureDomain == "domain-0" }
 		f.cut = func(from, to string) bool { return side(from) != side(to) }
-		_, ok := f.until(45*time.Second, f.each(func(n *node) bool { l := n.m.Living(); return l == 10 || l == 30 }))
+		_, ok := f.until(45*time.Second, f.each(func(n *node) bool { l := n.m.LiveHosts(); return l == 10 || l == 30 }))
 		Expect(ok).To(BeTrue())
 		f.cut = func(string, string) bool { return false }
-		_, ok = f.until(60*time.Second, f.each(func(n *node) bool { return n.m.Living() == 40 && n.m.Fresh() }))
+		_, ok = f.until(60*time.Second, f.each(func(n *node) bool { return n.m.LiveHosts() == 40 && n.m.Fresh() }))
 		Expect(ok).To(BeTrue())
 		_, ok = f.until(60*time.Second, f.each(func(n *node) bool { return n.m.hash == f.nodes["entry-000"].m.hash }))
 		Expect(ok).To(BeTrue())
@@ -203,7 +203,7 @@
 
 	It("refuses extensions that are too large", func() {
 		c := DefaultConfig(Host{"a", "d"}, 1)
-		c.Extensions = []Extension{{ID: 9, MaxBytes: MaxDirectBytes + 1}}
+		c.Slots = []SlotConfig{{ID: 9, MaxBytes: MaxDirectBytes + 1}}
 		_, err := New(c, epoch, rand.New(rand.NewPCG(1, 1)))
 		Expect(err).To(HaveOccurred())
 	})
@@ -236,7 +236,7 @@
 			count := 0
 			for _, name := range f.names {
 				for _, a := range f.nodes[name].actions {
-					if s, ok := a.(SlotHeard); ok && s.ID == id && s.Host == "entry-009" {
+					if s, ok := a.(SlotReceived); ok && s.ID == id && s.Host == "entry-009" {
 						count++
 						break
 					}
@@ -261,7 +261,7 @@
 		n.actions = nil
 		solicited := func() (yes, no int) {
 			for _, a := range n.actions {
-				if s, ok := a.(SlotHeard); ok && s.Solicited {
+				if s, ok := a.(SlotReceived); ok && s.Solicited {
 					yes++
 				} else if ok {
 					no++
@@ -292,7 +292,7 @@
 	It("refuses a value over its bound", func() {
 		f := newFleet(2, 1, 13, withSlots)
 		out := f.nodes["entry-000"].m.Step(f.now, SetSlot{ID: slotTest, Value: make([]byte, 65)})
-		Expect(out).To(ConsistOf(BeAssignableToTypeOf(Refused{})))
+		Expect(out).To(ConsistOf(BeAssignableToTypeOf(Rejected{})))
 	})
 })
 
--- a/core/member/probe.go
+++ b/core/member/probe.go
@@ -33,7 +33,7 @@
 	p := m.ping(now, target)
 	p.blame = true
 	p.indirectAt = now.Add(m.health.scale(m.cfg.ProbeTimeout))
-	p.failAt = now.Add(m.health.scale(m.cfg.Interval))
+	p.failAt = now.Add(m.health.scale(m.cfg.ProbeInterval))
 }
 
 // deadEvery is how many turns of a dead neighbour pass for one probe of it;
@@ -84,7 +84,7 @@
 // ping sends a ping that blames nobody and is forgotten after an interval.
 func (m *Machine) ping(now time.Time, target string) *probe {
 	m.seq++
-	p := &probe{seq: m.seq, target: target, sent: now, failAt: now.Add(m.health.scale(m.cfg.Interval))}
+	p := &probe{seq: m.seq, target: target, sent: now, failAt: now.Add(m.health.scale(m.cfg.ProbeInterval))}
 	m.probes = append(m.probes, p)
 	m.send(target, &wire.MemberPing{Seq: p.seq, Digest: m.digest(now, target, false)})
 	return p
@@ -135,7 +135,7 @@
 		return
 	}
 	if len(m.probes) >= maxProbes {
-		m.act(Refused{origin, "too many probes in flight"})
+		m.act(Rejected{origin, "too many probes in flight"})
 		return
 	}
 	p := m.ping(now, msg.GetTarget())
@@ -146,7 +146,7 @@
 const maxProbes = 64
 
 // failed asks others at once when a ping did not reach its host.
-func (m *Machine) failed(now time.Time, e Failed) {
+func (m *Machine) failed(now time.Time, e SendFailed) {
 	ping, ok := e.Msg.(*wire.MemberPing)
 	if !ok {
 		return
--- a/core/member/record.go
+++ b/core/member/record.go
@@ -67,7 +67,7 @@
 		m.stats.Deaths++
 	}
 	m.news(e)
-	m.act(Changed{e.member(m.isNear(e.host.Name))})
+	m.act(MemberChanged{e.member(m.isNear(e.host.Name))})
 }
 
 // isNear says whether a host is a neighbour.
@@ -229,12 +229,12 @@
 // A solicited one answers our own ping.
 func (m *Machine) digestHeard(now time.Time, from string, d *wire.MemberDigest, solicited bool) bool {
 	if d.GetSelf().GetHost() != from {
-		m.act(Refused{from, "digest without the sender's own record"})
+		m.act(Rejected{from, "digest without the sender's own record"})
 		return false
 	}
 	e := m.hosts[from]
 	if e != nil && d.GetSelf().GetIncarnation() < e.incarnation {
-		m.act(Refused{from, "digest of an outdated process"})
+		m.act(Rejected{from, "digest of an outdated process"})
 		return true
 	}
 	m.mergeRecord(now, from, d.GetSelf())
--- a/core/member/slot.go
+++ b/core/member/slot.go
@@ -21,11 +21,11 @@
 func (m *Machine) setSlot(e SetSlot) {
 	ext, ok := m.cfg.extension(e.ID)
 	if !ok || len(e.Value) > ext.MaxBytes {
-		m.act(Refused{m.cfg.Self.Name, fmt.Sprintf("slot %d: %d bytes, %d allowed", e.ID, len(e.Value), ext.MaxBytes)})
+		m.act(Rejected{m.cfg.Self.Name, fmt.Sprintf("slot %d: %d bytes, %d allowed", e.ID, len(e.Value), ext.MaxBytes)})
 		return
 	}
 	value := slices.Clone(e.Value)
-	if ext.Fleet {
+	if ext.FleetWide {
 		m.slotSeq++
 		m.mergeSlot(&wire.FleetSlot{
 			Host: m.cfg.Self.Name, Incarnation: m.self.incarnation, Id: uint32(e.ID), Seq: m.slotSeq, Value: value,
@@ -53,10 +53,10 @@
 func (m *Machine) slotsHeard(from string, d *wire.MemberDigest, solicited bool) {
 	for _, s := range d.GetSlots() {
 		ext, ok := m.cfg.extension(SlotID(s.GetId()))
-		if !ok || ext.Fleet || len(s.GetValue()) > ext.MaxBytes {
+		if !ok || ext.FleetWide || len(s.GetValue()) > ext.MaxBytes {
 			continue // a later release's extension, or a faulty one
 		}
-		m.act(SlotHeard{
+		m.act(SlotReceived{
 			ID: ext.ID, Host: from, Incarnation: d.GetSelf().GetIncarnation(), Value: s.GetValue(),
 			Solicited: solicited, SentUnixMS: d.GetWallUnixMs(),
 		})
@@ -68,7 +68,7 @@
 	id := SlotID(s.GetId())
 	ext, ok := m.cfg.extension(id)
 	e := m.hosts[s.GetHost()]
-	if !ok || !ext.Fleet || e == nil || len(s.GetValue()) > ext.MaxBytes || s.GetIncarnation() < e.incarnation {
+	if !ok || !ext.FleetWide || e == nil || len(s.GetValue()) > ext.MaxBytes || s.GetIncarnation() < e.incarnation {
 		return false
 	}
 	if e == m.self && s.GetIncarnation() != e.incarnation {
@@ -89,7 +89,7 @@
 	m.hash ^= old.hash
 	m.rumors.add(key)
 	if e != m.self {
-		m.act(SlotHeard{ID: id, Host: s.GetHost(), Incarnation: s.GetIncarnation(), Value: s.GetValue()})
+		m.act(SlotReceived{ID: id, Host: s.GetHost(), Incarnation: s.GetIncarnation(), Value: s.GetValue()})
 	}
 	return true
 }
--- a/core/member/upstream.go
+++ b/core/member/upstream.go
@@ -93,7 +93,7 @@
 	asOf := min(u.GetAsOfUnixMs(), now.Add(maxMarkAhead).UnixMilli())
 	if old == nil {
 		if len(m.marks.byName) >= maxMarks {
-			m.act(Refused{name, "too many leaving marks"})
+			m.act(Rejected{name, "too many leaving marks"})
 			return false
 		}
 		old = &mark{asOf: -1}
--- a/core/poison/crash.go
+++ b/core/poison/crash.go
@@ -10,15 +10,15 @@
 type Suspect struct {
 	Request Fingerprint
 	// Ran is the time from the beginning of the run to the crash.
-	Ran time.Duration
+	RunTime time.Duration
 	// Served is when a run of the request last succeeded as far as the reporting daemon
 	// knows; zero if never.
-	Served time.Time
+	LastSuccess time.Time
 }
 
 // End is a crash of a replica's process with the runs that were lost, as observed by one
 // daemon or merged from the reports of several.
-type End struct {
+type Crash struct {
 	Service, Replica string
 	At               time.Time
 	Suspects         []Suspect
@@ -46,12 +46,12 @@
 // a third of their replicas would send about 50 MB to two of the daemons.
 const (
 	OutageCrashes = 4
-	MassWindow    = time.Second
+	OutageWindow  = time.Second
 )
 
 // Reportable returns the crashes to report out of those that one daemon observed within
 // MassWindow.
-func Reportable(ends []End) []End {
+func Reportable(ends []Crash) []Crash {
 	if len(ends) < OutageCrashes {
 		return ends
 	}
@@ -61,7 +61,7 @@
 			replicas[s.Request]++
 		}
 	}
-	var out []End
+	var out []Crash
 	for _, e := range ends {
 		e.Suspects = slices.DeleteFunc(slices.Clone(e.Suspects), func(s Suspect) bool { return replicas[s.Request] < 2 })
 		if len(e.Suspects) > 0 {
@@ -72,7 +72,7 @@
 }
 
 // suspectFor returns the run of the request that was lost in the crash.
-func (e *End) suspectFor(f Fingerprint) (Suspect, bool) {
+func (e *Crash) suspectFor(f Fingerprint) (Suspect, bool) {
 	i := slices.IndexFunc(e.Suspects, func(s Suspect) bool { return s.Request == f })
 	if i < 0 {
 		return Suspect{}, false
@@ -82,17 +82,17 @@
 
 // mergeSuspects adds the suspects reported by another daemon. Of several runs of the same
 // request, the longest is kept.
-func (e *End) mergeSuspects(suspects []Suspect) {
+func (e *Crash) mergeSuspects(suspects []Suspect) {
 	for _, s := range suspects {
 		i := slices.IndexFunc(e.Suspects, func(o Suspect) bool { return o.Request == s.Request })
 		if i < 0 {
 			e.Suspects = append(e.Suspects, s)
 			continue
 		}
-		e.Suspects[i].Ran = max(e.Suspects[i].Ran, s.Ran)
+		e.Suspects[i].RunTime = max(e.Suspects[i].RunTime, s.RunTime)
 	}
 	if len(e.Suspects) > MaxSuspects {
-		slices.SortFunc(e.Suspects, func(a, b Suspect) int { return cmp.Compare(a.Ran, b.Ran) })
+		slices.SortFunc(e.Suspects, func(a, b Suspect) int { return cmp.Compare(a.RunTime, b.RunTime) })
 		e.Suspects = e.Suspects[:MaxSuspects]
 	}
 }
--- a/core/poison/machine.go
+++ b/core/poison/machine.go
@@ -19,27 +19,27 @@
 )
 
 // Machine holds the evidence and the verdicts. The zero value is ready to use.
-type Machine struct {
-	crashes []*End // ordered by time
+type Detector struct {
+	crashes []*Crash // ordered by time
 	// crashesByRequest holds the crashes in which each request was involved, so that the
 	// cost of a report depends on the crashes of its own requests and not on all retained
 	// ones.
-	crashesByRequest map[Fingerprint][]*End
+	crashesByRequest map[Fingerprint][]*Crash
 	successes        successTimes
 	verdicts         map[Fingerprint]*Verdict
 }
 
 // Ended records a replica's crash as observed by one daemon, and returns the verdicts that
 // changed.
-func (m *Machine) Ended(now time.Time, e End) []Verdict {
+func (m *Detector) RecordCrash(now time.Time, e Crash) []Verdict {
 	m.expire(now)
 	for _, s := range e.Suspects {
-		if !s.Served.IsZero() {
-			m.successes.record(s.Served, s.Request)
+		if !s.LastSuccess.IsZero() {
+			m.successes.record(s.LastSuccess, s.Request)
 		}
 	}
-	i := slices.IndexFunc(m.crashes, func(o *End) bool { return o.Replica == e.Replica && o.At.Sub(e.At).Abs() < sameCrashWindow })
-	known := &End{Service: e.Service, Replica: e.Replica, At: e.At}
+	i := slices.IndexFunc(m.crashes, func(o *Crash) bool { return o.Replica == e.Replica && o.At.Sub(e.At).Abs() < sameCrashWindow })
+	known := &Crash{Service: e.Service, Replica: e.Replica, At: e.At}
 	if i >= 0 {
 		known = m.crashes[i]
 		m.removeCrash(i)
@@ -53,11 +53,11 @@
 }
 
 // insertCrash adds a crash to the retained ones.
-func (m *Machine) insertCrash(e *End) {
+func (m *Detector) insertCrash(e *Crash) {
 	if m.crashesByRequest == nil {
-		m.crashesByRequest = map[Fingerprint][]*End{}
+		m.crashesByRequest = map[Fingerprint][]*Crash{}
 	}
-	at, _ := slices.BinarySearchFunc(m.crashes, e, func(a, b *End) int { return a.At.Compare(b.At) })
+	at, _ := slices.BinarySearchFunc(m.crashes, e, func(a, b *Crash) int { return a.At.Compare(b.At) })
 	m.crashes = slices.Insert(m.crashes, at, e)
 	for _, s := range e.Suspects {
 		m.crashesByRequest[s.Request] = append(m.crashesByRequest[s.Request], e)
@@ -65,11 +65,11 @@
 }
 
 // removeCrash removes the crash with index i.
-func (m *Machine) removeCrash(i int) {
+func (m *Detector) removeCrash(i int) {
 	e := m.crashes[i]
 	m.crashes = slices.Delete(m.crashes, i, i+1)
 	for _, s := range e.Suspects {
-		remaining := slices.DeleteFunc(m.crashesByRequest[s.Request], func(o *End) bool { return o == e })
+		remaining := slices.DeleteFunc(m.crashesByRequest[s.Request], func(o *Crash) bool { return o == e })
 		if len(remaining) == 0 {
 			delete(m.crashesByRequest, s.Request)
 			continue
@@ -79,7 +79,7 @@
 }
 
 // Served records a successful run, and returns the verdict that it lifts.
-func (m *Machine) Served(now time.Time, f Fingerprint) []Verdict {
+func (m *Detector) RecordSuccess(now time.Time, f Fingerprint) []Verdict {
 	m.successes.record(now, f)
 	if v, ok := m.verdicts[f]; ok && !v.Lifted {
 		v.Lifted = true
@@ -90,20 +90,20 @@
 
 // LastServed returns when a run of the request last succeeded here; zero if none is
 // retained.
-func (m *Machine) LastServed(f Fingerprint) time.Time { return m.successes.last(f) }
+func (m *Detector) LastSuccess(f Fingerprint) time.Time { return m.successes.last(f) }
 
 // Learn merges verdicts of other machines and returns those that change the local ones. A
 // verdict is stored and returned as lifted if a run of the request succeeded here after the
 // first crash that counts against it.
-func (m *Machine) Learn(now time.Time, verdicts []Verdict) []Verdict {
+func (m *Detector) Merge(now time.Time, verdicts []Verdict) []Verdict {
 	m.expire(now)
 	var changed []Verdict
 	for _, v := range verdicts {
 		old, known := m.verdicts[v.Request]
-		if now.Sub(v.At) > Lifetime || known && !v.Supersedes(*old) {
+		if now.Sub(v.QuarantinedAt) > Lifetime || known && !v.Supersedes(*old) {
 			continue
 		}
-		if m.successes.last(v.Request).After(v.Since) {
+		if m.successes.last(v.Request).After(v.FirstCrash) {
 			v.Lifted = true
 		}
 		m.storeVerdict(v)
@@ -113,9 +113,9 @@
 }
 
 // Condemned returns the verdict by which a request is currently refused.
-func (m *Machine) Condemned(now time.Time, f Fingerprint) (Verdict, bool) {
+func (m *Detector) Quarantined(now time.Time, f Fingerprint) (Verdict, bool) {
 	v, ok := m.verdicts[f]
-	if !ok || v.Lifted || now.Sub(v.At) > Lifetime {
+	if !ok || v.Lifted || now.Sub(v.QuarantinedAt) > Lifetime {
 		return Verdict{}, false
 	}
 	return *v, true
@@ -123,7 +123,7 @@
 
 // Try grants a trial of a quarantined request if one is due, and returns the updated
 // verdict.
-func (m *Machine) Try(now time.Time, f Fingerprint) (Verdict, bool) {
+func (m *Detector) GrantTrial(now time.Time, f Fingerprint) (Verdict, bool) {
 	v, ok := m.verdicts[f]
 	if !ok || v.Lifted {
 		return Verdict{}, false
@@ -132,22 +132,22 @@
 	if !available || now.Before(due) {
 		return Verdict{}, false
 	}
-	v.Trials, v.TriedAt = v.Trials+1, now
+	v.Trials, v.LastTrial = v.Trials+1, now
 	return *v, true
 }
 
 // Untried takes back a granted trial that led to no run, and returns the updated verdict.
-func (m *Machine) Untried(f Fingerprint) (Verdict, bool) {
+func (m *Detector) ReturnTrial(f Fingerprint) (Verdict, bool) {
 	v, ok := m.verdicts[f]
-	if !ok || v.Lifted || v.Untried >= min(v.Trials, MaxUnusedTrials) {
+	if !ok || v.Lifted || v.UnusedTrials >= min(v.Trials, MaxUnusedTrials) {
 		return Verdict{}, false
 	}
-	v.Untried++
+	v.UnusedTrials++
 	return *v, true
 }
 
 // quarantineSuspects quarantines the suspects that have reached the crash threshold.
-func (m *Machine) quarantineSuspects(now time.Time, suspects []Suspect) []Verdict {
+func (m *Detector) quarantineSuspects(now time.Time, suspects []Suspect) []Verdict {
 	var changed []Verdict
 	for {
 		strongest, found := m.strongestEvidence(now, suspects)
@@ -158,7 +158,7 @@
 		if old, ok := m.verdicts[strongest.request]; ok {
 			round = old.Round + 1
 		}
-		v := Verdict{Request: strongest.request, Round: round, At: now, Since: strongest.firstCrash, Doubtful: m.unrelatedCrashes(now, strongest.request) >= unrelatedCrashThreshold}
+		v := Verdict{Request: strongest.request, Round: round, QuarantinedAt: now, FirstCrash: strongest.firstCrash, Doubtful: m.unrelatedCrashes(now, strongest.request) >= unrelatedCrashThreshold}
 		m.storeVerdict(v)
 		changed = append(changed, v)
 		changed = append(changed, m.markDoubtful(now, v.Request)...)
@@ -168,7 +168,7 @@
 // markDoubtful marks earlier verdicts as doubtful that are no longer supported by enough
 // crashes, since the newly quarantined request was involved in these: the other request may
 // have been a bystander. It returns the changed verdicts.
-func (m *Machine) markDoubtful(now time.Time, quarantined Fingerprint) []Verdict {
+func (m *Detector) markDoubtful(now time.Time, quarantined Fingerprint) []Verdict {
 	var changed []Verdict
 	for _, v := range m.Verdicts() {
 		if v.Request == quarantined || v.Lifted || v.Doubtful || m.evidenceAgainst(now, v.Request).crashes >= crashThreshold {
@@ -192,10 +192,10 @@
 
 // strongestEvidence returns the evidence against the suspect to quarantine next, and false
 // if no suspect has reached the crash threshold.
-func (m *Machine) strongestEvidence(now time.Time, suspects []Suspect) (evidence, bool) {
+func (m *Detector) strongestEvidence(now time.Time, suspects []Suspect) (evidence, bool) {
 	var strongest evidence
 	for _, s := range suspects {
-		if _, quarantined := m.Condemned(now, s.Request); quarantined {
+		if _, quarantined := m.Quarantined(now, s.Request); quarantined {
 			continue
 		}
 		c := m.evidenceAgainst(now, s.Request)
@@ -208,7 +208,7 @@
 
 // evidenceAgainst counts the crashes of replicas that were running a request since a run of
 // it last succeeded, except those in which another quarantined request was involved.
-func (m *Machine) evidenceAgainst(now time.Time, f Fingerprint) evidence {
+func (m *Detector) evidenceAgainst(now time.Time, f Fingerprint) evidence {
 	c := evidence{request: f}
 	lastSuccess := m.successes.last(f)
 	for _, e := range m.crashesByRequest[f] {
@@ -219,26 +219,26 @@
 			c.firstCrash = e.At
 		}
 		s, _ := e.suspectFor(f)
-		c.longestRun = max(c.longestRun, s.Ran)
+		c.longestRun = max(c.longestRun, s.RunTime)
 	}
 	return c
 }
 
 // attributedToOther reports whether a quarantined request other than f was involved in a
 // crash.
-func (m *Machine) attributedToOther(now time.Time, e *End, f Fingerprint) bool {
+func (m *Detector) attributedToOther(now time.Time, e *Crash, f Fingerprint) bool {
 	if len(m.verdicts) == 0 {
 		return false
 	}
 	return slices.ContainsFunc(e.Suspects, func(s Suspect) bool {
-		_, quarantined := m.Condemned(now, s.Request)
+		_, quarantined := m.Quarantined(now, s.Request)
 		return quarantined && s.Request != f
 	})
 }
 
 // unrelatedCrashes counts the recent crashes in which a request was not involved, except
 // those attributed to another quarantined request.
-func (m *Machine) unrelatedCrashes(now time.Time, f Fingerprint) int {
+func (m *Detector) unrelatedCrashes(now time.Time, f Fingerprint) int {
 	n := 0
 	for _, e := range m.crashes {
 		if _, involved := e.suspectFor(f); !involved && now.Sub(e.At) < unrelatedCrashWindow && !m.attributedToOther(now, e, f) {
@@ -249,7 +249,7 @@
 }
 
 // storeVerdict stores a verdict, and removes the oldest one if there are too many.
-func (m *Machine) storeVerdict(v Verdict) {
+func (m *Detector) storeVerdict(v Verdict) {
 	if m.verdicts == nil {
 		m.verdicts = map[Fingerprint]*Verdict{}
 	}
@@ -258,17 +258,17 @@
 		return
 	}
 	all := m.Verdicts()
-	oldest := slices.MinFunc(all, func(a, b Verdict) int { return a.At.Compare(b.At) })
+	oldest := slices.MinFunc(all, func(a, b Verdict) int { return a.QuarantinedAt.Compare(b.QuarantinedAt) })
 	delete(m.verdicts, oldest.Request)
 }
 
 // expire removes crashes and verdicts that are too old to count.
-func (m *Machine) expire(now time.Time) {
+func (m *Detector) expire(now time.Time) {
 	for len(m.crashes) > 0 && now.Sub(m.crashes[0].At) > crashRetention {
 		m.removeCrash(0)
 	}
 	for f, v := range m.verdicts {
-		if now.Sub(v.At) > Lifetime {
+		if now.Sub(v.QuarantinedAt) > Lifetime {
 			delete(m.verdicts, f)
 		}
 	}
@@ -276,23 +276,23 @@
 
 // EndsUnder returns the retained crashes of replicas that were running a request, ordered
 // by time.
-func (m *Machine) EndsUnder(f Fingerprint) []End {
-	var ends []End
+func (m *Detector) CrashesOf(f Fingerprint) []Crash {
+	var ends []Crash
 	for _, e := range m.crashesByRequest[f] {
 		ends = append(ends, *e)
 	}
-	slices.SortFunc(ends, func(a, b End) int { return a.At.Compare(b.At) })
+	slices.SortFunc(ends, func(a, b Crash) int { return a.At.Compare(b.At) })
 	return ends
 }
 
 // Stats are the sizes of a Machine's state, for operators.
 type Stats struct {
-	Ends      int `json:"ends"`
+	Crashes   int `json:"ends"`
 	Verdicts  int `json:"verdicts"`
 	Successes int `json:"served"`
 }
 
 // Stats returns the current sizes.
-func (m *Machine) Stats() Stats {
-	return Stats{Ends: len(m.crashes), Verdicts: len(m.verdicts), Successes: len(m.successes.recent) + len(m.successes.earlier)}
+func (m *Detector) Stats() Stats {
+	return Stats{Crashes: len(m.crashes), Verdicts: len(m.verdicts), Successes: len(m.successes.recent) + len(m.successes.earlier)}
 }
--- a/core/poison/machine_test.go
+++ b/core/poison/machine_test.go
@@ -26,10 +26,10 @@
 
 // crash is a replica's crash while it ran the given requests, whose runs began the given
 // numbers of milliseconds before.
-func crash(seconds float64, replica string, runs map[string]int) poison.End {
-	e := poison.End{Service: "llm", Replica: replica, At: at(seconds)}
+func crash(seconds float64, replica string, runs map[string]int) poison.Crash {
+	e := poison.Crash{Service: "llm", Replica: replica, At: at(seconds)}
 	for name, ms := range runs {
-		e.Suspects = append(e.Suspects, poison.Suspect{Request: request(name), Ran: time.Duration(ms) * time.Millisecond})
+		e.Suspects = append(e.Suspects, poison.Suspect{Request: request(name), RunTime: time.Duration(ms) * time.Millisecond})
 	}
 	return e
 }
@@ -58,14 +58,14 @@
 })
 
 var _ = Describe("a request", func() {
-	var m *poison.Machine
-	BeforeEach(func() { m = &poison.Machine{} })
+	var m *poison.Detector
+	BeforeEach(func() { m = &poison.Detector{} })
 	quarantined := func(name string, seconds float64) bool {
-		_, c := m.Condemned(at(seconds), request(name))
+		_, c := m.Quarantined(at(seconds), request(name))
 		return c
 	}
 	recordCrash := func(seconds float64, replica string, runs map[string]int) []poison.Verdict {
-		return m.Ended(at(seconds), crash(seconds, replica, runs))
+		return m.RecordCrash(at(seconds), crash(seconds, replica, runs))
 	}
 
 	It("is quarantined when the third replica crashes while running it", func() {
@@ -110,23 +110,23 @@
 			recordCrash(float64(4+i), name, map[string]int{"x": 50})
 		}
 		Expect(quarantined("x", 7)).To(BeTrue())
-		_, granted := m.Try(at(7), request("y"))
+		_, granted := m.GrantTrial(at(7), request("y"))
 		Expect(granted).To(BeTrue())
-		_, granted = m.Try(at(7), request("x"))
+		_, granted = m.GrantTrial(at(7), request("x"))
 		Expect(granted).To(BeFalse())
-		Expect(m.Served(at(7.5), request("y"))).To(ConsistOf(HaveField("Lifted", true)))
+		Expect(m.RecordSuccess(at(7.5), request("y"))).To(ConsistOf(HaveField("Lifted", true)))
 		Expect(quarantined("y", 8)).To(BeFalse())
 	})
 
 	It("is not quarantined for crashes before a successful run, here or at the reporting daemon", func() {
 		recordCrash(1, "a", map[string]int{"x": 50})
 		recordCrash(2, "b", map[string]int{"x": 50})
-		m.Served(at(2.5), request("x"))
+		m.RecordSuccess(at(2.5), request("x"))
 		recordCrash(3, "c", map[string]int{"x": 50})
 		Expect(quarantined("x", 3)).To(BeFalse())
 		e := crash(4, "d", map[string]int{"x": 50})
-		e.Suspects[0].Served = at(3.5)
-		m.Ended(at(4), e)
+		e.Suspects[0].LastSuccess = at(3.5)
+		m.RecordCrash(at(4), e)
 		recordCrash(5, "e", map[string]int{"x": 50})
 		Expect(quarantined("x", 5)).To(BeFalse())
 		recordCrash(6, "f", map[string]int{"x": 50})
@@ -137,12 +137,12 @@
 		for i, name := range []string{"a", "b", "c"} {
 			recordCrash(float64(i), name, map[string]int{"x": 50})
 		}
-		m.Served(at(4), request("x"))
+		m.RecordSuccess(at(4), request("x"))
 		for i, name := range []string{"a", "b", "c"} {
 			Expect(quarantined("x", 4)).To(BeFalse())
 			recordCrash(float64(5+i), name, map[string]int{"x": 50})
 		}
-		v, c := m.Condemned(at(8), request("x"))
+		v, c := m.Quarantined(at(8), request("x"))
 		Expect(c).To(BeTrue())
 		Expect(v.Round).To(Equal(uint32(2)))
 	})
@@ -153,36 +153,36 @@
 		}
 		now := at(2)
 		for trials := range poison.MaxTrials {
-			v, _ := m.Condemned(now, request("x"))
-			_, granted := m.Try(now, request("x"))
+			v, _ := m.Quarantined(now, request("x"))
+			_, granted := m.GrantTrial(now, request("x"))
 			Expect(granted).To(BeFalse())
 			now = now.Add(v.RetryAfter(now))
-			v, granted = m.Try(now, request("x"))
+			v, granted = m.GrantTrial(now, request("x"))
 			Expect(granted).To(BeTrue())
 			Expect(v.Trials).To(BeEquivalentTo(trials + 1))
 		}
-		_, granted := m.Try(now.Add(poison.Lifetime), request("x"))
+		_, granted := m.GrantTrial(now.Add(poison.Lifetime), request("x"))
 		Expect(granted).To(BeFalse())
 	})
 })
 
 var _ = Describe("a trial", func() {
 	It("that led to no run is granted again, a bounded number of times", func() {
-		var m poison.Machine
+		var m poison.Detector
 		for i, name := range []string{"a", "b", "c"} {
-			m.Ended(at(float64(i)), crash(float64(i), name, map[string]int{"x": 50}))
+			m.RecordCrash(at(float64(i)), crash(float64(i), name, map[string]int{"x": 50}))
 		}
 		now := at(3).Add(poison.FirstTrial)
 		granted := 0
 		for ; granted < 100; granted++ {
-			if _, ok := m.Try(now, request("x")); !ok {
+			if _, ok := m.GrantTrial(now, request("x")); !ok {
 				break
 			}
-			_, changed := m.Untried(request("x"))
+			_, changed := m.ReturnTrial(request("x"))
 			Expect(changed).To(Equal(granted < poison.MaxUnusedTrials))
 		}
 		Expect(granted).To(Equal(poison.MaxUnusedTrials + 1))
-		_, changed := m.Untried(request("y"))
+		_, changed := m.ReturnTrial(request("y"))
 		Expect(changed).To(BeFalse())
 	})
 })
@@ -190,7 +190,7 @@
 var _ = Describe("verdicts", func() {
 	x := request("x")
 	verdict := func(change func(*poison.Verdict)) poison.Verdict {
-		v := poison.Verdict{Request: x, Round: 1, At: at(1), Since: at(0)}
+		v := poison.Verdict{Request: x, Round: 1, QuarantinedAt: at(1), FirstCrash: at(0)}
 		if change != nil {
 			change(&v)
 		}
@@ -200,51 +200,51 @@
 	It("converge in any merge order", func() {
 		all := []poison.Verdict{
 			verdict(nil), verdict(func(v *poison.Verdict) { v.Lifted = true }), verdict(func(v *poison.Verdict) { v.Trials = 1 }),
-			verdict(func(v *poison.Verdict) { v.Trials, v.Untried = 1, 1 }), verdict(func(v *poison.Verdict) { v.Doubtful = true }), verdict(func(v *poison.Verdict) { v.Round = 2 }),
+			verdict(func(v *poison.Verdict) { v.Trials, v.UnusedTrials = 1, 1 }), verdict(func(v *poison.Verdict) { v.Doubtful = true }), verdict(func(v *poison.Verdict) { v.Round = 2 }),
 			verdict(func(v *poison.Verdict) { v.Round, v.Trials = 2, 2 }),
 		}
 		var digests []uint64
 		for shift := range all {
-			var m poison.Machine
+			var m poison.Detector
 			for i := range all {
-				m.Learn(at(2), all[(i+shift)%len(all):][:1])
+				m.Merge(at(2), all[(i+shift)%len(all):][:1])
 			}
 			digests = append(digests, m.Digest(at(2)))
-			Expect(m.Learn(at(2), all)).To(BeEmpty(), "a verdict is merged once")
+			Expect(m.Merge(at(2), all)).To(BeEmpty(), "a verdict is merged once")
 		}
 		Expect(digests).To(HaveEach(digests[0]))
 	})
 
 	It("are lifted by a machine that has recorded a later successful run", func() {
-		var m poison.Machine
-		m.Served(at(0.5), x)
-		Expect(m.Learn(at(2), []poison.Verdict{verdict(nil)})).To(ConsistOf(HaveField("Lifted", true)))
-		_, quarantined := m.Condemned(at(2), x)
+		var m poison.Detector
+		m.RecordSuccess(at(0.5), x)
+		Expect(m.Merge(at(2), []poison.Verdict{verdict(nil)})).To(ConsistOf(HaveField("Lifted", true)))
+		_, quarantined := m.Quarantined(at(2), x)
 		Expect(quarantined).To(BeFalse())
 	})
 
 	It("are not merged after their lifetime, and leave the digest before they expire", func() {
-		var m poison.Machine
-		Expect(m.Learn(at(2).Add(poison.Lifetime), []poison.Verdict{verdict(nil)})).To(BeEmpty())
-		m.Learn(at(2), []poison.Verdict{verdict(nil)})
+		var m poison.Detector
+		Expect(m.Merge(at(2).Add(poison.Lifetime), []poison.Verdict{verdict(nil)})).To(BeEmpty())
+		m.Merge(at(2), []poison.Verdict{verdict(nil)})
 		Expect(m.Digest(at(2))).NotTo(BeZero())
 		Expect(m.Digest(at(0).Add(poison.Lifetime))).To(BeZero())
 	})
 
 	It("and evidence are bounded in number", func() {
-		var m poison.Machine
+		var m poison.Detector
 		for i := range 3 * poison.MaxVerdicts {
 			now := float64(i)
 			for r := range 3 {
-				m.Ended(at(now), crash(now, fmt.Sprint(i, r), map[string]int{fmt.Sprint("x", i): 50}))
+				m.RecordCrash(at(now), crash(now, fmt.Sprint(i, r), map[string]int{fmt.Sprint("x", i): 50}))
 			}
 		}
 		for i := range 20_000 {
-			m.Served(at(1000), request(fmt.Sprint("s", i)))
+			m.RecordSuccess(at(1000), request(fmt.Sprint("s", i)))
 		}
 		s := m.Stats()
 		Expect(s.Verdicts).To(Equal(poison.MaxVerdicts))
-		Expect(s.Ends).To(BeNumerically("<=", poison.MaxCrashes))
+		Expect(s.Crashes).To(BeNumerically("<=", poison.MaxCrashes))
 		Expect(s.Successes).To(BeNumerically("<=", 8192))
 		runs := map[string]int{}
 		for i := range 10 * poison.MaxSuspects {
@@ -252,16 +252,16 @@
 		}
 		runs["late"] = 5
 		for r := range 3 {
-			m.Ended(at(2000), crash(2000, fmt.Sprint("m", r), runs))
+			m.RecordCrash(at(2000), crash(2000, fmt.Sprint("m", r), runs))
 		}
-		_, quarantined := m.Condemned(at(2000), request("late"))
+		_, quarantined := m.Quarantined(at(2000), request("late"))
 		Expect(quarantined).To(BeTrue(), "the runs that began last are kept")
 	})
 })
 
 var _ = Describe("simultaneous crashes of many replicas", func() {
 	It("are reported only with the requests that ran on more than one of them", func() {
-		few := []poison.End{crash(1, "a", map[string]int{"x": 1}), crash(1, "b", map[string]int{"y": 1})}
+		few := []poison.Crash{crash(1, "a", map[string]int{"x": 1}), crash(1, "b", map[string]int{"y": 1})}
 		Expect(poison.Reportable(few)).To(Equal(few))
 		many := append(few, crash(1, "c", map[string]int{"x": 1, "z": 1}), crash(1, "d", map[string]int{"w": 1}))
 		Expect(poison.Reportable(many)).To(HaveExactElements(
--- a/core/poison/random_test.go
+++ b/core/poison/random_test.go
@@ -84,7 +84,7 @@
 	now      time.Time
 	queue    eventQueue
 	order    int
-	machines [simDaemons]poison.Machine // machines[0] decides
+	machines [simDaemons]poison.Detector // machines[0] decides
 	// running holds the runs at each replica, and restartAt when it is up again after its
 	// last crash; zero if it never crashed.
 	running   [simReplicas][]*run
@@ -109,7 +109,7 @@
 // is refused.
 func (s *sim) sendRequest(q *simRequest) {
 	d := s.rng.IntN(simDaemons)
-	if _, condemned := s.machines[d].Condemned(s.now, q.id); condemned && !s.grantTrial(q) {
+	if _, condemned := s.machines[d].Quarantined(s.now, q.id); condemned && !s.grantTrial(q) {
 		s.refuse(q)
 		return
 	}
@@ -130,7 +130,7 @@
 	s.after(q.work, func() {
 		s.finishRun(replica, r, func() {
 			s.removeRun(replica, r)
-			s.spread(d, s.machines[d].Served(s.now, q.id))
+			s.spread(d, s.machines[d].RecordSuccess(s.now, q.id))
 			if !q.refusedFrom.IsZero() {
 				s.longestRefusal = max(s.longestRefusal, s.now.Sub(q.refusedFrom))
 				q.refusedFrom = time.Time{}
@@ -142,7 +142,7 @@
 
 // grantTrial asks the deciding daemon for a trial.
 func (s *sim) grantTrial(q *simRequest) bool {
-	v, granted := s.machines[0].Try(s.now, q.id)
+	v, granted := s.machines[0].GrantTrial(s.now, q.id)
 	if granted {
 		s.spread(0, []poison.Verdict{v})
 	}
@@ -201,12 +201,12 @@
 	s.restartAt[replica] = s.now.Add(s.between(time.Second, 3*time.Second))
 	lostRuns := s.running[replica]
 	s.running[replica] = nil
-	var ends [simDaemons]poison.End
+	var ends [simDaemons]poison.Crash
 	for _, r := range lostRuns {
 		e := &ends[r.daemon]
 		e.Replica, e.At = fmt.Sprint(replica), s.now
 		e.Suspects = append(e.Suspects, poison.Suspect{
-			Request: r.request.id, Ran: s.now.Sub(r.began), Served: s.machines[r.daemon].LastServed(r.request.id),
+			Request: r.request.id, RunTime: s.now.Sub(r.began), LastSuccess: s.machines[r.daemon].LastSuccess(r.request.id),
 		})
 	}
 	counted := map[*simRequest]bool{}
@@ -219,7 +219,7 @@
 	}
 	for d := range ends {
 		if len(ends[d].Suspects) > 0 {
-			s.after(s.between(10*time.Millisecond, maxReportDelay), func() { s.spread(0, s.machines[0].Ended(s.now, ends[d])) })
+			s.after(s.between(10*time.Millisecond, maxReportDelay), func() { s.spread(0, s.machines[0].RecordCrash(s.now, ends[d])) })
 		}
 	}
 }
@@ -232,7 +232,7 @@
 	}
 	for d := range s.machines {
 		if d != from {
-			s.after(s.between(time.Millisecond, maxSpreadDelay), func() { s.spread(d, s.machines[d].Learn(s.now, verdicts)) })
+			s.after(s.between(time.Millisecond, maxSpreadDelay), func() { s.spread(d, s.machines[d].Merge(s.now, verdicts)) })
 		}
 	}
 }
--- a/core/poison/verdict.go
+++ b/core/poison/verdict.go
@@ -16,13 +16,13 @@
 	// Lifted says that a run has succeeded since the request was quarantined.
 	Lifted bool
 	// Trials is the number of granted trials, and TriedAt when the last one was granted.
-	Trials  uint32
-	TriedAt time.Time
+	Trials    uint32
+	LastTrial time.Time
 	// Untried is the number of granted trials that led to no run.
-	Untried uint32
+	UnusedTrials uint32
 	// At is when the request was quarantined, and Since when the first crash occurred that
 	// counts against it.
-	At, Since time.Time
+	QuarantinedAt, FirstCrash time.Time
 	// Doubtful says that replicas also crashed without the request at that time, or that
 	// the crashes are attributed to another request.
 	Doubtful bool
@@ -61,37 +61,37 @@
 	if v.Trials != old.Trials {
 		return v.Trials > old.Trials
 	}
-	if v.Untried != old.Untried {
-		return v.Untried > old.Untried
+	if v.UnusedTrials != old.UnusedTrials {
+		return v.UnusedTrials > old.UnusedTrials
 	}
 	return v.Doubtful && !old.Doubtful
 }
 
 // nextTrial returns when the next trial may be granted, and false if no trial is left.
 func (v Verdict) nextTrial() (time.Time, bool) {
-	switch used := v.Trials - min(v.Untried, MaxUnusedTrials, v.Trials); {
+	switch used := v.Trials - min(v.UnusedTrials, MaxUnusedTrials, v.Trials); {
 	case used >= MaxTrials:
 		return time.Time{}, false
 	case used > 0:
-		return v.TriedAt.Add(SecondTrial), true
+		return v.LastTrial.Add(SecondTrial), true
 	case v.Doubtful:
-		return v.At.Add(DoubtfulTrial), true
+		return v.QuarantinedAt.Add(DoubtfulTrial), true
 	}
-	return v.At.Add(FirstTrial), true
+	return v.QuarantinedAt.Add(FirstTrial), true
 }
 
 // RetryAfter returns how long a refused caller has to wait until its request may be served.
 func (v Verdict) RetryAfter(now time.Time) time.Duration {
 	due, available := v.nextTrial()
 	if !available {
-		due = v.At.Add(Lifetime)
+		due = v.QuarantinedAt.Add(Lifetime)
 	}
 	return max(0, due.Sub(now))
 }
 
 // Verdicts returns all retained verdicts, including lifted ones, ordered by request. The
 // caller owns the slice.
-func (m *Machine) Verdicts() []Verdict {
+func (m *Detector) Verdicts() []Verdict {
 	out := make([]Verdict, 0, len(m.verdicts))
 	for _, v := range m.verdicts {
 		out = append(out, *v)
@@ -107,17 +107,17 @@
 
 // Digest returns a hash that is equal for machines with the same verdicts; 0 if there are
 // none.
-func (m *Machine) Digest(now time.Time) uint64 {
+func (m *Detector) Digest(now time.Time) uint64 {
 	var digest uint64
 	for _, v := range m.verdicts {
-		if now.Sub(v.At) > Lifetime-expiryMargin {
+		if now.Sub(v.QuarantinedAt) > Lifetime-expiryMargin {
 			continue
 		}
 		var buf [FingerprintSize + 13]byte
 		copy(buf[:], v.Request[:])
 		binary.LittleEndian.PutUint32(buf[FingerprintSize:], v.Round)
 		binary.LittleEndian.PutUint32(buf[FingerprintSize+4:], v.Trials)
-		binary.LittleEndian.PutUint32(buf[FingerprintSize+8:], v.Untried)
+		binary.LittleEndian.PutUint32(buf[FingerprintSize+8:], v.UnusedTrials)
 		if v.Lifted {
 			buf[FingerprintSize+12] = 1
 		}
--- a/core/prefix/index.go
+++ b/core/prefix/index.go
@@ -30,7 +30,7 @@
 
 // Holders maps prompt prefixes to the engines that are assumed to have them cached. The
 // zero value is empty and ready to use.
-type Holders struct {
+type Index struct {
 	// An entry is written to current when it is updated. When current reaches half of
 	// MaxPrefixes, it becomes previous, and the old previous is dropped.
 	current, previous map[uint64][]location
@@ -38,7 +38,7 @@
 
 // Learn records that an engine was sent a prompt with these prefix hashes, shortest
 // first.
-func (h *Holders) Learn(now time.Time, prefixes []uint64, e Engine) {
+func (h *Index) RecordPrompt(now time.Time, prefixes []uint64, e Engine) {
 	for _, hash := range prefixes {
 		locations := h.lookup(hash)
 		updated := make([]location, 0, maxEnginesPerPrefix)
@@ -54,7 +54,7 @@
 
 // Holds reports whether the named engine is assumed to have the longest of the
 // prefixes.
-func (h *Holders) Holds(now time.Time, prefixes []uint64, name string) bool {
+func (h *Index) HasPrefix(now time.Time, prefixes []uint64, name string) bool {
 	return len(prefixes) > 0 && slices.ContainsFunc(h.lookup(prefixes[len(prefixes)-1]), func(s location) bool {
 		return s.engine.Name == name && s.fresh(now)
 	})
@@ -63,7 +63,7 @@
 // Source returns an engine from which the named engine can copy the longest prefix that
 // it lacks. It returns false if no other engine has a longer prefix than the named one.
 // Engines for which usable returns false are skipped.
-func (h *Holders) Source(now time.Time, prefixes []uint64, name string, usable func(Engine) bool) (Engine, bool) {
+func (h *Index) CopySource(now time.Time, prefixes []uint64, name string, usable func(Engine) bool) (Engine, bool) {
 	for _, hash := range slices.Backward(prefixes) {
 		var best *location
 		locations := h.lookup(hash)
@@ -88,14 +88,14 @@
 
 func (s *location) fresh(now time.Time) bool { return now.Sub(s.learnedAt) < EntryLifetime }
 
-func (h *Holders) lookup(hash uint64) []location {
+func (h *Index) lookup(hash uint64) []location {
 	if s, ok := h.current[hash]; ok {
 		return s
 	}
 	return h.previous[hash]
 }
 
-func (h *Holders) store(hash uint64, s []location) {
+func (h *Index) store(hash uint64, s []location) {
 	if _, ok := h.current[hash]; !ok && len(h.current) >= MaxPrefixes/2 {
 		h.current, h.previous = nil, h.current
 	}
@@ -106,4 +106,4 @@
 }
 
 // Len returns the number of stored prefixes.
-func (h *Holders) Len() int { return len(h.current) + len(h.previous) }
+func (h *Index) Len() int { return len(h.current) + len(h.previous) }
--- a/core/prefix/index_test.go
+++ b/core/prefix/index_test.go
@@ -31,11 +31,11 @@
 	}
 
 	DescribeTable("returns the engine to copy from", func(before []sent, prefixes []uint64, to, want string) {
-		var h prefix.Holders
+		var h prefix.Index
 		for i, s := range before {
-			h.Learn(now.Add(time.Duration(i)*time.Millisecond), s.prefixes, engine(s.engine))
+			h.RecordPrompt(now.Add(time.Duration(i)*time.Millisecond), s.prefixes, engine(s.engine))
 		}
-		from, ok := h.Source(now.Add(time.Second), prefixes, to, anyone)
+		from, ok := h.CopySource(now.Add(time.Second), prefixes, to, anyone)
 		Expect(ok).To(Equal(want != ""))
 		Expect(from.Name).To(Equal(want))
 	},
@@ -50,25 +50,25 @@
 	)
 
 	It("skips unusable engines and expired entries", func() {
-		var h prefix.Holders
-		h.Learn(now, []uint64{1}, engine("e2"))
-		h.Learn(now.Add(time.Second), []uint64{1}, engine("e3"))
-		from, ok := h.Source(now.Add(2*time.Second), []uint64{1}, "e1", func(e prefix.Engine) bool { return e.Name != "e3" })
+		var h prefix.Index
+		h.RecordPrompt(now, []uint64{1}, engine("e2"))
+		h.RecordPrompt(now.Add(time.Second), []uint64{1}, engine("e3"))
+		from, ok := h.CopySource(now.Add(2*time.Second), []uint64{1}, "e1", func(e prefix.Engine) bool { return e.Name != "e3" })
 		Expect(ok).To(BeTrue())
 		Expect(from).To(Equal(engine("e2")))
-		_, ok = h.Source(now.Add(time.Second+prefix.EntryLifetime), []uint64{1}, "e1", anyone)
+		_, ok = h.CopySource(now.Add(time.Second+prefix.EntryLifetime), []uint64{1}, "e1", anyone)
 		Expect(ok).To(BeFalse())
-		Expect(h.Holds(now.Add(time.Second), []uint64{1}, "e3")).To(BeTrue())
-		Expect(h.Holds(now.Add(time.Second+prefix.EntryLifetime), []uint64{1}, "e3")).To(BeFalse())
+		Expect(h.HasPrefix(now.Add(time.Second), []uint64{1}, "e3")).To(BeTrue())
+		Expect(h.HasPrefix(now.Add(time.Second+prefix.EntryLifetime), []uint64{1}, "e3")).To(BeFalse())
 	})
 
 	It("is bounded and keeps prefixes in use", func() {
-		var h prefix.Holders
+		var h prefix.Index
 		for i := range 5 * prefix.MaxPrefixes {
-			h.Learn(now, []uint64{7}, engine("e2"))
-			h.Learn(now, []uint64{uint64(100 + i)}, engine(fmt.Sprint("e", i%9)))
+			h.RecordPrompt(now, []uint64{7}, engine("e2"))
+			h.RecordPrompt(now, []uint64{uint64(100 + i)}, engine(fmt.Sprint("e", i%9)))
 			Expect(h.Len()).To(BeNumerically("<=", prefix.MaxPrefixes))
 		}
-		Expect(h.Holds(now, []uint64{7}, "e2")).To(BeTrue())
+		Expect(h.HasPrefix(now, []uint64{7}, "e2")).To(BeTrue())
 	})
 })
--- a/core/refusal/monitor.go
+++ b/core/refusal/monitor.go
@@ -15,12 +15,12 @@
 	Full Reason = "full"
 	// LoadUntold means that the replica does not report its load, so that the refusal
 	// cannot be classified.
-	LoadUntold Reason = "load_untold"
+	LoadUnknown Reason = "load_untold"
 	// InputsGone means that stage results which the request needs no longer exist.
-	InputsGone Reason = "inputs_gone"
+	InputsMissing Reason = "inputs_gone"
 	// OtherReplica means that another replica, or another version of it, now has the
 	// address.
-	OtherReplica Reason = "other_replica"
+	ReplicaMismatch Reason = "other_replica"
 	// Unexplained means that the replica had free slots and no queued requests.
 	Unexplained Reason = "unexplained"
 )
@@ -33,7 +33,7 @@
 }
 
 // Explains reports whether a replica with this load has a reason to refuse requests.
-func (l Load) Explains() bool { return l.Running >= l.Slots || l.Waiting > 0 }
+func (l Load) ExplainsRefusal() bool { return l.Running >= l.Slots || l.Waiting > 0 }
 
 const (
 	// Window is the time over which attempts are counted. It is long enough to see ten
@@ -69,7 +69,7 @@
 }
 
 // Watch counts refusals by service.
-type Watch struct {
+type Monitor struct {
 	services map[string]*windowCounts
 }
 
@@ -82,11 +82,11 @@
 }
 
 // New returns a Watch without any counts.
-func New() *Watch { return &Watch{services: map[string]*windowCounts{}} }
+func New() *Monitor { return &Monitor{services: map[string]*windowCounts{}} }
 
 // Observe counts the end of an attempt. It returns an alarm if this attempt makes the
 // service cross the thresholds for the first time in the window.
-func (w *Watch) Observe(now time.Time, a Attempt) (Alarm, bool) {
+func (w *Monitor) Observe(now time.Time, a Attempt) (Alarm, bool) {
 	t := w.services[a.Service]
 	if t == nil {
 		if len(w.services) >= MaxServices {
--- a/core/refusal/monitor_test.go
+++ b/core/refusal/monitor_test.go
@@ -17,7 +17,7 @@
 }
 
 // observeAttempts observes n attempts, one per step, of which one in every is refused with reason.
-func observeAttempts(w *refusal.Watch, start time.Time, n, every int, reason refusal.Reason, step time.Duration) []refusal.Alarm {
+func observeAttempts(w *refusal.Monitor, start time.Time, n, every int, reason refusal.Reason, step time.Duration) []refusal.Alarm {
 	var alarms []refusal.Alarm
 	for i := range n {
 		a := refusal.Attempt{Service: "llm", Replica: fmt.Sprintf("r%d", i%20)}
@@ -40,7 +40,7 @@
 		Entry("when replicas with free slots refuse a quarter", 200, 4, refusal.Unexplained, 20*time.Millisecond, 1),
 		Entry("again in the next window", 1200, 4, refusal.Unexplained, 20*time.Millisecond, 3),
 		Entry("not when the replicas are full", 200, 2, refusal.Full, 20*time.Millisecond, 0),
-		Entry("not when the replicas do not report their load", 200, 2, refusal.LoadUntold, 20*time.Millisecond, 0),
+		Entry("not when the replicas do not report their load", 200, 2, refusal.LoadUnknown, 20*time.Millisecond, 0),
 		Entry("not for a few refusals among many attempts", 500, 40, refusal.Unexplained, 10*time.Millisecond, 0),
 		Entry("not for a few refusals over a long time", 100, 4, refusal.Unexplained, time.Second, 0),
 	)
@@ -63,7 +63,7 @@
 	})
 
 	DescribeTable("decides whether a load explains a refusal", func(l refusal.Load, want bool) {
-		Expect(l.Explains()).To(Equal(want))
+		Expect(l.ExplainsRefusal()).To(Equal(want))
 	},
 		Entry("free slots", refusal.Load{Running: 3, Slots: 8}, false),
 		Entry("all slots in use", refusal.Load{Running: 8, Slots: 8}, true),
--- a/core/request/action.go
+++ b/core/request/action.go
@@ -23,7 +23,7 @@
 	// StartBy is the latest time at which the call can start and still meet
 	// the deadline, given the expected time of this stage and the later ones.
 	// An upstream should serve its waiting calls in order of StartBy.
-	StartBy time.Time
+	LatestStart time.Time
 	// Key is the idempotency key if the stage is non-repeatable, else empty.
 	Key string
 }
@@ -32,31 +32,31 @@
 type Cancel struct{ Attempt int }
 
 // Claim asks the claim holders for the exclusive right to run a stage.
-type Claim struct {
+type AcquireClaim struct {
 	Key   ClaimKey
 	Stage bundle.Stage
 }
 
 // Release releases a claim under which no call was sent. The holders then refuse
 // all attempts at the key that arrived before the release.
-type Release struct{ Key ClaimKey }
+type ReleaseClaim struct{ Key ClaimKey }
 
 // Record stores the result of a claimed stage at the claim holders.
-type Record struct {
+type RecordResult struct {
 	Key    ClaimKey
 	Result json.RawMessage
 }
 
 // LookUp asks the upstreams of a pool for the outcome of a call whose response
 // was lost, until one of them returns the result or the deadline passes.
-type LookUp struct {
+type LookUpStatus struct {
 	Pool string
 	Key  string
 }
 
 // Keep stores a stage's result at other daemons until the deadline, so that a
 // later request with the same key can reuse it.
-type Keep struct {
+type StoreResult struct {
 	Stage  string
 	Result json.RawMessage
 }
@@ -65,7 +65,7 @@
 type Forward struct{ Attempt int }
 
 // Reset tells a streaming caller to discard the text it has received so far.
-type Reset struct{}
+type ResetStream struct{}
 
 // SetTimer requests a TimerFired event at the time At.
 type SetTimer struct {
@@ -75,7 +75,7 @@
 }
 
 // Notify delivers a grant to the request that waits for it.
-type Notify struct{ Grant Grant }
+type DeliverGrant struct{ Grant Grant }
 
 // Finish answers the caller. Exactly one of Answer and Err is set.
 type Finish struct {
@@ -83,36 +83,36 @@
 	Err    *problem.Error
 	// Settle says what must be done with Key before the caller gets an Err whose
 	// Execution is NotRun. If that fails, the caller gets MayHaveRun instead.
-	Settle Settle
-	Key    ClaimKey
+	ClaimCleanup ClaimCleanup
+	Key          ClaimKey
 }
 
 // Settle is the operation on a key that guarantees that the request of a NotRun
 // response has not run and will not run.
-type Settle uint8
+type ClaimCleanup uint8
 
 // Operations on the key of a refused request.
 const (
 	// SettleNone does nothing.
-	SettleNone Settle = iota
+	ClaimCleanupNone ClaimCleanup = iota
 	// SettleRelease releases a claim under which no call was sent.
-	SettleRelease
+	ClaimCleanupRelease
 	// SettleVoid voids all attempts at a key that has not been claimed yet.
-	SettleVoid
+	ClaimCleanupVoid
 )
 
-func (Call) isAction()     {}
-func (Cancel) isAction()   {}
-func (Claim) isAction()    {}
-func (Release) isAction()  {}
-func (Record) isAction()   {}
-func (LookUp) isAction()   {}
-func (Keep) isAction()     {}
-func (Forward) isAction()  {}
-func (Reset) isAction()    {}
-func (SetTimer) isAction() {}
-func (Notify) isAction()   {}
-func (Finish) isAction()   {}
+func (Call) isAction()         {}
+func (Cancel) isAction()       {}
+func (AcquireClaim) isAction() {}
+func (ReleaseClaim) isAction() {}
+func (RecordResult) isAction() {}
+func (LookUpStatus) isAction() {}
+func (StoreResult) isAction()  {}
+func (Forward) isAction()      {}
+func (ResetStream) isAction()  {}
+func (SetTimer) isAction()     {}
+func (DeliverGrant) isAction() {}
+func (Finish) isAction()       {}
 
 // ClaimKey identifies a stage that may run at most once.
 type ClaimKey struct {
--- a/core/request/attempt.go
+++ b/core/request/attempt.go
@@ -146,7 +146,7 @@
 	m.recordDecision(now, "send", a.number, choice.Upstream, record.Field{Key: "budget", Value: m.spec.Deadline.Sub(now).String()})
 	m.emit(Call{
 		Attempt: a.number, Stage: s, Choice: choice, Input: m.input,
-		NotAfter: m.spec.Deadline, StartBy: a.ticket.LatestStart(), Key: key,
+		NotAfter: m.spec.Deadline, LatestStart: a.ticket.LatestStart(), Key: key,
 	})
 	m.scheduleHedge(now, a)
 }
@@ -160,8 +160,8 @@
 	}
 	for _, other := range m.attempts {
 		if other.stageIndex == m.stageIndex && other != a && other.choice.Upstream != "" {
-			q.Tried = append(q.Tried, other.choice.Upstream)
-			q.TriedDomains = append(q.TriedDomains, other.choice.FailureDomain)
+			q.TriedUpstreams = append(q.TriedUpstreams, other.choice.Upstream)
+			q.TriedFailureDomains = append(q.TriedFailureDomains, other.choice.FailureDomain)
 		}
 	}
 	return q
@@ -176,7 +176,7 @@
 
 func (m *Machine) deliverGrants(grants []Grant) {
 	for _, g := range grants {
-		m.emit(Notify{Grant: g})
+		m.emit(DeliverGrant{Grant: g})
 	}
 }
 
@@ -338,7 +338,7 @@
 	m.recordDecision(now, "retry", a.number, "yes")
 	if m.forwarded {
 		m.forwarded = false
-		m.emit(Reset{})
+		m.emit(ResetStream{})
 	}
 	m.startAttempt(now, false)
 }
@@ -356,7 +356,7 @@
 	if remaining < m.expectedServiceTime(m.currentStage()) {
 		return "too little time left"
 	}
-	if !m.deps.Retries.Withdraw(now) {
+	if !m.deps.RetryBudget.Withdraw(now) {
 		return "retry budget used up"
 	}
 	return ""
--- a/core/request/fakes_test.go
+++ b/core/request/fakes_test.go
@@ -38,11 +38,11 @@
 	r.outcomes = append(r.outcomes, o)
 }
 
-func (r *fakeRouter) Expect(string, string, float64) (time.Duration, bool) {
+func (r *fakeRouter) ExpectedLatency(string, string, float64) (time.Duration, bool) {
 	return r.latency, r.latency > 0
 }
 
-func (r *fakeRouter) ExpectFirstByte(string, string, float64) (time.Duration, bool) {
+func (r *fakeRouter) ExpectedFirstByte(string, string, float64) (time.Duration, bool) {
 	return r.latency, r.latency > 0
 }
 
@@ -166,7 +166,7 @@
 		now: epoch, router: &fakeRouter{}, admitter: &fakeAdmitter{slots: 10},
 		retries: &fakeBudget{remaining: 5}, health: &fakeHealth{}, recorder: &fakeRecorder{},
 	}
-	deps := Deps{Router: h.router, Admitter: h.admitter, Retries: h.retries, Hedges: &fakeBudget{remaining: 5}, Health: h.health}
+	deps := Deps{Router: h.router, Admitter: h.admitter, RetryBudget: h.retries, HedgeBudget: &fakeBudget{remaining: 5}, Health: h.health}
 	h.machine = New(spec, deps, h.recorder)
 	return h
 }
--- a/core/request/finish.go
+++ b/core/request/finish.go
@@ -14,7 +14,7 @@
 
 func (m *Machine) newProblem(kind problem.Kind, format string, args ...any) *problem.Error {
 	e := problem.New(kind, format, args...)
-	if problem.Lookup(kind).Retry {
+	if problem.Lookup(kind).Retryable {
 		e.RetryAfter = defaultRetryAfter
 	}
 	return e
@@ -53,7 +53,7 @@
 	m.phase = phaseLookingUp
 	m.lookUpFailure = ifUnknown
 	m.recordDecision(now, "status", attempt, "asked")
-	m.emit(LookUp{Pool: m.currentStage().Pool, Key: m.spec.Key})
+	m.emit(LookUpStatus{Pool: m.currentStage().Pool, Key: m.spec.Key})
 }
 
 func (m *Machine) poolSupportsStatus() bool {
@@ -91,7 +91,7 @@
 	m.phase = phaseRecording
 	m.mayHaveRun = false
 	m.input = output
-	m.emit(Record{Key: m.claim.key, Result: output})
+	m.emit(RecordResult{Key: m.claim.key, Result: output})
 }
 
 // handleRecorded continues the request. The caller gets the result even if it could
@@ -126,7 +126,7 @@
 func (m *Machine) handleDetachedCallEnded(now time.Time, e CallEnded) {
 	if e.Result == CallOK {
 		m.recordDecision(now, "answer", e.Attempt, "ok after the answer to the caller")
-		m.emit(Record{Key: m.claim.key, Result: e.Output})
+		m.emit(RecordResult{Key: m.claim.key, Result: e.Output})
 		return
 	}
 	m.detached = false
@@ -142,24 +142,24 @@
 		record.Field{Key: "execution", Value: string(out.Execution)},
 		record.Field{Key: "detail", Value: out.Detail})
 	f := Finish{Err: &out}
-	f.Settle, f.Key = m.claimCleanup(out.Execution)
+	f.ClaimCleanup, f.Key = m.claimCleanup(out.Execution)
 	m.finish(now, f, false)
 }
 
 // claimCleanup returns the operation that must succeed before a refusal of a request
 // with a key may say that the request has not run.
-func (m *Machine) claimCleanup(x problem.Execution) (Settle, ClaimKey) {
+func (m *Machine) claimCleanup(x problem.Execution) (ClaimCleanup, ClaimKey) {
 	if m.claim.held && !m.claim.callSent {
-		return SettleRelease, m.claim.key
+		return ClaimCleanupRelease, m.claim.key
 	}
 	if x != problem.NotRun || m.claim.refused || m.claim.held {
-		return SettleNone, ClaimKey{}
+		return ClaimCleanupNone, ClaimKey{}
 	}
 	s, ok := m.spec.Pipeline.FirstNonRepeatable()
 	if !ok || m.spec.Key == "" {
-		return SettleNone, ClaimKey{}
+		return ClaimCleanupNone, ClaimKey{}
 	}
-	return SettleVoid, ClaimKey{Customer: m.spec.Customer, Key: m.spec.Key, Stage: s.Name}
+	return ClaimCleanupVoid, ClaimKey{Customer: m.spec.Customer, Key: m.spec.Key, Stage: s.Name}
 }
 
 // execution returns the Execution of a refusal. It is NotRun only if no call can
--- a/core/request/hedge.go
+++ b/core/request/hedge.go
@@ -55,9 +55,9 @@
 // depends on the length of the output; for other stages, of the total latency.
 func (m *Machine) hedgeDelay(s bundle.Stage, quantile float64) (time.Duration, bool) {
 	if s.Kind == bundle.StageGenerate {
-		return m.deps.Router.ExpectFirstByte(s.Pool, s.Name, quantile)
+		return m.deps.Router.ExpectedFirstByte(s.Pool, s.Name, quantile)
 	}
-	return m.deps.Router.Expect(s.Pool, s.Name, quantile)
+	return m.deps.Router.ExpectedLatency(s.Pool, s.Name, quantile)
 }
 
 // startHedge starts a second attempt in parallel with a slow one.
@@ -71,7 +71,7 @@
 		m.recordDecision(now, "hedge", number, "no: too little time left")
 		return
 	}
-	if !m.deps.Hedges.Withdraw(now) {
+	if !m.deps.HedgeBudget.Withdraw(now) {
 		m.recordDecision(now, "hedge", number, "no: hedge budget used up")
 		return
 	}
--- a/core/request/machine.go
+++ b/core/request/machine.go
@@ -28,16 +28,16 @@
 	Input  json.RawMessage
 	// Kept holds, by stage name, the results of stages that an earlier request
 	// with the same key completed.
-	Kept map[string]json.RawMessage
+	StoredResults map[string]json.RawMessage
 }
 
 // Deps are the dependencies of a Machine. All machines of a daemon share them.
 type Deps struct {
-	Router   Router
-	Admitter Admitter
-	Retries  Budget
-	Hedges   Budget
-	Health   Health
+	Router      Router
+	Admitter    Admitter
+	RetryBudget Budget
+	HedgeBudget Budget
+	Health      Health
 }
 
 // phase is the state of a machine.
@@ -218,7 +218,7 @@
 // expectedServiceTime returns the measured service time of a stage, or the value
 // from the bundle until enough calls have been measured.
 func (m *Machine) expectedServiceTime(s bundle.Stage) time.Duration {
-	if d, ok := m.deps.Router.Expect(s.Pool, s.Name, planLatencyQuantile); ok {
+	if d, ok := m.deps.Router.ExpectedLatency(s.Pool, s.Name, planLatencyQuantile); ok {
 		return d
 	}
 	return s.Expected
@@ -242,7 +242,7 @@
 	m.claim = claimState{}
 	m.phase = phaseRunning
 	s := m.currentStage()
-	if kept, ok := m.spec.Kept[s.Name]; ok && !s.NonRepeatable {
+	if kept, ok := m.spec.StoredResults[s.Name]; ok && !s.NonRepeatable {
 		m.recordDecision(now, "resume", 0, "kept result reused")
 		m.completeStage(now, kept, true)
 		return
@@ -251,11 +251,11 @@
 		m.phase = phaseClaiming
 		m.claim.key = ClaimKey{Customer: m.spec.Customer, Key: m.spec.Key, Stage: s.Name}
 		m.recordDecision(now, "claim", 0, "asked")
-		m.emit(Claim{Key: m.claim.key, Stage: s})
+		m.emit(AcquireClaim{Key: m.claim.key, Stage: s})
 		return
 	}
-	m.deps.Retries.Deposit(now)
-	m.deps.Hedges.Deposit(now)
+	m.deps.RetryBudget.Deposit(now)
+	m.deps.HedgeBudget.Deposit(now)
 	m.startAttempt(now, false)
 }
 
@@ -293,7 +293,7 @@
 	m.droppedEvents++
 	if e.Won && !m.claim.held && !m.claim.callSent {
 		m.recordDecision(now, "claim", 0, "won too late, released")
-		m.emit(Release{Key: m.claim.key})
+		m.emit(ReleaseClaim{Key: m.claim.key})
 	}
 }
 
@@ -305,7 +305,7 @@
 		Millis: now.Sub(m.stageStartedAt).Milliseconds(), Reused: reused,
 	})
 	if s.KeepResult && !reused && m.spec.Key != "" {
-		m.emit(Keep{Stage: s.Name, Result: output})
+		m.emit(StoreResult{Stage: s.Name, Result: output})
 	}
 	if m.stageIndex == len(m.spec.Pipeline.Stages)-1 {
 		m.succeed(now, output)
--- a/core/request/machine_test.go
+++ b/core/request/machine_test.go
@@ -36,7 +36,7 @@
 		expectCompleted()
 		Expect(h.finishAction().Answer.Stages).To(HaveLen(2))
 		Expect(h.finishAction().Answer.BundleVersion).To(BeEquivalentTo(7))
-		Expect(actions[Keep](h.actionLog)).To(HaveLen(1))
+		Expect(actions[StoreResult](h.actionLog)).To(HaveLen(1))
 	})
 
 	It("sets the latest start of each call so that the later stages meet the deadline", func() {
@@ -45,8 +45,8 @@
 		h.succeed(1)
 		calls := actions[Call](h.actionLog)
 		// The deadline is 1 s. The stages are expected to take 10 ms and 100 ms.
-		Expect(calls[0].StartBy).To(Equal(epoch.Add(890 * time.Millisecond)))
-		Expect(calls[1].StartBy).To(Equal(epoch.Add(900 * time.Millisecond)))
+		Expect(calls[0].LatestStart).To(Equal(epoch.Add(890 * time.Millisecond)))
+		Expect(calls[1].LatestStart).To(Equal(epoch.Add(900 * time.Millisecond)))
 	})
 
 	It("refuses without sending a call when admission refuses", func() {
@@ -83,7 +83,7 @@
 		h = newHarness(true)
 		h.admitter.refusal = problem.New(problem.Overloaded, "full")
 		h.step(Start{})
-		Expect(h.finishAction().Settle).To(Equal(SettleVoid))
+		Expect(h.finishAction().ClaimCleanup).To(Equal(ClaimCleanupVoid))
 		Expect(h.finishAction().Key).To(Equal(ClaimKey{Customer: "c", Key: "k", Stage: "last"}))
 	})
 
@@ -91,8 +91,8 @@
 		h = newHarness(false)
 		h.step(Start{})
 		h.step(CallEnded{Attempt: 1, Result: CallFailed})
-		Expect(h.router.queries[1].Tried).To(Equal([]string{"u1"}))
-		Expect(h.router.queries[1].TriedDomains).To(Equal([]string{"d-u1"}))
+		Expect(h.router.queries[1].TriedUpstreams).To(Equal([]string{"u1"}))
+		Expect(h.router.queries[1].TriedFailureDomains).To(Equal([]string{"d-u1"}))
 		h.succeed(2)
 		h.succeed(3)
 		expectCompleted()
@@ -151,7 +151,7 @@
 	})
 
 	It("reuses the kept result of a stage", func() {
-		h = newHarness(false, func(s *Spec) { s.Kept = map[string]json.RawMessage{"first": json.RawMessage(`"kept"`)} })
+		h = newHarness(false, func(s *Spec) { s.StoredResults = map[string]json.RawMessage{"first": json.RawMessage(`"kept"`)} })
 		h.step(Start{})
 		Expect(actions[Call](h.actionLog)[0].Stage.Name).To(Equal("last"))
 		h.succeed(1)
@@ -266,7 +266,7 @@
 			h.step(FirstToken{Attempt: 2})
 			Expect(actions[Forward](h.actionLog)).To(Equal([]Forward{{Attempt: 2}}))
 			h.step(CallEnded{Attempt: 2, Result: CallFailed})
-			Expect(actions[Reset](h.actionLog)).To(HaveLen(1))
+			Expect(actions[ResetStream](h.actionLog)).To(HaveLen(1))
 			h.step(FirstToken{Attempt: 3})
 			h.succeed(3)
 			expectCompleted()
@@ -278,7 +278,7 @@
 			h = newHarness(true)
 			h.step(Start{})
 			h.succeed(1)
-			Expect(actions[Claim](h.actionLog)).To(HaveLen(1))
+			Expect(actions[AcquireClaim](h.actionLog)).To(HaveLen(1))
 			Expect(actions[Call](h.actionLog)).To(HaveLen(1))
 		}
 
@@ -315,9 +315,9 @@
 			h.succeed(1)
 			h.step(ClaimDecided{Won: true})
 			h.step(CallEnded{Attempt: 2, Result: CallFailed})
-			Expect(actions[LookUp](h.actionLog)).To(HaveLen(1))
+			Expect(actions[LookUpStatus](h.actionLog)).To(HaveLen(1))
 			h.step(StatusAnswered{Known: true, Output: json.RawMessage(`"found"`)})
-			Expect(actions[Record](h.actionLog)).To(HaveLen(1))
+			Expect(actions[RecordResult](h.actionLog)).To(HaveLen(1))
 			h.step(Recorded{})
 			expectCompleted()
 			Expect(h.finishAction().Answer.Result).To(BeEquivalentTo(`"found"`))
@@ -330,7 +330,7 @@
 			h.step(ClaimDecided{Err: outcomeUnknown})
 			h.step(StatusAnswered{Known: true, Output: json.RawMessage(`"found"`)})
 			expectCompleted()
-			Expect(actions[Record](h.actionLog)).To(BeEmpty())
+			Expect(actions[RecordResult](h.actionLog)).To(BeEmpty())
 			Expect(h.finishAction().Answer.Result).To(BeEquivalentTo(`"found"`))
 
 			h = newHarness(true, withStatus)
@@ -362,7 +362,7 @@
 			Expect(actions[Cancel](h.actionLog)).To(BeEmpty())
 			Expect(h.machine.Idle()).To(BeFalse())
 			h.succeed(2)
-			Expect(actions[Record](h.actionLog)).To(HaveLen(1))
+			Expect(actions[RecordResult](h.actionLog)).To(HaveLen(1))
 			h.step(Recorded{})
 			expectCompleted()
 		})
@@ -372,7 +372,7 @@
 			h.now = epoch.Add(2 * time.Second)
 			h.step(ClaimDecided{Won: true})
 			Expect(actions[Call](h.actionLog)).To(HaveLen(1))
-			Expect(h.finishAction().Settle).To(Equal(SettleRelease))
+			Expect(h.finishAction().ClaimCleanup).To(Equal(ClaimCleanupRelease))
 			expectCompleted()
 		})
 
@@ -380,7 +380,7 @@
 			startClaiming()
 			h.step(CallerGone{})
 			h.step(ClaimDecided{Won: true})
-			Expect(actions[Release](h.actionLog)).To(HaveLen(1))
+			Expect(actions[ReleaseClaim](h.actionLog)).To(HaveLen(1))
 			Expect(actions[Call](h.actionLog)).To(HaveLen(1))
 		})
 	})
--- a/core/request/ports.go
+++ b/core/request/ports.go
@@ -21,19 +21,19 @@
 	// Prefix is a hash of the prompt's shared prefix, or 0 if there is none.
 	Prefix uint64
 	// Tried holds the upstreams of earlier attempts, which the Router avoids.
-	Tried []string
+	TriedUpstreams []string
 	// TriedDomains holds the failure domains of earlier attempts. The Router
 	// prefers other domains.
-	TriedDomains []string
+	TriedFailureDomains []string
 	// Domain is the failure domain that stores the call's inputs. The Router
 	// prefers it. It is "" if the location of the inputs does not matter.
-	Domain string
+	InputFailureDomain string
 	// Budget is the time left for this stage.
 	Budget time.Duration
 	// Read is the expected time that an engine needs to process the part of the
 	// prompt that is not in a shared prefix. FirstByte is the usual time to the
 	// first byte of the response. Either is 0 if it is not known.
-	Read, FirstByte time.Duration
+	PrefillTime, ExpectedFirstByte time.Duration
 }
 
 // Choice is the upstream that a Router picked for a call. The call counts as in
@@ -88,9 +88,9 @@
 	Done(now time.Time, o Outcome)
 	// Expect returns the measured latency of a stage at a pool at the given
 	// quantile (0 to 1). It returns false until enough calls have been measured.
-	Expect(pool, stage string, quantile float64) (time.Duration, bool)
+	ExpectedLatency(pool, stage string, quantile float64) (time.Duration, bool)
 	// ExpectFirstByte is like Expect, for the time to the first byte or token.
-	ExpectFirstByte(pool, stage string, quantile float64) (time.Duration, bool)
+	ExpectedFirstByte(pool, stage string, quantile float64) (time.Duration, bool)
 }
 
 // PlannedStage is one stage of a plan and the service time it needs from its pool.
--- a/core/retry/shared.go
+++ b/core/retry/shared.go
@@ -14,7 +14,7 @@
 //
 // A daemon accumulates at most half of its part of the slack and refills half of it per
 // window, so that no window, wherever it begins, allows more than the whole part.
-type Shared struct {
+type SharedBudget struct {
 	ratio  float64
 	slack  float64
 	window time.Duration
@@ -27,22 +27,22 @@
 	denied     uint64
 }
 
-var _ request.Budget = (*Shared)(nil)
+var _ request.Budget = (*SharedBudget)(nil)
 
 // NewShared returns a full part of a budget of ratio extra attempts per first attempt, plus
 // slack extra attempts per window, which is divided among the given number of hosts.
-func NewShared(ratio, slack float64, window time.Duration, hosts int) *Shared {
-	b := &Shared{ratio: ratio, slack: slack, window: window, hosts: max(1, hosts)}
+func NewSharedBudget(ratio, slack float64, window time.Duration, hosts int) *SharedBudget {
+	b := &SharedBudget{ratio: ratio, slack: slack, window: window, hosts: max(1, hosts)}
 	b.tokens = b.capacity()
 	return b
 }
 
 // capacity is the maximum number of tokens from the slack that accumulate, and the number
 // that is refilled per window.
-func (b *Shared) capacity() float64 { return b.slack / float64(b.hosts) / 2 }
+func (b *SharedBudget) capacity() float64 { return b.slack / float64(b.hosts) / 2 }
 
 // SetHosts changes the number of daemons that share the budget.
-func (b *Shared) SetHosts(hosts int) {
+func (b *SharedBudget) SetHosts(hosts int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.hosts = max(1, hosts)
@@ -50,7 +50,7 @@
 }
 
 // Deposit implements request.Budget.
-func (b *Shared) Deposit(now time.Time) {
+func (b *SharedBudget) Deposit(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
@@ -60,7 +60,7 @@
 }
 
 // Withdraw implements request.Budget.
-func (b *Shared) Withdraw(now time.Time) bool {
+func (b *SharedBudget) Withdraw(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
@@ -75,7 +75,7 @@
 
 // Owe withdraws an extra attempt even if no token is left. The balance becomes negative and
 // must be refilled before another extra attempt is allowed.
-func (b *Shared) Owe(now time.Time) {
+func (b *SharedBudget) ForceWithdraw(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
@@ -84,7 +84,7 @@
 }
 
 // Return refunds an extra attempt that was withdrawn and not sent.
-func (b *Shared) Return(now time.Time) {
+func (b *SharedBudget) Refund(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
@@ -93,7 +93,7 @@
 }
 
 // refill adds the tokens of the slack that are due for the time since the last call.
-func (b *Shared) refill(now time.Time) {
+func (b *SharedBudget) refill(now time.Time) {
 	if !b.lastRefill.IsZero() && now.After(b.lastRefill) && b.tokens < b.capacity() {
 		back := b.capacity() * float64(now.Sub(b.lastRefill)) / float64(b.window)
 		b.tokens = min(b.capacity(), b.tokens+back)
@@ -104,7 +104,7 @@
 }
 
 // Stats returns the current state of the budget.
-func (b *Shared) Stats() Stats {
+func (b *SharedBudget) Stats() Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return Stats{Ratio: b.ratio, Tokens: b.tokens, Taken: b.withdrawn, Denied: b.denied}
--- a/core/retry/shared_test.go
+++ b/core/retry/shared_test.go
@@ -15,7 +15,7 @@
 	start := time.Unix(1000, 0)
 
 	It("allows extra attempts from the start", func() {
-		b := retry.NewShared(0.2, 54, window, 7)
+		b := retry.NewSharedBudget(0.2, 54, window, 7)
 		b.Deposit(start)
 		Expect(b.Withdraw(start)).To(BeTrue())
 		Expect(b.Stats().Taken).To(Equal(uint64(1)))
@@ -25,9 +25,9 @@
 		for seed := range uint64(20) {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			hosts := 1 + rng.IntN(12)
-			fleet := make([]*retry.Shared, hosts)
+			fleet := make([]*retry.SharedBudget, hosts)
 			for i := range fleet {
-				fleet[i] = retry.NewShared(0.2, 54, window, hosts)
+				fleet[i] = retry.NewSharedBudget(0.2, 54, window, hosts)
 			}
 			type event struct {
 				at    time.Time
@@ -65,7 +65,7 @@
 	})
 
 	It("allows what first attempts deposit even if the slack is less than one token per daemon", func() {
-		b := retry.NewShared(0.2, 10, window, 400)
+		b := retry.NewSharedBudget(0.2, 10, window, 400)
 		for range 5 {
 			b.Deposit(start)
 		}
@@ -74,7 +74,7 @@
 	})
 
 	It("divides the slack by the number of known daemons", func() {
-		b := retry.NewShared(0, 40, window, 1)
+		b := retry.NewSharedBudget(0, 40, window, 1)
 		b.SetHosts(10)
 		n := 0
 		for b.Withdraw(start) {
@@ -85,23 +85,23 @@
 	})
 
 	It("takes refunds of attempts that were not sent, up to its capacity", func() {
-		b := retry.NewShared(0, 4, window, 1)
+		b := retry.NewSharedBudget(0, 4, window, 1)
 		Expect(b.Withdraw(start)).To(BeTrue())
 		Expect(b.Withdraw(start)).To(BeTrue())
 		Expect(b.Withdraw(start)).To(BeFalse())
-		b.Return(start)
+		b.Refund(start)
 		Expect(b.Stats().Taken).To(Equal(uint64(1)))
 		Expect(b.Withdraw(start)).To(BeTrue())
 		for range 5 {
-			b.Return(start)
+			b.Refund(start)
 		}
 		Expect(b.Stats().Tokens).To(BeNumerically("<=", 2))
 	})
 
 	It("denies extra attempts until a negative balance is refilled", func() {
-		b := retry.NewShared(0.5, 2, window, 1)
+		b := retry.NewSharedBudget(0.5, 2, window, 1)
 		Expect(b.Withdraw(start)).To(BeTrue())
-		b.Owe(start)
+		b.ForceWithdraw(start)
 		Expect(b.Stats().Tokens).To(BeNumerically("==", -1))
 		b.Deposit(start)
 		b.Deposit(start)
--- a/core/rollout/event.go
+++ b/core/rollout/event.go
@@ -13,7 +13,7 @@
 type Tick struct{}
 
 // PeerHeard is the mark that rode on a peer's heartbeat.
-type PeerHeard struct {
+type PeerMarkReceived struct {
 	Host string
 	Mark *wire.BundleMark
 	// Solicited says that the mark answers what this daemon asked since its
@@ -26,7 +26,7 @@
 	// Neighbours are the hosts whose heartbeats are heard.
 	Neighbours []string
 	// Living counts the hosts not believed dead, this one included.
-	Living int
+	LiveHosts int
 }
 
 // ManifestArrived answers a FetchManifest.
@@ -61,11 +61,11 @@
 
 // Woke says that the process stood still: it is not ready until it has heard
 // from its peers again.
-type Woke struct{}
+type Resumed struct{}
 
 func (Tick) isEvent()             {}
-func (Woke) isEvent()             {}
-func (PeerHeard) isEvent()        {}
+func (Resumed) isEvent()          {}
+func (PeerMarkReceived) isEvent() {}
 func (PeersChanged) isEvent()     {}
 func (ManifestArrived) isEvent()  {}
 func (PartsArrived) isEvent()     {}
@@ -93,8 +93,8 @@
 
 // Adopt puts a bundle into force.
 type Adopt struct {
-	InForce *InForce
-	Source  Source
+	Active *ActiveBundle
+	Source Source
 }
 
 // Announce replaces the mark on the heartbeats. It is urgent when a bundle
@@ -114,17 +114,17 @@
 
 // Conflict says that two documents claim one version. The one in force stays.
 type Conflict struct {
-	Source         Source
-	Version        uint64
-	InForce, Other uint64 // short digests
+	Source                    Source
+	Version                   uint64
+	ActiveDigest, OtherDigest uint64 // short digests
 }
 
 // ServiceStale says that the service serves a lower version than is in force.
-type ServiceStale struct{ Served, InForce uint64 }
+type ServiceStale struct{ ServedVersion, ActiveVersion uint64 }
 
 // Readiness says that the daemon holds the newest bundle that it could hear
 // of. Alone means that too few peers answered in time to tell.
-type Readiness struct{ Alone bool }
+type BecameReady struct{ Unconfirmed bool }
 
 func (PollService) isAction()   {}
 func (FetchManifest) isAction() {}
@@ -134,7 +134,7 @@
 func (Rejected) isAction()      {}
 func (Conflict) isAction()      {}
 func (ServiceStale) isAction()  {}
-func (Readiness) isAction()     {}
+func (BecameReady) isAction()   {}
 
 // Source says where a document came from.
 type Source struct {
@@ -157,7 +157,7 @@
 	// whole fleet.
 	PollSpacing time.Duration
 	// PollMin is the least mean time between two reads by this daemon.
-	PollMin time.Duration
+	MinPollInterval time.Duration
 	// PollMax bounds the wait between two reads by this daemon.
 	PollMax time.Duration
 	// FullEvery makes every n-th read unconditional, which notices a service
@@ -179,15 +179,15 @@
 // argues for.
 func DefaultConfig(c Codec) Config {
 	return Config{
-		Codec:        c,
-		PollSpacing:  500 * time.Millisecond,
-		PollMin:      2 * time.Second,
-		PollMax:      10 * time.Minute,
-		FullEvery:    20,
-		StartSpread:  time.Second,
-		StartTimeout: 15 * time.Second,
-		FetchTimeout: 5 * time.Second,
-		AvoidFor:     15 * time.Second,
-		PollTimeout:  10 * time.Second,
+		Codec:           c,
+		PollSpacing:     500 * time.Millisecond,
+		MinPollInterval: 2 * time.Second,
+		PollMax:         10 * time.Minute,
+		FullEvery:       20,
+		StartSpread:     time.Second,
+		StartTimeout:    15 * time.Second,
+		FetchTimeout:    5 * time.Second,
+		AvoidFor:        15 * time.Second,
+		PollTimeout:     10 * time.Second,
 	}
 }
--- a/core/rollout/fleet_test.go
+++ b/core/rollout/fleet_test.go
@@ -157,7 +157,7 @@
 // start begins a process of a host.
 func (f *fleet) start(h member.Host) *node {
 	cfg := member.DefaultConfig(h, uint64(f.now.UnixMilli()))
-	cfg.Extensions = []member.Extension{{ID: member.SlotBundle, MaxBytes: 40}}
+	cfg.Slots = []member.SlotConfig{{ID: member.SlotBundle, MaxBytes: 40}}
 	mm, err := member.New(cfg, f.now, rand.New(rand.NewPCG(f.rng.Uint64(), 2)))
 	if err != nil {
 		panic(err)
@@ -185,7 +185,7 @@
 }
 
 func (f *fleet) peersChanged(n *node) {
-	f.step(n, PeersChanged{Neighbours: n.member.Neighbours(), Living: n.member.Living()})
+	f.step(n, PeersChanged{Neighbours: n.member.Neighbours(), LiveHosts: n.member.LiveHosts()})
 }
 
 // send counts a message and delivers it unless a cut or a death is in the way.
@@ -228,15 +228,15 @@
 		switch a := a.(type) {
 		case member.Send:
 			f.send(n, a.To, a.Msg,
-				func(d *node) { f.memberStep(d, member.Received{From: n.name, Msg: a.Msg}) },
-				func() { f.memberStep(n, member.Failed(a)) })
-		case member.SlotHeard:
+				func(d *node) { f.memberStep(d, member.MessageReceived{From: n.name, Msg: a.Msg}) },
+				func() { f.memberStep(n, member.SendFailed(a)) })
+		case member.SlotReceived:
 			m := &wire.BundleMark{}
 			if err := proto.Unmarshal(a.Value, m); err != nil {
 				panic(err)
 			}
-			f.step(n, PeerHeard{a.Host, m, a.Solicited})
-		case member.Changed:
+			f.step(n, PeerMarkReceived{a.Host, m, a.Solicited})
+		case member.MemberChanged:
 			f.peersChanged(n)
 		}
 	}
@@ -258,7 +258,7 @@
 		case Announce:
 			f.announce(n, a.Mark, a.Urgent)
 		case Adopt:
-			n.history = append(n.history, a.InForce.Bundle.Version)
+			n.history = append(n.history, a.Active.Bundle.Version)
 		}
 	}
 }
@@ -283,11 +283,11 @@
 func (f *fleet) fetchManifest(n *node, a FetchManifest) {
 	lost := func() { f.step(n, FetchFailed{a.From, errors.New("lost")}) }
 	f.send(n, a.From, &wire.BundleManifestRequest{}, func(d *node) {
-		if d.rollout.Current() == nil {
+		if d.rollout.Active() == nil {
 			lost()
 			return
 		}
-		m := d.rollout.Current().Manifest()
+		m := d.rollout.Active().Manifest()
 		f.send(d, n.name, m, func(n *node) { f.step(n, ManifestArrived{d.name, m}) }, lost)
 	}, lost)
 }
@@ -295,7 +295,7 @@
 func (f *fleet) fetchParts(n *node, a FetchParts) {
 	lost := func() { f.step(n, FetchFailed{a.From, errors.New("lost")}) }
 	f.send(n, a.From, a.Request, func(d *node) {
-		parts := d.rollout.Current().Parts(a.Request)
+		parts := d.rollout.Active().Parts(a.Request)
 		f.send(d, n.name, parts, func(n *node) { f.step(n, PartsArrived{d.name, parts}) }, lost)
 	}, lost)
 }
--- a/core/rollout/inforce.go
+++ b/core/rollout/inforce.go
@@ -35,7 +35,7 @@
 type hash = [sha256.Size]byte
 
 // InForce is one accepted bundle with the parts that peers ask for.
-type InForce struct {
+type ActiveBundle struct {
 	Bundle *bundle.Bundle
 	// Digest is the SHA-256 of the signed document.
 	Digest [sha256.Size]byte
@@ -46,8 +46,8 @@
 }
 
 // newInForce splits a verified document.
-func newInForce(b *bundle.Bundle, signed []byte, split func([]byte) [][]byte) *InForce {
-	f := &InForce{Bundle: b, Digest: sha256.Sum256(signed), signed: signed, parts: map[hash][]byte{}}
+func newInForce(b *bundle.Bundle, signed []byte, split func([]byte) [][]byte) *ActiveBundle {
+	f := &ActiveBundle{Bundle: b, Digest: sha256.Sum256(signed), signed: signed, parts: map[hash][]byte{}}
 	f.manifest = &wire.BundleManifest{Version: b.Version, Digest: f.Digest[:], Size: uint64(len(signed))}
 	for _, part := range split(signed) {
 		h := sha256.Sum256(part)
@@ -58,11 +58,11 @@
 }
 
 // Manifest returns the list of parts. It must not be changed.
-func (f *InForce) Manifest() *wire.BundleManifest { return f.manifest }
+func (f *ActiveBundle) Manifest() *wire.BundleManifest { return f.manifest }
 
 // Parts returns the parts that were asked for, as far as they are known and
 // fit one answer.
-func (f *InForce) Parts(req *wire.BundlePartsRequest) *wire.BundleParts {
+func (f *ActiveBundle) Parts(req *wire.BundlePartsRequest) *wire.BundleParts {
 	out := &wire.BundleParts{}
 	size := 0
 	for _, raw := range req.GetHashes()[:min(len(req.GetHashes()), MaxBatchParts)] {
