--- a/core/rollout/machine.go
+++ b/core/rollout/machine.go
@@ -32,7 +32,7 @@
 type Machine struct {
 	cfg     Config
 	rng     *rand.Rand
-	current *InForce
+	current *ActiveBundle
 	source  Source
 	// revision at which the service served the document in force; 0 unknown.
 	revision uint64
@@ -76,9 +76,9 @@
 	case Tick:
 		m.expireFetch(now)
 		m.pollDue(now)
-	case Woke:
+	case Resumed:
 		m.woke(now)
-	case PeerHeard:
+	case PeerMarkReceived:
 		m.heard(now, e)
 	case PeersChanged:
 		m.peersChanged(e)
@@ -113,7 +113,7 @@
 }
 
 // heard notes a peer's mark.
-func (m *Machine) heard(now time.Time, e PeerHeard) {
+func (m *Machine) heard(now time.Time, e PeerMarkReceived) {
 	p := m.peers[e.Host]
 	if p == nil {
 		if !slices.Contains(m.near, e.Host) && len(m.peers) >= maxStrangers+len(m.near) {
@@ -140,7 +140,7 @@
 // peersChanged drops the marks of hosts that are not neighbours any more.
 func (m *Machine) peersChanged(e PeersChanged) {
 	m.near = slices.Clone(e.Neighbours)
-	m.living = max(e.Living, 1)
+	m.living = max(e.LiveHosts, 1)
 	for host := range m.peers {
 		if !slices.Contains(m.near, host) {
 			delete(m.peers, host)
@@ -200,7 +200,7 @@
 }
 
 // adopt puts a bundle into force.
-func (m *Machine) adopt(f *InForce, source Source) {
+func (m *Machine) adopt(f *ActiveBundle, source Source) {
 	m.current, m.source = f, source
 	m.revision = 0
 	m.stale = 0
@@ -270,15 +270,15 @@
 	switch {
 	case enough && (len(m.near) > 0 || m.poll.done > 0):
 		m.ready = true
-		m.act(Readiness{})
+		m.act(BecameReady{})
 	case now.Sub(m.started) >= m.cfg.StartTimeout && m.poll.done > 0:
 		m.ready = true
-		m.act(Readiness{Alone: true})
+		m.act(BecameReady{Unconfirmed: true})
 	}
 }
 
 // Current returns the bundle in force, or nil.
-func (m *Machine) Current() *InForce { return m.current }
+func (m *Machine) Active() *ActiveBundle { return m.current }
 
 // Ready says whether the daemon has held the newest bundle that it could hear
 // of since it started or woke.
--- a/core/rollout/poll.go
+++ b/core/rollout/poll.go
@@ -72,10 +72,10 @@
 		return m.poll.first
 	}
 	readers := float64(m.living) * m.readerShare(now)
-	mean := max(m.cfg.PollMin, time.Duration(readers*float64(m.cfg.PollSpacing)))
+	mean := max(m.cfg.MinPollInterval, time.Duration(readers*float64(m.cfg.PollSpacing)))
 	mean <<= min(m.poll.failures, maxPollBackoff)
 	if m.current == nil {
-		mean = m.cfg.PollMin
+		mean = m.cfg.MinPollInterval
 	}
 	return min(time.Duration(m.poll.draw*float64(mean)), m.cfg.PollMax)
 }
--- a/core/rollout/rollout_test.go
+++ b/core/rollout/rollout_test.go
@@ -173,7 +173,7 @@
 		_, ok = f.until(10*time.Second, n.rollout.Ready)
 		Expect(ok).To(BeTrue())
 		Expect(n.rollout.version()).To(Equal(uint64(2)))
-		Expect(actionsOf[Readiness](n)).To(Equal([]Readiness{{Alone: false}}))
+		Expect(actionsOf[BecameReady](n)).To(Equal([]BecameReady{{Unconfirmed: false}}))
 	})
 
 	It("starts a daemon from its peers while the service is down", func() {
@@ -196,7 +196,7 @@
 		Expect(n.rollout.Ready()).To(BeFalse())
 		_, ok := f.until(30*time.Second, n.rollout.Ready)
 		Expect(ok).To(BeTrue())
-		Expect(actionsOf[Readiness](n)).To(Equal([]Readiness{{Alone: true}}))
+		Expect(actionsOf[BecameReady](n)).To(Equal([]BecameReady{{Unconfirmed: true}}))
 	})
 
 	It("refuses a second content of a version loudly, and heals with the next", func() {
@@ -289,8 +289,8 @@
 	mark := &wire.BundleMark{Version: 5, Digest: 77}
 	start := func() *Machine {
 		m := New(DefaultConfig(testCodec()), now, rand.New(rand.NewPCG(1, 1)))
-		m.Step(now, PeersChanged{Neighbours: []string{"a", "b"}, Living: 3})
-		Expect(m.Step(now, PeerHeard{"a", mark, true})).To(ContainElement(FetchManifest{"a"}))
+		m.Step(now, PeersChanged{Neighbours: []string{"a", "b"}, LiveHosts: 3})
+		Expect(m.Step(now, PeerMarkReceived{"a", mark, true})).To(ContainElement(FetchManifest{"a"}))
 		return m
 	}
 	whole := newInForce(must(testCodec().Open(document(5, 3, ""))), document(5, 3, ""), testCodec().Split)
@@ -316,7 +316,7 @@
 		out := m.Step(now, e)
 		Expect(out).To(ContainElement(BeAssignableToTypeOf(Rejected{})))
 		Expect(out).NotTo(ContainElement(FetchManifest{"a"}))
-		Expect(m.Step(now, PeerHeard{"b", mark, true})).To(ContainElement(FetchManifest{"b"}))
+		Expect(m.Step(now, PeerMarkReceived{"b", mark, true})).To(ContainElement(FetchManifest{"b"}))
 	},
 		Entry("on parts nobody asked for", PartsArrived{"a", &wire.BundleParts{Parts: [][]byte{[]byte("junk")}}}),
 		Entry("on an empty answer", PartsArrived{"a", &wire.BundleParts{}}),
@@ -328,11 +328,11 @@
 		out := m.Step(now, ManifestArrived{"a", wrong})
 		out = m.Step(now, PartsArrived{"a", whole.Parts(out[0].(FetchParts).Request)})
 		Expect(out).To(ContainElement(BeAssignableToTypeOf(Rejected{})))
-		Expect(m.Current()).To(BeNil())
+		Expect(m.Active()).To(BeNil())
 	})
 	It("keeps a starting daemon from being ready", func() {
 		m := start()
-		m.Step(now, PeerHeard{"b", &wire.BundleMark{}, true})
+		m.Step(now, PeerMarkReceived{"b", &wire.BundleMark{}, true})
 		m.Step(now, ServiceAnswered{1, document(4, 3, "")})
 		Expect(m.Ready()).To(BeFalse())
 		out := m.Step(now, ManifestArrived{"a", whole.Manifest()})
@@ -342,19 +342,19 @@
 	})
 	It("keeps a daemon that wakes from a pause from being ready", func() {
 		m := start()
-		m.Step(now, PeerHeard{"a", &wire.BundleMark{}, true})
+		m.Step(now, PeerMarkReceived{"a", &wire.BundleMark{}, true})
 		m.Step(now, FetchFailed{From: "a"})
-		m.Step(now, PeerHeard{"b", &wire.BundleMark{}, true})
+		m.Step(now, PeerMarkReceived{"b", &wire.BundleMark{}, true})
 		m.Step(now, ServiceAnswered{1, document(4, 3, "")})
 		Expect(m.Ready()).To(BeTrue())
-		m.Step(now, Woke{})
+		m.Step(now, Resumed{})
 		Expect(m.Ready()).To(BeFalse())
 		// What was sent before the pause and lay in the sockets says nothing.
-		m.Step(now, PeerHeard{"a", &wire.BundleMark{}, false})
-		m.Step(now, PeerHeard{"b", &wire.BundleMark{}, false})
+		m.Step(now, PeerMarkReceived{"a", &wire.BundleMark{}, false})
+		m.Step(now, PeerMarkReceived{"b", &wire.BundleMark{}, false})
 		Expect(m.Ready()).To(BeFalse())
-		m.Step(now, PeerHeard{"a", mark, true})
-		m.Step(now, PeerHeard{"b", &wire.BundleMark{}, true})
+		m.Step(now, PeerMarkReceived{"a", mark, true})
+		m.Step(now, PeerMarkReceived{"b", &wire.BundleMark{}, true})
 		Expect(m.Ready()).To(BeFalse(), "a peer has a higher version")
 		out := m.Step(now, ManifestArrived{"a", whole.Manifest()})
 		m.Step(now, PartsArrived{"a", whole.Parts(out[0].(FetchParts).Request)})
@@ -362,7 +362,7 @@
 	})
 	It("turns to another peer when one falls silent", func() {
 		m := start()
-		m.Step(now, PeerHeard{"b", mark, true})
+		m.Step(now, PeerMarkReceived{"b", mark, true})
 		Expect(m.Step(now.Add(4*time.Second), Tick{})).NotTo(ContainElement(FetchManifest{"b"}))
 		Expect(m.Step(now.Add(6*time.Second), Tick{})).To(ContainElement(FetchManifest{"b"}))
 	})
@@ -371,13 +371,13 @@
 		bad := document(5, 1, "")
 		copy(bad, "5 evil ")
 		signed := digestOf(bad)
-		m.Step(now, PeerHeard{"a", &wire.BundleMark{Version: 5, Digest: shortDigest(signed[:])}, true})
-		f := &InForce{parts: map[hash][]byte{signed: bad}}
+		m.Step(now, PeerMarkReceived{"a", &wire.BundleMark{Version: 5, Digest: shortDigest(signed[:])}, true})
+		f := &ActiveBundle{parts: map[hash][]byte{signed: bad}}
 		m.Step(now, ManifestArrived{"a", &wire.BundleManifest{Version: 5, Digest: signed[:], Parts: [][]byte{signed[:]}}})
 		out := m.Step(now, PartsArrived{"a", f.Parts(&wire.BundlePartsRequest{Hashes: [][]byte{signed[:]}})})
 		Expect(out).To(ContainElement(BeAssignableToTypeOf(Rejected{})))
 		later := now.Add(time.Minute)
-		out = m.Step(later, PeerHeard{"b", &wire.BundleMark{Version: 5, Digest: shortDigest(signed[:])}, true})
+		out = m.Step(later, PeerMarkReceived{"b", &wire.BundleMark{Version: 5, Digest: shortDigest(signed[:])}, true})
 		Expect(out).NotTo(ContainElement(BeAssignableToTypeOf(FetchManifest{})))
 	})
 })
--- a/core/route/apply.go
+++ b/core/route/apply.go
@@ -61,7 +61,7 @@
 	}
 	r.current.Store(next)
 	if r.ownsGates {
-		r.config.Gates.Keep(func(name string) bool { return len(next.byUpstream[name]) > 0 })
+		r.config.Gates.RemoveUnlisted(func(name string) bool { return len(next.byUpstream[name]) > 0 })
 	}
 }
 
@@ -111,7 +111,7 @@
 			st = &memberState{}
 		}
 		// The upstream may have a new gate if it was not listed in the meantime.
-		st.gate = r.config.Gates.Of(u.Name)
+		st.gate = r.config.Gates.Get(u.Name)
 		st.markedLeaving = r.markedLeaving[u.Name]
 		kept[key] = st
 		p.members = append(p.members, member{
--- a/core/route/cold_test.go
+++ b/core/route/cold_test.go
@@ -16,7 +16,7 @@
 var _ = Describe("cold upstreams", func() {
 	coldOnly := func(limit int) *Router {
 		r := testRouter(testBundle(1, 100, bundle.PolicyAdaptive), 1)
-		r.SetCold(map[string]int{"u0": limit})
+		r.SetColdLimits(map[string]int{"u0": limit})
 		return r
 	}
 
@@ -44,21 +44,21 @@
 		b := testBundle(1, 100, bundle.PolicyAdaptive)
 		r := testRouter(b, 1)
 		mustPick(r, start, testQuery())
-		r.SetCold(map[string]int{"u0": 1})
+		r.SetColdLimits(map[string]int{"u0": 1})
 		_, err := r.Pick(start.Add(time.Second), testQuery(), nil)
 		Expect(err).NotTo(BeNil())
 		r.Apply(b)
 		_, err = r.Pick(start.Add(time.Second), testQuery(), nil)
 		Expect(err).NotTo(BeNil())
 		mustPick(r, start.Add(coldWindow), testQuery())
-		r.SetCold(nil)
+		r.SetColdLimits(nil)
 		mustPick(r, start.Add(coldWindow), testQuery())
 	})
 
 	It("are limited also if they are listed only later", func() {
 		r := coldOnly(0)
 		b := testBundle(2, 100, bundle.PolicyAdaptive)
-		r.SetCold(map[string]int{"u1": 0})
+		r.SetColdLimits(map[string]int{"u1": 0})
 		r.Apply(b)
 		for i := range 50 {
 			Expect(mustPick(r, start.Add(time.Duration(i)*time.Second), testQuery()).Upstream).To(Equal("u0"))
@@ -83,7 +83,7 @@
 			shares, limits := intake.NewShares(names[i], names), map[string]int{}
 			for u := range upstreams {
 				if inDomain(u) {
-					limits[fmt.Sprint("u", u)] = shares.Of(fmt.Sprint("u", u), limit)
+					limits[fmt.Sprint("u", u)] = shares.Calls(fmt.Sprint("u", u), limit)
 				}
 			}
 			without := testBundle(upstreams, 64, bundle.PolicyAdaptive)
@@ -94,7 +94,7 @@
 					without.Pools[0].Upstreams = append(without.Pools[0].Upstreams, all[u])
 				}
 			}
-			r.SetCold(limits)
+			r.SetColdLimits(limits)
 			r.Apply(without)
 		}
 		f.run(recovery.Sub(f.now))
@@ -114,7 +114,7 @@
 		Expect(f.errors).To(BeZero(), "the warm upstreams have free capacity")
 		Expect(recoveredPicks).To(BeNumerically(">", 0))
 		for _, r := range f.routers {
-			r.SetCold(nil)
+			r.SetColdLimits(nil)
 		}
 		f.run(time.Second)
 		picks, total, recoveredPicks = map[string][]time.Time{}, 0, 0
--- a/core/route/config.go
+++ b/core/route/config.go
@@ -34,7 +34,7 @@
 	// PrefixRoom is the share of an upstream's concurrency below which it remains the
 	// home of its prefixes regardless of the mean load. Default 0: only the mean load
 	// counts.
-	PrefixRoom float64
+	PrefixMinLoad float64
 	// BacklogWeight is the cost of each second that a prompt waits for the prefill of
 	// other prompts. Default 0: for prompts only PrefixBonus counts.
 	BacklogWeight float64
@@ -47,10 +47,10 @@
 	HistogramWindow time.Duration
 	// Gates limit the calls that begin at the upstreams. They are shared with other
 	// components that call the same upstreams. Default: gates used by this Router only.
-	Gates *intake.Gates
+	Gates *intake.Limiters
 	// Ejected is called for every ejection of an upstream from a pool, with its reason
 	// and end. It is called with a lock held and must not block. It may be nil.
-	Ejected func(pool, upstream, reason string, until time.Time)
+	OnEjected func(pool, upstream, reason string, until time.Time)
 }
 
 // EjectionConfig configures the ejection of failing and slow upstreams.
@@ -90,7 +90,7 @@
 
 func (c Config) withDefaults() Config {
 	if c.Gates == nil {
-		c.Gates = intake.NewGates()
+		c.Gates = intake.NewLimiters()
 	}
 	setDefault(&c.RandomChoices, 2)
 	setDefault(&c.SaturationFactor, 2)
--- a/core/route/filter.go
+++ b/core/route/filter.go
@@ -96,7 +96,7 @@
 func (triedFilter) Name() string      { return "tried" }
 func (triedFilter) Relax() RelaxLevel { return RelaxLast }
 func (triedFilter) Refuse(v *View, c *Candidate) string {
-	if slices.Contains(v.Query.Tried, c.Name) {
+	if slices.Contains(v.Query.TriedUpstreams, c.Name) {
 		return "tried"
 	}
 	return ""
@@ -108,7 +108,7 @@
 func (triedDomainFilter) Name() string      { return "tried_domain" }
 func (triedDomainFilter) Relax() RelaxLevel { return RelaxFirst }
 func (triedDomainFilter) Refuse(v *View, c *Candidate) string {
-	if slices.Contains(v.Query.TriedDomains, c.Domain) {
+	if slices.Contains(v.Query.TriedFailureDomains, c.Domain) {
 		return "tried_domain"
 	}
 	return ""
@@ -120,7 +120,7 @@
 func (inputDomainFilter) Name() string      { return "domain" }
 func (inputDomainFilter) Relax() RelaxLevel { return RelaxFirst }
 func (inputDomainFilter) Refuse(v *View, c *Candidate) string {
-	if v.Query.Domain != "" && v.Query.Domain != c.Domain {
+	if v.Query.InputFailureDomain != "" && v.Query.InputFailureDomain != c.Domain {
 		return "other_domain"
 	}
 	return ""
--- a/core/route/fleet_behaviour_test.go
+++ b/core/route/fleet_behaviour_test.go
@@ -185,7 +185,7 @@
 		var rec entryRecorder
 		_, err := f.routers[0].Pick(f.now, testQuery(), &rec)
 		Expect(err).To(BeNil())
-		Expect(rec[0].Choices).To(ContainElement(record.Candidate{Upstream: "u0", Refused: "stalled: stalled"}))
+		Expect(rec[0].Candidates).To(ContainElement(record.Candidate{Upstream: "u0", RefusalReason: "stalled: stalled"}))
 	})
 })
 
--- a/core/route/intake.go
+++ b/core/route/intake.go
@@ -13,12 +13,12 @@
 
 // SetCold sets the cold upstreams by name, each with the number of calls that this
 // daemon may begin there in any second. It replaces the previous set.
-func (r *Router) SetCold(limits map[string]int) {
-	parts := make(map[string]intake.Part, len(limits))
+func (r *Router) SetColdLimits(limits map[string]int) {
+	parts := make(map[string]intake.Quota, len(limits))
 	for name, calls := range limits {
-		parts[name] = intake.Part{Calls: calls, Window: coldWindow}
+		parts[name] = intake.Quota{Calls: calls, Window: coldWindow}
 	}
-	r.config.Gates.SetParts(intake.Cold, parts)
+	r.config.Gates.SetQuotas(intake.Cold, parts)
 }
 
 // intakeFilter rejects upstreams whose gate refuses further calls from this daemon,
--- a/core/route/intake_test.go
+++ b/core/route/intake_test.go
@@ -12,19 +12,19 @@
 )
 
 var _ = Describe("upstreams that declare a call limit", func() {
-	limited := func(upstreams int, parts map[string]intake.Part) *Router {
+	limited := func(upstreams int, parts map[string]intake.Quota) *Router {
 		r := testRouter(testBundle(upstreams, 100, bundle.PolicyAdaptive), 1)
-		r.config.Gates.SetParts(intake.Named, parts)
+		r.config.Gates.SetQuotas(intake.AnnouncedLimit, parts)
 		return r
 	}
 
 	It("get no more calls than this daemon's quota, also on retries, and the others get the rest", func() {
-		part := intake.Part{Calls: 2, Window: 4 * time.Second}
-		r := limited(3, map[string]intake.Part{"u0": part, "u1": part})
+		part := intake.Quota{Calls: 2, Window: 4 * time.Second}
+		r := limited(3, map[string]intake.Quota{"u0": part, "u1": part})
 		picks := map[string]int{}
 		for at := time.Duration(0); at < 4*time.Second; at += 20 * time.Millisecond {
 			q := testQuery()
-			q.Tried = []string{"u2"}
+			q.TriedUpstreams = []string{"u2"}
 			c, err := r.Pick(start.Add(at), q, nil)
 			Expect(err).To(BeNil())
 			picks[c.Upstream]++
@@ -34,10 +34,10 @@
 	})
 
 	It("are refused with the time until the first of them accepts calls again", func() {
-		r := limited(2, map[string]intake.Part{"u0": {Calls: 1, Window: 4 * time.Second}, "u1": {Calls: 1, Window: 4 * time.Second}})
+		r := limited(2, map[string]intake.Quota{"u0": {Calls: 1, Window: 4 * time.Second}, "u1": {Calls: 1, Window: 4 * time.Second}})
 		first := mustPick(r, start, testQuery())
 		Expect(mustPick(r, start.Add(time.Second), testQuery()).Upstream).NotTo(Equal(first.Upstream))
-		_, closed := r.Closed(start.Add(time.Second), "llm")
+		_, closed := r.Unavailable(start.Add(time.Second), "llm")
 		Expect(closed).To(BeTrue())
 		_, err := r.Pick(start.Add(1500*time.Millisecond), testQuery(), nil)
 		Expect(err).NotTo(BeNil())
@@ -47,7 +47,7 @@
 	})
 
 	It("are not used as a source of copies", func() {
-		r := limited(2, map[string]intake.Part{"u0": {Calls: 2, Window: 4 * time.Second}})
+		r := limited(2, map[string]intake.Quota{"u0": {Calls: 2, Window: 4 * time.Second}})
 		address := func(name string) string {
 			for _, p := range r.current.Load().pools["llm"].members {
 				if p.name == name {
@@ -56,18 +56,18 @@
 			}
 			return ""
 		}
-		Expect(r.Usable(start, "llm", "u0", address("u0"))).To(BeFalse())
-		Expect(r.Usable(start, "llm", "u1", address("u1"))).To(BeTrue())
+		Expect(r.CanServeCopies(start, "llm", "u0", address("u0"))).To(BeFalse())
+		Expect(r.CanServeCopies(start, "llm", "u1", address("u1"))).To(BeTrue())
 	})
 })
 
 var _ = Describe("upstreams that report that they are leaving", func() {
 	leaving := func(r *Router, names ...string) {
-		parts := map[string]intake.Part{}
+		parts := map[string]intake.Quota{}
 		for _, n := range names {
-			parts[n] = intake.Part{}
+			parts[n] = intake.Quota{}
 		}
-		r.config.Gates.SetParts(intake.Leaving, parts)
+		r.config.Gates.SetQuotas(intake.Leaving, parts)
 	}
 
 	It("get no more calls, also on retries and after a bundle is applied", func() {
@@ -76,7 +76,7 @@
 		leaving(r, "u0")
 		for i := range 100 {
 			q := testQuery()
-			q.Tried = []string{"u1"}
+			q.TriedUpstreams = []string{"u1"}
 			Expect(mustPick(r, start.Add(time.Duration(i)*time.Second), q).Upstream).To(Equal("u1"))
 			r.Apply(b)
 		}
@@ -85,7 +85,7 @@
 	It("cause an immediate refusal if no other upstream is left", func() {
 		r := testRouter(testBundle(2, 100, bundle.PolicyAdaptive), 1)
 		leaving(r, "u0", "u1")
-		wait, closed := r.Closed(start, "llm")
+		wait, closed := r.Unavailable(start, "llm")
 		Expect(closed).To(BeTrue())
 		Expect(wait).To(Equal(unavailableRetryAfter))
 		_, err := r.Pick(start, testQuery(), nil)
@@ -105,17 +105,17 @@
 
 var _ = Describe("upstreams that request a pause", func() {
 	resting := func(r *Router, until map[string]time.Duration) {
-		parts := map[string]intake.Part{}
+		parts := map[string]intake.Quota{}
 		for name, d := range until {
-			parts[name] = intake.Part{Until: start.Add(d)}
+			parts[name] = intake.Quota{BlockedUntil: start.Add(d)}
 		}
-		r.config.Gates.SetParts(intake.Resting, parts)
+		r.config.Gates.SetQuotas(intake.BackingOff, parts)
 	}
 
 	It("get no calls until the pause is over, even if no others are left", func() {
 		r := testRouter(testBundle(2, 100, bundle.PolicyAdaptive), 1)
 		resting(r, map[string]time.Duration{"u0": 3 * time.Second, "u1": 2 * time.Second})
-		wait, closed := r.Closed(start, "llm")
+		wait, closed := r.Unavailable(start, "llm")
 		Expect(closed).To(BeTrue())
 		Expect(wait).To(Equal(2 * time.Second))
 		_, err := r.Pick(start.Add(time.Second), testQuery(), nil)
@@ -135,7 +135,7 @@
 
 var _ = Describe("an upstream that is temporarily not listed", func() {
 	It("is limited when it is listed again, although calls to it are in flight", func() {
-		gates := intake.NewGates()
+		gates := intake.NewLimiters()
 		r := New(Config{FailureDomain: "d0", Seed: 1, Gates: gates})
 		b := testBundle(2, 100, bundle.PolicyAdaptive)
 		r.Apply(b)
@@ -144,8 +144,8 @@
 		}
 		less := testBundle(1, 100, bundle.PolicyAdaptive)
 		r.Apply(less)
-		gates.Keep(func(name string) bool { return name == "u0" })
-		gates.SetParts(intake.Leaving, map[string]intake.Part{"u1": {}})
+		gates.RemoveUnlisted(func(name string) bool { return name == "u0" })
+		gates.SetQuotas(intake.Leaving, map[string]intake.Quota{"u1": {}})
 		r.Apply(b)
 		for range 50 {
 			Expect(mustPick(r, start, testQuery()).Upstream).To(Equal("u0"))
--- a/core/route/prefill_test.go
+++ b/core/route/prefill_test.go
@@ -33,7 +33,7 @@
 // that take some hundredths of a second and have the same cached prefix there.
 var _ = Describe("a long prompt among short ones", func() {
 	engines := func(n int) *Router {
-		r := New(Config{PrefixRoom: 0.35, PrefixBonus: 2, BacklogWeight: 4, Seed: 1})
+		r := New(Config{PrefixMinLoad: 0.35, PrefixBonus: 2, BacklogWeight: 4, Seed: 1})
 		pool := bundle.Pool{Name: "llm", Kind: bundle.PoolEngine, Concurrency: 64}
 		for i := range n {
 			pool.Upstreams = append(pool.Upstreams, bundle.Upstream{Name: fmt.Sprint("e", i), Address: fmt.Sprint("e", i)})
@@ -43,7 +43,7 @@
 	}
 	pick := func(r *Router, now time.Time, id string, read time.Duration) request.Choice {
 		c, err := r.Pick(now, request.Query{
-			Request: id, Pool: "llm", Stage: "s", Kind: bundle.StageGenerate, Prefix: 7, Read: read, FirstByte: read + 50*time.Millisecond,
+			Request: id, Pool: "llm", Stage: "s", Kind: bundle.StageGenerate, Prefix: 7, PrefillTime: read, ExpectedFirstByte: read + 50*time.Millisecond,
 		}, nil)
 		Expect(err).To(BeNil())
 		return c
@@ -64,7 +64,7 @@
 		r := engines(12)
 		home := pick(r, now, "before", 10*time.Millisecond)
 		r.Done(now, request.Outcome{Choice: home, Stage: "s", Result: request.CallOK})
-		r.Told(now, "llm", home.Upstream, home.Address, 1200*time.Millisecond)
+		r.ObservePeerPrompt(now, "llm", home.Upstream, home.Address, 1200*time.Millisecond)
 		Expect(pick(r, now.Add(50*time.Millisecond), "x", 10*time.Millisecond).Upstream).NotTo(Equal(home.Upstream))
 		Expect(pick(r, now.Add(1300*time.Millisecond), "y", 10*time.Millisecond).Upstream).To(Equal(home.Upstream))
 	})
@@ -82,27 +82,27 @@
 		st := r.current.Load().pools["llm"].members[0].state
 		Expect(st.prefillQueue.prompts).To(BeEmpty())
 		for i := range 3 * maxPendingPrompts {
-			r.Told(now, "llm", c.Upstream, c.Address, time.Duration(i)*time.Second)
+			r.ObservePeerPrompt(now, "llm", c.Upstream, c.Address, time.Duration(i)*time.Second)
 		}
 		Expect(st.prefillQueue.prompts).To(HaveLen(maxPendingPrompts))
-		r.Told(now.Add(time.Hour), "llm", c.Upstream, c.Address, time.Second)
+		r.ObservePeerPrompt(now.Add(time.Hour), "llm", c.Upstream, c.Address, time.Second)
 		Expect(st.prefillQueue.prompts).To(HaveLen(1))
 	})
 
 	It("determines whether an engine can serve copies", func() {
 		r := engines(2)
 		c := pick(r, now, "x", time.Second)
-		Expect(r.Usable(now, "llm", c.Upstream, c.Address)).To(BeTrue())
-		Expect(r.Usable(now.Add(minStallTimeout), "llm", c.Upstream, c.Address)).To(BeFalse(), "calls are in flight without progress")
-		Expect(r.Usable(now, "llm", "unknown", "unknown")).To(BeFalse())
+		Expect(r.CanServeCopies(now, "llm", c.Upstream, c.Address)).To(BeTrue())
+		Expect(r.CanServeCopies(now.Add(minStallTimeout), "llm", c.Upstream, c.Address)).To(BeFalse(), "calls are in flight without progress")
+		Expect(r.CanServeCopies(now, "llm", "unknown", "unknown")).To(BeFalse())
 	})
 
 	It("takes no progress from a pick for which no call was sent", func() {
 		r := engines(1)
 		c := pick(r, now, "x", time.Second)
 		st := r.current.Load().pools["llm"].members[0].state
-		r.Unpick(now.Add(minStallTimeout), pick(r, now.Add(minStallTimeout), "x", time.Second))
-		Expect(r.Usable(now.Add(minStallTimeout), "llm", c.Upstream, c.Address)).To(BeFalse(), "no call has made progress since")
+		r.CancelPick(now.Add(minStallTimeout), pick(r, now.Add(minStallTimeout), "x", time.Second))
+		Expect(r.CanServeCopies(now.Add(minStallTimeout), "llm", c.Upstream, c.Address)).To(BeFalse(), "no call has made progress since")
 		Expect(st.prefillQueue.prompts).To(HaveLen(1), "the prefill of the sent prompt is still pending")
 		Expect(st.ownCalls).To(Equal(1))
 	})
--- a/core/route/record.go
+++ b/core/route/record.go
@@ -21,9 +21,9 @@
 	}
 	s := p.shard
 	e := record.Entry{At: v.Now, Step: StepPick, Stage: v.Query.Stage, Attempt: v.Query.Attempt, Outcome: outcome}
-	e.Choices = make([]record.Candidate, 0, min(maxRecordedCandidates, len(v.Candidates)))
+	e.Candidates = make([]record.Candidate, 0, min(maxRecordedCandidates, len(v.Candidates)))
 	for _, d := range drawn {
-		e.Choices = append(e.Choices, record.Candidate{Upstream: v.Candidates[d.index].Name, Score: d.cost})
+		e.Candidates = append(e.Candidates, record.Candidate{Upstream: v.Candidates[d.index].Name, Score: d.cost})
 	}
 	refused := 0
 	for i, set := range s.result.refusals {
@@ -31,9 +31,9 @@
 			continue
 		}
 		refused++
-		if len(e.Choices) < maxRecordedCandidates {
+		if len(e.Candidates) < maxRecordedCandidates {
 			c := &v.Candidates[i]
-			e.Choices = append(e.Choices, record.Candidate{Upstream: c.Name, Refused: refusalReason(v, p.steps.filters, c)})
+			e.Candidates = append(e.Candidates, record.Candidate{Upstream: c.Name, RefusalReason: refusalReason(v, p.steps.filters, c)})
 		}
 	}
 	e.Fields = p.recordFields(v, refused, drawn)
--- a/core/route/router.go
+++ b/core/route/router.go
@@ -61,21 +61,21 @@
 		return request.Choice{}, err
 	}
 	if q.Kind == bundle.StageGenerate && p.steps.policy == bundle.PolicyAdaptive {
-		v.PrefixHome = prefixHome(v, s.result.eligible, q.Prefix, c.PrefixLoadFactor, c.PrefixRoom)
+		v.PrefixHome = prefixHome(v, s.result.eligible, q.Prefix, c.PrefixLoadFactor, c.PrefixMinLoad)
 	}
 	s.drawn = p.steps.picker.Pick(v, s.result.eligible, s.rng, s.drawn[:0])
 	m := &p.members[s.drawn[0].index]
 	p.recordPick(rec, v, m.name, s.drawn)
 	m.state.startCall(now)
-	if q.Read > 0 {
-		m.state.prefillQueue.add(pendingPrompt{request: q.Request, sentAt: now, prefillTime: q.Read, usualFirstByte: q.FirstByte})
+	if q.PrefillTime > 0 {
+		m.state.prefillQueue.add(pendingPrompt{request: q.Request, sentAt: now, prefillTime: q.PrefillTime, usualFirstByte: q.ExpectedFirstByte})
 	}
 	return request.Choice{Request: q.Request, Pool: p.name, Upstream: m.name, Address: m.address, FailureDomain: m.domain}, nil
 }
 
 // HomeDomain returns the failure domain of the engine that should hold a prompt prefix,
 // or "" if no engine in the pool qualifies.
-func (r *Router) HomeDomain(now time.Time, pool string, prefix uint64) string {
+func (r *Router) PrefixHomeDomain(now time.Time, pool string, prefix uint64) string {
 	snap := r.current.Load()
 	p := snap.pools[pool]
 	if p == nil {
@@ -86,7 +86,7 @@
 	defer p.shard.mu.Unlock()
 	v := p.buildView(now, q, &r.config, snap.region)
 	runFilters(v, p.steps.filters, &p.shard.result)
-	home := prefixHome(v, p.shard.result.eligible, prefix, r.config.PrefixLoadFactor, r.config.PrefixRoom)
+	home := prefixHome(v, p.shard.result.eligible, prefix, r.config.PrefixLoadFactor, r.config.PrefixMinLoad)
 	if home < 0 {
 		return ""
 	}
@@ -107,12 +107,12 @@
 			cold++
 			opens.add(saturatedRetryAfter)
 		case c.IntakeLimited:
-			if c.IntakeLimitSource == intake.Resting {
+			if c.IntakeLimitSource == intake.BackingOff {
 				resting++
 			} else {
 				limited++
 			}
-			opens.add(p.members[i].state.gate.Opens(v.Now).Sub(v.Now))
+			opens.add(p.members[i].state.gate.NextAllowed(v.Now).Sub(v.Now))
 		}
 	}
 	err := problem.New(problem.NoUpstream, "pool %q: of %d upstreams %d are saturated, %d cold, %d limited, %d resting, the others leaving",
@@ -143,7 +143,7 @@
 
 // Closed reports whether all upstreams of a pool are leaving or refused by their gates,
 // and how long this lasts at least. A pool without upstreams is not closed.
-func (r *Router) Closed(now time.Time, pool string) (time.Duration, bool) {
+func (r *Router) Unavailable(now time.Time, pool string) (time.Duration, bool) {
 	p := r.current.Load().pools[pool]
 	if p == nil {
 		return 0, false
@@ -157,10 +157,10 @@
 			opens.add(unavailableRetryAfter)
 			continue
 		}
-		if _, refuses := st.gate.Refuses(now); !refuses {
+		if _, refuses := st.gate.Blocked(now); !refuses {
 			return 0, false
 		}
-		opens.add(st.gate.Opens(now).Sub(now))
+		opens.add(st.gate.NextAllowed(now).Sub(now))
 	}
 	return opens.wait, opens.known
 }
@@ -177,7 +177,7 @@
 }
 
 // Unpick undoes a pick for which no call was sent. Done must not be called for it.
-func (r *Router) Unpick(now time.Time, c request.Choice) {
+func (r *Router) CancelPick(now time.Time, c request.Choice) {
 	r.updateState(c.Pool, c.Upstream, c.Address, func(st *memberState) {
 		st.cancelCall(now)
 		st.prefillQueue.removeNewest(c.Request)
@@ -186,7 +186,7 @@
 
 // Told records that another daemon has sent an upstream a prompt whose prefill takes
 // prefillTime.
-func (r *Router) Told(now time.Time, pool, upstream, address string, prefillTime time.Duration) {
+func (r *Router) ObservePeerPrompt(now time.Time, pool, upstream, address string, prefillTime time.Duration) {
 	r.updateState(pool, upstream, address, func(st *memberState) {
 		st.prefillQueue.add(pendingPrompt{sentAt: now, prefillTime: prefillTime, fromPeer: true})
 	})
@@ -195,10 +195,10 @@
 // Usable reports whether an upstream can serve calls other than those for which it is
 // picked: it is known, is neither leaving, limited nor ejected, and does not have calls
 // in flight without any progress.
-func (r *Router) Usable(now time.Time, pool, upstream, address string) bool {
+func (r *Router) CanServeCopies(now time.Time, pool, upstream, address string) bool {
 	usable := false
 	r.updateState(pool, upstream, address, func(st *memberState) {
-		usable = !st.isLeaving() && !st.gate.Bounded() && !st.ejection.active(now) && (st.ownCalls == 0 || now.Sub(st.lastProgress) < minStallTimeout)
+		usable = !st.isLeaving() && !st.gate.HasQuota() && !st.ejection.active(now) && (st.ownCalls == 0 || now.Sub(st.lastProgress) < minStallTimeout)
 	})
 	return usable
 }
@@ -264,8 +264,8 @@
 	}
 	if !ignored {
 		p.ejectIfNeeded(now, st, c.Ejection)
-		if c.Ejected != nil && st.ejection.startedAt.Equal(now) {
-			c.Ejected(p.name, o.Choice.Upstream, st.ejection.reason, st.ejection.until)
+		if c.OnEjected != nil && st.ejection.startedAt.Equal(now) {
+			c.OnEjected(p.name, o.Choice.Upstream, st.ejection.reason, st.ejection.until)
 		}
 	}
 }
@@ -283,12 +283,12 @@
 }
 
 // Expect implements request.Router.
-func (r *Router) Expect(pool, stage string, quantile float64) (time.Duration, bool) {
+func (r *Router) ExpectedLatency(pool, stage string, quantile float64) (time.Duration, bool) {
 	return r.latencyQuantile(pool, stage, func(l *stageLatency) *latencyWindow { return l.total }, quantile)
 }
 
 // ExpectFirstByte implements request.Router.
-func (r *Router) ExpectFirstByte(pool, stage string, quantile float64) (time.Duration, bool) {
+func (r *Router) ExpectedFirstByte(pool, stage string, quantile float64) (time.Duration, bool) {
 	return r.latencyQuantile(pool, stage, func(l *stageLatency) *latencyWindow { return l.firstByte }, quantile)
 }
 
--- a/core/route/router_test.go
+++ b/core/route/router_test.go
@@ -135,7 +135,7 @@
 	It("retries in another failure domain", func() {
 		r := testRouter(testBundle(8, 4, bundle.PolicyAdaptive), 1)
 		q := testQuery()
-		q.Tried, q.TriedDomains = []string{"u0"}, []string{"d0"}
+		q.TriedUpstreams, q.TriedFailureDomains = []string{"u0"}, []string{"d0"}
 		for range 20 {
 			c := mustPick(r, start, q)
 			Expect(c.FailureDomain).NotTo(Equal("d0"))
@@ -147,7 +147,7 @@
 		r := testRouter(testBundle(40, 4, bundle.PolicyAdaptive), 1)
 		q := testQuery()
 		for i := range 30 {
-			q.Tried = append(q.Tried, r.current.Load().pools[pool].members[i].name)
+			q.TriedUpstreams = append(q.TriedUpstreams, r.current.Load().pools[pool].members[i].name)
 		}
 		var rec entryRecorder
 		c, err := r.Pick(start, q, &rec)
@@ -155,21 +155,21 @@
 		Expect(rec).To(HaveLen(1))
 		e := rec[0]
 		Expect(e.Outcome).To(Equal(c.Upstream))
-		Expect(e.Choices).To(HaveLen(maxRecordedCandidates))
-		Expect(e.Choices[0].Upstream).To(Equal(c.Upstream))
-		Expect(e.Choices[0].Score).To(BeNumerically(">", 0))
-		Expect(e.Choices[maxRecordedCandidates-1].Refused).To(Equal("tried: tried"))
+		Expect(e.Candidates).To(HaveLen(maxRecordedCandidates))
+		Expect(e.Candidates[0].Upstream).To(Equal(c.Upstream))
+		Expect(e.Candidates[0].Score).To(BeNumerically(">", 0))
+		Expect(e.Candidates[maxRecordedCandidates-1].RefusalReason).To(Equal("tried: tried"))
 	})
 
 	It("returns measured latencies from 20 calls on", func() {
 		r := testRouter(testBundle(4, 100, bundle.PolicyAdaptive), 1)
-		_, known := r.Expect(pool, "generate", 0.5)
+		_, known := r.ExpectedLatency(pool, "generate", 0.5)
 		Expect(known).To(BeFalse())
 		for i := range 100 {
 			finishCall(r, start.Add(time.Duration(i)*time.Second), mustPick(r, start, testQuery()), request.CallOK, time.Duration(i+1)*time.Millisecond)
 		}
 		// The window holds the last 20 to 40 calls.
-		d, known := r.Expect(pool, "generate", 0.5)
+		d, known := r.ExpectedLatency(pool, "generate", 0.5)
 		Expect(known).To(BeTrue())
 		Expect(d).To(BeNumerically(">", 70*time.Millisecond))
 	})
@@ -209,7 +209,7 @@
 						r.SetLeaving([]string{"u3"}, start)
 						r.Observe(load.Report{Upstream: "u1", AsOf: start.Add(time.Duration(i))})
 					case g == 2:
-						r.Expect(pool, "generate", 0.9)
+						r.ExpectedLatency(pool, "generate", 0.9)
 					}
 				}
 			})
--- a/core/route/shard.go
+++ b/core/route/shard.go
@@ -170,7 +170,7 @@
 		Busy:              now.Before(st.busyUntil),
 		RampShare:         st.ejection.share(now, c.Ejection.RampDuration),
 	}
-	cand.IntakeLimitSource, cand.IntakeLimited = st.gate.Refuses(now)
+	cand.IntakeLimitSource, cand.IntakeLimited = st.gate.Blocked(now)
 	if st.ejection.active(now) {
 		cand.Ejected = st.ejection.reason
 		cand.RampShare = 1 // ejectedFilter rejects it; readmittingFilter must not
--- a/core/route/state.go
+++ b/core/route/state.go
@@ -56,7 +56,7 @@
 	consecutiveFailures        int // consecutive
 
 	prefillQueue prefillQueue
-	gate         *intake.Gate
+	gate         *intake.Limiter
 
 	busyUntil           time.Time
 	consecutiveRefusals int // consecutive
@@ -71,7 +71,9 @@
 
 // isLeaving reports whether the host list, the upstream's load report or one of its
 // responses says that the upstream is leaving.
-func (s *memberState) isLeaving() bool { return s.markedLeaving || s.report.Leaving || s.gate.Leaves() }
+func (s *memberState) isLeaving() bool {
+	return s.markedLeaving || s.report.Leaving || s.gate.IsLeaving()
+}
 
 // startCall counts a call as in flight.
 func (s *memberState) startCall(now time.Time) {
@@ -79,7 +81,7 @@
 		s.lastProgress = now
 	}
 	s.ownCalls++
-	s.gate.Begin(now)
+	s.gate.RecordCall(now)
 	s.recordOwnCalls(now)
 }
 
--- a/core/route/steps_test.go
+++ b/core/route/steps_test.go
@@ -27,16 +27,16 @@
 	Entry("busy", busyFilter{}, Candidate{Busy: true}, request.Query{}, "busy"),
 	Entry("readmitting, draw above the share", readmittingFilter{}, Candidate{RampShare: 0.2, RampDraw: 0.3}, request.Query{}, "readmitting"),
 	Entry("readmitting, draw below the share", readmittingFilter{}, Candidate{RampShare: 0.2, RampDraw: 0.1}, request.Query{}, ""),
-	Entry("tried", triedFilter{}, Candidate{Name: "u1"}, request.Query{Tried: []string{"u0", "u1"}}, "tried"),
-	Entry("not tried", triedFilter{}, Candidate{Name: "u2"}, request.Query{Tried: []string{"u0", "u1"}}, ""),
-	Entry("tried domain", triedDomainFilter{}, Candidate{Domain: "d1"}, request.Query{TriedDomains: []string{"d1"}}, "tried_domain"),
-	Entry("other domain", triedDomainFilter{}, Candidate{Domain: "d2"}, request.Query{TriedDomains: []string{"d1"}}, ""),
+	Entry("tried", triedFilter{}, Candidate{Name: "u1"}, request.Query{TriedUpstreams: []string{"u0", "u1"}}, "tried"),
+	Entry("not tried", triedFilter{}, Candidate{Name: "u2"}, request.Query{TriedUpstreams: []string{"u0", "u1"}}, ""),
+	Entry("tried domain", triedDomainFilter{}, Candidate{Domain: "d1"}, request.Query{TriedFailureDomains: []string{"d1"}}, "tried_domain"),
+	Entry("other domain", triedDomainFilter{}, Candidate{Domain: "d2"}, request.Query{TriedFailureDomains: []string{"d1"}}, ""),
 )
 
 var _ = DescribeTable("relaxation admits candidates in the order of the levels",
 	func(candidates []Candidate, eligible []int) {
 		v := testView(candidates...)
-		v.Query = &request.Query{Tried: []string{"tried"}, TriedDomains: []string{"d9"}}
+		v.Query = &request.Query{TriedUpstreams: []string{"tried"}, TriedFailureDomains: []string{"d9"}}
 		var r filterResult
 		runFilters(v, adaptiveFilters(), &r)
 		Expect(r.eligible).To(ConsistOf(eligible))
--- a/core/share/bench_test.go
+++ b/core/share/bench_test.go
@@ -100,7 +100,7 @@
 // lent says that each flooded daemon holds half of its customer's limit.
 func (f *fleet) lent(contended int) bool {
 	for i := range contended {
-		if f.share(f.names[i*len(f.names)/10], f.resources[i]) < Full/2 {
+		if f.share(f.names[i*len(f.names)/10], f.resources[i]) < FullShare/2 {
 			return false
 		}
 	}
--- a/core/share/holding.go
+++ b/core/share/holding.go
@@ -62,7 +62,7 @@
 func (m *Machine) measure(now time.Time, demand map[Resource]float64) {
 	byID := make(map[ID]int64, len(demand))
 	for r, d := range demand {
-		byID[r.ID()] += int64(min(d, 1e3) * Full)
+		byID[r.ID()] += int64(min(d, 1e3) * FullShare)
 	}
 	for id, h := range m.holdings {
 		h.demand = byID[id]
--- a/core/share/machine.go
+++ b/core/share/machine.go
@@ -24,7 +24,7 @@
 
 // LiveChanged names the hosts that this daemon believes to be alive: the
 // allocators are chosen among them. Daemons need not agree.
-type LiveChanged struct{ Hosts []string }
+type LiveHostsChanged struct{ Hosts []string }
 
 // DemandMeasured tells what callers ask of this daemon, as fractions of each
 // resource's limit. Resources left out are idle.
@@ -45,12 +45,12 @@
 // TimerFired comes every 50 to 100 ms.
 type TimerFired struct{}
 
-func (HostsChanged) event()   {}
-func (LiveChanged) event()    {}
-func (DemandMeasured) event() {}
-func (ReportReceived) event() {}
-func (ReplyReceived) event()  {}
-func (TimerFired) event()     {}
+func (HostsChanged) event()     {}
+func (LiveHostsChanged) event() {}
+func (DemandMeasured) event()   {}
+func (ReportReceived) event()   {}
+func (ReplyReceived) event()    {}
+func (TimerFired) event()       {}
 
 // Action is one output of a Machine. Messages need not arrive.
 type Action interface{ action() }
@@ -147,7 +147,7 @@
 	switch e := e.(type) {
 	case HostsChanged:
 		m.changeHosts(now, e)
-	case LiveChanged:
+	case LiveHostsChanged:
 		m.changeLive(e.Hosts)
 	case DemandMeasured:
 		m.measure(now, e.Demand)
--- a/core/share/resource.go
+++ b/core/share/resource.go
@@ -8,7 +8,7 @@
 )
 
 // Full is the whole of a resource: shares are counted in millionths.
-const Full = 1_000_000
+const FullShare = 1_000_000
 
 // Kind says what a resource limits.
 type Kind string
@@ -64,7 +64,7 @@
 		l.hosts[n] = true
 	}
 	l.id = uint32(xxhash.Sum64String(strings.Join(sorted, "\n")))
-	l.equal = Full / int64(max(1, len(sorted)))
+	l.equal = FullShare / int64(max(1, len(sorted)))
 	l.least = max(1, l.equal/leastPart)
 	return l
 }
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -24,7 +24,7 @@
 		for _, r := range f.resources {
 			sum := f.sum(r)
 			*highest = max(*highest, sum)
-			if limit := Full + slack(); sum > limit {
+			if limit := FullShare + slack(); sum > limit {
 				Fail(fmt.Sprintf("at %v the shares of %v sum to %d, the bound is %d", f.now, r, sum, limit))
 			}
 		}
@@ -41,7 +41,7 @@
 		check, _ := watch(f, noSlack)
 		f.run(20*time.Second, check)
 		for _, n := range f.names {
-			Expect(f.share(n, f.resources[0])).To(BeEquivalentTo(Full / 7))
+			Expect(f.share(n, f.resources[0])).To(BeEquivalentTo(FullShare / 7))
 		}
 	})
 
@@ -70,7 +70,7 @@
 		check, _ := watch(f, noSlack)
 		f.run(20*time.Second, check)
 		for _, n := range f.names {
-			Expect(f.share(n, r)).To(BeNumerically(">=", Full/7))
+			Expect(f.share(n, r)).To(BeNumerically(">=", FullShare/7))
 		}
 	})
 
@@ -85,9 +85,9 @@
 			f.side[n] = i % 2
 		}
 		f.run(30*time.Second, check)
-		Expect(*highest).To(BeNumerically(">", Full*8/10), "nothing was lent")
+		Expect(*highest).To(BeNumerically(">", FullShare*8/10), "nothing was lent")
 		for _, n := range f.names[:5] {
-			f.step(n, LiveChanged{f.reachable(n)})
+			f.step(n, LiveHostsChanged{f.reachable(n)})
 		}
 		f.run(30*time.Second, check)
 	})
@@ -100,7 +100,7 @@
 				f.disturb()
 				f.run(time.Duration(200+f.rng.IntN(4000))*time.Millisecond, check)
 			}
-			Expect(*highest).To(BeNumerically(">", Full*7/10), "nothing was lent")
+			Expect(*highest).To(BeNumerically(">", FullShare*7/10), "nothing was lent")
 		},
 		Entry(nil, uint64(11)), Entry(nil, uint64(12)), Entry(nil, uint64(13)),
 		// These two fail when a report counts while an answer is on its way.
@@ -120,7 +120,7 @@
 					recent++
 				}
 			}
-			return int64(recent) * Full / 9
+			return int64(recent) * FullShare / 9
 		}
 		check, _ := watch(f, slack)
 		for range 40 {
@@ -156,7 +156,7 @@
 				f.side[n] = 0
 			}
 		}
-		Expect(*highest).To(BeNumerically(">", Full*9/10), "nothing was lent")
+		Expect(*highest).To(BeNumerically(">", FullShare*9/10), "nothing was lent")
 	})
 
 	It("leave a margin for clock rates on both ends of a loan and a cession", func() {
@@ -164,7 +164,7 @@
 		r := f.resources[0]
 		greedy, idle := f.names[0], f.names[1]
 		f.nodes[greedy].demand[r] = 2
-		f.until(func() bool { return f.share(greedy, r) > Full/2 }, func() {})
+		f.until(func() bool { return f.share(greedy, r) > FullShare/2 }, func() {})
 		cfg := f.nodes[greedy].m.cfg
 		loan := f.nodes[greedy].m.holdings[r.ID()]
 		Expect(loan.loanUntil.Sub(f.clock(greedy))).To(BeNumerically("<=", cfg.Loan*19/20))
@@ -186,11 +186,11 @@
 			}
 		}
 		// The restarted daemon forgets its own cession, the loans it made not.
-		check, _ := watch(f, func() int64 { return Full / 7 * (leastPart - 1) / leastPart })
+		check, _ := watch(f, func() int64 { return FullShare / 7 * (leastPart - 1) / leastPart })
 		for round := range 12 {
 			before, after := others[round%6], others[(round+1)%6]
 			f.nodes[before].demand[r] = 3
-			Expect(f.until(func() bool { return f.share(before, r) > Full/2 }, check)).To(BeNumerically("<", 20*time.Second))
+			Expect(f.until(func() bool { return f.share(before, r) > FullShare/2 }, check)).To(BeNumerically("<", 20*time.Second))
 			f.side[before] = 1
 			f.restart(allocator)
 			f.nodes[before].demand[r], f.nodes[after].demand[r] = 0, 3
@@ -263,7 +263,7 @@
 	}
 	if f.rng.IntN(2) == 0 {
 		n := f.names[f.rng.IntN(len(f.names))]
-		f.step(n, LiveChanged{f.reachable(n)})
+		f.step(n, LiveHostsChanged{f.reachable(n)})
 	}
 	if f.rng.IntN(5) == 0 {
 		n := f.nodes[f.names[f.rng.IntN(len(f.names))]]
--- a/core/share/view.go
+++ b/core/share/view.go
@@ -36,10 +36,10 @@
 
 // Pool returns the daemon's fraction of a pool's concurrency, 0 to 1.
 func (v *View) Pool(now time.Time, pool string) float64 {
-	return float64(v.Millionths(now, Resource{Pool, pool})) / Full
+	return float64(v.Millionths(now, Resource{Pool, pool})) / FullShare
 }
 
 // Customer returns the daemon's fraction of a customer's limit, 0 to 1.
 func (v *View) Customer(now time.Time, customer string) float64 {
-	return float64(v.Millionths(now, Resource{Customer, customer})) / Full
+	return float64(v.Millionths(now, Resource{Customer, customer})) / FullShare
 }
--- a/core/stage/action.go
+++ b/core/stage/action.go
@@ -11,7 +11,7 @@
 	Stage int
 	Index int
 	// Left is the time after which the result is no longer useful.
-	Left time.Duration
+	TimeLeft time.Duration
 	// Key is set for pieces of stages without inputs, Inputs (result handles) for all
 	// others.
 	Key    string
@@ -35,7 +35,7 @@
 // Free releases results at the replica that holds them. Calls to that replica that are
 // issued in the same step or later rely on the memory that this frees, so the caller sends
 // them only after the replica has answered the release.
-type Free struct {
+type Release struct {
 	Replica string
 	Address string
 	Handles []string
@@ -43,7 +43,7 @@
 
 // Inspect asks a replica how much memory it has free for results. The caller reports one
 // Inspected in return, or nothing if the replica does not answer.
-type Inspect struct {
+type QueryMemory struct {
 	Service string
 	Replica string
 	Address string
@@ -52,13 +52,13 @@
 // Progress reports that a piece of a job is completed.
 type Progress struct {
 	Job   string
-	Piece MadePiece
+	Piece CompletedPiece
 }
 
 // Inform asks the caller to report a job's progress to the job's owner at once: results
 // reported to the owner have been read, and are released once the owner has acknowledged
 // that.
-type Inform struct{ Job string }
+type NotifyOwner struct{ Job string }
 
 // Ready delivers the results of a job: those of the stages that no other stage reads,
 // ordered by stage and piece.
@@ -73,7 +73,7 @@
 	Timings []Timing
 	// Took is the time since the job was submitted, Predicted the time that admission
 	// predicted.
-	Took, Predicted time.Duration
+	Elapsed, Predicted time.Duration
 	// Early is the time from now to the job's due time; negative if the job is late.
 	Early time.Duration
 }
@@ -83,10 +83,10 @@
 	Stage int
 	// Wait is the time from the last input to the start of the last call, Work the duration
 	// of that call.
-	Wait, Work time.Duration
+	Wait, Execution time.Duration
 	// Crossed says that some results were computed outside the stage's preferred failure
 	// domain.
-	Crossed bool
+	CrossDomain bool
 }
 
 // Reason is the reason for which a job was refused.
@@ -116,7 +116,7 @@
 	Predicted time.Duration
 	// Held says that results reported to the job's owner are kept until the owner has
 	// acknowledged the refusal, which the caller reports with Cancelled.
-	Held bool
+	ResultsHeld bool
 }
 
 // Suspected reports that no calls are made to a replica for a while.
@@ -124,23 +124,23 @@
 	Replica, Service string
 	// Why is the outcome of the replica's call, or "overdue" or "lapsed" if the call has
 	// not ended.
-	Why string
+	Cause string
 	// Failures is the number of consecutive failures, For the time for which the replica is
 	// avoided.
 	Failures int
-	For      time.Duration
+	Duration time.Duration
 }
 
 // Trusted reports that a replica has answered a call after failures.
 type Trusted struct{ Replica, Service string }
 
-func (Suspected) isAction() {}
-func (Trusted) isAction()   {}
-func (Run) isAction()       {}
-func (Abandon) isAction()   {}
-func (Free) isAction()      {}
-func (Inspect) isAction()   {}
-func (Progress) isAction()  {}
-func (Inform) isAction()    {}
-func (Ready) isAction()     {}
-func (Refused) isAction()   {}
+func (Suspected) isAction()   {}
+func (Trusted) isAction()     {}
+func (Run) isAction()         {}
+func (Abandon) isAction()     {}
+func (Release) isAction()     {}
+func (QueryMemory) isAction() {}
+func (Progress) isAction()    {}
+func (NotifyOwner) isAction() {}
+func (Ready) isAction()       {}
+func (Refused) isAction()     {}
--- a/core/stage/admit.go
+++ b/core/stage/admit.go
@@ -29,7 +29,7 @@
 
 // resumable says whether an earlier planner admitted and started the job, and the job may
 // still be in time: completed pieces are not discarded because of a prediction.
-func (j *job) resumable(now time.Time) bool { return len(j.Made) > 0 && now.Before(j.refuseAt) }
+func (j *job) resumable(now time.Time) bool { return len(j.Completed) > 0 && now.Before(j.refuseAt) }
 
 // allowedTime returns the longest predicted time with which a job is admitted. The more
 // ranks of higher priority use the same services, the less of its slack a job may use. Load
@@ -81,7 +81,7 @@
 		if !r.acceptsWork() || !r.closedForLong(now) {
 			continue
 		}
-		if wait := r.gate.Opens(now).Sub(now); least == 0 || wait < least {
+		if wait := r.gate.NextAllowed(now).Sub(now); least == 0 || wait < least {
 			least = wait
 		}
 	}
@@ -96,7 +96,7 @@
 	var most time.Duration
 	for i := range j.stages {
 		var start time.Duration
-		for _, a := range j.Stages[i].After {
+		for _, a := range j.Stages[i].DependsOn {
 			start = max(start, ends[a])
 		}
 		st := &j.stages[i]
@@ -139,10 +139,10 @@
 func (r *replica) freeMemoryShare(now time.Time) float64 {
 	f := r.service.params
 	full := float64(f.Batch) * r.service.meanResultBytes
-	if f.RoomBytes == 0 || full == 0 {
+	if f.ResultCapacityBytes == 0 || full == 0 {
 		return 1
 	}
-	return min(1, max(minFreeMemoryShare, float64(f.RoomBytes-r.currentForeignBytes(now))/full))
+	return min(1, max(minFreeMemoryShare, float64(f.ResultCapacityBytes-r.currentForeignBytes(now))/full))
 }
 
 func (s *service) usableByDomain(now time.Time) map[string]int {
--- a/core/stage/bench_test.go
+++ b/core/stage/bench_test.go
@@ -37,8 +37,8 @@
 		step(Submitted{Job{
 			ID: fmt.Sprint(i), Key: "k", Due: now.Add(100 * time.Second), Deadline: now.Add(200 * time.Second),
 			Stages: []Stage{
-				{Service: "a", Pieces: 1, ResultBytes: 8000}, {Service: "b", After: []int{0}, Pieces: 4, ResultBytes: 60000},
-				{Service: "c", After: []int{1}, Pieces: 6, ResultBytes: 6000},
+				{Service: "a", Pieces: 1, ResultBytes: 8000}, {Service: "b", DependsOn: []int{0}, Pieces: 4, ResultBytes: 60000},
+				{Service: "c", DependsOn: []int{1}, Pieces: 6, ResultBytes: 6000},
 			},
 		}})
 	}
--- a/core/stage/calls.go
+++ b/core/stage/calls.go
@@ -56,7 +56,7 @@
 // markSuspected excludes a replica from new calls for a while.
 func (m *Machine) markSuspected(now time.Time, r *replica, cause string) {
 	r.noteFailure(now, m.cfg)
-	m.emit(Suspected{Replica: r.ID, Service: r.service.name, Why: cause, Failures: r.failures, For: r.suspectUntil.Sub(now)})
+	m.emit(Suspected{Replica: r.ID, Service: r.service.name, Cause: cause, Failures: r.failures, Duration: r.suspectUntil.Sub(now)})
 }
 
 // requeueCall queues the pieces of a call that returned no results. countAttempt says
@@ -108,11 +108,11 @@
 // acceptResult handles the result of one piece. It returns true if the piece was completed
 // by it.
 func (m *Machine) acceptResult(now time.Time, r *replica, p *piece, res Result) bool {
-	if res.Kind != Made {
+	if res.Kind != PieceCompleted {
 		r.usedBytes = max(0, r.usedBytes-p.resultBytes())
 	}
 	switch res.Kind {
-	case Made:
+	case PieceCompleted:
 		if p.state == completed && p.holder == r && p.handle == res.Handle {
 			r.usedBytes = max(0, r.usedBytes-p.resultBytes())
 			return false
@@ -129,17 +129,17 @@
 		st := &p.job.stages[p.stage]
 		p.job.addRemaining(p.stage, -1)
 		st.completedAt = now
-		m.emit(Progress{Job: p.job.ID, Piece: MadePiece{Stage: p.stage, Index: p.index, Handle: res.Handle, Replica: r.ID}})
+		m.emit(Progress{Job: p.job.ID, Piece: CompletedPiece{Stage: p.stage, Index: p.index, Handle: res.Handle, Replica: r.ID}})
 		return true
-	case InputGone:
+	case PieceInputMissing:
 		m.recomputeInputs(now, p)
-	case NoRoom:
+	case PieceOutOfMemory:
 		r.noteOutOfMemory(now)
 		m.nextMemoryQuery.schedule(now)
 		m.requeue(p)
-	case TooLate:
+	case PieceExpired:
 		m.requeue(p)
-	case Broken:
+	case PieceFailed:
 		p.attempts++
 		m.requeue(p)
 	}
@@ -169,7 +169,7 @@
 			o.state = blocked
 		}
 	}
-	for _, a := range j.Stages[p.stage].After {
+	for _, a := range j.Stages[p.stage].DependsOn {
 		m.resetStage(j, a)
 	}
 	m.advance(now, j)
@@ -181,7 +181,7 @@
 	if st.remaining > 0 {
 		return
 	}
-	if j.Shared {
+	if j.Transferable {
 		m.forgetResults(st) // the owner may hand them to another planner
 	}
 	m.releaseStage(st)
@@ -191,7 +191,7 @@
 		p := &st.pieces[k]
 		p.state, p.reported, p.acked = blocked, false, false
 	}
-	for _, a := range j.Stages[i].After {
+	for _, a := range j.Stages[i].DependsOn {
 		if j.stages[a].released {
 			m.resetStage(j, a)
 		}
--- a/core/stage/config.go
+++ b/core/stage/config.go
@@ -49,7 +49,7 @@
 	LateGrace time.Duration
 	// Gates limit the calls to replicas, together with the calls of other components of
 	// this host. Default: gates that only this Machine uses.
-	Gates *intake.Gates
+	Gates *intake.Limiters
 	// MinRetryAfter is the shortest retry delay returned to a refused job. Default 300 ms.
 	MinRetryAfter time.Duration
 }
@@ -62,7 +62,7 @@
 
 func (c Config) withDefaults() Config {
 	if c.Gates == nil {
-		c.Gates = intake.NewGates()
+		c.Gates = intake.NewLimiters()
 	}
 	orDefault(&c.CrossDomainBytesPerMs, 600)
 	orDefault(&c.DomainWaitSlackShare, 0.8)
--- a/core/stage/deferred_start_test.go
+++ b/core/stage/deferred_start_test.go
@@ -16,7 +16,7 @@
 	// withIndependentStage returns a job with such a stage, number 0, beside a chain of
 	// three.
 	withIndependentStage := func(h *harness, id string) Job {
-		j := h.newChain(id, Stage{Service: "a", Pieces: 2, ResultBytes: 10}, Stage{Service: "a", Pieces: 1, After: []int{}},
+		j := h.newChain(id, Stage{Service: "a", Pieces: 2, ResultBytes: 10}, Stage{Service: "a", Pieces: 1, DependsOn: []int{}},
 			Stage{Service: "b", Pieces: 1}, Stage{Service: "c", Pieces: 1})
 		return j
 	}
@@ -41,7 +41,7 @@
 
 	It("starts at once beside a short chain", func() {
 		h := newHarness(pieceParams(20, 0), "x", "x")
-		j := h.newChain("j", Stage{Service: "a", Pieces: 2}, Stage{Service: "b", Pieces: 1, After: []int{}}, Stage{Service: "c", Pieces: 1})
+		j := h.newChain("j", Stage{Service: "a", Pieces: 2}, Stage{Service: "b", Pieces: 1, DependsOn: []int{}}, Stage{Service: "c", Pieces: 1})
 		Expect(stagesOf(h.submit(j))).To(ConsistOf(0, 0, 1))
 	})
 
--- a/core/stage/dispatch.go
+++ b/core/stage/dispatch.go
@@ -67,7 +67,7 @@
 	s.dirty, s.lastPass = false, now
 	s.nextPass = now.Add(max(wait, passPause(len(s.queue.groups))))
 	for _, r := range s.replicas {
-		for _, t := range [...]time.Time{r.busyUntil, r.suspectUntil, r.noMemoryUntil, r.gate.Opens(now)} {
+		for _, t := range [...]time.Time{r.busyUntil, r.suspectUntil, r.noMemoryUntil, r.gate.NextAllowed(now)} {
 			if t.After(now) && t.Before(s.nextPass) {
 				s.nextPass = t
 			}
@@ -144,7 +144,7 @@
 func (s *service) initialBytes(g *group) int64 {
 	pieceBytes := g.job.Stages[g.stage].ResultBytes
 	n := int64(min(len(g.pieces), s.params.Batch)) * pieceBytes
-	if s.params.RoomBytes > 0 && n > s.params.RoomBytes {
+	if s.params.ResultCapacityBytes > 0 && n > s.params.ResultCapacityBytes {
 		return pieceBytes
 	}
 	return n
@@ -326,7 +326,7 @@
 	m.nextOverdue.schedule(c.overdueAt)
 	m.nextTimeout.schedule(c.timeoutAt)
 	r.calls = append(r.calls, c)
-	r.gate.Begin(now)
+	r.gate.RecordCall(now)
 	m.addQueryBudget(now, s)
 	a := Run{Call: c.id, Service: s.name, Replica: r.ID, Address: r.Address, Timeout: c.timeoutAt.Sub(now)}
 	for _, p := range pieces {
@@ -345,8 +345,8 @@
 // request is the piece as a replica is asked for it.
 func (p *piece) request(now time.Time) Piece {
 	j := p.job
-	out := Piece{Job: j.ID, Stage: p.stage, Index: p.index, Left: j.Deadline.Sub(now)}
-	if len(j.Stages[p.stage].After) == 0 {
+	out := Piece{Job: j.ID, Stage: p.stage, Index: p.index, TimeLeft: j.Deadline.Sub(now)}
+	if len(j.Stages[p.stage].DependsOn) == 0 {
 		out.Key = j.Key
 	} else {
 		out.Inputs = j.inputs(p.stage)
--- a/core/stage/event.go
+++ b/core/stage/event.go
@@ -25,15 +25,15 @@
 	Job string
 	// Moved says that another planner continues the job, or may do so: results reported to
 	// the owner are not released here.
-	Moved bool
+	HandedOver bool
 }
 
 // Told says that completed pieces are being reported to the owners of their jobs, in a
 // message that may be lost.
-type Told struct{ Pieces []Progress }
+type ProgressSent struct{ Pieces []Progress }
 
 // Known says that the owners of jobs have acknowledged completed pieces.
-type Known struct{ Pieces []Progress }
+type ProgressAcked struct{ Pieces []Progress }
 
 // CallOutcome is how a call to a replica ended.
 type CallOutcome uint8
@@ -56,16 +56,16 @@
 
 // The kinds of results.
 const (
-	Made ResultKind = iota
+	PieceCompleted ResultKind = iota
 	// TooLate means that the piece was not executed since its time had passed.
-	TooLate
+	PieceExpired
 	// InputGone means that the piece was not executed since an input no longer exists.
-	InputGone
+	PieceInputMissing
 	// NoRoom means that the piece was not executed since the replica had no memory for its
 	// result.
-	NoRoom
+	PieceOutOfMemory
 	// Broken means that the piece failed.
-	Broken
+	PieceFailed
 )
 
 // Result is the result of one piece of an answered call.
@@ -84,28 +84,28 @@
 }
 
 // Inspected reports the free memory that a replica had shortly before Asked.
-type Inspected struct {
+type MemoryReported struct {
 	Replica string
 	// Asked is when the query was sent.
-	Asked time.Time
-	Room  Room
+	QueriedAt time.Time
+	Free      FreeMemory
 }
 
 // Room holds the bounds of a replica's free memory in bytes; replicas report it in large
 // units.
-type Room struct{ Least, Most int64 }
+type FreeMemory struct{ Min, Max int64 }
 
 // Tick passes the time; it is due at the time that Machine.NextTick returns.
 type Tick struct{}
 
-func (Configured) isEvent() {}
-func (Submitted) isEvent()  {}
-func (Cancelled) isEvent()  {}
-func (Told) isEvent()       {}
-func (Known) isEvent()      {}
-func (CallEnded) isEvent()  {}
-func (Inspected) isEvent()  {}
-func (Tick) isEvent()       {}
+func (Configured) isEvent()     {}
+func (Submitted) isEvent()      {}
+func (Cancelled) isEvent()      {}
+func (ProgressSent) isEvent()   {}
+func (ProgressAcked) isEvent()  {}
+func (CallEnded) isEvent()      {}
+func (MemoryReported) isEvent() {}
+func (Tick) isEvent()           {}
 
 // Job is the stage work of one request.
 type Job struct {
@@ -124,13 +124,13 @@
 	// Shared says that the job's owner may hand the job to another planner, with the
 	// results reported to it from here. Those are released only when the owner acknowledges
 	// or cancels.
-	Shared bool
+	Transferable bool
 	// Made are the pieces that an earlier planner completed, as far as the owner knows.
-	Made []MadePiece
+	Completed []CompletedPiece
 }
 
 // MadePiece is a completed piece of a job.
-type MadePiece struct {
+type CompletedPiece struct {
 	Stage, Index int
 	// Handle identifies the result at the replica that computed it, Replica is that
 	// replica's id.
@@ -141,7 +141,7 @@
 type Stage struct {
 	Service string
 	// After lists the indices of the stages whose results each piece reads.
-	After []int
+	DependsOn []int
 	// Pieces is the number of pieces; a stage with 0 pieces is left out.
 	Pieces int
 	// ResultBytes is the typical size of one result.
--- a/core/stage/handover.go
+++ b/core/stage/handover.go
@@ -17,7 +17,7 @@
 // hold them are still there.
 func (m *Machine) restore(j *job) {
 	read := j.alreadyRead()
-	for _, old := range j.Made {
+	for _, old := range j.Completed {
 		if p := j.pieceFor(old); p != nil && !read[old.Stage] {
 			m.restorePiece(p, old)
 		}
@@ -30,7 +30,7 @@
 }
 
 // restorePiece takes over one piece.
-func (m *Machine) restorePiece(p *piece, old MadePiece) {
+func (m *Machine) restorePiece(p *piece, old CompletedPiece) {
 	r, j := m.replicas[old.Replica], p.job
 	if p.state == completed || r == nil || !r.listed || r.service != j.stages[p.stage].service {
 		return
@@ -43,7 +43,7 @@
 
 // pieceFor returns the piece that another planner or the job's owner names; nil if there is
 // none.
-func (j *job) pieceFor(made MadePiece) *piece {
+func (j *job) pieceFor(made CompletedPiece) *piece {
 	if made.Stage < 0 || made.Stage >= len(j.stages) {
 		return nil
 	}
@@ -58,7 +58,7 @@
 // the owner knows to be completed: an earlier planner may have released them.
 func (j *job) alreadyRead() []bool {
 	known := make([]map[int]bool, len(j.stages))
-	for _, old := range j.Made {
+	for _, old := range j.Completed {
 		if j.pieceFor(old) == nil {
 			continue
 		}
@@ -131,7 +131,7 @@
 		return
 	}
 	if m.releaseUnreported(st) {
-		m.emit(Inform{Job: j.ID})
+		m.emit(NotifyOwner{Job: j.ID})
 	}
 }
 
@@ -150,7 +150,7 @@
 }
 
 // progressSent records which results are being reported to the owners of jobs.
-func (m *Machine) progressSent(e Told) {
+func (m *Machine) progressSent(e ProgressSent) {
 	for _, t := range e.Pieces {
 		if p := m.completedPiece(t); p != nil {
 			p.reported = true
@@ -160,14 +160,14 @@
 
 // progressAcked records which results the owners of jobs have acknowledged, and releases
 // the results that were kept until then.
-func (m *Machine) progressAcked(e Known) {
+func (m *Machine) progressAcked(e ProgressAcked) {
 	for _, t := range e.Pieces {
 		p := m.completedPiece(t)
 		if p == nil {
 			continue
 		}
 		p.acked = true
-		for _, i := range p.job.Stages[p.stage].After {
+		for _, i := range p.job.Stages[p.stage].DependsOn {
 			if st := &p.job.stages[i]; st.released && p.job.readersAcked(i) {
 				m.releaseStage(st)
 			}
@@ -194,7 +194,7 @@
 func (m *Machine) releaseRefused(j *job) (kept bool) {
 	for i := range j.stages {
 		st := &j.stages[i]
-		if !j.Shared {
+		if !j.Transferable {
 			m.releaseStage(st)
 			continue
 		}
@@ -214,7 +214,7 @@
 	}
 	for i := range j.stages {
 		st := &j.stages[i]
-		if e.Moved {
+		if e.HandedOver {
 			m.releaseUnreported(st)
 			m.forgetResults(st)
 		}
--- a/core/stage/handover_test.go
+++ b/core/stage/handover_test.go
@@ -57,7 +57,7 @@
 		h := startedJob()
 		h.sendProgress("j", h.progress["j"][0])
 		h.advance(20 * time.Second)
-		Expect(h.refused["j"].Held).To(BeTrue())
+		Expect(h.refused["j"].ResultsHeld).To(BeTrue())
 		Expect(h.results).To(HaveLen(1))
 		Expect(h.results).To(HaveKey(h.progress["j"][0].Handle))
 		h.endJob("j", Cancelled{Job: "j"})
@@ -69,7 +69,7 @@
 	It("when refused keeps no results if none were reported to its owner", func() {
 		h := startedJob()
 		h.advance(20 * time.Second)
-		Expect(h.refused["j"].Held).To(BeFalse())
+		Expect(h.refused["j"].ResultsHeld).To(BeFalse())
 		Expect(h.results).To(BeEmpty())
 		Expect(h.m.refused).To(BeEmpty())
 	})
@@ -78,10 +78,10 @@
 		h := plain()
 		j := h.newTransferableChain("j", stages...)
 		j.Due, j.Deadline = h.now, h.now // a job that may still be on time is continued
-		j.Made = []MadePiece{{Stage: 0, Index: 0, Handle: "old/1", Replica: "a1"}}
+		j.Completed = []CompletedPiece{{Stage: 0, Index: 0, Handle: "old/1", Replica: "a1"}}
 		h.results["old/1"] = Piece{Job: "j"}
 		h.submit(j)
-		Expect(h.refused["j"].Held).To(BeTrue())
+		Expect(h.refused["j"].ResultsHeld).To(BeTrue())
 		Expect(h.results).To(HaveLen(1))
 		h.submit(j) // the refusal message was lost
 		h.endJob("j", Cancelled{Job: "j"})
@@ -93,7 +93,7 @@
 		h.sendProgress("j", h.progress["j"]...)
 		run := h.removeCall(h.running[0].Call)
 		clear(h.results) // the replica of the first stage is gone
-		h.step(CallEnded{Call: run.Call, Results: []Result{{Kind: InputGone}}})
+		h.step(CallEnded{Call: run.Call, Results: []Result{{Kind: PieceInputMissing}}})
 		Expect(h.running).To(HaveLen(1))
 		h.answerAll()
 		Expect(h.ready).To(HaveKey("j"))
@@ -101,17 +101,17 @@
 
 	// handedOver returns the job as its owner hands it over, with the results that the
 	// owner knows of.
-	handedOver := func(h *harness, made ...MadePiece) Job {
+	handedOver := func(h *harness, made ...CompletedPiece) Job {
 		j := h.newTransferableChain("j", stages...)
 		for _, p := range made {
-			j.Made = append(j.Made, p)
+			j.Completed = append(j.Completed, p)
 			h.results[p.Handle] = Piece{Job: "j", Stage: p.Stage, Index: p.Index}
 		}
 		return j
 	}
-	one := MadePiece{Stage: 0, Index: 0, Handle: "old/1", Replica: "a1"}
-	two := MadePiece{Stage: 0, Index: 1, Handle: "old/2", Replica: "a1"}
-	read := MadePiece{Stage: 1, Index: 0, Handle: "old/3", Replica: "b1"}
+	one := CompletedPiece{Stage: 0, Index: 0, Handle: "old/1", Replica: "a1"}
+	two := CompletedPiece{Stage: 0, Index: 1, Handle: "old/2", Replica: "a1"}
+	read := CompletedPiece{Stage: 1, Index: 0, Handle: "old/3", Replica: "b1"}
 
 	It("does not use or release results that were read under an earlier planner", func() {
 		h := plain()
--- a/core/stage/harness_test.go
+++ b/core/stage/harness_test.go
@@ -25,14 +25,14 @@
 	completedPieces int
 	// progress holds the reported pieces by job, ownerNotices counts the Inform actions by
 	// job.
-	progress     map[string][]MadePiece
+	progress     map[string][]CompletedPiece
 	ownerNotices map[string]int
 }
 
 func pieceParams(batch int, memoryBytes int64) *catalog.Service {
-	return &catalog.Service{Pieces: &catalog.Pieces{
+	return &catalog.Service{StageProfile: &catalog.StageProfile{
 		Concurrency: 1, Batch: batch, CallTime: 240 * time.Millisecond, PieceTime: 10 * time.Millisecond,
-		RoomBytes: memoryBytes,
+		ResultCapacityBytes: memoryBytes,
 	}}
 }
 
@@ -41,11 +41,11 @@
 func newHarness(service *catalog.Service, domains ...string) *harness {
 	h := &harness{
 		m: New(Config{}), now: time.Unix(1000, 0), ready: map[string]Ready{}, refused: map[string]Refused{},
-		results: map[string]Piece{}, jobs: map[string]Job{}, progress: map[string][]MadePiece{}, ownerNotices: map[string]int{},
+		results: map[string]Piece{}, jobs: map[string]Job{}, progress: map[string][]CompletedPiece{}, ownerNotices: map[string]int{},
 	}
 	e := Configured{Services: map[string]*catalog.Service{}}
 	for _, name := range []string{"a", "b", "c"} {
-		e.Services[name] = &catalog.Service{Name: name, Pieces: service.Pieces}
+		e.Services[name] = &catalog.Service{Name: name, StageProfile: service.StageProfile}
 		for i, d := range domains {
 			id := fmt.Sprintf("%s%d", name, i+1)
 			e.Replicas = append(e.Replicas, catalog.Replica{ID: id, Service: name, Address: id + ":80", FailureDomain: d, Concurrency: 1})
@@ -66,7 +66,7 @@
 			h.running = append(h.running, a)
 		case Abandon:
 			h.removeCall(a.Call)
-		case Free:
+		case Release:
 			for _, handle := range a.Handles {
 				Expect(h.results).To(HaveKey(handle), "released twice or never made: %s", handle)
 				delete(h.results, handle)
@@ -74,7 +74,7 @@
 			}
 		case Progress:
 			h.progress[a.Job] = append(h.progress[a.Job], a.Piece)
-		case Inform:
+		case NotifyOwner:
 			h.ownerNotices[a.Job]++
 		case Ready:
 			Expect(h.ready).NotTo(HaveKey(a.Job))
@@ -96,7 +96,7 @@
 	for _, p := range a.Pieces {
 		j, known := h.jobs[p.Job]
 		Expect(known).To(BeTrue(), "call for a job that has ended: %s", p.Job)
-		after := j.Stages[p.Stage].After
+		after := j.Stages[p.Stage].DependsOn
 		if len(after) == 0 {
 			Expect(p.Key).To(Equal(j.Key))
 			Expect(p.Inputs).To(BeEmpty())
@@ -180,8 +180,8 @@
 func (h *harness) newChain(id string, stages ...Stage) Job {
 	j := Job{ID: id, Key: "key-" + id, Due: h.now.Add(5 * time.Second), Deadline: h.now.Add(10 * time.Second)}
 	for i, s := range stages {
-		if i > 0 && s.After == nil {
-			s.After = []int{i - 1}
+		if i > 0 && s.DependsOn == nil {
+			s.DependsOn = []int{i - 1}
 		}
 		j.Stages = append(j.Stages, s)
 	}
@@ -191,13 +191,13 @@
 // newTransferableChain returns a chain that its owner may hand to another planner.
 func (h *harness) newTransferableChain(id string, stages ...Stage) Job {
 	j := h.newChain(id, stages...)
-	j.Shared = true
+	j.Transferable = true
 	return j
 }
 
 // existingResults returns the reported results of a job that still exist.
-func (h *harness) existingResults(id string) []MadePiece {
-	return slices.DeleteFunc(slices.Clone(h.progress[id]), func(p MadePiece) bool {
+func (h *harness) existingResults(id string) []CompletedPiece {
+	return slices.DeleteFunc(slices.Clone(h.progress[id]), func(p CompletedPiece) bool {
 		_, held := h.results[p.Handle]
 		return !held
 	})
@@ -205,11 +205,15 @@
 
 // sendProgress has progress sent to the owner of a job; ackProgress has the owner
 // acknowledge it.
-func (h *harness) sendProgress(id string, pieces ...MadePiece) { h.step(Told{toProgress(id, pieces)}) }
+func (h *harness) sendProgress(id string, pieces ...CompletedPiece) {
+	h.step(ProgressSent{toProgress(id, pieces)})
+}
 
-func (h *harness) ackProgress(id string, pieces ...MadePiece) { h.step(Known{toProgress(id, pieces)}) }
+func (h *harness) ackProgress(id string, pieces ...CompletedPiece) {
+	h.step(ProgressAcked{toProgress(id, pieces)})
+}
 
-func toProgress(id string, pieces []MadePiece) []Progress {
+func toProgress(id string, pieces []CompletedPiece) []Progress {
 	var out []Progress
 	for _, p := range pieces {
 		out = append(out, Progress{Job: id, Piece: p})
--- a/core/stage/intake_test.go
+++ b/core/stage/intake_test.go
@@ -10,13 +10,13 @@
 )
 
 var _ = Describe("replicas with a call limit", func() {
-	setLimit := func(h *harness, replica string, p intake.Part) {
-		h.m.cfg.Gates.SetParts(intake.Named, map[string]intake.Part{replica: p})
+	setLimit := func(h *harness, replica string, p intake.Quota) {
+		h.m.cfg.Gates.SetQuotas(intake.AnnouncedLimit, map[string]intake.Quota{replica: p})
 	}
 
 	It("get only this host's share of the calls; other replicas get the rest", func() {
 		h := newHarness(pieceParams(4, 0), "x", "y")
-		setLimit(h, "a1", intake.Part{Calls: 1, Window: 4 * time.Second})
+		setLimit(h, "a1", intake.Quota{Calls: 1, Window: 4 * time.Second})
 		calls, start := map[string]int{}, h.now
 		for i := 0; h.now.Sub(start) < 4*time.Second; i++ {
 			for _, r := range h.submit(h.newChain(string(rune('a'+i)), Stage{Service: "a", Pieces: 4})) {
@@ -34,7 +34,7 @@
 
 	It("are waited for if there is no other replica, until the limit allows a call", func() {
 		h := newHarness(pieceParams(4, 0), "x")
-		setLimit(h, "a1", intake.Part{Calls: 1, Window: time.Second})
+		setLimit(h, "a1", intake.Quota{Calls: 1, Window: time.Second})
 		Expect(h.submit(h.newChain("j", Stage{Service: "a", Pieces: 4}))).To(HaveLen(1))
 		h.answerAll()
 		Expect(h.submit(h.newChain("k", Stage{Service: "a", Pieces: 4}))).To(BeEmpty())
@@ -49,7 +49,7 @@
 
 	It("with a share of 0 for this host are not usable; refusals return the time until they accept calls", func() {
 		h := newHarness(pieceParams(4, 0), "x")
-		setLimit(h, "a1", intake.Part{Window: 4 * time.Second})
+		setLimit(h, "a1", intake.Quota{Window: 4 * time.Second})
 		h.submit(h.newChain("j", Stage{Service: "a", Pieces: 1}))
 		Expect(h.refused["j"].Reason).To(Equal(ReasonNoReplica))
 		Expect(h.refused["j"].RetryAfter).To(Equal(4 * time.Second))
@@ -57,7 +57,7 @@
 
 	It("are predicted at the limited rate", func() {
 		h := newHarness(pieceParams(4, 0), "x")
-		setLimit(h, "a1", intake.Part{Calls: 1, Window: 2 * time.Second})
+		setLimit(h, "a1", intake.Quota{Calls: 1, Window: 2 * time.Second})
 		for _, id := range []string{"before", "j"} {
 			j := h.newChain(id, Stage{Service: "a", Pieces: 8})
 			j.Due = h.now.Add(3 * time.Second)
@@ -74,7 +74,7 @@
 		runs := h.submit(h.newChain("j", Stage{Service: "a", Pieces: 4}))
 		Expect(runs).To(HaveLen(1))
 		leaving := runs[0].Replica
-		h.m.cfg.Gates.SetParts(intake.Leaving, map[string]intake.Part{leaving: {}})
+		h.m.cfg.Gates.SetQuotas(intake.Leaving, map[string]intake.Quota{leaving: {}})
 		for i := range 6 {
 			for _, r := range h.submit(h.newChain(string(rune('k'+i)), Stage{Service: "a", Pieces: 4})) {
 				Expect(r.Replica).NotTo(Equal(leaving))
@@ -86,7 +86,7 @@
 
 	It("are not waited for", func() {
 		h := newHarness(pieceParams(4, 0), "x")
-		h.m.cfg.Gates.SetParts(intake.Leaving, map[string]intake.Part{"a1": {}})
+		h.m.cfg.Gates.SetQuotas(intake.Leaving, map[string]intake.Quota{"a1": {}})
 		h.submit(h.newChain("j", Stage{Service: "a", Pieces: 1}))
 		Expect(h.refused["j"].Reason).To(Equal(ReasonNoReplica))
 	})
@@ -95,7 +95,7 @@
 var _ = Describe("replicas that ask for a pause", func() {
 	It("are called again when it is over; others are called meanwhile", func() {
 		h := newHarness(pieceParams(4, 0), "x", "y")
-		h.m.cfg.Gates.SetParts(intake.Resting, map[string]intake.Part{"a1": {Until: h.now.Add(3 * time.Second)}})
+		h.m.cfg.Gates.SetQuotas(intake.BackingOff, map[string]intake.Quota{"a1": {BlockedUntil: h.now.Add(3 * time.Second)}})
 		start, calledAgain := h.now, false
 		for i := 0; h.now.Sub(start) < 5*time.Second; i++ {
 			for _, r := range h.submit(h.newChain(string(rune('a'+i)), Stage{Service: "a", Pieces: 8})) {
@@ -112,12 +112,12 @@
 
 	It("are waited for if there is no other and the pause ends soon", func() {
 		h := newHarness(pieceParams(4, 0), "x")
-		h.m.cfg.Gates.SetParts(intake.Resting, map[string]intake.Part{"a1": {Until: h.now.Add(200 * time.Millisecond)}})
+		h.m.cfg.Gates.SetQuotas(intake.BackingOff, map[string]intake.Quota{"a1": {BlockedUntil: h.now.Add(200 * time.Millisecond)}})
 		Expect(h.submit(h.newChain("j", Stage{Service: "a", Pieces: 1}))).To(BeEmpty())
 		Expect(h.refused).To(BeEmpty())
 		Expect(h.advance(200 * time.Millisecond)).To(HaveLen(1))
 
-		h.m.cfg.Gates.SetParts(intake.Resting, map[string]intake.Part{"a1": {Until: h.now.Add(3 * time.Second)}})
+		h.m.cfg.Gates.SetQuotas(intake.BackingOff, map[string]intake.Quota{"a1": {BlockedUntil: h.now.Add(3 * time.Second)}})
 		h.submit(h.newChain("k", Stage{Service: "a", Pieces: 1}))
 		Expect(h.refused["k"].RetryAfter).To(Equal(3 * time.Second))
 	})
--- a/core/stage/job.go
+++ b/core/stage/job.go
@@ -68,10 +68,10 @@
 // timing returns the timing of stage i.
 func (j *job) timing(i int) Timing {
 	st := &j.stages[i]
-	t := Timing{Stage: i, Wait: st.startedAt.Sub(st.queuedAt), Work: st.completedAt.Sub(st.startedAt)}
+	t := Timing{Stage: i, Wait: st.startedAt.Sub(st.queuedAt), Execution: st.completedAt.Sub(st.startedAt)}
 	for k := range st.pieces {
 		if h := st.pieces[k].holder; h != nil && st.preferredDomain != "" && h.FailureDomain != st.preferredDomain {
-			t.Crossed = true
+			t.CrossDomain = true
 		}
 	}
 	return t
@@ -129,7 +129,7 @@
 		for k := range state.stages[i].pieces {
 			state.stages[i].pieces[k] = piece{job: state, stage: i, index: k}
 		}
-		for _, a := range st.After {
+		for _, a := range st.DependsOn {
 			state.stages[a].readers = append(state.stages[a].readers, i)
 		}
 	}
@@ -165,7 +165,7 @@
 
 // canStart says whether all stages that stage i depends on are complete.
 func (j *job) canStart(i int) bool {
-	for _, a := range j.Stages[i].After {
+	for _, a := range j.Stages[i].DependsOn {
 		if j.stages[a].remaining > 0 {
 			return false
 		}
@@ -235,7 +235,7 @@
 // inputs returns the result handles that a piece of stage i reads.
 func (j *job) inputs(i int) []string {
 	var handles []string
-	for _, a := range j.Stages[i].After {
+	for _, a := range j.Stages[i].DependsOn {
 		for k := range j.stages[a].pieces {
 			handles = append(handles, j.stages[a].pieces[k].handle)
 		}
@@ -248,7 +248,7 @@
 // piece produces for its readers, otherwise the job's domain.
 func (j *job) preferredDomain(i int) string {
 	held := bytesByDomain{bytes: map[string]int64{}, maxDomain: j.Domain}
-	for _, a := range j.Stages[i].After {
+	for _, a := range j.Stages[i].DependsOn {
 		for k := range j.stages[a].pieces {
 			if p := &j.stages[a].pieces[k]; p.holder != nil {
 				held.add(p)
@@ -281,7 +281,7 @@
 // expectedDomain returns the failure domain in which stage i will probably be executed: the
 // domain in which its inputs are held or being computed.
 func (j *job) expectedDomain(i int) string {
-	for _, a := range j.Stages[i].After {
+	for _, a := range j.Stages[i].DependsOn {
 		for k := range j.stages[a].pieces {
 			if at := j.stages[a].pieces[k].lastReplica; at != nil {
 				return at.FailureDomain
@@ -308,7 +308,7 @@
 // is executed outside its preferred domain.
 func (j *job) crossDomainBytes(i int) int64 {
 	n := j.readerBytes(i)
-	for _, a := range j.Stages[i].After {
+	for _, a := range j.Stages[i].DependsOn {
 		n += j.Stages[a].ResultBytes * int64(j.Stages[a].Pieces)
 	}
 	return n
@@ -335,7 +335,7 @@
 	deepest := 0
 	for i := range j.stages {
 		var start time.Duration
-		for _, a := range j.Stages[i].After {
+		for _, a := range j.Stages[i].DependsOn {
 			start, depth[i] = max(start, ends[a]), max(depth[i], depth[a])
 		}
 		end := start
--- a/core/stage/late_test.go
+++ b/core/stage/late_test.go
@@ -14,7 +14,7 @@
 	RegisterTestingT(t)
 	h := newHarness(pieceParams(4, 0), "x")
 	j := h.newChain("j", Stage{Service: "a", Pieces: 1}, Stage{Service: "b", Pieces: 1})
-	j.Made = []MadePiece{{Stage: 0, Index: 0, Handle: "old/1", Replica: "a1"}}
+	j.Completed = []CompletedPiece{{Stage: 0, Index: 0, Handle: "old/1", Replica: "a1"}}
 	j.Due = h.now.Add(-100 * time.Millisecond)
 	h.results["old/1"] = Piece{Job: "j"}
 	h.submit(j)
--- a/core/stage/loadsim_test.go
+++ b/core/stage/loadsim_test.go
@@ -73,7 +73,7 @@
 // simReplica is a replica that runs one call at a time.
 type simReplica struct {
 	catalog.Replica
-	params catalog.Pieces
+	params catalog.StageProfile
 	// usedBytes is the memory taken by results.
 	usedBytes int64
 	// reportedBytes is usedBytes as of the last report.
@@ -128,8 +128,8 @@
 }
 
 // service adds the replicas of a service, spread evenly over the failure domains.
-func (s *loadSim) service(e *Configured, name string, f catalog.Pieces, n int, domains []string) {
-	e.Services[name] = &catalog.Service{Name: name, Pieces: &f}
+func (s *loadSim) service(e *Configured, name string, f catalog.StageProfile, n int, domains []string) {
+	e.Services[name] = &catalog.Service{Name: name, StageProfile: &f}
 	for i := range n {
 		id := fmt.Sprintf("%s-%02d", name, i)
 		r := catalog.Replica{ID: id, Service: name, Address: id + ":80", FailureDomain: domains[i%len(domains)], Concurrency: 1}
@@ -146,13 +146,13 @@
 		switch a := a.(type) {
 		case Run:
 			s.after(networkDelay, func() { s.startCall(a) })
-		case Free:
+		case Release:
 			s.after(networkDelay/2, func() {
 				for _, h := range a.Handles {
 					s.release(s.replicas[a.Replica], h)
 				}
 			})
-		case Inspect:
+		case QueryMemory:
 			s.queryMemory(a)
 		case Ready:
 			s.after(networkDelay, func() { s.ready(a) })
@@ -167,14 +167,14 @@
 
 // queryMemory asks a replica for its free memory; the answer is up to memoryReportInterval
 // old.
-func (s *loadSim) queryMemory(a Inspect) {
+func (s *loadSim) queryMemory(a QueryMemory) {
 	r, queriedAt, planner := s.replicas[a.Replica], s.now, s.m
 	s.after(networkDelay, func() {
 		if r.down || s.m != planner {
 			return
 		}
-		least := (r.params.RoomBytes - r.reportedBytes) / memoryReportUnit * memoryReportUnit
-		s.step(Inspected{Replica: a.Replica, Asked: queriedAt, Room: Room{least, min(least+memoryReportUnit, r.params.RoomBytes)}})
+		least := (r.params.ResultCapacityBytes - r.reportedBytes) / memoryReportUnit * memoryReportUnit
+		s.step(MemoryReported{Replica: a.Replica, QueriedAt: queriedAt, Free: FreeMemory{least, min(least+memoryReportUnit, r.params.ResultCapacityBytes)}})
 	})
 }
 
@@ -213,18 +213,18 @@
 	for _, p := range a.Pieces {
 		j := s.jobs[p.Job]
 		if j == nil {
-			end.Results = append(end.Results, Result{Kind: TooLate})
+			end.Results = append(end.Results, Result{Kind: PieceExpired})
 			continue
 		}
 		size := j.job.Stages[p.Stage].ResultBytes
 		if !s.inputsExist(p.Inputs) {
 			s.missingInputs++
-			end.Results = append(end.Results, Result{Kind: InputGone})
+			end.Results = append(end.Results, Result{Kind: PieceInputMissing})
 			continue
 		}
-		if len(r.results) > 0 && r.usedBytes+size > r.params.RoomBytes {
+		if len(r.results) > 0 && r.usedBytes+size > r.params.ResultCapacityBytes {
 			s.outOfMemory++
-			end.Results = append(end.Results, Result{Kind: NoRoom})
+			end.Results = append(end.Results, Result{Kind: PieceOutOfMemory})
 			continue
 		}
 		s.handles++
@@ -249,7 +249,7 @@
 		}
 		for _, res := range end.Results {
 			if h := res.Handle; h != "" {
-				s.after(r.params.ResultLife, func() { s.release(r, h) })
+				s.after(r.params.ResultTTL, func() { s.release(r, h) })
 			}
 		}
 		s.after(networkDelay/2, func() {
--- a/core/stage/machine.go
+++ b/core/stage/machine.go
@@ -56,15 +56,15 @@
 		m.configure(e)
 	case Submitted:
 		m.submit(now, e.Job)
-	case Told:
+	case ProgressSent:
 		m.progressSent(e)
-	case Known:
+	case ProgressAcked:
 		m.progressAcked(e)
 	case Cancelled:
 		m.cancel(e)
 	case CallEnded:
 		m.callEnded(now, e)
-	case Inspected:
+	case MemoryReported:
 		m.memoryReported(now, e)
 	}
 	m.expire(now)
@@ -84,7 +84,7 @@
 // are kept while they have running or timed-out calls.
 func (m *Machine) configure(e Configured) {
 	for name, s := range e.Services {
-		if s.Pieces == nil {
+		if s.StageProfile == nil {
 			continue
 		}
 		state := m.services[name]
@@ -92,7 +92,7 @@
 			state = &service{name: name, latencyRatio: 1, recentRanks: recentRanks{}}
 			m.services[name] = state
 		}
-		state.params = *s.Pieces
+		state.params = *s.StageProfile
 	}
 	m.sortedServices = slices.SortedFunc(maps.Values(m.services), func(a, b *service) int { return strings.Compare(a.name, b.name) })
 	for _, r := range m.replicas {
@@ -144,7 +144,7 @@
 		r = &replica{service: s, latencyRatio: 1}
 		m.replicas[listed.ID] = r
 	}
-	r.gate = m.cfg.Gates.Of(listed.ID)
+	r.gate = m.cfg.Gates.Get(listed.ID)
 	r.Replica, r.listed, r.service = listed, true, s
 }
 
@@ -161,7 +161,7 @@
 	m.restore(state)
 	state.recordRanks(now)
 	if refusal := m.admit(now, state); refusal != nil {
-		refusal.Held = m.releaseRefused(state)
+		refusal.ResultsHeld = m.releaseRefused(state)
 		m.emit(*refusal)
 		return
 	}
@@ -205,7 +205,7 @@
 		st := &j.stages[i]
 		switch {
 		case st.released || !j.resultsRead(i):
-		case !j.Shared:
+		case !j.Transferable:
 			m.releaseStage(st)
 		case j.readersHavePieces(i):
 			m.releaseTransferable(j, i)
@@ -244,7 +244,7 @@
 func (m *Machine) flushReleased() {
 	for _, r := range m.releasing {
 		if !r.replaced {
-			m.emit(Free{Replica: r.ID, Address: r.Address, Handles: m.released[r]})
+			m.emit(Release{Replica: r.ID, Address: r.Address, Handles: m.released[r]})
 		}
 		delete(m.released, r)
 	}
@@ -253,7 +253,7 @@
 
 // readyAction returns the action that delivers the results of a complete job.
 func (j *job) readyAction(now time.Time) Ready {
-	ready := Ready{Job: j.ID, Took: now.Sub(j.submitted), Predicted: j.expected, Early: j.Due.Sub(now)}
+	ready := Ready{Job: j.ID, Elapsed: now.Sub(j.submitted), Predicted: j.expected, Early: j.Due.Sub(now)}
 	held := bytesByDomain{bytes: map[string]int64{}}
 	for i := range j.stages {
 		st := &j.stages[i]
@@ -302,7 +302,7 @@
 	m.remove(j.ID)
 	held := m.releaseRefused(j)
 	if !j.ready {
-		m.emit(Refused{Job: j.ID, Reason: reason, RetryAfter: retryAfter, Held: held})
+		m.emit(Refused{Job: j.ID, Reason: reason, RetryAfter: retryAfter, ResultsHeld: held})
 	}
 }
 
--- a/core/stage/machine_test.go
+++ b/core/stage/machine_test.go
@@ -26,14 +26,14 @@
 
 	It("leaves out stages without pieces", func() {
 		h := newHarness(pieceParams(20, 0), "x")
-		h.submit(h.newChain("j", Stage{Service: "a"}, Stage{Service: "b", Pieces: 1, After: []int{}}, Stage{Service: "c", Pieces: 1}))
+		h.submit(h.newChain("j", Stage{Service: "a"}, Stage{Service: "b", Pieces: 1, DependsOn: []int{}}, Stage{Service: "c", Pieces: 1}))
 		h.answerAll()
 		Expect(h.ready["j"].Handles).To(HaveLen(1))
 	})
 
 	It("runs independent stages concurrently", func() {
 		h := newHarness(pieceParams(20, 0), "x")
-		runs := h.submit(h.newChain("j", Stage{Service: "a", Pieces: 1}, Stage{Service: "b", Pieces: 1, After: []int{}}))
+		runs := h.submit(h.newChain("j", Stage{Service: "a", Pieces: 1}, Stage{Service: "b", Pieces: 1, DependsOn: []int{}}))
 		Expect(runs).To(HaveLen(2))
 		h.answerAll()
 		Expect(h.ready["j"].Handles).To(HaveLen(2))
@@ -47,7 +47,7 @@
 		r := h.ready["j"]
 		Expect(r.DomainBytes).To(Equal(int64(20)))
 		Expect(r.Domain).NotTo(BeEmpty())
-		Expect(r.Timings).To(Equal([]Timing{{Stage: 0, Work: 250 * time.Millisecond}}))
+		Expect(r.Timings).To(Equal([]Timing{{Stage: 0, Execution: 250 * time.Millisecond}}))
 	})
 
 	It("refuses a job that needs a service without replicas", func() {
@@ -167,7 +167,7 @@
 		}
 		h.removeCall(run.Call)
 		h.m.released = map[*replica][]string{}
-		gone := []Result{{Kind: InputGone}, {Kind: InputGone}}
+		gone := []Result{{Kind: PieceInputMissing}, {Kind: PieceInputMissing}}
 		var runs []Run
 		for _, a := range h.m.Step(h.now, CallEnded{Call: run.Call, Results: gone}) {
 			if r, ok := a.(Run); ok {
--- a/core/stage/memory.go
+++ b/core/stage/memory.go
@@ -72,29 +72,29 @@
 
 // queryReplica queries a replica for its free memory.
 func (m *Machine) queryReplica(now time.Time, r *replica) {
-	if !r.usable(now) || r.service.params.RoomBytes == 0 {
+	if !r.usable(now) || r.service.params.ResultCapacityBytes == 0 {
 		return
 	}
 	r.queryAt, r.queriedAt = time.Time{}, now
-	m.emit(Inspect{Service: r.service.name, Replica: r.ID, Address: r.Address})
+	m.emit(QueryMemory{Service: r.service.name, Replica: r.ID, Address: r.Address})
 }
 
 // memoryReported handles a replica's report of its free memory: what is taken, but not by
 // this planner's results, is taken by other planners'. The previous estimate of those is
 // clamped to the bounds that follow from the report.
-func (m *Machine) memoryReported(now time.Time, e Inspected) {
+func (m *Machine) memoryReported(now time.Time, e MemoryReported) {
 	r := m.replicas[e.Replica]
 	if r == nil || r.replaced {
 		return
 	}
 	r.queriedAt = time.Time{}
-	capacity := r.service.params.RoomBytes
-	if e.Room.Most-e.Room.Least > int64(maxReportSpread*float64(capacity)) {
+	capacity := r.service.params.ResultCapacityBytes
+	if e.Free.Max-e.Free.Min > int64(maxReportSpread*float64(capacity)) {
 		return
 	}
-	own := r.ownBytesAt(e.Asked.Add(-memoryReportLag))
+	own := r.ownBytesAt(e.QueriedAt.Add(-memoryReportLag))
 	previous := r.currentForeignBytes(now)
-	r.foreignBytes = min(max(previous, capacity-e.Room.Most-own, 0), max(0, capacity-e.Room.Least-own))
+	r.foreignBytes = min(max(previous, capacity-e.Free.Max-own, 0), max(0, capacity-e.Free.Min-own))
 	r.foreignBytesAt = now
 	r.service.dirty = true
 	if r.foreignBytes < int64(minForeignShare*float64(capacity)) {
--- a/core/stage/memory_test.go
+++ b/core/stage/memory_test.go
@@ -14,14 +14,14 @@
 	countQueries := func(h *harness, e Event) int {
 		n := 0
 		for _, a := range h.m.Step(h.now, e) {
-			if _, ok := a.(Inspect); ok {
+			if _, ok := a.(QueryMemory); ok {
 				n++
 			}
 		}
 		return n
 	}
 	reportFree := func(h *harness, free int64) []Run {
-		return h.step(Inspected{Replica: "a1", Asked: h.now, Room: Room{free, free}})
+		return h.step(MemoryReported{Replica: "a1", QueriedAt: h.now, Free: FreeMemory{free, free}})
 	}
 
 	It("is queried once, when the first job arrives", func() {
@@ -78,7 +78,7 @@
 		run := h.submit(h.newChain("j", work))[0]
 		reportFree(h, capacity) // answers the query on the first job
 		h.removeCall(run.Call)
-		Expect(countQueries(h, CallEnded{Call: run.Call, Results: []Result{{Kind: NoRoom}}})).To(Equal(1))
+		Expect(countQueries(h, CallEnded{Call: run.Call, Results: []Result{{Kind: PieceOutOfMemory}}})).To(Equal(1))
 		Expect(reportFree(h, capacity)).To(HaveLen(1), "at once, as there is free memory again")
 	})
 
@@ -89,7 +89,7 @@
 		h.now = h.now.Add(time.Second)
 		r := h.m.replicas["a1"]
 		reportBounds := func(least, most int64) int64 {
-			h.step(Inspected{Replica: "a1", Asked: h.now, Room: Room{least, most}})
+			h.step(MemoryReported{Replica: "a1", QueriedAt: h.now, Free: FreeMemory{least, most}})
 			return r.currentForeignBytes(h.now)
 		}
 		Expect(reportBounds(0, 200)).To(Equal(int64(300)), "lower bound: 1000 less 200 free and 500 of this planner")
@@ -104,7 +104,7 @@
 		run := h.submit(h.newChain("j", work))[0]
 		reportFree(h, capacity) // answers the query on the first job
 		h.removeCall(run.Call)
-		Expect(countQueries(h, CallEnded{Call: run.Call, Results: []Result{{Kind: NoRoom}}})).To(Equal(1))
+		Expect(countQueries(h, CallEnded{Call: run.Call, Results: []Result{{Kind: PieceOutOfMemory}}})).To(Equal(1))
 		h.now = h.now.Add(memoryQueryTimeout / 2)
 		h.m.replicas["a1"].noteOutOfMemory(h.now)
 		h.m.nextMemoryQuery.schedule(h.now)
--- a/core/stage/random_test.go
+++ b/core/stage/random_test.go
@@ -30,7 +30,7 @@
 		case n < 4:
 			submitted++
 			j := randomJob(h, rng, fmt.Sprint("j", submitted))
-			j.Shared = messageRNG.IntN(2) == 0
+			j.Transferable = messageRNG.IntN(2) == 0
 			h.submit(j)
 		case n < 8 && len(h.running) > 0:
 			h.endRandom(rng, h.running[rng.IntN(len(h.running))])
@@ -81,7 +81,7 @@
 		s := Stage{Service: []string{"a", "b", "c"}[rng.IntN(3)], Pieces: rng.IntN(6), ResultBytes: int64(rng.IntN(4000))}
 		for a := range i {
 			if rng.IntN(2) == 0 && j.Stages[a].Pieces > 0 {
-				s.After = append(s.After, a)
+				s.DependsOn = append(s.DependsOn, a)
 			}
 		}
 		j.Stages = append(j.Stages, s)
@@ -110,9 +110,9 @@
 	r := h.removeCall(call)
 	e := CallEnded{Call: call}
 	for _, p := range r.Pieces {
-		kind := []ResultKind{Made, Made, TooLate, NoRoom, Broken}[rng.IntN(5)]
+		kind := []ResultKind{PieceCompleted, PieceCompleted, PieceExpired, PieceOutOfMemory, PieceFailed}[rng.IntN(5)]
 		res := Result{Kind: kind}
-		if kind == Made {
+		if kind == PieceCompleted {
 			h.completedPieces++
 			res.Handle = fmt.Sprintf("%s/%d", r.Address, h.completedPieces)
 			h.results[res.Handle] = p
--- a/core/stage/replica.go
+++ b/core/stage/replica.go
@@ -10,7 +10,7 @@
 
 type service struct {
 	name     string
-	params   catalog.Pieces
+	params   catalog.StageProfile
 	replicas []*replica
 	// domains is the number of failure domains with replicas.
 	domains int
@@ -64,7 +64,7 @@
 	catalog.Replica
 	service *service
 	// gate limits the calls to the replica, together with the other calls of this host.
-	gate *intake.Gate
+	gate *intake.Limiter
 	// listed says that the replica is in the configuration in force.
 	listed bool
 	// replaced says that the restarted replica, or another one, has this replica's address.
@@ -122,18 +122,18 @@
 
 // acceptsWork says whether the replica accepts new work, according to itself and the
 // configuration.
-func (r *replica) acceptsWork() bool { return r.listed && !r.Draining && !r.gate.Leaves() }
+func (r *replica) acceptsWork() bool { return r.listed && !r.Draining && !r.gate.IsLeaving() }
 
 // closedForLong says whether the replica accepts no calls of this host for longer than one
 // call takes.
 func (r *replica) closedForLong(now time.Time) bool {
 	rate, bounded := r.gate.Rate(now)
-	return bounded && rate == 0 && now.Add(r.service.callTime(1)).Before(r.gate.Opens(now))
+	return bounded && rate == 0 && now.Add(r.service.callTime(1)).Before(r.gate.NextAllowed(now))
 }
 
 // available says whether a call to the replica may start now.
 func (r *replica) available(now time.Time) bool {
-	return r.usable(now) && len(r.calls) < r.service.params.Concurrency && !now.Before(r.busyUntil) && !now.Before(r.gate.Opens(now))
+	return r.usable(now) && len(r.calls) < r.service.params.Concurrency && !now.Before(r.busyUntil) && !now.Before(r.gate.NextAllowed(now))
 }
 
 // availableAt returns when the replica is expected to accept its next call.
@@ -150,7 +150,7 @@
 	if r.busyUntil.After(at) {
 		at = r.busyUntil
 	}
-	if opens := r.gate.Opens(now); opens.After(at) {
+	if opens := r.gate.NextAllowed(now); opens.After(at) {
 		at = opens
 	}
 	if at.Before(now) {
@@ -165,7 +165,7 @@
 	if now.Before(r.noMemoryUntil) {
 		return false
 	}
-	capacity := r.service.params.RoomBytes
+	capacity := r.service.params.ResultCapacityBytes
 	occupied := r.usedBytes + r.currentForeignBytes(now)
 	return capacity == 0 || occupied == 0 || occupied+n <= capacity
 }
@@ -175,7 +175,7 @@
 func (r *replica) noteOutOfMemory(now time.Time) {
 	r.noMemoryUntil = now.Add(r.service.params.CallTime)
 	r.queryAt = now
-	capacity := r.service.params.RoomBytes
+	capacity := r.service.params.ResultCapacityBytes
 	if missing := capacity - r.usedBytes; missing > max(r.currentForeignBytes(now), int64(minMissingShare*float64(capacity))) {
 		r.foreignBytes, r.foreignBytesAt = missing, now
 	}
@@ -188,7 +188,7 @@
 // currentForeignBytes returns the memory that is still taken by other planners' results.
 // They are assumed to be released evenly until the last one has expired.
 func (r *replica) currentForeignBytes(now time.Time) int64 {
-	lifetime := r.service.params.ResultLife
+	lifetime := r.service.params.ResultTTL
 	if lifetime <= 0 {
 		lifetime = defaultResultLifetime
 	}
--- a/core/stage/restart_test.go
+++ b/core/stage/restart_test.go
@@ -13,7 +13,7 @@
 	restart := func(h *harness, service *catalog.Service) {
 		e := Configured{Services: map[string]*catalog.Service{}}
 		for _, name := range []string{"a", "b", "c"} {
-			e.Services[name] = &catalog.Service{Name: name, Pieces: service.Pieces}
+			e.Services[name] = &catalog.Service{Name: name, StageProfile: service.StageProfile}
 			id := name + "1"
 			if name == "a" {
 				id = "a1@2"
@@ -52,7 +52,7 @@
 		h := newHarness(service, "x")
 		restart(h, service)
 		j := h.newChain("j", Stage{Service: "a", Pieces: 1, ResultBytes: 100}, Stage{Service: "b", Pieces: 1})
-		j.Made = []MadePiece{{Stage: 0, Index: 0, Handle: "old/1", Replica: "a1"}}
+		j.Completed = []CompletedPiece{{Stage: 0, Index: 0, Handle: "old/1", Replica: "a1"}}
 		runs := h.submit(j)
 		Expect(runs).To(HaveLen(1))
 		Expect(runs[0].Service).To(Equal("a"))
--- a/core/stage/resume_test.go
+++ b/core/stage/resume_test.go
@@ -17,7 +17,7 @@
 		h := service()
 		j := h.newChain("j", chain...)
 		for i, handle := range []string{"old/1", "old/2"} {
-			j.Made = append(j.Made, MadePiece{Stage: 0, Index: i, Handle: handle, Replica: "a1"})
+			j.Completed = append(j.Completed, CompletedPiece{Stage: 0, Index: i, Handle: handle, Replica: "a1"})
 			h.results[handle] = Piece{Job: "j", Stage: 0, Index: i}
 		}
 		return h, j
@@ -37,7 +37,7 @@
 
 	It("executes only the missing pieces", func() {
 		h, j := startedJob(plain)
-		j.Made = j.Made[:1]
+		j.Completed = j.Completed[:1]
 		runs := h.submit(j)
 		Expect(runs[0].Pieces).To(HaveLen(1))
 		Expect(runs[0].Pieces[0].Index).To(Equal(1))
@@ -45,7 +45,7 @@
 
 	It("repeats pieces whose results are not usable", func() {
 		h, j := startedJob(plain)
-		j.Made = []MadePiece{
+		j.Completed = []CompletedPiece{
 			{Stage: 0, Index: 0, Handle: "old/1", Replica: "gone"}, {Stage: 0, Index: 1, Handle: "old/2", Replica: "b1"},
 			{Stage: 7, Index: 0, Handle: "x", Replica: "a1"}, {Stage: 0, Index: 2, Handle: "x", Replica: "a1"}, {Stage: -1, Handle: "x", Replica: "a1"},
 		}
@@ -71,7 +71,7 @@
 		first := h.submit(h.newTransferableChain("j", chain...))[0]
 		h.answer(first.Call)
 		h.sendProgress("j", h.existingResults("j")...)
-		h.endJob("j", Cancelled{Job: "j", Moved: true})
+		h.endJob("j", Cancelled{Job: "j", HandedOver: true})
 		Expect(h.results).To(HaveLen(2))
 	})
 
@@ -81,15 +81,15 @@
 		h.answer(first.Call)
 		results := h.existingResults("j")
 		h.sendProgress("j", results[0])
-		h.endJob("j", Cancelled{Job: "j", Moved: true})
+		h.endJob("j", Cancelled{Job: "j", HandedOver: true})
 		Expect(h.results).To(HaveLen(1))
 		Expect(h.results).To(HaveKey(results[0].Handle))
 	})
 
 	It("does not have results released again that had been read", func() {
 		h, j := startedJob(plain)
-		j.Stages = append(j.Stages, Stage{Service: "c", After: []int{1}, Pieces: 1})
-		j.Made = append(j.Made, MadePiece{Stage: 1, Index: 0, Handle: "old/3", Replica: "b1"})
+		j.Stages = append(j.Stages, Stage{Service: "c", DependsOn: []int{1}, Pieces: 1})
+		j.Completed = append(j.Completed, CompletedPiece{Stage: 1, Index: 0, Handle: "old/3", Replica: "b1"})
 		delete(h.results, "old/1") // the earlier planner released them, as stage 1 is complete
 		delete(h.results, "old/2")
 		h.results["old/3"] = Piece{Job: "j", Stage: 1}
@@ -110,8 +110,8 @@
 			}
 		}
 		Expect(reported).To(Equal([]Progress{
-			{Job: "j", Piece: MadePiece{Stage: 0, Index: 0, Handle: "h1", Replica: "a1"}},
-			{Job: "j", Piece: MadePiece{Stage: 0, Index: 1, Handle: "h2", Replica: "a1"}},
+			{Job: "j", Piece: CompletedPiece{Stage: 0, Index: 0, Handle: "h1", Replica: "a1"}},
+			{Job: "j", Piece: CompletedPiece{Stage: 0, Index: 1, Handle: "h2", Replica: "a1"}},
 		}))
 	})
 })
@@ -123,7 +123,7 @@
 		e := CallEnded{Call: run.Call}
 		for i, p := range run.Pieces {
 			if i >= made {
-				e.Results = append(e.Results, Result{Kind: NoRoom})
+				e.Results = append(e.Results, Result{Kind: PieceOutOfMemory})
 				continue
 			}
 			handle := string(rune('A' + i))
@@ -135,7 +135,7 @@
 
 	It("is not used, and becomes available as those results expire", func() {
 		service := pieceParams(10, 1000)
-		service.Pieces.ResultLife = 4 * time.Second
+		service.StageProfile.ResultTTL = 4 * time.Second
 		h := newHarness(service, "x")
 		h.submit(h.newChain("first", Stage{Service: "a", Pieces: 1, ResultBytes: 100}))
 		for i := range 10 {
--- a/core/stage/simdeployment_test.go
+++ b/core/stage/simdeployment_test.go
@@ -24,10 +24,10 @@
 
 // limitedParams returns the parameters of a replica that runs one call at a time and has
 // little memory.
-func limitedParams(batch int, pieceTime float64, memoryBytes int64) catalog.Pieces {
-	return catalog.Pieces{
+func limitedParams(batch int, pieceTime float64, memoryBytes int64) catalog.StageProfile {
+	return catalog.StageProfile{
 		Concurrency: 1, Batch: batch, CallTime: 240 * time.Millisecond, PieceTime: time.Duration(pieceTime * float64(time.Millisecond)),
-		RoomBytes: memoryBytes, ResultLife: 4 * time.Second,
+		ResultCapacityBytes: memoryBytes, ResultTTL: 4 * time.Second,
 	}
 }
 
@@ -40,8 +40,8 @@
 func smallChain(rng *rand.Rand, beside ...Stage) []Stage {
 	n := len(beside)
 	return append(beside, Stage{Service: "audit", Pieces: 1, ResultBytes: smallResult},
-		Stage{Service: "notify", After: []int{n}, Pieces: 4, ResultBytes: 60_000},
-		Stage{Service: "store", After: []int{n + 1}, Pieces: lognormalCount(rng, 6, 0.4, 15), ResultBytes: 6000})
+		Stage{Service: "notify", DependsOn: []int{n}, Pieces: 4, ResultBytes: 60_000},
+		Stage{Service: "store", DependsOn: []int{n + 1}, Pieces: lognormalCount(rng, 6, 0.4, 15), ResultBytes: 6000})
 }
 
 // kindParams holds the parameters of a kind of requests that differ between deployments:
--- a/core/stage/timeout.go
+++ b/core/stage/timeout.go
@@ -135,7 +135,7 @@
 	partial := call{id: c.id, replica: c.replica}
 	var completedResults []Result
 	for i, p := range c.pieces {
-		if i < len(results) && results[i].Kind == Made {
+		if i < len(results) && results[i].Kind == PieceCompleted {
 			c.replica.usedBytes += p.resultBytes()
 			partial.pieces, completedResults = append(partial.pieces, p), append(completedResults, results[i])
 		}
--- a/core/stall/machine_test.go
+++ b/core/stall/machine_test.go
@@ -19,91 +19,91 @@
 var (
 	start  = time.Unix(1000, 0)
 	config = stall.Config{
-		Ask: 600 * time.Millisecond, AskEvery: 300 * time.Millisecond, Doubted: 800 * time.Millisecond,
-		Any: 2 * time.Second, SecureEvery: 200 * time.Millisecond,
+		QueryAfter: 600 * time.Millisecond, QueryInterval: 300 * time.Millisecond, SuspectTimeout: 800 * time.Millisecond,
+		MaxSilence: 2 * time.Second, ReserveRetryInterval: 200 * time.Millisecond,
 	}
 )
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 var _ = Describe("a silent attempt", func() {
-	var m *stall.Machine
+	var m *stall.Monitor
 	BeforeEach(func() { m = stall.New(start, config) })
 
 	It("asks its replica before it suspects it", func() {
 		Expect(m.Tick(at(599))).To(Equal(stall.None))
 		Expect(m.Next(at(599))).To(Equal(at(600)))
-		Expect(m.Tick(at(600))).To(Equal(stall.Ask))
+		Expect(m.Tick(at(600))).To(Equal(stall.Query))
 		Expect(m.Tick(at(1000))).To(Equal(stall.None), "one query at a time")
 	})
 
-	DescribeTable("is abandoned at a suspected replica once another run is reserved", func(a stall.Account) {
-		Expect(m.Tick(at(600))).To(Equal(stall.Ask))
-		m.Told(at(600), a)
+	DescribeTable("is abandoned at a suspected replica once another run is reserved", func(a stall.RunStatus) {
+		Expect(m.Tick(at(600))).To(Equal(stall.Query))
+		m.RecordStatus(at(600), a)
 		Expect(m.Tick(at(799))).To(Equal(stall.None))
 		Expect(m.Next(at(799))).To(Equal(at(800)))
-		Expect(m.Tick(at(800))).To(Equal(stall.Secure))
-		Expect(m.Left()).To(BeFalse())
-		Expect(m.Secured(at(900))).To(Equal(stall.Leave))
-		Expect(m.Left()).To(BeTrue())
+		Expect(m.Tick(at(800))).To(Equal(stall.Reserve))
+		Expect(m.Abandoned()).To(BeFalse())
+		Expect(m.Reserved(at(900))).To(Equal(stall.Abandon))
+		Expect(m.Abandoned()).To(BeTrue())
 		Expect(m.Event(at(901))).To(Equal(stall.None), "events after the run was abandoned are ignored")
 	},
 		Entry("that does not respond", stall.NoAnswer),
-		Entry("whose events do not arrive", stall.Ahead),
+		Entry("whose events do not arrive", stall.OutputLost),
 		Entry("that does not know it", stall.NotListed),
 	)
 
-	DescribeTable("is kept until the maximum silence at a replica that is not suspected", func(a stall.Account) {
-		Expect(m.Tick(at(600))).To(Equal(stall.Ask))
-		m.Told(at(600), a)
+	DescribeTable("is kept until the maximum silence at a replica that is not suspected", func(a stall.RunStatus) {
+		Expect(m.Tick(at(600))).To(Equal(stall.Query))
+		m.RecordStatus(at(600), a)
 		for now := 610; now < 2000; now += 10 {
 			switch m.Tick(at(now)) {
 			case stall.None:
-			case stall.Ask:
-				m.Told(at(now), a)
+			case stall.Query:
+				m.RecordStatus(at(now), a)
 			default:
 				Fail("the run is abandoned before the maximum silence")
 			}
 		}
-		Expect([]stall.Action{m.Tick(at(2000)), m.Tick(at(2000))}).To(ContainElement(stall.Secure), "the maximum silence has passed")
+		Expect([]stall.Action{m.Tick(at(2000)), m.Tick(at(2000))}).To(ContainElement(stall.Reserve), "the maximum silence has passed")
 	},
-		Entry("that works on the run", stall.AtWork),
-		Entry("that reports no status", stall.Untold),
+		Entry("that works on the run", stall.Running),
+		Entry("that reports no status", stall.Unknown),
 	)
 
 	It("continues while the reservation fails", func() {
 		m.Tick(at(600))
-		m.Told(at(600), stall.NoAnswer)
-		Expect(m.Tick(at(800))).To(Equal(stall.Secure))
-		m.Denied(at(810))
-		Expect(m.Tick(at(900))).To(Equal(stall.Ask), "the replica is asked again meanwhile")
+		m.RecordStatus(at(600), stall.NoAnswer)
+		Expect(m.Tick(at(800))).To(Equal(stall.Reserve))
+		m.ReservationFailed(at(810))
+		Expect(m.Tick(at(900))).To(Equal(stall.Query), "the replica is asked again meanwhile")
 		Expect(m.Tick(at(1009))).To(Equal(stall.None))
 		Expect(m.Next(at(1009))).To(Equal(at(1010)))
-		Expect(m.Tick(at(1010))).To(Equal(stall.Secure))
+		Expect(m.Tick(at(1010))).To(Equal(stall.Reserve))
 	})
 
 	It("continues when an event arrives during the reservation", func() {
 		m.Tick(at(600))
-		m.Told(at(600), stall.NoAnswer)
-		Expect(m.Tick(at(800))).To(Equal(stall.Secure))
-		Expect(m.Event(at(850))).To(Equal(stall.GiveBack))
-		Expect(m.Secured(at(860))).To(Equal(stall.GiveBack))
-		Expect(m.Left()).To(BeFalse())
-		Expect(m.Account()).To(Equal(stall.Untold))
+		m.RecordStatus(at(600), stall.NoAnswer)
+		Expect(m.Tick(at(800))).To(Equal(stall.Reserve))
+		Expect(m.Event(at(850))).To(Equal(stall.Release))
+		Expect(m.Reserved(at(860))).To(Equal(stall.Release))
+		Expect(m.Abandoned()).To(BeFalse())
+		Expect(m.Status()).To(Equal(stall.Unknown))
 	})
 
 	It("does not count the time for which its own host was suspended", func() {
-		Expect(m.Awake(at(9000))).To(Equal(stall.None))
+		Expect(m.HostResumed(at(9000))).To(Equal(stall.None))
 		Expect(m.Tick(at(9001))).To(Equal(stall.None))
 		Expect(m.Next(at(9001))).To(Equal(at(9301)))
-		Expect(m.Tick(at(9600))).To(Equal(stall.Ask))
+		Expect(m.Tick(at(9600))).To(Equal(stall.Query))
 	})
 
 	It("ignores a status that was asked for before the last event", func() {
 		m.Tick(at(600))
 		m.Event(at(610))
-		m.Told(at(600), stall.NoAnswer)
-		Expect(m.Account()).To(Equal(stall.Untold))
+		m.RecordStatus(at(600), stall.NoAnswer)
+		Expect(m.Status()).To(Equal(stall.Unknown))
 	})
 })
 
@@ -121,12 +121,12 @@
 			case 1, 2:
 				if w.querying {
 					w.querying = false
-					w.recordStatus(stall.Account(rapid.IntRange(0, 4).Draw(t, "account")))
+					w.recordStatus(stall.RunStatus(rapid.IntRange(0, 4).Draw(t, "account")))
 				}
 			case 3:
 				if w.reserving {
 					w.reserving = false
-					w.m.Denied(at(w.now))
+					w.m.ReservationFailed(at(w.now))
 				}
 			case 4, 5:
 				w.reserve(t)
@@ -140,26 +140,26 @@
 
 // modelOwner is the owner of a machine, with the state that the checks need.
 type modelOwner struct {
-	m                   *stall.Machine
+	m                   *stall.Monitor
 	now                 int
 	lastEvent           time.Time
 	lastQuery           time.Time
 	querying, reserving bool
 	// reservationWanted says that no event has arrived since Secure.
 	reservationWanted bool
-	status            stall.Account
+	status            stall.RunStatus
 }
 
 func (w *modelOwner) event() {
-	abandoned := w.m.Left()
+	abandoned := w.m.Abandoned()
 	w.m.Event(at(w.now))
 	if !abandoned {
-		w.lastEvent, w.reservationWanted, w.status = at(w.now), false, stall.Untold
+		w.lastEvent, w.reservationWanted, w.status = at(w.now), false, stall.Unknown
 	}
 }
 
-func (w *modelOwner) recordStatus(a stall.Account) {
-	w.m.Told(w.lastQuery, a)
+func (w *modelOwner) recordStatus(a stall.RunStatus) {
+	w.m.RecordStatus(w.lastQuery, a)
 	if !w.lastQuery.Before(w.lastEvent) {
 		w.status = a
 	}
@@ -170,16 +170,16 @@
 		return
 	}
 	w.reserving = false
-	switch got := w.m.Secured(at(w.now)); got {
-	case stall.Leave:
+	switch got := w.m.Reserved(at(w.now)); got {
+	case stall.Abandon:
 		if !w.reservationWanted {
 			t.Fatal("abandoned although an event arrived since Secure")
 		}
 		silence := at(w.now).Sub(w.lastEvent)
-		if silence < config.Any && !(w.status.Doubted() && silence >= config.Doubted) {
+		if silence < config.MaxSilence && !(w.status.Suspect() && silence >= config.SuspectTimeout) {
 			t.Fatalf("abandoned after %s of silence with status %s", silence, w.status)
 		}
-	case stall.GiveBack:
+	case stall.Release:
 	default:
 		t.Fatalf("reservation neither used nor released: action %d", got)
 	}
@@ -190,12 +190,12 @@
 		switch w.m.Tick(at(w.now)) {
 		case stall.None:
 			return
-		case stall.Ask:
+		case stall.Query:
 			if w.querying {
 				t.Fatal("asked while a query is in progress")
 			}
 			w.querying, w.lastQuery = true, at(w.now)
-		case stall.Secure:
+		case stall.Reserve:
 			if w.reserving {
 				t.Fatal("Secure while a reservation is in progress")
 			}
@@ -211,7 +211,7 @@
 func (w *modelOwner) checkPermanentSilence(t *rapid.T) {
 	const bound = 4000 // ms: Any, plus the query and reservation in progress
 	for end := w.now + bound; w.now < end; w.now += 10 {
-		if w.m.Left() {
+		if w.m.Abandoned() {
 			return
 		}
 		if w.querying {
--- a/daemon/admission.go
+++ b/daemon/admission.go
@@ -23,7 +23,7 @@
 func (d *Daemon) liveHosts() []string {
 	out := []string{d.settings.Host}
 	for _, m := range d.cluster.Members() {
-		if m.Living() && m.Host.Name != d.settings.Host {
+		if m.Live() && m.Host.Name != d.settings.Host {
 			out = append(out, m.Host.Name)
 		}
 	}
--- a/daemon/call.go
+++ b/daemon/call.go
@@ -43,7 +43,7 @@
 	began := startCall()
 	output, err := client.Do(ctx, service.Call{
 		Address: c.Choice.Address, Path: pathOf(c.Stage), RequestID: s.id, Attempt: c.Attempt,
-		Customer: s.sub.Customer.Name, Stage: c.Stage.Name, Key: c.Key, Input: c.Input, NotAfter: c.NotAfter,
+		Customer: s.sub.Customer.Name, Stage: c.Stage.Name, IdempotencyKey: c.Key, Input: c.Input, NotAfter: c.NotAfter,
 	})
 	d.noteCall(s, c, began, err)
 	ended := callEnded(ctx, c.Attempt, err)
@@ -94,15 +94,15 @@
 	return raw
 }
 
-func (d *Daemon) generation(s *session, c request.Call) engine.Generation {
+func (d *Daemon) generation(s *session, c request.Call) engine.GenerateRequest {
 	var messages []engine.Message
 	if s.sub.Prefix != "" {
 		messages = append(messages, engine.Message{Role: "system", Content: s.sub.Prefix})
 	}
 	messages = append(messages, engine.Message{Role: "user", Content: textOf(c.Input)})
 	pool := s.clients.pools[c.Stage.Pool]
-	return engine.Generation{
-		Address: c.Choice.Address, Model: pool.Model, Priority: priorityOf(pool, c.StartBy),
+	return engine.GenerateRequest{
+		Address: c.Choice.Address, Model: pool.Model, Priority: priorityOf(pool, c.LatestStart),
 		RequestID: s.id, Attempt: c.Attempt, Customer: s.sub.Customer.Name,
 		Messages: messages, MaxTokens: c.Stage.MaxTokens, NotAfter: c.NotAfter,
 	}
@@ -148,7 +148,7 @@
 
 // lookUp asks all upstreams of a pool until one has the result, none knows of
 // the call, or the request's deadline comes.
-func (d *Daemon) lookUp(s *session, a request.LookUp) {
+func (d *Daemon) lookUp(s *session, a request.LookUpStatus) {
 	ctx, cancel := clock.WithDeadline(context.Background(), s.sub.Deadline)
 	defer cancel()
 	for {
@@ -168,14 +168,14 @@
 
 // askStatus asks every upstream of the pool once. One that has the result wins
 // over one that runs the call, and that over those that know nothing.
-func (d *Daemon) askStatus(ctx context.Context, s *session, a request.LookUp) service.Status {
+func (d *Daemon) askStatus(ctx context.Context, s *session, a request.LookUpStatus) service.Status {
 	ctx, cancel := clock.WithTimeout(ctx, lookUpTimeout)
 	defer cancel()
 	upstreams := s.clients.pools[a.Pool].Upstreams
 	answers := make(chan service.Status, len(upstreams))
 	for _, u := range upstreams {
 		go func() {
-			status, err := s.clients.services[a.Pool].LookUp(ctx, u.Address, a.Key)
+			status, err := s.clients.services[a.Pool].LookUpStatus(ctx, u.Address, a.Key)
 			if err != nil {
 				status = service.Status{State: service.StatusUnknown}
 			}
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -34,7 +34,7 @@
 	}
 	ctx, cancel := clock.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	key := request.ClaimKey{Customer: sub.Customer.Name, Key: sub.Key, Stage: stage.Name}
+	key := request.ClaimKey{Customer: sub.Customer.Name, Key: sub.IdempotencyKey, Stage: stage.Name}
 	notRun, err := d.claims.Void(ctx, key)
 	return err == nil && notRun
 }
--- a/daemon/cluster.go
+++ b/daemon/cluster.go
@@ -17,11 +17,11 @@
 	s := d.settings
 	host := member.Host{Name: s.Host, FailureDomain: s.FailureDomain}
 	members := member.DefaultConfig(host, d.incarnation)
-	members.Extensions = append(members.Extensions, loadExtension(), quarantine.Extension())
+	members.Slots = append(members.Slots, loadExtension(), quarantine.Extension())
 	c, err := cluster.New(cluster.Config{
 		Member:  members,
 		Rollout: rollout.DefaultConfig(cluster.NewCodec(s.BundleKeys)),
-		Platform: platform.New(platform.Config{
+		Platform: platform.NewClient(platform.ClientConfig{
 			ConfigService: s.Platform.ConfigService, HostList: s.Platform.HostList, Key: s.Platform.Key,
 		}),
 		Mux:    d.peerMux,
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -268,7 +268,7 @@
 const retryElsewhere = time.Second
 
 // Admittable implements caller.Backend.
-func (d *Daemon) Admittable() *problem.Error {
+func (d *Daemon) CheckAdmission() *problem.Error {
 	var e *problem.Error
 	switch {
 	case d.draining.Load():
@@ -301,10 +301,10 @@
 
 // Refused implements caller.Backend. What anybody can send without an API key
 // is logged and counted only: it must not push other requests' records out.
-func (d *Daemon) Refused(id string, e *problem.Error) {
+func (d *Daemon) RecordRefusal(id string, e *problem.Error) {
 	d.countRefused(e)
 	if e.Kind != problem.Unauthorized && e.Kind != problem.NotFound {
-		d.records.Begin(id).Add(refusedEntry(d.Now(), e))
+		d.records.GetOrCreate(id).Add(refusedEntry(d.Now(), e))
 	}
 	d.log.Info("refused", logging.Request(id), zap.String("kind", string(e.Kind)), zap.String("detail", e.Detail))
 }
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -71,12 +71,12 @@
 		h.Write(sum[:])
 	}
 	return results.Request{
-		Customer: s.sub.Customer.Name, Key: s.sub.Key, Digest: results.Digest(h.Sum(nil)),
+		Customer: s.sub.Customer.Name, Key: s.sub.IdempotencyKey, Digest: results.Digest(h.Sum(nil)),
 	}
 }
 
 // keep stores a stage's result at fellow daemons. What is lost costs work only.
-func (d *Daemon) keep(s *session, a request.Keep) {
+func (d *Daemon) keep(s *session, a request.StoreResult) {
 	ctx, cancel := clock.WithTimeout(context.Background(), keepTimeout)
 	defer cancel()
 	n, err := d.kept.Keep(ctx, keptRequest(s), a.Stage, a.Result, s.sub.Deadline.Add(s.sub.Pipeline.Deadline))
@@ -101,10 +101,10 @@
 }
 
 func mayResume(sub caller.Submission) bool {
-	if sub.Key == "" {
+	if sub.IdempotencyKey == "" {
 		return false
 	}
-	_, made, err := uuidtime.Parse(sub.Key)
+	_, made, err := uuidtime.Parse(sub.IdempotencyKey)
 	if err != nil || sub.Arrived.Sub(made) < resumeAge {
 		return false
 	}
--- a/daemon/loadexchange.go
+++ b/daemon/loadexchange.go
@@ -17,8 +17,8 @@
 const loadExchangeEvery = 500 * time.Millisecond
 
 // loadExtension is the place of load digests on the heartbeats.
-func loadExtension() member.Extension {
-	return member.Extension{ID: member.SlotLoad, MaxBytes: loadDigestBytes}
+func loadExtension() member.SlotConfig {
+	return member.SlotConfig{ID: member.SlotLoad, MaxBytes: loadDigestBytes}
 }
 
 // exchangeLoads puts load digests on the heartbeats and takes those of fellow
@@ -48,8 +48,8 @@
 	known := make(map[string]bool, len(slots))
 	for _, s := range slots {
 		known[s.Host] = true
-		if s.At.After(heard[s.Host]) {
-			heard[s.Host] = s.At
+		if s.ReceivedAt.After(heard[s.Host]) {
+			heard[s.Host] = s.ReceivedAt
 			news = append(news, s)
 		}
 	}
@@ -67,7 +67,7 @@
 	hosts := make([]load.Host, 0, len(members)+1)
 	found := false
 	for _, m := range members {
-		if m.Host.Name != self && !m.Living() {
+		if m.Host.Name != self && !m.Live() {
 			continue
 		}
 		found = found || m.Host.Name == self
--- a/daemon/loadview.go
+++ b/daemon/loadview.go
@@ -138,6 +138,6 @@
 }
 
 func (v *loadView) dump() loadDump {
-	polling, interval := v.table.Polling()
+	polling, interval := v.table.AssignedPolls()
 	return loadDump{Polling: polling, Interval: interval, Polls: v.poller.Stats(), Reports: v.table.Reports()}
 }
--- a/daemon/loadview_test.go
+++ b/daemon/loadview_test.go
@@ -57,10 +57,10 @@
 	g := NewWithT(t)
 	at := time.Unix(1000, 0)
 	heard := map[string]time.Time{"entry-9": at}
-	slots := []cluster.SlotValue{{Host: "entry-1", At: at}, {Host: "entry-2", At: at}}
+	slots := []cluster.SlotValue{{Host: "entry-1", ReceivedAt: at}, {Host: "entry-2", ReceivedAt: at}}
 	g.Expect(newSlots(slots, heard)).To(HaveLen(2))
 	g.Expect(newSlots(slots, heard)).To(BeEmpty())
-	slots[1].At = at.Add(time.Second)
+	slots[1].ReceivedAt = at.Add(time.Second)
 	g.Expect(newSlots(slots, heard)).To(Equal(slots[1:]))
 	g.Expect(heard).NotTo(HaveKey("entry-9"))
 }
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -40,7 +40,7 @@
 	gauge("wheatseam_dropped_events", func() float64 { return float64(d.table.Dropped()) })
 	gauge("wheatseam_record_bytes", func() float64 { return float64(d.records.Stats().Bytes) })
 	gauge("wheatseam_ready", func() float64 {
-		if d.Admittable() != nil {
+		if d.CheckAdmission() != nil {
 			return 0
 		}
 		return 1
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -42,7 +42,7 @@
 			TokenFile: o.TokenFile, ClientCA: o.ClientCA, Cert: o.Cert, Key: o.Key,
 		},
 		Local:   local,
-		Fleet:   operator.NewFleet(local, d.records, d.sections, d.peers, d.peerMux),
+		Querier: operator.NewFleetQuerier(local, d.records, d.sections, d.peers, d.peerMux),
 		Metrics: []*metrics.Set{d.metrics}, WriteMetrics: d.writeStates,
 		Logger: d.log,
 	})
@@ -63,7 +63,7 @@
 		Host: d.settings.Host, FailureDomain: d.settings.FailureDomain,
 		Draining: d.draining.Load(), RequestsInFlight: d.table.Len(),
 	}
-	if err := d.Admittable(); err != nil {
+	if err := d.CheckAdmission(); err != nil {
 		st.Reason = err.Detail
 	}
 	st.Ready = st.Reason == ""
@@ -146,7 +146,7 @@
 	d.sections.Register("pools", func() any { return d.admitter.State(d.Now()) })
 	d.sections.Register("upstreams", func() any { return d.router.Dump(d.Now()) })
 	d.sections.Register("load", func() any { return d.loads.dump() })
-	d.sections.Register("failing_pools", func() any { return d.health.Open() })
+	d.sections.Register("failing_pools", func() any { return d.health.OpenPools() })
 	d.sections.Register("claims", func() any { return d.claims.Dump() })
 	d.sections.Register("kept_results", func() any { return d.keptStore.Stats() })
 	d.sections.Register("retries", func() any { return d.budgets.Retry.Stats() })
--- a/daemon/perform.go
+++ b/daemon/perform.go
@@ -62,24 +62,24 @@
 		go d.call(ctx, s, a)
 	case request.Cancel:
 		s.cancel(a.Attempt)
-	case request.Claim:
+	case request.AcquireClaim:
 		go d.claim(s, a)
-	case request.Release:
+	case request.ReleaseClaim:
 		go d.release(s, a.Key)
-	case request.Record:
+	case request.RecordResult:
 		go d.record(s, a)
-	case request.LookUp:
+	case request.LookUpStatus:
 		go d.lookUp(s, a)
-	case request.Keep:
+	case request.StoreResult:
 		go d.keep(s, a)
 	case request.Forward:
 		s.forward.Store(int64(a.Attempt))
-	case request.Reset:
+	case request.ResetStream:
 		s.forward.Store(0)
 		s.pass(context.Background(), outputPart{reset: true})
 	case request.SetTimer:
 		d.setTimer(s, a)
-	case request.Notify:
+	case request.DeliverGrant:
 		go d.notify(a.Grant)
 	case request.Finish:
 		d.finish(s, a)
@@ -106,7 +106,7 @@
 	return ctx
 }
 
-func (d *Daemon) claim(s *session, a request.Claim) {
+func (d *Daemon) claim(s *session, a request.AcquireClaim) {
 	ctx, cancel := clock.WithDeadline(context.Background(), s.sub.Deadline)
 	defer cancel()
 	d.deliver(s, d.claims.Acquire(ctx, a.Key, s.id, s.sub.Arrived, s.digest))
@@ -120,7 +120,7 @@
 	}
 }
 
-func (d *Daemon) record(s *session, a request.Record) {
+func (d *Daemon) record(s *session, a request.RecordResult) {
 	ctx, cancel := clock.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
 	err := d.claims.Record(ctx, a.Key, s.id, a.Result)
@@ -132,7 +132,7 @@
 
 // finish answers the caller, once what makes the answer true is done.
 func (d *Daemon) finish(s *session, f request.Finish) {
-	if f.Settle == request.SettleNone {
+	if f.ClaimCleanup == request.ClaimCleanupNone {
 		s.final <- finalAnswer{answer: f.Answer, err: f.Err}
 		return
 	}
@@ -148,7 +148,7 @@
 func (d *Daemon) settle(s *session, f request.Finish) bool {
 	ctx, cancel := clock.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
-	if f.Settle == request.SettleRelease {
+	if f.ClaimCleanup == request.ClaimCleanupRelease {
 		return d.claims.Release(ctx, f.Key, s.id) == nil
 	}
 	notRun, err := d.claims.Void(ctx, f.Key)
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -25,7 +25,7 @@
 	d.quarantine = quarantine.New(quarantine.Config{
 		Self: d.settings.Host, Members: fellows{d}, Replicas: replica.NewClient(nil), Caller: lateCaller{d}, Mux: d.peerMux, Logger: d.log,
 	})
-	d.cluster.OnSlot(member.SlotQuarantine, d.quarantine.Heard)
+	d.cluster.OnSlot(member.SlotQuarantine, d.quarantine.DigestReceived)
 }
 
 // fellows are this daemon's fellows as the quarantine takes them.
@@ -35,7 +35,7 @@
 func (f fellows) Reachable() []fleet.Host {
 	var hosts []fleet.Host
 	for _, m := range f.d.cluster.Members() {
-		if m.Living() {
+		if m.Live() {
 			hosts = append(hosts, fleet.Host{Host: m.Host, Incarnation: m.Incarnation})
 		}
 	}
@@ -65,17 +65,17 @@
 // key an earlier try may have run.
 func (d *Daemon) quarantined(ctx context.Context, s *session) *problem.Error {
 	for _, stage := range s.sub.Pipeline.Stages {
-		v, condemned := d.quarantine.Condemned(s.content(stage.Name))
+		v, condemned := d.quarantine.Quarantined(s.content(stage.Name))
 		if !condemned {
 			continue
 		}
-		if d.quarantine.Try(ctx, v) {
+		if d.quarantine.RequestTrial(ctx, v) {
 			s.trial.Store(&v.Request)
 			continue
 		}
 		e := problem.New(problem.Quarantined, "upstreams ended under its stage %s", stage.Name)
 		e.RetryAfter = v.RetryAfter(d.Now())
-		if s.sub.Key != "" {
+		if s.sub.IdempotencyKey != "" {
 			e.Execution = problem.MayHaveRun
 		}
 		return e
@@ -86,14 +86,14 @@
 // mayCall asks whether a call may reach an upstream: also a retry or a hedge of a
 // request that was condemned meanwhile.
 func (d *Daemon) mayCall(s *session, c request.Call) bool {
-	_, condemned := d.quarantine.Condemned(s.content(c.Stage.Name))
+	_, condemned := d.quarantine.Quarantined(s.content(c.Stage.Name))
 	return !condemned || s.trial.Swap(nil) != nil
 }
 
 // returnTrial gives a trial back that came to no call.
 func (d *Daemon) returnTrial(s *session) {
 	if content := s.trial.Swap(nil); content != nil {
-		d.quarantine.Untried(*content)
+		d.quarantine.ReturnTrial(*content)
 	}
 }
 
@@ -103,7 +103,7 @@
 	asleep time.Duration
 }
 
-func startCall() callStart { return callStart{clock.Now(), clock.Asleep()} }
+func startCall() callStart { return callStart{clock.Now(), clock.SuspendedTime()} }
 
 // noteCall passes on what the end of a call says of its upstream: that it lives, or
 // that it broke off and may have ended.
@@ -111,11 +111,11 @@
 	content := s.content(c.Stage.Name)
 	switch {
 	case ranWell(err):
-		d.quarantine.Served(content)
-	case !httpbody.BrokenOff(err) || clock.Asleep() > began.asleep || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
+		d.quarantine.RunSucceeded(content)
+	case !httpbody.BrokenOff(err) || clock.SuspendedTime() > began.asleep || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
 		// It says nothing of the upstream, or has its reason.
 	default:
-		d.quarantine.BrokeOff(quarantine.Attempt{
+		d.quarantine.AttemptInterrupted(quarantine.InterruptedAttempt{
 			Service: c.Stage.Pool, Replica: c.Choice.Upstream, Address: c.Choice.Address, Request: content, Began: began.at,
 		})
 	}
--- a/daemon/routing.go
+++ b/daemon/routing.go
@@ -31,5 +31,5 @@
 	d.loads = newLoadView(d.settings, router, d.log, d.Now)
 	d.appliers = append(d.appliers, router, budgetApplier{budgets}, d.loads)
 	d.health = breaker.New(breaker.Config{})
-	d.deps = request.Deps{Router: router, Admitter: d.admitter, Retries: budgets.Retry, Hedges: budgets.Hedge, Health: d.health}
+	d.deps = request.Deps{Router: router, Admitter: d.admitter, RetryBudget: budgets.Retry, HedgeBudget: budgets.Hedge, Health: d.health}
 }
--- a/daemon/serve.go
+++ b/daemon/serve.go
@@ -20,15 +20,15 @@
 func (d *Daemon) Serve(ctx context.Context, sub caller.Submission, sink caller.Sink) (*request.Answer, *problem.Error) {
 	s := newSession(sub, digestOf(sub), d.upstream.Load())
 	if e := d.quarantined(ctx, s); e != nil {
-		d.Refused(sub.RequestID, e)
+		d.RecordRefusal(sub.RequestID, e)
 		return nil, e
 	}
 	defer d.returnTrial(s)
 	d.sessions.insert(s)
-	log := d.records.Begin(sub.RequestID)
+	log := d.records.GetOrCreate(sub.RequestID)
 	log.Add(receivedEntry(sub))
 	spec := specOf(sub)
-	spec.Kept = d.resume(s)
+	spec.StoredResults = d.resume(s)
 	m := request.New(spec, d.deps, log)
 	d.table.Insert(m)
 	d.deliver(s, request.Start{})
@@ -47,7 +47,7 @@
 		{Key: "customer", Value: sub.Customer.Name},
 		{Key: "pipeline", Value: sub.Pipeline.Name},
 		{Key: "deadline", Value: sub.Deadline.Sub(sub.Arrived).String()},
-		{Key: "key", Value: sub.Key},
+		{Key: "key", Value: sub.IdempotencyKey},
 		{Key: "stream", Value: strconv.FormatBool(sub.Stream)},
 	}}
 }
@@ -55,7 +55,7 @@
 func specOf(sub caller.Submission) request.Spec {
 	spec := request.Spec{
 		ID: sub.RequestID, Customer: sub.Customer.Name, Bundle: sub.Bundle, Pipeline: sub.Pipeline,
-		Arrived: sub.Arrived, Deadline: sub.Deadline, Key: sub.Key, Stream: sub.Stream, Input: sub.Input,
+		Arrived: sub.Arrived, Deadline: sub.Deadline, Key: sub.IdempotencyKey, Stream: sub.Stream, Input: sub.Input,
 	}
 	if sub.Prefix != "" {
 		spec.Prefix = xxhash.Sum64String(sub.Prefix)
--- a/discovery/changes.go
+++ b/discovery/changes.go
@@ -83,10 +83,10 @@
 	digest := next.digest
 	if buckets := reply.GetBuckets(); len(buckets) > 0 {
 		replicas := replaceBuckets(next.Replicas, buckets)
-		d.registry.Adopt(asOf, replicas)
+		d.registry.ReplaceFromPeer(asOf, replicas)
 		digest = digestOf(d.registry.Replicas())
 	} else {
-		d.registry.Adopt(asOf, nil)
+		d.registry.ReplaceFromPeer(asOf, nil)
 	}
 	if digest.Sum() == reply.GetReplicasHash() && asOf.After(next.replicasAsOf) {
 		next.replicasAsOf = asOf // all buckets have been received
@@ -211,7 +211,7 @@
 		ConfigRevision: d.advertisableRevision(v), CheckedRevision: d.checkedRevisions.oldest(), ReplicasHash: v.digest.Sum(),
 		Evacuations: d.evacuationsReply(v, req.GetEvacuationsRevision()),
 	}
-	if d.registry.Uncertain() || d.dependsOnPeers() {
+	if d.registry.RetainsLapsed() || d.dependsOnPeers() {
 		// The requester may have seen replicas removed while this host was disconnected.
 		reply.AgeMs = unknownAge.Milliseconds()
 	}
--- a/discovery/config.go
+++ b/discovery/config.go
@@ -130,7 +130,7 @@
 
 // Behind returns for how long a newer configuration has been known but not active, or 0
 // when there is none.
-func (d *Discovery) Behind() time.Duration {
+func (d *Discovery) ConfigLag() time.Duration {
 	if !d.configOutdated() {
 		return 0
 	}
@@ -196,7 +196,7 @@
 		return false
 	}
 	items, revision, err := d.cfg.Store.Changes(ctx, platform.OperatorPrefix, after, wait)
-	if errors.Is(err, platform.ErrHistoryGone) {
+	if errors.Is(err, platform.ErrCompacted) {
 		d.log.Info("store no longer has the change history; reading the whole configuration", zap.Uint64("after", after))
 		return d.readConfig(ctx)
 	}
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -18,7 +18,7 @@
 // Store reads the platform's store.
 type Store interface {
 	// Pages reads all items under a prefix and passes each page on as it arrives.
-	Pages(ctx context.Context, prefix string, page func([]platform.Item)) (revision uint64, err error)
+	ForEachPage(ctx context.Context, prefix string, page func([]platform.Item)) (revision uint64, err error)
 	// Get reads one item; the error is platform.ErrNotFound if there is none.
 	Get(ctx context.Context, key string) (item platform.Item, revision uint64, err error)
 	// Changes waits for items under a prefix that were written or removed after a
@@ -48,10 +48,10 @@
 	Logger *zap.Logger
 	// Bound returns the time within which a change that the store acknowledged must be
 	// active here.
-	Bound func() time.Duration
+	PropagationBound func() time.Duration
 	// Changed is called with every view whose content differs from the previous one, by
 	// one goroutine at a time.
-	Changed func(*View)
+	OnViewChange func(*View)
 }
 
 // Discovery maintains the view. All methods are safe for concurrent use.
@@ -68,7 +68,7 @@
 	// replicaReadFailed and configReadFailed report that the last read of the replicas, or
 	// of the configuration, failed.
 	replicaReadFailed, configReadFailed bool
-	avoided                             fleet.Avoided
+	avoided                             fleet.HostBackoff
 	// source is the host that is asked for changes, or this host while it reads the store.
 	source string
 	// lastPeerRequest is when a peer last asked for changes, as returned by clock.Nanos.
@@ -140,7 +140,7 @@
 }
 
 func (d *Discovery) boundFraction(fraction float64) time.Duration {
-	return time.Duration(fraction * float64(d.cfg.Bound()))
+	return time.Duration(fraction * float64(d.cfg.PropagationBound()))
 }
 
 // publish activates a view. The caller holds d.mu.
@@ -154,7 +154,7 @@
 	next.digest = digestOf(next.Replicas)
 	isFirst := old.Replicas == nil
 	defer d.notifyWaiters()
-	sameEvacuations := next.Evacuations.Same(old.Evacuations)
+	sameEvacuations := next.Evacuations.SameDomains(old.Evacuations)
 	if !isFirst && next.Config == old.Config && next.digest == old.digest && sameEvacuations {
 		next.Replicas = old.Replicas
 		d.view.Store(next)
@@ -173,7 +173,7 @@
 	if next.Config != nil {
 		fields = append(fields, zap.Uint64("version", next.Config.Version))
 	}
-	d.cfg.Changed(next)
+	d.cfg.OnViewChange(next)
 	d.view.Store(next)
 	d.log.Info("view updated", fields...)
 }
@@ -213,7 +213,7 @@
 
 // Dump returns the current state for operators.
 func (d *Discovery) Dump() Dump {
-	v, behind := d.View(), d.Behind()
+	v, behind := d.View(), d.ConfigLag()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	dump := Dump{
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -115,11 +115,11 @@
 	return s.fleet.storeDown[s.host]
 }
 
-func (s faultyStore) Pages(ctx context.Context, prefix string, visit func([]platform.Item)) (uint64, error) {
+func (s faultyStore) ForEachPage(ctx context.Context, prefix string, visit func([]platform.Item)) (uint64, error) {
 	if s.down() {
 		return 0, errStoreDown
 	}
-	return s.fleet.stores[s.host].Pages(ctx, prefix, visit)
+	return s.fleet.stores[s.host].ForEachPage(ctx, prefix, visit)
 }
 
 func (s faultyStore) Get(ctx context.Context, key string) (platform.Item, uint64, error) {
@@ -151,7 +151,7 @@
 		f.stores[name] = platform.NewStore(strings.TrimPrefix(server.URL, "http://"))
 		cfg := discovery.Config{
 			Self: name, Store: faultyStore{f, name}, Members: f.hosts, Caller: localCaller{f.hosts, name}, Mux: f.hosts.muxes[name],
-			Logger: zap.NewNop(), Bound: func() time.Duration { return bound }, Changed: func(*discovery.View) {},
+			Logger: zap.NewNop(), PropagationBound: func() time.Duration { return bound }, OnViewChange: func(*discovery.View) {},
 		}
 		for _, change := range options {
 			change(&cfg)
@@ -201,7 +201,7 @@
 			Eventually(f.version(name), "2s").Should(Equal(uint64(1)))
 		}
 		Eventually(func() string { return f.discoveries["host-4"].View().Source }, "2s").Should(Equal("host-2"))
-		before := f.store.Calls()
+		before := f.store.CallCount()
 		f.writeConfig(2)
 		f.writeReplica("i-1", "draining")
 		for name := range f.discoveries {
@@ -209,7 +209,7 @@
 			Eventually(func() bool { return f.discoveries[name].View().Replicas["i-1"].Draining }, bound).Should(BeTrue())
 		}
 		time.Sleep(bound)
-		Expect(f.store.Calls()-before).To(BeNumerically("<", 12), "the reads of one host")
+		Expect(f.store.CallCount()-before).To(BeNumerically("<", 12), "the reads of one host")
 	})
 
 	It("does not restore removed replicas from a host that was disconnected when they were removed", func() {
--- a/discovery/first_config_test.go
+++ b/discovery/first_config_test.go
@@ -23,13 +23,13 @@
 			names = append(names, fmt.Sprint("host-", i))
 		}
 		f.run(names...)
-		Eventually(f.store.Calls, "2s").Should(BeNumerically(">=", hosts), "each host reads once")
+		Eventually(f.store.CallCount, "2s").Should(BeNumerically(">=", hosts), "each host reads once")
 		close(f.hosts.forming)
 		time.Sleep(bound / 10)
 		f.writeConfig(1)
 		for _, name := range names {
 			Eventually(func() bool { return f.discoveries[name].View().Ready() }, 2*bound).Should(BeTrue(), name)
 		}
-		Expect(f.store.Calls()).To(BeNumerically("<", 4*hosts), "148 calls when each host reads for itself")
+		Expect(f.store.CallCount()).To(BeNumerically("<", 4*hosts), "148 calls when each host reads for itself")
 	})
 })
--- a/discovery/invalid_entries_test.go
+++ b/discovery/invalid_entries_test.go
@@ -49,7 +49,7 @@
 		f := newTestFleet(1, func(c *discovery.Config) { c.Logger = zap.New(core) })
 		writeEntries(f)
 		f.run("host-1")
-		Eventually(f.discoveries["host-1"].Faults, "2s").Should(Equal(invalid))
+		Eventually(f.discoveries["host-1"].InvalidEntryCount, "2s").Should(Equal(invalid))
 		reads := f.discoveries["host-1"].Dump().StoreReads
 		Eventually(func() uint64 { return f.discoveries["host-1"].Dump().StoreReads }, "2s").Should(BeNumerically(">", reads+1))
 		Expect(reported(logs)).To(Equal(invalid), "unchanged entries are not reported again")
--- a/discovery/replicas.go
+++ b/discovery/replicas.go
@@ -106,7 +106,7 @@
 	d.storeReads.Add(1)
 	entries := []catalog.Replica{}
 	faults := map[string]string{}
-	revision, err := d.cfg.Store.Pages(ctx, platform.ReplicaPrefix, func(items []platform.Item) {
+	revision, err := d.cfg.Store.ForEachPage(ctx, platform.ReplicaPrefix, func(items []platform.Item) {
 		for _, item := range items {
 			r, err := platform.DecodeReplica(item)
 			if err != nil {
@@ -153,7 +153,7 @@
 
 // Faults returns the number of entries under the replica prefix that are not valid
 // replicas, as of this host's last read of the store.
-func (d *Discovery) Faults() int {
+func (d *Discovery) InvalidEntryCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.invalidEntries)
--- a/discovery/simulation_test.go
+++ b/discovery/simulation_test.go
@@ -126,7 +126,7 @@
 	for _, name := range f.names {
 		f.discoveries[name] = discovery.New(discovery.Config{
 			Self: name, Store: storeClient{f, name}, Members: f, Caller: simulatedCaller{f, name}, Mux: f.muxes[name],
-			Logger: zap.NewNop(), Bound: func() time.Duration { return propagationBound }, Changed: func(*discovery.View) {},
+			Logger: zap.NewNop(), PropagationBound: func() time.Duration { return propagationBound }, OnViewChange: func(*discovery.View) {},
 		})
 	}
 	return f
@@ -253,7 +253,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if after < s.compactedRevision {
-		return nil, 0, platform.ErrHistoryGone
+		return nil, 0, platform.ErrCompacted
 	}
 	for key, item := range s.removed {
 		if strings.HasPrefix(key, prefix) {
@@ -292,7 +292,7 @@
 const pageItems = 50
 
 // Pages implements discovery.Store.
-func (c storeClient) Pages(ctx context.Context, prefix string, visit func([]platform.Item)) (uint64, error) {
+func (c storeClient) ForEachPage(ctx context.Context, prefix string, visit func([]platform.Item)) (uint64, error) {
 	if err := c.beginCall(); err != nil {
 		return 0, err
 	}
--- a/discovery/source.go
+++ b/discovery/source.go
@@ -70,7 +70,7 @@
 	source := d.cfg.Self
 	for position > 0 {
 		position = (position - 1) / fanout
-		if !d.avoided.Has(hosts[position].Name, now) {
+		if !d.avoided.Excludes(hosts[position].Name, now) {
 			source = hosts[position].Name
 			break
 		}
@@ -93,7 +93,7 @@
 // retryLimit returns the longest wait between failing reads of the store for this host's
 // fleet.
 func (d *Discovery) retryLimit() time.Duration {
-	return retryLimit(len(d.cfg.Members.Reachable()), d.cfg.Bound())
+	return retryLimit(len(d.cfg.Members.Reachable()), d.cfg.PropagationBound())
 }
 
 // rankedHosts sorts hosts by rank, with the first two exchanged, since the highest-ranked
@@ -110,7 +110,7 @@
 // started and that the store rejects learns from its peers what is active.
 func (d *Discovery) requestChangesFromAny(ctx context.Context) bool {
 	for _, h := range rankedHosts(d.cfg.Members.Reachable()) {
-		if h.Name != d.cfg.Self && !d.avoided.Has(h.Name, clock.Now()) && d.requestChanges(ctx, h.Name, d.boundFraction(changesWaitFraction)) {
+		if h.Name != d.cfg.Self && !d.avoided.Excludes(h.Name, clock.Now()) && d.requestChanges(ctx, h.Name, d.boundFraction(changesWaitFraction)) {
 			return true
 		}
 	}
@@ -122,7 +122,7 @@
 func (d *Discovery) requestChangesFromRandomPeer(ctx context.Context) bool {
 	now := clock.Now()
 	hosts := slices.DeleteFunc(d.cfg.Members.Reachable(), func(h fleet.Host) bool {
-		return h.Name == d.cfg.Self || d.avoided.Has(h.Name, now)
+		return h.Name == d.cfg.Self || d.avoided.Excludes(h.Name, now)
 	})
 	return len(hosts) > 0 && d.requestChanges(ctx, hosts[rand.IntN(len(hosts))].Name, 0)
 }
--- a/discovery/view.go
+++ b/discovery/view.go
@@ -41,7 +41,7 @@
 
 // Closed reports whether a replica takes no new work, because it is draining or its
 // failure domain is evacuated.
-func (v *View) Closed(r catalog.Replica) bool {
+func (v *View) RefusesNewWork(r catalog.Replica) bool {
 	return r.Draining || v.Evacuations.Has(r.FailureDomain)
 }
 
--- a/engine/client.go
+++ b/engine/client.go
@@ -34,7 +34,7 @@
 }
 
 // Generation is one attempt at a generate stage.
-type Generation struct {
+type GenerateRequest struct {
 	Address   string
 	Model     string
 	RequestID string
@@ -65,7 +65,7 @@
 // Generate runs a generation and calls token for each part as it comes. The
 // output is whole only if the error is nil; a stream that ends without its
 // last mark is an error. The error is a *service.Error.
-func (c *Client) Generate(ctx context.Context, g Generation, token func(string)) (Output, error) {
+func (c *Client) Generate(ctx context.Context, g GenerateRequest, token func(string)) (Output, error) {
 	req, err := newRequest(ctx, g)
 	if err != nil {
 		return Output{}, &service.Error{NotExecuted: true, Err: err}
@@ -94,7 +94,7 @@
 	return out, nil
 }
 
-func newRequest(ctx context.Context, g Generation) (*http.Request, error) {
+func newRequest(ctx context.Context, g GenerateRequest) (*http.Request, error) {
 	body, err := json.Marshal(chatBody{
 		Model: g.Model, Messages: g.Messages, Stream: true,
 		MaxTokens: g.MaxTokens, Priority: g.Priority, User: g.Customer,
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -40,7 +40,7 @@
 )
 
 // readStream reads server-sent events up to the last mark.
-func readStream(r io.Reader, g Generation, token func(string)) (Output, error) {
+func readStream(r io.Reader, g GenerateRequest, token func(string)) (Output, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 4<<10), maxLineBytes)
 	var text strings.Builder
@@ -74,7 +74,7 @@
 	return out, ErrCutStream
 }
 
-func decodeChunk(data []byte, g Generation) (string, error) {
+func decodeChunk(data []byte, g GenerateRequest) (string, error) {
 	var c chunk
 	if err := json.Unmarshal(data, &c); err != nil {
 		return "", fmt.Errorf("decode chunk: %w", err)
--- a/engine/stream_test.go
+++ b/engine/stream_test.go
@@ -20,7 +20,7 @@
 var _ = DescribeTable("readStream",
 	func(stream, text string, want error) {
 		var seen strings.Builder
-		out, err := readStream(strings.NewReader(stream), Generation{RequestID: "r", Attempt: 2}, func(s string) { seen.WriteString(s) })
+		out, err := readStream(strings.NewReader(stream), GenerateRequest{RequestID: "r", Attempt: 2}, func(s string) { seen.WriteString(s) })
 		if want == nil {
 			Expect(err).NotTo(HaveOccurred())
 			Expect(out.Text).To(Equal(text))
--- a/fleet/avoided.go
+++ b/fleet/avoided.go
@@ -10,13 +10,13 @@
 
 // Avoided is a set of hosts that failed recently and are not called until their wait is
 // over. The zero value is ready to use; it is safe for concurrent use.
-type Avoided struct {
+type HostBackoff struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 }
 
 // Add excludes a host from calls for the given wait.
-func (a *Avoided) Add(host string, wait time.Duration) {
+func (a *HostBackoff) Add(host string, wait time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := clock.Now()
@@ -32,7 +32,7 @@
 }
 
 // Has reports whether calls to a host are excluded at the given time.
-func (a *Avoided) Has(host string, now time.Time) bool {
+func (a *HostBackoff) Excludes(host string, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return now.Before(a.until[host])
@@ -40,7 +40,7 @@
 
 // Names returns the hosts that were added last, sorted by name; the wait of some may be
 // over.
-func (a *Avoided) Names() []string {
+func (a *HostBackoff) Names() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var names []string
--- a/fleet/avoided_test.go
+++ b/fleet/avoided_test.go
@@ -11,14 +11,14 @@
 
 var _ = Describe("avoided hosts", func() {
 	It("are excluded for their wait and dropped when another host is added", func() {
-		var a fleet.Avoided
+		var a fleet.HostBackoff
 		now := time.Now()
-		Expect(a.Has("a", now)).To(BeFalse())
+		Expect(a.Excludes("a", now)).To(BeFalse())
 		Expect(a.Names()).To(BeEmpty())
 		a.Add("b", time.Millisecond)
 		a.Add("a", time.Hour)
-		Expect(a.Has("a", now)).To(BeTrue())
-		Expect(a.Has("a", now.Add(2*time.Hour))).To(BeFalse())
+		Expect(a.Excludes("a", now)).To(BeTrue())
+		Expect(a.Excludes("a", now.Add(2*time.Hour))).To(BeFalse())
 		Expect(a.Names()).To(ContainElement("a"))
 		time.Sleep(2 * time.Millisecond)
 		a.Add("c", time.Hour)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -53,11 +53,11 @@
 	Mux    *peer.Mux
 	Logger *zap.Logger
 	// Changed is called when a host's membership state changes; it must not block.
-	Changed func(member.Member)
+	OnMemberChange func(member.Member)
 	// Extensions are values that heartbeats carry. Heard is called with the values that
 	// other hosts send; it must not block.
-	Extensions []member.Extension
-	Heard      func(member.SlotHeard)
+	HeartbeatExtensions []member.SlotConfig
+	OnSlotUpdate        func(member.SlotReceived)
 }
 
 // Fleet is this daemon's participation in its fleet. All methods are safe for concurrent
@@ -67,7 +67,7 @@
 	log        *zap.Logger
 	roster     *roster
 	loop       *membership.Loop
-	calls      *membership.Calls
+	calls      *membership.CallPool
 	transport  *peer.Transport
 	seeds      atomic.Pointer[[]string]
 	formed     chan struct{}
@@ -85,12 +85,12 @@
 func New(cfg Config) (*Fleet, error) {
 	incarnation := uint64(time.Now().UnixMilli())
 	cfg.Self.Incarnation = incarnation
-	f := &Fleet{cfg: cfg, log: cfg.Logger, roster: newRoster(cfg.Self), calls: membership.NewCalls(), formed: make(chan struct{})}
+	f := &Fleet{cfg: cfg, log: cfg.Logger, roster: newRoster(cfg.Self), calls: membership.NewCallPool(), formed: make(chan struct{})}
 	f.SetSeeds(cfg.Seeds)
 	peer.Handle(cfg.Mux, methodRoster, f.handleRosterRequest)
 	members := member.DefaultConfig(cfg.Self.Host, incarnation)
-	members.Extensions = cfg.Extensions
-	loop, err := membership.New(members, rand.Uint64(), cfg.Mux, f.calls, membership.Hooks{Changed: f.memberChanged, Slot: cfg.Heard}, cfg.Logger)
+	members.Slots = cfg.HeartbeatExtensions
+	loop, err := membership.New(members, rand.Uint64(), cfg.Mux, f.calls, membership.Hooks{MemberChanged: f.memberChanged, SlotReceived: cfg.OnSlotUpdate}, cfg.Logger)
 	if err != nil {
 		return nil, err
 	}
@@ -98,12 +98,12 @@
 	f.transport, err = peer.NewTransport(peer.Config{
 		Host: cfg.Self.Name, Incarnation: incarnation, Listen: cfg.Listen,
 		Plaintext: true, PrivateNetwork: true, Resolve: resolve, Mux: cfg.Mux, Logger: cfg.Logger,
-		MaxMessage: maxMessage, DialTimeout: dialTimeout, SilenceTimeout: silenceTimeout, MaxBackoff: maxBackoff,
+		MaxMessageBytes: maxMessage, DialTimeout: dialTimeout, SilenceTimeout: silenceTimeout, MaxBackoff: maxBackoff,
 	})
 	if err != nil {
 		return nil, err
 	}
-	f.calls.Use(f.transport)
+	f.calls.SetCaller(f.transport)
 	return f, nil
 }
 
@@ -149,12 +149,12 @@
 
 // Size returns the number of known hosts, including those that died within the last
 // minutes. The number reported by a seed counts until this host knows their names.
-func (f *Fleet) Size() int { return max(f.roster.size(), int(f.reportedSize.Load())) }
+func (f *Fleet) KnownHostCount() int { return max(f.roster.size(), int(f.reportedSize.Load())) }
 
 // Known returns the names of all known hosts, including those that died within the last
 // minutes, and whether the list can be assumed complete: the fleet has formed and no seed
 // knows more hosts.
-func (f *Fleet) Known() (names []string, complete bool) {
+func (f *Fleet) KnownHosts() (names []string, complete bool) {
 	all := f.roster.all()
 	names = make([]string, 0, len(all))
 	for _, h := range all {
@@ -215,8 +215,8 @@
 
 // memberChanged does not log the change, since the membership loop does.
 func (f *Fleet) memberChanged(m member.Member) {
-	if f.cfg.Changed != nil {
-		f.cfg.Changed(m)
+	if f.cfg.OnMemberChange != nil {
+		f.cfg.OnMemberChange(m)
 	}
 }
 
@@ -246,7 +246,7 @@
 
 // Restarted records a newer incarnation that a host reported itself, so that its rank
 // changes before membership propagates the restart.
-func (f *Fleet) Restarted(host string, incarnation uint64) {
+func (f *Fleet) RecordRestart(host string, incarnation uint64) {
 	f.roster.updateIncarnation(host, incarnation)
 }
 
@@ -260,7 +260,7 @@
 	f.syncRosterUntilFormed(ctx)
 	unchangedRounds, known := 0, 0
 	for ctx.Err() == nil {
-		n := f.Size()
+		n := f.KnownHostCount()
 		wait := min(steadyRosterInterval, initialRosterInterval*time.Duration(1+n/largeFleetSize))
 		switch {
 		case unchangedRounds >= stableRounds:
@@ -311,7 +311,7 @@
 	targets := f.otherSeeds()
 	if len(targets) == 0 {
 		for _, m := range f.Members() {
-			if m.Living() && m.Host.Name != f.cfg.Self.Name {
+			if m.Live() && m.Host.Name != f.cfg.Self.Name {
 				targets = append(targets, m.Host.Name)
 			}
 		}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -88,17 +88,17 @@
 
 	It("reports the host list as complete once it has formed, but not while no seed has answered", func() {
 		complete := func(f *fleet.Fleet) func() bool {
-			return func() bool { _, all := f.Known(); return all }
+			return func() bool { _, all := f.KnownHosts(); return all }
 		}
 		a, b := address(), address()
 		first, _ := start(a, 1, a)
 		second, stop := start(b, 1, a)
 		for _, f := range []*fleet.Fleet{first, second} {
 			Eventually(complete(f), "5s").Should(BeTrue())
-			Eventually(func() []string { all, _ := f.Known(); return all }, "5s").Should(ConsistOf(a, b))
+			Eventually(func() []string { all, _ := f.KnownHosts(); return all }, "5s").Should(ConsistOf(a, b))
 		}
 		stop()
-		Consistently(func() []string { all, _ := first.Known(); return all }, "500ms").Should(ConsistOf(a, b), "a stopped host may return")
+		Consistently(func() []string { all, _ := first.KnownHosts(); return all }, "500ms").Should(ConsistOf(a, b), "a stopped host may return")
 
 		isolated, _ := start(address(), 1, address(), address())
 		Eventually(isolated.Formed(), "2s").Should(BeClosed())
@@ -128,7 +128,7 @@
 		By("learning the names of all hosts soon after")
 		for _, f := range all {
 			Eventually(names(f), "3s").Should(HaveLen(len(all)))
-			Expect(f.Size()).To(Equal(len(all)))
+			Expect(f.KnownHostCount()).To(Equal(len(all)))
 		}
 	})
 
--- a/fleet/form.go
+++ b/fleet/form.go
@@ -52,7 +52,7 @@
 // markFormed closes the channel of Formed.
 func (f *Fleet) markFormed(reason string) {
 	f.formedOnce.Do(func() {
-		f.log.Info("fleet formed", zap.String("why", reason), zap.Int("hosts", f.Size()))
+		f.log.Info("fleet formed", zap.String("why", reason), zap.Int("hosts", f.KnownHostCount()))
 		close(f.formed)
 	})
 }
@@ -74,7 +74,7 @@
 		for _, host := range f.rosterTargets() {
 			f.requestRosterAsync(ctx, host)
 		}
-		interval := formingInterval(f.Size())
+		interval := formingInterval(f.KnownHostCount())
 		wait := clock.NewTimer(interval/2 + rand.N(interval))
 		select {
 		case <-ctx.Done():
--- a/gateway/cancelledrun_test.go
+++ b/gateway/cancelledrun_test.go
@@ -27,8 +27,8 @@
 	w := &stallWatch{attempt: current, machine: stall.New(clock.Now(), stall.Config{})}
 	current.watch = w
 	now := clock.Now()
-	Expect([]stall.Action{w.machine.Tick(now), w.machine.Tick(now)}).To(Equal([]stall.Action{stall.Ask, stall.Secure}))
-	Expect(w.machine.Secured(now)).To(Equal(stall.Leave))
+	Expect([]stall.Action{w.machine.Tick(now), w.machine.Tick(now)}).To(Equal([]stall.Action{stall.Query, stall.Reserve}))
+	Expect(w.machine.Reserved(now)).To(Equal(stall.Abandon))
 	cancel(&stallError{status: stall.NoAnswer})
 	resp := &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader("data: late\n\n"))}
 	end, _ := current.relayEvents(resp)
--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -106,16 +106,16 @@
 	cold := g.coldTracker.update(clock.Now(), v)
 	limits := make(map[string]int, len(cold))
 	if len(cold) > 0 {
-		hosts, complete := g.fleet.Known()
-		shares, planner := intake.NewShares(g.settings.Load().Host, hosts), g.stages.Plans()
+		hosts, complete := g.fleet.KnownHosts()
+		shares, planner := intake.NewShares(g.settings.Load().Host, hosts), g.stages.IsPlanner()
 		for _, r := range cold {
 			limits[r.ID] = 0
 			if complete {
-				limits[r.ID] = shares.OfRole(r.ID, g.coldLimit(v.Config.Services[r.Service]), callRole(v, r.ID, planner))
+				limits[r.ID] = shares.CallsForRole(r.ID, g.coldLimit(v.Config.Services[r.Service]), callRole(v, r.ID, planner))
 			}
 		}
 	}
-	g.router.SetCold(limits)
+	g.router.SetColdLimits(limits)
 	previous := int(g.coldCount.Swap(int64(len(cold))))
 	if (previous == 0) != (len(cold) == 0) {
 		g.log.Info("cold replicas", zap.Int("replicas", len(cold)), zap.Int("before", previous))
--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -71,7 +71,7 @@
 	g.awaitEvacuatedDomains(1)
 	ran, _ := sendSafeRequests(f, g, 100*time.Millisecond)
 	f.Expect(ran["p1"]).To(BeZero())
-	f.store.TakeBack("x")
+	f.store.CancelEvacuation("x")
 	f.Eventually(func() int { ran, _ := sendSafeRequests(f, g, 100*time.Millisecond); return ran["p1"] }, "3s").Should(BeNumerically(">", 0))
 	ran, _ = sendSafeRequests(f, g, time.Second)
 	f.Expect(ran["p1"]).To(BeNumerically("<=", 2*coldLimitPerSecond))
@@ -96,7 +96,7 @@
 	}
 	began := time.Now()
 	sendLoad(hosts, 60*time.Millisecond, 4*time.Second, resumePath, withStagePieces)
-	arrived := f.replicas["s1"].Arrived()
+	arrived := f.replicas["s1"].ArrivalTimes()
 	f.Expect(maxInWindow(arrived, began, time.Second)).To(BeNumerically("<=", maxCalls))
 	f.Expect(len(arrived)).To(BeNumerically(">=", 2*perSecond), "the planner's share, for four seconds")
 }
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -36,11 +36,11 @@
 			if r.Service != service {
 				continue
 			}
-			r.Born = time.Now().UnixMilli()
-			r.Returned = func(r *site.Replica) { f.register(r, "ready") }
+			r.StartUnixMS = time.Now().UnixMilli()
+			r.OnRestart = func(r *site.Replica) { f.register(r, "ready") }
 			f.register(r, "ready")
-			r.Behave(site.Behaviour{Work: 30 * time.Millisecond})
-			r.CrashUnder(site.Poison{Body: culprit, After: 20 * time.Millisecond, Down: 700 * time.Millisecond})
+			r.SetBehaviour(site.Behaviour{ServiceTime: 30 * time.Millisecond})
+			r.SetPoisonRequest(site.PoisonRequest{Body: culprit, CrashDelay: 20 * time.Millisecond, Downtime: 700 * time.Millisecond})
 		}
 	}
 	crashes := func(f *fixture) int {
@@ -74,13 +74,13 @@
 			thirdCrashAt := time.Now()
 			By("retrying when every daemon must know")
 			time.Sleep(time.Until(thirdCrashAt.Add(spreadTime)))
-			before := len(f.ledger.RunsOf(culprit))
+			before := len(f.ledger.RunsWithBody(culprit))
 			for i := range 4 * maxSendsAfter {
 				a, _ := gateways[i%len(gateways)].send(http.MethodPost, path, culprit, change)
 				Expect(a.status).NotTo(Equal(http.StatusOK))
 				time.Sleep(100 * time.Millisecond)
 			}
-			Expect(len(f.ledger.RunsOf(culprit))-before).To(BeNumerically("<=", maxSendsAfter), "sent to replicas after %d crashes", crashes(f))
+			Expect(len(f.ledger.RunsWithBody(culprit))-before).To(BeNumerically("<=", maxSendsAfter), "sent to replicas after %d crashes", crashes(f))
 			By("serving a harmless request")
 			for _, g := range gateways {
 				Eventually(func() int {
@@ -88,7 +88,7 @@
 					return a.status
 				}, "5s").Should(Equal(http.StatusOK))
 			}
-			Expect(f.ledger.Faults()).To(BeEmpty())
+			Expect(f.ledger.Violations()).To(BeEmpty())
 		},
 		Entry("idempotent", safePath, "plain", site.Plain, nil),
 		Entry("at most once", sealPath, "plain", site.Plain, nil),
--- a/gateway/disconnect_test.go
+++ b/gateway/disconnect_test.go
@@ -43,7 +43,7 @@
 	It("while its stages run reaches no engine", func() {
 		f := newFixture()
 		g := f.start().ready()
-		f.behave("encode", site.Behaviour{Work: 200 * time.Millisecond})
+		f.behave("encode", site.Behaviour{ServiceTime: 200 * time.Millisecond})
 		conn := g.dialRaw(requestHead(resumePath, "early") + "Piece-Count: 1,1\r\nPiece-Key: k\r\nContent-Length: 0\r\n\r\n")
 		time.Sleep(100 * time.Millisecond)
 		Expect(conn.Close()).To(Succeed())
--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -13,7 +13,7 @@
 var _ = Describe("draining", func() {
 	It("finishes requests in flight, serves kept-alive connections and closes them", func() {
 		f := newFixture()
-		f.behave("plain", site.Behaviour{Work: 300 * time.Millisecond})
+		f.behave("plain", site.Behaviour{ServiceTime: 300 * time.Millisecond})
 		g := f.start().ready()
 		inFlight := make(chan answer, 1)
 		go func() {
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -35,7 +35,7 @@
 func (x *exchange) checkEvacuation() *problem.Error {
 	needed := []string{x.service}
 	for i, s := range x.route.Stages {
-		if i < len(x.req.Pieces) && x.req.Pieces[i] > 0 {
+		if i < len(x.req.PieceCounts) && x.req.PieceCounts[i] > 0 {
 			needed = append(needed, s.Service)
 		}
 	}
@@ -52,7 +52,7 @@
 // checkReplicasOpen refuses a request at once if no replica of its service takes calls for
 // now, unless its stages take so long that one may do so by then.
 func (x *exchange) checkReplicasOpen() *problem.Error {
-	wait, closed := x.g.router.Closed(clock.Now(), x.service)
+	wait, closed := x.g.router.Unavailable(clock.Now(), x.service)
 	if !closed {
 		return nil
 	}
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -62,21 +62,21 @@
 	f.store.Evacuate("x")
 	g.awaitEvacuatedDomains(1)
 	f.Expect(runsByReplica(f, g, safePath, nil)).To(And(HaveLen(1), HaveKey("p2")))
-	made := f.replicas["s1"].Made()
+	made := f.replicas["s1"].PiecesExecuted()
 	f.Expect(runsByReplica(f, g, sealPath, nil)).To(And(HaveLen(1), HaveKey("p2")))
 	f.Expect(runsByReplica(f, g, resumePath, withStagePieces)).To(And(HaveLen(1), HaveKey("e2")))
-	f.Expect(f.replicas["s1"].Made()).To(Equal(made), "pieces produced in the evacuated domain")
-	f.Expect(f.replicas["s2"].Made()).To(BeNumerically(">", 0))
+	f.Expect(f.replicas["s1"].PiecesExecuted()).To(Equal(made), "pieces produced in the evacuated domain")
+	f.Expect(f.replicas["s2"].PiecesExecuted()).To(BeNumerically(">", 0))
 
-	f.store.TakeBack("x")
+	f.store.CancelEvacuation("x")
 	f.Eventually(func() map[string]int { return runsByReplica(f, g, safePath, nil) }, "4s").Should(HaveKey("p1"))
 	f.Eventually(func() map[string]int { return runsByReplica(f, g, resumePath, withStagePieces) }, "4s").Should(HaveKey("e1"))
 }
 
 func TestRunInEvacuatedDomainCompletes(t *testing.T) {
 	f, g := newTwoDomainSite(t)
-	f.replicas["p2"].Behave(site.Behaviour{Shed: true})
-	f.replicas["p1"].Behave(site.Behaviour{Work: 1500 * time.Millisecond})
+	f.replicas["p2"].SetBehaviour(site.Behaviour{Shed: true})
+	f.replicas["p1"].SetBehaviour(site.Behaviour{ServiceTime: 1500 * time.Millisecond})
 	answers := make(chan answer, 1)
 	go func() {
 		a, _ := g.send(http.MethodPost, safePath, "", nil)
@@ -113,7 +113,7 @@
 		f.Expect(wait).To(BeNumerically(">", 0))
 		f.Expect(f.ledger.Runs(id)).To(BeEmpty())
 	}
-	f.store.TakeBack("y")
+	f.store.CancelEvacuation("y")
 	f.Eventually(func() int {
 		a, _ := g.send(http.MethodPost, safePath, "", nil)
 		return a.status
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -35,7 +35,7 @@
 	// viewAsOf is when the contents of config were read from the store.
 	viewAsOf time.Time
 	route    *catalog.Route
-	tenant   *catalog.Tenant
+	tenant   *catalog.CustomerConfig
 	service  string
 	body     []byte
 	// fingerprint identifies the request by its content, under whatever ID it is sent.
@@ -117,7 +117,7 @@
 func (x *exchange) admit() *problem.Error {
 	v := x.g.discovery.View()
 	if !v.Ready() {
-		x.deadline = x.arrived.Add(x.req.Deadline)
+		x.deadline = x.arrived.Add(x.req.Timeout)
 		return withRetryAfter(problem.New(problem.NotReady, "no configuration is known yet"), max(notReadyRetryAfter, x.retryDelay(notReadyRetryAfter)))
 	}
 	x.config, x.viewAsOf = v.Config, v.AsOf
@@ -136,12 +136,12 @@
 		return err
 	}
 	x.deadline = x.arrived.Add(x.route.Timeout)
-	if x.req.Deadline > 0 && x.req.Deadline < x.route.Timeout {
-		x.deadline = x.arrived.Add(x.req.Deadline)
+	if x.req.Timeout > 0 && x.req.Timeout < x.route.Timeout {
+		x.deadline = x.arrived.Add(x.req.Timeout)
 	}
-	x.service = x.route.Target(rand.Float64())
-	if v, condemned := x.g.quarantine.Condemned(x.fingerprint); condemned {
-		x.trialRun = x.g.quarantine.Try(x.r.Context(), v)
+	x.service = x.route.PickService(rand.Float64())
+	if v, condemned := x.g.quarantine.Quarantined(x.fingerprint); condemned {
+		x.trialRun = x.g.quarantine.RequestTrial(x.r.Context(), v)
 	}
 	if err := x.checkQuarantine(); err != nil {
 		return err
@@ -153,14 +153,14 @@
 // it.
 func (x *exchange) releaseUnusedTrial() {
 	if x.trialRun && x.runs == 0 {
-		x.g.quarantine.Untried(x.fingerprint)
+		x.g.quarantine.ReturnTrial(x.fingerprint)
 	}
 }
 
 // checkQuarantine refuses a request that crashes replicas. It has not run under this ID, or
 // fail says so. A retry before the given Retry-After would only be refused again.
 func (x *exchange) checkQuarantine() *problem.Error {
-	v, condemned := x.g.quarantine.Condemned(x.fingerprint)
+	v, condemned := x.g.quarantine.Quarantined(x.fingerprint)
 	if !condemned || x.trialRun {
 		return nil
 	}
@@ -169,10 +169,10 @@
 
 // authorize finds the customer that owns the request's API key.
 func (x *exchange) authorize() *problem.Error {
-	if x.config.Tenants == nil {
+	if x.config.Customers == nil {
 		return nil
 	}
-	x.tenant = x.config.Tenants[x.req.APIKey]
+	x.tenant = x.config.Customers[x.req.APIKey]
 	if x.tenant == nil && !x.route.Public {
 		return problem.New(problem.Unauthorized, "unknown key")
 	}
@@ -273,7 +273,7 @@
 	}
 	end := x.g.stages.Prepare(ctx, j)
 	if end == nil {
-		end = &stages.End{Refused: &stage.Refused{Job: j.ID, Reason: stage.ReasonExpired}}
+		end = &stages.JobOutcome{Refused: &stage.Refused{Job: j.ID, Reason: stage.ReasonExpired}}
 	}
 	if end.Refused != nil {
 		if perr := x.checkQuarantine(); perr != nil {
@@ -300,15 +300,15 @@
 	j.Due, j.Latest = x.stageDeadlines(began)
 	pieces := 0
 	for i, s := range x.route.Stages {
-		st := stage.Stage{Service: s.Service, After: s.After, ResultBytes: s.ResultBytes}
-		if i < len(x.req.Pieces) {
-			st.Pieces = x.req.Pieces[i]
+		st := stage.Stage{Service: s.Service, DependsOn: s.After, ResultBytes: s.ResultBytes}
+		if i < len(x.req.PieceCounts) {
+			st.Pieces = x.req.PieceCounts[i]
 		}
 		pieces += st.Pieces
 		j.Stages = append(j.Stages, st)
 	}
 	if hash, tokens := x.sharedPrefix(); tokens >= minHomeTokens {
-		j.Domain = x.g.router.HomeDomain(clock.Now(), x.service, hash)
+		j.Domain = x.g.router.PrefixHomeDomain(clock.Now(), x.service, hash)
 	}
 	return j, pieces > 0
 }
@@ -332,8 +332,8 @@
 	if x.fingerprint != (poison.Fingerprint{}) {
 		fields = append(fields, zap.Stringer("content", x.fingerprint))
 	}
-	if len(x.req.Forged) > 0 {
-		fields = append(fields, zap.Strings("forged_headers", x.req.Forged))
+	if len(x.req.ForgedHeaders) > 0 {
+		fields = append(fields, zap.Strings("forged_headers", x.req.ForgedHeaders))
 	}
 	if n := x.req.PromptTokens; n > 0 {
 		fields = append(fields, zap.Int("prompt_tokens", n))
@@ -351,7 +351,7 @@
 		fields = append(fields, zap.Duration("first", x.firstEventAt.Sub(x.arrived)), zap.Int("events", x.eventsSent), zap.Duration("pause", x.longestPause))
 	}
 	x.g.log.Info("request", fields...)
-	x.g.countForged(x.req.Forged)
+	x.g.countForged(x.req.ForgedHeaders)
 	x.g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_requests_total{outcome=%q}", x.outcome)).Inc()
 	x.g.metrics.GetOrCreateHistogram("wheatseam_request_seconds").Update(clock.Since(x.arrived).Seconds())
 	if !x.inputsReadyAt.IsZero() {
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -22,10 +22,10 @@
 // The paths of the routes under test.
 const (
 	host       = site.Hostname
-	sealPath   = site.SealPath
+	sealPath   = site.UnsafePath
 	safePath   = site.SafePath
 	streamPath = site.StreamPath
-	resumePath = site.ResumePath
+	resumePath = site.ResumablePath
 	// longPath streams are like those of resumePath, with a longer timeout and one stage.
 	longPath = "/long/"
 )
@@ -95,12 +95,12 @@
 }
 
 func (f *fixture) register(r *site.Replica, phase string) {
-	f.store.Put("servers/"+r.ID, site.Entry(r, phase))
+	f.store.Put("servers/"+r.ID, site.StoreEntry(r, phase))
 }
 
 // registerCold registers a replica that stays cold for the given time.
 func (f *fixture) registerCold(id string, left time.Duration) {
-	entry := site.Entry(f.replicas[id], "ready")
+	entry := site.StoreEntry(f.replicas[id], "ready")
 	entry["warmup_left_ms"] = left.Milliseconds()
 	f.store.Put("servers/"+id, entry)
 }
@@ -109,7 +109,7 @@
 func (f *fixture) behave(service string, b site.Behaviour) {
 	for _, r := range f.replicas {
 		if r.Service == service {
-			r.Behave(b)
+			r.SetBehaviour(b)
 		}
 	}
 }
@@ -117,7 +117,7 @@
 // configure stores the next version of the configuration.
 func (f *fixture) configure() {
 	f.version++
-	c := site.Configuration(f.version, f.keys)
+	c := site.GatewayConfig(f.version, f.keys)
 	c["routes"] = append(c["routes"].([]any), map[string]any{
 		"name": "open", "hostname": host, "prefix": "/open/", "route_type": "safe", "service": "plain", "attempts": 2,
 		"timeout_ms": 2000, "goal_ms": 500, "priority": 1, "public": true,
--- a/gateway/forward_fuzz_test.go
+++ b/gateway/forward_fuzz_test.go
@@ -57,7 +57,7 @@
 	r.mu.Lock()
 	r.seen = append(r.seen, received{head, body})
 	r.mu.Unlock()
-	answer := site.Body("rec", req.Header.Get("Attempt-Id"))
+	answer := site.PlainBody("rec", req.Header.Get("Attempt-Id"))
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nResponse-Signature: signed.rec.x\r\nContent-Length: %d\r\n\r\n%s",
 		req.Header.Get("Attempt-Id"), len(answer), answer)
 }
@@ -83,7 +83,7 @@
 	store := site.NewStore()
 	server := httptest.NewServer(store)
 	store.Put("servers/rec", map[string]any{"service": "plain", "address": l.Addr().String(), "zone": "x", "concurrency": 64, "phase": "ready"})
-	store.Put("op/config", site.Configuration(1, []string{"key-1"}))
+	store.Put("op/config", site.GatewayConfig(1, []string{"key-1"}))
 	self := address(7408)
 	s := &gateway.Settings{
 		Host: self, FailureDomain: "x",
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -69,21 +69,21 @@
 	notices  notices
 	// gates limit the calls to each replica, across all components of this daemon that make
 	// them.
-	gates *intake.Gates
+	gates *intake.Limiters
 	// quarantine keeps requests that crash replicas away from them.
 	quarantine *quarantine.Service
 }
 
 // New returns a gateway that listens for its peers but has not started.
 func New(s *Settings, log *zap.Logger) (*Gateway, error) {
-	g := &Gateway{initialized: make(chan struct{}), log: log, metrics: metrics.NewSet(), streamTimes: newStreamTimeEstimator(), refusals: newRefusalMonitor(), coldTracker: newColdReplicaTracker(), gates: intake.NewGates()}
+	g := &Gateway{initialized: make(chan struct{}), log: log, metrics: metrics.NewSet(), streamTimes: newStreamTimeEstimator(), refusals: newRefusalMonitor(), coldTracker: newColdReplicaTracker(), gates: intake.NewLimiters()}
 	g.client = replica.NewClient(g.observeAnswer)
 	g.prepareCtx, g.cancelPrepare = context.WithCancel(context.Background())
 	g.settings.Store(s)
 	g.evacuatedServices.Store(&map[string]bool{})
 	g.router = route.New(route.Config{
-		FailureDomain: s.FailureDomain, Seed: rand.Uint64(), PrefixRoom: prefixRoom, PrefixBonus: prefixBonus, BacklogWeight: backlogWeight,
-		Ejected: g.logEjection, Gates: g.gates,
+		FailureDomain: s.FailureDomain, Seed: rand.Uint64(), PrefixMinLoad: prefixRoom, PrefixBonus: prefixBonus, BacklogWeight: backlogWeight,
+		OnEjected: g.logEjection, Gates: g.gates,
 	})
 	mux := peer.NewMux()
 	g.registerPromptHandler(mux)
@@ -91,14 +91,14 @@
 	members, err := fleet.New(fleet.Config{
 		Self:  fleet.Host{Host: member.Host{Name: s.Host, FailureDomain: s.FailureDomain}, Capacity: int(s.Limits.ProcessorShare * 1000)},
 		Seeds: s.Seeds, Listen: s.Listen.Peers, Mux: mux, Logger: log,
-		Extensions: []member.Extension{quarantine.Extension()}, Heard: func(h member.SlotHeard) { g.quarantine.Heard(h) },
+		HeartbeatExtensions: []member.SlotConfig{quarantine.Extension()}, OnSlotUpdate: func(h member.SlotReceived) { g.quarantine.DigestReceived(h) },
 	})
 	if err != nil {
 		return nil, err
 	}
 	g.fleet = members
 	g.quarantine = quarantine.New(quarantine.Config{
-		Self: s.Host, Members: members, Replicas: g.client, Caller: members.Caller(), Mux: mux, Logger: log, Ended: g.countReplicaCrash,
+		Self: s.Host, Members: members, Replicas: g.client, Caller: members.Caller(), Mux: mux, Logger: log, OnReplicaCrash: g.countReplicaCrash,
 	})
 	g.stages = stages.New(stages.Config{
 		Self: s.Host, Incarnation: members.Incarnation(), Replicas: g.client, Members: members, Caller: members.Caller(), Mux: mux, Logger: log,
@@ -107,7 +107,7 @@
 	g.store = platform.NewStore(s.Store.Address)
 	g.discovery = discovery.New(discovery.Config{
 		Self: s.Host, Store: g.store, Members: members, Caller: members.Caller(), Mux: mux,
-		Logger: log, Bound: func() time.Duration { return g.settings.Load().Bounds.shortest() }, Changed: g.applyView,
+		Logger: log, PropagationBound: func() time.Duration { return g.settings.Load().Bounds.shortest() }, OnViewChange: g.applyView,
 	})
 	g.registerGauges()
 	close(g.initialized)
@@ -154,7 +154,7 @@
 	group.Go(func() error { g.quarantine.Run(runCtx); return nil })
 	group.Go(func() error { return g.fleet.Run(runCtx) })
 	g.serveMetrics(runCtx, &group)
-	if !clock.CountsSleep() {
+	if !clock.DetectsSuspension() {
 		g.log.Warn("the time that this host spent suspended cannot be read; suspends are not accounted for")
 	}
 	g.log.Info("started", zap.String("callers", s.Listen.Callers), zap.String("store", s.Store.Address),
@@ -254,16 +254,16 @@
 }
 
 // retryBudget returns this daemon's share of the fleet's retry budget for a service.
-func (g *Gateway) retryBudget(service string) *retry.Shared {
-	hosts := max(g.fleet.Size(), minBudgetHosts)
+func (g *Gateway) retryBudget(service string) *retry.SharedBudget {
+	hosts := max(g.fleet.KnownHostCount(), minBudgetHosts)
 	if b, ok := g.retryBudgets.Load(service); ok {
-		shared := b.(*retry.Shared)
+		shared := b.(*retry.SharedBudget)
 		shared.SetHosts(hosts)
 		return shared
 	}
 	s := g.settings.Load().Budget
-	b, _ := g.retryBudgets.LoadOrStore(service, retry.NewShared(budgetFraction*s.Ratio, budgetFraction*s.Slack, s.Window, hosts))
-	return b.(*retry.Shared)
+	b, _ := g.retryBudgets.LoadOrStore(service, retry.NewSharedBudget(budgetFraction*s.Ratio, budgetFraction*s.Slack, s.Window, hosts))
+	return b.(*retry.SharedBudget)
 }
 
 const (
--- a/gateway/margin.go
+++ b/gateway/margin.go
@@ -26,19 +26,19 @@
 	mu sync.Mutex
 	// firstEvent and laterEvents are kept by service, as its engines serve all routes
 	// alike; deviations of the time to the first event are kept by route.
-	firstEvent, laterEvents map[string]*estimate.Line
+	firstEvent, laterEvents map[string]*estimate.LinearModel
 	deviations              map[string]*estimate.Deviation
 }
 
 func newStreamTimeEstimator() *streamTimeEstimator {
-	return &streamTimeEstimator{firstEvent: map[string]*estimate.Line{}, laterEvents: map[string]*estimate.Line{}, deviations: map[string]*estimate.Deviation{}}
+	return &streamTimeEstimator{firstEvent: map[string]*estimate.LinearModel{}, laterEvents: map[string]*estimate.LinearModel{}, deviations: map[string]*estimate.Deviation{}}
 }
 
 // lineOf returns the regression line of a service; mu must be held.
-func lineOf(lines map[string]*estimate.Line, service string) *estimate.Line {
+func lineOf(lines map[string]*estimate.LinearModel, service string) *estimate.LinearModel {
 	l := lines[service]
 	if l == nil {
-		l = &estimate.Line{}
+		l = &estimate.LinearModel{}
 		lines[service] = l
 	}
 	return l
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -19,9 +19,9 @@
 // fields.
 type notices struct {
 	mu              sync.Mutex
-	namedLimits     intake.Account
-	leavingReplicas intake.Leavers
-	backoffs        intake.Rests
+	namedLimits     intake.LimitTable
+	leavingReplicas intake.LeavingReplicas
+	backoffs        intake.Backoffs
 	// invalidBackoff are the replicas whose invalid Retry-After value has been logged.
 	invalidBackoff map[string]bool
 	// replicas are the replicas of the newest view.
@@ -33,40 +33,40 @@
 }
 
 // observeAnswer processes the notices in an answer of a replica.
-func (g *Gateway) observeAnswer(a intake.Answer) {
+func (g *Gateway) observeAnswer(a intake.ReplicaResponse) {
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
-	if l, changed := g.notices.namedLimits.Hear(clock.Now(), a); changed {
-		g.applyLimits(g.settings.Load().Host, []intake.Limited{l})
+	if l, changed := g.notices.namedLimits.Observe(clock.Now(), a); changed {
+		g.applyLimits(g.settings.Load().Host, []intake.ReplicaLimit{l})
 	}
-	if l, isNew := g.notices.leavingReplicas.Hear(clock.Now(), a); isNew {
-		g.applyLeaving(g.settings.Load().Host, []intake.Leaver{l})
+	if l, isNew := g.notices.leavingReplicas.Observe(clock.Now(), a); isNew {
+		g.applyLeaving(g.settings.Load().Host, []intake.LeavingReplica{l})
 	}
 	g.observeBackoff(a)
 }
 
 // observeBackoff processes a replica's request for back-off; the notices' lock must be
 // held.
-func (g *Gateway) observeBackoff(a intake.Answer) {
-	if a.Notice.Rest <= 0 && a.Notice.UnreadRest == "" {
+func (g *Gateway) observeBackoff(a intake.ReplicaResponse) {
+	if a.Notice.Backoff <= 0 && a.Notice.UnparsedBackoff == "" {
 		return
 	}
 	n, now := &g.notices, clock.Now()
 	service := g.discovery.View().Replicas[a.Replica].Service
-	if invalid := a.Notice.UnreadRest; invalid != "" && !n.invalidBackoff[a.Replica] {
+	if invalid := a.Notice.UnparsedBackoff; invalid != "" && !n.invalidBackoff[a.Replica] {
 		if n.invalidBackoff == nil {
 			n.invalidBackoff = map[string]bool{}
 		}
 		n.invalidBackoff[a.Replica] = true
 		g.log.Warn("replica sent an invalid back-off time", zap.String("service", service), zap.String("replica", a.Replica), zap.String("value", invalid))
 	}
-	backoff, began, changed := n.backoffs.Hear(now, a, g.settings.Load().Backoff.Max)
+	backoff, began, changed := n.backoffs.Observe(now, a, g.settings.Load().Backoff.Max)
 	if changed {
 		g.closeBackedOff()
 	}
 	if began {
 		g.log.Info("replica asked for back-off", zap.String("service", service), zap.String("replica", a.Replica),
-			zap.Duration("asked", a.Notice.Rest), zap.Duration("for", backoff.Until.Sub(now)))
+			zap.Duration("asked", a.Notice.Backoff), zap.Duration("for", backoff.Until.Sub(now)))
 		g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_rests_asked_total{service=%q}", service)).Inc()
 	}
 }
@@ -75,9 +75,9 @@
 // meanwhile at the address of one; the notices' lock must be held.
 func (g *Gateway) closeBackedOff() {
 	backoffs := g.notices.backoffs.All()
-	parts, addresses := map[string]intake.Part{}, map[string]intake.Part{}
+	parts, addresses := map[string]intake.Quota{}, map[string]intake.Quota{}
 	for _, r := range backoffs {
-		p := intake.Part{Until: r.Until}
+		p := intake.Quota{BlockedUntil: r.Until}
 		parts[r.Replica], addresses[r.Address] = p, p
 	}
 	if len(backoffs) > 0 {
@@ -87,21 +87,21 @@
 			}
 		}
 	}
-	g.gates.SetParts(intake.Resting, parts)
+	g.gates.SetQuotas(intake.BackingOff, parts)
 }
 
 // expireBackoffs reopens the replicas whose back-off is over.
 func (g *Gateway) expireBackoffs() {
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
-	if g.notices.backoffs.End(clock.Now()) {
+	if g.notices.backoffs.RemoveExpired(clock.Now()) {
 		g.closeBackedOff()
 	}
 }
 
 // applyLeaving closes replicas that are leaving, as this or another host has learned, and
 // tells the neighbours; the notices' lock must be held.
-func (g *Gateway) applyLeaving(host string, leaving []intake.Leaver) {
+func (g *Gateway) applyLeaving(host string, leaving []intake.LeavingReplica) {
 	if len(leaving) == 0 {
 		return
 	}
@@ -110,14 +110,14 @@
 	for _, l := range leaving {
 		service := g.discovery.View().Replicas[l.Replica].Service
 		g.log.Info("replica announced that it is leaving", zap.String("service", service), zap.String("replica", l.Replica),
-			zap.String("peer", host), zap.Duration("since", clock.Since(l.At)))
+			zap.String("peer", host), zap.Duration("since", clock.Since(l.AnnouncedAt)))
 		g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_replicas_said_leaving_total{service=%q}", service)).Inc()
 	}
 }
 
 // applyLimits enforces limits that this or another host has learned, and tells the
 // neighbours; the notices' lock must be held.
-func (g *Gateway) applyLimits(host string, changed []intake.Limited) {
+func (g *Gateway) applyLimits(host string, changed []intake.ReplicaLimit) {
 	if len(changed) == 0 {
 		return
 	}
@@ -130,11 +130,11 @@
 
 // closeLeaving closes the replicas that are leaving; the notices' lock must be held.
 func (g *Gateway) closeLeaving() {
-	parts := map[string]intake.Part{}
+	parts := map[string]intake.Quota{}
 	for _, l := range g.notices.leavingReplicas.All() {
-		parts[l.Replica] = intake.Part{}
+		parts[l.Replica] = intake.Quota{}
 	}
-	g.gates.SetParts(intake.Leaving, parts)
+	g.gates.SetQuotas(intake.Leaving, parts)
 }
 
 // refreshLimitShares recomputes this host's shares of the limits in force, since hosts join
@@ -151,25 +151,25 @@
 // held.
 func (g *Gateway) updateLimitShares() {
 	limits := g.notices.namedLimits.Limits()
-	parts := make(map[string]intake.Part, len(limits))
+	parts := make(map[string]intake.Quota, len(limits))
 	if len(limits) > 0 {
-		shares, planner, view := g.liveShares(), g.stages.Plans(), g.discovery.View()
+		shares, planner, view := g.liveShares(), g.stages.IsPlanner(), g.discovery.View()
 		for _, l := range limits {
 			if shares == nil {
-				parts[l.Replica] = intake.NoPart()
+				parts[l.Replica] = intake.NoQuota()
 				continue
 			}
-			parts[l.Replica] = shares.OfLimit(l, callRole(view, l.Replica, planner))
+			parts[l.Replica] = shares.LimitQuota(l, callRole(view, l.Replica, planner))
 		}
 	}
 	g.notices.limitsActive = len(limits) > 0
-	g.gates.SetParts(intake.Named, parts)
+	g.gates.SetQuotas(intake.AnnouncedLimit, parts)
 }
 
 // liveShares computes this host's shares among the hosts that are alive; nil while the set
 // of hosts is not complete.
 func (g *Gateway) liveShares() *intake.Shares {
-	if _, complete := g.fleet.Known(); !complete {
+	if _, complete := g.fleet.KnownHosts(); !complete {
 		return nil
 	}
 	var names []string
@@ -186,7 +186,7 @@
 	}
 	s := v.Config.Services[v.Replicas[replica].Service]
 	switch {
-	case s == nil || s.Pieces == nil:
+	case s == nil || s.StageProfile == nil:
 		return intake.Requester
 	case planner:
 		return intake.Planner
@@ -195,10 +195,10 @@
 }
 
 // logLimit logs and counts a changed limit of a replica, as learned by a host.
-func (g *Gateway) logLimit(host string, l intake.Limited) {
+func (g *Gateway) logLimit(host string, l intake.ReplicaLimit) {
 	service := g.discovery.View().Replicas[l.Replica].Service
-	fields := []zap.Field{zap.String("service", service), zap.String("replica", l.Replica), zap.String("peer", host), zap.Duration("since", l.At.Sub(l.Since))}
-	if !l.Limit.Named {
+	fields := []zap.Field{zap.String("service", service), zap.String("replica", l.Replica), zap.String("peer", host), zap.Duration("since", l.LastObserved.Sub(l.Since))}
+	if !l.Limit.Announced {
 		g.log.Info("replica lifted its rate limit", fields...)
 		return
 	}
@@ -209,13 +209,13 @@
 // pruneNotices drops the notices of replicas that a view does not list.
 func (g *Gateway) pruneNotices(replicas map[string]catalog.Replica) {
 	listed := func(replica string) bool { _, ok := replicas[replica]; return ok }
-	g.gates.Keep(listed)
+	g.gates.RemoveUnlisted(listed)
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
 	g.notices.replicas = replicas
-	g.notices.namedLimits.Forget(clock.Now(), listed)
+	g.notices.namedLimits.RemoveExpired(clock.Now(), listed)
 	maps.DeleteFunc(g.notices.invalidBackoff, func(replica string, _ bool) bool { return !listed(replica) })
-	if g.notices.leavingReplicas.Forget(clock.Now(), listed) {
+	if g.notices.leavingReplicas.RemoveExpired(clock.Now(), listed) {
 		g.closeLeaving()
 	}
 	if len(g.notices.backoffs.All()) > 0 {
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -29,7 +29,7 @@
 	f := newFixtureOf(t)
 	core, logs := observer.New(zapcore.InfoLevel)
 	g := f.startLogged(zap.New(core)).ready()
-	f.replicas["p1"].NameLimit("2.5")
+	f.replicas["p1"].AdvertiseRateLimit("2.5")
 	f.Eventually(func() int {
 		g.send(http.MethodPost, safePath, "", nil)
 		return loggedCount(logs, "replica announced a rate limit")
@@ -37,7 +37,7 @@
 	f.Expect(logs.FilterMessage("replica announced a rate limit").All()[0].ContextMap()).To(And(
 		HaveKeyWithValue("replica", "p1"), HaveKeyWithValue("service", "plain"), HaveKeyWithValue("per_second", 2.5)))
 	f.Expect(g.metricLines(gauge)).To(ConsistOf(gauge + " 1"))
-	f.replicas["p1"].NameLimit("")
+	f.replicas["p1"].AdvertiseRateLimit("")
 	f.Eventually(func() int {
 		g.send(http.MethodPost, safePath, "", nil)
 		return loggedCount(logs, "replica lifted its rate limit")
@@ -140,11 +140,11 @@
 			t.Parallel()
 			f := newFixtureOf(t)
 			hosts := f.startThreeHosts()
-			f.replicas[load.replica].NameLimit(strconv.Itoa(perSecond))
+			f.replicas[load.replica].AdvertiseRateLimit(strconv.Itoa(perSecond))
 			named := time.Now()
 			p := sendLoad(hosts, 150*time.Millisecond, settleTime+2*window, load.path, load.change)
 			f.expectAllServed(p)
-			arrived := f.replicas[load.replica].Arrived()
+			arrived := f.replicas[load.replica].ArrivalTimes()
 			f.Expect(maxInWindow(arrived, named.Add(settleTime), window)).To(And(BeNumerically("<=", allowed), BeNumerically(">", 0)))
 		})
 	}
@@ -158,7 +158,7 @@
 	g := f.start().ready()
 	for _, r := range f.replicas {
 		if r.Kind != site.Stage {
-			r.NameLimit("0.5")
+			r.AdvertiseRateLimit("0.5")
 		}
 	}
 	for _, path := range []string{safePath, sealPath, resumePath} {
@@ -187,12 +187,12 @@
 	t.Parallel()
 	f := newFixtureOf(t)
 	g := f.start().ready()
-	f.replicas["p1"].NameLimit("1")
+	f.replicas["p1"].AdvertiseRateLimit("1")
 	f.Eventually(func() int {
 		ran, _ := sendSafeRequests(f, g, 100*time.Millisecond)
 		return ran["p1"]
 	}, "8s").Should(BeZero())
-	f.replicas["p1"].NameLimit("")
+	f.replicas["p1"].AdvertiseRateLimit("")
 	f.Eventually(func() int {
 		ran, _ := sendSafeRequests(f, g, 300*time.Millisecond)
 		return ran["p1"]
@@ -207,22 +207,22 @@
 	const gauge = "wheatseam_replicas_limited"
 	f := newFixtureOf(t)
 	hosts := f.startThreeHosts()
-	f.replicas["p1"].NameLimit("0.5")
+	f.replicas["p1"].AdvertiseRateLimit("0.5")
 	known := func() []string {
 		return slices.Concat(hosts[0].metricLines(gauge), hosts[1].metricLines(gauge), hosts[2].metricLines(gauge))
 	}
 	f.Eventually(func() []time.Time {
 		hosts[0].send(http.MethodPost, safePath, "", nil)
-		return f.replicas["p1"].Arrived()
+		return f.replicas["p1"].ArrivalTimes()
 	}, "4s").Should(HaveLen(1))
 	f.Eventually(known, "3s").Should(HaveEach(gauge + " 1"))
-	f.replicas["p1"].NameLimit("")
-	began := len(f.replicas["p1"].Arrived())
+	f.replicas["p1"].AdvertiseRateLimit("")
+	began := len(f.replicas["p1"].ArrivalTimes())
 	f.Eventually(func() int {
 		for _, g := range hosts {
 			g.send(http.MethodPost, safePath, "", nil)
 		}
-		return len(f.replicas["p1"].Arrived())
+		return len(f.replicas["p1"].ArrivalTimes())
 	}, "6s").Should(BeNumerically(">", began))
 	f.Eventually(known, "3s").Should(HaveEach(gauge + " 0"))
 }
@@ -233,7 +233,7 @@
 	f := newFixtureOf(t)
 	core, logs := observer.New(zapcore.InfoLevel)
 	g := f.startLogged(zap.New(core)).ready()
-	f.replicas["p1"].SayLeaving()
+	f.replicas["p1"].AdvertiseLeaving()
 	f.Eventually(func() int {
 		g.send(http.MethodPost, safePath, "", nil)
 		return loggedCount(logs, "replica announced that it is leaving")
@@ -263,11 +263,11 @@
 			f := newFixtureOf(t)
 			hosts := f.startThreeHosts()
 			leaving := f.replicas[load.replica]
-			leaving.SayLeaving()
+			leaving.AdvertiseLeaving()
 			began := time.Now()
 			p := sendLoad(hosts, 150*time.Millisecond, bound+3*time.Second, load.path, load.change)
 			f.expectAllServed(p)
-			arrived := leaving.Arrived()
+			arrived := leaving.ArrivalTimes()
 			f.Expect(arrived).NotTo(BeEmpty())
 			f.Expect(maxInWindow(arrived, began.Add(bound), time.Hour)).To(BeZero())
 		})
@@ -280,8 +280,8 @@
 	t.Parallel()
 	f := newFixtureOf(t)
 	g := f.start().ready()
-	f.replicas["p1"].SayLeaving()
-	f.replicas["p2"].SayLeaving()
+	f.replicas["p1"].AdvertiseLeaving()
+	f.replicas["p2"].AdvertiseLeaving()
 	var refused answer
 	var id string
 	f.Eventually(func() int {
@@ -304,16 +304,16 @@
 	const gauge = "wheatseam_replicas_said_leaving "
 	f := newFixtureOf(t)
 	hosts := f.startThreeHosts()
-	f.replicas["p1"].SayLeaving()
+	f.replicas["p1"].AdvertiseLeaving()
 	f.Eventually(func() []time.Time {
 		hosts[0].send(http.MethodPost, safePath, "", nil)
-		return f.replicas["p1"].Arrived()
+		return f.replicas["p1"].ArrivalTimes()
 	}, "4s").Should(HaveLen(1))
 	f.Eventually(func() []string {
 		return slices.Concat(hosts[1].metricLines(gauge), hosts[2].metricLines(gauge))
 	}, "3s").Should(HaveEach(gauge + "1"))
 	sendLoad(hosts, 50*time.Millisecond, time.Second, safePath, nil)
-	f.Expect(f.replicas["p1"].Arrived()).To(HaveLen(1))
+	f.Expect(f.replicas["p1"].ArrivalTimes()).To(HaveLen(1))
 }
 
 func TestReplicaBackoffIsLoggedAndExported(t *testing.T) {
@@ -322,7 +322,7 @@
 	f := newFixtureOf(t)
 	core, logs := observer.New(zapcore.InfoLevel)
 	g := f.startWith(zap.New(core), func(s *gateway.Settings) { s.Backoff.Max = 2 * time.Second }).ready()
-	f.replicas["p1"].Behave(site.Behaviour{Shed: true, RetryAfter: "1000000"})
+	f.replicas["p1"].SetBehaviour(site.Behaviour{Shed: true, RetryAfter: "1000000"})
 	f.Eventually(func() int {
 		g.send(http.MethodPost, safePath, "", nil)
 		return loggedCount(logs, "replica asked for back-off")
@@ -330,7 +330,7 @@
 	f.Expect(logs.FilterMessage("replica asked for back-off").All()[0].ContextMap()).To(And(
 		HaveKeyWithValue("replica", "p1"), HaveKeyWithValue("service", "plain"), HaveKeyWithValue("for", 2*time.Second)))
 	f.Expect(g.metricLines(gauge)).To(ConsistOf(gauge + "1"))
-	f.replicas["p1"].Behave(site.Behaviour{Shed: true, RetryAfter: "soon"})
+	f.replicas["p1"].SetBehaviour(site.Behaviour{Shed: true, RetryAfter: "soon"})
 	f.Eventually(func() []string {
 		g.send(http.MethodPost, safePath, "", nil)
 		return g.metricLines(gauge)
@@ -365,10 +365,10 @@
 			f := newFixtureOf(t)
 			g := f.start().ready()
 			refusing := f.replicas[load.replica]
-			refusing.Behave(site.Behaviour{Shed: true, RetryAfter: "3"})
+			refusing.SetBehaviour(site.Behaviour{Shed: true, RetryAfter: "3"})
 			p := sendLoad([]*gatewayProcess{g}, 100*time.Millisecond, 3*backoff, load.path, load.change)
 			f.expectAllServed(p)
-			arrived := refusing.Arrived()
+			arrived := refusing.ArrivalTimes()
 			f.Expect(len(arrived)).To(BeNumerically(">", 1), "it is called again after its back-off")
 			for _, asked := range arrived {
 				during := slices.DeleteFunc(slices.Clone(arrived), func(at time.Time) bool {
@@ -393,9 +393,9 @@
 	f.Expect(refused.status).To(Equal(http.StatusServiceUnavailable))
 	f.Expect(f.ledger.Runs(id)).To(BeEmpty())
 	f.Expect(strconv.ParseFloat(refused.header.Get("Retry-After"), 64)).To(And(BeNumerically(">", 0), BeNumerically("<=", 1.5)))
-	before := len(f.replicas["p1"].Arrived()) + len(f.replicas["p2"].Arrived())
+	before := len(f.replicas["p1"].ArrivalTimes()) + len(f.replicas["p2"].ArrivalTimes())
 	g.send(http.MethodPost, sealPath, "", nil)
-	f.Expect(len(f.replicas["p1"].Arrived()) + len(f.replicas["p2"].Arrived())).To(Equal(before))
+	f.Expect(len(f.replicas["p1"].ArrivalTimes()) + len(f.replicas["p2"].ArrivalTimes())).To(Equal(before))
 	f.behave("plain", site.Behaviour{})
 	f.Eventually(func() int {
 		a, _ := g.send(http.MethodPost, sealPath, "", nil)
@@ -410,14 +410,14 @@
 	f := newFixtureOf(t)
 	g := f.start().ready()
 	refusing := f.replicas["p1"]
-	refusing.RefuseForRest("30")
+	refusing.RefuseWithRetryAfter("30")
 	f.Eventually(func() []string {
 		g.send(http.MethodPost, safePath, "", nil)
 		return g.metricLines("wheatseam_replicas_resting ")
 	}, "4s").Should(ConsistOf("wheatseam_replicas_resting 1"))
-	refusing.Born = time.Now().UnixMilli()
+	refusing.StartUnixMS = time.Now().UnixMilli()
 	f.register(refusing, "ready")
-	before := len(refusing.Arrived())
+	before := len(refusing.ArrivalTimes())
 	sendLoad([]*gatewayProcess{g}, 50*time.Millisecond, 3*time.Second, safePath, nil)
-	f.Expect(len(refusing.Arrived())).To(Equal(before))
+	f.Expect(len(refusing.ArrivalTimes())).To(Equal(before))
 }
--- a/gateway/noticestate.go
+++ b/gateway/noticestate.go
@@ -19,7 +19,7 @@
 	for _, l := range n.namedLimits.Limits() {
 		out = append(out, LimitState{
 			Replica: l.Replica, PerSecond: l.Limit.PerSecond,
-			SinceS: now.Sub(l.Since).Seconds(), NamedS: now.Sub(l.At).Seconds(),
+			SinceS: now.Sub(l.Since).Seconds(), NamedS: now.Sub(l.LastObserved).Seconds(),
 		})
 	}
 	return out
@@ -38,7 +38,7 @@
 	defer n.mu.Unlock()
 	out := []LeavingState{}
 	for _, l := range n.leavingReplicas.All() {
-		out = append(out, LeavingState{Replica: l.Replica, SinceS: now.Sub(l.At).Seconds()})
+		out = append(out, LeavingState{Replica: l.Replica, SinceS: now.Sub(l.AnnouncedAt).Seconds()})
 	}
 	return out
 }
--- a/gateway/noticesync.go
+++ b/gateway/noticesync.go
@@ -55,7 +55,7 @@
 		return
 	}
 	g.sendToNeighbours("", &wire.NoticesHeard{
-		Limits: limitsToWire(now, n.namedLimits.News(n.lastResent)), Leaving: leavingToWire(now, n.leavingReplicas.Since(n.lastResent.Add(-leavingResendPeriod))),
+		Limits: limitsToWire(now, n.namedLimits.ObservedAfter(n.lastResent)), Leaving: leavingToWire(now, n.leavingReplicas.ObservedAfter(n.lastResent.Add(-leavingResendPeriod))),
 	})
 	n.lastResent = now
 }
@@ -99,7 +99,7 @@
 	limits := limitsFromWire(now, received)
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
-	changed, newer := g.notices.namedLimits.Learn(now, limits)
+	changed, newer := g.notices.namedLimits.Merge(now, limits)
 	g.applyLimits(host, changed)
 	return limitsToWire(now, newer)
 }
@@ -107,47 +107,47 @@
 // mergeLeaving merges the leaving replicas that a peer knows.
 func (g *Gateway) mergeLeaving(host string, received []*wire.ReplicaLeaving) {
 	now := clock.Now()
-	var leaving []intake.Leaver
+	var leaving []intake.LeavingReplica
 	for _, l := range received {
 		if l.GetReplica() != "" {
-			leaving = append(leaving, intake.Leaver{Replica: l.GetReplica(), At: timeFromAge(now, l.GetAgeMs())})
+			leaving = append(leaving, intake.LeavingReplica{Replica: l.GetReplica(), AnnouncedAt: timeFromAge(now, l.GetAgeMs())})
 		}
 	}
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
-	g.applyLeaving(host, g.notices.leavingReplicas.Learn(now, leaving))
+	g.applyLeaving(host, g.notices.leavingReplicas.Merge(now, leaving))
 }
 
-func leavingToWire(now time.Time, leaving []intake.Leaver) []*wire.ReplicaLeaving {
+func leavingToWire(now time.Time, leaving []intake.LeavingReplica) []*wire.ReplicaLeaving {
 	out := make([]*wire.ReplicaLeaving, 0, len(leaving))
 	for _, l := range leaving {
-		out = append(out, &wire.ReplicaLeaving{Replica: l.Replica, AgeMs: now.Sub(l.At).Milliseconds()})
+		out = append(out, &wire.ReplicaLeaving{Replica: l.Replica, AgeMs: now.Sub(l.AnnouncedAt).Milliseconds()})
 	}
 	return out
 }
 
 // limitsToWire encodes times as ages, because the clocks of hosts are not synchronized.
-func limitsToWire(now time.Time, limits []intake.Limited) []*wire.ReplicaLimit {
+func limitsToWire(now time.Time, limits []intake.ReplicaLimit) []*wire.ReplicaLimit {
 	out := make([]*wire.ReplicaLimit, 0, len(limits))
 	for _, l := range limits {
 		out = append(out, &wire.ReplicaLimit{
-			Replica: l.Replica, Named: l.Limit.Named, PerSecond: l.Limit.PerSecond, Round: l.Round,
-			AgeMs: now.Sub(l.At).Milliseconds(), SinceMs: now.Sub(l.Since).Milliseconds(),
+			Replica: l.Replica, Named: l.Limit.Announced, PerSecond: l.Limit.PerSecond, Round: l.Round,
+			AgeMs: now.Sub(l.LastObserved).Milliseconds(), SinceMs: now.Sub(l.Since).Milliseconds(),
 		})
 	}
 	return out
 }
 
 // limitsFromWire drops entries that no replica can have announced.
-func limitsFromWire(now time.Time, received []*wire.ReplicaLimit) []intake.Limited {
-	out := make([]intake.Limited, 0, len(received))
+func limitsFromWire(now time.Time, received []*wire.ReplicaLimit) []intake.ReplicaLimit {
+	out := make([]intake.ReplicaLimit, 0, len(received))
 	for _, l := range received {
-		limit := intake.Limit{Named: l.GetNamed()}
-		if limit.Named {
+		limit := intake.Limit{Announced: l.GetNamed()}
+		if limit.Announced {
 			limit.PerSecond = l.GetPerSecond()
 		}
 		if l.GetReplica() != "" && limit.Valid() {
-			out = append(out, intake.Limited{Replica: l.GetReplica(), Limit: limit, Round: l.GetRound(), Since: timeFromAge(now, l.GetSinceMs()), At: timeFromAge(now, l.GetAgeMs())})
+			out = append(out, intake.ReplicaLimit{Replica: l.GetReplica(), Limit: limit, Round: l.GetRound(), Since: timeFromAge(now, l.GetSinceMs()), LastObserved: timeFromAge(now, l.GetAgeMs())})
 		}
 	}
 	return out
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -49,25 +49,25 @@
 func (g *Gateway) registerGauges() {
 	gauge := func(name string, f func() float64) { g.metrics.GetOrCreateGauge(name, f) }
 	gauge("wheatseam_in_flight", func() float64 { return float64(g.inFlight.Load()) })
-	gauge("wheatseam_hosts", func() float64 { return float64(g.fleet.Size()) })
+	gauge("wheatseam_hosts", func() float64 { return float64(g.fleet.KnownHostCount()) })
 	gauge("wheatseam_view_age_seconds", func() float64 { return clock.Since(g.discovery.View().AsOf).Seconds() })
-	gauge("wheatseam_config_behind_seconds", func() float64 { return g.discovery.Behind().Seconds() })
+	gauge("wheatseam_config_behind_seconds", func() float64 { return g.discovery.ConfigLag().Seconds() })
 	gauge("wheatseam_config_version", func() float64 {
 		if c := g.discovery.View().Config; c != nil {
 			return float64(c.Version)
 		}
 		return 0
 	})
-	gauge("wheatseam_replica_entries_refused", func() float64 { return float64(g.discovery.Faults()) })
-	gauge("wheatseam_store_calls_total", func() float64 { return float64(g.store.Calls().Made) })
+	gauge("wheatseam_replica_entries_refused", func() float64 { return float64(g.discovery.InvalidEntryCount()) })
+	gauge("wheatseam_store_calls_total", func() float64 { return float64(g.store.Calls().Total) })
 	gauge("wheatseam_store_calls_failed_total", func() float64 { return float64(g.store.Calls().Failed) })
 	gauge("wheatseam_replicas_cold", func() float64 { return float64(g.coldCount.Load()) })
 	gauge("wheatseam_replicas_limited", func() float64 { return float64(len(g.notices.limitStates(clock.Now()))) })
 	gauge("wheatseam_replicas_said_leaving", func() float64 { return float64(len(g.notices.leavingStates(clock.Now()))) })
 	gauge("wheatseam_replicas_resting", func() float64 { return float64(len(g.notices.backoffStates(clock.Now()))) })
 	gauge("wheatseam_domains_evacuated", func() float64 { return float64(len(g.discovery.View().Evacuations.Domains)) })
-	gauge("wheatseam_asleep_seconds", func() float64 { return clock.Asleep().Seconds() })
-	gauge("wheatseam_requests_condemned", func() float64 { return float64(g.quarantine.Refused()) })
+	gauge("wheatseam_asleep_seconds", func() float64 { return clock.SuspendedTime().Seconds() })
+	gauge("wheatseam_requests_condemned", func() float64 { return float64(g.quarantine.QuarantinedCount()) })
 	gauge("wheatseam_jobs_planned", func() float64 { return float64(g.stages.Dump().Planned) })
 }
 
@@ -85,12 +85,12 @@
 
 // countCancelledStall counts a stalled attempt that this host cancelled, by the last known
 // status of the run.
-func (g *Gateway) countCancelledStall(service string, status stall.Account) {
+func (g *Gateway) countCancelledStall(service string, status stall.RunStatus) {
 	g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_attempts_ended_here_total{service=%q,account=%q}", service, status)).Inc()
 }
 
 // countRunStatus counts an engine's answer to a query for the status of a run.
-func (g *Gateway) countRunStatus(service string, status stall.Account) {
+func (g *Gateway) countRunStatus(service string, status stall.RunStatus) {
 	g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_run_accounts_total{service=%q,account=%q}", service, status)).Inc()
 }
 
@@ -101,7 +101,7 @@
 }
 
 // countReplicaCrash counts a replica that ended under requests.
-func (g *Gateway) countReplicaCrash(e poison.End) {
+func (g *Gateway) countReplicaCrash(e poison.Crash) {
 	g.metrics.GetOrCreateCounter(fmt.Sprintf("wheatseam_replicas_ended_total{service=%q}", e.Service)).Inc()
 }
 
@@ -147,7 +147,7 @@
 		Quarantine: g.quarantine.Dump(), Limits: g.notices.limitStates(clock.Now()), Leaving: g.notices.leavingStates(clock.Now()), Resting: g.notices.backoffStates(clock.Now()),
 	}
 	g.retryBudgets.Range(func(service, b any) bool {
-		s.Budgets[service.(string)] = b.(*retry.Shared).Stats()
+		s.Budgets[service.(string)] = b.(*retry.SharedBudget).Stats()
 		return true
 	})
 	return s
--- a/gateway/prompts.go
+++ b/gateway/prompts.go
@@ -29,7 +29,7 @@
 // concurrent use.
 type promptIndex struct {
 	mu      sync.Mutex
-	holders prefix.Holders
+	holders prefix.Index
 }
 
 // prefixHashes returns the hash of the first part of the prompt, of the first two and so
@@ -54,8 +54,8 @@
 	now := clock.Now()
 	g.prompts.mu.Lock()
 	defer g.prompts.mu.Unlock()
-	from, ok := g.prompts.holders.Source(now, hashes, c.Upstream, func(e prefix.Engine) bool {
-		return g.router.Usable(now, c.Pool, e.Name, e.Address)
+	from, ok := g.prompts.holders.CopySource(now, hashes, c.Upstream, func(e prefix.Engine) bool {
+		return g.router.CanServeCopies(now, c.Pool, e.Name, e.Address)
 	})
 	if !ok {
 		return ""
@@ -70,8 +70,8 @@
 	engine := prefix.Engine{Name: c.Upstream, Address: c.Address}
 	now := clock.Now()
 	g.prompts.mu.Lock()
-	known := g.prompts.holders.Holds(now, hashes, c.Upstream)
-	g.prompts.holders.Learn(now, hashes, engine)
+	known := g.prompts.holders.HasPrefix(now, hashes, c.Upstream)
+	g.prompts.holders.RecordPrompt(now, hashes, engine)
 	g.prompts.mu.Unlock()
 	read, _ := g.streamTimes.readTime(x.service, x.unsharedTokens())
 	savedTime := read
@@ -110,10 +110,10 @@
 	peer.Handle(mux, methodPrompt, func(_ context.Context, _ peer.Sender, p *wire.PromptSent) (*wire.PromptNoted, error) {
 		now := clock.Now()
 		g.prompts.mu.Lock()
-		g.prompts.holders.Learn(now, p.GetLeading(), prefix.Engine{Name: p.GetReplica(), Address: p.GetAddress()})
+		g.prompts.holders.RecordPrompt(now, p.GetLeading(), prefix.Engine{Name: p.GetReplica(), Address: p.GetAddress()})
 		g.prompts.mu.Unlock()
 		read := time.Duration(p.GetReadMs()) * time.Millisecond
-		g.router.Told(now, p.GetService(), p.GetReplica(), p.GetAddress(), read)
+		g.router.ObservePeerPrompt(now, p.GetService(), p.GetReplica(), p.GetAddress(), read)
 		return &wire.PromptNoted{}, nil
 	})
 }
--- a/gateway/prompts_test.go
+++ b/gateway/prompts_test.go
@@ -40,21 +40,21 @@
 		f := newFixture()
 		g := f.start().ready()
 		home := sendStream(f, g, "a", 10)
-		Expect(home.CopyFrom).To(BeEmpty())
+		Expect(home.CacheSource).To(BeEmpty())
 		for range 5 {
 			run := sendStream(f, g, "a", 10)
 			Expect(run.Replica).To(Equal(home.Replica))
-			Expect(run.CopyFrom).To(BeEmpty(), "it holds the prefix")
+			Expect(run.CacheSource).To(BeEmpty(), "it holds the prefix")
 		}
-		f.replicas[home.Replica].Behave(site.Behaviour{Shed: true})
+		f.replicas[home.Replica].SetBehaviour(site.Behaviour{Shed: true})
 		run := sendStream(f, g, "a", 10)
 		Expect(run.Replica).NotTo(Equal(home.Replica))
-		Expect(run.CopyFrom).To(Equal(f.replicas[home.Replica].Address()))
+		Expect(run.CacheSource).To(Equal(f.replicas[home.Replica].Address()))
 	})
 
 	It("go elsewhere while the engine reads a long prompt of a peer, and peers know the engine to copy from", func() {
 		f := newFixture()
-		f.behave("llm", site.Behaviour{ReadToken: 200 * time.Microsecond})
+		f.behave("llm", site.Behaviour{PrefillPerToken: 200 * time.Microsecond})
 		first := f.start().ready()
 		second := f.start(first.peers).ready()
 		Eventually(func() []string { return second.metricLines("wheatseam_hosts ") }, "5s").Should(ConsistOf("wheatseam_hosts 2"))
@@ -70,7 +70,7 @@
 		time.Sleep(50 * time.Millisecond)
 		run := sendStream(f, second, "b", 10)
 		Expect(run.Replica).NotTo(Equal(home.Replica), "that engine is reading for a second")
-		Expect(run.CopyFrom).To(Equal(f.replicas[home.Replica].Address()))
+		Expect(run.CacheSource).To(Equal(f.replicas[home.Replica].Address()))
 		Expect((<-long).Replica).To(Equal(home.Replica))
 	})
 
@@ -82,6 +82,6 @@
 			r.Header.Set("Kv-Fetch", "127.0.0.1:1")
 		})
 		Expect(a.status).To(Equal(http.StatusOK))
-		Expect(f.ledger.Runs(id)[0].CopyFrom).To(BeEmpty())
+		Expect(f.ledger.Runs(id)[0].CacheSource).To(BeEmpty())
 	})
 })
--- a/gateway/refusals.go
+++ b/gateway/refusals.go
@@ -17,7 +17,7 @@
 // not explain them. It is safe for concurrent use.
 type refusalMonitor struct {
 	mu    sync.Mutex
-	watch *refusal.Watch
+	watch *refusal.Monitor
 	// counters holds the names of each replica's counters, so that they can be unregistered
 	// with it.
 	counters map[string]map[string]bool
@@ -28,15 +28,15 @@
 }
 
 // refusalReason derives from a replica's answer why it refused.
-func refusalReason(status int, head platform.Answer) refusal.Reason {
+func refusalReason(status int, head platform.ResponseHead) refusal.Reason {
 	switch {
 	case status == http.StatusConflict:
-		return refusal.InputsGone
-	case head.OtherReplica:
-		return refusal.OtherReplica
+		return refusal.InputsMissing
+	case head.Misdirected:
+		return refusal.ReplicaMismatch
 	case head.Load == nil:
-		return refusal.LoadUntold
-	case refusal.Load{Running: head.Load.Running, Waiting: head.Load.Waiting, Slots: head.Load.Slots}.Explains():
+		return refusal.LoadUnknown
+	case refusal.Load{Running: head.Load.Running, Waiting: head.Load.Waiting, Slots: head.Load.Slots}.ExplainsRefusal():
 		return refusal.Full
 	}
 	return refusal.Unexplained
--- a/gateway/refusals_test.go
+++ b/gateway/refusals_test.go
@@ -36,7 +36,7 @@
 		f := newFixture()
 		core, logs := observer.New(zapcore.WarnLevel)
 		g := f.startLogged(zap.New(core)).ready()
-		f.behave("plain", site.Behaviour{ShedFree: true})
+		f.behave("plain", site.Behaviour{ShedWithFreeSlots: true})
 		for range 20 {
 			a, _ := g.send(http.MethodPost, sealPath, "", nil)
 			Expect(a.status).To(Equal(http.StatusServiceUnavailable))
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -62,7 +62,7 @@
 	}
 	x.status = problem.Lookup(e.Kind).Status
 	h := x.w.Header()
-	platform.SetRefusal(h, x.req.ID, e.RetryAfter)
+	platform.SetRefusalHeaders(h, x.req.ID, e.RetryAfter)
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	x.w.WriteHeader(x.status)
 	_, _ = io.WriteString(x.w, string(e.Kind)+"\n") // a caller that has disconnected needs no answer
