--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -101,12 +101,12 @@
 func (x *exchange) routerQuery() request.Query {
 	q := request.Query{
 		Request: x.req.ID, Pool: x.service, Stage: x.route.Name, Kind: bundle.StageCall,
-		Attempt: len(x.triedReplicas) + 1, Tried: x.triedReplicas, Domain: x.inputDomain, Budget: clock.Until(x.deadline),
+		Attempt: len(x.triedReplicas) + 1, TriedUpstreams: x.triedReplicas, InputFailureDomain: x.inputDomain, Budget: clock.Until(x.deadline),
 	}
 	if s := x.config.Services[x.service]; s != nil && s.Engine {
 		q.Kind = bundle.StageGenerate
 		q.Prefix, _ = x.sharedPrefix()
-		q.Read, q.FirstByte = x.g.streamTimes.readTime(x.service, x.unsharedTokens())
+		q.PrefillTime, q.ExpectedFirstByte = x.g.streamTimes.readTime(x.service, x.unsharedTokens())
 	}
 	return q
 }
@@ -136,7 +136,7 @@
 func (x *exchange) attempt(choice request.Choice, reservation string) (attemptEnd, *problem.Error) {
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	defer cancel(nil)
-	t := &attempt{x: x, runNumber: x.runs + 1, ctx: ctx, choice: choice, reservation: reservation, copyFrom: x.sendingToEngine(choice), began: clock.Now(), suspended: clock.Asleep(), cancel: cancel}
+	t := &attempt{x: x, runNumber: x.runs + 1, ctx: ctx, choice: choice, reservation: reservation, copyFrom: x.sendingToEngine(choice), began: clock.Now(), suspended: clock.SuspendedTime(), cancel: cancel}
 	end, err := t.run()
 	t.reportOutcome(end)
 	t.logAttempt(end, err)
@@ -229,15 +229,15 @@
 func (t *attempt) newCall() replica.Call {
 	x := t.x
 	a := platform.Attempt{
-		Replica: t.choice.Upstream, Left: max(clock.Until(x.deadline), minTimeLeft), Priority: -1,
-		Inputs: x.inputs, LastEvent: x.lastEvent, CopyFrom: t.copyFrom, Hold: t.reservation,
+		Replica: t.choice.Upstream, TimeLeft: max(clock.Until(x.deadline), minTimeLeft), Priority: -1,
+		Inputs: x.inputs, LastEventID: x.lastEvent, CacheSource: t.copyFrom, ReservationID: t.reservation,
 	}
 	a.Tenant = x.customer()
 	if x.route.Streaming {
 		a.Priority = x.priority().Level()
 	}
 	return replica.Call{
-		Replica: t.choice.Upstream, Request: x.req.ID, Work: true,
+		Replica: t.choice.Upstream, RequestID: x.req.ID, ExecutesRequest: true,
 		Method: x.r.Method, Address: t.choice.Address, Target: x.r.RequestURI, Host: x.r.Host,
 		Header: platform.EncodeAttempt(x.r.Header, a), Body: x.body,
 	}
@@ -263,16 +263,16 @@
 func (t *attempt) reportBrokenConnection() {
 	x := t.x
 	r, listed := x.g.discovery.View().Replicas[t.choice.Upstream]
-	if !listed || r.Draining || clock.Asleep() > t.suspended {
+	if !listed || r.Draining || clock.SuspendedTime() > t.suspended {
 		return
 	}
-	x.g.quarantine.BrokeOff(quarantine.Attempt{
+	x.g.quarantine.AttemptInterrupted(quarantine.InterruptedAttempt{
 		Service: x.service, Replica: t.choice.Upstream, Address: t.choice.Address, Request: x.fingerprint, Began: t.began,
 	})
 }
 
 // relayWhole relays an answer once it is complete.
-func (t *attempt) relayWhole(resp *http.Response, head platform.Answer) (attemptEnd, *problem.Error) {
+func (t *attempt) relayWhole(resp *http.Response, head platform.ResponseHead) (attemptEnd, *problem.Error) {
 	x := t.x
 	body, err := httpbody.Read(resp.Body, maxAnswerBytes)
 	switch {
@@ -294,7 +294,7 @@
 	}
 	t.firstAt = clock.Now()
 	h := x.w.Header()
-	platform.CopyAnswer(h, resp.Header)
+	platform.CopyResponseHeaders(h, resp.Header)
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	x.w.WriteHeader(resp.StatusCode)
 	_, _ = x.w.Write(body) // a caller that has disconnected needs no answer
@@ -343,11 +343,11 @@
 	if t.refusalReason != "" {
 		fields = append(fields, zap.String("refused_for", string(t.refusalReason)))
 	}
-	if t.notice.Limit.Named {
+	if t.notice.Limit.Announced {
 		fields = append(fields, zap.Float64("limit", t.notice.Limit.PerSecond))
 	}
-	if t.notice.Rest > 0 {
-		fields = append(fields, zap.Duration("rest", t.notice.Rest))
+	if t.notice.Backoff > 0 {
+		fields = append(fields, zap.Duration("rest", t.notice.Backoff))
 	}
 	if t.notice.Leaving {
 		fields = append(fields, zap.Bool("leaving", true))
@@ -388,7 +388,7 @@
 	}
 	t.x.g.recordRefusal(t.x.service, t.choice.Upstream, t.refusalReason)
 	if end == answered || end == failedRetrying {
-		t.x.g.quarantine.Served(t.x.fingerprint)
+		t.x.g.quarantine.RunSucceeded(t.x.fingerprint)
 	}
 	switch end {
 	case answered:
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -30,10 +30,10 @@
 		Expect(run.Target).To(Equal(sealPath + "a%2Fb/../c?x=1&y=%20"))
 		Expect(run.Body).To(Equal("the body"))
 		Expect(run.Tenant).To(Equal("firma"))
-		Expect(run.Key).To(BeFalse(), "the key is not forwarded")
-		Expect(a.body).To(Equal(site.Body(run.Replica, id)))
+		Expect(run.HasAPIKey).To(BeFalse(), "the key is not forwarded")
+		Expect(a.body).To(Equal(site.PlainBody(run.Replica, id)))
 		Expect(a.header.Get("Response-Signature")).To(Equal("signed." + run.Replica + "." + id))
-		Expect(f.ledger.Faults()).To(BeEmpty())
+		Expect(f.ledger.Violations()).To(BeEmpty())
 	})
 
 	DescribeTable("are refused", func(path string, change func(*http.Request), want int) {
@@ -116,9 +116,9 @@
 		Expect(a.header).NotTo(HaveKey("Response-Signature"))
 		Expect(f.ledger.Runs(id)).To(HaveLen(1))
 	},
-		Entry("cut before the answer", site.Behaviour{CutBefore: true}, http.StatusBadGateway),
+		Entry("cut before the answer", site.Behaviour{AbortBeforeResponse: true}, http.StatusBadGateway),
 		Entry("cut inside the answer", site.Behaviour{Truncate: true}, http.StatusBadGateway),
-		Entry("503 without Not-Executed", site.Behaviour{ShedSilently: true}, http.StatusBadGateway),
+		Entry("503 without Not-Executed", site.Behaviour{UnavailableAfterRun: true}, http.StatusBadGateway),
 		Entry("no signature", site.Behaviour{Unsigned: true}, http.StatusBadGateway),
 	)
 
@@ -133,7 +133,7 @@
 
 	It("are retried elsewhere when a replica says that it did not run them, or cannot be reached", func() {
 		f := newFixture()
-		f.replicas["p1"].Behave(site.Behaviour{Shed: true})
+		f.replicas["p1"].SetBehaviour(site.Behaviour{Shed: true})
 		g := f.start().ready()
 		for range 6 {
 			a, id := g.send(http.MethodPost, sealPath, "", nil)
@@ -169,24 +169,24 @@
 var _ = Describe("idempotent requests", func() {
 	DescribeTable("are sent to another replica", func(b site.Behaviour) {
 		f := newFixture()
-		f.replicas["p1"].Behave(b)
+		f.replicas["p1"].SetBehaviour(b)
 		g := f.start().ready()
 		for range 8 {
 			a, id := g.send(http.MethodGet, safePath, "", nil)
 			Expect(a.status).To(Equal(http.StatusOK))
 			runs := f.ledger.Runs(id)
 			Expect(len(runs)).To(BeNumerically("<=", 2))
-			Expect(a.body).To(Equal(site.Body("p2", id)))
+			Expect(a.body).To(Equal(site.PlainBody("p2", id)))
 		}
 	},
-		Entry("after a cut", site.Behaviour{CutBefore: true}), Entry("after a short answer", site.Behaviour{Truncate: true}),
-		Entry("after a failure", site.Behaviour{Status: 500}), Entry("after 503 without Not-Executed", site.Behaviour{ShedSilently: true}),
+		Entry("after a cut", site.Behaviour{AbortBeforeResponse: true}), Entry("after a short answer", site.Behaviour{Truncate: true}),
+		Entry("after a failure", site.Behaviour{Status: 500}), Entry("after 503 without Not-Executed", site.Behaviour{UnavailableAfterRun: true}),
 	)
 
 	It("run at no more replicas than their route allows", func() {
 		f := newFixture()
 		f.add("p3", "plain", site.Plain)
-		f.behave("plain", site.Behaviour{CutBefore: true})
+		f.behave("plain", site.Behaviour{AbortBeforeResponse: true})
 		a, id := f.start().ready().send(http.MethodGet, safePath, "", nil)
 		Expect(a.status).To(Equal(http.StatusBadGateway))
 		Expect(f.ledger.Runs(id)).To(HaveLen(2))
@@ -195,14 +195,14 @@
 
 var _ = Describe("answers", func() {
 	It("without a length, and with a second answer after them, are relayed once and completely", func() {
-		for _, b := range []site.Behaviour{{Unframed: true}, {Extra: true}} {
+		for _, b := range []site.Behaviour{{NoContentLength: true}, {ExtraResponse: true}} {
 			f := newFixture()
 			f.behave("plain", b)
 			g := f.start().ready()
 			for range 3 {
 				a, id := g.send(http.MethodPost, sealPath, "", nil)
 				Expect(a.status).To(Equal(http.StatusOK))
-				Expect(a.body).To(Equal(site.Body(f.ledger.Runs(id)[0].Replica, id)))
+				Expect(a.body).To(Equal(site.PlainBody(f.ledger.Runs(id)[0].Replica, id)))
 			}
 		}
 	})
@@ -211,7 +211,7 @@
 var _ = Describe("callers that disconnect", func() {
 	It("have their request cancelled at the replica", func() {
 		f := newFixture()
-		f.behave("plain", site.Behaviour{Work: 3 * time.Second})
+		f.behave("plain", site.Behaviour{ServiceTime: 3 * time.Second})
 		g := f.start().ready()
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
--- a/gateway/replacement.go
+++ b/gateway/replacement.go
@@ -51,7 +51,7 @@
 	}
 	r, d := x.reserveReplicaAndInputs(ctx, current, suspected)
 	if r == nil {
-		budget.Return(clock.Now())
+		budget.Refund(clock.Now())
 	}
 	return r, d
 }
@@ -98,7 +98,7 @@
 // confirmReplacement releases a replacement whose replica has announced meanwhile that it
 // takes no calls.
 func (x *exchange) confirmReplacement(r *replacement) (*replacement, denial) {
-	if !x.g.gates.Of(r.choice.Upstream).TurnsAway(clock.Now()) {
+	if !x.g.gates.Get(r.choice.Upstream).RefusedByReplica(clock.Now()) {
 		return r, ""
 	}
 	x.releaseReplica(r)
@@ -138,18 +138,18 @@
 		if perr != nil {
 			return false
 		}
-		if slices.Contains(q.Tried, choice.Upstream) {
-			x.g.router.Unpick(clock.Now(), choice)
+		if slices.Contains(q.TriedUpstreams, choice.Upstream) {
+			x.g.router.CancelPick(clock.Now(), choice)
 			return false
 		}
 		id, err := x.reserve(ctx, choice)
-		if err == nil || suspected && errors.Is(err, replica.ErrUnknownCall) {
+		if err == nil || suspected && errors.Is(err, replica.ErrUnsupportedCall) {
 			r.choice, r.reservation = choice, id
 			return true
 		}
 		x.g.log.Info("no capacity reserved", logging.Request(x.req.ID), zap.String("replica", choice.Upstream), zap.Error(err))
 		x.releasePick(choice, err)
-		q.Tried = append(slices.Clip(q.Tried), choice.Upstream)
+		q.TriedUpstreams = append(slices.Clip(q.TriedUpstreams), choice.Upstream)
 	}
 	return false
 }
@@ -157,11 +157,11 @@
 // releasePick releases the pick of a replica that reserved no capacity. One that refused is
 // avoided for a moment.
 func (x *exchange) releasePick(c request.Choice, err error) {
-	if errors.Is(err, replica.ErrNoRoom) {
+	if errors.Is(err, replica.ErrNoCapacity) {
 		x.g.router.Done(clock.Now(), request.Outcome{Choice: c, Stage: x.route.Name, Result: request.CallRefused})
 		return
 	}
-	x.g.router.Unpick(clock.Now(), c)
+	x.g.router.CancelPick(clock.Now(), c)
 }
 
 // reserve reserves capacity at a replica. A reservation that arrives when it is no longer
@@ -175,7 +175,7 @@
 	go func() {
 		callCtx, cancel := clock.WithTimeout(context.Background(), reservationTimeout)
 		defer cancel()
-		id, err := x.g.client.Hold(callCtx, c.Upstream, c.Address, x.req.PromptTokens+x.req.OutputTokens, reservationTTL)
+		id, err := x.g.client.Reserve(callCtx, c.Upstream, c.Address, x.req.PromptTokens+x.req.OutputTokens, reservationTTL)
 		reserved <- result{id, err}
 	}()
 	select {
@@ -193,7 +193,7 @@
 
 // releaseReplacement releases a replacement that is not used.
 func (x *exchange) releaseReplacement(r *replacement) {
-	x.g.retryBudget(x.service).Return(clock.Now())
+	x.g.retryBudget(x.service).Refund(clock.Now())
 	x.releaseReplica(r)
 	// Inputs that it shares with the current run stay with that run.
 	if r.inputs != nil {
@@ -203,7 +203,7 @@
 
 // releaseReplica releases the pick and the reservation.
 func (x *exchange) releaseReplica(r *replacement) {
-	x.g.router.Unpick(clock.Now(), r.choice)
+	x.g.router.CancelPick(clock.Now(), r.choice)
 	if r.reservation != "" {
 		go x.cancelReservation(r.choice, r.reservation)
 	}
@@ -213,7 +213,7 @@
 func (x *exchange) cancelReservation(c request.Choice, id string) {
 	ctx, cancel := clock.WithTimeout(context.Background(), reservationTimeout)
 	defer cancel()
-	if err := x.g.client.DropHold(ctx, c.Upstream, c.Address, id); err != nil {
+	if err := x.g.client.ReleaseReservation(ctx, c.Upstream, c.Address, id); err != nil {
 		x.g.log.Info("reservation not cancelled", logging.Request(x.req.ID), zap.String("replica", c.Upstream), zap.Error(err))
 	}
 }
--- a/gateway/reservation_test.go
+++ b/gateway/reservation_test.go
@@ -24,13 +24,13 @@
 		stageTime  = 500 * time.Millisecond  // reserving a replacement takes as long
 		slack      = 18                      // of which the host's share is one retry
 	)
-	f.replicas["e1"].Behave(site.Behaviour{Work: failsAfter, Status: http.StatusInternalServerError})
-	f.behave("encode", site.Behaviour{Work: stageTime})
+	f.replicas["e1"].SetBehaviour(site.Behaviour{ServiceTime: failsAfter, Status: http.StatusInternalServerError})
+	f.behave("encode", site.Behaviour{ServiceTime: stageTime})
 	g := f.startWith(zap.NewNop(), func(s *gateway.Settings) { s.Budget.Ratio, s.Budget.Slack = 0, slack }).ready()
 	a, id, _ := f.sendUntilFirstEngine(g, withLongDeadlineAndStage)
 	f.Expect(a.status).To(Equal(http.StatusOK))
 	f.Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
 	f.Expect(f.ledger.Runs(id)).To(HaveLen(2))
-	f.Expect(f.ledger.Faults()).To(BeEmpty())
+	f.Expect(f.ledger.Violations()).To(BeEmpty())
 	f.expectNoReservations()
 }
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -14,7 +14,7 @@
 		f := newFixture()
 		f.store.Delete("servers/p2")
 		p1 := f.replicas["p1"]
-		p1.Born = 1_796_256_000_000
+		p1.StartUnixMS = 1_796_256_000_000
 		f.register(p1, "ready")
 		g := f.start().ready()
 		status := func() int {
@@ -23,17 +23,17 @@
 		}
 		refusals := func() []string { return g.metricLines("wheatseam_refusals_total") }
 		Eventually(status, "2s").Should(Equal(http.StatusOK), "the replica accepts its instance ID")
-		p1.Behave(site.Behaviour{ShedFree: true})
+		p1.SetBehaviour(site.Behaviour{ShedWithFreeSlots: true})
 		Expect(status()).To(Equal(http.StatusServiceUnavailable))
 		Expect(refusals()).To(ConsistOf(ContainSubstring(`replica="p1@1796256000000"`)))
 
 		By("restarting")
-		p1.Behave(site.Behaviour{})
-		p1.Born += 7000
+		p1.SetBehaviour(site.Behaviour{})
+		p1.StartUnixMS += 7000
 		f.register(p1, "ready")
 		Eventually(refusals, "5s").Should(BeEmpty())
 		Expect(status()).To(Equal(http.StatusOK))
-		Expect(f.ledger.Faults()).To(BeEmpty())
+		Expect(f.ledger.Violations()).To(BeEmpty())
 	})
 
 	It("is found among invalid entries of other writers", func() {
--- a/gateway/resume_test.go
+++ b/gateway/resume_test.go
@@ -23,13 +23,13 @@
 			t.Parallel()
 			f := newFixtureOf(t)
 			const objective = time.Second // of longPath
-			f.replicas["e1"].Behave(site.Behaviour{CutAfterEvents: after, EventEvery: 400 * time.Millisecond})
+			f.replicas["e1"].SetBehaviour(site.Behaviour{AbortAfterEvents: after, EventInterval: 400 * time.Millisecond})
 			a, id, took := f.sendUntilFirstEngine(f.start().ready(), withLongDeadlineAndStage)
 			f.Expect(a.err).NotTo(HaveOccurred())
 			f.Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
 			f.Expect(took).To(BeNumerically(">", objective), "the stream did not break off after its objective")
 			f.Expect(f.ledger.Runs(id)).To(HaveLen(2))
-			f.Expect(f.ledger.Faults()).To(BeEmpty())
+			f.Expect(f.ledger.Violations()).To(BeEmpty())
 		})
 	}
 }
--- a/gateway/retry.go
+++ b/gateway/retry.go
@@ -68,7 +68,7 @@
 	if x.cancelledRun {
 		// This host cancelled a run for this attempt, so that the request is retried even
 		// without budget, and the budget is charged later.
-		x.g.retryBudget(x.service).Owe(clock.Now())
+		x.g.retryBudget(x.service).ForceWithdraw(clock.Now())
 		return ""
 	}
 	return deniedBudget
--- a/gateway/retry_test.go
+++ b/gateway/retry_test.go
@@ -29,15 +29,15 @@
 	members, err := fleet.New(fleet.Config{Self: fleet.Host{Host: member.Host{Name: "d0"}}, Mux: peer.NewMux(), Logger: zap.NewNop()})
 	Expect(err).NotTo(HaveOccurred())
 	g := &Gateway{fleet: members}
-	g.retryBudgets.Store("reports", retry.NewShared(1, 10, time.Second, 1))
+	g.retryBudgets.Store("reports", retry.NewSharedBudget(1, 10, time.Second, 1))
 	ctx, cancel := context.WithCancel(context.Background())
 	answer := httptest.NewRecorder()
 	x := &exchange{
 		g: g, w: answer, r: httptest.NewRequest(http.MethodGet, "/", nil), ctx: ctx, service: "reports", runs: 1,
-		route: &catalog.Route{Repeat: catalog.Idempotent, Attempts: 2},
+		route: &catalog.Route{RepeatPolicy: catalog.Idempotent, Attempts: 2},
 	}
 	resp := &http.Response{StatusCode: http.StatusInternalServerError, Body: io.NopCloser(strings.NewReader("broken"))}
-	end, perr := (&attempt{x: x, ctx: ctx}).relayWhole(resp, platform.Answer{})
+	end, perr := (&attempt{x: x, ctx: ctx}).relayWhole(resp, platform.ResponseHead{})
 	Expect(end).To(Equal(failedRetrying))
 	cancel()
 	Expect(x.retryDenied(end)).To(Equal(deniedDeadline))
@@ -53,11 +53,11 @@
 	members, err := fleet.New(fleet.Config{Self: fleet.Host{Host: member.Host{Name: "d0"}}, Mux: peer.NewMux(), Logger: zap.NewNop()})
 	Expect(err).NotTo(HaveOccurred())
 	g := &Gateway{fleet: members, router: route.New(route.Config{})}
-	g.retryBudgets.Store("reports", retry.NewShared(1, 10, time.Second, 1))
+	g.retryBudgets.Store("reports", retry.NewSharedBudget(1, 10, time.Second, 1))
 	answer := httptest.NewRecorder()
 	x := &exchange{
 		g: g, w: answer, r: httptest.NewRequest(http.MethodGet, "/", nil), ctx: context.Background(), service: "reports",
-		route: &catalog.Route{Repeat: catalog.Idempotent, Attempts: 2}, deadline: clock.Now().Add(-time.Second),
+		route: &catalog.Route{RepeatPolicy: catalog.Idempotent, Attempts: 2}, deadline: clock.Now().Add(-time.Second),
 	}
 	x.relay()
 	Expect(x.triedReplicas).To(BeEmpty())
--- a/gateway/stallwatch.go
+++ b/gateway/stallwatch.go
@@ -56,7 +56,7 @@
 type stallWatch struct {
 	attempt *attempt
 	mu      sync.Mutex
-	machine *stall.Machine
+	machine *stall.Monitor
 	// timer calls tick, at nextTick at the latest; nil for streams that cannot resume at
 	// another replica. suspended is for how long this host had been suspended at the last
 	// tick.
@@ -78,7 +78,7 @@
 
 // stallError is the cause with which this host cancels a stalled attempt.
 type stallError struct {
-	status  stall.Account
+	status  stall.RunStatus
 	silence time.Duration
 }
 
@@ -88,7 +88,7 @@
 
 // replicaAtFault says whether the replica's own report, or the lack of one, puts the
 // replica at fault.
-func (e *stallError) replicaAtFault() bool { return e.status.Doubted() }
+func (e *stallError) replicaAtFault() bool { return e.status.Suspect() }
 
 // startStallWatch starts watching an attempt before its request is sent.
 func (t *attempt) startStallWatch() *stallWatch {
@@ -96,13 +96,13 @@
 	objective := float64(x.route.Objective)
 	suspectAfter := max(minSuspectedSilence, time.Duration(suspectedFactor*objective))
 	w := &stallWatch{attempt: t, progress: progress{committed: x.committed, lastEvent: x.lastEvent, events: t.totalEvents()}, machine: stall.New(clock.Now(), stall.Config{
-		Ask: suspectAfter - runQueryTimeout, AskEvery: 2 * runQueryTimeout, Doubted: suspectAfter,
-		Any: max(minMaxSilence, time.Duration(maxSilenceFactor*objective)), SecureEvery: replacementRetryInterval,
+		QueryAfter: suspectAfter - runQueryTimeout, QueryInterval: 2 * runQueryTimeout, SuspectTimeout: suspectAfter,
+		MaxSilence: max(minMaxSilence, time.Duration(maxSilenceFactor*objective)), ReserveRetryInterval: replacementRetryInterval,
 	})}
 	if x.routeRetryDenied(t.runNumber) == "" {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.suspended = clock.Asleep()
+		w.suspended = clock.SuspendedTime()
 		w.nextTick = clock.Now().Add(suspectAfter - runQueryTimeout)
 		w.timer = clock.AfterFunc(suspectAfter-runQueryTimeout, w.tick)
 	}
@@ -127,7 +127,7 @@
 	w.relaying = true
 	now := clock.Now()
 	w.perform(now, w.machine.Event(now))
-	return !w.machine.Left()
+	return !w.machine.Abandoned()
 }
 
 // eventRelayed records that the event has been relayed.
@@ -163,7 +163,7 @@
 func (w *stallWatch) tick() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.stopped || w.machine.Left() {
+	if w.stopped || w.machine.Abandoned() {
 		return
 	}
 	now := clock.Now()
@@ -182,25 +182,25 @@
 // detectSuspend tells the machine if this host was suspended since the last tick was due;
 // mu must be held.
 func (w *stallWatch) detectSuspend(now time.Time) {
-	suspended := clock.Asleep()
+	suspended := clock.SuspendedTime()
 	if suspended == w.suspended && now.Sub(w.nextTick) <= suspendTolerance {
 		return
 	}
 	w.suspended, w.nextTick = suspended, now
-	w.perform(now, w.machine.Awake(now))
+	w.perform(now, w.machine.HostResumed(now))
 }
 
 // perform performs one action; mu must be held.
 func (w *stallWatch) perform(now time.Time, a stall.Action) {
 	switch a {
-	case stall.Ask:
+	case stall.Query:
 		go w.queryRunStatus(now)
-	case stall.Secure:
+	case stall.Reserve:
 		ctx, cancel := context.WithCancel(w.attempt.ctx)
 		w.cancelReservation = cancel
-		at, suspected := w.progress, w.machine.Account().Doubted()
+		at, suspected := w.progress, w.machine.Status().Suspect()
 		w.reserving.Go(func() { w.reserveReplacement(ctx, at, suspected) })
-	case stall.GiveBack:
+	case stall.Release:
 		w.cancelReservation()
 	}
 }
@@ -210,44 +210,44 @@
 	runs, err := w.attempt.x.g.queryRuns(w.attempt.choice)
 	w.mu.Lock()
 	made, status := classifyRun(runs, err, w.attempt.x.req.ID, w.progress)
-	w.machine.Told(now, status)
+	w.machine.RecordStatus(now, status)
 	silence := w.machine.Silence(clock.Now())
 	w.mu.Unlock()
 	w.attempt.x.g.countRunStatus(w.attempt.x.service, status)
 	w.attempt.x.g.log.Info("replica queried for the status of a run", logging.Request(w.attempt.x.req.ID), zap.String("replica", w.attempt.choice.Upstream),
-		zap.Stringer("account", status), zap.Int("made", made), zap.Int("waiting", runs.Waiting), zap.Int("runs", len(runs.Made)),
+		zap.Stringer("account", status), zap.Int("made", made), zap.Int("waiting", runs.Queued), zap.Int("runs", len(runs.EventsByRequest)),
 		zap.Duration("silence", silence), zap.Duration("took", clock.Since(now)), zap.Error(err))
 	w.tick()
 }
 
 // classifyRun says what a replica's answer means for a run that has come this far here.
-func classifyRun(runs platform.Runs, err error, id string, at progress) (made int, status stall.Account) {
-	made, listed := runs.Made[id]
+func classifyRun(runs platform.EngineReport, err error, id string, at progress) (made int, status stall.RunStatus) {
+	made, listed := runs.EventsByRequest[id]
 	switch {
-	case errors.Is(err, replica.ErrUnknownCall) || errors.Is(err, platform.ErrMalformed):
-		return made, stall.Untold
+	case errors.Is(err, replica.ErrUnsupportedCall) || errors.Is(err, platform.ErrMalformed):
+		return made, stall.Unknown
 	case err != nil:
 		return made, stall.NoAnswer
 	case listed && made > at.events:
-		return made, stall.Ahead
+		return made, stall.OutputLost
 	case listed:
-		return made, stall.AtWork
-	case !runs.Told || runs.Waiting > 0 || !at.started:
+		return made, stall.Running
+	case !runs.HasRuns || runs.Queued > 0 || !at.started:
 		// A run that has not started, or was postponed in favour of others, may be waiting
 		// for its turn.
-		return made, stall.Untold
+		return made, stall.Unknown
 	}
 	return made, stall.NotListed
 }
 
 // queryRuns asks an engine for its list of runs; concurrent callers share one query.
-func (g *Gateway) queryRuns(c request.Choice) (platform.Runs, error) {
+func (g *Gateway) queryRuns(c request.Choice) (platform.EngineReport, error) {
 	runs, err, _ := g.runQueries.Do(c.Upstream+" "+c.Address, func() (any, error) {
 		ctx, cancel := clock.WithTimeout(context.Background(), runQueryTimeout)
 		defer cancel()
-		return g.client.Runs(ctx, c.Upstream, c.Address)
+		return g.client.EngineReport(ctx, c.Upstream, c.Address)
 	})
-	return runs.(platform.Runs), err
+	return runs.(platform.EngineReport), err
 }
 
 // reserveReplacement reserves another run and cancels this one for it, if it has not ended.
@@ -263,13 +263,13 @@
 	stillWanted := ctx.Err() == nil
 	w.cancelReservation()
 	if r == nil {
-		w.machine.Denied(now)
+		w.machine.ReservationFailed(now)
 		x.g.countReplacement(x.service, string(denied))
 		x.g.log.Info("no replacement for a stalled run", logging.Request(x.req.ID), zap.String("reason", string(denied)),
-			zap.Stringer("account", w.machine.Account()), zap.Duration("silence", w.machine.Silence(now)))
+			zap.Stringer("account", w.machine.Status()), zap.Duration("silence", w.machine.Silence(now)))
 		return
 	}
-	if cancels := w.machine.Secured(now) == stall.Leave; !stillWanted || !cancels && !w.stopped {
+	if cancels := w.machine.Reserved(now) == stall.Abandon; !stillWanted || !cancels && !w.stopped {
 		x.releaseReplacement(r)
 		x.g.countReplacement(x.service, "given_back")
 		return
@@ -280,13 +280,13 @@
 	if w.stopped {
 		return
 	}
-	w.attempt.cancel(&stallError{status: w.machine.Account(), silence: w.machine.Silence(now)})
+	w.attempt.cancel(&stallError{status: w.machine.Status(), silence: w.machine.Silence(now)})
 }
 
 // totalEvents is the number of events of the stream that have arrived, including those that
 // the caller had received before this run.
 func (t *attempt) totalEvents() int {
-	return max(t.eventsReceived, eventNumber(t.x.lastEvent), eventNumber(t.x.req.LastEvent))
+	return max(t.eventsReceived, eventNumber(t.x.lastEvent), eventNumber(t.x.req.LastEventID))
 }
 
 // eventNumber is the number in an event's ID; 0 for an ID that is no number.
--- a/gateway/stallwatch_test.go
+++ b/gateway/stallwatch_test.go
@@ -121,7 +121,7 @@
 	if c.pause == 0 {
 		c.pause = enginePause
 	}
-	f.behave("llm", site.Behaviour{PauseAfterEvents: c.afterEvents, Pause: c.pause, NoOrders: c.noControlCalls})
+	f.behave("llm", site.Behaviour{PauseAfterEvents: c.afterEvents, Pause: c.pause, NoEngineCalls: c.noControlCalls})
 	f.replicas["e1"].ReportLag, f.replicas["e2"].ReportLag = c.lag, c.lag
 	if c.setup != nil {
 		c.setup(f)
@@ -150,7 +150,7 @@
 		})
 	}
 	streams.Wait()
-	f.Expect(f.ledger.Faults()).To(BeEmpty())
+	f.Expect(f.ledger.Violations()).To(BeEmpty())
 	f.expectNoReservations()
 }
 
@@ -160,7 +160,7 @@
 		return checkSequential(runs)
 	}
 	for n, run := range runs {
-		if n > 0 || run.End != site.Complete {
+		if n > 0 || run.End != site.Completed {
 			return fmt.Sprintf("run %d of %d at %s: %s", n+1, len(runs), run.Replica, run.End)
 		}
 	}
@@ -176,8 +176,8 @@
 // the first was cancelled; "" for nothing.
 func checkSequential(runs []site.Run) string {
 	first, second := runs[0], runs[1]
-	if first.End == site.UnderWay || second.At.Before(first.Ended.Add(-closeDetectionTime)) {
-		return fmt.Sprintf("the second run began at %s, the first ended at %s: %s", second.At, first.Ended, first.End)
+	if first.End == site.InProgress || second.StartedAt.Before(first.EndedAt.Add(-closeDetectionTime)) {
+		return fmt.Sprintf("the second run began at %s, the first ended at %s: %s", second.StartedAt, first.EndedAt, first.End)
 	}
 	return ""
 }
@@ -186,8 +186,8 @@
 func (f *fixture) expectNoReservations() {
 	f.test.Helper()
 	f.Eventually(func() int {
-		holds := f.ledger.Holds()
-		return holds.Taken - holds.Used - holds.Dropped
+		holds := f.ledger.Reservations()
+		return holds.Granted - holds.Used - holds.Released
 	}, "1s").Should(BeZero(), "reservations that were neither used nor cancelled")
 }
 
@@ -228,13 +228,13 @@
 // announceBothLeaving makes the engines announce in their answers from now on that they are
 // leaving: the daemon learns it from the answer to its reservation.
 func announceBothLeaving(f *fixture, _ pauseCase) {
-	f.replicas["e1"].SayLeaving()
-	f.replicas["e2"].SayLeaving()
+	f.replicas["e1"].AdvertiseLeaving()
+	f.replicas["e2"].AdvertiseLeaving()
 }
 
 // refuseAtBothEngines makes the engines refuse all requests from now on.
 func refuseAtBothEngines(f *fixture, c pauseCase) {
-	f.behave("llm", site.Behaviour{Shed: true, NoOrders: c.noControlCalls})
+	f.behave("llm", site.Behaviour{Shed: true, NoEngineCalls: c.noControlCalls})
 }
 
 // Streams that pause and continue must be completed by the run that began them.
@@ -293,7 +293,7 @@
 		t.Run(pause.String(), func(t *testing.T) {
 			t.Parallel()
 			f := newFixtureOf(t)
-			f.behave("llm", site.Behaviour{PauseAfterEvents: 1, Pause: pause, HangReports: true, HoldWork: reservationTime})
+			f.behave("llm", site.Behaviour{PauseAfterEvents: 1, Pause: pause, HangReports: true, ReservationDelay: reservationTime})
 			a, id := f.start().ready().sendLong(withLongDeadlineAndStage, func() {})
 			check(f, a, id)
 		})
@@ -308,7 +308,7 @@
 		if runs := f.ledger.Runs(id); len(runs) > 1 {
 			f.Expect(checkSequential(runs)).To(BeEmpty())
 		}
-		f.Expect(f.ledger.Faults()).To(BeEmpty())
+		f.Expect(f.ledger.Violations()).To(BeEmpty())
 		f.Eventually(func() int { _, _, held := f.ledger.Results(); return held }, "1s").Should(BeZero())
 	})
 }
@@ -328,7 +328,7 @@
 			t.Parallel()
 			f := newFixtureOf(t)
 			f.removeReplicas("e2")
-			f.behave("llm", site.Behaviour{PauseAfterEvents: 1, Pause: 3 * time.Second, NoOrders: noControlCalls})
+			f.behave("llm", site.Behaviour{PauseAfterEvents: 1, Pause: 3 * time.Second, NoEngineCalls: noControlCalls})
 			g := f.start().ready()
 			a, id := g.sendLong(withLongDeadline, func() { f.quarantine(g, "prompt") })
 			f.Expect(a.err).NotTo(HaveOccurred())
@@ -344,9 +344,9 @@
 	crashed := make(chan string, 100)
 	for _, id := range []string{"x1", "x2", "x3"} {
 		x := f.add(id, "llm", site.Engine)
-		x.Born = time.Now().UnixMilli()
-		x.Returned = func(x *site.Replica) { f.register(x, "ready") }
-		x.CrashUnder(site.Poison{Body: body, After: 20 * time.Millisecond, Down: 700 * time.Millisecond, Crashed: func(b string) { crashed <- b }})
+		x.StartUnixMS = time.Now().UnixMilli()
+		x.OnRestart = func(x *site.Replica) { f.register(x, "ready") }
+		x.SetPoisonRequest(site.PoisonRequest{Body: body, CrashDelay: 20 * time.Millisecond, Downtime: 700 * time.Millisecond, OnCrash: func(b string) { crashed <- b }})
 		f.register(x, "ready")
 	}
 	f.register(f.replicas["e1"], "draining")
@@ -378,20 +378,20 @@
 // silentFailures are the ways in which an engine fails without closing its connection.
 var silentFailures = []struct {
 	name    string
-	silence site.Silence
+	silence site.Stall
 	within  time.Duration
 }{
-	{"the process hangs", site.Frozen, resumeTimeout},
-	{"the process hangs and its port takes no connections", site.Vanished, resumeTimeout},
-	{"the connection is silent while the run continues", site.Muted, resumeTimeout},
-	{"the run stalls while the process answers", site.StandsStill, callerPatience},
+	{"the process hangs", site.ProcessFrozen, resumeTimeout},
+	{"the process hangs and its port takes no connections", site.ProcessUnreachable, resumeTimeout},
+	{"the connection is silent while the run continues", site.OutputStalled, resumeTimeout},
+	{"the run stalls while the process answers", site.RunStalled, callerPatience},
 }
 
 // silence makes the first engine silent for good after a number of events. Events are
 // spaced out so that a muted run is still in progress when it is detected.
-func (f *fixture) silence(silence site.Silence, afterEvents int) {
+func (f *fixture) silence(silence site.Stall, afterEvents int) {
 	const eventInterval = 20 * time.Millisecond
-	f.replicas["e1"].Behave(site.Behaviour{PauseAfterEvents: afterEvents, Silence: silence, EventEvery: eventInterval})
+	f.replicas["e1"].SetBehaviour(site.Behaviour{PauseAfterEvents: afterEvents, Stall: silence, EventInterval: eventInterval})
 }
 
 // sendUntilFirstEngine sends requests until one has begun at the first engine, and returns
@@ -427,7 +427,7 @@
 					runs := f.ledger.Runs(id)
 					f.Expect(runs).To(HaveLen(2))
 					f.Expect(checkSequential(runs)).To(BeEmpty())
-					f.Expect(f.ledger.Faults()).To(BeEmpty())
+					f.Expect(f.ledger.Violations()).To(BeEmpty())
 					f.expectNoReservations()
 					t.Logf("complete %s after its start", took.Round(time.Millisecond))
 					f.Expect(took).To(BeNumerically("<", d.within))
@@ -459,9 +459,9 @@
 				}
 				f.Expect(took).To(BeNumerically("~", deadline, deadline/10), "the deadline")
 				f.Expect(f.ledger.Runs(id)).To(HaveLen(1))
-				f.Eventually(func() site.End { return f.ledger.Runs(id)[0].End }, "1s").ShouldNot(Equal(site.UnderWay))
+				f.Eventually(func() site.End { return f.ledger.Runs(id)[0].End }, "1s").ShouldNot(Equal(site.InProgress))
 				if run := f.ledger.Runs(id)[0]; run.End == site.Cancelled {
-					f.Expect(run.Ended.Sub(run.At)).To(BeNumerically("~", deadline, deadline/10), "cancelled before the deadline")
+					f.Expect(run.EndedAt.Sub(run.StartedAt)).To(BeNumerically("~", deadline, deadline/10), "cancelled before the deadline")
 				}
 				f.expectNoReservations()
 			})
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -86,11 +86,11 @@
 // sendHead sends the head of the answer.
 func (x *exchange) sendHead(resp *http.Response) {
 	x.committed = true
-	platform.CopyAnswer(x.w.Header(), resp.Header)
+	platform.CopyResponseHeaders(x.w.Header(), resp.Header)
 	x.w.Header().Del("Content-Length")
 	x.w.WriteHeader(resp.StatusCode)
 	// Limits the time for writing to a caller that does not read.
-	_ = http.NewResponseController(x.w).SetWriteDeadline(clock.Steady(x.deadline))
+	_ = http.NewResponseController(x.w).SetWriteDeadline(clock.ToMonotonic(x.deadline))
 }
 
 // sendEvent sends one event to the caller.
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -15,7 +15,7 @@
 func streamEvents(id string, from, to int) string {
 	var b strings.Builder
 	for n := from; n <= to; n++ {
-		b.WriteString(site.Event(id, n))
+		b.WriteString(site.EventText(id, n))
 	}
 	return b.String()
 }
@@ -42,7 +42,7 @@
 
 	It("do not look complete when they broke off and may not resume elsewhere", func() {
 		f := newFixture()
-		f.behave("llm", site.Behaviour{CutAfterEvents: 2})
+		f.behave("llm", site.Behaviour{AbortAfterEvents: 2})
 		a, id := f.start().ready().send(http.MethodPost, streamPath, "prompt", nil)
 		Expect(a.err).To(HaveOccurred())
 		Expect(a.body).To(Equal(streamEvents(id, 1, 2)), "no partial event")
@@ -51,7 +51,7 @@
 
 	It("resume at another replica without gaps or duplicates where the route allows it", func() {
 		f := newFixture()
-		f.replicas["e1"].Behave(site.Behaviour{CutAfterEvents: 2})
+		f.replicas["e1"].SetBehaviour(site.Behaviour{AbortAfterEvents: 2})
 		g := f.start().ready()
 		// Engines are chosen at random: of 64 test runs with six requests, one never reaches e1.
 		const minRequests, maxRequests = 6, 40
@@ -62,7 +62,7 @@
 			Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
 			if runs := f.ledger.Runs(id); len(runs) == 2 {
 				resumed++
-				Expect(runs[1].After).To(Equal("2"))
+				Expect(runs[1].LastEventID).To(Equal("2"))
 			}
 		}
 		Expect(resumed).To(BeNumerically(">", 0))
@@ -70,7 +70,7 @@
 
 	It("are answered with an error when the engine fails before the first event", func() {
 		f := newFixture()
-		f.behave("llm", site.Behaviour{CutBefore: true})
+		f.behave("llm", site.Behaviour{AbortBeforeResponse: true})
 		a, _ := f.start().ready().send(http.MethodPost, streamPath, "prompt", nil)
 		Expect(a.status).To(Equal(http.StatusBadGateway))
 	})
@@ -85,7 +85,7 @@
 			Expect(a.status).To(Equal(http.StatusOK))
 			Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
 		}
-		Expect(f.ledger.Faults()).To(BeEmpty())
+		Expect(f.ledger.Violations()).To(BeEmpty())
 		made, _, _ := f.ledger.Results()
 		Expect(made).To(Equal(25))
 		Eventually(func() int { _, _, held := f.ledger.Results(); return held }, "1s").Should(BeZero())
@@ -103,25 +103,25 @@
 
 	It("survive a stage replica that breaks off during its work", func() {
 		f := newFixture()
-		f.replicas["s1"].Behave(site.Behaviour{CutBefore: true})
+		f.replicas["s1"].SetBehaviour(site.Behaviour{AbortBeforeResponse: true})
 		g := f.start().ready()
 		for range 3 {
 			a, _ := g.send(http.MethodPost, resumePath, "prompt", withStages)
 			Expect(a.status).To(Equal(http.StatusOK))
 		}
-		Expect(f.ledger.Faults()).To(BeEmpty())
+		Expect(f.ledger.Violations()).To(BeEmpty())
 	})
 
 	It("resume at another engine with the stages run again", func() {
 		f := newFixture()
-		f.replicas["e1"].Behave(site.Behaviour{CutAfterEvents: 2})
+		f.replicas["e1"].SetBehaviour(site.Behaviour{AbortAfterEvents: 2})
 		g := f.start().ready()
 		for range 6 {
 			a, id := g.send(http.MethodPost, resumePath, "prompt", withStages)
 			Expect(a.err).NotTo(HaveOccurred())
 			Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
 		}
-		Expect(f.ledger.Faults()).To(BeEmpty())
+		Expect(f.ledger.Violations()).To(BeEmpty())
 		Eventually(func() int { _, _, held := f.ledger.Results(); return held }, "1s").Should(BeZero())
 	})
 })
--- a/gateway/suspend_test.go
+++ b/gateway/suspend_test.go
@@ -25,7 +25,7 @@
 			ended <- a
 		}()
 		Eventually(func() []string { return g.metricLines("wheatseam_in_flight") }, "2s").Should(ConsistOf(HaveSuffix(" 1")))
-		clock.Simulate(time.Minute)
+		clock.SimulateSuspension(time.Minute)
 		var a answer
 		Eventually(ended, "2s").Should(Receive(&a))
 		Expect(a.status).To(Equal(http.StatusGatewayTimeout))
@@ -41,11 +41,11 @@
 	It("counts the suspend in the age of its view, and refreshes the view", func() {
 		f := newFixture()
 		g := f.start().ready()
-		f.store.Fail(http.StatusServiceUnavailable)
+		f.store.SetFailure(http.StatusServiceUnavailable)
 		age := func() []string { return g.metricLines("wheatseam_view_age_seconds") }
-		clock.Simulate(time.Minute)
+		clock.SimulateSuspension(time.Minute)
 		Eventually(age, "2s").Should(ConsistOf(MatchRegexp(` 6\d\.`)))
-		f.store.Fail(0)
+		f.store.SetFailure(0)
 		Eventually(age, "5s").Should(ConsistOf(MatchRegexp(` [01]\.`)))
 	})
 })
--- a/gateway/suspendedstream_test.go
+++ b/gateway/suspendedstream_test.go
@@ -25,7 +25,7 @@
 		go func() {
 			defer close(suspended)
 			time.Sleep(100 * time.Millisecond) // during the pause
-			clock.Simulate(suspendTime)
+			clock.SimulateSuspension(suspendTime)
 		}()
 	})
 	<-suspended
--- a/gateway/unanswered_test.go
+++ b/gateway/unanswered_test.go
@@ -25,7 +25,7 @@
 		t.Run("an engine that hangs"+kind, func(t *testing.T) {
 			t.Parallel()
 			f := newFixtureOf(t)
-			f.replicas["e1"].Behave(site.Behaviour{Hang: true})
+			f.replicas["e1"].SetBehaviour(site.Behaviour{Hang: true})
 			g := f.startWith(zap.NewNop(), ampleRetryBudget).ready()
 			const streams = 12 // engines are chosen at random
 			began := time.Now()
@@ -46,7 +46,7 @@
 			took := time.Since(began)
 			t.Logf("all complete after %s", took.Round(time.Millisecond))
 			f.Expect(took).To(BeNumerically("<", resumeTimeout))
-			f.Expect(f.ledger.Faults()).To(BeEmpty())
+			f.Expect(f.ledger.Violations()).To(BeEmpty())
 		})
 	}
 }
@@ -55,7 +55,7 @@
 // must not be replaced.
 func TestStreamsThatStartLateComplete(t *testing.T) {
 	f := newFixtureOf(t)
-	f.behave("llm", site.Behaviour{Work: enginePause})
+	f.behave("llm", site.Behaviour{ServiceTime: enginePause})
 	a, id := f.start().ready().sendLong(withLongDeadline, func() {})
 	f.Expect(a.err).NotTo(HaveOccurred())
 	f.Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
@@ -77,10 +77,10 @@
 				t.Parallel()
 				f := newFixtureOf(t)
 				f.removeReplicas("e2")
-				f.replicas["e1"].Behave(site.Behaviour{PauseAfterEvents: 2, Silence: site.Frozen})
+				f.replicas["e1"].SetBehaviour(site.Behaviour{PauseAfterEvents: 2, Stall: site.ProcessFrozen})
 				g := f.startWith(zap.NewNop(), singleRetry).ready()
 				a, id := g.sendLong(withLongDeadline, func() {
-					f.add("e3", "llm", site.Engine).Behave(site.Behaviour{Shed: true, NoOrders: true})
+					f.add("e3", "llm", site.Engine).SetBehaviour(site.Behaviour{Shed: true, NoEngineCalls: true})
 					f.add("e4", "llm", site.Engine)
 				})
 				f.Expect(a.err).NotTo(HaveOccurred())
@@ -102,9 +102,9 @@
 func TestStagesAreNotRerunWhileNoEngineHasCapacity(t *testing.T) {
 	f := newFixtureOf(t)
 	f.removeReplicas("e2")
-	f.replicas["e1"].Behave(site.Behaviour{PauseAfterEvents: 2, Silence: site.StandsStill})
+	f.replicas["e1"].SetBehaviour(site.Behaviour{PauseAfterEvents: 2, Stall: site.RunStalled})
 	a, id := f.start().ready().sendLong(withLongDeadlineAndStage, func() {
-		f.add("e3", "llm", site.Engine).Behave(site.Behaviour{NoHolds: true})
+		f.add("e3", "llm", site.Engine).SetBehaviour(site.Behaviour{NoReservations: true})
 	})
 	f.Expect(a.err).To(HaveOccurred(), "the stream is waited for until its deadline")
 	f.Expect(f.ledger.Runs(id)).To(HaveLen(1))
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -21,7 +21,7 @@
 	for _, id := range slices.Sorted(maps.Keys(v.Replicas)) {
 		r := v.Replicas[id]
 		concurrency[r.Service] = max(concurrency[r.Service], r.Concurrency)
-		if v.Closed(r) {
+		if v.RefusesNewWork(r) {
 			continue
 		}
 		byService[r.Service] = append(byService[r.Service], bundle.Upstream{
@@ -47,8 +47,8 @@
 func stageReplicas(v *discovery.View) []catalog.Replica {
 	var out []catalog.Replica
 	for _, r := range v.Replicas {
-		if s := v.Config.Services[r.Service]; s != nil && s.Pieces != nil {
-			r.Draining = v.Closed(r)
+		if s := v.Config.Services[r.Service]; s != nil && s.StageProfile != nil {
+			r.Draining = v.RefusesNewWork(r)
 			out = append(out, r)
 		}
 	}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -159,7 +159,7 @@
 
 // Simulate has this process believe that the host slept for d until now. Tests and
 // the soak do; nothing else can have a host sleep without rights over it.
-func Simulate(d time.Duration) {
+func SimulateSuspension(d time.Duration) {
 	simulated.Add(int64(d))
 	host.now()
 }
@@ -181,7 +181,7 @@
 
 // OnWake calls f, in a goroutine of its own, whenever the host has slept, until stop
 // is called.
-func OnWake(f func(slept time.Duration)) (stop func()) { return host.onWake(f) }
+func OnResume(f func(slept time.Duration)) (stop func()) { return host.onWake(f) }
 
 func (c *Clock) onWake(f func(slept time.Duration)) (stop func()) {
 	c.mu.Lock()
@@ -195,14 +195,14 @@
 }
 
 // Steady translates a time of this package for the standard library's deadlines.
-func Steady(t time.Time) time.Time { return time.Now().Add(Until(t)) }
+func ToMonotonic(t time.Time) time.Time { return time.Now().Add(Until(t)) }
 
 // Asleep returns for how long the host has slept since the process started.
-func Asleep() time.Duration { return host.asleep() }
+func SuspendedTime() time.Duration { return host.asleep() }
 
 // CountsSleep says whether this host tells the time since it started; else time asleep
 // is not counted.
-func CountsSleep() bool {
+func DetectsSuspension() bool {
 	_, ok := host.source.boot()
 	return ok
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -164,11 +164,11 @@
 	Expect(ok).To(BeTrue())
 	before := Now()
 	Expect(Since(before)).To(BeNumerically("<", moment))
-	Expect(Steady(Now().Add(time.Hour))).To(BeTemporally("~", time.Now().Add(time.Hour), moment))
-	Expect(Asleep()).To(BeNumerically("<", moment))
-	Simulate(time.Hour)
+	Expect(ToMonotonic(Now().Add(time.Hour))).To(BeTemporally("~", time.Now().Add(time.Hour), moment))
+	Expect(SuspendedTime()).To(BeNumerically("<", moment))
+	SimulateSuspension(time.Hour)
 	Expect(Since(before)).To(BeNumerically("~", time.Hour, moment))
-	Expect(Steady(Now().Add(time.Hour))).To(BeTemporally("~", time.Now().Add(time.Hour), moment))
+	Expect(ToMonotonic(Now().Add(time.Hour))).To(BeTemporally("~", time.Now().Add(time.Hour), moment))
 }
 
 func BenchmarkNow(b *testing.B) {
--- a/internal/proctest/fleet.go
+++ b/internal/proctest/fleet.go
@@ -224,7 +224,7 @@
 		if err != nil {
 			return err
 		}
-		if err := pair.Write(certs.Files(f.dir, h.Name)); err != nil {
+		if err := pair.Write(certs.KeyPairFiles(f.dir, h.Name)); err != nil {
 			return err
 		}
 	}
@@ -305,7 +305,7 @@
 
 func (f *Fleet) settings(i int) string {
 	host := f.Hosts[i]
-	cert, key := certs.Files(f.dir, host.Name)
+	cert, key := certs.KeyPairFiles(f.dir, host.Name)
 	return fmt.Sprintf(`host: %s
 failure_domain: %s
 listen: {callers: "127.0.0.1:0", peers: "%s:0", operators: "127.0.0.1:0"}
@@ -315,7 +315,7 @@
 bundle_public_keys: [bundle.pub]
 drain: {bound: 10s}
 `, host.Name, host.FailureDomain, peerIP(i),
-		cert, key, filepath.Join(f.dir, certs.AuthorityCert), f.platformURL, f.platformURL)
+		cert, key, filepath.Join(f.dir, certs.AuthorityCertFile), f.platformURL, f.platformURL)
 }
 
 // WaitReady waits until every daemon that the first bundle lists reports that it
--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -30,8 +30,8 @@
 		return
 	}
 	f := a.faults.Get()
-	body = a.swap(body, f.WrongAnswer)
-	if f.DuplicateAnswer {
+	body = a.swap(body, f.WrongResponse)
+	if f.DuplicateResponse {
 		writeTwice(w, body)
 		return
 	}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -64,9 +64,9 @@
 	NoCancellation bool
 	// LoadLag and EventLag are how far load reports and cache events lag;
 	// EventGap is the share of cache events that are never published.
-	LoadLag  time.Duration
-	EventLag time.Duration
-	EventGap float64
+	LoadLag        time.Duration
+	EventLag       time.Duration
+	EventLossRatio float64
 	// TimeScale multiplies all times but the lags; default 1.
 	TimeScale float64
 	Seed      uint64
@@ -139,7 +139,7 @@
 		cfg:     cfg,
 		mux:     http.NewServeMux(),
 		ledger:  cfg.Ledger,
-		events:  newEventLog(cfg.EventLag, cfg.EventGap, cfg.Seed),
+		events:  newEventLog(cfg.EventLag, cfg.EventLossRatio, cfg.Seed),
 		report:  standin.NewLoadReporter(cfg.LoadLag, standin.Load{Slots: cfg.Slots, KVTotal: cfg.KVBlocks}),
 		wake:    make(chan struct{}, 1),
 		ctx:     ctx,
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -19,13 +19,13 @@
 	// FreezeMS stops all progress for so long, like a paused process.
 	FreezeMS int64 `json:"freeze_ms,omitempty"`
 	// DropAnswer executes, then cuts the connection.
-	DropAnswer bool `json:"drop_answer,omitempty"`
+	DropResponse bool `json:"drop_answer,omitempty"`
 	// DuplicateAnswer writes each whole answer twice on its connection.
-	DuplicateAnswer bool `json:"duplicate_answer,omitempty"`
+	DuplicateResponse bool `json:"duplicate_answer,omitempty"`
 	// WrongAnswer answers with the whole answer of the request before.
-	WrongAnswer bool `json:"wrong_answer,omitempty"`
+	WrongResponse bool `json:"wrong_answer,omitempty"`
 	// LateByMS holds each answer back for so long after its execution.
-	LateByMS int64 `json:"late_by_ms,omitempty"`
+	ResponseDelayMS int64 `json:"late_by_ms,omitempty"`
 	// Leaving is told in load reports; work that still comes is done and
 	// marked in the ledger.
 	Leaving bool `json:"leaving,omitempty"`
@@ -140,11 +140,11 @@
 // Hold applies the faults that come between execution and answer.
 func (i *Injector) Hold(ctx context.Context) {
 	f := i.Get()
-	if f.DropAnswer {
+	if f.DropResponse {
 		Cut()
 	}
-	if f.LateByMS > 0 {
-		Sleep(ctx, time.Duration(f.LateByMS)*time.Millisecond)
+	if f.ResponseDelayMS > 0 {
+		Sleep(ctx, time.Duration(f.ResponseDelayMS)*time.Millisecond)
 	}
 	i.AwaitThaw(ctx)
 	if i.IsDown() {
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -169,17 +169,17 @@
 		Entry("refuse", standin.Faults{Refuse: true}, 503, false, nil),
 		Entry("down", standin.Faults{Down: true}, 0, true, nil),
 		Entry("fail_rate", standin.Faults{FailRate: 1}, 500, false, []ledger.State{ledger.Failed}),
-		Entry("drop_answer", standin.Faults{DropAnswer: true}, 0, true, []ledger.State{ledger.Done}),
-		Entry("late_by_ms", standin.Faults{LateByMS: 5}, 200, false, []ledger.State{ledger.Done}),
+		Entry("drop_answer", standin.Faults{DropResponse: true}, 0, true, []ledger.State{ledger.Done}),
+		Entry("late_by_ms", standin.Faults{ResponseDelayMS: 5}, 200, false, []ledger.State{ledger.Done}),
 		Entry("freeze_ms", standin.Faults{FreezeMS: 5}, 200, false, []ledger.State{ledger.Done}),
-		Entry("duplicate_answer", standin.Faults{DuplicateAnswer: true}, 200, false, []ledger.State{ledger.Done}),
+		Entry("duplicate_answer", standin.Faults{DuplicateResponse: true}, 200, false, []ledger.State{ledger.Done}),
 	)
 
 	It("answers with another request's answer when told to", func() {
 		start(Config{})
 		_, _, _, err := call(bg, "r1", "")
 		Expect(err).NotTo(HaveOccurred())
-		s.Faults().Set(standin.Faults{WrongAnswer: true})
+		s.Faults().Set(standin.Faults{WrongResponse: true})
 		_, a, _, err := call(bg, "r2", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.RequestID).To(Equal("r1"))
--- a/internal/standin/site/answer.go
+++ b/internal/standin/site/answer.go
@@ -9,18 +9,20 @@
 )
 
 // Body is the body that a plain replica answers a request with.
-func Body(replica, request string) string { return "answer of " + replica + " to " + request + "\n" }
+func PlainBody(replica, request string) string {
+	return "answer of " + replica + " to " + request + "\n"
+}
 
 func (r *Replica) whole(w http.ResponseWriter, id string, b Behaviour) {
-	body := Body(r.ID, id)
+	body := PlainBody(r.ID, id)
 	status := http.StatusOK
 	if b.Status != 0 {
 		status = b.Status
 	}
-	if !b.Unframed && !b.Extra {
+	if !b.NoContentLength && !b.ExtraResponse {
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	if b.Extra || b.Unframed {
+	if b.ExtraResponse || b.NoContentLength {
 		r.raw(w, status, body, b)
 		return
 	}
@@ -44,11 +46,11 @@
 	var head strings.Builder
 	fmt.Fprintf(&head, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
 	_ = w.Header().Write(&head)
-	if b.Extra {
+	if b.ExtraResponse {
 		fmt.Fprintf(&head, "Content-Length: %d\r\n", len(body))
 	}
 	head.WriteString("\r\n" + body)
-	if b.Extra {
+	if b.ExtraResponse {
 		head.WriteString("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother")
 	}
 	_, _ = buf.WriteString(head.String())
--- a/internal/standin/site/caller.go
+++ b/internal/standin/site/caller.go
@@ -16,12 +16,12 @@
 // The kinds of routes that Configuration has, by their prefix.
 const (
 	// SealPath requests may run once, SafePath ones again.
-	SealPath = "/seal/"
-	SafePath = "/safe/"
+	UnsafePath = "/seal/"
+	SafePath   = "/safe/"
 	// StreamPath streams may run once, ResumePath ones may go on elsewhere and
 	// need stages.
-	StreamPath = "/stream/"
-	ResumePath = "/resume/"
+	StreamPath    = "/stream/"
+	ResumablePath = "/resume/"
 )
 
 // Hostname is the host of all routes.
@@ -29,7 +29,7 @@
 
 // Configuration is a configuration of all kinds of routes for the services
 // "plain", "llm" and "encode".
-func Configuration(version int, keys []string) map[string]any {
+func GatewayConfig(version int, keys []string) map[string]any {
 	route := func(name, prefix, kind, service string, attempts int, more map[string]any) map[string]any {
 		r := map[string]any{
 			"name": name, "hostname": Hostname, "prefix": prefix, "route_type": kind, "service": service, "attempts": attempts,
@@ -44,10 +44,10 @@
 	return map[string]any{
 		"version": version,
 		"routes": []any{
-			route("seal", SealPath, "unsafe", "plain", 1, nil),
+			route("seal", UnsafePath, "unsafe", "plain", 1, nil),
 			route("safe", SafePath, "safe", "plain", 2, nil),
 			route("stream", StreamPath, "streaming", "llm", 1, nil),
-			route("resume", ResumePath, "streaming", "llm", 2, map[string]any{"resumable": true, "stages": stages}),
+			route("resume", ResumablePath, "streaming", "llm", 2, map[string]any{"resumable": true, "stages": stages}),
 		},
 		"services": []any{
 			map[string]any{"name": "plain", "max_conns": 50},
@@ -64,12 +64,12 @@
 const DefaultDomain = "x"
 
 // Entry is a replica's entry in the store.
-func Entry(r *Replica, phase string) map[string]any {
+func StoreEntry(r *Replica, phase string) map[string]any {
 	entry := map[string]any{
 		"service": r.Service, "address": r.Address(), "zone": cmp.Or(r.FailureDomain, DefaultDomain), "concurrency": 8, "phase": phase, "seq": 1,
 	}
-	if r.Born > 0 {
-		entry["born"] = r.Born
+	if r.StartUnixMS > 0 {
+		entry["born"] = r.StartUnixMS
 	}
 	return entry
 }
@@ -79,17 +79,17 @@
 	ID, Path, Key string
 	Deadline      time.Duration
 	// Pieces asks for stages.
-	Pieces []int
+	PieceCounts []int
 	// Forge names a header that is not the caller's to set, sent all the same;
 	// "" for none.
-	Forge string
+	ForgedHeader string
 	// Content is the end of the path and the body; "" for the id. Requests with the
 	// same content are the same but for their ids.
 	Content string
 }
 
 // Carries is the content of the request.
-func (c Call) Carries() string {
+func (c Call) Payload() string {
 	if c.Content != "" {
 		return c.Content
 	}
@@ -98,13 +98,13 @@
 
 // Forgeable are headers that only the system may set, and ForgedValue what
 // callers set them to: a replica that gets it got it from a caller.
-var Forgeable = []string{"Kv-Hold", "Kv-From", "Kv-Backup", "Kv-Fetch", "Pin-Ms", "Expected-Version"}
+var ForgeableHeaders = []string{"Kv-Hold", "Kv-From", "Kv-Backup", "Kv-Fetch", "Pin-Ms", "Expected-Version"}
 
 // ForgedValue is the value of forged headers.
 const ForgedValue = "forged"
 
 // Heard is what a caller heard.
-type Heard struct {
+type CallResponse struct {
 	Status int
 	Body   string
 	// Replica is who signed the answer; "" for answers of the system's own.
@@ -114,7 +114,7 @@
 }
 
 // NotRun says whether the answer promises that nothing has run.
-func (h Heard) NotRun() bool {
+func (h CallResponse) NotExecuted() bool {
 	switch h.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return h.Err == nil
@@ -123,29 +123,29 @@
 }
 
 // Do sends an attempt to a daemon.
-func Do(ctx context.Context, client *http.Client, address string, c Call) Heard {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+c.Path+c.Carries(), bytes.NewReader([]byte(c.Carries())))
+func Send(ctx context.Context, client *http.Client, address string, c Call) CallResponse {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+c.Path+c.Payload(), bytes.NewReader([]byte(c.Payload())))
 	if err != nil {
-		return Heard{Err: err}
+		return CallResponse{Err: err}
 	}
 	req.Host = Hostname
 	req.Header.Set("Attempt-Id", c.ID)
 	req.Header.Set("X-Api-Key", c.Key)
 	req.Header.Set("Deadline-Ms", strconv.FormatInt(c.Deadline.Milliseconds(), 10))
-	if c.Forge != "" {
-		req.Header.Set(c.Forge, ForgedValue)
+	if c.ForgedHeader != "" {
+		req.Header.Set(c.ForgedHeader, ForgedValue)
 	}
-	if len(c.Pieces) > 0 {
-		req.Header.Set("Piece-Count", strings.Trim(strings.Join(strings.Fields(fmt.Sprint(c.Pieces)), ","), "[]"))
+	if len(c.PieceCounts) > 0 {
+		req.Header.Set("Piece-Count", strings.Trim(strings.Join(strings.Fields(fmt.Sprint(c.PieceCounts)), ","), "[]"))
 		req.Header.Set("Piece-Key", "key-"+c.ID)
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return Heard{Err: err}
+		return CallResponse{Err: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	h := Heard{Status: resp.StatusCode, Body: string(body), Err: err}
+	h := CallResponse{Status: resp.StatusCode, Body: string(body), Err: err}
 	if parts := strings.SplitN(resp.Header.Get("Response-Signature"), ".", 3); len(parts) == 3 {
 		h.Replica = parts[1]
 		if parts[2] != c.ID && err == nil {
@@ -156,18 +156,18 @@
 }
 
 // Check returns what is wrong with a complete success; "" for nothing.
-func (c Call) Check(h Heard, events int) string {
+func (c Call) Check(h CallResponse, events int) string {
 	if h.Err != nil || h.Status != http.StatusOK {
 		return ""
 	}
 	if h.Replica == "" {
 		return "success without a signature"
 	}
-	want := Body(h.Replica, c.ID)
-	if c.Path == StreamPath || c.Path == ResumePath {
+	want := PlainBody(h.Replica, c.ID)
+	if c.Path == StreamPath || c.Path == ResumablePath {
 		var b strings.Builder
 		for n := 1; n <= events; n++ {
-			b.WriteString(Event(c.ID, n))
+			b.WriteString(EventText(c.ID, n))
 		}
 		want = b.String()
 	}
--- a/internal/standin/site/execution.go
+++ b/internal/standin/site/execution.go
@@ -31,20 +31,20 @@
 // begin notes a run.
 func (r *Replica) begin(req *http.Request, id, body string) *execution {
 	run := &Run{
-		Request: id, Replica: r.ID, Service: r.Service, Tenant: req.Header.Get("Tenant"), Method: req.Method,
-		Target: req.RequestURI, Body: body, At: time.Now(), Key: req.Header.Get("X-Api-Key") != "", After: req.Header.Get("Last-Event-Id"),
-		CopyFrom: req.Header.Get("Kv-Fetch"),
+		RequestID: id, Replica: r.ID, Service: r.Service, Tenant: req.Header.Get("Tenant"), Method: req.Method,
+		Target: req.RequestURI, Body: body, StartedAt: time.Now(), HasAPIKey: req.Header.Get("X-Api-Key") != "", LastEventID: req.Header.Get("Last-Event-Id"),
+		CacheSource: req.Header.Get("Kv-Fetch"),
 	}
 	e := &execution{replica: r, run: run, tokens: promptTokens(req), priority: defaultPriority, end: Cut}
 	if p, err := strconv.Atoi(req.Header.Get("Request-Priority")); err == nil {
 		e.priority = p
 	}
-	e.after, _ = strconv.Atoi(run.After) // 0 from the start
+	e.after, _ = strconv.Atoi(run.LastEventID) // 0 from the start
 	r.ledger.ran(run)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e.process = r.crashes
-	r.forget(run.At.Add(-r.ReportLag))
+	r.forget(run.StartedAt.Add(-r.ReportLag))
 	r.runs = append(r.runs, e)
 	return e
 }
@@ -65,7 +65,7 @@
 
 // complete notes that a run came to its end.
 func (e *execution) complete() {
-	e.end = Complete
+	e.end = Completed
 	e.finish()
 }
 
--- a/internal/standin/site/hold.go
+++ b/internal/standin/site/hold.go
@@ -22,17 +22,17 @@
 
 // Holds counts what became of holds. What is neither used nor dropped is kept or
 // has lapsed.
-type Holds struct{ Taken, Used, Dropped, Refused int }
+type ReservationCounts struct{ Granted, Used, Released, Refused int }
 
 // Holds returns what became of holds, over all replicas.
-func (l *Ledger) Holds() Holds {
+func (l *Ledger) Reservations() ReservationCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.holds
 }
 
 // counted changes the counts of holds.
-func (l *Ledger) counted(change func(*Holds)) {
+func (l *Ledger) counted(change func(*ReservationCounts)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.holds)
@@ -49,8 +49,8 @@
 		refuse(w, http.StatusBadRequest)
 		return
 	}
-	if b.NoHolds || b.Shed || b.ShedFree {
-		r.ledger.counted(func(h *Holds) { h.Refused++ })
+	if b.NoReservations || b.Shed || b.ShedWithFreeSlots {
+		r.ledger.counted(func(h *ReservationCounts) { h.Refused++ })
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
@@ -58,9 +58,9 @@
 	name := fmt.Sprintf("%s-hold-%d", r.ID, len(r.holds)+1)
 	r.holds[name] = &hold{until: time.Now().Add(time.Duration(call.TTL) * time.Millisecond), state: holdKept}
 	r.mu.Unlock()
-	r.ledger.counted(func(h *Holds) { h.Taken++ })
+	r.ledger.counted(func(h *ReservationCounts) { h.Granted++ })
 	select {
-	case <-time.After(b.HoldWork):
+	case <-time.After(b.ReservationDelay):
 	case <-req.Context().Done():
 	}
 	writeJSON(w, map[string]any{"hold": name})
@@ -79,7 +79,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	r.ledger.counted(func(h *Holds) { h.Dropped++ })
+	r.ledger.counted(func(h *ReservationCounts) { h.Released++ })
 	w.WriteHeader(http.StatusOK)
 }
 
@@ -103,6 +103,6 @@
 		r.ledger.fault("%s: request %s has hold %s, which was %s", r.ID, req.Header.Get("Attempt-Id"), name, state)
 		return false
 	}
-	r.ledger.counted(func(h *Holds) { h.Used++ })
+	r.ledger.counted(func(h *ReservationCounts) { h.Used++ })
 	return time.Now().Before(h.until)
 }
--- a/internal/standin/site/ledger.go
+++ b/internal/standin/site/ledger.go
@@ -8,24 +8,24 @@
 
 // Run is one execution of a request at a replica.
 type Run struct {
-	Request string
-	Replica string
-	Service string
-	Tenant  string
-	Method  string
-	Target  string
-	Body    string
+	RequestID string
+	Replica   string
+	Service   string
+	Tenant    string
+	Method    string
+	Target    string
+	Body      string
 	// Key says that the caller's API key was passed on.
-	Key bool
+	HasAPIKey bool
 	// After is the event after which a stream went on.
-	After string
+	LastEventID string
 	// At is when it began.
-	At time.Time
+	StartedAt time.Time
 	// CopyFrom is the engine from which the replica was told to copy.
-	CopyFrom string
+	CacheSource string
 	// End is how it ended and Ended when; zero while it is under way.
-	End   End
-	Ended time.Time
+	End     End
+	EndedAt time.Time
 }
 
 // End is how a run ended.
@@ -34,9 +34,9 @@
 // The ends of runs.
 const (
 	// UnderWay runs have not ended.
-	UnderWay End = iota
+	InProgress End = iota
 	// Complete runs came to their end, whether the answer arrived or not.
-	Complete
+	Completed
 	// Cancelled runs ended since the host closed the connection.
 	Cancelled
 	// Cut runs ended by the replica's behaviour, or with its process.
@@ -54,7 +54,7 @@
 	mu     sync.Mutex
 	runs   []*Run
 	faults []string
-	holds  Holds
+	holds  ReservationCounts
 	// results maps the handles that exist to what made them.
 	results map[string]result
 	made    int
@@ -81,7 +81,7 @@
 func (l *Ledger) ended(r *Run, end End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r.End, r.Ended = end, time.Now()
+	r.End, r.EndedAt = end, time.Now()
 }
 
 func (l *Ledger) fault(format string, args ...any) {
@@ -92,11 +92,11 @@
 
 // Runs returns the executions of a request.
 func (l *Ledger) Runs(request string) []Run {
-	return l.which(func(r Run) bool { return r.Request == request })
+	return l.which(func(r Run) bool { return r.RequestID == request })
 }
 
 // RunsOf returns the executions of requests with a body.
-func (l *Ledger) RunsOf(body string) []Run {
+func (l *Ledger) RunsWithBody(body string) []Run {
 	return l.which(func(r Run) bool { return r.Body == body })
 }
 
@@ -113,7 +113,7 @@
 }
 
 // Faults returns what replicas found wrong with what they were sent.
-func (l *Ledger) Faults() []string {
+func (l *Ledger) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.faults...)
--- a/internal/standin/site/replica.go
+++ b/internal/standin/site/replica.go
@@ -31,14 +31,14 @@
 	Service string
 	Kind    Kind
 	// Born is the start of the process in Unix milliseconds; 0 is not told.
-	Born int64
+	StartUnixMS int64
 	// FailureDomain is where it stands. Default DefaultDomain.
 	FailureDomain string
 	// Events is the number of events of a stream. Default 5.
 	Events int
 	// Returned is called when the process has started again; nil for nothing. Born
 	// is that of the new start by then.
-	Returned func(*Replica)
+	OnRestart func(*Replica)
 	// ReportLag is how old the reports of an engine are.
 	ReportLag time.Duration
 
@@ -62,7 +62,7 @@
 	// not back.
 	closed, down bool
 	crashes      int
-	poison       Poison
+	poison       PoisonRequest
 	// spells are the times during which it behaved other than well, in order.
 	spells    []spell
 	handles   int
@@ -79,12 +79,12 @@
 
 // Arrival is a request, or a call for pieces, that came to a replica.
 type Arrival struct {
-	At time.Time
+	ArrivedAt time.Time
 	// Request is the caller's id; "" for a call for pieces.
-	Request string
+	RequestID string
 	// Rest is the rest that the replica asked for as it turned the request away, in
 	// seconds as it said it; "" for none.
-	Rest string
+	RetryAfter string
 }
 
 // spell is a time of behaviour other than well; until is zero while it lasts.
@@ -123,7 +123,7 @@
 
 // CrashUnder has the process end under a body; how it behaves else does not change
 // that.
-func (r *Replica) CrashUnder(p Poison) {
+func (r *Replica) SetPoisonRequest(p PoisonRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.poison = p
@@ -167,17 +167,17 @@
 		r.ledger.fault("%s: does not start again: %v", r.ID, err)
 		return
 	}
-	r.down, r.Born = false, time.Now().UnixMilli()
+	r.down, r.StartUnixMS = false, time.Now().UnixMilli()
 	r.noteSpell()
 	r.serveOn(l)
 	r.mu.Unlock()
-	if r.Returned != nil {
-		r.Returned(r)
+	if r.OnRestart != nil {
+		r.OnRestart(r)
 	}
 }
 
 // Behave changes the behaviour.
-func (r *Replica) Behave(b Behaviour) {
+func (r *Replica) SetBehaviour(b Behaviour) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.behaviour = b
@@ -188,7 +188,7 @@
 // holds mu.
 func (r *Replica) noteSpell() {
 	b := r.behaviour
-	b.PauseAfterEvents, b.Pause, b.EventEvery = 0, 0, 0
+	b.PauseAfterEvents, b.Pause, b.EventInterval = 0, 0, 0
 	ill := r.down || r.frozen || b != (Behaviour{})
 	last := len(r.spells) - 1
 	lasts := last >= 0 && r.spells[last].until.IsZero()
@@ -233,7 +233,7 @@
 
 // Misbehaved says whether the replica ever was made to behave other than well. To
 // pause and to make events slowly is well.
-func (r *Replica) Misbehaved() bool {
+func (r *Replica) WasUnhealthy() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.spells) > 0
@@ -241,7 +241,7 @@
 
 // WellThrough says whether the replica behaved well all the time from one moment to
 // another.
-func (r *Replica) WellThrough(from, to time.Time) bool {
+func (r *Replica) HealthyThroughout(from, to time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !slices.ContainsFunc(r.spells, func(s spell) bool {
@@ -251,7 +251,7 @@
 
 // NameLimit has every answer name a limit, as it is given; "" ends that. A replica that
 // names one serves what it gets all the same.
-func (r *Replica) NameLimit(perSecond string) {
+func (r *Replica) AdvertiseRateLimit(perSecond string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.limit = perSecond
@@ -259,7 +259,7 @@
 
 // SayLeaving has every answer tell that the replica leaves. It serves what it gets all the
 // same, and its entry says what it is registered as.
-func (r *Replica) SayLeaving() {
+func (r *Replica) AdvertiseLeaving() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = true
@@ -267,17 +267,17 @@
 
 // RefuseForRest has the replica turn all work away and ask for so much rest, in seconds as
 // it says it; "" ends that. A replica that does so does not misbehave.
-func (r *Replica) RefuseForRest(seconds string) {
+func (r *Replica) RefuseWithRetryAfter(seconds string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refusing = seconds
 }
 
 // Arrived returns when requests and calls for pieces came, in order.
-func (r *Replica) Arrived() []time.Time {
+func (r *Replica) ArrivalTimes() []time.Time {
 	var times []time.Time
 	for _, a := range r.Arrivals() {
-		times = append(times, a.At)
+		times = append(times, a.ArrivedAt)
 	}
 	return times
 }
@@ -294,7 +294,7 @@
 func (r *Replica) arrive(request string) (rest string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.arrived = append(r.arrived, Arrival{At: time.Now(), Request: request, Rest: r.refusing})
+	r.arrived = append(r.arrived, Arrival{ArrivedAt: time.Now(), RequestID: request, RetryAfter: r.refusing})
 	return r.refusing
 }
 
@@ -311,7 +311,7 @@
 }
 
 // Made is the number of pieces that were made here.
-func (r *Replica) Made() int {
+func (r *Replica) PiecesExecuted() int {
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
 	return r.handles
@@ -329,7 +329,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.behaviour
-	if b.Pause == 0 && b.Silence == Speaking {
+	if b.Pause == 0 && b.Stall == Speaking {
 		b.PauseAfterEvents, b.Pause = r.pauseAfter, r.pause
 	}
 	return b
@@ -365,14 +365,14 @@
 		return
 	}
 	held := r.useHold(req)
-	if b.RetryAfter != "" && (b.Shed || b.ShedFree) && !held {
+	if b.RetryAfter != "" && (b.Shed || b.ShedWithFreeSlots) && !held {
 		w.Header().Set("Retry-After", b.RetryAfter)
 	}
 	if b.Shed && !held {
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
-	if b.ShedFree && !held {
+	if b.ShedWithFreeSlots && !held {
 		w.Header().Set("Replica-Load", "1,0,8")
 		refuse(w, http.StatusServiceUnavailable)
 		return
@@ -402,7 +402,7 @@
 	switch {
 	case !dropped && !reported && !taken:
 		return false
-	case b.NoOrders:
+	case b.NoEngineCalls:
 		w.WriteHeader(http.StatusNotFound)
 	case reported && b.HangReports:
 		hang(req)
@@ -443,7 +443,7 @@
 	if ms, err := strconv.Atoi(req.Header.Get("Deadline-Ms")); err != nil || ms <= 0 {
 		r.ledger.fault("%s: request %s has deadline %q", r.ID, id, req.Header.Get("Deadline-Ms"))
 	}
-	for _, name := range Forgeable {
+	for _, name := range ForgeableHeaders {
 		if req.Header.Get(name) == ForgedValue {
 			r.ledger.fault("%s: request %s has a caller's %s", r.ID, id, name)
 		}
@@ -453,13 +453,13 @@
 	if r.crashesUnder(string(body)) {
 		return
 	}
-	if !e.wait(req.Context(), b.Work+time.Duration(promptTokens(req))*b.ReadToken) {
+	if !e.wait(req.Context(), b.ServiceTime+time.Duration(promptTokens(req))*b.PrefillPerToken) {
 		return
 	}
-	if b.CutBefore {
+	if b.AbortBeforeResponse {
 		panic(http.ErrAbortHandler)
 	}
-	if b.ShedSilently {
+	if b.UnavailableAfterRun {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -484,9 +484,9 @@
 	if poison.Body == "" || poison.Body != body {
 		return false
 	}
-	time.Sleep(poison.After)
-	if r.Crash(poison.Down) && poison.Crashed != nil {
-		poison.Crashed(poison.Body)
+	time.Sleep(poison.CrashDelay)
+	if r.Crash(poison.Downtime) && poison.OnCrash != nil {
+		poison.OnCrash(poison.Body)
 	}
 	return true
 }
--- a/internal/standin/site/report.go
+++ b/internal/standin/site/report.go
@@ -14,7 +14,7 @@
 	r.mu.Lock()
 	r.forget(asOf)
 	for _, e := range r.runs {
-		if e.run.At.After(asOf) {
+		if e.run.StartedAt.After(asOf) {
 			continue
 		}
 		made := e.after
@@ -23,7 +23,7 @@
 				made++
 			}
 		}
-		runs = append(runs, []any{e.run.Request, e.tokens + made, made, e.priority})
+		runs = append(runs, []any{e.run.RequestID, e.tokens + made, made, e.priority})
 	}
 	r.mu.Unlock()
 	writeJSON(w, map[string]any{"stage": "colocated", "queued": 0, "active": len(runs), "runs": runs})
--- a/internal/standin/site/site_test.go
+++ b/internal/standin/site/site_test.go
@@ -29,7 +29,7 @@
 	r, err := site.StartReplica(ledger, "e1", "llm", site.Engine, "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(r.Close)
-	r.Behave(b)
+	r.SetBehaviour(b)
 	return r, ledger
 }
 
@@ -70,7 +70,7 @@
 func whole(id string) string {
 	var b strings.Builder
 	for n := 1; n <= 5; n++ {
-		b.WriteString(site.Event(id, n))
+		b.WriteString(site.EventText(id, n))
 	}
 	return b.String()
 }
@@ -117,10 +117,10 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(first + string(rest)).To(Equal(whole("a")))
 		run := ledger.Runs("a")[0]
-		Expect(run.End).To(Equal(site.Complete))
-		Expect(run.Ended.Sub(run.At)).To(BeNumerically(">=", pause))
+		Expect(run.End).To(Equal(site.Completed))
+		Expect(run.EndedAt.Sub(run.StartedAt)).To(BeNumerically(">=", pause))
 		Expect(report(e)).To(listing())
-		Expect(e.Misbehaved()).To(BeFalse())
+		Expect(e.WasUnhealthy()).To(BeFalse())
 	},
 		Entry("before the first event, with the head of the answer sent", 0),
 		Entry("after two", 2),
@@ -132,12 +132,12 @@
 		_, err := io.ReadAll(generate(context.Background(), e, "a").Body)
 		Expect(err).NotTo(HaveOccurred())
 		run := ledger.Runs("a")[0]
-		Expect(run.Ended.Sub(run.At)).To(BeNumerically(">=", pause))
-		Expect(e.Misbehaved()).To(BeFalse())
+		Expect(run.EndedAt.Sub(run.StartedAt)).To(BeNumerically(">=", pause))
+		Expect(e.WasUnhealthy()).To(BeFalse())
 	})
 
-	DescribeTable("falls silent for good", func(silence site.Silence, reports OmegaMatcher, ends site.End) {
-		e, ledger := engine(site.Behaviour{PauseAfterEvents: 2, Silence: silence, EventEvery: 10 * time.Millisecond})
+	DescribeTable("falls silent for good", func(silence site.Stall, reports OmegaMatcher, ends site.End) {
+		e, ledger := engine(site.Behaviour{PauseAfterEvents: 2, Stall: silence, EventInterval: 10 * time.Millisecond})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		body := bufio.NewReader(generate(ctx, e, "a").Body)
@@ -145,20 +145,20 @@
 		time.Sleep(100 * time.Millisecond)
 		told, err := report(e)
 		Expect([]any{told, err}).To(reports)
-		Expect(e.Misbehaved()).To(BeTrue())
+		Expect(e.WasUnhealthy()).To(BeTrue())
 		time.AfterFunc(50*time.Millisecond, cancel)
 		_, err = body.ReadByte()
 		Expect(err).To(MatchError(context.Canceled), "silent until its caller left")
 		Eventually(end(ledger, "a"), "1s").Should(Equal(ends))
 	},
-		Entry("in one run", site.StandsStill, HaveExactElements(listing(running("a", 2)), BeNil()), site.Cancelled),
-		Entry("on the connection", site.Muted, HaveExactElements(listing(), BeNil()), site.Complete),
-		Entry("as a process that hangs", site.Frozen, HaveExactElements(BeEmpty(), MatchError(context.DeadlineExceeded)), site.Cancelled),
-		Entry("as a process that is gone", site.Vanished, HaveExactElements(BeEmpty(), MatchError(syscall.ECONNREFUSED)), site.Cancelled),
+		Entry("in one run", site.RunStalled, HaveExactElements(listing(running("a", 2)), BeNil()), site.Cancelled),
+		Entry("on the connection", site.OutputStalled, HaveExactElements(listing(), BeNil()), site.Completed),
+		Entry("as a process that hangs", site.ProcessFrozen, HaveExactElements(BeEmpty(), MatchError(context.DeadlineExceeded)), site.Cancelled),
+		Entry("as a process that is gone", site.ProcessUnreachable, HaveExactElements(BeEmpty(), MatchError(syscall.ECONNREFUSED)), site.Cancelled),
 	)
 
 	It("goes on making the events of a run that is silent on its connection", func() {
-		e, _ := engine(site.Behaviour{Silence: site.Muted, EventEvery: pause})
+		e, _ := engine(site.Behaviour{Stall: site.OutputStalled, EventInterval: pause})
 		generate(context.Background(), e, "a")
 		Eventually(func() (map[string]any, error) { return report(e) }, "1s").Should(listing(running("a", 3)))
 	})
@@ -178,13 +178,13 @@
 	})
 
 	It("tells how runs ended", func() {
-		e, ledger := engine(site.Behaviour{CutAfterEvents: 1})
+		e, ledger := engine(site.Behaviour{AbortAfterEvents: 1})
 		_, err := io.ReadAll(generate(context.Background(), e, "cut").Body)
 		Expect(err).To(HaveOccurred())
 		Eventually(end(ledger, "cut"), "1s").Should(Equal(site.Cut))
-		e.Behave(site.Behaviour{Pause: time.Minute})
+		e.SetBehaviour(site.Behaviour{Pause: time.Minute})
 		generate(context.Background(), e, "crashed")
-		Expect(end(ledger, "crashed")()).To(Equal(site.UnderWay))
+		Expect(end(ledger, "crashed")()).To(Equal(site.InProgress))
 		Expect(e.Crash(0)).To(BeTrue())
 		Eventually(end(ledger, "crashed"), "1s").Should(Equal(site.Cut))
 	})
@@ -200,20 +200,20 @@
 		e, _ := engine(site.Behaviour{})
 		began := time.Now()
 		e.PauseStreams(1, pause)
-		Expect(e.WellThrough(began, time.Now())).To(BeTrue())
-		e.Behave(site.Behaviour{Shed: true})
-		Expect(e.WellThrough(began, time.Now())).To(BeFalse())
-		e.Behave(site.Behaviour{})
+		Expect(e.HealthyThroughout(began, time.Now())).To(BeTrue())
+		e.SetBehaviour(site.Behaviour{Shed: true})
+		Expect(e.HealthyThroughout(began, time.Now())).To(BeFalse())
+		e.SetBehaviour(site.Behaviour{})
 		again := time.Now()
-		Expect(e.WellThrough(again, time.Now())).To(BeTrue())
-		Expect(e.WellThrough(began, time.Now())).To(BeFalse())
+		Expect(e.HealthyThroughout(again, time.Now())).To(BeTrue())
+		Expect(e.HealthyThroughout(began, time.Now())).To(BeFalse())
 		Expect(e.Crash(0)).To(BeTrue())
-		Expect(e.WellThrough(again, time.Now())).To(BeFalse())
-		Expect(e.Misbehaved()).To(BeTrue())
+		Expect(e.HealthyThroughout(again, time.Now())).To(BeFalse())
+		Expect(e.WasUnhealthy()).To(BeTrue())
 	})
 
 	It("does not know reports and holds where it is told so", func() {
-		e, _ := engine(site.Behaviour{NoOrders: true})
+		e, _ := engine(site.Behaviour{NoEngineCalls: true})
 		for method, path := range map[string]string{http.MethodGet: "/-/report", http.MethodPost: "/-/hold-take", http.MethodDelete: "/-/hold-drop/x"} {
 			Expect(call(context.Background(), e, method, path, "{}")).To(HaveHTTPStatus(http.StatusNotFound))
 		}
@@ -238,46 +238,46 @@
 	It("are used once, also while it sheds, or given up", func() {
 		e, ledger := engine(site.Behaviour{})
 		used, dropped := take(e, 1000), take(e, 1000)
-		e.Behave(site.Behaviour{Shed: true})
+		e.SetBehaviour(site.Behaviour{Shed: true})
 		Expect(generate(context.Background(), e, "a", "Kv-Hold", used)).To(HaveHTTPBody(whole("a")))
 		Expect(drop(e, dropped)).To(HaveHTTPStatus(http.StatusOK))
 		Expect(drop(e, dropped)).To(HaveHTTPStatus(http.StatusNotFound))
 		Expect(drop(e, used)).To(HaveHTTPStatus(http.StatusNotFound))
-		Expect(ledger.Holds()).To(Equal(site.Holds{Taken: 2, Used: 1, Dropped: 1}))
-		Expect(ledger.Faults()).To(BeEmpty())
+		Expect(ledger.Reservations()).To(Equal(site.ReservationCounts{Granted: 2, Used: 1, Released: 1}))
+		Expect(ledger.Violations()).To(BeEmpty())
 	})
 
 	It("are kept before it answers", func() {
-		e, ledger := engine(site.Behaviour{HoldWork: time.Minute})
+		e, ledger := engine(site.Behaviour{ReservationDelay: time.Minute})
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		_, err := call(ctx, e, http.MethodPost, "/-/hold-take", `{"token_count":10,"ttl_ms":1000}`)
 		Expect(err).To(MatchError(context.DeadlineExceeded))
-		Expect(ledger.Holds()).To(Equal(site.Holds{Taken: 1}))
+		Expect(ledger.Reservations()).To(Equal(site.ReservationCounts{Granted: 1}))
 	})
 
 	It("lapse", func() {
 		e, ledger := engine(site.Behaviour{})
 		name := take(e, 1)
 		time.Sleep(20 * time.Millisecond)
-		e.Behave(site.Behaviour{Shed: true})
+		e.SetBehaviour(site.Behaviour{Shed: true})
 		Expect(generate(context.Background(), e, "a", "Kv-Hold", name)).To(HaveHTTPStatus(http.StatusServiceUnavailable))
-		Expect(ledger.Faults()).To(BeEmpty())
+		Expect(ledger.Violations()).To(BeEmpty())
 	})
 
 	DescribeTable("are refused", func(b site.Behaviour) {
 		e, ledger := engine(b)
 		Expect(call(context.Background(), e, http.MethodPost, "/-/hold-take", `{"token_count":10,"ttl_ms":1000}`)).To(HaveHTTPStatus(http.StatusServiceUnavailable))
-		Expect(ledger.Holds()).To(Equal(site.Holds{Refused: 1}))
+		Expect(ledger.Reservations()).To(Equal(site.ReservationCounts{Refused: 1}))
 	},
-		Entry("where the engine is told so", site.Behaviour{NoHolds: true}),
+		Entry("where the engine is told so", site.Behaviour{NoReservations: true}),
 		Entry("where it sheds", site.Behaviour{Shed: true}),
 	)
 
 	DescribeTable("are a fault", func(name func(*site.Replica) string, fault string) {
 		e, ledger := engine(site.Behaviour{})
 		_, _ = io.ReadAll(generate(context.Background(), e, "a", "Kv-Hold", name(e)).Body)
-		Expect(ledger.Faults()).To(ConsistOf(ContainSubstring(fault)))
+		Expect(ledger.Violations()).To(ConsistOf(ContainSubstring(fault)))
 	},
 		Entry("that were never given", func(*site.Replica) string { return "x" }, "never given"),
 		Entry("that a caller forged", func(*site.Replica) string { return site.ForgedValue }, "a caller's Kv-Hold"),
--- a/internal/standin/site/stage.go
+++ b/internal/standin/site/stage.go
@@ -37,11 +37,11 @@
 		return
 	}
 	select {
-	case <-time.After(b.Work):
+	case <-time.After(b.ServiceTime):
 	case <-req.Context().Done():
 		return
 	}
-	if b.CutBefore {
+	if b.AbortBeforeResponse {
 		panic(http.ErrAbortHandler)
 	}
 	var answer struct {
--- a/internal/standin/site/store.go
+++ b/internal/standin/site/store.go
@@ -63,7 +63,7 @@
 func (s *Store) Evacuate(domain string) { s.Put(evacuatePrefix+domain, map[string]any{}) }
 
 // TakeBack withdraws the order of Evacuate.
-func (s *Store) TakeBack(domain string) { s.Delete(evacuatePrefix + domain) }
+func (s *Store) CancelEvacuation(domain string) { s.Delete(evacuatePrefix + domain) }
 
 // Delete removes a key.
 func (s *Store) Delete(key string) { s.write(item{Key: key, Tombstone: true}) }
@@ -92,21 +92,21 @@
 }
 
 // Fail answers every call with a status until it is called with 0.
-func (s *Store) Fail(status int) {
+func (s *Store) SetFailure(status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status = status
 }
 
 // Delay makes every call take that long.
-func (s *Store) Delay(d time.Duration) {
+func (s *Store) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
 // Calls returns the number of calls so far.
-func (s *Store) Calls() int {
+func (s *Store) CallCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
--- a/internal/standin/site/stream.go
+++ b/internal/standin/site/stream.go
@@ -9,7 +9,7 @@
 )
 
 // Event is event n of the stream that answers a request.
-func Event(request string, n int) string {
+func EventText(request string, n int) string {
 	return fmt.Sprintf("id: %d\ndata: token %d of %s\n\n", n, n, request)
 }
 
@@ -24,8 +24,8 @@
 	flusher := http.NewResponseController(w)
 	_ = flusher.Flush() // a client that is gone needs no head
 	every := eventEvery
-	if b.EventEvery > 0 {
-		every = b.EventEvery
+	if b.EventInterval > 0 {
+		every = b.EventInterval
 	}
 	for n := e.after + 1; n <= r.Events; n++ {
 		if n-e.after-1 == b.PauseAfterEvents && !r.fallSilent(ctx, e, b, every) {
@@ -35,8 +35,8 @@
 			e.standStill(ctx)
 			return
 		}
-		text := Event(e.run.Request, n)
-		if b.CutAfterEvents > 0 && n-e.after > b.CutAfterEvents {
+		text := EventText(e.run.RequestID, n)
+		if b.AbortAfterEvents > 0 && n-e.after > b.AbortAfterEvents {
 			_, _ = io.WriteString(w, text[:len(text)/2])
 			_ = flusher.Flush()
 			panic(http.ErrAbortHandler)
@@ -59,17 +59,17 @@
 	if b.Pause > 0 && !e.wait(ctx, b.Pause) {
 		return false
 	}
-	switch b.Silence {
+	switch b.Stall {
 	case Speaking:
 		return true
-	case StandsStill:
+	case RunStalled:
 		e.standStill(ctx)
-	case Muted:
+	case OutputStalled:
 		e.mute(ctx, every)
-	case Frozen:
+	case ProcessFrozen:
 		r.Freeze()
 		e.standStill(ctx)
-	case Vanished:
+	case ProcessUnreachable:
 		r.Vanish()
 		e.standStill(ctx)
 	}
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -32,7 +32,7 @@
 // Bounded is a log that never blocks its writers and bounds its volume. Lines
 // beyond the bound, and lines that nobody reads in time, are left out and
 // counted; a line with the count follows.
-type Bounded struct {
+type BoundedLog struct {
 	// Logger writes to the log.
 	Logger *zap.Logger
 	// Level may be changed at any time.
@@ -51,12 +51,12 @@
 
 // NewBounded returns a bounded log of at least level that writes to w until
 // Close.
-func NewBounded(w io.Writer, level string) (*Bounded, error) {
+func NewBoundedLog(w io.Writer, level string) (*BoundedLog, error) {
 	l, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, fmt.Errorf("log level: %w", err)
 	}
-	b := &Bounded{
+	b := &BoundedLog{
 		Level: zap.NewAtomicLevelAt(l), out: w, lines: make(chan []byte, queuedLines),
 		limiter: rate.NewLimiter(linesPerSecond, linesBurst), done: make(chan struct{}), stop: make(chan struct{}),
 	}
@@ -66,16 +66,16 @@
 }
 
 // LeftOut returns the number of lines left out since the start.
-func (b *Bounded) LeftOut() uint64 { return b.leftOut.Load() }
+func (b *BoundedLog) LeftOut() uint64 { return b.leftOut.Load() }
 
 // Close writes what waits and ends the log.
-func (b *Bounded) Close() {
+func (b *BoundedLog) Close() {
 	b.once.Do(func() { close(b.stop) })
 	<-b.done
 }
 
 // queueWriter is the log's writer: it queues lines or leaves them out.
-type queueWriter struct{ b *Bounded }
+type queueWriter struct{ b *BoundedLog }
 
 // Write implements io.Writer. It never blocks and never fails.
 func (q queueWriter) Write(line []byte) (int, error) {
@@ -92,7 +92,7 @@
 }
 
 // run writes the queued lines, those that wait together in one write.
-func (b *Bounded) run() {
+func (b *BoundedLog) run() {
 	defer close(b.done)
 	var buf bytes.Buffer
 	for {
@@ -111,7 +111,7 @@
 }
 
 // drain takes the lines that wait.
-func (b *Bounded) drain(buf *bytes.Buffer) {
+func (b *BoundedLog) drain(buf *bytes.Buffer) {
 	for {
 		select {
 		case line := <-b.lines:
@@ -123,7 +123,7 @@
 }
 
 // tell adds a line with the number of lines left out since the last one.
-func (b *Bounded) tell(buf *bytes.Buffer) {
+func (b *BoundedLog) tell(buf *bytes.Buffer) {
 	n := b.leftOut.Load()
 	now := time.Now()
 	if n == b.told || now.Sub(b.toldAt) < tellEvery {
@@ -134,7 +134,7 @@
 }
 
 // write writes the buffer; a reader that is gone costs the lines only.
-func (b *Bounded) write(buf *bytes.Buffer) {
+func (b *BoundedLog) write(buf *bytes.Buffer) {
 	if _, err := b.out.Write(buf.Bytes()); err != nil {
 		b.leftOut.Add(1)
 	}
--- a/membership/calls.go
+++ b/membership/calls.go
@@ -19,19 +19,19 @@
 
 // Calls makes calls to fellow daemons in goroutines of their own, a bounded
 // number at a time.
-type Calls struct {
+type CallPool struct {
 	caller peer.Caller
 	places chan struct{}
 }
 
 // NewCalls returns a Calls that needs a caller before its first call.
-func NewCalls() *Calls { return &Calls{places: make(chan struct{}, maxCalls)} }
+func NewCallPool() *CallPool { return &CallPool{places: make(chan struct{}, maxCalls)} }
 
 // Use sets the caller; it is called once, before the first call.
-func (c *Calls) Use(caller peer.Caller) { c.caller = caller }
+func (c *CallPool) SetCaller(caller peer.Caller) { c.caller = caller }
 
 // Go calls a host; done is called once, at the latest after the timeout.
-func (c *Calls) Go(host, method string, req, resp proto.Message, timeout time.Duration, done func(error)) {
+func (c *CallPool) Go(host, method string, req, resp proto.Message, timeout time.Duration, done func(error)) {
 	select {
 	case c.places <- struct{}{}:
 	default:
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -34,13 +34,13 @@
 // Hooks are called in the loop's goroutine and must not block. Each may be nil.
 type Hooks struct {
 	// Slot hears the extensions' values.
-	Slot func(member.SlotHeard)
+	SlotReceived func(member.SlotReceived)
 	// Changed hears every change of the belief about a host.
-	Changed func(member.Member)
+	MemberChanged func(member.Member)
 	// Fresh hears whether the views are renewed since the start or last pause.
-	Fresh func(bool)
+	FreshnessChanged func(bool)
 	// View hears every new snapshot and the one before.
-	View func(next, old *View)
+	ViewChanged func(next, old *View)
 }
 
 // View is an immutable snapshot of membership.
@@ -48,7 +48,7 @@
 	// Members are all hosts sorted by name, this one included.
 	Members    []member.Member
 	Neighbours []string
-	Living     int
+	LiveCount  int
 	// Leaving names the upstreams that leave, sorted.
 	Leaving    []string
 	Fresh      bool
@@ -58,7 +58,7 @@
 
 // Loop steps the membership machine.
 type Loop struct {
-	calls *Calls
+	calls *CallPool
 	hooks Hooks
 	log   *zap.Logger
 	m     *member.Machine
@@ -76,7 +76,7 @@
 
 // New returns a loop that has not started and registers its methods in mux.
 // The error names an extension that breaks the bounds.
-func New(cfg member.Config, seed uint64, mux *peer.Mux, calls *Calls, hooks Hooks, log *zap.Logger) (*Loop, error) {
+func New(cfg member.Config, seed uint64, mux *peer.Mux, calls *CallPool, hooks Hooks, log *zap.Logger) (*Loop, error) {
 	m, err := member.New(cfg, clock.Now(), rand.New(rand.NewPCG(seed, 1)))
 	if err != nil {
 		return nil, err
@@ -127,7 +127,7 @@
 func (l *Loop) ask(ctx context.Context, from string, msg proto.Message, isAnswer func(proto.Message) bool) (proto.Message, error) {
 	answers := make(chan proto.Message, 1)
 	l.q.Add(func() {
-		for _, a := range l.m.Step(clock.Now(), member.Received{From: from, Msg: msg}) {
+		for _, a := range l.m.Step(clock.Now(), member.MessageReceived{From: from, Msg: msg}) {
 			if s, ok := a.(member.Send); ok && s.To == from && isAnswer(s.Msg) {
 				answers <- s.Msg
 				continue
@@ -151,28 +151,28 @@
 	switch a := action.(type) {
 	case member.Send:
 		l.send(a)
-	case member.SlotHeard:
-		if l.hooks.Slot != nil {
-			l.hooks.Slot(a)
+	case member.SlotReceived:
+		if l.hooks.SlotReceived != nil {
+			l.hooks.SlotReceived(a)
 		}
-	case member.Changed:
+	case member.MemberChanged:
 		log.Info("member changed", zap.String("peer", a.Member.Host.Name), zap.Stringer("state", a.Member.State),
 			zap.Uint64("incarnation", a.Member.Incarnation))
-		if l.hooks.Changed != nil {
-			l.hooks.Changed(a.Member)
+		if l.hooks.MemberChanged != nil {
+			l.hooks.MemberChanged(a.Member)
 		}
 	case member.UpstreamChanged:
 		log.Info("upstream leaving", zap.String("upstream", a.Name), zap.Bool("leaving", a.Leaving))
-	case member.Freshness:
+	case member.FreshnessChanged:
 		log.Info("views renewed", zap.Bool("fresh", a.Fresh))
-		if l.hooks.Fresh != nil {
-			l.hooks.Fresh(a.Fresh)
+		if l.hooks.FreshnessChanged != nil {
+			l.hooks.FreshnessChanged(a.Fresh)
 		}
 	case member.SkewChanged:
 		log.Warn("clock against the peers' median", zap.Bool("skewed", a.Skewed), zap.Duration("offset", a.Offset))
 	case member.Superseded:
-		log.Error("a later process of this host lives", zap.Uint64("incarnation", a.By))
-	case member.Refused:
+		log.Error("a later process of this host lives", zap.Uint64("incarnation", a.Incarnation))
+	case member.Rejected:
 		log.Warn("membership message refused", zap.String("peer", a.From), zap.String("reason", a.Reason))
 	}
 }
@@ -180,7 +180,7 @@
 // changesView says whether an action may change the snapshot.
 func changesView(a member.Action) bool {
 	switch a.(type) {
-	case member.Send, member.SlotHeard, member.Refused:
+	case member.Send, member.SlotReceived, member.Rejected:
 		return false
 	}
 	return true
@@ -194,12 +194,12 @@
 	l.changed, l.published = false, clock.Now()
 	old := l.view.Load()
 	next := &View{
-		Members: l.m.Members(), Neighbours: l.m.Neighbours(), Living: l.m.Living(), Leaving: l.m.LeavingUpstreams(),
+		Members: l.m.Members(), Neighbours: l.m.Neighbours(), LiveCount: l.m.LiveHosts(), Leaving: l.m.LeavingUpstreams(),
 		Fresh: l.m.Fresh(), Skewed: l.m.Skewed(), Superseded: l.m.Superseded(),
 	}
 	l.view.Store(next)
-	if l.hooks.View != nil {
-		l.hooks.View(next, old)
+	if l.hooks.ViewChanged != nil {
+		l.hooks.ViewChanged(next, old)
 	}
 }
 
@@ -209,9 +209,9 @@
 	l.calls.Go(s.To, method, s.Msg, answer, callTimeout, func(err error) {
 		switch {
 		case err != nil:
-			l.Post(member.Failed(s))
+			l.Post(member.SendFailed(s))
 		case proto.Size(answer) > 0:
-			l.Post(member.Received{From: s.To, Msg: answer})
+			l.Post(member.MessageReceived{From: s.To, Msg: answer})
 		}
 	})
 }
@@ -260,7 +260,7 @@
 // handleOneWay registers a method whose answer is empty.
 func handleOneWay[Req proto.Message](l *Loop, mux *peer.Mux, method string) {
 	peer.Handle(mux, method, func(_ context.Context, from peer.Sender, req Req) (*wire.MemberNone, error) {
-		l.Post(member.Received{From: from.Host, Msg: req})
+		l.Post(member.MessageReceived{From: from.Host, Msg: req})
 		return &wire.MemberNone{}, nil
 	})
 }
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -36,32 +36,32 @@
 
 // Fleet answers operators' questions about any host. Its methods are safe for
 // concurrent use.
-type Fleet struct {
-	local    Local
+type FleetQuerier struct {
+	local    LocalDaemon
 	records  *record.Store
 	sections *Sections
 	peers    peer.Caller
 }
 
 // NewFleet returns a Fleet for the daemon local and registers its peer methods.
-func NewFleet(local Local, records *record.Store, sections *Sections, peers peer.Caller, mux *peer.Mux) *Fleet {
-	f := &Fleet{local: local, records: records, sections: sections, peers: peers}
+func NewFleetQuerier(local LocalDaemon, records *record.Store, sections *Sections, peers peer.Caller, mux *peer.Mux) *FleetQuerier {
+	f := &FleetQuerier{local: local, records: records, sections: sections, peers: peers}
 	peer.Handle(mux, methodExplain, f.serveExplain)
 	peer.Handle(mux, methodStatus, f.serveStatus)
 	peer.Handle(mux, methodDump, f.serveDump)
 	return f
 }
 
-func (f *Fleet) serveExplain(_ context.Context, _ peer.Sender, req *wire.ExplainRequest) (*wire.ExplainResponse, error) {
+func (f *FleetQuerier) serveExplain(_ context.Context, _ peer.Sender, req *wire.ExplainRequest) (*wire.ExplainResponse, error) {
 	entries, ok := f.records.Get(req.RequestId)
 	return &wire.ExplainResponse{Found: ok, Entries: entriesToWire(entries)}, nil
 }
 
-func (f *Fleet) serveStatus(context.Context, peer.Sender, *wire.StatusRequest) (*wire.StatusResponse, error) {
+func (f *FleetQuerier) serveStatus(context.Context, peer.Sender, *wire.StatusRequest) (*wire.StatusResponse, error) {
 	return statusToWire(f.local.Status()), nil
 }
 
-func (f *Fleet) serveDump(_ context.Context, _ peer.Sender, req *wire.DumpRequest) (*wire.DumpResponse, error) {
+func (f *FleetQuerier) serveDump(_ context.Context, _ peer.Sender, req *wire.DumpRequest) (*wire.DumpResponse, error) {
 	var buf bytes.Buffer
 	zipped := gzip.NewWriter(&buf)
 	if err := json.NewEncoder(zipped).Encode(f.sections.Dump(req.Section)); err != nil {
@@ -83,7 +83,7 @@
 // Explain returns the decisions about a request, from here or from the host
 // that its id names; an id without a known host is asked for at all hosts. The
 // error is ErrUnknownRequest, or that of the call.
-func (f *Fleet) Explain(ctx context.Context, requestID string) (Explanation, error) {
+func (f *FleetQuerier) Explain(ctx context.Context, requestID string) (Explanation, error) {
 	self := f.local.Host()
 	if entries, ok := f.records.Get(requestID); ok {
 		return Explanation{RequestID: requestID, Host: self, Entries: entries}, nil
@@ -99,7 +99,7 @@
 	}
 }
 
-func (f *Fleet) explainAt(ctx context.Context, host, requestID string) (Explanation, error) {
+func (f *FleetQuerier) explainAt(ctx context.Context, host, requestID string) (Explanation, error) {
 	ctx, cancel := context.WithTimeout(ctx, hostTimeout)
 	defer cancel()
 	var resp wire.ExplainResponse
@@ -113,7 +113,7 @@
 }
 
 // explainAnywhere asks all hosts and takes the first that knows the request.
-func (f *Fleet) explainAnywhere(ctx context.Context, requestID string) (Explanation, error) {
+func (f *FleetQuerier) explainAnywhere(ctx context.Context, requestID string) (Explanation, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var mu sync.Mutex
@@ -140,7 +140,7 @@
 
 // Statuses returns the status of every host, sorted by name. A host that does
 // not answer has its Error set.
-func (f *Fleet) Statuses(ctx context.Context) []Status {
+func (f *FleetQuerier) Statuses(ctx context.Context) []Status {
 	var mu sync.Mutex
 	all := []Status{f.local.Status()}
 	f.eachOther(func(host string) {
@@ -153,7 +153,7 @@
 	return all
 }
 
-func (f *Fleet) statusAt(ctx context.Context, host string) Status {
+func (f *FleetQuerier) statusAt(ctx context.Context, host string) Status {
 	ctx, cancel := context.WithTimeout(ctx, hostTimeout)
 	defer cancel()
 	var resp wire.StatusResponse
@@ -165,7 +165,7 @@
 
 // Dump returns the state dump of a host as JSON; section "" means all. The
 // error is ErrUnknownHost or that of the call.
-func (f *Fleet) Dump(ctx context.Context, host, section string) (json.RawMessage, error) {
+func (f *FleetQuerier) Dump(ctx context.Context, host, section string) (json.RawMessage, error) {
 	if host == "" || host == f.local.Host() {
 		return json.Marshal(f.sections.Dump(section))
 	}
@@ -190,7 +190,7 @@
 }
 
 // eachOther runs ask for every other host, a bounded number at a time.
-func (f *Fleet) eachOther(ask func(host string)) {
+func (f *FleetQuerier) eachOther(ask func(host string)) {
 	self := f.local.Host()
 	var group errgroup.Group
 	group.SetLimit(fleetParallel)
--- a/operator/operator_suite_test.go
+++ b/operator/operator_suite_test.go
@@ -96,7 +96,7 @@
 	DeferCleanup(d.transport.Close)
 	d.server, err = operator.NewServer(operator.Config{
 		Listen: "127.0.0.1:0", Credentials: c, Local: d, Logger: zap.NewNop(), Metrics: []*metrics.Set{d.metrics},
-		Fleet: operator.NewFleet(d, d.records, d.sections, d.transport, mux),
+		Querier: operator.NewFleetQuerier(d, d.records, d.sections, d.transport, mux),
 	})
 	Expect(err).NotTo(HaveOccurred())
 	served := make(chan error, 1)
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -55,11 +55,11 @@
 		at := time.Now().Round(0)
 		entry := record.Entry{
 			At: at, Step: "route", Stage: "generate", Attempt: 2, Outcome: "picked llm-1",
-			Fields:  []record.Field{{Key: "bundle", Value: "7"}},
-			Choices: []record.Candidate{{Upstream: "llm-1", Score: 0.5}, {Upstream: "llm-2", Refused: "leaving"}},
+			Fields:     []record.Field{{Key: "bundle", Value: "7"}},
+			Candidates: []record.Candidate{{Upstream: "llm-1", Score: 0.5}, {Upstream: "llm-2", RefusalReason: "leaving"}},
 		}
-		f.daemons["b"].records.Begin("b.1").Add(entry)
-		f.daemons["b"].records.Begin("no-host").Add(entry)
+		f.daemons["b"].records.GetOrCreate("b.1").Add(entry)
+		f.daemons["b"].records.GetOrCreate("no-host").Add(entry)
 		for _, host := range []string{"a", "b", "c"} {
 			for _, id := range []string{"b.1", "no-host"} {
 				var e operator.Explanation
@@ -116,9 +116,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		pair, err := ours.Issue("a", now, time.Hour, net.IPv4(127, 0, 0, 1))
 		Expect(err).NotTo(HaveOccurred())
-		certFile, keyFile := certs.Files(dir, "a")
+		certFile, keyFile := certs.KeyPairFiles(dir, "a")
 		Expect(pair.Write(certFile, keyFile)).To(Succeed())
-		authority := filepath.Join(dir, certs.AuthorityCert)
+		authority := filepath.Join(dir, certs.AuthorityCertFile)
 		d := newFleet().start("a", operator.Credentials{ClientCA: authority, Cert: certFile, Key: keyFile})
 
 		ask := func(with *certs.Authority) (int, error) {
--- a/operator/server.go
+++ b/operator/server.go
@@ -29,8 +29,8 @@
 	// Listen is the listener's ip:port.
 	Listen      string
 	Credentials Credentials
-	Local       Local
-	Fleet       *Fleet
+	Local       LocalDaemon
+	Querier     *FleetQuerier
 	// Metrics are the sets that /metrics shows, besides the process's own.
 	Metrics []*metrics.Set
 	// WriteMetrics, if set, writes the series of state that is read when asked.
@@ -164,7 +164,7 @@
 // all).
 func (s *Server) serveDump(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	dump, err := s.cfg.Fleet.Dump(r.Context(), q.Get("host"), q.Get("section"))
+	dump, err := s.cfg.Querier.Dump(r.Context(), q.Get("host"), q.Get("section"))
 	if err != nil {
 		writeError(w, statusOf(err), err)
 		return
@@ -178,7 +178,7 @@
 		writeError(w, http.StatusBadRequest, fmt.Errorf("a request id has at most %d bytes", maxRequestID))
 		return
 	}
-	e, err := s.cfg.Fleet.Explain(r.Context(), id)
+	e, err := s.cfg.Querier.Explain(r.Context(), id)
 	if err != nil {
 		writeError(w, statusOf(err), err)
 		return
@@ -188,7 +188,7 @@
 
 // serveBundle answers the status of every host.
 func (s *Server) serveBundle(w http.ResponseWriter, r *http.Request) {
-	writeJSON(w, http.StatusOK, s.cfg.Fleet.Statuses(r.Context()))
+	writeJSON(w, http.StatusOK, s.cfg.Querier.Statuses(r.Context()))
 }
 
 func (s *Server) serveDrain(w http.ResponseWriter, r *http.Request) {
--- a/operator/status.go
+++ b/operator/status.go
@@ -40,7 +40,7 @@
 
 // Local is the daemon that a listener belongs to. Its methods are called from
 // any goroutine.
-type Local interface {
+type LocalDaemon interface {
 	// Host returns the daemon's name.
 	Host() string
 	// Status returns the daemon's own status. It may wait a moment for the
@@ -93,8 +93,8 @@
 		for _, f := range e.Fields {
 			m.Fields = append(m.Fields, &wire.DecisionField{Key: f.Key, Value: f.Value})
 		}
-		for _, c := range e.Choices {
-			m.Candidates = append(m.Candidates, &wire.DecisionCandidate{Upstream: c.Upstream, Score: c.Score, Refused: c.Refused})
+		for _, c := range e.Candidates {
+			m.Candidates = append(m.Candidates, &wire.DecisionCandidate{Upstream: c.Upstream, Score: c.Score, Refused: c.RefusalReason})
 		}
 		out = append(out, m)
 	}
@@ -112,7 +112,7 @@
 			e.Fields = append(e.Fields, record.Field{Key: f.Key, Value: f.Value})
 		}
 		for _, c := range m.Candidates {
-			e.Choices = append(e.Choices, record.Candidate{Upstream: c.Upstream, Score: c.Score, Refused: c.Refused})
+			e.Candidates = append(e.Candidates, record.Candidate{Upstream: c.Upstream, Score: c.Score, RefusalReason: c.Refused})
 		}
 		out = append(out, e)
 	}
--- a/peer/asleep_test.go
+++ b/peer/asleep_test.go
@@ -26,13 +26,13 @@
 
 		By("keeping one that answers")
 		before := a.Sessions()[0].Opened
-		clock.Simulate(time.Minute)
+		clock.SimulateSuspension(time.Minute)
 		Expect(echo(a, "b", "2", 5*time.Second)).To(Equal("a:2"))
 		Expect(a.Sessions()).To(HaveExactElements(HaveField("Opened", before)))
 
 		By("dropping one that went silent in the sleep: no call is lost on it")
 		Expect(relay.Silence()).To(Equal(1))
-		clock.Simulate(time.Minute)
+		clock.SimulateSuspension(time.Minute)
 		Eventually(func() int { return len(a.Sessions()) }, "5s", "1ms").Should(BeZero(), "without a call")
 		Expect(echo(a, "b", "3", 5*time.Second)).To(Equal("a:3"))
 	})
--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -56,11 +56,11 @@
 		if err != nil {
 			f.b.Fatal(err)
 		}
-		cert, key := certs.Files(f.dir, name)
+		cert, key := certs.KeyPairFiles(f.dir, name)
 		if err := pair.Write(cert, key); err != nil {
 			f.b.Fatal(err)
 		}
-		cfg.TLS = peer.TLSFiles{CertFile: cert, KeyFile: key, CAFile: filepath.Join(f.dir, certs.AuthorityCert)}
+		cfg.TLS = peer.TLSFiles{CertFile: cert, KeyFile: key, CAFile: filepath.Join(f.dir, certs.AuthorityCertFile)}
 	}
 	t, err := peer.NewTransport(cfg)
 	if err != nil {
--- a/peer/call.go
+++ b/peer/call.go
@@ -183,7 +183,7 @@
 		left := time.Until(deadline).Milliseconds()
 		env.TimeoutMs = uint32(min(max(left, 1), math.MaxUint32))
 	}
-	return encode(env, s.t.cfg.MaxMessage)
+	return encode(env, s.t.cfg.MaxMessageBytes)
 }
 
 // exchange sends a frame on a stream of its own and reads the answer. It sets
@@ -203,7 +203,7 @@
 	if _, err := stream.Write(frame); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
-	env, n, err := readFrame(stream, s.t.cfg.MaxMessage)
+	env, n, err := readFrame(stream, s.t.cfg.MaxMessageBytes)
 	s.t.counters.countReceived(method, roleCaller, n)
 	switch {
 	case errors.Is(err, ErrTooLarge), errors.Is(err, ErrMalformed):
--- a/peer/call_test.go
+++ b/peer/call_test.go
@@ -145,7 +145,7 @@
 	It("refuses messages over the bound at each side", func() {
 		big := strings.Repeat("x", 5000)
 		ac, bc := f.config("a"), f.config("b")
-		ac.MaxMessage, bc.MaxMessage = 10000, 4000
+		ac.MaxMessageBytes, bc.MaxMessageBytes = 10000, 4000
 		peer.Handle(ac.Mux, "grow", func(context.Context, peer.Sender, *text) (*text, error) {
 			return wrapperspb.String(big + big), nil
 		})
@@ -169,7 +169,7 @@
 
 	It("carries messages much larger than a stream's window", func() {
 		ac, bc := f.config("a"), f.config("b")
-		ac.MaxMessage, bc.MaxMessage = 4<<20, 4<<20
+		ac.MaxMessageBytes, bc.MaxMessageBytes = 4<<20, 4<<20
 		a := f.start(ac)
 		f.start(bc)
 		big := strings.Repeat("0123456789abcdef", 3<<16)
--- a/peer/config.go
+++ b/peer/config.go
@@ -63,7 +63,7 @@
 	Metrics *metrics.Set
 
 	// MaxMessage bounds one serialised envelope in bytes.
-	MaxMessage int
+	MaxMessageBytes int
 	// MaxInFlight bounds one session's calls in flight, each way.
 	MaxInFlight int
 	// MaxWaiting bounds the calls that wait for a session's free place.
@@ -98,7 +98,7 @@
 			*v = d
 		}
 	}
-	orInt(&c.MaxMessage, DefaultMaxMessage)
+	orInt(&c.MaxMessageBytes, DefaultMaxMessage)
 	orInt(&c.MaxInFlight, DefaultMaxInFlight)
 	orInt(&c.MaxWaiting, DefaultMaxWaiting)
 	orInt(&c.MaxHandlers, DefaultMaxHandlers)
--- a/peer/peer_suite_test.go
+++ b/peer/peer_suite_test.go
@@ -57,9 +57,9 @@
 func (f *fleet) files(name string) peer.TLSFiles {
 	pair, err := f.authority.Issue(name, time.Now(), time.Hour)
 	Expect(err).NotTo(HaveOccurred())
-	cert, key := certs.Files(f.dir, name)
+	cert, key := certs.KeyPairFiles(f.dir, name)
 	Expect(pair.Write(cert, key)).To(Succeed())
-	return peer.TLSFiles{CertFile: cert, KeyFile: key, CAFile: filepath.Join(f.dir, certs.AuthorityCert)}
+	return peer.TLSFiles{CertFile: cert, KeyFile: key, CAFile: filepath.Join(f.dir, certs.AuthorityCertFile)}
 }
 
 // config returns the settings of a host with an "echo" method.
--- a/peer/serve.go
+++ b/peer/serve.go
@@ -43,7 +43,7 @@
 func (t *Transport) serveStream(s *session, stream *yamux.Stream) {
 	// A peer that sends slowly is given up like one that does not send.
 	_ = stream.SetDeadline(time.Now().Add(t.cfg.CallTimeout)) // fails only on a closed stream
-	env, n, err := readFrame(stream, t.cfg.MaxMessage)
+	env, n, err := readFrame(stream, t.cfg.MaxMessageBytes)
 	if err != nil {
 		if codeOf(err) != "" {
 			t.answer(stream, "", nil, err)
@@ -118,10 +118,10 @@
 	} else {
 		env.Error, env.ErrorCode = err.Error(), codeOf(err)
 	}
-	frame, err := encode(env, t.cfg.MaxMessage)
+	frame, err := encode(env, t.cfg.MaxMessageBytes)
 	if err != nil {
 		env.Payload, env.Error, env.ErrorCode = nil, err.Error(), codeOf(err)
-		if frame, err = encode(env, t.cfg.MaxMessage); err != nil {
+		if frame, err = encode(env, t.cfg.MaxMessageBytes); err != nil {
 			return
 		}
 	}
--- a/peer/transport.go
+++ b/peer/transport.go
@@ -85,7 +85,7 @@
 	}
 	t.counters = newCounters(cfg.Metrics, t.countSessions)
 	t.ctx, t.cancel = context.WithCancel(context.Background())
-	t.stopWaking = clock.OnWake(t.proveSessions)
+	t.stopWaking = clock.OnResume(t.proveSessions)
 	t.wg.Go(t.acceptLoop)
 	t.wg.Go(t.janitor)
 	return t, nil
--- a/problem/problem.go
+++ b/problem/problem.go
@@ -58,7 +58,7 @@
 	Title  string
 	// Retry says that coming back later may help; the answer then carries
 	// Retry-After.
-	Retry bool
+	Retryable bool
 }
 
 // Table has one row for each kind, in the order of the documentation.
@@ -130,7 +130,7 @@
 
 // Of returns err as an *Error; any other error becomes Internal, under which
 // it is unknown whether something ran.
-func Of(err error) *Error {
+func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
 		return e
--- a/problem/problem_test.go
+++ b/problem/problem_test.go
@@ -38,7 +38,7 @@
 		table := "| kind | status | retry | title |\n|---|---|---|---|\n"
 		for _, r := range problem.Table {
 			retry := "no"
-			if r.Retry {
+			if r.Retryable {
 				retry = "yes"
 			}
 			table += fmt.Sprintf("| `%s` | %d | %s | %s |\n", r.Kind, r.Status, retry, r.Title)
@@ -58,9 +58,9 @@
 var _ = Describe("Error", func() {
 	It("is found in a chain; any other error is internal and may have run", func() {
 		e := problem.New(problem.Overloaded, "no room")
-		Expect(problem.Of(fmt.Errorf("stage: %w", e))).To(BeIdenticalTo(e))
+		Expect(problem.FromError(fmt.Errorf("stage: %w", e))).To(BeIdenticalTo(e))
 		Expect(e.Execution).To(Equal(problem.NotRun))
-		other := problem.Of(errors.New("x"))
+		other := problem.FromError(errors.New("x"))
 		Expect(other.Kind).To(Equal(problem.Internal))
 		Expect(other.Execution).To(Equal(problem.MayHaveRun))
 		Expect(problem.Lookup("no such kind").Kind).To(Equal(problem.Internal))
--- a/proofs/at_most_once_test.go
+++ b/proofs/at_most_once_test.go
@@ -52,7 +52,7 @@
 
 	It("when its host is killed after sending", func() {
 		f := startFleet(proctest.Options{})
-		f.SetPoolFaults("signing", standin.Faults{LateByMS: 300})
+		f.SetPoolFaults("signing", standin.Faults{ResponseDelayMS: 300})
 		key := proctest.NewKey()
 		sent := callInBackground(f, 0, key)
 		Eventually(func() int { return len(f.Executions(key)) }).Should(Equal(1))
@@ -64,7 +64,7 @@
 
 	It("when its host is frozen after sending and resumes later", func() {
 		f := startFleet(proctest.Options{})
-		f.SetPoolFaults("signing", standin.Faults{LateByMS: 300})
+		f.SetPoolFaults("signing", standin.Faults{ResponseDelayMS: 300})
 		key := proctest.NewKey()
 		sent := callInBackground(f, 0, key)
 		Eventually(func() int { return len(f.Executions(key)) }).Should(Equal(1))
@@ -103,7 +103,7 @@
 
 	It("when the upstream drops its answer", func() {
 		f := startFleet(proctest.Options{})
-		f.SetPoolFaults("signing", standin.Faults{DropAnswer: true})
+		f.SetPoolFaults("signing", standin.Faults{DropResponse: true})
 		key := proctest.NewKey()
 		first := f.Call(0, proctest.PipelineSeal, key, "deed")
 		Expect(first.Execution).To(Equal(problem.MayHaveRun), "%+v", first)
@@ -116,7 +116,7 @@
 		f := startFleet(proctest.Options{ModifyBundle: func(b *bundle.Bundle) {
 			b.Pools[2].Supports.StatusLookup = true
 		}})
-		f.SetPoolFaults("signing", standin.Faults{LateByMS: 300})
+		f.SetPoolFaults("signing", standin.Faults{ResponseDelayMS: 300})
 		key := proctest.NewKey()
 		sent := callInBackground(f, 0, key)
 		Eventually(func() int { return len(f.Executions(key)) }).Should(Equal(1))
@@ -141,7 +141,7 @@
 
 	It("under random kills and freezes, with callers that retry through other hosts", func() {
 		f := startFleet(proctest.Options{})
-		f.SetPoolFaults("signing", standin.Faults{LateByMS: 150})
+		f.SetPoolFaults("signing", standin.Faults{ResponseDelayMS: 150})
 		const callers, rounds = 24, 5
 		stop := make(chan struct{})
 		var faultInjection, load sync.WaitGroup
--- a/proofs/caller_gone_test.go
+++ b/proofs/caller_gone_test.go
@@ -33,7 +33,7 @@
 
 	It("leaves a non-repeatable call that was already sent to complete and to be recorded", func() {
 		f := startFleet(proctest.Options{})
-		f.SetPoolFaults("signing", standin.Faults{LateByMS: 400})
+		f.SetPoolFaults("signing", standin.Faults{ResponseDelayMS: 400})
 		key := proctest.NewKey()
 		callThenCancel(f, proctest.PipelineSeal, key)
 		again := f.Call(1, proctest.PipelineSeal, key, "text")
--- a/proofs/config_test.go
+++ b/proofs/config_test.go
@@ -77,7 +77,7 @@
 
 	It("remains that of a request admitted under it when a new one arrives", func() {
 		f := startFleet(proctest.Options{})
-		f.SetPoolFaults("encoders", standin.Faults{LateByMS: 600})
+		f.SetPoolFaults("encoders", standin.Faults{ResponseDelayMS: 600})
 		done := make(chan proctest.Outcome, 1)
 		go func() { done <- f.Call(0, proctest.PipelineSummary, "", "text") }()
 		Eventually(f.StartedCount).Should(Equal(1))
--- a/proofs/delivery_test.go
+++ b/proofs/delivery_test.go
@@ -40,8 +40,8 @@
 			Expect(total).To(BeNumerically(">=", minAnswered))
 		},
 		Entry("without faults", standin.Faults{}, 2000),
-		Entry("with answers sent twice", standin.Faults{DuplicateAnswer: true}, 1),
-		Entry("with answers to other requests", standin.Faults{WrongAnswer: true}, 0),
+		Entry("with answers sent twice", standin.Faults{DuplicateResponse: true}, 1),
+		Entry("with answers to other requests", standin.Faults{WrongResponse: true}, 0),
 	)
 })
 
--- a/proofs/fault_pairs_test.go
+++ b/proofs/fault_pairs_test.go
@@ -39,7 +39,7 @@
 		func(f *proctest.Fleet) { f.Platform.Faults().Set(standin.Faults{Down: true}) },
 		func(f *proctest.Fleet) { f.Platform.Faults().Set(standin.Faults{}) }},
 	{"upstreams lose answers",
-		func(f *proctest.Fleet) { f.SetPoolFaults("signing", standin.Faults{DropAnswer: true}) },
+		func(f *proctest.Fleet) { f.SetPoolFaults("signing", standin.Faults{DropResponse: true}) },
 		func(f *proctest.Fleet) { f.SetPoolFaults("signing", standin.Faults{}) }},
 }
 
--- a/proofs/resume_test.go
+++ b/proofs/resume_test.go
@@ -11,7 +11,7 @@
 var _ = Describe("A completed stage", func() {
 	It("does not run again when its host dies and the caller retries on another host", func() {
 		f := startFleet(proctest.Options{})
-		f.SetPoolFaults("encoders", standin.Faults{LateByMS: 3000})
+		f.SetPoolFaults("encoders", standin.Faults{ResponseDelayMS: 3000})
 		key := proctest.NewKey()
 		firstDone := make(chan struct{})
 		go func() {
--- a/proofs/shutdown_test.go
+++ b/proofs/shutdown_test.go
@@ -17,8 +17,8 @@
 var _ = Describe("A graceful shutdown", func() {
 	It("completes the requests in flight, accepts no new ones and exits with 0", func() {
 		f := startFleet(proctest.Options{})
-		f.SetPoolFaults("encoders", standin.Faults{LateByMS: 400})
-		f.SetPoolFaults("signing", standin.Faults{LateByMS: 400})
+		f.SetPoolFaults("encoders", standin.Faults{ResponseDelayMS: 400})
+		f.SetPoolFaults("signing", standin.Faults{ResponseDelayMS: 400})
 		const inFlight = 40
 		outcomes := make([]proctest.Outcome, inFlight)
 		var wg sync.WaitGroup
@@ -49,7 +49,7 @@
 
 	It("is ended early by a second signal, which the log records", func() {
 		f := startFleet(proctest.Options{})
-		f.SetPoolFaults("encoders", standin.Faults{LateByMS: 3000})
+		f.SetPoolFaults("encoders", standin.Faults{ResponseDelayMS: 3000})
 		done := make(chan proctest.Outcome, 1)
 		go func() { done <- f.Call(0, proctest.PipelineSummary, "", "slow") }()
 		Eventually(f.StartedCount).Should(Equal(1))
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -20,20 +20,20 @@
 	for _, hosts := range []int{6, 300, 3020} {
 		b.Run(fmt.Sprint("hosts-", hosts), func(b *testing.B) {
 			neighbours := ringNeighbours(hosts)
-			v := poison.Verdict{Request: content("x"), Round: 1, At: time.Now(), Since: time.Now()}
+			v := poison.Verdict{Request: content("x"), Round: 1, QuarantinedAt: time.Now(), FirstCrash: time.Now()}
 			size := proto.Size(&wire.Verdicts{Verdicts: []*wire.Verdict{{
 				Request: v.Request[:], Round: v.Round, AgeMs: 1000, SinceMs: 5000,
 			}}})
 			var messages, steps int
 			for b.Loop() {
-				machines := make([]poison.Machine, hosts)
+				machines := make([]poison.Detector, hosts)
 				messages, steps = 0, 0
 				for informed := []int{0}; len(informed) > 0; steps++ {
 					var next []int
 					for _, h := range informed {
 						for _, n := range neighbours[h] {
 							messages++
-							if len(machines[n].Learn(time.Now(), []poison.Verdict{v})) > 0 {
+							if len(machines[n].Merge(time.Now(), []poison.Verdict{v})) > 0 {
 								next = append(next, n)
 							}
 						}
@@ -77,31 +77,31 @@
 // BenchmarkReplicaExit measures how long a coordinator takes to evaluate one replica exit
 // with the maximum number of suspects, while it retains as many exits as it can.
 func BenchmarkReplicaExit(b *testing.B) {
-	var m poison.Machine
+	var m poison.Detector
 	now := time.Now()
 	n := 0
 	for b.Loop() {
 		n++
-		e := poison.End{Replica: fmt.Sprint("r", n), At: now}
+		e := poison.Crash{Replica: fmt.Sprint("r", n), At: now}
 		for i := range poison.MaxSuspects {
-			e.Suspects = append(e.Suspects, poison.Suspect{Request: content(fmt.Sprint(n%40, i)), Ran: time.Duration(i) * time.Millisecond})
+			e.Suspects = append(e.Suspects, poison.Suspect{Request: content(fmt.Sprint(n%40, i)), RunTime: time.Duration(i) * time.Millisecond})
 		}
-		m.Ended(now, e)
+		m.RecordCrash(now, e)
 	}
-	b.ReportMetric(float64(m.Stats().Ends), "ends")
+	b.ReportMetric(float64(m.Stats().Crashes), "ends")
 }
 
 // BenchmarkQuarantineCheck measures the check that every request pays while the table of
 // verdicts is full.
 func BenchmarkQuarantineCheck(b *testing.B) {
-	var m poison.Machine
+	var m poison.Detector
 	now := time.Now()
 	for i := range poison.MaxVerdicts {
-		m.Learn(now, []poison.Verdict{{Request: content(fmt.Sprint(i)), Round: 1, At: now}})
+		m.Merge(now, []poison.Verdict{{Request: content(fmt.Sprint(i)), Round: 1, QuarantinedAt: now}})
 	}
 	f := content("other")
 	for b.Loop() {
-		m.Condemned(now, f)
+		m.Quarantined(now, f)
 	}
 }
 
--- a/quarantine/exits.go
+++ b/quarantine/exits.go
@@ -12,7 +12,7 @@
 
 // Attempt is an attempt whose connection the replica closed before the response was
 // complete.
-type Attempt struct {
+type InterruptedAttempt struct {
 	Service, Replica string
 	// Address is the replica's ip:port.
 	Address string
@@ -28,23 +28,23 @@
 
 // exitCheck is a pending check of a replica at which attempts were interrupted.
 type exitCheck struct {
-	poison.End
+	poison.Crash
 	address string
 }
 
 // BrokeOff records an attempt whose connection the replica closed, and schedules a check
 // whether the replica has exited. Attempts at the same replica that are interrupted
 // before the check are covered by it.
-func (s *Service) BrokeOff(a Attempt) {
+func (s *Service) AttemptInterrupted(a InterruptedAttempt) {
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	suspect := poison.Suspect{Request: a.Request, Ran: now.Sub(a.Began), Served: s.machine.LastServed(a.Request)}
+	suspect := poison.Suspect{Request: a.Request, RunTime: now.Sub(a.Began), LastSuccess: s.machine.LastSuccess(a.Request)}
 	if known := s.exitChecks[a.Replica]; known != nil {
 		known.Suspects = append(known.Suspects, suspect)
 		return
 	}
-	e := &exitCheck{poison.End{Service: a.Service, Replica: a.Replica, At: now, Suspects: []poison.Suspect{suspect}}, a.Address}
+	e := &exitCheck{poison.Crash{Service: a.Service, Replica: a.Replica, At: now, Suspects: []poison.Suspect{suspect}}, a.Address}
 	s.exitChecks[a.Replica] = e
 	clock.AfterFunc(exitCheckDelay, func() { s.checkExit(e) })
 }
@@ -53,7 +53,7 @@
 // Connections also break for other reasons: after an aborted response or a network reset
 // the port is still open, and a machine that is down does not respond at all.
 func (s *Service) checkExit(e *exitCheck) {
-	refused, err := s.cfg.Replicas.Refused(context.Background(), e.address)
+	refused, err := s.cfg.Replicas.RefusesConnections(context.Background(), e.address)
 	s.mu.Lock()
 	delete(s.exitChecks, e.Replica)
 	s.mu.Unlock()
@@ -61,18 +61,18 @@
 	case err != nil:
 		s.log.Info("could not check whether a replica has exited", zap.String("replica", e.Replica), zap.Error(err))
 	case refused:
-		s.recordExit(e.End)
+		s.recordExit(e.Crash)
 	}
 }
 
 // recordExit records a confirmed replica exit for reporting.
-func (s *Service) recordExit(e poison.End) {
-	if s.cfg.Ended != nil {
-		s.cfg.Ended(e)
+func (s *Service) recordExit(e poison.Crash) {
+	if s.cfg.OnReplicaCrash != nil {
+		s.cfg.OnReplicaCrash(e)
 	}
 	contents, ran := make([]string, 0, len(e.Suspects)), make([]time.Duration, 0, len(e.Suspects))
 	for _, suspect := range e.Suspects {
-		contents, ran = append(contents, suspect.Request.String()), append(ran, suspect.Ran)
+		contents, ran = append(contents, suspect.Request.String()), append(ran, suspect.RunTime)
 	}
 	s.log.Warn("replica exited while requests were running on it", zap.String("service", e.Service), zap.String("replica", e.Replica),
 		zap.Strings("contents", contents), zap.Durations("ran", ran))
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -51,7 +51,7 @@
 func (s *Service) updateQuarantinedCount(now time.Time) {
 	n := 0
 	for _, v := range s.machine.Verdicts() {
-		if _, quarantined := s.machine.Condemned(now, v.Request); quarantined {
+		if _, quarantined := s.machine.Quarantined(now, v.Request); quarantined {
 			n++
 		}
 	}
@@ -62,13 +62,13 @@
 func (s *Service) logVerdict(now time.Time, from string, v poison.Verdict) {
 	fields := []zap.Field{
 		zap.Stringer("content", v.Request), zap.Uint32("round", v.Round), zap.Uint32("trials", v.Trials), zap.Bool("doubtful", v.Doubtful),
-		zap.String("peer", from), zap.Duration("age", now.Sub(v.At)), zap.Duration("since", now.Sub(v.Since)), zap.Strings("ends", s.describeExits(now, v.Request)),
+		zap.String("peer", from), zap.Duration("age", now.Sub(v.QuarantinedAt)), zap.Duration("since", now.Sub(v.FirstCrash)), zap.Strings("ends", s.describeExits(now, v.Request)),
 	}
 	switch {
 	case v.Lifted:
 		s.log.Warn("request released from quarantine", fields...)
 	case v.Trials > 0:
-		s.log.Warn("trials of a quarantined request changed", append(fields, zap.Uint32("untried", v.Untried))...)
+		s.log.Warn("trials of a quarantined request changed", append(fields, zap.Uint32("untried", v.UnusedTrials))...)
 	default:
 		s.log.Warn("request quarantined", fields...)
 	}
@@ -78,7 +78,7 @@
 // The caller holds the lock.
 func (s *Service) describeExits(now time.Time, f poison.Fingerprint) []string {
 	var out []string
-	for _, e := range s.machine.EndsUnder(f) {
+	for _, e := range s.machine.CrashesOf(f) {
 		out = append(out, fmt.Sprintf("%s %.1f s ago, %d requests", e.Replica, now.Sub(e.At).Seconds(), len(e.Suspects)))
 	}
 	return out
@@ -99,7 +99,7 @@
 func (s *Service) mergeVerdicts(from string, verdicts []*wire.Verdict) {
 	now := clock.Now()
 	s.mu.Lock()
-	changed := s.machine.Learn(now, verdictsFromWire(now, verdicts))
+	changed := s.machine.Merge(now, verdictsFromWire(now, verdicts))
 	s.mu.Unlock()
 	s.applyVerdicts(from, changed)
 }
@@ -116,7 +116,7 @@
 
 // Heard compares a neighbour's digest with the local one and starts an exchange if they
 // differ. It does not block.
-func (s *Service) Heard(h member.SlotHeard) {
+func (s *Service) DigestReceived(h member.SlotReceived) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
--- a/quarantine/messages.go
+++ b/quarantine/messages.go
@@ -25,14 +25,14 @@
 // maxAgeMS limits the ages accepted from a message to twice the lifetime of a verdict.
 const maxAgeMS = int64(2 * poison.Lifetime / time.Millisecond)
 
-func exitsToWire(now time.Time, exits []poison.End) *wire.ReplicasEnded {
+func exitsToWire(now time.Time, exits []poison.Crash) *wire.ReplicasEnded {
 	out := &wire.ReplicasEnded{}
 	for _, e := range exits {
 		exit := &wire.ReplicaEnd{Service: e.Service, Replica: e.Replica, AgeMs: toAgeMS(now, e.At)}
 		for _, s := range e.Suspects {
-			suspect := &wire.EndSuspect{Request: s.Request[:], RanMs: uint32(max(0, s.Ran.Milliseconds()))}
-			if !s.Served.IsZero() {
-				suspect.ServedMs = max(1, toAgeMS(now, s.Served))
+			suspect := &wire.EndSuspect{Request: s.Request[:], RanMs: uint32(max(0, s.RunTime.Milliseconds()))}
+			if !s.LastSuccess.IsZero() {
+				suspect.ServedMs = max(1, toAgeMS(now, s.LastSuccess))
 			}
 			exit.Suspects = append(exit.Suspects, suspect)
 		}
@@ -41,18 +41,18 @@
 	return out
 }
 
-func exitsFromWire(now time.Time, m *wire.ReplicasEnded) []poison.End {
-	var exits []poison.End
+func exitsFromWire(now time.Time, m *wire.ReplicasEnded) []poison.Crash {
+	var exits []poison.Crash
 	for _, e := range m.GetEnds() {
-		exit := poison.End{Service: e.GetService(), Replica: e.GetReplica(), At: fromAgeMS(now, e.GetAgeMs())}
+		exit := poison.Crash{Service: e.GetService(), Replica: e.GetReplica(), At: fromAgeMS(now, e.GetAgeMs())}
 		for _, s := range e.GetSuspects() {
 			f, ok := parseFingerprint(s.GetRequest())
 			if !ok {
 				continue
 			}
-			suspect := poison.Suspect{Request: f, Ran: time.Duration(s.GetRanMs()) * time.Millisecond}
+			suspect := poison.Suspect{Request: f, RunTime: time.Duration(s.GetRanMs()) * time.Millisecond}
 			if s.GetServedMs() > 0 {
-				suspect.Served = fromAgeMS(now, s.GetServedMs())
+				suspect.LastSuccess = fromAgeMS(now, s.GetServedMs())
 			}
 			exit.Suspects = append(exit.Suspects, suspect)
 		}
@@ -65,11 +65,11 @@
 	out := make([]*wire.Verdict, 0, len(verdicts))
 	for _, v := range verdicts {
 		w := &wire.Verdict{
-			Request: v.Request[:], Round: v.Round, Lifted: v.Lifted, Trials: v.Trials, Untried: v.Untried, Doubtful: v.Doubtful,
-			AgeMs: toAgeMS(now, v.At), SinceMs: toAgeMS(now, v.Since),
+			Request: v.Request[:], Round: v.Round, Lifted: v.Lifted, Trials: v.Trials, Untried: v.UnusedTrials, Doubtful: v.Doubtful,
+			AgeMs: toAgeMS(now, v.QuarantinedAt), SinceMs: toAgeMS(now, v.FirstCrash),
 		}
 		if v.Trials > 0 {
-			w.TriedMs = toAgeMS(now, v.TriedAt)
+			w.TriedMs = toAgeMS(now, v.LastTrial)
 		}
 		out = append(out, w)
 	}
@@ -84,11 +84,11 @@
 			continue
 		}
 		v := poison.Verdict{
-			Request: f, Round: w.GetRound(), Lifted: w.GetLifted(), Trials: w.GetTrials(), Untried: w.GetUntried(), Doubtful: w.GetDoubtful(),
-			At: fromAgeMS(now, w.GetAgeMs()), Since: fromAgeMS(now, w.GetSinceMs()),
+			Request: f, Round: w.GetRound(), Lifted: w.GetLifted(), Trials: w.GetTrials(), UnusedTrials: w.GetUntried(), Doubtful: w.GetDoubtful(),
+			QuarantinedAt: fromAgeMS(now, w.GetAgeMs()), FirstCrash: fromAgeMS(now, w.GetSinceMs()),
 		}
 		if v.Trials > 0 {
-			v.TriedAt = fromAgeMS(now, w.GetTriedMs())
+			v.LastTrial = fromAgeMS(now, w.GetTriedMs())
 		}
 		out = append(out, v)
 	}
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -83,7 +83,7 @@
 }
 
 // Refused implements quarantine.Replicas.
-func (n *network) Refused(_ context.Context, address string) (bool, error) {
+func (n *network) RefusesConnections(_ context.Context, address string) (bool, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.listening[address], nil
@@ -135,7 +135,7 @@
 		for _, name := range h.Neighbours() {
 			for _, o := range n.all() {
 				if o.name == name && o.slot.Load() != nil && !o.disconnected.Load() && !h.disconnected.Load() {
-					h.Heard(member.SlotHeard{ID: member.SlotQuarantine, Host: o.name, Value: *o.slot.Load()})
+					h.DigestReceived(member.SlotReceived{ID: member.SlotQuarantine, Host: o.name, Value: *o.slot.Load()})
 				}
 			}
 		}
@@ -144,7 +144,7 @@
 
 // interruptAttempt reports an attempt whose connection a replica closed.
 func (h *host) interruptAttempt(replica, request string) {
-	h.BrokeOff(quarantine.Attempt{Service: "llm", Replica: replica, Address: replica, Request: content(request), Began: clock.Now().Add(-50 * time.Millisecond)})
+	h.AttemptInterrupted(quarantine.InterruptedAttempt{Service: "llm", Replica: replica, Address: replica, Request: content(request), Began: clock.Now().Add(-50 * time.Millisecond)})
 }
 
 func content(name string) poison.Fingerprint {
@@ -152,7 +152,7 @@
 }
 
 func (h *host) isQuarantined(request string) bool {
-	_, quarantined := h.Condemned(content(request))
+	_, quarantined := h.Quarantined(content(request))
 	return quarantined
 }
 
@@ -191,7 +191,7 @@
 		hosts := n.all()
 		hosts[4].interruptAttempt("r0", "x")
 		hosts[4].interruptAttempt("r1", "x")
-		Eventually(func() int { return hosts[0].Dump().Stats.Ends }, propagationTimeout).Should(Equal(2))
+		Eventually(func() int { return hosts[0].Dump().Stats.Crashes }, propagationTimeout).Should(Equal(2))
 		hosts[4].stop()
 		hosts[4].disconnected.Store(true)
 		hosts[3].interruptAttempt("r2", "x")
@@ -203,10 +203,10 @@
 		hosts := n.all()
 		hosts[4].interruptAttempt("r0", "x")
 		hosts[3].interruptAttempt("r1", "x")
-		Eventually(func() int { return hosts[1].Dump().Stats.Ends }, propagationTimeout).Should(Equal(2))
+		Eventually(func() int { return hosts[1].Dump().Stats.Crashes }, propagationTimeout).Should(Equal(2))
 		hosts[0].disconnected.Store(true)
 		hosts[1].disconnected.Store(true)
-		Eventually(func() int { return hosts[2].Dump().Stats.Ends }, propagationTimeout).Should(Equal(2))
+		Eventually(func() int { return hosts[2].Dump().Stats.Crashes }, propagationTimeout).Should(Equal(2))
 		hosts[4].interruptAttempt("r2", "x")
 		expectQuarantined(hosts[2:]...)
 	})
@@ -255,7 +255,7 @@
 			n.all()[0].interruptAttempt(fmt.Sprint("r", i), "x")
 		}
 		expectQuarantined(n.all()...)
-		n.all()[5].Served(content("x"))
+		n.all()[5].RunSucceeded(content("x"))
 		for _, h := range n.all() {
 			Eventually(func() bool { return h.isQuarantined("x") }, propagationTimeout).Should(BeFalse())
 		}
@@ -269,19 +269,19 @@
 			hosts[1].interruptAttempt(fmt.Sprint("other", i), fmt.Sprint("bystander", i))
 		}
 		for _, h := range hosts[:2] {
-			Eventually(func() int { return h.Dump().Stats.Ends }, propagationTimeout).Should(Equal(3))
+			Eventually(func() int { return h.Dump().Stats.Crashes }, propagationTimeout).Should(Equal(3))
 		}
 		for i := range 3 {
 			hosts[2].interruptAttempt(fmt.Sprint("r", i), "x")
 		}
 		expectQuarantined(hosts...)
-		v, _ := hosts[3].Condemned(content("x"))
+		v, _ := hosts[3].Quarantined(content("x"))
 		Expect(v.Doubtful).To(BeTrue())
-		Expect(hosts[3].Try(context.Background(), v)).To(BeFalse())
+		Expect(hosts[3].RequestTrial(context.Background(), v)).To(BeFalse())
 		granted := func() int {
 			n := 0
 			for _, h := range hosts {
-				if v, ok := h.Condemned(content("x")); ok && h.Try(context.Background(), v) {
+				if v, ok := h.Quarantined(content("x")); ok && h.RequestTrial(context.Background(), v) {
 					n++
 				}
 			}
@@ -291,7 +291,7 @@
 		Consistently(granted, "200ms").Should(BeZero())
 
 		By("granting a trial again that was returned without a run")
-		hosts[3].Untried(content("x"))
+		hosts[3].ReturnTrial(content("x"))
 		Eventually(granted, propagationTimeout).Should(Equal(1))
 		Consistently(granted, "200ms").Should(BeZero())
 	})
@@ -302,8 +302,8 @@
 			n.all()[0].interruptAttempt(fmt.Sprint("r", i), "x")
 		}
 		expectQuarantined(n.all()...)
-		Expect(n.all()[2].Refused()).To(Equal(1))
-		clock.Simulate(poison.Lifetime)
+		Expect(n.all()[2].QuarantinedCount()).To(Equal(1))
+		clock.SimulateSuspension(poison.Lifetime)
 		for range 3 {
 			n.deliverHeartbeats()
 			time.Sleep(600 * time.Millisecond) // longer than the minimum interval between exchanges, 500 ms
@@ -311,6 +311,6 @@
 		before := n.calls.Load()
 		n.deliverHeartbeats()
 		Consistently(n.calls.Load, "200ms").Should(Equal(before))
-		Expect(n.all()[2].Refused()).To(BeZero())
+		Expect(n.all()[2].QuarantinedCount()).To(BeZero())
 	})
 })
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -34,7 +34,7 @@
 
 // report is a replica exit that this daemon observed, with its delivery state.
 type report struct {
-	exit poison.End
+	exit poison.Crash
 	// ackedBy holds, by host name, the incarnation of each host that has acknowledged
 	// the report. evaluatedLocally is set once this daemon has evaluated the report
 	// itself because no coordinator had acknowledged it.
@@ -110,9 +110,9 @@
 func (s *Service) pendingReports(h fleet.Host) []*report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var recent []poison.End
+	var recent []poison.Crash
 	for _, r := range s.reports {
-		if clock.Since(r.exit.At) < poison.MassWindow {
+		if clock.Since(r.exit.At) < poison.OutageWindow {
 			recent = append(recent, r.exit)
 		}
 	}
@@ -122,8 +122,8 @@
 		if incarnation, acked := r.ackedBy[h.Name]; acked && incarnation == h.Incarnation {
 			continue
 		}
-		if len(reportable) < len(recent) && clock.Since(r.exit.At) < poison.MassWindow {
-			i := slices.IndexFunc(reportable, func(e poison.End) bool { return e.Replica == r.exit.Replica })
+		if len(reportable) < len(recent) && clock.Since(r.exit.At) < poison.OutageWindow {
+			i := slices.IndexFunc(reportable, func(e poison.Crash) bool { return e.Replica == r.exit.Replica })
 			if i < 0 {
 				continue
 			}
@@ -134,8 +134,8 @@
 	return due
 }
 
-func exitsOf(reports []*report) []poison.End {
-	exits := make([]poison.End, 0, len(reports))
+func exitsOf(reports []*report) []poison.Crash {
+	exits := make([]poison.Crash, 0, len(reports))
 	for _, r := range reports {
 		exits = append(exits, r.exit)
 	}
@@ -143,7 +143,7 @@
 }
 
 // sendExits passes replica exits to a host, which may be this one.
-func (s *Service) sendExits(ctx context.Context, host string, exits []poison.End) error {
+func (s *Service) sendExits(ctx context.Context, host string, exits []poison.Crash) error {
 	if host == s.cfg.Self {
 		s.evaluate(exits)
 		return nil
@@ -156,7 +156,7 @@
 // evaluateUnacked evaluates, once, the reports that no coordinator has acknowledged.
 func (s *Service) evaluateUnacked() {
 	s.mu.Lock()
-	var unacked []poison.End
+	var unacked []poison.Crash
 	for _, r := range s.reports {
 		if len(r.ackedBy) == 0 && !r.evaluatedLocally {
 			r.evaluatedLocally = true
@@ -168,10 +168,10 @@
 }
 
 // evaluate passes replica exits to the rules and applies the verdicts that follow.
-func (s *Service) evaluate(exits []poison.End) {
+func (s *Service) evaluate(exits []poison.Crash) {
 	for _, e := range exits {
 		s.mu.Lock()
-		changed := s.machine.Ended(clock.Now(), e)
+		changed := s.machine.RecordCrash(clock.Now(), e)
 		s.mu.Unlock()
 		s.applyVerdicts(s.cfg.Self, changed)
 	}
--- a/quarantine/service.go
+++ b/quarantine/service.go
@@ -31,7 +31,7 @@
 type Replicas interface {
 	// Refused returns whether an address refuses connections, or an error if that could
 	// not be determined.
-	Refused(ctx context.Context, address string) (bool, error)
+	RefusesConnections(ctx context.Context, address string) (bool, error)
 }
 
 // Config holds the dependencies of a Service.
@@ -46,7 +46,7 @@
 	Logger *zap.Logger
 	// Ended is called for each replica that exited while attempts were running on it. It
 	// may be nil and must not block.
-	Ended func(poison.End)
+	OnReplicaCrash func(poison.Crash)
 }
 
 // Service is the quarantine of one daemon. All methods are safe for concurrent use.
@@ -59,7 +59,7 @@
 	wakeup           chan struct{}
 
 	mu         sync.Mutex
-	machine    poison.Machine
+	machine    poison.Detector
 	exitChecks map[string]*exitCheck // by replica
 	reports    []*report
 	// watches are notified when their request is quarantined.
@@ -74,8 +74,8 @@
 type watch struct{ notify func() }
 
 // Extension returns the heartbeat slot that carries the digest of the verdicts.
-func Extension() member.Extension {
-	return member.Extension{ID: member.SlotQuarantine, MaxBytes: digestBytes}
+func Extension() member.SlotConfig {
+	return member.SlotConfig{ID: member.SlotQuarantine, MaxBytes: digestBytes}
 }
 
 const digestBytes = 8
@@ -113,22 +113,22 @@
 
 // Served records a successful run of a request, which lifts any verdict on it: the
 // replica answered and did not exit.
-func (s *Service) Served(f poison.Fingerprint) {
+func (s *Service) RunSucceeded(f poison.Fingerprint) {
 	s.mu.Lock()
-	changed := s.machine.Served(clock.Now(), f)
+	changed := s.machine.RecordSuccess(clock.Now(), f)
 	s.mu.Unlock()
 	s.applyVerdicts(s.cfg.Self, changed)
 }
 
 // Condemned returns the verdict because of which a request must not be sent to a
 // replica. It returns false if the request is not quarantined.
-func (s *Service) Condemned(f poison.Fingerprint) (poison.Verdict, bool) {
+func (s *Service) Quarantined(f poison.Fingerprint) (poison.Verdict, bool) {
 	if s.quarantinedCount.Load() == 0 {
 		return poison.Verdict{}, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.machine.Condemned(clock.Now(), f)
+	return s.machine.Quarantined(clock.Now(), f)
 }
 
 // Watch calls notify once when the request is quarantined. stop cancels the watch.
@@ -153,7 +153,7 @@
 // Try asks for a trial run of a quarantined request, which checks whether the verdict
 // was wrong. Only the first coordinator grants trials, so that one runs at a time; if it
 // does not answer, the trial is denied.
-func (s *Service) Try(ctx context.Context, v poison.Verdict) bool {
+func (s *Service) RequestTrial(ctx context.Context, v poison.Verdict) bool {
 	if v.RetryAfter(clock.Now()) > 0 {
 		return false
 	}
@@ -161,7 +161,7 @@
 }
 
 // Untried returns a trial that Try granted but that did not lead to a run.
-func (s *Service) Untried(f poison.Fingerprint) {
+func (s *Service) ReturnTrial(f poison.Fingerprint) {
 	go s.callFirstCoordinator(context.Background(), &wire.TrialRequest{Request: f[:], Untried: true}, s.returnTrial)
 }
 
@@ -189,7 +189,7 @@
 // grantTrial grants a trial if one is due, and returns whether it did.
 func (s *Service) grantTrial(f poison.Fingerprint) bool {
 	s.mu.Lock()
-	v, granted := s.machine.Try(clock.Now(), f)
+	v, granted := s.machine.GrantTrial(clock.Now(), f)
 	s.mu.Unlock()
 	if granted {
 		s.applyVerdicts(s.cfg.Self, []poison.Verdict{v})
@@ -200,7 +200,7 @@
 // returnTrial records that a granted trial did not lead to a run.
 func (s *Service) returnTrial(f poison.Fingerprint) bool {
 	s.mu.Lock()
-	v, changed := s.machine.Untried(f)
+	v, changed := s.machine.ReturnTrial(f)
 	s.mu.Unlock()
 	if changed {
 		s.applyVerdicts(s.cfg.Self, []poison.Verdict{v})
@@ -253,14 +253,14 @@
 	for _, v := range s.machine.Verdicts() {
 		d.Verdicts = append(d.Verdicts, DumpedVerdict{
 			Content: v.Request.String(), Round: v.Round, Lifted: v.Lifted, Doubtful: v.Doubtful, Trials: v.Trials,
-			Age: now.Sub(v.At).Seconds(), Exits: s.describeExits(now, v.Request),
+			Age: now.Sub(v.QuarantinedAt).Seconds(), Exits: s.describeExits(now, v.Request),
 		})
 	}
 	return d
 }
 
 // Refused returns the number of quarantined requests.
-func (s *Service) Refused() int {
+func (s *Service) QuarantinedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.updateQuarantinedCount(clock.Now()) // some verdicts may have expired
--- a/record/record.go
+++ b/record/record.go
@@ -18,18 +18,18 @@
 	Upstream string  `json:"upstream"`
 	Score    float64 `json:"score"`
 	// Refused says which filter refused the candidate and why; else empty.
-	Refused string `json:"refused,omitempty"`
+	RefusalReason string `json:"refused,omitempty"`
 }
 
 // Entry is one decision.
 type Entry struct {
-	At      time.Time   `json:"at"`
-	Step    Step        `json:"step"`
-	Stage   string      `json:"stage,omitempty"`
-	Attempt int         `json:"attempt,omitempty"`
-	Outcome string      `json:"outcome"`
-	Fields  []Field     `json:"fields,omitempty"`
-	Choices []Candidate `json:"candidates,omitempty"`
+	At         time.Time   `json:"at"`
+	Step       Step        `json:"step"`
+	Stage      string      `json:"stage,omitempty"`
+	Attempt    int         `json:"attempt,omitempty"`
+	Outcome    string      `json:"outcome"`
+	Fields     []Field     `json:"fields,omitempty"`
+	Candidates []Candidate `json:"candidates,omitempty"`
 }
 
 // Recorder takes the entries of one request. Implementations belong to one
--- a/record/store.go
+++ b/record/store.go
@@ -81,7 +81,7 @@
 }
 
 // Begin returns the log of request id, made empty if the store has none.
-func (s *Store) Begin(id string) *Log {
+func (s *Store) GetOrCreate(id string) *Log {
 	sh := s.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -180,8 +180,8 @@
 	for _, f := range e.Fields {
 		n += fieldOverhead + len(f.Key) + len(f.Value)
 	}
-	for _, c := range e.Choices {
-		n += fieldOverhead + len(c.Upstream) + len(c.Refused)
+	for _, c := range e.Candidates {
+		n += fieldOverhead + len(c.Upstream) + len(c.RefusalReason)
 	}
 	return n
 }
--- a/record/store_test.go
+++ b/record/store_test.go
@@ -14,16 +14,16 @@
 var _ = Describe("Store", func() {
 	It("returns the entries of a request in order", func() {
 		s := record.NewStore(1 << 20)
-		l := s.Begin("a")
+		l := s.GetOrCreate("a")
 		l.Add(record.Entry{Step: "admit", Outcome: "admitted"})
 		l.Add(record.Entry{Step: "route", Outcome: "picked"})
-		s.Begin("b").Add(record.Entry{Step: "admit", Outcome: "refused"})
+		s.GetOrCreate("b").Add(record.Entry{Step: "admit", Outcome: "refused"})
 
 		got, ok := s.Get("a")
 		Expect(ok).To(BeTrue())
 		Expect(got).To(HaveLen(2))
 		Expect(got[1].Step).To(Equal(record.Step("route")))
-		Expect(s.Begin("a")).To(BeIdenticalTo(l))
+		Expect(s.GetOrCreate("a")).To(BeIdenticalTo(l))
 		_, ok = s.Get("c")
 		Expect(ok).To(BeFalse())
 	})
@@ -32,7 +32,7 @@
 		s := record.NewStore(256 << 10)
 		text := strings.Repeat("x", 1000)
 		for i := range 2000 {
-			s.Begin(fmt.Sprint(i)).Add(record.Entry{Step: "admit", Outcome: text})
+			s.GetOrCreate(fmt.Sprint(i)).Add(record.Entry{Step: "admit", Outcome: text})
 			Expect(s.Stats().Bytes).To(BeNumerically("<=", 256<<10))
 		}
 		Expect(s.Stats().Requests).To(BeNumerically(">", 100))
@@ -45,13 +45,13 @@
 
 	It("drops what is added to a forgotten request", func() {
 		s := record.NewStore(1)
-		s.Begin("a").Add(record.Entry{Step: "admit"})
+		s.GetOrCreate("a").Add(record.Entry{Step: "admit"})
 		Expect(s.Stats().Bytes).To(BeZero())
 	})
 
 	It("bounds the entries of one request and counts the rest", func() {
 		s := record.NewStore(64 << 20)
-		l := s.Begin("a")
+		l := s.GetOrCreate("a")
 		for range record.MaxEntries + 5 {
 			l.Add(record.Entry{Step: "retry"})
 		}
@@ -67,7 +67,7 @@
 			wg.Go(func() {
 				for i := range 300 {
 					id := fmt.Sprint(g, "-", i)
-					s.Begin(id).Add(record.Entry{Step: "admit", Fields: []record.Field{{Key: "k", Value: id}}})
+					s.GetOrCreate(id).Add(record.Entry{Step: "admit", Fields: []record.Field{{Key: "k", Value: id}}})
 					if got, ok := s.Get(id); ok && got != nil {
 						Expect(got[0].Fields[0].Value).To(Equal(id))
 					}
--- a/replica/client.go
+++ b/replica/client.go
@@ -38,13 +38,13 @@
 // A Client is safe for concurrent use.
 type Client struct {
 	singleUse, pooled *http.Transport
-	onResponse        func(intake.Answer)
+	onResponse        func(intake.ReplicaResponse)
 }
 
 // NewClient returns a client. onResponse is called with the replica's own notices
 // for every response that came from the replica the call was addressed to. It must
 // not block, and may be nil.
-func NewClient(onResponse func(intake.Answer)) *Client {
+func NewClient(onResponse func(intake.ReplicaResponse)) *Client {
 	c := &Client{singleUse: newTransport(), pooled: newTransport(), onResponse: onResponse}
 	c.singleUse.DisableKeepAlives = true
 	c.pooled.MaxIdleConnsPerHost, c.pooled.IdleConnTimeout = 1, pooledIdleTimeout
@@ -64,7 +64,7 @@
 // means that its process has ended. It opens a connection and sends nothing. It
 // returns an error when the connect fails in any other way and the state of the
 // replica is therefore unknown.
-func (c *Client) Refused(ctx context.Context, address string) (bool, error) {
+func (c *Client) RefusesConnections(ctx context.Context, address string) (bool, error) {
 	conn, err := (&net.Dialer{Timeout: connectTimeout, KeepAlive: -1}).DialContext(ctx, "tcp", address)
 	switch {
 	case err == nil:
@@ -81,10 +81,10 @@
 	Replica string
 	// Request is the id of the caller's request that the call relays; "" for other
 	// calls.
-	Request string
+	RequestID string
 	// Work is set for calls that relay a request or run pieces.
-	Work   bool
-	Method string
+	ExecutesRequest bool
+	Method          string
 	// Address is the replica's ip:port.
 	Address string
 	// Target is the path and query, sent unchanged.
@@ -98,7 +98,7 @@
 // Response is the response to a call. The caller must close its body.
 type Response struct {
 	*http.Response
-	Head platform.Answer
+	Head platform.ResponseHead
 }
 
 // Do makes a call on a connection of its own. Canceling ctx also ends the read of
@@ -129,12 +129,12 @@
 // notifyResponse passes the replica's own notices to onResponse, unless another
 // replica answered or the response belongs to another request.
 func (c *Client) notifyResponse(sentAt time.Time, call Call, r *Response) {
-	if c.onResponse == nil || r.Head.OtherReplica {
+	if c.onResponse == nil || r.Head.Misdirected {
 		return
 	}
-	if call.Request != r.Head.RequestID && !r.Head.NotExecuted {
+	if call.RequestID != r.Head.RequestID && !r.Head.NotExecuted {
 		return
 	}
-	served := call.Work && r.StatusCode < http.StatusMultipleChoices
-	c.onResponse(intake.Answer{Replica: call.Replica, Address: call.Address, Sent: sentAt, Served: served, Notice: r.Head.Notice})
+	served := call.ExecutesRequest && r.StatusCode < http.StatusMultipleChoices
+	c.onResponse(intake.ReplicaResponse{Replica: call.Replica, Address: call.Address, Sent: sentAt, Served: served, Notice: r.Head.Notice})
 }
--- a/replica/engine.go
+++ b/replica/engine.go
@@ -14,9 +14,9 @@
 // Errors returned by calls to engines.
 var (
 	// ErrNoRoom means that the engine has no free capacity for a reservation.
-	ErrNoRoom = errors.New("engine has no capacity for a reservation")
+	ErrNoCapacity = errors.New("engine has no capacity for a reservation")
 	// ErrUnknownCall means that the replica responds but does not support the call.
-	ErrUnknownCall = errors.New("replica does not support the call")
+	ErrUnsupportedCall = errors.New("replica does not support the call")
 	// ErrMisdirected means that the address now belongs to another replica.
 	ErrMisdirected = errors.New("address belongs to another replica")
 )
@@ -30,15 +30,15 @@
 // engine answers with another status than 200 or resets the connection, and
 // platform.ErrMalformed when the report can't be parsed. Any other error means that
 // the engine did not respond.
-func (c *Client) Runs(ctx context.Context, replica, address string) (platform.Runs, error) {
+func (c *Client) EngineReport(ctx context.Context, replica, address string) (platform.EngineReport, error) {
 	status, body, err := c.doSingleUse(ctx, newEngineCall(http.MethodGet, platform.ReportPath, replica, address, nil), maxReportBytes)
 	switch {
 	case err != nil && httpbody.BrokenOff(err):
-		return platform.Runs{}, fmt.Errorf("%w: %w", ErrUnknownCall, err)
+		return platform.EngineReport{}, fmt.Errorf("%w: %w", ErrUnsupportedCall, err)
 	case err != nil:
-		return platform.Runs{}, err
+		return platform.EngineReport{}, err
 	case status != http.StatusOK:
-		return platform.Runs{}, fmt.Errorf("%w: status %d", ErrUnknownCall, status)
+		return platform.EngineReport{}, fmt.Errorf("%w: status %d", ErrUnsupportedCall, status)
 	}
 	return platform.DecodeEngineReport(body)
 }
@@ -46,7 +46,7 @@
 // Hold reserves a slot and memory at an engine for a request of the given number of
 // tokens and returns the id of the reservation. The reservation expires after ttl
 // unless a request uses it.
-func (c *Client) Hold(ctx context.Context, replica, address string, tokens int, ttl time.Duration) (string, error) {
+func (c *Client) Reserve(ctx context.Context, replica, address string, tokens int, ttl time.Duration) (string, error) {
 	body, err := platform.EncodeReservation(tokens, ttl)
 	if err != nil {
 		return "", err
@@ -56,15 +56,15 @@
 	case err != nil:
 		return "", err
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
-		return "", fmt.Errorf("%w: status %d", ErrNoRoom, status)
+		return "", fmt.Errorf("%w: status %d", ErrNoCapacity, status)
 	case status != http.StatusOK:
-		return "", fmt.Errorf("%w: status %d", ErrUnknownCall, status)
+		return "", fmt.Errorf("%w: status %d", ErrUnsupportedCall, status)
 	}
 	return platform.DecodeReservation(responseBody)
 }
 
 // DropHold releases a reservation.
-func (c *Client) DropHold(ctx context.Context, replica, address, reservationID string) error {
+func (c *Client) ReleaseReservation(ctx context.Context, replica, address, reservationID string) error {
 	call := newEngineCall(http.MethodDelete, platform.ReleaseReservationTarget(reservationID), replica, address, nil)
 	status, _, err := c.doSingleUse(ctx, call, maxReservationResponseBytes)
 	if err == nil && status >= http.StatusMultipleChoices {
@@ -81,7 +81,7 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	if resp.Head.OtherReplica {
+	if resp.Head.Misdirected {
 		return 0, nil, ErrMisdirected
 	}
 	body, err = httpbody.Read(resp.Body, maxBytes)
--- a/replica/engine_test.go
+++ b/replica/engine_test.go
@@ -15,10 +15,10 @@
 )
 
 var _ = Describe("fetching an engine's report", func() {
-	fetchReport := func(address string, timeout time.Duration) (platform.Runs, error) {
+	fetchReport := func(address string, timeout time.Duration) (platform.EngineReport, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
-		return replica.NewClient(nil).Runs(ctx, "r", address)
+		return replica.NewClient(nil).EngineReport(ctx, "r", address)
 	}
 
 	It("returns the runs", func() {
@@ -27,15 +27,15 @@
 			Expect(r.Header.Get("Expected-Replica")).To(Equal("r"))
 			_, _ = io.WriteString(w, `{"queued":1,"runs":[["a",10,3,5]]}`)
 		})
-		Expect(fetchReport(s.address(), time.Second)).To(Equal(platform.Runs{Told: true, Waiting: 1, Made: map[string]int{"a": 3}}))
+		Expect(fetchReport(s.address(), time.Second)).To(Equal(platform.EngineReport{HasRuns: true, Queued: 1, EventsByRequest: map[string]int{"a": 3}}))
 	})
 
 	DescribeTable("distinguishes an engine with an unexpected response from one that does not respond", func(handler http.HandlerFunc, want error) {
 		_, err := fetchReport(serve(handler).address(), 200*time.Millisecond)
 		Expect(err).To(MatchError(want))
 	},
-		Entry("reports not supported", http.HandlerFunc(http.NotFound), replica.ErrUnknownCall),
-		Entry("connection reset", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, replica.ErrUnknownCall),
+		Entry("reports not supported", http.HandlerFunc(http.NotFound), replica.ErrUnsupportedCall),
+		Entry("connection reset", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, replica.ErrUnsupportedCall),
 		Entry("another replica", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) }, replica.ErrMisdirected),
 		Entry("no response", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, context.DeadlineExceeded),
 	)
@@ -46,13 +46,13 @@
 		Expect(l.Close()).To(Succeed())
 		_, err = fetchReport(l.Addr().String(), time.Second)
 		Expect(err).To(HaveOccurred())
-		Expect(err).NotTo(MatchError(replica.ErrUnknownCall))
+		Expect(err).NotTo(MatchError(replica.ErrUnsupportedCall))
 	})
 })
 
 var _ = Describe("reserving capacity at an engine", func() {
 	reserve := func(s *server) (string, error) {
-		return replica.NewClient(nil).Hold(context.Background(), "r", s.address(), 1460, time.Second)
+		return replica.NewClient(nil).Reserve(context.Background(), "r", s.address(), 1460, time.Second)
 	}
 
 	It("returns the reservation's id, with which it is released", func() {
@@ -63,7 +63,7 @@
 			_, _ = io.WriteString(w, `{"hold":"h7"}`)
 		})
 		Expect(reserve(s)).To(Equal("h7"))
-		Expect(replica.NewClient(nil).DropHold(context.Background(), "r", s.address(), "h7")).To(Succeed())
+		Expect(replica.NewClient(nil).ReleaseReservation(context.Background(), "r", s.address(), "h7")).To(Succeed())
 		Expect(calls).To(Equal([]string{`POST /-/hold-take {"token_count":1460,"ttl_ms":1000}`, `DELETE /-/hold-drop/h7 `}))
 	})
 
@@ -71,9 +71,9 @@
 		_, err := reserve(serve(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
 		Expect(err).To(MatchError(want))
 	},
-		Entry("no capacity", http.StatusServiceUnavailable, replica.ErrNoRoom),
-		Entry("too many calls", http.StatusTooManyRequests, replica.ErrNoRoom),
-		Entry("not supported", http.StatusNotFound, replica.ErrUnknownCall),
+		Entry("no capacity", http.StatusServiceUnavailable, replica.ErrNoCapacity),
+		Entry("too many calls", http.StatusTooManyRequests, replica.ErrNoCapacity),
+		Entry("not supported", http.StatusNotFound, replica.ErrUnsupportedCall),
 		Entry("another replica", http.StatusMisdirectedRequest, replica.ErrMisdirected),
 	)
 })
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -50,14 +50,14 @@
 
 var _ = Describe("releasing results", func() {
 	release := func(s *server) error {
-		return replica.NewClient(nil).FreeResults(context.Background(), stage.Free{Replica: "r", Address: s.address(), Handles: []string{"h"}})
+		return replica.NewClient(nil).ReleaseResults(context.Background(), stage.Release{Replica: "r", Address: s.address(), Handles: []string{"h"}})
 	}
 
 	It("reuses one connection for successive calls", func() {
 		s := serve(func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) })
 		c := replica.NewClient(nil)
 		for range 5 {
-			Expect(c.FreeResults(context.Background(), stage.Free{Replica: "r", Address: s.address(), Handles: []string{"h"}})).To(Succeed())
+			Expect(c.ReleaseResults(context.Background(), stage.Release{Replica: "r", Address: s.address(), Handles: []string{"h"}})).To(Succeed())
 		}
 		Expect(s.calls.Load()).To(Equal(int64(5)))
 		Expect(s.connections.Load()).To(Equal(int64(1)))
@@ -80,19 +80,19 @@
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(relay.Close)
 		c := replica.NewClient(nil)
-		request := stage.Free{Replica: "r", Address: relay.Address(), Handles: []string{"h"}}
-		Expect(c.FreeResults(context.Background(), request)).To(Succeed())
+		request := stage.Release{Replica: "r", Address: relay.Address(), Handles: []string{"h"}}
+		Expect(c.ReleaseResults(context.Background(), request)).To(Succeed())
 		Expect(relay.Silence()).To(Equal(1))
 		boundedCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		Expect(c.FreeResults(boundedCtx, request)).To(Succeed())
+		Expect(c.ReleaseResults(boundedCtx, request)).To(Succeed())
 	})
 
 	It("is not retried when this host was suspended until after the response had arrived", func() {
 		for range 10 {
 			s := serve(func(_ http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
-				clock.Simulate(500 * time.Millisecond)
+				clock.SimulateSuspension(500 * time.Millisecond)
 			})
 			Expect(release(s)).To(Succeed())
 			Expect(s.calls.Load()).To(Equal(int64(1)))
@@ -109,16 +109,16 @@
 		})
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
-		err := replica.NewClient(nil).FreeResults(ctx, stage.Free{Replica: "r", Address: silent.address(), Handles: []string{"h"}})
+		err := replica.NewClient(nil).ReleaseResults(ctx, stage.Release{Replica: "r", Address: silent.address(), Handles: []string{"h"}})
 		Expect(err).To(MatchError(context.DeadlineExceeded))
 		Expect(silent.calls.Load()).To(Equal(int64(1)))
 	})
 })
 
 var _ = Describe("querying free memory", func() {
-	fetchFreeMemory := func(handler http.HandlerFunc) (stage.Room, error) {
+	fetchFreeMemory := func(handler http.HandlerFunc) (stage.FreeMemory, error) {
 		s := serve(handler)
-		return replica.NewClient(nil).Room(context.Background(), stage.Inspect{Replica: "r@7", Address: s.address()})
+		return replica.NewClient(nil).FreeMemory(context.Background(), stage.QueryMemory{Replica: "r@7", Address: s.address()})
 	}
 
 	It("returns bounds in bytes for a report in whole megabytes", func() {
@@ -128,7 +128,7 @@
 			_, _ = io.WriteString(w, `{"queued":1,"busy":1,"free_mb":3}`)
 		})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(freeMemory).To(Equal(stage.Room{Least: 3_000_000, Most: 4_000_000}))
+		Expect(freeMemory).To(Equal(stage.FreeMemory{Min: 3_000_000, Max: 4_000_000}))
 	})
 
 	DescribeTable("fails without a valid report", func(status int, body string) {
--- a/replica/stage.go
+++ b/replica/stage.go
@@ -31,7 +31,7 @@
 		return nil, stage.CallNotExecuted, err
 	}
 	call := newStageCall(platform.StageRunPath, run.Replica, run.Address, body)
-	call.Work = true
+	call.ExecutesRequest = true
 	resp, err := c.Do(ctx, call)
 	if err != nil {
 		if httpbody.NotSent(err) {
@@ -42,7 +42,7 @@
 	defer resp.Body.Close()
 	respBody, err := httpbody.Read(resp.Body, maxStageResponseBytes)
 	switch {
-	case resp.Head.OtherReplica:
+	case resp.Head.Misdirected:
 		return nil, stage.CallUnreachable, ErrMisdirected
 	case resp.Head.NotExecuted:
 		return nil, stage.CallNotExecuted, fmt.Errorf("%w: status %d", errNotExecuted, resp.StatusCode)
@@ -73,7 +73,7 @@
 // FreeResults releases results at the replica that holds them. It makes a second
 // attempt when the first fails, because the replica may have dropped the idle
 // connection that the first attempt uses, even without closing it.
-func (c *Client) FreeResults(ctx context.Context, release stage.Free) error {
+func (c *Client) ReleaseResults(ctx context.Context, release stage.Release) error {
 	body, err := platform.EncodeRelease(release.Handles)
 	if err != nil {
 		return err
@@ -94,19 +94,19 @@
 
 // Room fetches how much memory for results a replica had free a moment ago, as lower
 // and upper bounds in bytes.
-func (c *Client) Room(ctx context.Context, query stage.Inspect) (stage.Room, error) {
+func (c *Client) FreeMemory(ctx context.Context, query stage.QueryMemory) (stage.FreeMemory, error) {
 	call := newStageCall(platform.ReportPath, query.Replica, query.Address, nil)
 	call.Method = http.MethodGet
 	call.Header.Del("Content-Type")
 	status, respBody, err := c.doPooled(ctx, call, maxReportBytes)
 	switch {
 	case err != nil:
-		return stage.Room{}, err
+		return stage.FreeMemory{}, err
 	case status != http.StatusOK:
-		return stage.Room{}, fmt.Errorf("status %d", status)
+		return stage.FreeMemory{}, fmt.Errorf("status %d", status)
 	}
 	minBytes, maxBytes, err := platform.DecodeFreeMemory(respBody)
-	return stage.Room{Least: minBytes, Most: maxBytes}, err
+	return stage.FreeMemory{Min: minBytes, Max: maxBytes}, err
 }
 
 // release makes one attempt to release results. It ignores status and body of the
@@ -138,7 +138,7 @@
 	pieces := make([]platform.Piece, 0, len(run.Pieces))
 	for _, p := range run.Pieces {
 		pieces = append(pieces, platform.Piece{
-			Request: p.Job, Stage: p.Stage, Index: p.Index, TimeLeftMS: platform.PositiveMS(p.Left), Key: p.Key, Inputs: p.Inputs,
+			Request: p.Job, Stage: p.Stage, Index: p.Index, TimeLeftMS: platform.PositiveMS(p.TimeLeft), Key: p.Key, Inputs: p.Inputs,
 		})
 	}
 	return pieces
@@ -151,15 +151,15 @@
 		res := stage.Result{Handle: r.Handle}
 		switch r.Reason {
 		case "":
-			res.Kind = stage.Made
+			res.Kind = stage.PieceCompleted
 		case platform.ReasonExpired:
-			res.Kind = stage.TooLate
+			res.Kind = stage.PieceExpired
 		case platform.ReasonInputMissing:
-			res.Kind = stage.InputGone
+			res.Kind = stage.PieceInputMissing
 		case platform.ReasonOutOfMemory:
-			res.Kind = stage.NoRoom
+			res.Kind = stage.PieceOutOfMemory
 		default:
-			res.Kind = stage.Broken
+			res.Kind = stage.PieceFailed
 		}
 		out = append(out, res)
 	}
--- a/service/client.go
+++ b/service/client.go
@@ -40,8 +40,8 @@
 	Customer  string
 	Stage     string
 	// Key is sent as Idempotency-Key when set.
-	Key   string
-	Input json.RawMessage
+	IdempotencyKey string
+	Input          json.RawMessage
 	// NotAfter is checked right before the call is sent.
 	NotAfter time.Time
 }
@@ -128,8 +128,8 @@
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(httpbody.HeaderRequestID, call.RequestID)
 	req.Header.Set(httpbody.HeaderAttempt, strconv.Itoa(call.Attempt))
-	if call.Key != "" {
-		req.Header.Set("Idempotency-Key", call.Key)
+	if call.IdempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", call.IdempotencyKey)
 	}
 	return req, nil
 }
@@ -157,23 +157,23 @@
 }
 
 // StatusState is what a service knows of a call.
-type StatusState string
+type CallState string
 
 // The states that a service reports.
 const (
-	StatusUnknown StatusState = "unknown"
-	StatusRunning StatusState = "running"
-	StatusDone    StatusState = "done"
+	StatusUnknown CallState = "unknown"
+	StatusRunning CallState = "running"
+	StatusDone    CallState = "done"
 )
 
 // Status is a service's answer about a call.
 type Status struct {
-	State  StatusState     `json:"state"`
+	State  CallState       `json:"state"`
 	Result json.RawMessage `json:"result"`
 }
 
 // LookUp asks the service at address what became of the call with key.
-func (c *Client) LookUp(ctx context.Context, address, key string) (Status, error) {
+func (c *Client) LookUpStatus(ctx context.Context, address, key string) (Status, error) {
 	target := "http://" + address + "/v1/status/" + url.PathEscape(key)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -28,7 +28,7 @@
 
 	do := func(address string, notAfter time.Time) (json.RawMessage, *Error) {
 		out, err := client.Do(context.Background(), Call{
-			Address: address, Path: "/v1/seal", RequestID: "r", Attempt: 2, Key: "k",
+			Address: address, Path: "/v1/seal", RequestID: "r", Attempt: 2, IdempotencyKey: "k",
 			Input: json.RawMessage(`1`), NotAfter: notAfter,
 		})
 		if err == nil {
--- a/shares/service.go
+++ b/shares/service.go
@@ -111,7 +111,7 @@
 			s.send(ctx, s.step(share.TimerFired{}))
 		case <-measure.C:
 			if s.cfg.Live != nil {
-				s.step(share.LiveChanged{Hosts: s.cfg.Live()})
+				s.step(share.LiveHostsChanged{Hosts: s.cfg.Live()})
 			}
 			s.send(ctx, s.step(s.demand()))
 		}
@@ -239,7 +239,7 @@
 	v := s.machine.View(now)
 	out := make([]State, 0, len(s.resources))
 	for _, r := range s.resources {
-		out = append(out, State{r.Kind, r.Name, float64(v.Millionths(now, r)) / share.Full})
+		out = append(out, State{r.Kind, r.Name, float64(v.Millionths(now, r)) / share.FullShare})
 	}
 	return out
 }
--- a/soak/backoff.go
+++ b/soak/backoff.go
@@ -41,7 +41,7 @@
 		r.mu.Lock()
 		r.leavingSince[rep.ID] = time.Now()
 		r.mu.Unlock()
-		rep.SayLeaving()
+		rep.AdvertiseLeaving()
 		time.AfterFunc(2*drainBound, func() { r.store.Delete("servers/" + rep.ID) })
 	}
 }
@@ -56,9 +56,9 @@
 		r.mu.Unlock()
 		seconds := strconv.FormatFloat(0.5+2.5*rng.Float64(), 'f', 2, 64)
 		r.recordFault("%s refuses all work and asks for a back-off of %s s", rep.ID, seconds)
-		rep.RefuseForRest(seconds)
+		rep.RefuseWithRetryAfter(seconds)
 		sleep(ctx, randomDuration(rng, 500*time.Millisecond, 3*time.Second))
-		rep.RefuseForRest("")
+		rep.RefuseWithRetryAfter("")
 	}
 }
 
@@ -87,16 +87,16 @@
 		for _, att := range r.attempts {
 			for _, run := range r.ledger.Runs(att.call.ID) {
 				p := daemonIncarnation{att.daemon, att.incarnation}
-				if at, known := informedAt[p]; run.Replica == replica && run.At.After(since) && (!known || att.endedAt.Before(at)) {
+				if at, known := informedAt[p]; run.Replica == replica && run.StartedAt.After(since) && (!known || att.endedAt.Before(at)) {
 					informedAt[p] = att.endedAt
 				}
 			}
 		}
 		for _, a := range r.replicaByID(replica).Arrivals() {
-			s, known := senders[a.Request]
+			s, known := senders[a.RequestID]
 			toldAt, informed := informedAt[s.daemonIncarnation]
-			if known && informed && s.startedAt.Sub(toldAt) > drainBound && s.daemon.ranUninterrupted(toldAt, a.At) {
-				r.recordViolation("leaving: %s reached %s %s after it had told %s that it is leaving", a.Request, replica, s.startedAt.Sub(toldAt).Round(time.Millisecond), s.daemon.name)
+			if known && informed && s.startedAt.Sub(toldAt) > drainBound && s.daemon.ranUninterrupted(toldAt, a.ArrivedAt) {
+				r.recordViolation("leaving: %s reached %s %s after it had told %s that it is leaving", a.RequestID, replica, s.startedAt.Sub(toldAt).Round(time.Millisecond), s.daemon.name)
 			}
 		}
 	}
@@ -109,14 +109,14 @@
 	for _, rep := range r.replicas {
 		arrivals := rep.Arrivals()
 		for i, refusal := range arrivals {
-			seconds, err := strconv.ParseFloat(refusal.Rest, 64)
-			s, known := senders[refusal.Request]
+			seconds, err := strconv.ParseFloat(refusal.RetryAfter, 64)
+			s, known := senders[refusal.RequestID]
 			if err != nil || !known {
 				continue
 			}
-			until := refusal.At.Add(time.Duration(seconds * float64(time.Second)))
-			if n := s.countArrivals(arrivals[i+1:], senders, refusal.At.Add(backoffPropagation), until); n > maxRequestsDuringBackoff && s.daemon.ranUninterrupted(refusal.At.Add(-undisturbedMargin), until) {
-				r.recordViolation("back-off: %s got %d requests from %s in the back-off of %s s that it had asked for", rep.ID, n, s.daemon.name, refusal.Rest)
+			until := refusal.ArrivedAt.Add(time.Duration(seconds * float64(time.Second)))
+			if n := s.countArrivals(arrivals[i+1:], senders, refusal.ArrivedAt.Add(backoffPropagation), until); n > maxRequestsDuringBackoff && s.daemon.ranUninterrupted(refusal.ArrivedAt.Add(-undisturbedMargin), until) {
+				r.recordViolation("back-off: %s got %d requests from %s in the back-off of %s s that it had asked for", rep.ID, n, s.daemon.name, refusal.RetryAfter)
 			}
 		}
 	}
@@ -126,7 +126,7 @@
 func (p daemonIncarnation) countArrivals(arrivals []site.Arrival, senders map[string]sender, from, until time.Time) int {
 	n := 0
 	for _, a := range arrivals {
-		if !a.At.Before(from) && a.At.Before(until) && senders[a.Request].daemonIncarnation == p {
+		if !a.ArrivedAt.Before(from) && a.ArrivedAt.Before(until) && senders[a.RequestID].daemonIncarnation == p {
 			n++
 		}
 	}
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -38,12 +38,12 @@
 // randomCall draws a request.
 func (r *runner) randomCall(rng *rand.Rand, id string) site.Call {
 	c := site.Call{ID: id, Deadline: callDeadline, Key: r.randomKey(rng)}
-	c.Path = []string{site.SealPath, site.SealPath, site.SafePath, site.StreamPath, site.ResumePath, site.ResumePath}[rng.IntN(6)]
+	c.Path = []string{site.UnsafePath, site.UnsafePath, site.SafePath, site.StreamPath, site.ResumablePath, site.ResumablePath}[rng.IntN(6)]
 	if rng.IntN(forgedHeaderOneIn) == 0 {
-		c.Forge = site.Forgeable[rng.IntN(len(site.Forgeable))]
+		c.ForgedHeader = site.ForgeableHeaders[rng.IntN(len(site.ForgeableHeaders))]
 	}
-	if c.Path == site.ResumePath {
-		c.Pieces = []int{1 + rng.IntN(3), 1 + rng.IntN(4)}
+	if c.Path == site.ResumablePath {
+		c.PieceCounts = []int{1 + rng.IntN(3), 1 + rng.IntN(4)}
 	}
 	return c
 }
@@ -65,7 +65,7 @@
 		defer cancel()
 	}
 	att := attempt{call: c, daemon: d, incarnation: d.currentIncarnation(), startedAt: time.Now()}
-	att.response = site.Do(ctx, client, d.callerAddress(), c)
+	att.response = site.Send(ctx, client, d.callerAddress(), c)
 	att.endedAt = time.Now()
 	att.abandoned = leavesEarly && ctx.Err() != nil
 	r.mu.Lock()
--- a/soak/check.go
+++ b/soak/check.go
@@ -22,7 +22,7 @@
 		r.countOutcome(att)
 		r.checkAttempt(att, runs)
 		service := "plain"
-		if att.call.Path == site.StreamPath || att.call.Path == site.ResumePath {
+		if att.call.Path == site.StreamPath || att.call.Path == site.ResumablePath {
 			service = "llm"
 		}
 		requests[service]++
@@ -42,7 +42,7 @@
 	r.checkLimits()
 	r.checkLeaving()
 	r.checkBackoffs()
-	for _, f := range r.ledger.Faults() {
+	for _, f := range r.ledger.Violations() {
 		r.recordViolation("replicas: %s", f)
 	}
 	for _, d := range r.daemons {
@@ -60,7 +60,7 @@
 		r.report.Incomplete++
 	case att.response.Status == http.StatusOK:
 		r.report.Served++
-	case att.response.NotRun():
+	case att.response.NotExecuted():
 		r.report.Refused++
 	default:
 		r.report.Failed++
@@ -70,21 +70,21 @@
 // checkAttempt checks the guarantees that concern a single attempt.
 func (r *runner) checkAttempt(att attempt, runs []site.Run) {
 	id := att.call.ID
-	atMostOnce := att.call.Path == site.SealPath || att.call.Path == site.StreamPath
+	atMostOnce := att.call.Path == site.UnsafePath || att.call.Path == site.StreamPath
 	if atMostOnce && len(runs) > 1 {
 		r.recordViolation("at most once: %s ran %d times", id, len(runs))
 	}
 	if len(runs) > 2 {
 		r.recordViolation("attempts: %s ran %d times", id, len(runs))
 	}
-	if att.response.NotRun() && len(runs) > 0 && atMostOnce {
+	if att.response.NotExecuted() && len(runs) > 0 && atMostOnce {
 		r.recordViolation("refusal: %s was answered %d, which says that it did not run, but it ran", id, att.response.Status)
 	}
 	if mismatch := att.call.Check(att.response, eventsPerStream); mismatch != "" {
 		r.recordViolation("answer: %s: %s", id, mismatch)
 	}
 	for _, run := range runs {
-		if run.Key || run.Tenant != "firma" || run.Body != att.call.Carries() || run.Target != att.call.Path+att.call.Carries() {
+		if run.HasAPIKey || run.Tenant != "firma" || run.Body != att.call.Payload() || run.Target != att.call.Path+att.call.Payload() {
 			r.recordViolation("request: %s reached %s with changed content or headers", id, run.Replica)
 		}
 	}
@@ -110,7 +110,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, run := range runs {
-		if rep := r.replicaByID(run.Replica); rep == nil || rep.Misbehaved() {
+		if rep := r.replicaByID(run.Replica); rep == nil || rep.WasUnhealthy() {
 			return false
 		}
 	}
--- a/soak/evacuate.go
+++ b/soak/evacuate.go
@@ -32,7 +32,7 @@
 		r.recordFault("the evacuation of failure domain %s is withdrawn", domain)
 		r.mu.Lock()
 		r.evacuations[len(r.evacuations)-1].withdrawnAt = time.Now()
-		r.store.TakeBack(domain)
+		r.store.CancelEvacuation(domain)
 		r.mu.Unlock()
 	}
 }
@@ -43,7 +43,7 @@
 	for _, run := range runs {
 		domain := r.domainOf(run.Replica)
 		for _, e := range r.evacuations {
-			if e.domain == domain && att.startedAt.After(e.orderedAt.Add(drainBound)) && (e.withdrawnAt.IsZero() || run.At.Before(e.withdrawnAt)) &&
+			if e.domain == domain && att.startedAt.After(e.orderedAt.Add(drainBound)) && (e.withdrawnAt.IsZero() || run.StartedAt.Before(e.withdrawnAt)) &&
 				att.daemon.undisturbedSince(e.orderedAt.Add(-undisturbedMargin)) {
 				r.recordViolation("evacuation: %s ran at %s %s after %s was evacuated", att.call.ID, run.Replica, att.startedAt.Sub(e.orderedAt).Round(time.Millisecond), domain)
 			}
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -155,15 +155,15 @@
 	r.recordFault("the store is %s for %s", []string{"down", "busy", "slow"}[kind], duration)
 	switch kind {
 	case 0:
-		r.store.Fail(503)
+		r.store.SetFailure(503)
 	case 1:
-		r.store.Fail(429)
+		r.store.SetFailure(429)
 	default:
-		r.store.Delay(400 * time.Millisecond)
+		r.store.SetDelay(400 * time.Millisecond)
 	}
 	time.AfterFunc(duration, func() {
-		r.store.Fail(0)
-		r.store.Delay(0)
+		r.store.SetFailure(0)
+		r.store.SetDelay(0)
 		for _, d := range r.daemons {
 			d.recordDisturbance()
 		}
@@ -176,21 +176,21 @@
 		name string
 		b    site.Behaviour
 	}{
-		{"breaks off before its answers", site.Behaviour{CutBefore: true}},
-		{"breaks its answers off", site.Behaviour{Truncate: true, CutAfterEvents: 2}},
+		{"breaks off before its answers", site.Behaviour{AbortBeforeResponse: true}},
+		{"breaks its answers off", site.Behaviour{Truncate: true, AbortAfterEvents: 2}},
 		{"refuses", site.Behaviour{Shed: true}},
-		{"refuses without saying that nothing ran", site.Behaviour{ShedSilently: true}},
+		{"refuses without saying that nothing ran", site.Behaviour{UnavailableAfterRun: true}},
 		{"hangs", site.Behaviour{Hang: true}},
-		{"sends no length", site.Behaviour{Unframed: true}},
-		{"sends a second answer", site.Behaviour{Extra: true}},
+		{"sends no length", site.Behaviour{NoContentLength: true}},
+		{"sends a second answer", site.Behaviour{ExtraResponse: true}},
 		{"sends no signature", site.Behaviour{Unsigned: true}},
-		{"is slow", site.Behaviour{Work: 300 * time.Millisecond}},
+		{"is slow", site.Behaviour{ServiceTime: 300 * time.Millisecond}},
 		{"fails", site.Behaviour{Status: 500}},
 	}
 	k := kinds[r.faultRNG.IntN(len(kinds))]
 	r.recordFault("%s %s for %s", rep.ID, k.name, duration)
-	rep.Behave(k.b)
-	time.AfterFunc(duration, func() { rep.Behave(site.Behaviour{}) })
+	rep.SetBehaviour(k.b)
+	time.AfterFunc(duration, func() { rep.SetBehaviour(site.Behaviour{}) })
 }
 
 // replaceReplica adds a replica to the service of rep and sets rep to draining, unless
@@ -208,7 +208,7 @@
 		r.recordViolation("replica %s: %v", id, err)
 		return
 	}
-	r.store.Put("servers/"+rep.ID, site.Entry(rep, "draining"))
+	r.store.Put("servers/"+rep.ID, site.StoreEntry(rep, "draining"))
 	r.mu.Lock()
 	r.drainingSince[rep.ID] = time.Now()
 	r.mu.Unlock()
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -38,12 +38,12 @@
 		period := &r.limits[len(r.limits)-1]
 		r.mu.Unlock()
 		r.recordFault("%s announces a limit of %g requests a second", rep.ID, perSecond)
-		rep.NameLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
+		rep.AdvertiseRateLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
 		sleep(ctx, randomDuration(rng, 4*time.Second, 9*time.Second))
 		r.mu.Lock()
 		period.until = time.Now()
 		r.mu.Unlock()
-		rep.NameLimit("")
+		rep.AdvertiseRateLimit("")
 		r.recordFault("%s no longer announces a limit", rep.ID)
 	}
 }
@@ -81,11 +81,11 @@
 	informedAt := map[daemonIncarnation]time.Time{}
 	for _, att := range r.attempts {
 		for _, run := range r.ledger.Runs(att.call.ID) {
-			if run.Replica != s.replica || run.At.Before(s.from) || !s.until.IsZero() && run.At.After(s.until) {
+			if run.Replica != s.replica || run.StartedAt.Before(s.from) || !s.until.IsZero() && run.StartedAt.After(s.until) {
 				continue
 			}
 			p := daemonIncarnation{att.daemon, att.incarnation}
-			all = append(all, arrival{run.At, p})
+			all = append(all, arrival{run.StartedAt, p})
 			if at, known := informedAt[p]; !known || att.endedAt.Before(at) {
 				informedAt[p] = att.endedAt
 			}
--- a/soak/poison.go
+++ b/soak/poison.go
@@ -27,10 +27,10 @@
 
 // poisonFor returns the content that crashes a replica of rep's kind, with a random delay
 // until the crash and a random downtime.
-func poisonFor(rep *site.Replica, rng *rand.Rand, crashed func(string)) site.Poison {
-	p := site.Poison{
-		After: time.Duration(5+rng.IntN(60)) * time.Millisecond, Down: time.Duration(700+rng.IntN(1200)) * time.Millisecond,
-		Crashed: crashed,
+func poisonFor(rep *site.Replica, rng *rand.Rand, crashed func(string)) site.PoisonRequest {
+	p := site.PoisonRequest{
+		CrashDelay: time.Duration(5+rng.IntN(60)) * time.Millisecond, Downtime: time.Duration(700+rng.IntN(1200)) * time.Millisecond,
+		OnCrash: crashed,
 	}
 	switch rep.Kind {
 	case site.Plain:
@@ -56,7 +56,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, leaving := r.drainingSince[rep.ID]; !leaving {
-		r.store.Put("servers/"+rep.ID, site.Entry(rep, "ready"))
+		r.store.Put("servers/"+rep.ID, site.StoreEntry(rep, "ready"))
 	}
 }
 
@@ -99,9 +99,9 @@
 		}
 		third := crashes[crashesToQuarantine-1]
 		lateRuns := 0
-		for _, run := range r.ledger.RunsOf(c.content) {
-			att, ok := attempts[run.Request]
-			if ok && run.At.After(third.Add(propagationTime)) && att.daemon.undisturbedSince(third) && att.incarnation == att.daemon.currentIncarnation() {
+		for _, run := range r.ledger.RunsWithBody(c.content) {
+			att, ok := attempts[run.RequestID]
+			if ok && run.StartedAt.After(third.Add(propagationTime)) && att.daemon.undisturbedSince(third) && att.incarnation == att.daemon.currentIncarnation() {
 				lateRuns++
 			}
 		}
--- a/soak/run.go
+++ b/soak/run.go
@@ -83,7 +83,7 @@
 // attempt is one request of a caller and its outcome.
 type attempt struct {
 	call        site.Call
-	response    site.Heard
+	response    site.CallResponse
 	daemon      *daemon
 	incarnation int
 	startedAt   time.Time
@@ -190,11 +190,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.replicas = append(r.replicas, rep)
-	rep.Born = time.Now().UnixMilli()
+	rep.StartUnixMS = time.Now().UnixMilli()
 	rep.FailureDomain = failureDomains[len(r.replicas)%len(failureDomains)]
-	rep.CrashUnder(poisonFor(rep, rand.New(rand.NewPCG(r.cfg.Seed, uint64(1000+len(r.replicas)))), r.recordCrash))
-	rep.Returned = r.registerRestarted
-	r.store.Put("servers/"+id, site.Entry(rep, "ready"))
+	rep.SetPoisonRequest(poisonFor(rep, rand.New(rand.NewPCG(r.cfg.Seed, uint64(1000+len(r.replicas)))), r.recordCrash))
+	rep.OnRestart = r.registerRestarted
+	r.store.Put("servers/"+id, site.StoreEntry(rep, "ready"))
 	return nil
 }
 
@@ -203,16 +203,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.configVersion++
-	r.store.Put("op/config", site.Configuration(r.configVersion, r.apiKeys))
+	r.store.Put("op/config", site.GatewayConfig(r.configVersion, r.apiKeys))
 }
 
 // checkRecovery ends all faults and checks that every daemon serves requests again.
 func (r *runner) checkRecovery() {
-	r.store.Fail(0)
-	r.store.Delay(0)
+	r.store.SetFailure(0)
+	r.store.SetDelay(0)
 	r.mu.Lock()
 	for _, rep := range r.replicas {
-		rep.Behave(site.Behaviour{})
+		rep.SetBehaviour(site.Behaviour{})
 		rep.PauseStreams(0, 0)
 	}
 	r.mu.Unlock()
@@ -229,7 +229,7 @@
 		ok := false
 		for n := range 20 {
 			c := site.Call{ID: fmt.Sprintf("recover-%d-%d", i, n), Path: site.SafePath, Key: r.newestKey(), Deadline: callDeadline}
-			if site.Do(context.Background(), http.DefaultClient, d.callerAddress(), c).Status == http.StatusOK {
+			if site.Send(context.Background(), http.DefaultClient, d.callerAddress(), c).Status == http.StatusOK {
 				ok = true
 				break
 			}
--- a/soak/streams.go
+++ b/soak/streams.go
@@ -73,12 +73,12 @@
 	if last.Service != "llm" || !r.healthyDuring(last, att) {
 		return
 	}
-	if last.End == site.Complete && last.Ended.Sub(last.At) >= minStreamPause {
+	if last.End == site.Completed && last.EndedAt.Sub(last.StartedAt) >= minStreamPause {
 		r.report.PausedStreams++
 	}
 	switch {
-	case last.End == site.Cancelled && att.beforeDeadline(last.Ended):
-		r.recordViolation("stream: %s of %s was ended at %s after %s, and no other run continued it", att.call.ID, att.daemon.name, last.Replica, last.Ended.Sub(last.At).Round(time.Millisecond))
+	case last.End == site.Cancelled && att.beforeDeadline(last.EndedAt):
+		r.recordViolation("stream: %s of %s was ended at %s after %s, and no other run continued it", att.call.ID, att.daemon.name, last.Replica, last.EndedAt.Sub(last.StartedAt).Round(time.Millisecond))
 	case att.response.Err != nil && att.beforeDeadline(att.endedAt):
 		r.recordViolation("stream: %s of %s was broken off after %s; its state at %s: %s", att.call.ID, att.daemon.name, att.endedAt.Sub(att.startedAt).Round(time.Millisecond), last.Replica, last.End)
 	}
@@ -95,5 +95,5 @@
 	}
 	since, draining := r.drainingSince[run.Replica]
 	leaving := draining && since.Before(att.endedAt)
-	return !leaving && rep.WellThrough(run.At.Add(-startMargin), att.endedAt)
+	return !leaving && rep.HealthyThroughout(run.StartedAt.Add(-startMargin), att.endedAt)
 }
--- a/stages/handover_test.go
+++ b/stages/handover_test.go
@@ -199,9 +199,9 @@
 	return results, outcome, err
 }
 
-func (r networkedReplicas) FreeResults(ctx context.Context, a stage.Free) error {
+func (r networkedReplicas) ReleaseResults(ctx context.Context, a stage.Release) error {
 	r.awaitResumed()
-	return r.replicaClient.FreeResults(ctx, a)
+	return r.replicaClient.ReleaseResults(ctx, a)
 }
 
 // fakeFleet is a fleet of hosts that share the same replicas.
@@ -264,7 +264,7 @@
 	return stage.Job{
 		ID: id, Key: "k", Due: now.Add(due), Deadline: now.Add(due + time.Second),
 		Stages: []stage.Stage{
-			{Service: "a", Pieces: 2}, {Service: "b", After: []int{0}, Pieces: 3}, {Service: "a", After: []int{1}, Pieces: 2},
+			{Service: "a", Pieces: 2}, {Service: "b", DependsOn: []int{0}, Pieces: 3}, {Service: "a", DependsOn: []int{1}, Pieces: 2},
 		},
 	}
 }
@@ -341,7 +341,7 @@
 		g := NewWithT(t)
 		f := newFakeFleet(t, 2, func() time.Duration { return slowWork })
 		owner := f.services[f.names[1]]
-		ready := make(chan *stages.End, 1)
+		ready := make(chan *stages.JobOutcome, 1)
 		go func() { ready <- owner.Prepare(context.Background(), chainedJob("job", 20*time.Second)) }()
 		time.Sleep(2*slowWork + settleTime)
 		g.Expect(f.replicas.resultCount()).To(Equal(3), "the results of the second stage, which has read the first")
--- a/stages/messages.go
+++ b/stages/messages.go
@@ -21,10 +21,10 @@
 		DueMs: j.Due.Sub(now).Milliseconds(), LatestMs: j.Latest.Sub(now).Milliseconds(), DeadlineMs: max(0, j.Deadline.Sub(now).Milliseconds()),
 		FailureDomain: j.Domain,
 	}
-	out.Made = completedToWire(j.Made)
+	out.Made = completedToWire(j.Completed)
 	for _, s := range j.Stages {
 		w := &wire.StageWork{Service: s.Service, Pieces: uint32(max(0, s.Pieces)), ResultBytes: s.ResultBytes}
-		for _, a := range s.After {
+		for _, a := range s.DependsOn {
 			w.After = append(w.After, uint32(max(0, a)))
 		}
 		out.Stages = append(out.Stages, w)
@@ -46,16 +46,16 @@
 		s := stage.Stage{Service: w.GetService(), Pieces: int(w.GetPieces()), ResultBytes: w.GetResultBytes()}
 		for _, a := range w.GetAfter() {
 			if int(a) < i {
-				s.After = append(s.After, int(a))
+				s.DependsOn = append(s.DependsOn, int(a))
 			}
 		}
 		j.Stages = append(j.Stages, s)
 	}
-	j.Made = completedFromWire(m.GetMade())
+	j.Completed = completedFromWire(m.GetMade())
 	return j
 }
 
-func completedToWire(completed []stage.MadePiece) []*wire.StageMade {
+func completedToWire(completed []stage.CompletedPiece) []*wire.StageMade {
 	out := make([]*wire.StageMade, 0, len(completed))
 	for _, p := range completed {
 		out = append(out, &wire.StageMade{
@@ -65,10 +65,10 @@
 	return out
 }
 
-func completedFromWire(completed []*wire.StageMade) []stage.MadePiece {
-	out := make([]stage.MadePiece, 0, len(completed))
+func completedFromWire(completed []*wire.StageMade) []stage.CompletedPiece {
+	out := make([]stage.CompletedPiece, 0, len(completed))
 	for _, p := range completed {
-		out = append(out, stage.MadePiece{
+		out = append(out, stage.CompletedPiece{
 			Stage: int(p.GetStage()), Index: int(p.GetIndex()), Handle: p.GetHandle(), Replica: p.GetReplica(),
 		})
 	}
@@ -86,7 +86,7 @@
 	return out
 }
 
-func outcomeToWire(id string, outcome *End) *wire.StageEnd {
+func outcomeToWire(id string, outcome *JobOutcome) *wire.StageEnd {
 	if r := outcome.Refused; r != nil {
 		return &wire.StageEnd{
 			Job: id, Reason: string(r.Reason),
@@ -96,13 +96,13 @@
 	return &wire.StageEnd{Job: id, Handles: outcome.Ready.Handles, FailureDomain: outcome.Ready.Domain, DomainBytes: outcome.Ready.DomainBytes}
 }
 
-func outcomeFromWire(m *wire.StageEnd) *End {
+func outcomeFromWire(m *wire.StageEnd) *JobOutcome {
 	if m.GetReason() == "" {
-		return &End{Ready: stage.Ready{
+		return &JobOutcome{Ready: stage.Ready{
 			Job: m.GetJob(), Handles: m.GetHandles(), Domain: m.GetFailureDomain(), DomainBytes: m.GetDomainBytes(),
 		}}
 	}
-	return &End{Refused: &stage.Refused{
+	return &JobOutcome{Refused: &stage.Refused{
 		Job: m.GetJob(), Reason: stage.Reason(m.GetReason()),
 		RetryAfter: time.Duration(m.GetRetryAfterMs()) * time.Millisecond,
 		Predicted:  time.Duration(m.GetPredictedMs()) * time.Millisecond,
--- a/stages/orphans.go
+++ b/stages/orphans.go
@@ -122,7 +122,7 @@
 	for id, e := range p.jobs {
 		if e.owner != "" && e.outcomeSentAt.IsZero() {
 			p.removeJob(id) // not through step, which would call dropAfterStall again
-			actions = append(actions, p.machine.Step(now, stage.Cancelled{Job: id, Moved: true})...)
+			actions = append(actions, p.machine.Step(now, stage.Cancelled{Job: id, HandedOver: true})...)
 		}
 	}
 	p.log.Warn("planner was suspended; dropped the jobs of other daemons", zap.Duration("for", gap), zap.Int("left", len(p.jobs)))
--- a/stages/planner.go
+++ b/stages/planner.go
@@ -23,13 +23,13 @@
 	// RunPieces runs pieces in one call. An answered call has one result per piece.
 	RunPieces(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error)
 	// FreeResults releases results at the replica that holds them.
-	FreeResults(ctx context.Context, a stage.Free) error
+	ReleaseResults(ctx context.Context, a stage.Release) error
 	// Room returns the memory that a replica last reported as free for results.
-	Room(ctx context.Context, a stage.Inspect) (stage.Room, error)
+	FreeMemory(ctx context.Context, a stage.QueryMemory) (stage.FreeMemory, error)
 }
 
 // End is the outcome of a job: Refused if that is set, else Ready.
-type End struct {
+type JobOutcome struct {
 	Ready   stage.Ready
 	Refused *stage.Refused
 }
@@ -39,7 +39,7 @@
 	owner string
 	// outcome is set once the job has ended. resultsHeld is set for a refused job whose
 	// owner has been told of results: they are held until the owner drops the job.
-	outcome     *End
+	outcome     *JobOutcome
 	resultsHeld bool
 	// outcomeSentAt is when the outcome was first sent to the owner.
 	outcomeSentAt time.Time
@@ -47,7 +47,7 @@
 	lastNamed time.Time
 	// unreported are the pieces completed since the last report to the owner. notify is
 	// set if the owner is to receive the next report at once.
-	unreported []stage.MadePiece
+	unreported []stage.CompletedPiece
 	notify     bool
 }
 
@@ -55,11 +55,11 @@
 type pollResult struct {
 	// number identifies an answer that reports pieces, for acknowledgement; else it is 0.
 	number   uint64
-	outcomes map[string]*End
+	outcomes map[string]*JobOutcome
 	// unknown are the polled jobs that are not planned here.
 	unknown []string
 	// completed are newly completed pieces of jobs that have no outcome yet.
-	completed map[string][]stage.MadePiece
+	completed map[string][]stage.CompletedPiece
 }
 
 // owner is a daemon whose jobs are planned here. The name "" is this daemon.
@@ -89,7 +89,7 @@
 // events to a stage.Machine and performs the actions that the machine returns.
 type planner struct {
 	replicas Replicas
-	gates    *intake.Gates
+	gates    *intake.Limiters
 	log      *zap.Logger
 	releaser *releaser
 
@@ -110,7 +110,7 @@
 
 func newPlanner(cfg stage.Config, replicas Replicas, log *zap.Logger) *planner {
 	if cfg.Gates == nil {
-		cfg.Gates = intake.NewGates()
+		cfg.Gates = intake.NewLimiters()
 	}
 	p := &planner{
 		replicas: replicas, gates: cfg.Gates, log: log, machine: stage.New(cfg),
@@ -132,7 +132,7 @@
 
 // submit adds a job and returns its outcome if that is known at once. ok is false until a
 // configuration has been received.
-func (p *planner) submit(from string, j stage.Job) (outcome *End, ok bool) {
+func (p *planner) submit(from string, j stage.Job) (outcome *JobOutcome, ok bool) {
 	p.mu.Lock()
 	if !p.ready {
 		p.mu.Unlock()
@@ -148,13 +148,13 @@
 		e = &plannedJob{owner: from}
 		p.jobs[j.ID] = e
 		o.jobs++
-		j.Shared = from != ""
+		j.Transferable = from != ""
 		actions = append(actions, p.step(stage.Submitted{Job: j})...)
 	}
 	e.lastNamed = clock.Now()
 	if outcome = e.outcome; outcome != nil {
 		if pieces := e.takeUnreported(j.ID); len(pieces) > 0 {
-			actions = append(actions, p.step(stage.Told{Pieces: pieces})...)
+			actions = append(actions, p.step(stage.ProgressSent{Pieces: pieces})...)
 		}
 		p.markOutcomeSent(j.ID, e)
 	}
@@ -215,7 +215,7 @@
 	}
 	pieces := o.unacked.pieces
 	o.unacked = progressReport{}
-	actions := p.step(stage.Known{Pieces: pieces})
+	actions := p.step(stage.ProgressAcked{Pieces: pieces})
 	p.mu.Unlock()
 	p.perform(actions)
 }
@@ -249,7 +249,7 @@
 // collect builds the answer to a poll and records the pieces it reports. The caller holds
 // the lock.
 func (p *planner) collect(from string, o *owner, ids []string) (pollResult, []stage.Action) {
-	out := pollResult{outcomes: map[string]*End{}, completed: map[string][]stage.MadePiece{}}
+	out := pollResult{outcomes: map[string]*JobOutcome{}, completed: map[string][]stage.CompletedPiece{}}
 	var pieces []stage.Progress
 	for _, id := range ids {
 		e := p.jobs[id]
@@ -272,7 +272,7 @@
 	p.lastAnswer++
 	out.number = p.lastAnswer
 	o.unacked = progressReport{out.number, pieces}
-	return out, p.step(stage.Told{Pieces: pieces})
+	return out, p.step(stage.ProgressSent{Pieces: pieces})
 }
 
 // takeUnreported returns the pieces that have not been reported to the owner yet and
@@ -315,7 +315,7 @@
 // cancelJob cancels a job. The caller holds the lock.
 func (p *planner) cancelJob(id string, handedOver bool) []stage.Action {
 	p.removeJob(id)
-	return p.step(stage.Cancelled{Job: id, Moved: handedOver})
+	return p.step(stage.Cancelled{Job: id, HandedOver: handedOver})
 }
 
 // step passes an event to the machine, records the effects on jobs and returns the
@@ -340,14 +340,14 @@
 			if e := p.jobs[a.Job]; e != nil && e.owner != "" {
 				e.unreported = append(e.unreported, a.Piece)
 			}
-		case stage.Inform:
+		case stage.NotifyOwner:
 			p.notifyOwner(a.Job)
 		case stage.Ready:
 			p.log.Info("stages ready", logging.Request(a.Job), zap.String("failure_domain", a.Domain), zap.Array("stages", timings(a.Timings)),
-				zap.Duration("took", a.Took), zap.Duration("predicted", a.Predicted), zap.Duration("early", a.Early))
-			p.recordOutcome(a.Job, &End{Ready: a})
+				zap.Duration("took", a.Elapsed), zap.Duration("predicted", a.Predicted), zap.Duration("early", a.Early))
+			p.recordOutcome(a.Job, &JobOutcome{Ready: a})
 		case stage.Refused:
-			p.recordOutcome(a.Job, &End{Refused: &a})
+			p.recordOutcome(a.Job, &JobOutcome{Refused: &a})
 		}
 	}
 	return actions
@@ -374,23 +374,23 @@
 func (ts timings) MarshalLogArray(enc zapcore.ArrayEncoder) error {
 	for _, t := range ts {
 		crossed := ""
-		if t.Crossed {
+		if t.CrossDomain {
 			crossed = ":crossed"
 		}
-		enc.AppendString(fmt.Sprintf("%d:%d+%dms%s", t.Stage, t.Wait.Milliseconds(), t.Work.Milliseconds(), crossed))
+		enc.AppendString(fmt.Sprintf("%d:%d+%dms%s", t.Stage, t.Wait.Milliseconds(), t.Execution.Milliseconds(), crossed))
 	}
 	return nil
 }
 
 // recordOutcome records the outcome of a job. The caller holds the lock.
-func (p *planner) recordOutcome(id string, outcome *End) {
+func (p *planner) recordOutcome(id string, outcome *JobOutcome) {
 	e := p.jobs[id]
 	if e == nil {
 		return
 	}
 	e.outcome = outcome
 	if outcome.Refused != nil {
-		e.unreported, e.resultsHeld = nil, outcome.Refused.Held
+		e.unreported, e.resultsHeld = nil, outcome.Refused.ResultsHeld
 	}
 	if o := p.owners[e.owner]; o != nil {
 		o.notify()
@@ -401,7 +401,7 @@
 // replicas.
 func (p *planner) perform(actions []stage.Action) {
 	for _, a := range actions {
-		if a, ok := a.(stage.Free); ok {
+		if a, ok := a.(stage.Release); ok {
 			p.releaser.add(a)
 		}
 	}
@@ -411,11 +411,11 @@
 			go p.runCall(p.newCallContext(a.Call), a, p.releaser.flush(a.Replica))
 		case stage.Abandon:
 			p.cancelCall(a.Call)
-		case stage.Inspect:
+		case stage.QueryMemory:
 			go p.queryMemory(a)
 		case stage.Suspected:
 			p.log.Warn("stage replica suspected", zap.String("service", a.Service), zap.String("replica", a.Replica),
-				zap.String("why", a.Why), zap.Int("failures", a.Failures), zap.Duration("for", a.For))
+				zap.String("why", a.Cause), zap.Int("failures", a.Failures), zap.Duration("for", a.Duration))
 		case stage.Trusted:
 			p.log.Info("stage replica trusted again", zap.String("service", a.Service), zap.String("replica", a.Replica))
 		}
@@ -457,7 +457,7 @@
 	results, outcome, err := p.send(ctx, a)
 	p.log.Info("stage call", zap.String("service", a.Service), zap.String("replica", a.Replica), zap.Int("pieces", len(a.Pieces)),
 		zap.Uint64("call", a.Call), zap.Duration("took", clock.Since(began)), zap.Stringer("outcome", outcome),
-		zap.Int("no_room", countKind(results, stage.NoRoom)), zap.Int("input_gone", countKind(results, stage.InputGone)), zap.Error(err))
+		zap.Int("no_room", countKind(results, stage.PieceOutOfMemory)), zap.Int("input_gone", countKind(results, stage.PieceInputMissing)), zap.Error(err))
 	p.mu.Lock()
 	actions := p.step(stage.CallEnded{Call: a.Call, Outcome: outcome, Results: results})
 	p.mu.Unlock()
@@ -470,7 +470,7 @@
 
 // send makes the call unless the replica has announced meanwhile that it accepts no calls.
 func (p *planner) send(ctx context.Context, a stage.Run) ([]stage.Result, stage.CallOutcome, error) {
-	if p.gates.Of(a.Replica).TurnsAway(clock.Now()) {
+	if p.gates.Get(a.Replica).RefusedByReplica(clock.Now()) {
 		return nil, stage.CallNotExecuted, errReplicaClosed
 	}
 	return p.replicas.RunPieces(ctx, a)
@@ -482,17 +482,17 @@
 
 // queryMemory asks a replica for its free memory. If the query fails, a later call may
 // find that the replica has no memory left.
-func (p *planner) queryMemory(a stage.Inspect) {
+func (p *planner) queryMemory(a stage.QueryMemory) {
 	ctx, cancel := clock.WithTimeout(context.Background(), memoryQueryTimeout)
 	defer cancel()
 	asked := clock.Now()
-	room, err := p.replicas.Room(ctx, a)
+	room, err := p.replicas.FreeMemory(ctx, a)
 	if err != nil {
 		p.log.Info("querying the free memory of a replica failed", zap.String("service", a.Service), zap.String("replica", a.Replica), zap.Error(err))
 		return
 	}
 	p.mu.Lock()
-	actions := p.step(stage.Inspected{Replica: a.Replica, Asked: asked, Room: room})
+	actions := p.step(stage.MemoryReported{Replica: a.Replica, QueriedAt: asked, Free: room})
 	p.mu.Unlock()
 	p.perform(actions)
 }
@@ -512,10 +512,10 @@
 // results expire at the replica after some seconds.
 const releaseTimeout = time.Second
 
-func (p *planner) release(a stage.Free) {
+func (p *planner) release(a stage.Release) {
 	ctx, cancel := clock.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	if err := p.replicas.FreeResults(ctx, a); err != nil {
+	if err := p.replicas.ReleaseResults(ctx, a); err != nil {
 		p.log.Info("releasing results failed", zap.String("replica", a.Replica), zap.Int("results", len(a.Handles)), zap.Error(err))
 	}
 }
--- a/stages/planner_test.go
+++ b/stages/planner_test.go
@@ -36,13 +36,13 @@
 	return nil, stage.CallFailed, context.Canceled
 }
 
-func (b *blockedReplicas) FreeResults(context.Context, stage.Free) error {
+func (b *blockedReplicas) ReleaseResults(context.Context, stage.Release) error {
 	b.releases.Add(1)
 	return nil
 }
 
-func (b *blockedReplicas) Room(context.Context, stage.Inspect) (stage.Room, error) {
-	return stage.Room{}, nil
+func (b *blockedReplicas) FreeMemory(context.Context, stage.QueryMemory) (stage.FreeMemory, error) {
+	return stage.FreeMemory{}, nil
 }
 
 // encodingReplicas complete pieces of the service encode at once, and pieces of other
@@ -69,7 +69,7 @@
 	return out, stage.CallAnswered, nil
 }
 
-func (e *encodingReplicas) FreeResults(_ context.Context, a stage.Free) error {
+func (e *encodingReplicas) ReleaseResults(_ context.Context, a stage.Release) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.releasedHandles = append(e.releasedHandles, a.Handles...)
@@ -93,18 +93,18 @@
 		replicas := &encodingReplicas{blockedReplicas: blockedReplicas{unblock: make(chan struct{})}}
 		DeferCleanup(func() { close(replicas.unblock) })
 		p := newPlanner(stage.Config{}, replicas, zap.NewNop())
-		pieces := &catalog.Pieces{Concurrency: 2, Batch: 8, CallTime: time.Second, PieceTime: time.Millisecond, RoomBytes: 1 << 20, ResultLife: time.Second}
+		pieces := &catalog.StageProfile{Concurrency: 2, Batch: 8, CallTime: time.Second, PieceTime: time.Millisecond, ResultCapacityBytes: 1 << 20, ResultTTL: time.Second}
 		services := map[string]*catalog.Service{}
 		var listed []catalog.Replica
 		for _, name := range []string{"encode", "render"} {
-			services[name] = &catalog.Service{Name: name, Pieces: pieces}
+			services[name] = &catalog.Service{Name: name, StageProfile: pieces}
 			listed = append(listed, catalog.Replica{ID: name, Service: name, Address: "127.0.0.1:1", FailureDomain: "x", Concurrency: 2})
 		}
 		p.configure(services, listed)
 		for _, id := range []string{"reported", "unreported"} {
 			_, ok := p.submit("peer", stage.Job{
 				ID: id, Key: "k", Due: clock.Now().Add(time.Hour), Deadline: clock.Now().Add(time.Hour),
-				Stages: []stage.Stage{{Service: "encode", Pieces: 1, ResultBytes: 100}, {Service: "render", After: []int{0}, Pieces: 1}},
+				Stages: []stage.Stage{{Service: "encode", Pieces: 1, ResultBytes: 100}, {Service: "render", DependsOn: []int{0}, Pieces: 1}},
 			})
 			Expect(ok).To(BeTrue())
 			Eventually(replicas.completedHandles).Should(ContainElement(id + "/0"))
@@ -117,7 +117,7 @@
 		}).Should(Equal(2))
 		out, _, _ := p.checkJobs("peer", []string{"reported"}, true)
 		Expect(out.completed["reported"]).To(HaveLen(1))
-		clock.Simulate(2 * orphanTimeout)
+		clock.SimulateSuspension(2 * orphanTimeout)
 		p.tick()
 		Eventually(replicas.released).Should(Equal([]string{"unreported/0"}))
 		Consistently(replicas.released, 2*releaseDelay).Should(HaveLen(1))
@@ -127,8 +127,8 @@
 		replicas := &blockedReplicas{unblock: make(chan struct{})}
 		DeferCleanup(func() { close(replicas.unblock) })
 		p := newPlanner(stage.Config{}, replicas, zap.NewNop())
-		pieces := &catalog.Pieces{Concurrency: 1, Batch: 8, CallTime: 100 * time.Millisecond, PieceTime: time.Millisecond}
-		p.configure(map[string]*catalog.Service{"encode": {Name: "encode", Pieces: pieces}},
+		pieces := &catalog.StageProfile{Concurrency: 1, Batch: 8, CallTime: 100 * time.Millisecond, PieceTime: time.Millisecond}
+		p.configure(map[string]*catalog.Service{"encode": {Name: "encode", StageProfile: pieces}},
 			[]catalog.Replica{{ID: "e1", Service: "encode", Address: "127.0.0.1:1", FailureDomain: "x", Concurrency: 1}})
 		due := clock.Now().Add(time.Hour)
 		_, ok := p.submit("", stage.Job{
@@ -137,13 +137,13 @@
 		Expect(ok).To(BeTrue())
 		Eventually(replicas.calls.Load).Should(BeEquivalentTo(1))
 		for range 3 {
-			clock.Simulate(2 * time.Second)
+			clock.SimulateSuspension(2 * time.Second)
 			p.tick()
 		}
 		Eventually(replicas.calls.Load).Should(BeEquivalentTo(2), "the pieces are called again")
 		Consistently(replicas.cancelled.Load, 20*time.Millisecond).Should(BeZero())
 		p.dropJobs("", []string{"own"}, false)
-		clock.Simulate(time.Second)
+		clock.SimulateSuspension(time.Second)
 		p.tick()
 		Eventually(replicas.cancelled.Load).Should(BeEquivalentTo(1))
 		Consistently(replicas.cancelled.Load, 20*time.Millisecond).Should(BeEquivalentTo(1), "the replica may be executing the first call")
@@ -153,8 +153,8 @@
 		replicas := &blockedReplicas{unblock: make(chan struct{})}
 		DeferCleanup(func() { close(replicas.unblock) })
 		p := newPlanner(stage.Config{}, replicas, zap.NewNop())
-		pieces := &catalog.Pieces{Concurrency: 1, Batch: 8, CallTime: 10 * time.Second, PieceTime: time.Millisecond, RoomBytes: 1 << 20, ResultLife: time.Second}
-		p.configure(map[string]*catalog.Service{"encode": {Name: "encode", Pieces: pieces}},
+		pieces := &catalog.StageProfile{Concurrency: 1, Batch: 8, CallTime: 10 * time.Second, PieceTime: time.Millisecond, ResultCapacityBytes: 1 << 20, ResultTTL: time.Second}
+		p.configure(map[string]*catalog.Service{"encode": {Name: "encode", StageProfile: pieces}},
 			[]catalog.Replica{{ID: "e1", Service: "encode", Address: "127.0.0.1:1", FailureDomain: "x", Concurrency: 1}})
 		job := func(id string) stage.Job {
 			return stage.Job{
@@ -168,7 +168,7 @@
 		}
 		out, _, _ := p.checkJobs("peer", []string{"theirs"}, true)
 		Expect(out.unknown).To(BeEmpty())
-		clock.Simulate(2 * orphanTimeout)
+		clock.SimulateSuspension(2 * orphanTimeout)
 		p.tick()
 		out, _, _ = p.checkJobs("peer", []string{"theirs"}, true)
 		Expect(out.unknown).To(ConsistOf("theirs"))
@@ -178,7 +178,7 @@
 
 		By("not treating a period without jobs as a suspension")
 		p.dropJobs("", []string{"own"}, false)
-		clock.Simulate(2 * orphanTimeout)
+		clock.SimulateSuspension(2 * orphanTimeout)
 		p.tick()
 		_, ok := p.submit("peer", job("later"))
 		Expect(ok).To(BeTrue())
--- a/stages/releaser.go
+++ b/stages/releaser.go
@@ -20,7 +20,7 @@
 // It is safe for concurrent use.
 type releaser struct {
 	// send makes one release call and returns when it has completed.
-	send func(stage.Free)
+	send func(stage.Release)
 
 	mu        sync.Mutex
 	byReplica map[string]*replicaReleases
@@ -29,20 +29,20 @@
 // replicaReleases are the pending and running releases at one replica.
 type replicaReleases struct {
 	// pending is the next batch; it is sent when timer fires, or earlier by flush.
-	pending stage.Free
+	pending stage.Release
 	timer   *clock.Timer
 	// runningCalls counts release calls in progress; done is closed when none is left.
 	runningCalls int
 	done         chan struct{}
 }
 
-func newReleaser(send func(stage.Free)) *releaser {
+func newReleaser(send func(stage.Release)) *releaser {
 	return &releaser{send: send, byReplica: map[string]*replicaReleases{}}
 }
 
 // add queues results for release, after releaseDelay or before the next call for pieces
 // to their replica.
-func (f *releaser) add(a stage.Free) {
+func (f *releaser) add(a stage.Release) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	releases := f.byReplica[a.Replica]
@@ -86,7 +86,7 @@
 }
 
 // call makes one release call and records its completion.
-func (f *releaser) call(releases *replicaReleases, a stage.Free) {
+func (f *releaser) call(releases *replicaReleases, a stage.Release) {
 	f.send(a)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/stages/releaser_test.go
+++ b/stages/releaser_test.go
@@ -12,11 +12,11 @@
 // fakeSender records the release calls. Each call blocks until it receives from proceed.
 type fakeSender struct {
 	mu      sync.Mutex
-	calls   []stage.Free
+	calls   []stage.Release
 	proceed chan struct{}
 }
 
-func (s *fakeSender) send(a stage.Free) {
+func (s *fakeSender) send(a stage.Release) {
 	s.mu.Lock()
 	s.calls = append(s.calls, a)
 	s.mu.Unlock()
@@ -34,8 +34,8 @@
 }
 
 var _ = Describe("releasing results at a replica", func() {
-	releaseOf := func(replica string, handles ...string) stage.Free {
-		return stage.Free{Replica: replica, Address: replica + ":80", Handles: handles}
+	releaseOf := func(replica string, handles ...string) stage.Release {
+		return stage.Release{Replica: replica, Address: replica + ":80", Handles: handles}
 	}
 	start := func() (*releaser, *fakeSender) {
 		s := &fakeSender{proceed: make(chan struct{})}
