--- a/stages/remote.go
+++ b/stages/remote.go
@@ -54,14 +54,14 @@
 
 // waiter waits for the outcome of one job.
 type waiter struct {
-	outcome chan *End // receives nil if the planner no longer has the job
+	outcome chan *JobOutcome // receives nil if the planner no longer has the job
 	// completed are the pieces of the job that the planner has reported.
-	completed []stage.MadePiece
+	completed []stage.CompletedPiece
 }
 
 // prepareRemote has a job planned by another host. A nil outcome without an error means
 // that ctx ended first.
-func (s *Service) prepareRemote(ctx context.Context, host fleet.Host, j stage.Job) (*End, error) {
+func (s *Service) prepareRemote(ctx context.Context, host fleet.Host, j stage.Job) (*JobOutcome, error) {
 	req := jobToWire(j, clock.Now())
 	req.Incarnation = host.Incarnation
 	accepted := &wire.StageAccepted{}
@@ -81,7 +81,7 @@
 	}
 	if accepted.GetEnd() != nil {
 		outcome := outcomeFromWire(accepted.GetEnd())
-		s.releaseRefused(host.Name, outcome, j.Made)
+		s.releaseRefused(host.Name, outcome, j.Completed)
 		return outcome, nil
 	}
 	w := s.addWaiter(host.Name, j.ID)
@@ -90,7 +90,7 @@
 		if outcome == nil {
 			return nil, &plannerLostError{w.completed}
 		}
-		s.releaseRefused(host.Name, outcome, j.Made, w.completed)
+		s.releaseRefused(host.Name, outcome, j.Completed, w.completed)
 		return outcome, nil
 	case <-ctx.Done():
 		s.removeWaiter(host.Name, j.ID)
@@ -101,7 +101,7 @@
 
 // releaseRefused drops a refused job at its planner if this daemon knows of results of
 // the job, since the planner holds those results until then.
-func (s *Service) releaseRefused(host string, outcome *End, known ...[]stage.MadePiece) {
+func (s *Service) releaseRefused(host string, outcome *JobOutcome, known ...[]stage.CompletedPiece) {
 	if outcome.Refused != nil && len(slices.Concat(known...)) > 0 {
 		go s.dropRemote(host, []string{outcome.Refused.Job}, false)
 	}
@@ -178,7 +178,7 @@
 		p = &remotePlanner{waiters: map[string]*waiter{}}
 		s.remotePlanners[host] = p
 	}
-	w := &waiter{outcome: make(chan *End, 1)}
+	w := &waiter{outcome: make(chan *JobOutcome, 1)}
 	p.waiters[id] = w
 	if !p.polling {
 		p.polling = true
@@ -273,7 +273,7 @@
 // deliver passes an outcome to the waiter of a job and returns whether results of the job
 // had been reported to it before. A ready job that nobody waits for is dropped at its
 // planner.
-func (s *Service) deliver(host, id string, outcome *End) (reported bool) {
+func (s *Service) deliver(host, id string, outcome *JobOutcome) (reported bool) {
 	s.mu.Lock()
 	p := s.remotePlanners[host]
 	w := p.waiters[id]
--- a/stages/send_test.go
+++ b/stages/send_test.go
@@ -20,9 +20,9 @@
 	c.calls++
 	return nil, stage.CallAnswered, nil
 }
-func (c *countingReplicas) FreeResults(context.Context, stage.Free) error { return nil }
-func (c *countingReplicas) Room(context.Context, stage.Inspect) (stage.Room, error) {
-	return stage.Room{}, nil
+func (c *countingReplicas) ReleaseResults(context.Context, stage.Release) error { return nil }
+func (c *countingReplicas) FreeMemory(context.Context, stage.QueryMemory) (stage.FreeMemory, error) {
+	return stage.FreeMemory{}, nil
 }
 
 // Guards against sending a call to a replica that has announced, after the call was
@@ -30,20 +30,20 @@
 // for pending releases of results.
 func TestCallToReplicaThatClosedSinceDispatchIsNotSent(t *testing.T) {
 	g := NewWithT(t)
-	replicas, gates := &countingReplicas{}, intake.NewGates()
+	replicas, gates := &countingReplicas{}, intake.NewLimiters()
 	p := newPlanner(stage.Config{Gates: gates}, replicas, zap.NewNop())
 	send := func() stage.CallOutcome {
 		_, outcome, _ := p.send(context.Background(), stage.Run{Replica: "r"})
 		return outcome
 	}
 	g.Expect(send()).To(Equal(stage.CallAnswered))
-	gates.SetParts(intake.Leaving, map[string]intake.Part{"r": {}})
+	gates.SetQuotas(intake.Leaving, map[string]intake.Quota{"r": {}})
 	g.Expect(send()).To(Equal(stage.CallNotExecuted))
-	gates.SetParts(intake.Leaving, nil)
-	gates.SetParts(intake.Resting, map[string]intake.Part{"r": {Until: clock.Now().Add(time.Hour)}})
+	gates.SetQuotas(intake.Leaving, nil)
+	gates.SetQuotas(intake.BackingOff, map[string]intake.Quota{"r": {BlockedUntil: clock.Now().Add(time.Hour)}})
 	g.Expect(send()).To(Equal(stage.CallNotExecuted))
-	gates.SetParts(intake.Resting, nil)
-	gates.SetParts(intake.Named, map[string]intake.Part{"r": {Window: time.Hour}})
+	gates.SetQuotas(intake.BackingOff, nil)
+	gates.SetQuotas(intake.AnnouncedLimit, map[string]intake.Quota{"r": {Window: time.Hour}})
 	g.Expect(send()).To(Equal(stage.CallAnswered), "the replica accepts this host's share of calls, and dispatch has accounted for the call")
 	g.Expect(replicas.calls).To(Equal(2))
 }
--- a/stages/service.go
+++ b/stages/service.go
@@ -27,7 +27,7 @@
 	Formed() <-chan struct{}
 	// Restarted records a newer incarnation of a host, the start of its process in Unix
 	// milliseconds, as reported by the host itself.
-	Restarted(host string, incarnation uint64)
+	RecordRestart(host string, incarnation uint64)
 }
 
 // Config holds the settings and dependencies of a Service.
@@ -52,7 +52,7 @@
 	log     *zap.Logger
 	planner *planner
 
-	avoided fleet.Avoided // planners that failed recently
+	avoided fleet.HostBackoff // planners that failed recently
 	// probes makes concurrent failed calls to a host share one check of the host.
 	probes singleflight.Group
 
@@ -92,7 +92,7 @@
 //
 // Prepare first waits for the fleet to form: if all daemons start at the same time and
 // each plans for itself, their calls fill the queues of the same replicas.
-func (s *Service) Prepare(ctx context.Context, j stage.Job) *End {
+func (s *Service) Prepare(ctx context.Context, j stage.Job) *JobOutcome {
 	select {
 	case <-s.cfg.Members.Formed():
 	case <-ctx.Done():
@@ -111,15 +111,15 @@
 			return outcome
 		case errors.As(err, &restarted):
 			// This changes the rank of the host, so that the loop does not repeat the same call.
-			s.cfg.Members.Restarted(host.Name, restarted.incarnation)
+			s.cfg.Members.RecordRestart(host.Name, restarted.incarnation)
 			continue
 		case errors.As(err, &lost):
-			j.Made = mergeCompleted(j.Made, lost.completed)
+			j.Completed = mergeCompleted(j.Completed, lost.completed)
 		}
 		n++
 		s.avoided.Add(host.Name, avoidDuration)
 		if host.Name == s.cfg.Self {
-			return &End{Refused: &stage.Refused{Job: j.ID, Reason: stage.ReasonNoReplica, RetryAfter: notReadyRetryAfter}}
+			return &JobOutcome{Refused: &stage.Refused{Job: j.ID, Reason: stage.ReasonNoReplica, RetryAfter: notReadyRetryAfter}}
 		}
 	}
 }
@@ -130,7 +130,7 @@
 // plannerLostError reports that a planner did not deliver the outcome of a job.
 type plannerLostError struct {
 	// completed are the pieces of the job that the planner reported.
-	completed []stage.MadePiece
+	completed []stage.CompletedPiece
 }
 
 func (e *plannerLostError) Error() string { return "stages: planner lost" }
@@ -144,10 +144,10 @@
 // mergeCompleted adds the pieces completed by a later planner to those completed by
 // earlier ones. If a piece was run again because its result was gone, the last result is
 // used.
-func mergeCompleted(earlier, later []stage.MadePiece) []stage.MadePiece {
+func mergeCompleted(earlier, later []stage.CompletedPiece) []stage.CompletedPiece {
 	type key struct{ stage, index int }
 	positions := make(map[key]int, len(earlier)+len(later))
-	var out []stage.MadePiece
+	var out []stage.CompletedPiece
 	for _, p := range slices.Concat(earlier, later) {
 		k := key{p.Stage, p.Index}
 		if i, ok := positions[k]; ok {
@@ -162,7 +162,7 @@
 
 // prepareAt submits a job to one planner and waits for the outcome. A nil outcome without
 // an error means that ctx ended first.
-func (s *Service) prepareAt(ctx context.Context, host fleet.Host, j stage.Job) (outcome *End, err error) {
+func (s *Service) prepareAt(ctx context.Context, host fleet.Host, j stage.Job) (outcome *JobOutcome, err error) {
 	if host.Name == s.cfg.Self {
 		outcome, err = s.prepareLocal(ctx, j)
 	} else {
@@ -177,7 +177,7 @@
 }
 
 // prepareLocal plans a job in this daemon.
-func (s *Service) prepareLocal(ctx context.Context, j stage.Job) (*End, error) {
+func (s *Service) prepareLocal(ctx context.Context, j stage.Job) (*JobOutcome, error) {
 	outcome, ok := s.planner.submit("", j)
 	if !ok {
 		return nil, &plannerLostError{}
@@ -230,7 +230,7 @@
 }
 
 // Plans returns whether, in this host's view, it is the one that plans.
-func (s *Service) Plans() bool {
+func (s *Service) IsPlanner() bool {
 	first := s.firstRanked(clock.Now())
 	return first != nil && first.Name == s.cfg.Self
 }
@@ -240,7 +240,7 @@
 func (s *Service) firstRanked(now time.Time) *fleet.Host {
 	var best *fleet.Host
 	for _, h := range s.cfg.Members.Reachable() {
-		if !s.avoided.Has(h.Name, now) && (best == nil || h.Compare(*best) < 0) {
+		if !s.avoided.Excludes(h.Name, now) && (best == nil || h.Compare(*best) < 0) {
 			best = &h
 		}
 	}
--- a/stages/stages_test.go
+++ b/stages/stages_test.go
@@ -80,7 +80,7 @@
 	var out []stage.Result
 	for i, p := range a.Pieces {
 		if missing[i] {
-			out = append(out, stage.Result{Kind: stage.InputGone})
+			out = append(out, stage.Result{Kind: stage.PieceInputMissing})
 			continue
 		}
 		r.completed++
@@ -107,7 +107,7 @@
 	return false
 }
 
-func (r replicaClient) FreeResults(_ context.Context, a stage.Free) error {
+func (r replicaClient) ReleaseResults(_ context.Context, a stage.Release) error {
 	time.Sleep(r.releaseTime)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,8 +124,8 @@
 }
 
 // Room implements stages.Replicas: these replicas never run out of memory.
-func (r replicaClient) Room(context.Context, stage.Inspect) (stage.Room, error) {
-	return stage.Room{Least: 1 << 40, Most: 1 << 40}, nil
+func (r replicaClient) FreeMemory(context.Context, stage.QueryMemory) (stage.FreeMemory, error) {
+	return stage.FreeMemory{Min: 1 << 40, Max: 1 << 40}, nil
 }
 
 func (r *replicas) stopReleasesOf(planner string) {
@@ -174,7 +174,7 @@
 	return out
 }
 
-func (m *members) Restarted(host string, incarnation uint64) {
+func (m *members) RecordRestart(host string, incarnation uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.incarnations == nil {
@@ -251,8 +251,8 @@
 }
 
 func services() map[string]*catalog.Service {
-	pieces := &catalog.Pieces{Concurrency: 1, Batch: 20, CallTime: 20 * time.Millisecond, PieceTime: time.Millisecond}
-	return map[string]*catalog.Service{"a": {Name: "a", Pieces: pieces}, "b": {Name: "b", Pieces: pieces}}
+	pieces := &catalog.StageProfile{Concurrency: 1, Batch: 20, CallTime: 20 * time.Millisecond, PieceTime: time.Millisecond}
+	return map[string]*catalog.Service{"a": {Name: "a", StageProfile: pieces}, "b": {Name: "b", StageProfile: pieces}}
 }
 
 func listedReplicas() []catalog.Replica {
@@ -272,7 +272,7 @@
 func job(id string) stage.Job {
 	return stage.Job{
 		ID: id, Key: "k", Due: clock.Now().Add(4 * time.Second), Deadline: clock.Now().Add(5 * time.Second),
-		Stages: []stage.Stage{{Service: "a", Pieces: 2}, {Service: "b", After: []int{0}, Pieces: 3}},
+		Stages: []stage.Stage{{Service: "a", Pieces: 2}, {Service: "b", DependsOn: []int{0}, Pieces: 3}},
 	}
 }
 
--- a/upstreamload/poller.go
+++ b/upstreamload/poller.go
@@ -70,7 +70,7 @@
 	var polls sync.WaitGroup
 	defer polls.Wait()
 	periodic.Do(ctx, dueEvery, func() {
-		for _, name := range p.table.Due(p.now()) {
+		for _, name := range p.table.DuePolls(p.now()) {
 			p.start(ctx, &polls, name)
 		}
 	})
@@ -104,7 +104,7 @@
 		p.log.Debug("load not read", zap.String("upstream", name), zap.Error(err))
 		return
 	}
-	if p.table.Polled(p.now(), report) {
+	if p.table.ObservePoll(p.now(), report) {
 		p.observer.Observe(report)
 	}
 }
