--- a/core/estimate/estimate.go
+++ b/core/estimate/estimate.go
@@ -9,7 +9,7 @@
 // decayed to 1/e.
 const decayCount = 300
 
-// Line models a duration as a linear function of a size: a constant plus a cost for
+// LinearModel models a duration as a linear function of a size: a constant plus a cost for
 // each unit, fitted by least squares. The zero value has no measurements.
 type LinearModel struct {
 	// Sums over the measurements, weighted by age: the weights, the sizes, the
--- a/core/intake/gate.go
+++ b/core/intake/gate.go
@@ -13,12 +13,12 @@
 const (
 	// Cold limits the calls to replicas that have just started.
 	Cold Source = iota
-	// Named limits the calls to replicas that announce a limit in their responses.
+	// AnnouncedLimit limits the calls to replicas that announce a limit in their responses.
 	AnnouncedLimit
 	// Leaving blocks the calls to replicas that announced in a response that they are
 	// leaving.
 	Leaving
-	// Resting temporarily blocks the calls to replicas that asked this host for a backoff.
+	// BackingOff temporarily blocks the calls to replicas that asked this host for a backoff.
 	BackingOff
 	sourceCount
 )
@@ -28,7 +28,7 @@
 	return [sourceCount]string{"cold", "limited", "leaving", "resting"}[s]
 }
 
-// Part is one host's quota of the calls to a replica.
+// Quota is one host's quota of the calls to a replica.
 type Quota struct {
 	// Calls is the maximum number of calls that may begin in any interval of length Window;
 	// values above MaxTrackedCalls are treated as MaxTrackedCalls. If Calls is 0, other
@@ -40,7 +40,7 @@
 	// ProbeInterval the time from that call to the next one. A zero ProbeFrom allows none.
 	ProbeFrom     time.Time
 	ProbeInterval time.Duration
-	// Until is the time until which no call may begin, and from which the quota no longer
+	// BlockedUntil is the time until which no call may begin, and from which the quota no longer
 	// applies; zero for a quota without an end.
 	BlockedUntil time.Time
 }
@@ -48,7 +48,7 @@
 // MaxTrackedCalls is the maximum number of calls of a Part that a Gate tracks.
 const MaxTrackedCalls = 16
 
-// Gate is the limiter of the calls to one replica. It is safe for concurrent use.
+// Limiter is the limiter of the calls to one replica. It is safe for concurrent use.
 type Limiter struct {
 	// bounded says that any quota is set. It spares calls to unlimited replicas the lock.
 	bounded atomic.Bool
@@ -61,7 +61,7 @@
 	newest    int
 }
 
-// Begin records a call.
+// RecordCall records a call.
 func (g *Limiter) RecordCall(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -69,7 +69,7 @@
 	g.callTimes[g.newest] = now
 }
 
-// Refuses reports whether a call may not begin now, and the source of the quota that blocks
+// Blocked reports whether a call may not begin now, and the source of the quota that blocks
 // it.
 func (g *Limiter) Blocked(now time.Time) (Source, bool) {
 	if !g.bounded.Load() {
@@ -85,7 +85,7 @@
 	return 0, false
 }
 
-// Opens returns when a call is allowed by all quotas, at this host or, where this host has
+// NextAllowed returns when a call is allowed by all quotas, at this host or, where this host has
 // no quota, at another one. It is a time in the far future for a replica that is leaving,
 // and not after now if a call is allowed now.
 func (g *Limiter) NextAllowed(now time.Time) time.Time {
@@ -110,7 +110,7 @@
 	return at
 }
 
-// TurnsAway reports whether the replica itself announced that it accepts nothing from this
+// RefusedByReplica reports whether the replica itself announced that it accepts nothing from this
 // host, because it is leaving or requested a backoff. A call that was assigned to the
 // replica before is then not to be sent.
 func (g *Limiter) RefusedByReplica(now time.Time) bool {
@@ -123,7 +123,7 @@
 	return g.quotas[Leaving] != nil || rest != nil && now.Before(rest.BlockedUntil)
 }
 
-// Leaves reports whether the replica is leaving and accepts no new work.
+// IsLeaving reports whether the replica is leaving and accepts no new work.
 func (g *Limiter) IsLeaving() bool {
 	if !g.bounded.Load() {
 		return false
@@ -133,7 +133,7 @@
 	return g.quotas[Leaving] != nil
 }
 
-// Bounded reports whether any quota is set.
+// HasQuota reports whether any quota is set.
 func (g *Limiter) HasQuota() bool { return g.bounded.Load() }
 
 // Rate returns how many calls per second this host may begin; bounded is false if no quota
@@ -198,17 +198,17 @@
 	g.bounded.Store(g.quotas != [sourceCount]*Quota{})
 }
 
-// Gates holds the gates of all replicas by ID. It is safe for concurrent use.
+// Limiters holds the gates of all replicas by ID. It is safe for concurrent use.
 type Limiters struct {
 	mu     sync.Mutex
 	gates  map[string]*Limiter
 	quotas [sourceCount]map[string]Quota
 }
 
-// NewGates returns Gates without quotas.
+// NewLimiters returns Gates without quotas.
 func NewLimiters() *Limiters { return &Limiters{gates: map[string]*Limiter{}} }
 
-// Of returns the gate of a replica, creating it if needed. It returns the same gate until
+// Get returns the gate of a replica, creating it if needed. It returns the same gate until
 // Keep removes it.
 func (gs *Limiters) Get(replica string) *Limiter {
 	gs.mu.Lock()
@@ -224,7 +224,7 @@
 	return g
 }
 
-// SetParts replaces all quotas of a source, by replica. They also apply to gates that are
+// SetQuotas replaces all quotas of a source, by replica. They also apply to gates that are
 // created later.
 func (gs *Limiters) SetQuotas(s Source, quotas map[string]Quota) {
 	gs.mu.Lock()
@@ -244,7 +244,7 @@
 	g.setQuota(s, nil)
 }
 
-// Keep removes the gates of replicas that are not listed.
+// RemoveUnlisted removes the gates of replicas that are not listed.
 func (gs *Limiters) RemoveUnlisted(listed func(replica string) bool) {
 	gs.mu.Lock()
 	defer gs.mu.Unlock()
--- a/core/poison/machine.go
+++ b/core/poison/machine.go
@@ -18,7 +18,7 @@
 	unrelatedCrashWindow    = 10 * time.Second
 )
 
-// Machine holds the evidence and the verdicts. The zero value is ready to use.
+// Detector holds the evidence and the verdicts. The zero value is ready to use.
 type Detector struct {
 	crashes []*Crash // ordered by time
 	// crashesByRequest holds the crashes in which each request was involved, so that the
@@ -29,7 +29,7 @@
 	verdicts         map[Fingerprint]*Verdict
 }
 
-// Ended records a replica's crash as observed by one daemon, and returns the verdicts that
+// RecordCrash records a replica's crash as observed by one daemon, and returns the verdicts that
 // changed.
 func (m *Detector) RecordCrash(now time.Time, e Crash) []Verdict {
 	m.expire(now)
@@ -78,7 +78,7 @@
 	}
 }
 
-// Served records a successful run, and returns the verdict that it lifts.
+// RecordSuccess records a successful run, and returns the verdict that it lifts.
 func (m *Detector) RecordSuccess(now time.Time, f Fingerprint) []Verdict {
 	m.successes.record(now, f)
 	if v, ok := m.verdicts[f]; ok && !v.Lifted {
@@ -88,11 +88,11 @@
 	return nil
 }
 
-// LastServed returns when a run of the request last succeeded here; zero if none is
+// LastSuccess returns when a run of the request last succeeded here; zero if none is
 // retained.
 func (m *Detector) LastSuccess(f Fingerprint) time.Time { return m.successes.last(f) }
 
-// Learn merges verdicts of other machines and returns those that change the local ones. A
+// Merge merges verdicts of other machines and returns those that change the local ones. A
 // verdict is stored and returned as lifted if a run of the request succeeded here after the
 // first crash that counts against it.
 func (m *Detector) Merge(now time.Time, verdicts []Verdict) []Verdict {
@@ -112,7 +112,7 @@
 	return changed
 }
 
-// Condemned returns the verdict by which a request is currently refused.
+// Quarantined returns the verdict by which a request is currently refused.
 func (m *Detector) Quarantined(now time.Time, f Fingerprint) (Verdict, bool) {
 	v, ok := m.verdicts[f]
 	if !ok || v.Lifted || now.Sub(v.QuarantinedAt) > Lifetime {
@@ -121,7 +121,7 @@
 	return *v, true
 }
 
-// Try grants a trial of a quarantined request if one is due, and returns the updated
+// GrantTrial grants a trial of a quarantined request if one is due, and returns the updated
 // verdict.
 func (m *Detector) GrantTrial(now time.Time, f Fingerprint) (Verdict, bool) {
 	v, ok := m.verdicts[f]
@@ -136,7 +136,7 @@
 	return *v, true
 }
 
-// Untried takes back a granted trial that led to no run, and returns the updated verdict.
+// ReturnTrial takes back a granted trial that led to no run, and returns the updated verdict.
 func (m *Detector) ReturnTrial(f Fingerprint) (Verdict, bool) {
 	v, ok := m.verdicts[f]
 	if !ok || v.Lifted || v.UnusedTrials >= min(v.Trials, MaxUnusedTrials) {
@@ -274,7 +274,7 @@
 	}
 }
 
-// EndsUnder returns the retained crashes of replicas that were running a request, ordered
+// CrashesOf returns the retained crashes of replicas that were running a request, ordered
 // by time.
 func (m *Detector) CrashesOf(f Fingerprint) []Crash {
 	var ends []Crash
--- a/core/route/router.go
+++ b/core/route/router.go
@@ -73,7 +73,7 @@
 	return request.Choice{Request: q.Request, Pool: p.name, Upstream: m.name, Address: m.address, FailureDomain: m.domain}, nil
 }
 
-// HomeDomain returns the failure domain of the engine that should hold a prompt prefix,
+// PrefixHomeDomain returns the failure domain of the engine that should hold a prompt prefix,
 // or "" if no engine in the pool qualifies.
 func (r *Router) PrefixHomeDomain(now time.Time, pool string, prefix uint64) string {
 	snap := r.current.Load()
@@ -141,7 +141,7 @@
 	return s.wait
 }
 
-// Closed reports whether all upstreams of a pool are leaving or refused by their gates,
+// Unavailable reports whether all upstreams of a pool are leaving or refused by their gates,
 // and how long this lasts at least. A pool without upstreams is not closed.
 func (r *Router) Unavailable(now time.Time, pool string) (time.Duration, bool) {
 	p := r.current.Load().pools[pool]
@@ -176,7 +176,7 @@
 	p.finishCall(now, &o, &r.config)
 }
 
-// Unpick undoes a pick for which no call was sent. Done must not be called for it.
+// CancelPick undoes a pick for which no call was sent. Done must not be called for it.
 func (r *Router) CancelPick(now time.Time, c request.Choice) {
 	r.updateState(c.Pool, c.Upstream, c.Address, func(st *memberState) {
 		st.cancelCall(now)
@@ -184,7 +184,7 @@
 	})
 }
 
-// Told records that another daemon has sent an upstream a prompt whose prefill takes
+// ObservePeerPrompt records that another daemon has sent an upstream a prompt whose prefill takes
 // prefillTime.
 func (r *Router) ObservePeerPrompt(now time.Time, pool, upstream, address string, prefillTime time.Duration) {
 	r.updateState(pool, upstream, address, func(st *memberState) {
@@ -192,7 +192,7 @@
 	})
 }
 
-// Usable reports whether an upstream can serve calls other than those for which it is
+// CanServeCopies reports whether an upstream can serve calls other than those for which it is
 // picked: it is known, is neither leaving, limited nor ejected, and does not have calls
 // in flight without any progress.
 func (r *Router) CanServeCopies(now time.Time, pool, upstream, address string) bool {
@@ -282,12 +282,12 @@
 	st.addSlowness(now, sample, smoothing)
 }
 
-// Expect implements request.Router.
+// ExpectedLatency implements request.Router.
 func (r *Router) ExpectedLatency(pool, stage string, quantile float64) (time.Duration, bool) {
 	return r.latencyQuantile(pool, stage, func(l *stageLatency) *latencyWindow { return l.total }, quantile)
 }
 
-// ExpectFirstByte implements request.Router.
+// ExpectedFirstByte implements request.Router.
 func (r *Router) ExpectedFirstByte(pool, stage string, quantile float64) (time.Duration, bool) {
 	return r.latencyQuantile(pool, stage, func(l *stageLatency) *latencyWindow { return l.firstByte }, quantile)
 }
--- a/daemon/admission.go
+++ b/daemon/admission.go
@@ -7,20 +7,21 @@
 	"github.com/wheatseam/wheatseam/shares"
 )
 
-// addAdmission makes the admission controller and the division of fleet-wide
-// limits that it follows.
+// addAdmission creates the admission controller and the service that divides
+// fleet-wide limits among the daemons.
 func (d *Daemon) addAdmission() {
 	d.admitter = admit.New(admit.Config{})
 	d.shares = shares.New(shares.Config{
 		Host: d.settings.Host, Incarnation: d.incarnation, Admitter: d.admitter,
-		Live: d.liveHosts, Mux: d.peerMux, Seed: xxhash.Sum64String(d.settings.Host),
+		LiveHosts: d.liveHostNames, Mux: d.peerMux, Seed: xxhash.Sum64String(d.settings.Host),
 	})
-	d.appliers = append(d.appliers, d.admitter, d.shares)
-	d.sections.Register("shares", func() any { return d.shares.States() })
+	d.bundleAppliers = append(d.bundleAppliers, d.admitter, d.shares)
+	d.dumpSections.Register("shares", func() any { return d.shares.ResourceShares() })
 }
 
-// liveHosts names the entry hosts believed to be alive, this one included.
-func (d *Daemon) liveHosts() []string {
+// liveHostNames returns the names of the entry hosts believed to be alive,
+// including this one.
+func (d *Daemon) liveHostNames() []string {
 	out := []string{d.settings.Host}
 	for _, m := range d.cluster.Members() {
 		if m.Live() && m.Host.Name != d.settings.Host {
--- a/daemon/call.go
+++ b/daemon/call.go
@@ -13,11 +13,11 @@
 	"github.com/wheatseam/wheatseam/service"
 )
 
-// call runs one attempt and reports its end.
-func (d *Daemon) call(ctx context.Context, s *session, c request.Call) {
+// runCall runs one attempt of a stage and delivers its result to the request.
+func (d *Daemon) runCall(ctx context.Context, s *session, c request.Call) {
 	defer s.cancel(c.Attempt)
-	if !d.mayCall(s, c) {
-		d.deliver(s, condemnedCall(c))
+	if !d.callAllowed(s, c) {
+		d.deliver(s, quarantinedCall(c))
 		return
 	}
 	if c.Stage.Kind == bundle.StageGenerate {
@@ -27,8 +27,8 @@
 	d.deliver(s, d.callService(ctx, s, c))
 }
 
-// pathOf is the URL path of a stage at a plain service.
-func pathOf(stage bundle.Stage) string {
+// servicePath returns the URL path of a stage at a service upstream.
+func servicePath(stage bundle.Stage) string {
 	if stage.Path != "" {
 		return stage.Path
 	}
@@ -38,21 +38,22 @@
 func (d *Daemon) callService(ctx context.Context, s *session, c request.Call) request.CallEnded {
 	client := s.clients.services[c.Stage.Pool]
 	if client == nil {
-		return unserved(c)
+		return callWithoutClient(c)
 	}
-	began := startCall()
+	start := startCall()
 	output, err := client.Do(ctx, service.Call{
-		Address: c.Choice.Address, Path: pathOf(c.Stage), RequestID: s.id, Attempt: c.Attempt,
+		Address: c.Choice.Address, Path: servicePath(c.Stage), RequestID: s.id, Attempt: c.Attempt,
 		Customer: s.sub.Customer.Name, Stage: c.Stage.Name, IdempotencyKey: c.Key, Input: c.Input, NotAfter: c.NotAfter,
 	})
-	d.noteCall(s, c, began, err)
+	d.reportCall(s, c, start, err)
 	ended := callEnded(ctx, c.Attempt, err)
-	ended.Output, ended.FirstByte = output, d.Now().Sub(began.at)
+	ended.Output, ended.FirstByte = output, d.Now().Sub(start.at)
 	return ended
 }
 
-// unserved ends a call that cannot be sent at all.
-func unserved(c request.Call) request.CallEnded {
+// callWithoutClient returns the failure of a call whose pool has no client of the
+// stage's kind.
+func callWithoutClient(c request.Call) request.CallEnded {
 	return request.CallEnded{
 		Attempt: c.Attempt, Result: request.CallFailed, NotExecuted: true, Rejected: true,
 		Detail: errNoClient.Error(),
@@ -62,20 +63,20 @@
 func (d *Daemon) generate(ctx context.Context, s *session, c request.Call) request.CallEnded {
 	client := s.clients.engines[c.Stage.Pool]
 	if client == nil {
-		return unserved(c)
+		return callWithoutClient(c)
 	}
-	began := startCall()
+	start := startCall()
 	var first time.Duration
-	out, err := client.Generate(ctx, d.generation(s, c), func(text string) {
+	out, err := client.Generate(ctx, d.newGeneration(s, c), func(text string) {
 		if first == 0 {
-			first = d.Now().Sub(began.at)
+			first = d.Now().Sub(start.at)
 			d.deliver(s, request.FirstToken{Attempt: c.Attempt})
 		}
-		if s.forward.Load() == int64(c.Attempt) {
-			s.pass(ctx, outputPart{text: text})
+		if s.forwardedAttempt.Load() == int64(c.Attempt) {
+			s.sendOutput(ctx, outputPart{text: text})
 		}
 	})
-	d.noteCall(s, c, began, err)
+	d.reportCall(s, c, start, err)
 	ended := callEnded(ctx, c.Attempt, err)
 	ended.FirstByte, ended.Tokens = first, out.Tokens
 	if err == nil {
@@ -94,7 +95,7 @@
 	return raw
 }
 
-func (d *Daemon) generation(s *session, c request.Call) engine.GenerateRequest {
+func (d *Daemon) newGeneration(s *session, c request.Call) engine.GenerateRequest {
 	var messages []engine.Message
 	if s.sub.Prefix != "" {
 		messages = append(messages, engine.Message{Role: "system", Content: s.sub.Prefix})
@@ -102,25 +103,26 @@
 	messages = append(messages, engine.Message{Role: "user", Content: textOf(c.Input)})
 	pool := s.clients.pools[c.Stage.Pool]
 	return engine.GenerateRequest{
-		Address: c.Choice.Address, Model: pool.Model, Priority: priorityOf(pool, c.LatestStart),
+		Address: c.Choice.Address, Model: pool.Model, Priority: enginePriority(pool, c.LatestStart),
 		RequestID: s.id, Attempt: c.Attempt, Customer: s.sub.Customer.Name,
 		Messages: messages, MaxTokens: c.Stage.MaxTokens, NotAfter: c.NotAfter,
 	}
 }
 
-// priorityOf orders the queue of an engine by the earliest feasible deadline:
-// the sooner a generation must start, the higher. It is an absolute time, in
-// milliseconds, so that calls of all daemons compare whenever they were sent;
-// clocks that differ shift a call by as much. Engines that do not honour
-// priorities get 0, which is left out.
-func priorityOf(p bundle.Pool, startBy time.Time) int {
+// enginePriority returns the priority that has an engine order its queue by
+// earliest deadline first: the sooner a generation must start, the higher. The
+// priority is the negated latest start time in Unix milliseconds, so that calls of
+// all daemons are comparable, whenever they were sent; a clock difference between
+// daemons shifts a call by as much. The priority is 0, which is left out of the
+// call, for engines that do not support priorities.
+func enginePriority(p bundle.Pool, startBy time.Time) int {
 	if !p.Supports.Priority {
 		return 0
 	}
 	return -int(startBy.UnixMilli())
 }
 
-// callEnded translates the error of a client.
+// callEnded converts the error of a client to the result of a call.
 func callEnded(ctx context.Context, attempt int, err error) request.CallEnded {
 	if err == nil {
 		return request.CallEnded{Attempt: attempt, Result: request.CallOK}
@@ -140,19 +142,19 @@
 }
 
 const (
-	// lookUpTimeout bounds one question to one upstream.
-	lookUpTimeout = 500 * time.Millisecond
-	// lookUpEvery is how often upstreams are asked while the call still runs.
-	lookUpEvery = 50 * time.Millisecond
+	// statusQueryTimeout bounds one round of status queries to a pool's upstreams.
+	statusQueryTimeout = 500 * time.Millisecond
+	// statusQueryInterval is the time between two rounds while the call still runs.
+	statusQueryInterval = 50 * time.Millisecond
 )
 
-// lookUp asks all upstreams of a pool until one has the result, none knows of
-// the call, or the request's deadline comes.
-func (d *Daemon) lookUp(s *session, a request.LookUpStatus) {
+// pollCallStatus queries all upstreams of a pool until one has the result, none
+// runs the call, or the request's deadline has passed.
+func (d *Daemon) pollCallStatus(s *session, a request.LookUpStatus) {
 	ctx, cancel := clock.WithDeadline(context.Background(), s.sub.Deadline)
 	defer cancel()
 	for {
-		status := d.askStatus(ctx, s, a)
+		status := d.queryStatus(ctx, s, a)
 		if status.State != service.StatusRunning {
 			d.deliver(s, request.StatusAnswered{Known: status.State == service.StatusDone, Output: status.Result})
 			return
@@ -161,15 +163,16 @@
 		case <-ctx.Done():
 			d.deliver(s, request.StatusAnswered{})
 			return
-		case <-clock.After(lookUpEvery):
+		case <-clock.After(statusQueryInterval):
 		}
 	}
 }
 
-// askStatus asks every upstream of the pool once. One that has the result wins
-// over one that runs the call, and that over those that know nothing.
-func (d *Daemon) askStatus(ctx context.Context, s *session, a request.LookUpStatus) service.Status {
-	ctx, cancel := clock.WithTimeout(ctx, lookUpTimeout)
+// queryStatus queries every upstream of the pool once. An upstream that has the
+// result takes precedence over one that runs the call, and that one over those
+// that don't know the call or don't answer.
+func (d *Daemon) queryStatus(ctx context.Context, s *session, a request.LookUpStatus) service.Status {
+	ctx, cancel := clock.WithTimeout(ctx, statusQueryTimeout)
 	defer cancel()
 	upstreams := s.clients.pools[a.Pool].Upstreams
 	answers := make(chan service.Status, len(upstreams))
--- a/discovery/config.go
+++ b/discovery/config.go
@@ -128,7 +128,7 @@
 	return d.advertised.revision > max(d.View().revision, d.rejectedRevision)
 }
 
-// Behind returns for how long a newer configuration has been known but not active, or 0
+// ConfigLag returns for how long a newer configuration has been known but not active, or 0
 // when there is none.
 func (d *Discovery) ConfigLag() time.Duration {
 	if !d.configOutdated() {
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -17,7 +17,7 @@
 
 // Store reads the platform's store.
 type Store interface {
-	// Pages reads all items under a prefix and passes each page on as it arrives.
+	// ForEachPage reads all items under a prefix and passes each page on as it arrives.
 	ForEachPage(ctx context.Context, prefix string, page func([]platform.Item)) (revision uint64, err error)
 	// Get reads one item; the error is platform.ErrNotFound if there is none.
 	Get(ctx context.Context, key string) (item platform.Item, revision uint64, err error)
@@ -46,10 +46,10 @@
 	// Mux is where the Discovery registers the methods that peers may call.
 	Mux    *peer.Mux
 	Logger *zap.Logger
-	// Bound returns the time within which a change that the store acknowledged must be
+	// PropagationBound returns the time within which a change that the store acknowledged must be
 	// active here.
 	PropagationBound func() time.Duration
-	// Changed is called with every view whose content differs from the previous one, by
+	// OnViewChange is called with every view whose content differs from the previous one, by
 	// one goroutine at a time.
 	OnViewChange func(*View)
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -52,9 +52,9 @@
 	// Mux is where the Fleet registers the methods that peers may call.
 	Mux    *peer.Mux
 	Logger *zap.Logger
-	// Changed is called when a host's membership state changes; it must not block.
+	// OnMemberChange is called when a host's membership state changes; it must not block.
 	OnMemberChange func(member.Member)
-	// Extensions are values that heartbeats carry. Heard is called with the values that
+	// HeartbeatExtensions are values that heartbeats carry. Heard is called with the values that
 	// other hosts send; it must not block.
 	HeartbeatExtensions []member.SlotConfig
 	OnSlotUpdate        func(member.SlotReceived)
@@ -147,11 +147,11 @@
 	f.loop.Post(member.SetSlot{ID: id, Value: value})
 }
 
-// Size returns the number of known hosts, including those that died within the last
+// KnownHostCount returns the number of known hosts, including those that died within the last
 // minutes. The number reported by a seed counts until this host knows their names.
 func (f *Fleet) KnownHostCount() int { return max(f.roster.size(), int(f.reportedSize.Load())) }
 
-// Known returns the names of all known hosts, including those that died within the last
+// KnownHosts returns the names of all known hosts, including those that died within the last
 // minutes, and whether the list can be assumed complete: the fleet has formed and no seed
 // knows more hosts.
 func (f *Fleet) KnownHosts() (names []string, complete bool) {
@@ -244,7 +244,7 @@
 	f.loop.Post(member.Configured{Hosts: memberHosts(all), Upstreams: []string{}})
 }
 
-// Restarted records a newer incarnation that a host reported itself, so that its rank
+// RecordRestart records a newer incarnation that a host reported itself, so that its rank
 // changes before membership propagates the restart.
 func (f *Fleet) RecordRestart(host string, incarnation uint64) {
 	f.roster.updateIncarnation(host, incarnation)
--- a/internal/standin/site/replica.go
+++ b/internal/standin/site/replica.go
@@ -12,34 +12,36 @@
 	"time"
 )
 
-// Kind says what a replica does.
+// Kind is the kind of a replica.
 type Kind uint8
 
 // The kinds of replicas.
 const (
-	// Plain replicas answer with a body of their own.
+	// Plain replicas respond with a short body; see Body.
 	Plain Kind = iota
-	// Engine replicas answer with a stream of events.
+	// Engine replicas respond with a stream of events.
 	Engine
-	// Stage replicas make pieces.
+	// Stage replicas execute pieces of stages.
 	Stage
 )
 
-// Replica is one replica of a service.
+// Replica is a fake replica of a service.
 type Replica struct {
 	ID      string
 	Service string
 	Kind    Kind
-	// Born is the start of the process in Unix milliseconds; 0 is not told.
+	// StartUnixMS is the start time of the process in Unix milliseconds, for the store
+	// entry; 0 means that the entry has none.
 	StartUnixMS int64
-	// FailureDomain is where it stands. Default DefaultDomain.
+	// FailureDomain is the failure domain of the replica. Default:
+	// DefaultFailureDomain.
 	FailureDomain string
-	// Events is the number of events of a stream. Default 5.
-	Events int
-	// Returned is called when the process has started again; nil for nothing. Born
-	// is that of the new start by then.
+	// EventsPerStream is the number of events of a stream. Default: 5.
+	EventsPerStream int
+	// OnRestart, if not nil, is called when the process has restarted, after Born
+	// was updated.
 	OnRestart func(*Replica)
-	// ReportLag is how old the reports of an engine are.
+	// ReportLag is the age of the data in engine reports.
 	ReportLag time.Duration
 
 	ledger   *Ledger
@@ -49,88 +51,91 @@
 
 	mu        sync.Mutex
 	behaviour Behaviour
-	// pauseAfter and pause are those of PauseStreams.
-	pauseAfter int
-	pause      time.Duration
-	// frozen says that the process has stopped.
+	// pauseAfterEvents and pause are the arguments of PauseStreams.
+	pauseAfterEvents int
+	pause            time.Duration
+	// frozen is set while the process is frozen.
 	frozen bool
-	// runs are those under way, and the ended ones that reports may still list.
+	// runs are the runs in progress and the ended runs that reports may still list.
 	runs []*execution
-	// holds are those that were ever given.
-	holds map[string]*hold
-	// closed says that Close was called, down that the process has crashed and is
-	// not back.
+	// reservations has all reservations ever granted.
+	reservations map[string]*reservation
+	// closed is set after Close, down while the process has crashed and not
+	// restarted.
 	closed, down bool
 	crashes      int
 	poison       PoisonRequest
-	// spells are the times during which it behaved other than well, in order.
-	spells    []spell
-	handles   int
-	cancelled int
-	// limit is the rate of requests that every answer names; "" for none.
-	limit string
-	// leaving says that every answer tells so.
+	// unhealthyPeriods are the periods during which the replica was not healthy,
+	// in order.
+	unhealthyPeriods []unhealthyPeriod
+	resultsCreated   int
+	cancelled        int
+	// rateLimit is the request rate limit advertised in every response; "" for none.
+	rateLimit string
+	// leaving is set if every response advertises that the replica is leaving.
 	leaving bool
-	// refusing has the replica turn all work away, and ask for so much rest, in seconds; ""
-	// does not.
-	refusing string
-	arrived  []Arrival
+	// refusalRetryAfter is the Retry-After value, in seconds, with which the replica
+	// refuses all work; "" if it does not.
+	refusalRetryAfter string
+	arrivals          []Arrival
 }
 
-// Arrival is a request, or a call for pieces, that came to a replica.
+// Arrival is a request or piece call that a replica received.
 type Arrival struct {
 	ArrivedAt time.Time
-	// Request is the caller's id; "" for a call for pieces.
+	// RequestID is the request id; "" for a piece call.
 	RequestID string
-	// Rest is the rest that the replica asked for as it turned the request away, in
-	// seconds as it said it; "" for none.
+	// RetryAfter is the Retry-After value, in seconds, with which the replica refused the
+	// request; "" if it did not.
 	RetryAfter string
 }
 
-// spell is a time of behaviour other than well; until is zero while it lasts.
-type spell struct{ from, until time.Time }
+// unhealthyPeriod is a period during which a replica is not healthy; end is zero
+// while it lasts.
+type unhealthyPeriod struct{ start, end time.Time }
 
-// StartReplica starts a replica at address; port 0 leaves the choice to the
-// kernel.
+// StartReplica starts a replica that listens on address. With port 0 the kernel
+// chooses the port.
 func StartReplica(ledger *Ledger, id, service string, kind Kind, address string) (*Replica, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("replica %s: %w", id, err)
 	}
-	r := &Replica{ID: id, Service: service, Kind: kind, Events: 5, ledger: ledger, address: l.Addr().String(), holds: map[string]*hold{}}
-	r.serveOn(l)
+	r := &Replica{ID: id, Service: service, Kind: kind, EventsPerStream: 5, ledger: ledger, address: l.Addr().String(), reservations: map[string]*reservation{}}
+	r.startServer(l)
 	return r, nil
 }
 
-// serveOn starts the process.
-func (r *Replica) serveOn(l net.Listener) {
+// startServer starts the server that represents the process of the replica.
+func (r *Replica) startServer(l net.Listener) {
 	r.server = &http.Server{Handler: r, ReadHeaderTimeout: time.Minute}
 	r.listener = l
 	server := r.server
-	go func() { _ = server.Serve(l) }() // ends with Close or a crash
+	go func() { _ = server.Serve(l) }() // returns after Close or a crash
 }
 
-// Address returns ip:port.
+// Address returns the listen address as ip:port.
 func (r *Replica) Address() string { return r.address }
 
-// Close ends the replica and its connections.
+// Close stops the replica and closes its connections.
 func (r *Replica) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
-	_ = r.server.Close() // a stand-in's connections have nothing to lose
+	_ = r.server.Close() // errors on closing the connections of a fake do not matter
 }
 
-// CrashUnder has the process end under a body; how it behaves else does not change
-// that.
+// SetPoisonRequest makes the process crash on a request body, independently of its
+// Behaviour.
 func (r *Replica) SetPoisonRequest(p PoisonRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.poison = p
 }
 
-// Crash ends the process with its connections at once; it starts again after a
-// while, unless that is 0. It says whether the process ran.
+// Crash ends the process and closes its connections immediately. The process
+// restarts after down, unless that is 0. Crash reports whether the process was
+// running.
 func (r *Replica) Crash(down time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,10 +144,10 @@
 	}
 	r.down = true
 	r.crashes++
-	r.noteSpell()
-	_ = r.server.Close() // as above
+	r.recordHealth()
+	_ = r.server.Close() // see Close
 	if down > 0 {
-		time.AfterFunc(down, r.start)
+		time.AfterFunc(down, r.restart)
 	}
 	return true
 }
@@ -154,8 +159,8 @@
 	return r.crashes
 }
 
-// start starts the process again after a crash.
-func (r *Replica) start() {
+// restart starts the process again after a crash.
+func (r *Replica) restart() {
 	r.mu.Lock()
 	if r.closed {
 		r.mu.Unlock()
@@ -164,65 +169,67 @@
 	l, err := net.Listen("tcp", r.address)
 	if err != nil {
 		r.mu.Unlock()
-		r.ledger.fault("%s: does not start again: %v", r.ID, err)
+		r.ledger.recordViolation("%s: restart after a crash failed: %v", r.ID, err)
 		return
 	}
 	r.down, r.StartUnixMS = false, time.Now().UnixMilli()
-	r.noteSpell()
-	r.serveOn(l)
+	r.recordHealth()
+	r.startServer(l)
 	r.mu.Unlock()
 	if r.OnRestart != nil {
 		r.OnRestart(r)
 	}
 }
 
-// Behave changes the behaviour.
+// SetBehaviour sets the behaviour.
 func (r *Replica) SetBehaviour(b Behaviour) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.behaviour = b
-	r.noteSpell()
+	r.recordHealth()
 }
 
-// noteSpell notes whether the replica is other than well from now on; the caller
-// holds mu.
-func (r *Replica) noteSpell() {
+// recordHealth records whether the replica is healthy from now on. Pauses and slow
+// events do not make it unhealthy. The caller holds mu.
+func (r *Replica) recordHealth() {
 	b := r.behaviour
 	b.PauseAfterEvents, b.Pause, b.EventInterval = 0, 0, 0
-	ill := r.down || r.frozen || b != (Behaviour{})
-	last := len(r.spells) - 1
-	lasts := last >= 0 && r.spells[last].until.IsZero()
+	unhealthy := r.down || r.frozen || b != (Behaviour{})
+	last := len(r.unhealthyPeriods) - 1
+	ongoing := last >= 0 && r.unhealthyPeriods[last].end.IsZero()
 	switch {
-	case ill && !lasts:
-		r.spells = append(r.spells, spell{from: time.Now()})
-	case !ill && lasts:
-		r.spells[last].until = time.Now()
+	case unhealthy && !ongoing:
+		r.unhealthyPeriods = append(r.unhealthyPeriods, unhealthyPeriod{start: time.Now()})
+	case !unhealthy && ongoing:
+		r.unhealthyPeriods[last].end = time.Now()
 	}
 }
 
-// PauseStreams has all streams pause after so many events, however the engine
-// behaves else; a pause of 0 ends that. An engine that pauses does not misbehave.
+// PauseStreams makes all streams pause after afterEvents events, unless the Behaviour
+// has a Pause or Silence of its own. A pause of 0 ends that. An engine that pauses
+// counts as healthy.
 func (r *Replica) PauseStreams(afterEvents int, pause time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.pauseAfter, r.pause = afterEvents, pause
+	r.pauseAfterEvents, r.pause = afterEvents, pause
 }
 
-// Freeze stops the process for good: what it has open is silent, and it takes
-// connections on which nothing is answered.
+// Freeze freezes the process permanently: its open connections stall, and it accepts
+// new ones but sends no responses.
 func (r *Replica) Freeze() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.frozen = true
-	r.noteSpell()
+	r.recordHealth()
 }
 
-// Vanish stops the process as Freeze does, and the port takes no connections.
-func (r *Replica) Vanish() {
+// FreezeUnreachable freezes the process like Freeze and makes the port refuse new
+// connections.
+func (r *Replica) FreezeUnreachable() {
 	r.Freeze()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_ = r.listener.Close() // what it has open stays open
+	_ = r.listener.Close() // open connections stay open
 }
 
 func (r *Replica) isFrozen() bool {
@@ -231,49 +238,49 @@
 	return r.frozen
 }
 
-// Misbehaved says whether the replica ever was made to behave other than well. To
-// pause and to make events slowly is well.
+// WasUnhealthy reports whether the replica was ever unhealthy. Pauses and slow events
+// do not count.
 func (r *Replica) WasUnhealthy() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.spells) > 0
+	return len(r.unhealthyPeriods) > 0
 }
 
-// WellThrough says whether the replica behaved well all the time from one moment to
-// another.
+// HealthyThroughout reports whether the replica was healthy for the whole time between from
+// and to.
 func (r *Replica) HealthyThroughout(from, to time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !slices.ContainsFunc(r.spells, func(s spell) bool {
-		return s.from.Before(to) && (s.until.IsZero() || s.until.After(from))
+	return !slices.ContainsFunc(r.unhealthyPeriods, func(s unhealthyPeriod) bool {
+		return s.start.Before(to) && (s.end.IsZero() || s.end.After(from))
 	})
 }
 
-// NameLimit has every answer name a limit, as it is given; "" ends that. A replica that
-// names one serves what it gets all the same.
+// AdvertiseRateLimit makes every response advertise the given rate limit verbatim; "" ends
+// that. The replica does not enforce the limit.
 func (r *Replica) AdvertiseRateLimit(perSecond string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.limit = perSecond
+	r.rateLimit = perSecond
 }
 
-// SayLeaving has every answer tell that the replica leaves. It serves what it gets all the
-// same, and its entry says what it is registered as.
+// AdvertiseLeaving makes every response advertise that the replica is leaving. The replica
+// still serves requests, and its store entry does not change.
 func (r *Replica) AdvertiseLeaving() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = true
 }
 
-// RefuseForRest has the replica turn all work away and ask for so much rest, in seconds as
-// it says it; "" ends that. A replica that does so does not misbehave.
+// RefuseWithRetryAfter makes the replica refuse all work with the given Retry-After value in
+// seconds, sent verbatim; "" ends that. The replica counts as healthy.
 func (r *Replica) RefuseWithRetryAfter(seconds string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.refusing = seconds
+	r.refusalRetryAfter = seconds
 }
 
-// Arrived returns when requests and calls for pieces came, in order.
+// ArrivalTimes returns the times at which requests and piece calls arrived, in order.
 func (r *Replica) ArrivalTimes() []time.Time {
 	var times []time.Time
 	for _, a := range r.Arrivals() {
@@ -282,62 +289,64 @@
 	return times
 }
 
-// Arrivals returns the requests and calls for pieces that came, in order.
+// Arrivals returns the requests and piece calls received, in order.
 func (r *Replica) Arrivals() []Arrival {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.arrived)
+	return slices.Clone(r.arrivals)
 }
 
-// arrive notes a request or a call for pieces, and returns the rest with which it is turned
-// away; "" if it is not.
-func (r *Replica) arrive(request string) (rest string) {
+// recordArrival records a request or piece call. It returns the Retry-After value to
+// refuse it with, or "" if the replica does not refuse all work.
+func (r *Replica) recordArrival(requestID string) (retryAfter string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.arrived = append(r.arrived, Arrival{ArrivedAt: time.Now(), RequestID: request, RetryAfter: r.refusing})
-	return r.refusing
+	r.arrivals = append(r.arrivals, Arrival{ArrivedAt: time.Now(), RequestID: requestID, RetryAfter: r.refusalRetryAfter})
+	return r.refusalRetryAfter
 }
 
-// sayOfItself adds what the replica says of itself to the head of an answer.
-func (r *Replica) sayOfItself(h http.Header) {
+// setNoticeHeaders sets the response headers that advertise the rate limit and that
+// the replica is leaving.
+func (r *Replica) setNoticeHeaders(h http.Header) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.limit != "" {
-		h.Set("Server-Limit", r.limit)
+	if r.rateLimit != "" {
+		h.Set("Server-Limit", r.rateLimit)
 	}
 	if r.leaving {
 		h.Set("Server-Leaving", "1")
 	}
 }
 
-// Made is the number of pieces that were made here.
+// PiecesExecuted returns the number of pieces that the replica has executed.
 func (r *Replica) PiecesExecuted() int {
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
-	return r.handles
+	return r.resultsCreated
 }
 
-// Cancelled returns the number of requests whose connection closed while they
-// were worked on.
+// Cancelled returns the number of requests whose connection closed while they were
+// in progress.
 func (r *Replica) Cancelled() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.cancelled
 }
 
-func (r *Replica) current() Behaviour {
+// currentBehaviour returns the behaviour with the pause of PauseStreams applied.
+func (r *Replica) currentBehaviour() Behaviour {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.behaviour
-	if b.Pause == 0 && b.Stall == Speaking {
-		b.PauseAfterEvents, b.Pause = r.pauseAfter, r.pause
+	if b.Pause == 0 && b.Stall == NoStall {
+		b.PauseAfterEvents, b.Pause = r.pauseAfterEvents, r.pause
 	}
 	return b
 }
 
 // ServeHTTP implements http.Handler.
 func (r *Replica) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	b := r.current()
+	b := r.currentBehaviour()
 	if r.isFrozen() {
 		hang(req)
 		return
@@ -347,32 +356,32 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	rest := ""
+	retryAfter := ""
 	if !strings.HasPrefix(req.URL.Path, "/-/") || req.URL.Path == "/-/stage-run" {
-		rest = r.arrive(req.Header.Get("Attempt-Id"))
+		retryAfter = r.recordArrival(req.Header.Get("Attempt-Id"))
 	}
 	if b.Hang {
 		hang(req)
 		return
 	}
-	r.sayOfItself(w.Header())
-	if rest != "" {
-		w.Header().Set("Retry-After", rest)
+	r.setNoticeHeaders(w.Header())
+	if retryAfter != "" {
+		w.Header().Set("Retry-After", retryAfter)
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
-	if r.Kind == Engine && r.order(w, req, b) {
+	if r.Kind == Engine && r.serveEngineCall(w, req, b) {
 		return
 	}
-	held := r.useHold(req)
-	if b.RetryAfter != "" && (b.Shed || b.ShedWithFreeSlots) && !held {
+	reserved := r.useReservation(req)
+	if b.RetryAfter != "" && (b.Shed || b.ShedWithFreeSlots) && !reserved {
 		w.Header().Set("Retry-After", b.RetryAfter)
 	}
-	if b.Shed && !held {
+	if b.Shed && !reserved {
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
-	if b.ShedWithFreeSlots && !held {
+	if b.ShedWithFreeSlots && !reserved {
 		w.Header().Set("Replica-Load", "1,0,8")
 		refuse(w, http.StatusServiceUnavailable)
 		return
@@ -381,76 +390,78 @@
 	case req.URL.Path == "/-/stage-run":
 		r.runPieces(w, req, b)
 	case req.URL.Path == "/-/report":
-		r.report(w)
+		r.writeStageReport(w)
 	case req.URL.Path == "/-/stage-free":
-		r.freePieces(w, req)
+		r.releaseResults(w, req)
 	default:
 		r.serve(w, req, b)
 	}
 }
 
-// hang answers nothing until the connection closes.
+// hang waits until the connection closes, without sending a response.
 func hang(req *http.Request) {
-	_, _ = io.Copy(io.Discard, req.Body) // a connection is only seen to close behind the body
+	_, _ = io.Copy(io.Discard, req.Body) // the server detects a closed connection only after it has read the body
 	<-req.Context().Done()
 }
 
-// order answers the orders that engines know; it says whether it was one.
-func (r *Replica) order(w http.ResponseWriter, req *http.Request, b Behaviour) bool {
-	name, dropped := strings.CutPrefix(req.URL.Path, "/-/hold-drop/")
-	reported, taken := req.URL.Path == "/-/report", req.URL.Path == "/-/hold-take"
+// serveEngineCall serves engine report and reservation calls. It reports whether the
+// request was one.
+func (r *Replica) serveEngineCall(w http.ResponseWriter, req *http.Request, b Behaviour) bool {
+	name, isRelease := strings.CutPrefix(req.URL.Path, "/-/hold-drop/")
+	isReport, isReserve := req.URL.Path == "/-/report", req.URL.Path == "/-/hold-take"
 	switch {
-	case !dropped && !reported && !taken:
+	case !isRelease && !isReport && !isReserve:
 		return false
 	case b.NoEngineCalls:
 		w.WriteHeader(http.StatusNotFound)
-	case reported && b.HangReports:
+	case isReport && b.HangReports:
 		hang(req)
-	case reported:
-		r.reportRuns(w)
-	case taken:
-		r.takeHold(w, req, b)
+	case isReport:
+		r.writeEngineReport(w)
+	case isReserve:
+		r.grantReservation(w, req, b)
 	default:
-		r.dropHold(w, name)
+		r.releaseReservation(w, name)
 	}
 	return true
 }
 
+// refuse responds with status and marks the request as not executed.
 func refuse(w http.ResponseWriter, status int) {
 	w.Header().Set("Not-Executed", "1")
 	w.WriteHeader(status)
 }
 
-// serve runs a caller's request.
+// serve executes a client request.
 func (r *Replica) serve(w http.ResponseWriter, req *http.Request, b Behaviour) {
 	id := req.Header.Get("Attempt-Id")
 	if id == "" {
 		refuse(w, http.StatusBadRequest)
 		return
 	}
-	if b.Early {
+	if b.RespondBeforeBody {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	body, err := io.ReadAll(req.Body)
 	if err != nil {
-		r.ledger.fault("%s: body of %s not read: %v", r.ID, id, err)
+		r.ledger.recordViolation("%s: reading the body of request %s failed: %v", r.ID, id, err)
 		return
 	}
-	if !r.inputsHeld(w, req, id) {
+	if !r.checkInputs(w, req, id) {
 		return
 	}
 	if ms, err := strconv.Atoi(req.Header.Get("Deadline-Ms")); err != nil || ms <= 0 {
-		r.ledger.fault("%s: request %s has deadline %q", r.ID, id, req.Header.Get("Deadline-Ms"))
+		r.ledger.recordViolation("%s: request %s has invalid deadline %q", r.ID, id, req.Header.Get("Deadline-Ms"))
 	}
 	for _, name := range ForgeableHeaders {
 		if req.Header.Get(name) == ForgedValue {
-			r.ledger.fault("%s: request %s has a caller's %s", r.ID, id, name)
+			r.ledger.recordViolation("%s: request %s has a forged %s header", r.ID, id, name)
 		}
 	}
-	e := r.begin(req, id, string(body))
-	defer e.finish()
-	if r.crashesUnder(string(body)) {
+	e := r.beginRun(req, id, string(body))
+	defer e.recordEnd()
+	if r.crashOnPoison(string(body)) {
 		return
 	}
 	if !e.wait(req.Context(), b.ServiceTime+time.Duration(promptTokens(req))*b.PrefillPerToken) {
@@ -472,12 +483,13 @@
 		r.stream(w, req, e, b)
 		return
 	}
-	r.whole(w, id, b)
+	r.respond(w, id, b)
 	e.complete()
 }
 
-// crashesUnder ends the process if a body is its poison, and says whether it is.
-func (r *Replica) crashesUnder(body string) bool {
+// crashOnPoison crashes the process if body is the poison body, and reports whether it
+// is.
+func (r *Replica) crashOnPoison(body string) bool {
 	r.mu.Lock()
 	poison := r.poison
 	r.mu.Unlock()
@@ -491,7 +503,8 @@
 	return true
 }
 
-// promptTokens is the length of the prompt that a request declares; 0 without.
+// promptTokens returns the number of prompt tokens that a request declares, or 0 if
+// it declares none.
 func promptTokens(req *http.Request) int {
 	prompt, _, _ := strings.Cut(req.Header.Get("Token-Usage"), ",")
 	n, err := strconv.Atoi(prompt)
--- a/internal/standin/site/answer.go
+++ b/internal/standin/site/response.go
@@ -8,12 +8,12 @@
 	"strings"
 )
 
-// Body is the body that a plain replica answers a request with.
+// PlainBody returns the response body of a plain replica for a request.
 func PlainBody(replica, request string) string {
 	return "answer of " + replica + " to " + request + "\n"
 }
 
-func (r *Replica) whole(w http.ResponseWriter, id string, b Behaviour) {
+func (r *Replica) respond(w http.ResponseWriter, id string, b Behaviour) {
 	body := PlainBody(r.ID, id)
 	status := http.StatusOK
 	if b.Status != 0 {
@@ -23,7 +23,7 @@
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	if b.ExtraResponse || b.NoContentLength {
-		r.raw(w, status, body, b)
+		r.respondRaw(w, status, body, b)
 		return
 	}
 	w.WriteHeader(status)
@@ -34,12 +34,12 @@
 	_, _ = io.WriteString(w, body)
 }
 
-// raw writes an answer by hand: without a length, or with a second answer
-// behind it.
-func (r *Replica) raw(w http.ResponseWriter, status int, body string, b Behaviour) {
+// respondRaw writes a response directly to the connection: without a
+// Content-Length, or followed by a second response.
+func (r *Replica) respondRaw(w http.ResponseWriter, status int, body string, b Behaviour) {
 	conn, buf, err := w.(http.Hijacker).Hijack()
 	if err != nil {
-		r.ledger.fault("%s: %v", r.ID, err)
+		r.ledger.recordViolation("%s: %v", r.ID, err)
 		return
 	}
 	defer conn.Close()
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -82,7 +82,7 @@
 	return append([]*host(nil), n.hosts...)
 }
 
-// Refused implements quarantine.Replicas.
+// RefusesConnections implements quarantine.Replicas.
 func (n *network) RefusesConnections(_ context.Context, address string) (bool, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/quarantine/service.go
+++ b/quarantine/service.go
@@ -29,7 +29,7 @@
 
 // Replicas checks whether a replica's process has exited.
 type Replicas interface {
-	// Refused returns whether an address refuses connections, or an error if that could
+	// RefusesConnections returns whether an address refuses connections, or an error if that could
 	// not be determined.
 	RefusesConnections(ctx context.Context, address string) (bool, error)
 }
@@ -44,7 +44,7 @@
 	// Mux is where New registers the methods that peers call.
 	Mux    *peer.Mux
 	Logger *zap.Logger
-	// Ended is called for each replica that exited while attempts were running on it. It
+	// OnReplicaCrash is called for each replica that exited while attempts were running on it. It
 	// may be nil and must not block.
 	OnReplicaCrash func(poison.Crash)
 }
@@ -73,7 +73,7 @@
 // watch is a registration made with Service.Watch.
 type watch struct{ notify func() }
 
-// Extension returns the heartbeat slot that carries the digest of the verdicts.
+// SlotConfig returns the heartbeat slot that carries the digest of the verdicts.
 func Extension() member.SlotConfig {
 	return member.SlotConfig{ID: member.SlotQuarantine, MaxBytes: digestBytes}
 }
@@ -111,7 +111,7 @@
 	return s
 }
 
-// Served records a successful run of a request, which lifts any verdict on it: the
+// RunSucceeded records a successful run of a request, which lifts any verdict on it: the
 // replica answered and did not exit.
 func (s *Service) RunSucceeded(f poison.Fingerprint) {
 	s.mu.Lock()
@@ -120,7 +120,7 @@
 	s.applyVerdicts(s.cfg.Self, changed)
 }
 
-// Condemned returns the verdict because of which a request must not be sent to a
+// Quarantined returns the verdict because of which a request must not be sent to a
 // replica. It returns false if the request is not quarantined.
 func (s *Service) Quarantined(f poison.Fingerprint) (poison.Verdict, bool) {
 	if s.quarantinedCount.Load() == 0 {
@@ -150,7 +150,7 @@
 	}
 }
 
-// Try asks for a trial run of a quarantined request, which checks whether the verdict
+// RequestTrial asks for a trial run of a quarantined request, which checks whether the verdict
 // was wrong. Only the first coordinator grants trials, so that one runs at a time; if it
 // does not answer, the trial is denied.
 func (s *Service) RequestTrial(ctx context.Context, v poison.Verdict) bool {
@@ -160,7 +160,7 @@
 	return s.callFirstCoordinator(ctx, &wire.TrialRequest{Request: v.Request[:]}, s.grantTrial)
 }
 
-// Untried returns a trial that Try granted but that did not lead to a run.
+// ReturnTrial returns a trial that Try granted but that did not lead to a run.
 func (s *Service) ReturnTrial(f poison.Fingerprint) {
 	go s.callFirstCoordinator(context.Background(), &wire.TrialRequest{Request: f[:], Untried: true}, s.returnTrial)
 }
@@ -259,7 +259,7 @@
 	return d
 }
 
-// Refused returns the number of quarantined requests.
+// QuarantinedCount returns the number of quarantined requests.
 func (s *Service) QuarantinedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/results/store.go
+++ b/results/store.go
@@ -1,10 +1,10 @@
-// Package results keeps completed stages of requests at fellow daemons in
-// other failure domains for as long as the requests' deadlines, so that a retry
-// after a host's death resumes instead of doing the work again.
+// Package results keeps the results of completed stages at peer daemons in other
+// failure domains for as long as the requests' deadlines allow, so that a retry
+// after a host failure resumes instead of running the stages again.
 //
-// A lost kept result costs work, never correctness: a retry then runs the
-// repeatable stage again. Stages that may not be repeated are recorded by the
-// claim holders instead (package claims).
+// Losing a kept result costs work but never correctness: a retry then runs the
+// repeatable stage again. The results of non-repeatable stages are recorded by
+// the claim holders instead (package claims).
 package results
 
 import (
@@ -14,8 +14,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest identifies what a request asks for and how its stages are defined. A
-// result is only ever given out for the same digest.
+// Digest identifies the input of a request and the definitions of its stages. A
+// result is only returned for the same digest.
 type Digest [32]byte
 
 // Request identifies the request that results belong to.
@@ -25,94 +25,94 @@
 	Digest   Digest
 }
 
-// storeShards is the number of shards; a power of two.
-const storeShards = 16
+// shardCount is the number of shards, a power of two.
+const shardCount = 16
 
-// Store holds results in bounded memory, in shards under their own locks. It
-// is safe for concurrent use.
+// Store holds results in bounded memory. It is sharded, with one lock per shard,
+// and safe for concurrent use.
 type Store struct {
-	shards   [storeShards]storeShard
-	maxBytes int
+	shards        [shardCount]shard
+	maxShardBytes int
 }
 
-type storeShard struct {
-	mu       sync.Mutex
-	requests map[Request]*kept
-	bytes    int
-	full     uint64
+type shard struct {
+	mu           sync.Mutex
+	entries      map[Request]*entry
+	bytes        int
+	rejectedFull uint64
 }
 
-type kept struct {
-	stages map[string][]byte
-	bytes  int
-	until  time.Time
+type entry struct {
+	results map[string][]byte
+	bytes   int
+	expires time.Time
 }
 
-// requestOverhead is what a result takes beside its own bytes, rounded up from
-// what BenchmarkMemory measures.
-const requestOverhead = 656
+// resultOverheadBytes is the memory that a stored result takes beyond its own bytes
+// (key, map entries and slice header), rounded up.
+const resultOverheadBytes = 656
 
-// NewStore returns a store that holds about maxBytes.
+// NewStore returns a store that holds up to about maxBytes, overhead included.
 func NewStore(maxBytes int) *Store {
-	s := &Store{maxBytes: maxBytes / storeShards}
+	s := &Store{maxShardBytes: maxBytes / shardCount}
 	for i := range s.shards {
-		s.shards[i].requests = make(map[Request]*kept)
+		s.shards[i].entries = make(map[Request]*entry)
 	}
 	return s
 }
 
-func (s *Store) shard(r Request) *storeShard {
-	return &s.shards[xxhash.Sum64String(r.Customer+"\x00"+r.Key)%storeShards]
+func (s *Store) shardOf(r Request) *shard {
+	return &s.shards[xxhash.Sum64String(r.Customer+"\x00"+r.Key)%shardCount]
 }
 
-// Put keeps a result until the given time. It returns false when there is no
-// room. The result must not be changed afterwards.
+// Put stores a result until the given time. It returns false if there is no room.
+// The caller must not modify the result afterwards.
 func (s *Store) Put(now time.Time, r Request, stage string, result []byte, until time.Time) bool {
-	sh := s.shard(r)
+	sh := s.shardOf(r)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	need := len(result) + requestOverhead
-	if sh.bytes+need > s.maxBytes {
+	need := len(result) + resultOverheadBytes
+	if sh.bytes+need > s.maxShardBytes {
 		sh.expire(now)
 	}
-	if sh.bytes+need > s.maxBytes {
-		sh.full++
+	if sh.bytes+need > s.maxShardBytes {
+		sh.rejectedFull++
 		return false
 	}
-	k, ok := sh.requests[r]
+	k, ok := sh.entries[r]
 	if !ok {
-		k = &kept{stages: make(map[string][]byte)}
-		sh.requests[r] = k
+		k = &entry{results: make(map[string][]byte)}
+		sh.entries[r] = k
 	}
-	if old, ok := k.stages[stage]; ok {
-		need -= len(old) + requestOverhead
+	if old, ok := k.results[stage]; ok {
+		need -= len(old) + resultOverheadBytes
 	}
-	k.stages[stage] = result
+	k.results[stage] = result
 	k.bytes += need
 	sh.bytes += need
-	if until.After(k.until) {
-		k.until = until
+	if until.After(k.expires) {
+		k.expires = until
 	}
 	return true
 }
 
-// Get returns the results kept for r by stage. They must not be changed.
+// Get returns the results stored for r by stage. The caller must not modify them.
 func (s *Store) Get(now time.Time, r Request) map[string][]byte {
-	sh := s.shard(r)
+	sh := s.shardOf(r)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	k, ok := sh.requests[r]
-	if !ok || !now.Before(k.until) {
+	k, ok := sh.entries[r]
+	if !ok || !now.Before(k.expires) {
 		return nil
 	}
-	out := make(map[string][]byte, len(k.stages))
-	for stage, result := range k.stages {
+	out := make(map[string][]byte, len(k.results))
+	for stage, result := range k.results {
 		out[stage] = result
 	}
 	return out
 }
 
-// Expire forgets what is of no use any more. It is called every second or so.
+// Expire removes the expired results. It should be called about once a second.
 func (s *Store) Expire(now time.Time) {
 	for i := range s.shards {
 		sh := &s.shards[i]
@@ -122,32 +122,32 @@
 	}
 }
 
-func (sh *storeShard) expire(now time.Time) {
-	for r, k := range sh.requests {
-		if !now.Before(k.until) {
+func (sh *shard) expire(now time.Time) {
+	for r, k := range sh.entries {
+		if !now.Before(k.expires) {
 			sh.bytes -= k.bytes
-			delete(sh.requests, r)
+			delete(sh.entries, r)
 		}
 	}
 }
 
-// Stats are the figures of a Store.
+// Stats holds the counters of a Store. Bytes includes the overhead per result.
 type Stats struct {
 	Requests int `json:"requests"`
 	Bytes    int `json:"bytes"`
-	// Full counts results that were not kept for want of room.
-	Full uint64 `json:"full"`
+	// Rejected is the number of results that were not stored because there was no room.
+	Rejected uint64 `json:"full"`
 }
 
-// Stats returns the store's figures.
+// Stats returns the sum of the shards' counters.
 func (s *Store) Stats() Stats {
 	var st Stats
 	for i := range s.shards {
 		sh := &s.shards[i]
 		sh.mu.Lock()
-		st.Requests += len(sh.requests)
+		st.Requests += len(sh.entries)
 		st.Bytes += sh.bytes
-		st.Full += sh.full
+		st.Rejected += sh.rejectedFull
 		sh.mu.Unlock()
 	}
 	return st
--- a/stages/service.go
+++ b/stages/service.go
@@ -25,7 +25,7 @@
 	// Formed returns a channel that is closed once Reachable is reliable, within one
 	// second of the start of this host.
 	Formed() <-chan struct{}
-	// Restarted records a newer incarnation of a host, the start of its process in Unix
+	// RecordRestart records a newer incarnation of a host, the start of its process in Unix
 	// milliseconds, as reported by the host itself.
 	RecordRestart(host string, incarnation uint64)
 }
@@ -229,7 +229,7 @@
 	return chosen
 }
 
-// Plans returns whether, in this host's view, it is the one that plans.
+// IsPlanner returns whether, in this host's view, it is the one that plans.
 func (s *Service) IsPlanner() bool {
 	first := s.firstRanked(clock.Now())
 	return first != nil && first.Name == s.cfg.Self
--- a/stages/stages_test.go
+++ b/stages/stages_test.go
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// Room implements stages.Replicas: these replicas never run out of memory.
+// FreeMemory implements stages.Replicas: these replicas never run out of memory.
 func (r replicaClient) FreeMemory(context.Context, stage.QueryMemory) (stage.FreeMemory, error) {
 	return stage.FreeMemory{Min: 1 << 40, Max: 1 << 40}, nil
 }
