--- a/claims/serve.go
+++ b/claims/serve.go
@@ -9,7 +9,7 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// Methods between daemons.
+// RPC methods between daemons.
 const (
 	methodAsk     = "claim.ask"
 	methodRelease = "claim.release"
@@ -18,8 +18,8 @@
 	methodStatus  = "claim.status"
 )
 
-// errNoBundle answers while this host has no bundle yet.
-var errNoBundle = errors.New("no host list is in force yet")
+// errNoHostList is returned to peers while this host has no bundle yet.
+var errNoHostList = errors.New("no host list is in force yet")
 
 func (s *Service) register(mux *peer.Mux) {
 	peer.Handle(mux, methodAsk, s.serveAsk)
@@ -29,16 +29,16 @@
 	peer.Handle(mux, methodStatus, s.serveStatus)
 }
 
-// withHolder runs f on the holder of a key. The host lists cannot change
-// meanwhile.
-func (s *Service) withHolder(key claim.Key, f func(*claim.Holder, claim.Env) claim.Reply) (*wire.ClaimReply, error) {
+// withKeyHolder runs f on the shard that holds a key. The host lists cannot
+// change while f runs.
+func (s *Service) withKeyHolder(key claim.Key, f func(*claim.Holder, claim.Env) claim.Reply) (*wire.ClaimReply, error) {
 	s.viewsMu.RLock()
 	defer s.viewsMu.RUnlock()
 	if s.views == nil {
-		return nil, errNoBundle
+		return nil, errNoHostList
 	}
 	env := claim.Env{
-		Now: s.cfg.Now(), Epoch: s.views.Epoch(), Ready: s.views.CanGrant() && s.cfg.Trusted(),
+		Now: s.cfg.Now(), Epoch: s.views.Epoch(), Ready: s.views.CanGrant() && s.cfg.ClockAndViewsTrusted(),
 	}
 	shard := &s.holders[key.Hash()%holderShards]
 	shard.mu.Lock()
@@ -46,8 +46,9 @@
 	return encodeReply(f(shard.holder, env)), nil
 }
 
-// sentBy says whether a message comes from the process that it speaks for.
-func sentBy(from peer.Sender, o claim.Owner) bool {
+// sentByOwner reports whether a message comes from the process that owns the
+// claim.
+func sentByOwner(from peer.Sender, o claim.Owner) bool {
 	return o.Host == from.Host && o.Incarnation == from.Incarnation
 }
 
@@ -56,10 +57,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if !sentBy(from, ask.Owner) {
+	if !sentByOwner(from, ask.Owner) {
 		return nil, errMalformed
 	}
-	return s.withHolder(ask.Key, func(h *claim.Holder, env claim.Env) claim.Reply {
+	return s.withKeyHolder(ask.Key, func(h *claim.Holder, env claim.Env) claim.Reply {
 		return h.Acquire(env, ask)
 	})
 }
@@ -70,10 +71,10 @@
 		return nil, err
 	}
 	release := claim.Release{Key: key, Owner: decodeOwner(m.Owner), Round: m.Round}
-	if !sentBy(from, release.Owner) {
+	if !sentByOwner(from, release.Owner) {
 		return nil, errMalformed
 	}
-	_, err = s.withHolder(key, func(h *claim.Holder, env claim.Env) claim.Reply {
+	_, err = s.withKeyHolder(key, func(h *claim.Holder, env claim.Env) claim.Reply {
 		h.Release(env, release)
 		return claim.Reply{}
 	})
@@ -86,10 +87,10 @@
 		return nil, err
 	}
 	void := claim.Void{Key: key, Owner: decodeOwner(m.Owner), Epoch: m.Epoch, Until: decodeTime(m.UntilUnixUs)}
-	if !sentBy(from, void.Owner) {
+	if !sentByOwner(from, void.Owner) {
 		return nil, errMalformed
 	}
-	return s.withHolder(key, func(h *claim.Holder, env claim.Env) claim.Reply {
+	return s.withKeyHolder(key, func(h *claim.Holder, env claim.Env) claim.Reply {
 		return h.Void(env, void)
 	})
 }
@@ -104,10 +105,10 @@
 		return nil, errMalformed
 	}
 	store := claim.Store{Key: key, Owner: decodeOwner(m.Owner), Record: *record}
-	if !sentBy(from, store.Owner) {
+	if !sentByOwner(from, store.Owner) {
 		return nil, errMalformed
 	}
-	return s.withHolder(key, func(h *claim.Holder, env claim.Env) claim.Reply {
+	return s.withKeyHolder(key, func(h *claim.Holder, env claim.Env) claim.Reply {
 		return h.Store(env, store)
 	})
 }
--- a/claims/service_test.go
+++ b/claims/service_test.go
@@ -17,10 +17,10 @@
 var _ = Describe("Service", func() {
 	const within = 2 * time.Second
 	ctx := context.Background()
-	var f *fleet
-	BeforeEach(func() { f = newFleet("a", "b", "c") })
+	var f *testFleet
+	BeforeEach(func() { f = newTestFleet("a", "b", "c") })
 
-	It("gives a retry at another host the result, and another request none", func() {
+	It("returns the recorded result to a retry at another host, but not to a different request", func() {
 		key := newKey()
 		Expect(f.acquire("a", key, "r1", within).Won).To(BeTrue())
 		waiting := make(chan []byte, 1)
@@ -29,64 +29,64 @@
 		Expect(f.service("a").Record(ctx, key, "r1", []byte(`"seal"`))).To(Succeed())
 		Eventually(waiting, within).Should(Receive(Equal([]byte(`"seal"`))))
 
-		other, cancel := context.WithTimeout(ctx, within)
+		otherCtx, cancel := context.WithTimeout(ctx, within)
 		defer cancel()
-		d := f.service("c").Acquire(other, key, "r3", time.Now(), [32]byte{2})
+		d := f.service("c").Acquire(otherCtx, key, "r3", time.Now(), [32]byte{2})
 		Expect(d.Err.Kind).To(Equal(problem.KeyReused))
 		Expect(f.service("a").Dump().Owned).To(BeZero())
 	})
 
-	It("does not hand a key on whose owner has ended", func() {
+	It("does not grant a key again after its owner's process has ended", func() {
 		key := newKey()
 		Expect(f.acquire("a", key, "r1", within).Won).To(BeTrue())
-		f.boot("a")
-		f.settle("a")
+		f.startHost("a")
+		f.waitFullyReady("a")
 		d := f.acquire("b", key, "r2", within)
 		Expect(d.Won).To(BeFalse())
 		Expect(d.Err.Kind).To(Equal(problem.OutcomeUnknown))
 		Expect(d.Err.Execution).To(Equal(problem.MayHaveRun))
 	})
 
-	It("lets a later attempt have a released key, but no earlier one", func() {
+	It("grants a released key to a later attempt, but not to an earlier one", func() {
 		key := newKey()
 		before := time.Now()
 		Expect(f.acquire("a", key, "r1", within).Won).To(BeTrue())
 		Expect(f.service("a").Release(ctx, key, "r1")).To(Succeed())
-		early, cancel := context.WithTimeout(ctx, within)
+		earlyCtx, cancel := context.WithTimeout(ctx, within)
 		defer cancel()
-		Expect(f.service("b").Acquire(early, key, "r0", before, [32]byte{1}).Won).To(BeFalse())
+		Expect(f.service("b").Acquire(earlyCtx, key, "r0", before, [32]byte{1}).Won).To(BeFalse())
 		Eventually(func() bool { return f.acquire("b", key, "r2", within).Won }, within).Should(BeTrue())
 	})
 
-	It("refuses at once without a majority, and does not say not_run", func() {
+	It("refuses at once without a majority, and does not report not_run", func() {
 		key := newKey()
-		f.setCut(true, "b", "c")
+		f.setPartitioned(true, "b", "c")
 		d := f.acquire("a", key, "r1", within)
 		Expect(d.Err.Kind).To(Equal(problem.NoMajority))
 		Expect(d.Err.Execution).To(Equal(problem.MayHaveRun))
 		Expect(d.Err.RetryAfter).NotTo(BeZero())
 	})
 
-	It("refuses a bundle whose lineage lacks the host list in force", func() {
+	It("rejects a bundle whose lineage lacks the active host list", func() {
 		s := f.service("a")
 		s.Apply(&bundle.Bundle{Version: 2, Claims: f.bundle.Claims, Hosts: f.bundle.Hosts[1:]})
 		Expect(s.Dump().Refused).To(ContainSubstring("bundle 2"))
 		Expect(s.Dump().Epoch).To(Equal(uint64(1)))
 	})
 
-	It("lets one attempt win each key under loss and restarts", func() {
-		const waves, keys, attempts = 3, 20, 4
+	It("lets at most one attempt win each key despite message loss and restarts", func() {
+		const rounds, keys, attempts = 3, 20, 4
 		hosts := []string{"a", "b", "c"}
 		won := 0
-		for wave := range waves {
-			f.setLoss(0.1)
+		for round := range rounds {
+			f.setLossRate(0.1)
 			var wins [keys]atomic.Int32
 			var group sync.WaitGroup
 			for k := range keys {
 				key := newKey()
 				for i := range attempts {
 					group.Go(func() {
-						// The later attempts are retries, after the restart.
+						// Attempts 2 and 3 start after the restart at 45 ms.
 						time.Sleep(time.Duration(i) * 30 * time.Millisecond)
 						if f.acquire(hosts[(k+i)%len(hosts)], key, fmt.Sprintf("r%d", i), 300*time.Millisecond).Won {
 							wins[k].Add(1)
@@ -96,16 +96,16 @@
 			}
 			group.Go(func() {
 				time.Sleep(45 * time.Millisecond)
-				f.boot(hosts[wave])
+				f.startHost(hosts[round])
 			})
 			group.Wait()
 			for k := range wins {
 				Expect(wins[k].Load()).To(BeNumerically("<=", 1))
 				won += int(wins[k].Load())
 			}
-			f.setLoss(0)
-			f.settle(hosts...)
+			f.setLossRate(0)
+			f.waitFullyReady(hosts...)
 		}
-		Expect(won).To(BeNumerically(">", waves*keys/2))
+		Expect(won).To(BeNumerically(">", rounds*keys/2))
 	})
 })
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -20,17 +20,17 @@
 // maxDumpRequests bounds the requests in flight that a dump lists.
 const maxDumpRequests = 1000
 
-// inspectTimeout bounds the wait for the cluster's loops.
-const inspectTimeout = 200 * time.Millisecond
+// clusterDumpTimeout bounds the wait for the cluster's event loops.
+const clusterDumpTimeout = 200 * time.Millisecond
 
-// clusterDump is the state of membership and configuration.
+// clusterDump returns the state of membership and configuration rollout.
 func (d *Daemon) clusterDump() cluster.Dump {
-	ctx, cancel := clock.WithTimeout(context.Background(), inspectTimeout)
+	ctx, cancel := clock.WithTimeout(context.Background(), clusterDumpTimeout)
 	defer cancel()
 	return d.cluster.Dump(ctx)
 }
 
-// openOperators listens for operators. The peers must be open.
+// openOperators opens the operators' listener. The peers' listener must be open.
 func (d *Daemon) openOperators() error {
 	d.registerSections()
 	d.registerGauges()
@@ -42,26 +42,26 @@
 			TokenFile: o.TokenFile, ClientCA: o.ClientCA, Cert: o.Cert, Key: o.Key,
 		},
 		Local:   local,
-		Querier: operator.NewFleetQuerier(local, d.records, d.sections, d.peers, d.peerMux),
-		Metrics: []*metrics.Set{d.metrics}, WriteMetrics: d.writeStates,
+		Querier: operator.NewFleetQuerier(local, d.records, d.dumpSections, d.peerTransport, d.peerMux),
+		Metrics: []*metrics.Set{d.metrics}, WriteMetrics: d.writeDynamicMetrics,
 		Logger: d.log,
 	})
 	if err != nil {
 		return err
 	}
-	d.operators = server
+	d.operatorServer = server
 	return nil
 }
 
-// operatorLocal shows a daemon to its operators' listener.
-type operatorLocal struct{ d *Daemon }
+// operatorLocal implements operator.Local for a daemon.
+type operatorLocal struct{ daemon *Daemon }
 
 // Status implements operator.Local.
 func (l operatorLocal) Status() operator.Status {
-	d := l.d
+	d := l.daemon
 	st := operator.Status{
 		Host: d.settings.Host, FailureDomain: d.settings.FailureDomain,
-		Draining: d.draining.Load(), RequestsInFlight: d.table.Len(),
+		Draining: d.draining.Load(), RequestsInFlight: d.requestTable.Len(),
 	}
 	if err := d.CheckAdmission(); err != nil {
 		st.Reason = err.Detail
@@ -69,15 +69,16 @@
 	st.Ready = st.Reason == ""
 	if b := d.bundle.Load(); b != nil {
 		st.BundleVersion = b.Version
-		st.BundleDigest, st.BundleSource, st.BundleSince = d.origin()
+		st.BundleDigest, st.BundleSource, st.BundleSince = d.bundleOrigin()
 	}
 	return st
 }
 
-// origin says where the bundle in force came from and since when it is.
-func (d *Daemon) origin() (digest, source string, since time.Time) {
+// bundleOrigin returns the digest and source of the active bundle and the time since
+// which it is active.
+func (d *Daemon) bundleOrigin() (digest, source string, since time.Time) {
 	r := d.clusterDump().Rollout
-	if t := d.inForceFrom.Load(); t != nil {
+	if t := d.bundleAppliedAt.Load(); t != nil {
 		since = *t
 	}
 	return fmt.Sprintf("%016x", r.Digest), r.Source, since
@@ -85,72 +86,72 @@
 
 // Drain implements operator.Local.
 func (l operatorLocal) Drain() {
-	l.d.draining.Store(true)
-	l.d.leave()
+	l.daemon.draining.Store(true)
+	l.daemon.startDrain()
 }
 
 // Host implements operator.Local.
-func (l operatorLocal) Host() string { return l.d.settings.Host }
+func (l operatorLocal) Host() string { return l.daemon.settings.Host }
 
-// Hosts implements operator.Local: the hosts of the bundle in force, also those
-// that are gone; before there is one, the members heard of.
+// Hosts implements operator.Local. It returns the hosts of the active bundle,
+// whether they are alive or not, or the known members if there is no bundle yet.
 func (l operatorLocal) Hosts() []string {
 	var names []string
-	if b := l.d.bundle.Load(); b != nil {
+	if b := l.daemon.bundle.Load(); b != nil {
 		for _, h := range b.Hosts {
 			names = append(names, h.Name)
 		}
 		return names
 	}
-	for _, m := range l.d.cluster.Members() {
+	for _, m := range l.daemon.cluster.Members() {
 		names = append(names, m.Host.Name)
 	}
 	return names
 }
 
-// processDump is the dump's section about the process.
+// processDump is the section of the dump for the process.
 type processDump struct {
 	Status      operator.Status `json:"status"`
 	Incarnation uint64          `json:"incarnation"`
 	Now         time.Time       `json:"now"`
-	// Dropped counts events for requests that were over.
-	Dropped uint64 `json:"dropped_events"`
+	// DroppedEvents is the number of events for requests that had already ended.
+	DroppedEvents uint64 `json:"dropped_events"`
 }
 
-// bundleDump is the dump's section about the bundle.
+// bundleDump is the section of the dump for the active bundle.
 type bundleDump struct {
 	Version uint64    `json:"version"`
 	Digest  string    `json:"digest"`
 	Source  string    `json:"source"`
 	Since   time.Time `json:"since"`
-	// Content is the bundle without the hashes of the customers' keys.
+	// Content is the bundle without the hashes of the customers' API keys.
 	Content json.RawMessage `json:"content,omitempty"`
 	Error   string          `json:"error,omitempty"`
 }
 
-// registerSections registers what this package knows; the parts of the daemon
-// register their own.
+// registerSections registers the dump sections of this package. Some components of
+// the daemon register their own.
 func (d *Daemon) registerSections() {
-	d.sections.Register("process", func() any {
+	d.dumpSections.Register("process", func() any {
 		return processDump{
 			Status: operatorLocal{d}.Status(), Incarnation: d.incarnation,
-			Now: d.Now(), Dropped: d.table.Dropped(),
+			Now: d.Now(), DroppedEvents: d.requestTable.Dropped(),
 		}
 	})
-	d.sections.Register("bundle", func() any { return d.dumpBundle() })
-	d.sections.Register("cluster", func() any { return d.clusterDump() })
-	d.sections.Register("requests", func() any { return append([]request.Overview{}, d.table.Overviews(maxDumpRequests)...) })
-	d.sections.Register("records", func() any { return d.records.Stats() })
-	d.sections.Register("quarantine", func() any { return d.quarantine.Dump() })
-	d.sections.Register("peers", func() any { return d.peers.Sessions() })
-	d.sections.Register("pools", func() any { return d.admitter.State(d.Now()) })
-	d.sections.Register("upstreams", func() any { return d.router.Dump(d.Now()) })
-	d.sections.Register("load", func() any { return d.loads.dump() })
-	d.sections.Register("failing_pools", func() any { return d.health.OpenPools() })
-	d.sections.Register("claims", func() any { return d.claims.Dump() })
-	d.sections.Register("kept_results", func() any { return d.keptStore.Stats() })
-	d.sections.Register("retries", func() any { return d.budgets.Retry.Stats() })
-	d.sections.Register("hedges", func() any { return d.budgets.Hedge.Stats() })
+	d.dumpSections.Register("bundle", func() any { return d.dumpBundle() })
+	d.dumpSections.Register("cluster", func() any { return d.clusterDump() })
+	d.dumpSections.Register("requests", func() any { return append([]request.Overview{}, d.requestTable.Overviews(maxDumpRequests)...) })
+	d.dumpSections.Register("records", func() any { return d.records.Stats() })
+	d.dumpSections.Register("quarantine", func() any { return d.quarantine.Dump() })
+	d.dumpSections.Register("peers", func() any { return d.peerTransport.Sessions() })
+	d.dumpSections.Register("pools", func() any { return d.admitter.State(d.Now()) })
+	d.dumpSections.Register("upstreams", func() any { return d.router.Dump(d.Now()) })
+	d.dumpSections.Register("load", func() any { return d.loads.dump() })
+	d.dumpSections.Register("failing_pools", func() any { return d.breakers.OpenPools() })
+	d.dumpSections.Register("claims", func() any { return d.claims.Dump() })
+	d.dumpSections.Register("kept_results", func() any { return d.keptResultStore.Stats() })
+	d.dumpSections.Register("retries", func() any { return d.budgets.Retry.Stats() })
+	d.dumpSections.Register("hedges", func() any { return d.budgets.Hedge.Stats() })
 }
 
 func (d *Daemon) dumpBundle() bundleDump {
@@ -160,7 +161,7 @@
 		return dump
 	}
 	dump.Version = b.Version
-	dump.Digest, dump.Source, dump.Since = d.origin()
+	dump.Digest, dump.Source, dump.Since = d.bundleOrigin()
 	content, err := bundleJSON(b)
 	if err != nil {
 		dump.Error = err.Error()
@@ -169,15 +170,15 @@
 	return dump
 }
 
-// bundleJSON writes a bundle with the keys and units of its YAML form, less
-// the hashes of the customers' keys.
+// bundleJSON encodes a bundle with the field names and units of its YAML form,
+// without the hashes of the customers' API keys.
 func bundleJSON(b *bundle.Bundle) (json.RawMessage, error) {
-	shown := *b
-	shown.Customers = slices.Clone(b.Customers)
-	for i := range shown.Customers {
-		shown.Customers[i].KeyHashes = nil
+	redacted := *b
+	redacted.Customers = slices.Clone(b.Customers)
+	for i := range redacted.Customers {
+		redacted.Customers[i].KeyHashes = nil
 	}
-	raw, err := yaml.Marshal(&shown)
+	raw, err := yaml.Marshal(&redacted)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/standin/site/ledger.go
+++ b/internal/standin/site/ledger.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Run is one execution of a request at a replica.
+// Run is an execution of a request on a replica.
 type Run struct {
 	RequestID string
 	Replica   string
@@ -15,15 +15,16 @@
 	Method    string
 	Target    string
 	Body      string
-	// Key says that the caller's API key was passed on.
+	// HasAPIKey reports whether the API key of the client was passed on to the replica.
 	HasAPIKey bool
-	// After is the event after which a stream went on.
+	// LastEventID is the id of the event after which a stream resumed.
 	LastEventID string
-	// At is when it began.
+	// StartedAt is the start time.
 	StartedAt time.Time
-	// CopyFrom is the engine from which the replica was told to copy.
+	// CacheSource is the engine from which the replica was told to copy the KV cache.
 	CacheSource string
-	// End is how it ended and Ended when; zero while it is under way.
+	// End is how the run ended and Ended when; both are zero while it is in
+	// progress.
 	End     End
 	EndedAt time.Time
 }
@@ -33,95 +34,96 @@
 
 // The ends of runs.
 const (
-	// UnderWay runs have not ended.
+	// InProgress runs are in progress.
 	InProgress End = iota
-	// Complete runs came to their end, whether the answer arrived or not.
+	// Completed runs have finished, whether or not the response was delivered.
 	Completed
-	// Cancelled runs ended since the host closed the connection.
+	// Cancelled runs ended because the host closed the connection.
 	Cancelled
-	// Cut runs ended by the replica's behaviour, or with its process.
-	Cut
+	// Aborted runs were ended by the behaviour of the replica or with its process.
+	Aborted
 )
 
-// String names the end.
 func (e End) String() string {
 	return [...]string{"under way", "complete", "cancelled", "cut"}[e]
 }
 
-// Ledger holds what ran, over all replicas of a site, and what they found
-// wrong. It is safe for concurrent use.
+// Ledger records the runs of all replicas of a site and the protocol violations
+// that the replicas detected. It is safe for concurrent use.
 type Ledger struct {
-	mu     sync.Mutex
-	runs   []*Run
-	faults []string
-	holds  ReservationCounts
-	// results maps the handles that exist to what made them.
-	results map[string]result
-	made    int
-	freed   int
+	mu           sync.Mutex
+	runs         []*Run
+	violations   []string
+	reservations ReservationCounts
+	// results maps the handles of results that are not released to the results.
+	results         map[string]stageResult
+	resultsCreated  int
+	resultsReleased int
 }
 
-// result is the result of one piece.
-type result struct {
-	request string
-	stage   int
-	piece   int
+// stageResult identifies the piece that produced a result.
+type stageResult struct {
+	requestID string
+	stage     int
+	piece     int
 }
 
 // NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{results: map[string]result{}} }
+func NewLedger() *Ledger { return &Ledger{results: map[string]stageResult{}} }
 
-func (l *Ledger) ran(r *Run) {
+func (l *Ledger) recordRun(r *Run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs = append(l.runs, r)
 }
 
-// ended notes the end of a run.
-func (l *Ledger) ended(r *Run, end End) {
+// recordEnd records the end of a run.
+func (l *Ledger) recordEnd(r *Run, end End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r.End, r.EndedAt = end, time.Now()
 }
 
-func (l *Ledger) fault(format string, args ...any) {
+func (l *Ledger) recordViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.faults = append(l.faults, fmt.Sprintf(format, args...))
+	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
-// Runs returns the executions of a request.
+// Runs returns the runs of a request.
 func (l *Ledger) Runs(request string) []Run {
-	return l.which(func(r Run) bool { return r.RequestID == request })
+	return l.runsWhere(func(r Run) bool { return r.RequestID == request })
 }
 
-// RunsOf returns the executions of requests with a body.
+// RunsWithBody returns the runs of all requests with the given body.
 func (l *Ledger) RunsWithBody(body string) []Run {
-	return l.which(func(r Run) bool { return r.Body == body })
+	return l.runsWhere(func(r Run) bool { return r.Body == body })
 }
 
-func (l *Ledger) which(counts func(Run) bool) []Run {
+func (l *Ledger) runsWhere(matches func(Run) bool) []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var runs []Run
 	for _, r := range l.runs {
-		if counts(*r) {
+		if matches(*r) {
 			runs = append(runs, *r)
 		}
 	}
 	return runs
 }
 
-// Faults returns what replicas found wrong with what they were sent.
+// Violations returns the protocol violations that replicas detected in requests, and
+// failures of the fake itself.
 func (l *Ledger) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]string(nil), l.faults...)
+	return append([]string(nil), l.violations...)
 }
 
-// Results returns how many results of stages were made, freed and are held.
-func (l *Ledger) Results() (made, freed, held int) {
+// Results returns the numbers of stage results that were created, were released and
+// still exist.
+func (l *Ledger) Results() (created, released, live int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.made, l.freed, len(l.results)
+	return l.resultsCreated, l.resultsReleased, len(l.results)
 }
--- a/internal/standin/site/stream.go
+++ b/internal/standin/site/stream.go
@@ -8,85 +8,87 @@
 	"time"
 )
 
-// Event is event n of the stream that answers a request.
+// EventText returns event n of the stream for a request.
 func EventText(request string, n int) string {
 	return fmt.Sprintf("id: %d\ndata: token %d of %s\n\n", n, n, request)
 }
 
-// eventEvery is the time from one event to the next.
-const eventEvery = 2 * time.Millisecond
+// defaultEventInterval is the default interval between events.
+const defaultEventInterval = 2 * time.Millisecond
 
-// stream answers with the events of a run.
+// stream responds with the events of a run.
 func (r *Replica) stream(w http.ResponseWriter, req *http.Request, e *execution, b Behaviour) {
 	ctx := req.Context()
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	flusher := http.NewResponseController(w)
-	_ = flusher.Flush() // a client that is gone needs no head
-	every := eventEvery
+	_ = flusher.Flush() // the client may have disconnected
+	interval := defaultEventInterval
 	if b.EventInterval > 0 {
-		every = b.EventInterval
+		interval = b.EventInterval
 	}
-	for n := e.after + 1; n <= r.Events; n++ {
-		if n-e.after-1 == b.PauseAfterEvents && !r.fallSilent(ctx, e, b, every) {
+	for n := e.lastEventID + 1; n <= r.EventsPerStream; n++ {
+		if n-e.lastEventID-1 == b.PauseAfterEvents && !r.applyStall(ctx, e, b, interval) {
 			return
 		}
 		if r.isFrozen() {
-			e.standStill(ctx)
+			e.stall(ctx)
 			return
 		}
 		text := EventText(e.run.RequestID, n)
-		if b.AbortAfterEvents > 0 && n-e.after > b.AbortAfterEvents {
+		if b.AbortAfterEvents > 0 && n-e.lastEventID > b.AbortAfterEvents {
 			_, _ = io.WriteString(w, text[:len(text)/2])
 			_ = flusher.Flush()
 			panic(http.ErrAbortHandler)
 		}
-		e.makes()
+		e.recordEvent()
 		if _, err := io.WriteString(w, text); err != nil {
-			e.cancelled()
+			e.cancel()
 			return
 		}
 		_ = flusher.Flush()
-		if !e.wait(ctx, every) {
+		if !e.wait(ctx, interval) {
 			return
 		}
 	}
 	e.complete()
 }
 
-// fallSilent pauses, and says whether the stream goes on.
-func (r *Replica) fallSilent(ctx context.Context, e *execution, b Behaviour, every time.Duration) bool {
+// applyStall applies the pause and the permanent stall of the behaviour. It reports
+// whether the stream continues.
+func (r *Replica) applyStall(ctx context.Context, e *execution, b Behaviour, interval time.Duration) bool {
 	if b.Pause > 0 && !e.wait(ctx, b.Pause) {
 		return false
 	}
 	switch b.Stall {
-	case Speaking:
+	case NoStall:
 		return true
 	case RunStalled:
-		e.standStill(ctx)
+		e.stall(ctx)
 	case OutputStalled:
-		e.mute(ctx, every)
+		e.completeUnsent(ctx, interval)
 	case ProcessFrozen:
 		r.Freeze()
-		e.standStill(ctx)
+		e.stall(ctx)
 	case ProcessUnreachable:
-		r.Vanish()
-		e.standStill(ctx)
+		r.FreezeUnreachable()
+		e.stall(ctx)
 	}
 	return false
 }
 
-// standStill makes no more events until the connection closes.
-func (e *execution) standStill(ctx context.Context) {
+// stall waits until the connection closes, without generating events.
+func (e *execution) stall(ctx context.Context) {
 	<-ctx.Done()
-	e.cancelled()
+	e.cancel()
 }
 
-// mute makes the events that are left, sends none and keeps the connection open.
-func (e *execution) mute(ctx context.Context, every time.Duration) {
-	for n := e.after + len(e.made) + 1; n <= e.replica.Events; n++ {
-		e.makes()
-		if !e.wait(ctx, every) {
+// completeUnsent generates the remaining events without sending them, and keeps the
+// connection open.
+func (e *execution) completeUnsent(ctx context.Context, interval time.Duration) {
+	for n := e.lastEventID + len(e.eventTimes) + 1; n <= e.replica.EventsPerStream; n++ {
+		e.recordEvent()
+		if !e.wait(ctx, interval) {
 			return
 		}
 	}
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -35,14 +35,14 @@
 // Hooks are callbacks of the loop. They are called in the loop's goroutine and must not
 // block. Each may be nil.
 type Hooks struct {
-	// Slot is called with each extension value that arrives.
+	// SlotReceived is called with each extension value that arrives.
 	SlotReceived func(member.SlotReceived)
-	// Changed is called with each change of a member's state.
+	// MemberChanged is called with each change of a member's state.
 	MemberChanged func(member.Member)
-	// Fresh is called when the views become stale, and when they have been renewed
+	// FreshnessChanged is called when the views become stale, and when they have been renewed
 	// after the start or after a pause.
 	FreshnessChanged func(bool)
-	// View is called with each new snapshot and the one before it.
+	// ViewChanged is called with each new snapshot and the one before it.
 	ViewChanged func(next, old *View)
 }
 
--- a/peer/config.go
+++ b/peer/config.go
@@ -62,7 +62,7 @@
 	// Metrics is the set in which the transport registers its metrics.
 	Metrics *metrics.Set
 
-	// MaxMessage is the maximum size of an encoded envelope in bytes.
+	// MaxMessageBytes is the maximum size of an encoded envelope in bytes.
 	MaxMessageBytes int
 	// MaxInFlight bounds the calls in flight on one session, in each direction.
 	MaxInFlight int
--- a/shares/service.go
+++ b/shares/service.go
@@ -16,23 +16,23 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// Methods between daemons. Each may answer with the message that it gives rise
-// to, or with an empty one.
+// RPC methods between daemons. The response holds the machine's answer to the
+// sender, or is empty if there is none.
 const (
 	methodReport = "share.report"
 	methodReply  = "share.reply"
 )
 
 const (
-	tickEvery    = 50 * time.Millisecond
-	measureEvery = 250 * time.Millisecond
-	callTimeout  = 2 * time.Second
-	// maxCalls bounds the calls in flight. A message beyond is not sent: the
-	// machine repeats what matters.
-	maxCalls = 64
+	tickInterval    = 50 * time.Millisecond
+	measureInterval = 250 * time.Millisecond
+	callTimeout     = 2 * time.Second
+	// maxCallsInFlight bounds the calls in flight. Further messages are dropped,
+	// since the machine repeats those that matter.
+	maxCallsInFlight = 64
 )
 
-// Admitter measures demand and is given the shares in force.
+// Admitter measures demand and enforces the current shares.
 type Admitter interface {
 	Demand(now time.Time) admit.Demand
 	SetShares(s admit.Shares)
@@ -41,40 +41,41 @@
 // Config configures a Service.
 type Config struct {
 	Host string
-	// Incarnation is the start of this process in Unix milliseconds.
+	// Incarnation is the start time of this process in Unix milliseconds.
 	Incarnation uint64
 	Admitter    Admitter
-	// Live names the hosts believed to be alive; nil means all.
-	Live func() []string
-	Mux  *peer.Mux
-	// Seed of the random choices.
+	// LiveHosts returns the names of the hosts believed to be alive; nil means
+	// that all are.
+	LiveHosts func() []string
+	Mux       *peer.Mux
+	// Seed seeds the random choices.
 	Seed uint64
 }
 
-// Service is safe for concurrent use.
+// Service computes this daemon's shares. It is safe for concurrent use.
 type Service struct {
-	cfg   Config
-	calls chan struct{}
+	cfg       Config
+	callSlots chan struct{}
 
 	mu        sync.Mutex
 	machine   *share.Machine
 	resources []share.Resource
 	view      *share.View
-	// caller is nil until Run.
-	caller peer.Caller
+	// peerCaller is nil until Run is called.
+	peerCaller peer.Caller
 }
 
-// New returns a service that has not started and registers its methods.
+// New returns a service and registers its methods. Run starts it.
 func New(cfg Config) *Service {
 	now := clock.Now()
 	machine := share.New(now, share.NewConfig(cfg.Host, cfg.Incarnation, 1), rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)))
-	s := &Service{cfg: cfg, calls: make(chan struct{}, maxCalls), machine: machine}
+	s := &Service{cfg: cfg, callSlots: make(chan struct{}, maxCallsInFlight), machine: machine}
 	peer.Handle(cfg.Mux, methodReport, s.serveReport)
 	peer.Handle(cfg.Mux, methodReply, s.serveReply)
 	return s
 }
 
-// Apply puts a bundle's hosts, pools and limited customers in force. It must
+// Apply sets the hosts, pools and rate-limited customers from a bundle. It must
 // be called after the Admitter's Apply.
 func (s *Service) Apply(b *bundle.Bundle) {
 	e := share.HostsChanged{}
@@ -92,15 +93,15 @@
 	s.mu.Lock()
 	s.resources, s.view = e.Resources, nil
 	s.mu.Unlock()
-	s.step(e)
+	s.stepMachine(e)
 }
 
-// Run drives the machine until ctx ends.
+// Run drives the machine and sends its messages through caller until ctx ends.
 func (s *Service) Run(ctx context.Context, caller peer.Caller) {
 	s.mu.Lock()
-	s.caller = caller
+	s.peerCaller = caller
 	s.mu.Unlock()
-	tick, measure := time.NewTicker(tickEvery), time.NewTicker(measureEvery)
+	tick, measure := time.NewTicker(tickInterval), time.NewTicker(measureInterval)
 	defer tick.Stop()
 	defer measure.Stop()
 	for {
@@ -108,17 +109,17 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			s.send(ctx, s.step(share.TimerFired{}))
+			s.sendActions(ctx, s.stepMachine(share.TimerFired{}))
 		case <-measure.C:
-			if s.cfg.Live != nil {
-				s.step(share.LiveHostsChanged{Hosts: s.cfg.Live()})
+			if s.cfg.LiveHosts != nil {
+				s.stepMachine(share.LiveHostsChanged{Hosts: s.cfg.LiveHosts()})
 			}
-			s.send(ctx, s.step(s.demand()))
+			s.sendActions(ctx, s.stepMachine(s.measuredDemand()))
 		}
 	}
 }
 
-func (s *Service) demand() share.DemandMeasured {
+func (s *Service) measuredDemand() share.DemandMeasured {
 	d := s.cfg.Admitter.Demand(clock.Now())
 	out := make(map[share.Resource]float64, len(d.Pools)+len(d.Customers))
 	for name, x := range d.Pools {
@@ -130,8 +131,9 @@
 	return share.DemandMeasured{Demand: out}
 }
 
-// step feeds the machine and gives admission the shares when they changed.
-func (s *Service) step(e share.Event) []share.Action {
+// stepMachine passes an event to the machine and gives the Admitter the shares if
+// they have changed.
+func (s *Service) stepMachine(e share.Event) []share.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
@@ -143,50 +145,50 @@
 	return actions
 }
 
-// send carries messages out without waiting for them.
-func (s *Service) send(ctx context.Context, actions []share.Action) {
+// sendActions sends messages without waiting for their responses.
+func (s *Service) sendActions(ctx context.Context, actions []share.Action) {
 	s.mu.Lock()
-	caller := s.caller
+	caller := s.peerCaller
 	s.mu.Unlock()
 	if caller == nil {
 		return
 	}
 	for _, a := range actions {
 		select {
-		case s.calls <- struct{}{}:
+		case s.callSlots <- struct{}{}:
 		default:
 			continue
 		}
 		go func() {
-			defer func() { <-s.calls }()
-			s.sendOne(ctx, caller, a)
+			defer func() { <-s.callSlots }()
+			s.sendAction(ctx, caller, a)
 		}()
 	}
 }
 
-// sendOne sends a message and handles the one that comes back. A call that
-// fails is a lost message.
-func (s *Service) sendOne(ctx context.Context, caller peer.Caller, a share.Action) {
+// sendAction sends a message and handles the response. A failed call counts as a
+// lost message.
+func (s *Service) sendAction(ctx context.Context, caller peer.Caller, a share.Action) {
 	ctx, cancel := clock.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	switch a := a.(type) {
 	case share.SendReport:
 		reply := &wire.ShareReply{}
-		if caller.Call(ctx, a.To, methodReport, a.Report, reply) == nil && !empty(reply) {
-			s.send(ctx, s.step(share.ReplyReceived{From: a.To, Reply: reply}))
+		if caller.Call(ctx, a.To, methodReport, a.Report, reply) == nil && !isEmpty(reply) {
+			s.sendActions(ctx, s.stepMachine(share.ReplyReceived{From: a.To, Reply: reply}))
 		}
 	case share.SendReply:
 		report := &wire.ShareReport{}
-		if caller.Call(ctx, a.To, methodReply, a.Reply, report) == nil && !empty(report) {
-			s.send(ctx, s.step(share.ReportReceived{From: a.To, Report: report}))
+		if caller.Call(ctx, a.To, methodReply, a.Reply, report) == nil && !isEmpty(report) {
+			s.sendActions(ctx, s.stepMachine(share.ReportReceived{From: a.To, Report: report}))
 		}
 	}
 }
 
-func empty(m proto.Message) bool { return proto.Size(m) == 0 }
+func isEmpty(m proto.Message) bool { return proto.Size(m) == 0 }
 
 func (s *Service) serveReport(_ context.Context, from peer.Sender, r *wire.ShareReport) (*wire.ShareReply, error) {
-	reply, ok := s.answer(share.ReportReceived{From: from.Host, Report: r}, func(a share.Action) bool {
+	reply, ok := s.stepForAnswer(share.ReportReceived{From: from.Host, Report: r}, func(a share.Action) bool {
 		reply, ok := a.(share.SendReply)
 		return ok && reply.To == from.Host
 	}).(share.SendReply)
@@ -197,7 +199,7 @@
 }
 
 func (s *Service) serveReply(_ context.Context, from peer.Sender, r *wire.ShareReply) (*wire.ShareReport, error) {
-	report, ok := s.answer(share.ReplyReceived{From: from.Host, Reply: r}, func(a share.Action) bool {
+	report, ok := s.stepForAnswer(share.ReplyReceived{From: from.Host, Reply: r}, func(a share.Action) bool {
 		report, ok := a.(share.SendReport)
 		return ok && report.To == from.Host
 	}).(share.SendReport)
@@ -207,39 +209,39 @@
 	return report.Report, nil
 }
 
-// answer passes what a host has sent to the machine. It returns the action that
-// is the answer to that host, nil without one, and carries out all others.
-func (s *Service) answer(e share.Event, isAnswer func(share.Action) bool) share.Action {
+// stepForAnswer passes an event from a host to the machine. It returns the action
+// that answers that host, or nil if there is none, and carries out all others.
+func (s *Service) stepForAnswer(e share.Event, isAnswer func(share.Action) bool) share.Action {
 	var answer share.Action
 	var rest []share.Action
-	for _, a := range s.step(e) {
+	for _, a := range s.stepMachine(e) {
 		if isAnswer(a) {
 			answer = a
 			continue
 		}
 		rest = append(rest, a)
 	}
-	s.send(context.Background(), rest)
+	s.sendActions(context.Background(), rest)
 	return answer
 }
 
-// State is what a dump shows of one resource.
-type State struct {
+// ResourceShare is the entry of one resource in the operators' dump.
+type ResourceShare struct {
 	Kind share.Kind `json:"kind"`
 	Name string     `json:"name"`
-	// Share is this daemon's fraction of the limit.
+	// Share is this daemon's fraction of the limit, from 0 to 1.
 	Share float64 `json:"share"`
 }
 
-// States returns the shares in force.
-func (s *Service) States() []State {
+// ResourceShares returns the current share of each resource.
+func (s *Service) ResourceShares() []ResourceShare {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
 	v := s.machine.View(now)
-	out := make([]State, 0, len(s.resources))
+	out := make([]ResourceShare, 0, len(s.resources))
 	for _, r := range s.resources {
-		out = append(out, State{r.Kind, r.Name, float64(v.Millionths(now, r)) / share.FullShare})
+		out = append(out, ResourceShare{r.Kind, r.Name, float64(v.Millionths(now, r)) / share.FullShare})
 	}
 	return out
 }
