--- a/cluster/slots.go
+++ b/cluster/slots.go
@@ -14,7 +14,7 @@
 	Host        string
 	Incarnation uint64
 	Value       []byte
-	// At is when the value arrived.
+	// ReceivedAt is when the value arrived.
 	ReceivedAt time.Time
 	// SentAt is the sender's wall clock time when it sent the value directly. It is
 	// zero for a value of a fleet-wide extension, which peers relay and which may have
--- a/internal/standin/site/store.go
+++ b/internal/standin/site/store.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// item is an entry of the store as it is written on the wire.
+// item is an entry of the store as encoded on the wire.
 type item struct {
 	Key       string `json:"key"`
 	Data      []byte `json:"data,omitempty"`
@@ -20,30 +20,30 @@
 	Tombstone bool   `json:"tombstone,omitempty"`
 }
 
-// Store is the platform's metadata store. It is safe for concurrent use.
+// Store is a fake of the platform's metadata store. It is safe for concurrent use.
 type Store struct {
-	// PageSize bounds the entries of one answer. Default 50.
+	// PageSize limits the number of entries in a list response. Default: 50.
 	PageSize int
 
-	mu       sync.Mutex
-	items    map[string]item
-	revision uint64
-	status   int
-	delay    time.Duration
-	calls    int
-	// removed are the tombstones; changed is closed with every write.
-	removed map[string]item
-	changed chan struct{}
-	// forgotten is the revision up to which changes are not known any more.
-	forgotten uint64
+	mu         sync.Mutex
+	items      map[string]item
+	revision   uint64
+	failStatus int
+	delay      time.Duration
+	calls      int
+	// tombstones has the deleted keys. changed is closed by every write.
+	tombstones map[string]item
+	changed    chan struct{}
+	// compactedRevision is the revision up to which changes are no longer retained.
+	compactedRevision uint64
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{PageSize: 50, items: map[string]item{}, removed: map[string]item{}, changed: make(chan struct{})}
+	return &Store{PageSize: 50, items: map[string]item{}, tombstones: map[string]item{}, changed: make(chan struct{})}
 }
 
-// Put writes a value; v is encoded as JSON unless it is bytes.
+// Put writes a value. v is encoded as JSON unless it is a []byte.
 func (s *Store) Put(key string, v any) {
 	data, ok := v.([]byte)
 	if !ok {
@@ -55,17 +55,17 @@
 	s.write(item{Key: key, Data: data})
 }
 
-// evacuatePrefix is the prefix of the orders to evacuate a failure domain.
+// evacuatePrefix is the key prefix of evacuation orders for failure domains.
 const evacuatePrefix = "op/evacuate/"
 
-// Evacuate orders that the replicas of a failure domain get no new work, and TakeBack
-// withdraws the order.
+// Evacuate writes the order to evacuate a failure domain: its replicas get no new
+// work until TakeBack withdraws the order.
 func (s *Store) Evacuate(domain string) { s.Put(evacuatePrefix+domain, map[string]any{}) }
 
-// TakeBack withdraws the order of Evacuate.
+// CancelEvacuation withdraws the evacuation order for a failure domain.
 func (s *Store) CancelEvacuation(domain string) { s.Delete(evacuatePrefix + domain) }
 
-// Delete removes a key.
+// Delete deletes a key and leaves a tombstone for watches.
 func (s *Store) Delete(key string) { s.write(item{Key: key, Tombstone: true}) }
 
 func (s *Store) write(i item) {
@@ -75,37 +75,38 @@
 	i.Revision = s.revision
 	if i.Tombstone {
 		delete(s.items, i.Key)
-		s.removed[i.Key] = i
+		s.tombstones[i.Key] = i
 	} else {
 		s.items[i.Key] = i
-		delete(s.removed, i.Key)
+		delete(s.tombstones, i.Key)
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Compact forgets all changes so far: watches from before get 410.
+// Compact discards the history of changes so far. Watches from an earlier revision
+// get status 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = s.revision
+	s.compactedRevision = s.revision
 }
 
-// Fail answers every call with a status until it is called with 0.
+// SetFailure makes every call fail with the given status; 0 ends that.
 func (s *Store) SetFailure(status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.status = status
+	s.failStatus = status
 }
 
-// Delay makes every call take that long.
+// SetDelay delays every call by d.
 func (s *Store) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// Calls returns the number of calls so far.
+// CallCount returns the number of calls so far.
 func (s *Store) CallCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +117,7 @@
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.calls++
-	status, delay := s.status, s.delay
+	status, delay := s.failStatus, s.delay
 	s.mu.Unlock()
 	time.Sleep(delay)
 	if status != 0 {
@@ -135,21 +136,21 @@
 	}
 }
 
-// watch answers with the changes under a prefix after a revision, at once or
-// when there are some.
+// watch responds with the changes under a prefix after a revision as soon as there
+// are any, or without changes after wait_ms.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
-	wait, err2 := strconv.Atoi(query.Get("wait_ms"))
-	if errors.Join(err, err2) != nil {
+	wait, waitErr := strconv.Atoi(query.Get("wait_ms"))
+	if errors.Join(err, waitErr) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
 	for waiting := true; ; {
-		events, revision, changed, known := s.since(query.Get("prefix"), after)
-		if !known {
+		events, revision, changed, retained := s.changesSince(query.Get("prefix"), after)
+		if !retained {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
@@ -167,26 +168,27 @@
 	}
 }
 
-// since returns the changes under a prefix after a revision, what is closed with
-// the next change, and whether the history reaches back that far.
-func (s *Store) since(prefix string, after uint64) (events []item, revision uint64, changed chan struct{}, known bool) {
+// changesSince returns the changes under a prefix after a revision, the current
+// revision, a channel that is closed by the next write, and whether the changes since
+// that revision are still retained.
+func (s *Store) changesSince(prefix string, after uint64) (events []item, revision uint64, changed chan struct{}, retained bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	events = []item{}
-	for _, of := range []map[string]item{s.items, s.removed} {
-		for key, i := range of {
+	for _, items := range []map[string]item{s.items, s.tombstones} {
+		for key, i := range items {
 			if strings.HasPrefix(key, prefix) && i.Revision > after {
 				events = append(events, i)
 			}
 		}
 	}
 	slices.SortFunc(events, func(a, b item) int { return cmp.Compare(a.Revision, b.Revision) })
-	return events, s.revision, s.changed, after >= s.forgotten
+	return events, s.revision, s.changed, after >= s.compactedRevision
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // a client that is gone needs no answer
+	_ = json.NewEncoder(w).Encode(v) // the client may have disconnected
 }
 
 func (s *Store) get(w http.ResponseWriter, key string) {
@@ -213,13 +215,13 @@
 		}
 	}
 	slices.Sort(keys)
-	answer := struct {
+	response := struct {
 		Entries []item `json:"entries"`
 		HasMore bool   `json:"has_more"`
 		AsOf    uint64 `json:"as_of"`
 	}{Entries: []item{}, HasMore: len(keys) > s.PageSize, AsOf: s.revision}
 	for _, k := range keys[:min(len(keys), s.PageSize)] {
-		answer.Entries = append(answer.Entries, s.items[k])
+		response.Entries = append(response.Entries, s.items[k])
 	}
-	writeJSON(w, answer)
+	writeJSON(w, response)
 }
--- a/membership/calls.go
+++ b/membership/calls.go
@@ -17,17 +17,17 @@
 // ErrBusy reports that the maximum number of calls is already in flight.
 var ErrBusy = errors.New("membership: too many calls in flight")
 
-// Calls makes calls to peers, each in its own goroutine. The number of calls in
+// CallPool makes calls to peers, each in its own goroutine. The number of calls in
 // flight is bounded.
 type CallPool struct {
 	caller  peer.Caller
 	permits chan struct{}
 }
 
-// NewCalls returns a pool. Use must be called before the first call.
+// NewCallPool returns a pool. Use must be called before the first call.
 func NewCallPool() *CallPool { return &CallPool{permits: make(chan struct{}, maxCallsInFlight)} }
 
-// Use sets the caller. It is called once, before the first call.
+// SetCaller sets the caller. It is called once, before the first call.
 func (c *CallPool) SetCaller(caller peer.Caller) { c.caller = caller }
 
 // Go calls method at host in its own goroutine and passes the result to done, at the
--- a/proofs/delivery_test.go
+++ b/proofs/delivery_test.go
@@ -13,11 +13,11 @@
 )
 
 var _ = Describe("A result is delivered to its own request only", func() {
-	DescribeTable("with thousands of requests at once",
-		func(faults standin.Faults, least int) {
+	DescribeTable("with thousands of requests from concurrent callers",
+		func(faults standin.Faults, minAnswered int) {
 			f := startFleet(proctest.Options{})
-			f.Fault("encoders", faults)
-			f.Fault("signing", faults)
+			f.SetPoolFaults("encoders", faults)
+			f.SetPoolFaults("signing", faults)
 			const callers, each = 60, 40
 			answered := make([]int, callers)
 			var wg sync.WaitGroup
@@ -27,7 +27,7 @@
 					defer wg.Done()
 					defer GinkgoRecover()
 					for n := range each {
-						answered[c] += callMarked(f, c, n)
+						answered[c] += callAndCheckAnswer(f, c, n)
 					}
 				}()
 			}
@@ -37,17 +37,18 @@
 				total += n
 			}
 			AddReportEntry("answered", fmt.Sprintf("%d of %d", total, callers*each))
-			Expect(total).To(BeNumerically(">=", least))
+			Expect(total).To(BeNumerically(">=", minAnswered))
 		},
 		Entry("without faults", standin.Faults{}, 2000),
-		Entry("with answers written twice", standin.Faults{DuplicateResponse: true}, 1),
-		Entry("with answers of other requests", standin.Faults{WrongResponse: true}, 0),
+		Entry("with answers sent twice", standin.Faults{DuplicateResponse: true}, 1),
+		Entry("with answers to other requests", standin.Faults{WrongResponse: true}, 0),
 	)
 })
 
-// callMarked sends a request and checks that its answer bears its own id and
-// its own text. It returns 1 when the request was answered.
-func callMarked(f *proctest.Fleet, c, n int) int {
+// callAndCheckAnswer sends a request and checks that its answer contains the request's
+// own id and, for PipelineSeal, its own text. It returns 1 if the request was answered,
+// else 0.
+func callAndCheckAnswer(f *proctest.Fleet, c, n int) int {
 	GinkgoHelper()
 	pipeline, key := proctest.PipelineSummary, ""
 	if n%2 == 0 {
@@ -58,7 +59,7 @@
 	if !o.Answered() {
 		return 0
 	}
-	Expect(bytes.Contains(o.Result, []byte(o.RequestID))).To(BeTrue(), "mark of another request: %s", o.Result)
+	Expect(bytes.Contains(o.Result, []byte(o.RequestID))).To(BeTrue(), "answer to another request: %s", o.Result)
 	if pipeline == proctest.PipelineSeal {
 		Expect(bytes.Contains(o.Result, []byte(text))).To(BeTrue(), "text of another request: %s", o.Result)
 	}
