--- a/bench/main_test.go
+++ b/bench/main_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// outsideEnv makes the test binary play the outside of the daemon.
-const outsideEnv = "WHEATSEAM_BENCH_OUTSIDE"
+// harnessEnv is the environment variable that makes the test binary run as the harness.
+const harnessEnv = "WHEATSEAM_BENCH_OUTSIDE"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(outsideEnv) == "" {
+	if os.Getenv(harnessEnv) == "" {
 		os.Exit(m.Run())
 	}
-	if err := runOutside(); err != nil {
-		fmt.Fprintln(os.Stderr, "outside:", err)
+	if err := runHarness(); err != nil {
+		fmt.Fprintln(os.Stderr, "bench harness:", err)
 		os.Exit(1)
 	}
 }
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -12,15 +12,14 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Decode reads the one document of raw into the struct that v points to, and
-// reports every fault. What the document leaves out is left alone in v, so that
-// the caller may put defaults there; what is faulty is undefined.
+// Decode decodes raw, which must hold one document, into the struct that v points to
+// and reports every problem. Fields that the document does not set keep their values
+// in v, so that the caller can set defaults; fields with a problem are undefined.
 //
-// Mappings become structs, by their yaml tags; sequences become slices; scalars
-// become strings, booleans, int, int64, uint64, float64, time.Duration (with a unit)
-// and time.Time (RFC 3339). Keys that the struct lacks, keys without a value,
-// values of another kind, anchors, aliases, tags and further documents are
-// faults.
+// Mappings are decoded into structs by their yaml tags, sequences into slices, and
+// scalars into string, bool, int, int64, uint64, float64, time.Duration (with a
+// unit) and time.Time (RFC 3339). Unknown keys, keys without a value, values of
+// another kind, anchors, aliases, tags and additional documents are problems.
 func Decode(raw []byte, v any) *Report {
 	d := &decoder{&Report{lines: map[string]int{}}}
 	root := d.parseDocument(raw)
@@ -28,17 +27,17 @@
 		d.unreadable = true
 		return d.Report
 	}
-	d.value(root, reflect.ValueOf(v).Elem(), "")
+	d.decodeValue(root, reflect.ValueOf(v).Elem(), "")
 	return d.Report
 }
 
-// decoder walks a document beside the type that it is read into.
+// decoder walks a document together with the type that it is decoded into.
 type decoder struct {
 	*Report
 }
 
-// parseDocument returns the root of the one document of raw, or nil after
-// noting why there is none.
+// parseDocument returns the root of the only document in raw, or nil after it has
+// recorded a problem.
 func (d *decoder) parseDocument(raw []byte) ast.Node {
 	file, err := parser.ParseBytes(raw, 0)
 	if err != nil {
@@ -50,7 +49,7 @@
 		return nil
 	}
 	if len(file.Docs) > 1 {
-		d.note("", file.Docs[1])
+		d.recordLine("", file.Docs[1])
 		d.Add("", "want one YAML document, got %d", len(file.Docs))
 		return nil
 	}
@@ -67,9 +66,9 @@
 	return p
 }
 
-// value reads node into v and notes the line of each path.
-func (d *decoder) value(node ast.Node, v reflect.Value, path string) {
-	d.note(path, node)
+// decodeValue decodes node into v and records the line of each path.
+func (d *decoder) decodeValue(node ast.Node, v reflect.Value, path string) {
+	d.recordLine(path, node)
 	switch node.(type) {
 	case *ast.NullNode:
 		d.Add(path, "has no value")
@@ -80,17 +79,17 @@
 	}
 	switch {
 	case IsScalar(v.Type()):
-		d.scalar(node, v, path)
+		d.decodeScalar(node, v, path)
 	case v.Kind() == reflect.Struct:
-		d.structure(node, v, path)
+		d.decodeStruct(node, v, path)
 	default:
-		d.sequence(node, v, path)
+		d.decodeSequence(node, v, path)
 	}
 }
 
-// note keeps the first line seen for path: a key's line goes before that of
-// its value.
-func (d *decoder) note(path string, node ast.Node) {
+// recordLine records the line of path unless one is recorded already, so that the
+// line of a key has precedence over the line of its value.
+func (d *decoder) recordLine(path string, node ast.Node) {
 	if _, ok := d.lines[path]; ok {
 		return
 	}
@@ -99,7 +98,7 @@
 	}
 }
 
-func (d *decoder) structure(node ast.Node, v reflect.Value, path string) {
+func (d *decoder) decodeStruct(node ast.Node, v reflect.Value, path string) {
 	var pairs []*ast.MappingValueNode
 	switch n := node.(type) {
 	case *ast.MappingNode:
@@ -107,32 +106,32 @@
 	case *ast.MappingValueNode:
 		pairs = []*ast.MappingValueNode{n}
 	default:
-		d.Add(path, "want a mapping, got %s", kindOf(node))
+		d.Add(path, "want a mapping, got %s", kindName(node))
 		return
 	}
-	fields := fieldsOf(v.Type())
+	fields := fieldIndexes(v.Type())
 	for _, pair := range pairs {
 		key := pair.Key.GetToken().Value
 		child := Join(path, key)
-		d.note(child, pair.Key)
+		d.recordLine(child, pair.Key)
 		index, known := fields[key]
 		if !known {
 			d.Add(child, "unknown key")
 			continue
 		}
-		d.value(pair.Value, v.Field(index), child)
+		d.decodeValue(pair.Value, v.Field(index), child)
 	}
 }
 
-func (d *decoder) sequence(node ast.Node, v reflect.Value, path string) {
+func (d *decoder) decodeSequence(node ast.Node, v reflect.Value, path string) {
 	list, ok := node.(*ast.SequenceNode)
 	if !ok {
-		d.Add(path, "want a list, got %s", kindOf(node))
+		d.Add(path, "want a list, got %s", kindName(node))
 		return
 	}
 	items := reflect.MakeSlice(v.Type(), len(list.Values), len(list.Values))
 	for i, item := range list.Values {
-		d.value(item, items.Index(i), fmt.Sprintf("%s[%d]", path, i))
+		d.decodeValue(item, items.Index(i), fmt.Sprintf("%s[%d]", path, i))
 	}
 	v.Set(items)
 }
@@ -142,25 +141,25 @@
 	timeType     = reflect.TypeFor[time.Time]()
 )
 
-// IsScalar says that t is read from one YAML scalar.
+// IsScalar reports whether t is decoded from one YAML scalar.
 func IsScalar(t reflect.Type) bool {
 	return t == timeType || t.Kind() != reflect.Struct && t.Kind() != reflect.Slice
 }
 
-// scalar reads one value. The library would turn a fraction into a whole
-// number or a number into a string, so that the node's kind is checked first.
-func (d *decoder) scalar(node ast.Node, v reflect.Value, path string) {
-	if !fits(node, v.Type()) {
-		d.Add(path, "want %s, got %s", typeName(v.Type()), kindOf(node))
+// decodeScalar decodes one scalar. It checks the kind of the node first, because the
+// library would convert a fraction to an integer or a number to a string.
+func (d *decoder) decodeScalar(node ast.Node, v reflect.Value, path string) {
+	if !acceptsNode(node, v.Type()) {
+		d.Add(path, "want %s, got %s", typeDescription(v.Type()), kindName(node))
 		return
 	}
 	if err := convert(node, v); err != nil {
-		d.Add(path, "want %s: %s", typeName(v.Type()), oneLine(err))
+		d.Add(path, "want %s: %s", typeDescription(v.Type()), shortMessage(err))
 	}
 }
 
-// convert sets v from node. Times are read here, since the library takes any
-// text for the zero time.
+// convert sets v from node. It parses times itself, because the library decodes any
+// text as the zero time.
 func convert(node ast.Node, v reflect.Value) error {
 	if v.Type() != timeType {
 		return yaml.NodeToValue(node, v.Addr().Interface(), yaml.Strict())
@@ -170,8 +169,8 @@
 	return err
 }
 
-// fits says whether a node of this kind may be read into t.
-func fits(node ast.Node, t reflect.Type) bool {
+// acceptsNode reports whether a node of this kind may be decoded into t.
+func acceptsNode(node ast.Node, t reflect.Type) bool {
 	switch node.(type) {
 	case *ast.StringNode:
 		return t.Kind() == reflect.String || t == durationType || t == timeType
@@ -186,8 +185,8 @@
 	}
 }
 
-// fieldsOf maps the YAML keys of a struct to its fields.
-func fieldsOf(t reflect.Type) map[string]int {
+// fieldIndexes maps the YAML keys of a struct to the indexes of its fields.
+func fieldIndexes(t reflect.Type) map[string]int {
 	fields := make(map[string]int, t.NumField())
 	for i := range t.NumField() {
 		if key := Key(t.Field(i)); key != "" && key != "-" {
@@ -197,15 +196,16 @@
 	return fields
 }
 
-// Key returns the YAML key of a struct field; "-" is none.
+// Key returns the YAML key of a struct field; "-" means that the field is not
+// decoded.
 func Key(field reflect.StructField) string {
 	key, _, _ := strings.Cut(field.Tag.Get("yaml"), ",")
 	return key
 }
 
-func kindOf(node ast.Node) string { return strings.ToLower(node.Type().YAMLName()) }
+func kindName(node ast.Node) string { return strings.ToLower(node.Type().YAMLName()) }
 
-func typeName(t reflect.Type) string {
+func typeDescription(t reflect.Type) string {
 	switch {
 	case t == durationType:
 		return "a duration with its unit, such as 250ms"
@@ -222,7 +222,7 @@
 	}
 }
 
-func oneLine(err error) string {
+func shortMessage(err error) string {
 	var located yaml.Error
 	if errors.As(err, &located) {
 		return located.GetMessage()
@@ -230,7 +230,7 @@
 	return err.Error()
 }
 
-// Join returns the path of a key inside path.
+// Join returns the path of key inside path.
 func Join(path, key string) string {
 	if path == "" {
 		return key
--- a/replay/audit/audit.go
+++ b/replay/audit/audit.go
@@ -1,5 +1,5 @@
-// Package audit compares what callers heard with what the stand-ins executed
-// and finds the violations of what must always hold.
+// Package audit compares the outcomes that callers observed with the executions in the
+// ledgers of the stand-ins and reports violations of the correctness guarantees.
 package audit
 
 import (
@@ -13,84 +13,86 @@
 	"github.com/wheatseam/wheatseam/replay/ledger"
 )
 
-// Kind is a kind of violation.
+// Kind is the kind of a violation.
 type Kind string
 
-// The kinds of violation.
 const (
-	// Lost: a caller heard neither an answer nor a refusal, or had an answer
-	// that no execution stands behind.
+	// Lost means that a caller received neither an answer nor a refusal, or an
+	// answer with a stage that was not executed.
 	Lost Kind = "lost"
-	// Doubled: a stage that may not be repeated was begun more than once.
-	Doubled Kind = "doubled"
-	// Misdelivered: an answer holds the work of another request.
+	// DuplicateExecution means that a non-repeatable stage was started more than
+	// once for the same request.
+	DuplicateExecution Kind = "doubled"
+	// Misdelivered means that an answer contains results of another request.
 	Misdelivered Kind = "misdelivered"
-	// UntrueNotRun: a refusal says not_run, and a stage that may not be
-	// repeated was begun.
-	UntrueNotRun Kind = "untrue_not_run"
+	// FalseNotRun means that a refusal stated not_run although a non-repeatable
+	// stage had been started.
+	FalseNotRun Kind = "untrue_not_run"
 )
 
-// Kinds lists every kind.
-var Kinds = []Kind{Lost, Doubled, Misdelivered, UntrueNotRun}
+// Kinds lists all kinds.
+var Kinds = []Kind{Lost, DuplicateExecution, Misdelivered, FalseNotRun}
 
-// Violation is one violation, with enough to look it up in the decision record.
+// Violation is one violation with the ids needed to find the request in the decision
+// record.
 type Violation struct {
 	Kind Kind `json:"kind"`
-	// Request is the id within the trace, RequestID that of the fleet.
+	// Request is the id in the trace, RequestID the id that the fleet assigned.
 	Request   string `json:"request"`
 	RequestID string `json:"request_id,omitempty"`
 	Key       string `json:"key,omitempty"`
 	Detail    string `json:"detail"`
 }
 
-// Finding is what an audit yields.
+// Finding is the result of an audit.
 type Finding struct {
 	Violations []Violation
-	// Undelivered counts requests whose stage that may not be repeated was
-	// done and whose caller was told so (or that it may be), but never got the
-	// answer. It is honest, and no violation.
+	// Undelivered counts requests whose non-repeatable stage was completed but
+	// whose caller received no answer. This is no violation if the caller was
+	// told that the stage ran or may have run; any other case is reported as a
+	// violation as well.
 	Undelivered int
 }
 
-// auditor holds the indexes over one run.
+// auditor holds the state of one audit.
 type auditor struct {
 	pipelines map[string]bundle.Pipeline
-	groups    []*group
-	// byUUID finds the group of the UUID in a fleet's request id.
-	byUUID  map[string]*group
-	byMark  map[string]*group
-	finding Finding
+	groups    []*requestGroup
+	// groupsByUUID maps the UUID in a request id of the fleet to its group.
+	groupsByUUID  map[string]*requestGroup
+	groupsByToken map[string]*requestGroup
+	finding       Finding
 }
 
-// group is one request with all of its tries.
-type group struct {
-	root  string
-	calls []*replay.Call
-	// ids are the fleet's ids of the tries that are known.
-	ids     map[string]bool
-	entries []ledger.Entry
+// requestGroup is one request with all of its tries and executions.
+type requestGroup struct {
+	firstTryID string
+	calls      []*replay.Call
+	// requestIDs are the known ids that the fleet assigned to the tries.
+	requestIDs map[string]bool
+	entries    []ledger.Entry
 }
 
-// Audit judges calls by entries. The pipelines say which stages there are and
-// which may not be repeated.
+// Audit compares calls with ledger entries. The pipelines define the stages and which
+// of them are non-repeatable.
 func Audit(calls []*replay.Call, entries []ledger.Entry, pipelines []bundle.Pipeline) Finding {
-	a := &auditor{pipelines: map[string]bundle.Pipeline{}, byUUID: map[string]*group{}, byMark: map[string]*group{}}
+	a := &auditor{pipelines: map[string]bundle.Pipeline{}, groupsByUUID: map[string]*requestGroup{}, groupsByToken: map[string]*requestGroup{}}
 	for _, p := range pipelines {
 		a.pipelines[p.Name] = p
 	}
-	a.gather(calls)
-	a.assign(entries)
+	a.groupCalls(calls)
+	a.assignEntries(entries)
 	for _, g := range a.groups {
 		a.findLost(g)
-		a.findDoubled(g)
+		a.findDuplicateExecution(g)
 		a.findMisdelivered(g)
-		a.findUntrueNotRun(g)
+		a.findFalseNotRun(g)
 		a.countUndelivered(g)
 	}
 	return a.finding
 }
 
-func (a *auditor) report(k Kind, c *replay.Call, format string, args ...any) {
+func (a *auditor) addViolation(k Kind, c *replay.Call, format string, args ...any) {
 	a.finding.Violations = append(a.finding.Violations, Violation{
 		Kind: k, Request: c.Request.ID, RequestID: c.RequestID(), Key: c.Key, Detail: fmt.Sprintf(format, args...),
 	})
@@ -98,52 +100,54 @@
 
 var uuidPattern = regexp.MustCompile(`[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}`)
 
-// identity returns the UUID in a fleet's request id, or the id itself.
-func identity(requestID string) string {
+// requestUUID returns the UUID in a request id of the fleet, or the id itself if it
+// contains none.
+func requestUUID(requestID string) string {
 	if u := uuidPattern.FindString(requestID); u != "" {
 		return u
 	}
 	return requestID
 }
 
-// gather groups the calls that were sent by their first try.
-func (a *auditor) gather(calls []*replay.Call) {
-	roots := map[string]*group{}
+// groupCalls groups the sent calls by their first try.
+func (a *auditor) groupCalls(calls []*replay.Call) {
+	roots := map[string]*requestGroup{}
 	for _, c := range calls {
 		if !c.Sent() {
 			continue
 		}
-		g := roots[c.Root]
+		g := roots[c.FirstTryID]
 		if g == nil {
-			g = &group{root: c.Root, ids: map[string]bool{}}
-			roots[c.Root] = g
+			g = &requestGroup{firstTryID: c.FirstTryID, requestIDs: map[string]bool{}}
+			roots[c.FirstTryID] = g
 			a.groups = append(a.groups, g)
 		}
 		g.calls = append(g.calls, c)
-		a.byMark[c.Mark] = g
+		a.groupsByToken[c.CorrelationToken] = g
 		id := c.RequestID()
 		if id == "" {
 			continue
 		}
-		if other := a.byUUID[identity(id)]; other != nil && other != g {
-			a.report(Misdelivered, c, "the request id is also that of %s", other.root)
+		if other := a.groupsByUUID[requestUUID(id)]; other != nil && other != g {
+			a.addViolation(Misdelivered, c, "the request id is also that of %s", other.firstTryID)
 		}
-		g.ids[id] = true
-		a.byUUID[identity(id)] = g
+		g.requestIDs[id] = true
+		a.groupsByUUID[requestUUID(id)] = g
 	}
 }
 
-// assign gives every ledger entry to its group, by key or else by request id.
-func (a *auditor) assign(entries []ledger.Entry) {
+// assignEntries assigns every ledger entry to its group, by idempotency key or else by
+// request id.
+func (a *auditor) assignEntries(entries []ledger.Entry) {
 	type keyOf struct{ customer, key string }
-	byKey := map[keyOf]*group{}
+	byKey := map[keyOf]*requestGroup{}
 	for _, g := range a.groups {
 		if c := g.calls[0]; c.Key != "" {
 			byKey[keyOf{c.Request.Customer, c.Key}] = g
 		}
 	}
 	for _, e := range entries {
-		g := a.byUUID[identity(e.RequestID)]
+		g := a.groupsByUUID[requestUUID(e.RequestID)]
 		if e.Key != "" {
 			if keyed := byKey[keyOf{e.Customer, uuidPattern.FindString(e.Key)}]; keyed != nil {
 				g = keyed
@@ -158,8 +162,8 @@
 	}
 }
 
-// LedgerStage returns the name under which executions of s stand in a ledger:
-// engines know of no stages and enter all as generations.
+// LedgerStage returns the stage name of executions of s in a ledger. Engines do not
+// receive the stage name, so they record every execution as "generate".
 func LedgerStage(s bundle.Stage) string {
 	if s.Kind == bundle.StageGenerate {
 		return string(bundle.StageGenerate)
@@ -167,8 +171,9 @@
 	return s.Name
 }
 
-// nonRepeatable says whether e executes a stage that may not be repeated.
-func (a *auditor) nonRepeatable(g *group, e ledger.Entry) bool {
+// isNonRepeatable reports whether e is an execution of a non-repeatable stage. If the
+// stage is not in the pipeline, a key in the entry indicates a non-repeatable one.
+func (a *auditor) isNonRepeatable(g *requestGroup, e ledger.Entry) bool {
 	for _, s := range a.pipelines[g.calls[0].Request.Pipeline].Stages {
 		if LedgerStage(s) == e.Stage {
 			return s.NonRepeatable
--- a/replay/run_test.go
+++ b/replay/run_test.go
@@ -35,8 +35,8 @@
 	return result
 }
 
-var _ = Describe("a run", func() {
-	It("sends what the trace says and hears each kind of end", func() {
+var _ = Describe("Run", func() {
+	It("sends the requests of the trace and records each kind of outcome", func() {
 		host := newFakeHost()
 		auto := request("auto", 0, "seal")
 		auto.Key = trace.AutoKey
@@ -58,11 +58,11 @@
 			"auto": replay.Answered, "stream": replay.Answered, "refuse": replay.Refused, "late-error": replay.Refused,
 			"silent": replay.Unanswered, "broken": replay.Unanswered, "bare": replay.Unanswered, "cut": replay.Unanswered,
 		}))
-		Expect(calls["cut"].Problem).To(ContainSubstring("cut stream"))
+		Expect(calls["cut"].Problem).To(ContainSubstring("truncated stream"))
 		Expect(calls["refuse"].Refusal.Kind).To(BeEquivalentTo("overloaded"))
 		Expect(calls["stream"].FirstToken).To(BeNumerically(">", 0))
-		Expect(calls["stream"].Gaps).To(HaveLen(2))
-		Expect(replay.Marks(calls["auto"].Answer.Result)).To(Equal([]string{calls["auto"].Mark}))
+		Expect(calls["stream"].InterTokenGaps).To(HaveLen(2))
+		Expect(replay.FindCorrelationTokens(calls["auto"].Answer.Result)).To(Equal([]string{calls["auto"].CorrelationToken}))
 		for _, s := range host.requests() {
 			Expect(s.Auth).To(Equal("Bearer secret"))
 			if s.Pipe == "seal" {
@@ -77,16 +77,16 @@
 		}
 	})
 
-	It("compares the streamed text with the whole answer", func() {
+	It("compares the streamed text with the final answer", func() {
 		host := newFakeHost()
 		result := run(replay.Config{Hosts: []string{host.address()}},
 			traceOf(request("stream", 0, "stream"), request("reset", 0, "reset"), request("mixed", 0, "mixed")))
-		Expect(result.Calls[0].TextDiffers).To(BeFalse())
-		Expect(result.Calls[1].TextDiffers).To(BeFalse(), "a reset discards the tokens before it")
-		Expect(result.Calls[2].TextDiffers).To(BeTrue())
+		Expect(result.Calls[0].StreamedTextDiffers).To(BeFalse())
+		Expect(result.Calls[1].StreamedTextDiffers).To(BeFalse(), "a reset event discards the earlier tokens")
+		Expect(result.Calls[2].StreamedTextDiffers).To(BeTrue())
 	})
 
-	It("does not let slow answers slow its own load", func() {
+	It("keeps the rate of the trace when answers are slow", func() {
 		host := newFakeHost()
 		var requests []trace.Request
 		for i := range 20 {
@@ -94,12 +94,12 @@
 		}
 		result := run(replay.Config{Hosts: []string{host.address()}}, traceOf(requests...))
 		seen := host.requests()
-		// Closed-loop sending would take twenty times 150 ms.
+		// A closed-loop sender would need 20 times 150 ms.
 		Expect(seen[len(seen)-1].At.Sub(seen[0].At)).To(BeNumerically("<", 1500*time.Millisecond))
 		Expect(result.Calls[0].Attained()).To(BeTrue())
 	})
 
-	It("sends a caller's retry through another host with the same key and body", func() {
+	It("sends a retry to another host with the same key and body", func() {
 		a, b := newFakeHost(), newFakeHost()
 		first := request("first", 0, "refuse")
 		first.Key = trace.AutoKey
@@ -111,17 +111,17 @@
 		one, two := a.requests()[0], b.requests()[0]
 		Expect(two.Key).To(Equal(one.Key))
 		Expect(two.Text).To(Equal(one.Text))
-		Expect(result.Calls[1].Root).To(Equal("first"))
+		Expect(result.Calls[1].FirstTryID).To(Equal("first"))
 	})
 
-	It("skips a retry that is not needed, unless it is to be sent always", func() {
+	It("skips a retry after an answer, unless the retry is unconditional", func() {
 		host := newFakeHost()
 		first := request("first", 0, "seal")
 		first.Key = trace.AutoKey
-		needless, always := first, first
-		needless.ID, needless.RetryOf, needless.When, needless.AtMS = "needless", "first", trace.RetryUnlessAnswered, 300
+		unneeded, always := first, first
+		unneeded.ID, unneeded.RetryOf, unneeded.When, unneeded.AtMS = "needless", "first", trace.RetryUnlessAnswered, 300
 		always.ID, always.RetryOf, always.When, always.AtMS = "always", "first", trace.RetryAlways, 301
-		result := run(replay.Config{Hosts: []string{host.address()}}, traceOf(first, needless, always))
+		result := run(replay.Config{Hosts: []string{host.address()}}, traceOf(first, unneeded, always))
 		Expect(result.Calls[1].Outcome).To(Equal(replay.Skipped))
 		Expect(result.Calls[2].Outcome).To(Equal(replay.Answered))
 	})
@@ -143,7 +143,7 @@
 		Expect(choose(1)).NotTo(Equal(choose(2)))
 	})
 
-	It("stays within its bounds in time and count", func() {
+	It("does not send beyond the limits of duration and requests in flight", func() {
 		host := newFakeHost()
 		result := run(replay.Config{Hosts: []string{host.address()}, MaxInFlight: 1, MaxDuration: 50 * time.Millisecond},
 			traceOf(request("a", 0, "slow"), request("b", 10, "slow"), request("c", 100, "slow")))
@@ -151,7 +151,7 @@
 		Expect(result.Calls[2].Outcome).To(Equal(replay.NotSent))
 	})
 
-	It("injects faults at their offsets and reports those that failed", func() {
+	It("injects faults in the order of their offsets and reports the ones that failed", func() {
 		var bodies []string
 		standIn := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			text, _ := io.ReadAll(r.Body)
@@ -173,7 +173,7 @@
 		Expect(result.Faults[1].Err).To(HaveOccurred())
 	})
 
-	It("refuses to start without a host, a key or a stand-in that it needs", func() {
+	It("fails without a required host, API key or stand-in", func() {
 		t := traceOf(request("a", 0, "seal"))
 		t.Faults = []trace.Fault{{Pool: "seals", Replicas: []int{3}, Body: []byte(`{}`)}}
 		_, err := replay.Run(context.Background(), replay.Config{}, t)
--- a/replay/verdict/verdict.go
+++ b/replay/verdict/verdict.go
@@ -1,4 +1,4 @@
-// Package verdict judges a report by stated outcomes.
+// Package verdict evaluates a report against required outcomes.
 package verdict
 
 import (
@@ -11,48 +11,52 @@
 	"github.com/wheatseam/wheatseam/replay/report"
 )
 
-// Outcomes are what is asked of a run; see docs/REPLAY.md.
+// Outcomes are the requirements on a run; see docs/REPLAY.md.
 type Outcomes struct {
-	// Trace is the name of the trace that the outcomes are stated for.
+	// Trace is the name of the trace that the outcomes apply to; empty for any.
 	Trace    string    `yaml:"trace"`
 	Outcomes []Outcome `yaml:"outcomes"`
 }
 
-// Outcome asks one metric to lie within Min and Max.
+// Outcome requires a metric to be at least Min and at most Max. At least one of the two
+// must be set.
 type Outcome struct {
 	Metric Metric `yaml:"metric"`
-	// Pipeline or Customer narrows the metrics of requests.
+	// Pipeline or Customer restricts a metric of requests; only one may be set.
 	Pipeline string `yaml:"pipeline,omitempty"`
 	Customer string `yaml:"customer,omitempty"`
-	// Stage narrows the metrics of cost; empty sums up all stages.
+	// Stage restricts a metric of cost; empty means the sum of all stages.
 	Stage string `yaml:"stage,omitempty"`
-	// Kind narrows violations (lost, doubled, misdelivered, untrue_not_run).
+	// Kind restricts the metric violations to one kind (lost, doubled,
+	// misdelivered, untrue_not_run).
 	Kind string `yaml:"kind,omitempty"`
-	// From and To narrow windowed_attainment to requests due in these seconds
-	// of the run, To left out.
+	// From (inclusive) and To (exclusive; 0 for the end of the run) restrict
+	// windowed_attainment to requests due in these seconds of the run.
 	From int      `yaml:"from_s,omitempty"`
 	To   int      `yaml:"to_s,omitempty"`
 	Min  *float64 `yaml:"min,omitempty"`
 	Max  *float64 `yaml:"max,omitempty"`
 }
 
-// Line is the judgement of one outcome.
-type Line struct {
+// OutcomeResult is the evaluation of one outcome.
+type OutcomeResult struct {
 	Outcome Outcome
 	Value   float64
-	// Err says why there is no value; the outcome is then not met.
+	// Err is the reason why there is no value; the outcome is then not met.
 	Err error
 	Met bool
 }
 
-// Verdict is the judgement of a report.
+// Verdict is the evaluation of a report.
 type Verdict struct {
-	// Void lists why the run cannot be judged at all.
-	Void  []string
-	Lines []Line
+	// InvalidReasons lists the reasons why the run cannot be evaluated; empty if
+	// it can.
+	InvalidReasons []string
+	Results        []OutcomeResult
 }
 
-// Parse reads outcomes and reports every error in them.
+// Parse decodes outcomes from YAML and validates them. Its error joins all invalid
+// outcomes.
 func Parse(text []byte) (*Outcomes, error) {
 	var o Outcomes
 	if err := yaml.UnmarshalWithOptions(text, &o, yaml.Strict()); err != nil {
@@ -60,25 +64,25 @@
 	}
 	var errs []error
 	if len(o.Outcomes) == 0 {
-		errs = append(errs, errors.New("no outcomes are stated"))
+		errs = append(errs, errors.New("no outcomes are set"))
 	}
 	for i, one := range o.Outcomes {
-		if err := one.check(); err != nil {
+		if err := one.validate(); err != nil {
 			errs = append(errs, fmt.Errorf("outcomes[%d]: %w", i, err))
 		}
 	}
 	return &o, errors.Join(errs...)
 }
 
-func (o Outcome) check() error {
+func (o Outcome) validate() error {
 	m, ok := metrics[o.Metric]
 	switch {
 	case !ok:
 		return fmt.Errorf("unknown metric %q", o.Metric)
 	case o.Min == nil && o.Max == nil:
-		return errors.New("neither min nor max is stated")
+		return errors.New("neither min nor max is set")
 	case o.Pipeline != "" && o.Customer != "":
-		return errors.New("pipeline and customer exclude each other")
+		return errors.New("pipeline and customer are mutually exclusive")
 	case (o.Pipeline != "" || o.Customer != "") && m.scope != scopeRequests:
 		return fmt.Errorf("%s has no pipeline or customer", o.Metric)
 	case o.Stage != "" && m.scope != scopeStages:
@@ -86,54 +90,54 @@
 	case o.Kind != "" && m.scope != scopeViolations:
 		return fmt.Errorf("%s has no kind", o.Metric)
 	case (o.From != 0 || o.To != 0) != (m.scope == scopeWindow):
-		return fmt.Errorf("from_s and to_s stand beside %s only", WindowedAttainment)
+		return fmt.Errorf("from_s and to_s are required for %s and not allowed otherwise", WindowedAttainment)
 	default:
 		return nil
 	}
 }
 
-// Judge judges r.
+// Judge evaluates r against the outcomes.
 func (o *Outcomes) Judge(r *report.Report) Verdict {
 	var v Verdict
 	if o.Trace != "" && o.Trace != r.Trace {
-		v.Void = append(v.Void, fmt.Sprintf("the outcomes are for trace %s, not %s", o.Trace, r.Trace))
+		v.InvalidReasons = append(v.InvalidReasons, fmt.Sprintf("the outcomes are for trace %s, not %s", o.Trace, r.Trace))
 	}
 	if r.NotSent > 0 {
-		v.Void = append(v.Void, fmt.Sprintf("%d requests could not be sent", r.NotSent))
+		v.InvalidReasons = append(v.InvalidReasons, fmt.Sprintf("%d requests could not be sent", r.NotSent))
 	}
 	for _, f := range r.Faults {
 		if f.Error != "" {
-			v.Void = append(v.Void, fmt.Sprintf("the fault at %d ms was not injected: %s", f.AtMS, f.Error))
+			v.InvalidReasons = append(v.InvalidReasons, fmt.Sprintf("the fault at %d ms was not injected: %s", f.AtMS, f.Error))
 		}
 	}
 	for _, one := range o.Outcomes {
-		v.Lines = append(v.Lines, one.judge(r))
+		v.Results = append(v.Results, one.evaluate(r))
 	}
 	return v
 }
 
-func (o Outcome) judge(r *report.Report) Line {
+func (o Outcome) evaluate(r *report.Report) OutcomeResult {
 	value, err := metrics[o.Metric].value(r, o)
 	met := err == nil && (o.Min == nil || value >= *o.Min) && (o.Max == nil || value <= *o.Max)
-	return Line{Outcome: o, Value: value, Err: err, Met: met}
+	return OutcomeResult{Outcome: o, Value: value, Err: err, Met: met}
 }
 
-// Met says whether the run counts and every outcome is met.
+// Met reports whether the run is valid and every outcome is met.
 func (v Verdict) Met() bool {
-	for _, l := range v.Lines {
+	for _, l := range v.Results {
 		if !l.Met {
 			return false
 		}
 	}
-	return len(v.Void) == 0
+	return len(v.InvalidReasons) == 0
 }
 
-// Write writes the verdict as text for people.
+// Write writes the verdict as human-readable text.
 func (v Verdict) Write(w io.Writer) error {
-	for _, why := range v.Void {
-		fmt.Fprintf(w, "void: %s\n", why)
+	for _, reason := range v.InvalidReasons {
+		fmt.Fprintf(w, "void: %s\n", reason)
 	}
-	for _, l := range v.Lines {
+	for _, l := range v.Results {
 		fmt.Fprintln(w, l)
 	}
 	result := "met"
@@ -145,21 +149,21 @@
 }
 
 // String implements fmt.Stringer.
-func (l Line) String() string {
-	mark := "ok  "
-	if !l.Met {
-		mark = "FAIL"
+func (r OutcomeResult) String() string {
+	status := "ok  "
+	if !r.Met {
+		status = "FAIL"
 	}
-	text := fmt.Sprintf("%s %s%s", mark, l.Outcome.Metric, l.Outcome.selector())
-	if l.Err != nil {
-		return fmt.Sprintf("%s: %v", text, l.Err)
+	text := fmt.Sprintf("%s %s%s", status, r.Outcome.Metric, r.Outcome.selector())
+	if r.Err != nil {
+		return fmt.Sprintf("%s: %v", text, r.Err)
 	}
-	text += fmt.Sprintf(" = %.6g", l.Value)
-	if l.Outcome.Min != nil {
-		text += fmt.Sprintf(", min %g", *l.Outcome.Min)
+	text += fmt.Sprintf(" = %.6g", r.Value)
+	if r.Outcome.Min != nil {
+		text += fmt.Sprintf(", min %g", *r.Outcome.Min)
 	}
-	if l.Outcome.Max != nil {
-		text += fmt.Sprintf(", max %g", *l.Outcome.Max)
+	if r.Outcome.Max != nil {
+		text += fmt.Sprintf(", max %g", *r.Outcome.Max)
 	}
 	return text
 }
--- a/replay/verdict/verdict_test.go
+++ b/replay/verdict/verdict_test.go
@@ -18,7 +18,7 @@
 	RunSpecs(t, "verdict")
 }
 
-func sample() *report.Report {
+func exampleReport() *report.Report {
 	group := report.Group{
 		Attainment: report.Share{Met: 90, Of: 100, Share: 0.9}, Tries: report.Share{Met: 90, Of: 120, Share: 0.75}, Refused: 30,
 		Latency: report.Quantiles{Count: 90, P50: 20, P99: 80}, Refusal: report.Quantiles{Count: 30, P50: 3, P99: 9},
@@ -30,7 +30,7 @@
 			{Stage: "write", All: report.Spent{Calls: 3, EngineSeconds: 10}, Late: report.Spent{EngineSeconds: 5}, WastedShare: 0.5},
 		},
 		Timeline:   []report.Second{{At: 0, Sent: 10, Attained: 10}, {At: 1, Sent: 10}, {At: 2, Sent: 10, Attained: 5}},
-		Violations: report.Violations{Total: 2, ByKind: map[audit.Kind]int{audit.Doubled: 2}},
+		Violations: report.Violations{Total: 2, ByKind: map[audit.Kind]int{audit.DuplicateExecution: 2}},
 	}
 }
 
@@ -38,20 +38,20 @@
 	GinkgoHelper()
 	o, err := verdict.Parse([]byte("trace: t\noutcomes:\n  - " + outcome))
 	Expect(err).NotTo(HaveOccurred())
-	return o.Judge(sample())
+	return o.Judge(exampleReport())
 }
 
-var _ = Describe("a verdict", func() {
-	DescribeTable("is by the stated bounds",
+var _ = Describe("Verdict", func() {
+	DescribeTable("compares a metric with its limits",
 		func(outcome string, value float64, met bool) {
 			v := judge(outcome)
-			Expect(v.Lines[0].Value).To(BeNumerically("~", value, 1e-9))
+			Expect(v.Results[0].Value).To(BeNumerically("~", value, 1e-9))
 			Expect(v.Met()).To(Equal(met))
 		},
-		Entry("at least", "{metric: attainment, min: 0.9}", 0.9, true),
-		Entry("less", "{metric: attainment, min: 0.91}", 0.9, false),
-		Entry("at most", "{metric: refusal_p50_ms, max: 3}", 3.0, true),
-		Entry("more", "{metric: refusal_p99_ms, max: 8}", 9.0, false),
+		Entry("min reached", "{metric: attainment, min: 0.9}", 0.9, true),
+		Entry("below min", "{metric: attainment, min: 0.91}", 0.9, false),
+		Entry("max kept", "{metric: refusal_p50_ms, max: 3}", 3.0, true),
+		Entry("above max", "{metric: refusal_p99_ms, max: 8}", 9.0, false),
 		Entry("by pipeline", "{metric: attainment, pipeline: seal, min: 1}", 1.0, true),
 		Entry("tries", "{metric: tries_attainment, min: 0.7}", 0.75, true),
 		Entry("refused", "{metric: refused_share, max: 0.2}", 0.25, false),
@@ -63,7 +63,7 @@
 		Entry("violations of a kind", "{metric: violations, kind: lost, max: 0}", 0.0, true),
 	)
 
-	DescribeTable("is not met where nothing was measured",
+	DescribeTable("is not met if there is no value",
 		func(outcome string) { Expect(judge(outcome).Met()).To(BeFalse()) },
 		Entry("customer", "{metric: attainment, customer: nobody, min: 0}"),
 		Entry("tokens", "{metric: first_token_p50_ms, max: 1000}"),
@@ -72,14 +72,14 @@
 		Entry("kind", "{metric: violations, kind: luck, max: 9}"),
 	)
 
-	DescribeTable("is void, whatever the figures",
-		func(spoil func(*report.Report)) {
-			r := sample()
-			spoil(r)
+	DescribeTable("is not met for an invalid run, regardless of the metrics",
+		func(invalidate func(*report.Report)) {
+			r := exampleReport()
+			invalidate(r)
 			o, err := verdict.Parse([]byte("trace: t\noutcomes: [{metric: attainment, min: 0}]"))
 			Expect(err).NotTo(HaveOccurred())
 			v := o.Judge(r)
-			Expect(v.Void).To(HaveLen(1))
+			Expect(v.InvalidReasons).To(HaveLen(1))
 			Expect(v.Met()).To(BeFalse())
 			var text bytes.Buffer
 			Expect(v.Write(&text)).To(Succeed())
@@ -90,23 +90,23 @@
 		Entry("a fault that was not injected", func(r *report.Report) { r.Faults = []report.Fault{{Error: "refused"}} }),
 	)
 
-	DescribeTable("needs sound outcomes",
-		func(text, says string) {
+	DescribeTable("rejects invalid outcomes",
+		func(text, message string) {
 			_, err := verdict.Parse([]byte(text))
-			Expect(err).To(MatchError(ContainSubstring(says)))
+			Expect(err).To(MatchError(ContainSubstring(message)))
 		},
 		Entry("none", "trace: t", "no outcomes"),
 		Entry("metric", "outcomes: [{metric: luck, min: 1}]", `unknown metric "luck"`),
 		Entry("bounds", "outcomes: [{metric: attainment}]", "neither min nor max"),
 		Entry("member", "outcomes: [{metric: attainment, least: 1}]", "least"),
-		Entry("both", "outcomes: [{metric: attainment, min: 1, pipeline: a, customer: b}]", "exclude"),
+		Entry("both", "outcomes: [{metric: attainment, min: 1, pipeline: a, customer: b}]", "mutually exclusive"),
 		Entry("stage", "outcomes: [{metric: attainment, min: 1, stage: a}]", "no stage"),
 		Entry("kind", "outcomes: [{metric: goodput, min: 1, kind: a}]", "no kind"),
 		Entry("pipeline", "outcomes: [{metric: goodput, min: 1, pipeline: a}]", "no pipeline"),
 		Entry("window", "outcomes: [{metric: attainment, min: 1, from_s: 3}]", "from_s"),
 	)
 
-	It("prints each outcome with its figure", func() {
+	It("prints each outcome with its value", func() {
 		var text strings.Builder
 		Expect(judge("{metric: attainment, pipeline: seal, min: 1}").Write(&text)).To(Succeed())
 		Expect(text.String()).To(Equal("ok   attainment{pipeline=seal} = 1, min 1\nverdict: met\n"))
