--- a/bench/load_test.go
+++ b/bench/load_test.go
@@ -14,10 +14,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// loadOrder asks the outside for a closed loop of calls.
-type loadOrder struct {
-	// Target is the daemon's address; empty calls the upstreams directly,
-	// Stages times one after the other.
+// loadRequest requests a closed-loop load from the harness.
+type loadRequest struct {
+	// Target is the daemon's address. If it is empty, each call is made directly
+	// to Stages upstreams, one after the other.
 	Target      string
 	Path        string
 	Body        string
@@ -26,7 +26,8 @@
 	Concurrency int
 }
 
-// loadResult is what the callers saw; times are in microseconds.
+// loadResult is the result of a load. Median and P99 are latencies in microseconds;
+// Bytes is the total size of the responses.
 type loadResult struct {
 	Median  int64
 	P99     int64
@@ -34,30 +35,30 @@
 	Seconds float64
 }
 
-// Bounds of the callers' histogram, in microseconds.
+// Largest value, in microseconds, and significant digits of the latency histograms.
 const (
 	histogramMax    = 60_000_000
 	histogramDigits = 3
 )
 
-func (o *outside) load(order loadOrder) (loadResult, error) {
+func (h *harness) runLoad(load loadRequest) (loadResult, error) {
 	began := time.Now()
-	left, read := atomic.Int64{}, atomic.Int64{}
-	left.Store(int64(order.Calls))
-	histograms := make([]*hdrhistogram.Histogram, order.Concurrency)
+	remaining, bytesRead := atomic.Int64{}, atomic.Int64{}
+	remaining.Store(int64(load.Calls))
+	histograms := make([]*hdrhistogram.Histogram, load.Concurrency)
 	var group errgroup.Group
 	for i := range histograms {
-		h := hdrhistogram.New(1, histogramMax, histogramDigits)
-		histograms[i] = h
+		histogram := hdrhistogram.New(1, histogramMax, histogramDigits)
+		histograms[i] = histogram
 		group.Go(func() error {
-			for left.Add(-1) >= 0 {
+			for remaining.Add(-1) >= 0 {
 				from := time.Now()
-				n, err := o.call(order)
+				n, err := h.makeCall(load)
 				if err != nil {
 					return err
 				}
-				read.Add(n)
-				if err := h.RecordValue(max(1, time.Since(from).Microseconds())); err != nil {
+				bytesRead.Add(n)
+				if err := histogram.RecordValue(max(1, time.Since(from).Microseconds())); err != nil {
 					return err
 				}
 			}
@@ -67,23 +68,23 @@
 	if err := group.Wait(); err != nil {
 		return loadResult{}, err
 	}
-	for _, h := range histograms[1:] {
-		histograms[0].Merge(h)
+	for _, histogram := range histograms[1:] {
+		histograms[0].Merge(histogram)
 	}
 	return loadResult{
 		Median: histograms[0].ValueAtQuantile(50), P99: histograms[0].ValueAtQuantile(99),
-		Bytes: read.Load(), Seconds: time.Since(began).Seconds(),
+		Bytes: bytesRead.Load(), Seconds: time.Since(began).Seconds(),
 	}, nil
 }
 
-// call makes one call and returns the bytes of its answer.
-func (o *outside) call(order loadOrder) (int64, error) {
-	if order.Target != "" {
-		return o.post("http://"+order.Target+order.Path, order.Body)
+// makeCall makes one call and returns the size of its response in bytes.
+func (h *harness) makeCall(load loadRequest) (int64, error) {
+	if load.Target != "" {
+		return h.post("http://"+load.Target+load.Path, load.Body)
 	}
 	var sum int64
-	for i := range order.Stages {
-		n, err := o.post("http://"+o.upstreams[i%len(o.upstreams)]+"/v1/encode", order.Body)
+	for i := range load.Stages {
+		n, err := h.post("http://"+h.upstreams[i%len(h.upstreams)]+"/v1/encode", load.Body)
 		if err != nil {
 			return 0, err
 		}
@@ -92,17 +93,17 @@
 	return sum, nil
 }
 
-var errBadAnswer = errors.New("no whole answer")
+var errIncompleteResponse = errors.New("incomplete response")
 
-func (o *outside) post(url, body string) (int64, error) {
+func (h *harness) post(url, body string) (int64, error) {
 	req, err := http.NewRequest(http.MethodPost, url, bytes.NewReader([]byte(body)))
 	if err != nil {
 		return 0, err
 	}
-	req.Header.Set("Authorization", "Bearer "+apiKey(customers-1))
+	req.Header.Set("Authorization", "Bearer "+apiKey(customerCount-1))
 	req.Header.Set("X-Request-Id", "direct")
 	req.Header.Set("X-Attempt", strconv.Itoa(1))
-	resp, err := o.client.Do(req)
+	resp, err := h.client.Do(req)
 	if err != nil {
 		return 0, err
 	}
@@ -112,69 +113,71 @@
 		return 0, err
 	}
 	if resp.StatusCode != http.StatusOK || bytes.Contains(raw, []byte("event: error")) {
-		return 0, fmt.Errorf("%w: %d %s", errBadAnswer, resp.StatusCode, raw)
+		return 0, fmt.Errorf("%w: %d %s", errIncompleteResponse, resp.StatusCode, raw)
 	}
 	return int64(len(raw)), nil
 }
 
-// holdOrder asks the outside to have Calls more calls in flight.
-type holdOrder struct {
-	loadOrder
-	// Total is the number of calls in flight that is waited for.
+// holdRequest requests Calls more calls from the harness that stay in flight.
+type holdRequest struct {
+	loadRequest
+	// Total is the number of calls in flight to wait for.
 	Total int
 }
 
-// holdTimeout bounds the wait until all calls stand at the upstreams.
+// holdTimeout limits the wait until all calls have reached an upstream.
 const holdTimeout = 30 * time.Second
 
-// openAtOnce bounds the calls that are opened at the same time.
-const openAtOnce = 64
+// maxUnheldCalls limits the calls that have been started and have not yet reached an
+// upstream.
+const maxUnheldCalls = 64
 
-// hold opens calls and returns when all have reached an upstream.
-func (o *outside) hold(order holdOrder) (bool, error) {
-	o.mu.Lock()
-	if o.release == nil {
-		o.release = make(chan struct{})
+// holdCalls starts calls and returns when all have reached an upstream, or with the
+// error of a failed one.
+func (h *harness) holdCalls(hold holdRequest) (bool, error) {
+	h.mu.Lock()
+	if h.release == nil {
+		h.release = make(chan struct{})
 	}
-	o.mu.Unlock()
-	failed := make(chan error, order.Calls)
+	h.mu.Unlock()
+	failed := make(chan error, hold.Calls)
 	end := time.Now().Add(holdTimeout)
-	for i := range order.Calls {
-		if err := o.awaitHeld(order.Total-order.Calls+i+1-openAtOnce, failed, end); err != nil {
+	for i := range hold.Calls {
+		if err := h.awaitHeld(hold.Total-hold.Calls+i+1-maxUnheldCalls, failed, end); err != nil {
 			return false, err
 		}
-		o.opened.Go(func() {
-			if _, err := o.call(order.loadOrder); err != nil {
+		h.openCalls.Go(func() {
+			if _, err := h.makeCall(hold.loadRequest); err != nil {
 				failed <- err
 			}
 		})
 	}
-	err := o.awaitHeld(order.Total, failed, end)
+	err := h.awaitHeld(hold.Total, failed, end)
 	return err == nil, err
 }
 
-// awaitHeld waits until n calls stand at the upstreams.
-func (o *outside) awaitHeld(n int, failed <-chan error, end time.Time) error {
-	for int(o.held.Load()) < n {
+// awaitHeld waits until n calls are held at the upstreams.
+func (h *harness) awaitHeld(n int, failed <-chan error, end time.Time) error {
+	for int(h.heldCalls.Load()) < n {
 		if len(failed) > 0 {
 			return <-failed
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d of %d calls in flight", o.held.Load(), n)
+			return fmt.Errorf("%d of %d calls in flight", h.heldCalls.Load(), n)
 		}
 		time.Sleep(time.Millisecond)
 	}
 	return nil
 }
 
-// letGo lets all calls in flight end.
-func (o *outside) letGo(struct{}) (bool, error) {
-	o.mu.Lock()
-	if o.release != nil {
-		close(o.release)
-		o.release = nil
+// releaseCalls lets all held calls complete and waits for them.
+func (h *harness) releaseCalls(struct{}) (bool, error) {
+	h.mu.Lock()
+	if h.release != nil {
+		close(h.release)
+		h.release = nil
 	}
-	o.mu.Unlock()
-	o.opened.Wait()
+	h.mu.Unlock()
+	h.openCalls.Wait()
 	return true, nil
 }
--- a/bench/measure_test.go
+++ b/bench/measure_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// processorTime is what this process has used in user and system mode.
-func processorTime(b testing.TB) time.Duration {
+// cpuTime returns the CPU time that this process has used in user and system mode.
+func cpuTime(b testing.TB) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -19,26 +19,29 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// memory is what the daemon holds in use, after a collection.
-type memory struct {
+// memoryUse is the memory and the number of goroutines of the daemon after a garbage
+// collection; heap and stacks are in bytes.
+type memoryUse struct {
 	heap, stacks, goroutines float64
 }
 
-func memoryInUse() memory {
-	// Twice: what finalizers and pools free goes with the second collection.
+func memoryInUse() memoryUse {
+	// Memory that finalizers and sync.Pools release in the first collection is only
+	// freed by the second.
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	return memory{float64(m.HeapAlloc), float64(m.StackInuse), float64(runtime.NumGoroutine())}
+	return memoryUse{float64(m.HeapAlloc), float64(m.StackInuse), float64(runtime.NumGoroutine())}
 }
 
-// series collects a figure over sizes, the last run of a size counting.
-type series map[float64]float64
+// samples maps a size to the value measured for it. A later run of the same size
+// replaces the value.
+type samples map[float64]float64
 
-// fit returns the least-squares line through the points and the share of the
-// spread that it explains.
-func (s series) fit() (slope, intercept, r2 float64) {
+// linearFit returns the least-squares line through the points and its coefficient of
+// determination.
+func (s samples) linearFit() (slope, intercept, r2 float64) {
 	var n, sx, sy, sxx, sxy, syy float64
 	for x, y := range s {
 		n, sx, sy, sxx, sxy, syy = n+1, sx+x, sy+y, sxx+x*x, sxy+x*y, syy+y*y
@@ -50,13 +53,13 @@
 	return cov / varX, (sy - cov/varX*sx) / n, cov * cov / (varX * varY)
 }
 
-// reportFit reports the line through s as a benchmark of its own.
-func reportFit(b *testing.B, s series, unit, per string) {
+// reportFit reports the least-squares line through s as a separate benchmark.
+func reportFit(b *testing.B, s samples, unit, per string) {
 	b.Run("fit_"+strings.ReplaceAll(unit, "/", "_"), func(b *testing.B) {
 		if len(s) < 4 {
-			b.Skipf("%d sizes were run, 4 are needed", len(s))
+			b.Skipf("%d sizes were measured; a fit requires 4", len(s))
 		}
-		slope, intercept, r2 := s.fit()
+		slope, intercept, r2 := s.linearFit()
 		b.ReportMetric(0, "ns/op")
 		b.ReportMetric(slope, unit+"/"+per)
 		b.ReportMetric(intercept, unit+"/fixed")
@@ -64,4 +67,4 @@
 	})
 }
 
-func sized(name string, n int) string { return fmt.Sprintf("%s=%d", name, n) }
+func benchmarkName(name string, n int) string { return fmt.Sprintf("%s=%d", name, n) }
--- a/proofs/shutdown_test.go
+++ b/proofs/shutdown_test.go
@@ -15,12 +15,12 @@
 )
 
 var _ = Describe("A graceful shutdown", func() {
-	It("interrupts no request in flight, takes no new one and exits 0", func() {
+	It("completes the requests in flight, accepts no new ones and exits with 0", func() {
 		f := startFleet(proctest.Options{})
-		f.Fault("encoders", standin.Faults{ResponseDelayMS: 400})
-		f.Fault("signing", standin.Faults{ResponseDelayMS: 400})
+		f.SetPoolFaults("encoders", standin.Faults{ResponseDelayMS: 400})
+		f.SetPoolFaults("signing", standin.Faults{ResponseDelayMS: 400})
 		const inFlight = 40
-		heard := make([]proctest.Outcome, inFlight)
+		outcomes := make([]proctest.Outcome, inFlight)
 		var wg sync.WaitGroup
 		for n := range inFlight {
 			wg.Add(1)
@@ -30,10 +30,10 @@
 				if n%2 == 0 {
 					pipeline, key = proctest.PipelineQuotation, proctest.NewKey()
 				}
-				heard[n] = f.Call(0, pipeline, key, fmt.Sprintf("text %d", n))
+				outcomes[n] = f.Call(0, pipeline, key, fmt.Sprintf("text %d", n))
 			}()
 		}
-		Eventually(f.Begun).Should(BeNumerically(">=", inFlight))
+		Eventually(f.StartedCount).Should(BeNumerically(">=", inFlight))
 		Expect(f.Daemons[0].Signal(syscall.SIGTERM)).To(Succeed())
 		Eventually(func() bool { return f.Ready(0) }).Should(BeFalse())
 		late := f.Call(0, proctest.PipelineSummary, "", "late")
@@ -41,18 +41,18 @@
 			Expect(late.Kind).To(Equal(problem.Draining), "%+v", late)
 		}
 		wg.Wait()
-		for _, o := range heard {
+		for _, o := range outcomes {
 			Expect(o.Answered()).To(BeTrue(), "%+v", o)
 		}
 		Expect(f.Daemons[0].Wait(10 * time.Second)).To(Succeed())
 	})
 
-	It("is cut short by a second signal, which the log names", func() {
+	It("is ended early by a second signal, which the log records", func() {
 		f := startFleet(proctest.Options{})
-		f.Fault("encoders", standin.Faults{ResponseDelayMS: 3000})
+		f.SetPoolFaults("encoders", standin.Faults{ResponseDelayMS: 3000})
 		done := make(chan proctest.Outcome, 1)
 		go func() { done <- f.Call(0, proctest.PipelineSummary, "", "slow") }()
-		Eventually(f.Begun).Should(Equal(1))
+		Eventually(f.StartedCount).Should(Equal(1))
 		Expect(f.Daemons[0].Signal(syscall.SIGTERM)).To(Succeed())
 		Eventually(f.Daemons[0].Log).Should(ContainSubstring("draining"))
 		Expect(f.Daemons[0].Signal(syscall.SIGTERM)).To(Succeed())
