--- a/daemon/loadexchange.go
+++ b/daemon/loadexchange.go
@@ -13,7 +13,7 @@
 )
 
 // loadExchangeInterval is the interval at which the load digest on the heartbeats is
-// updated and the received digests are merged: twice per probe.
+// updated and the received digests are merged: twice per probe interval.
 const loadExchangeInterval = 500 * time.Millisecond
 
 // loadExtension reserves space for load digests on the heartbeats.
@@ -62,8 +62,8 @@
 	return newer
 }
 
-// liveMembers returns the living members and this host. Suspected members count as
-// living, since most of them are only slow.
+// liveMembers returns the live members and this host. Suspected members count as live,
+// since most of them are only slow.
 func liveMembers(members []member.Member, self, domain string) []load.Host {
 	hosts := make([]load.Host, 0, len(members)+1)
 	found := false
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -15,7 +15,7 @@
 // running sequences. Cached blocks need no prefill. The number of tokens of a
 // response has a lognormal distribution, is derived from the seed and the prompt,
 // and is limited by max_tokens. The text of a response depends only on the request
-// and starts with the request id in square brackets. A canceled sequence frees its
+// and starts with the request id in square brackets. A cancelled sequence frees its
 // slot immediately. If the queue is full, the response is 429 with X-Not-Executed.
 package engine
 
@@ -65,7 +65,7 @@
 	// disconnected.
 	NoCancellation bool
 	// LoadLag and EventLag are the delays of load reports and cache events.
-	// EventGap is the fraction of cache events that are never published.
+	// EventLossRatio is the fraction of cache events that are never published.
 	LoadLag        time.Duration
 	EventLag       time.Duration
 	EventLossRatio float64
--- a/internal/standin/site/site_test.go
+++ b/internal/standin/site/site_test.go
@@ -138,8 +138,8 @@
 		Expect(e.WasUnhealthy()).To(BeFalse())
 	})
 
-	DescribeTable("stalls permanently", func(silence site.Stall, wantReport OmegaMatcher, wantEnd site.End) {
-		e, ledger := startEngine(site.Behaviour{PauseAfterEvents: 2, Stall: silence, EventInterval: 10 * time.Millisecond})
+	DescribeTable("stalls permanently", func(stall site.Stall, wantReport OmegaMatcher, wantEnd site.End) {
+		e, ledger := startEngine(site.Behaviour{PauseAfterEvents: 2, Stall: stall, EventInterval: 10 * time.Millisecond})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		body := bufio.NewReader(generate(ctx, e, "a").Body)
@@ -181,9 +181,9 @@
 
 	It("records how runs ended", func() {
 		e, ledger := startEngine(site.Behaviour{AbortAfterEvents: 1})
-		_, err := io.ReadAll(generate(context.Background(), e, "cut").Body)
+		_, err := io.ReadAll(generate(context.Background(), e, "aborted").Body)
 		Expect(err).To(HaveOccurred())
-		Eventually(runEnd(ledger, "cut"), "1s").Should(Equal(site.Aborted))
+		Eventually(runEnd(ledger, "aborted"), "1s").Should(Equal(site.Aborted))
 		e.SetBehaviour(site.Behaviour{Pause: time.Minute})
 		generate(context.Background(), e, "crashed")
 		Expect(runEnd(ledger, "crashed")()).To(Equal(site.InProgress))
@@ -292,6 +292,6 @@
 			name := reserve(e, 1000)
 			Expect(release(e, name)).To(HaveHTTPStatus(http.StatusOK))
 			return name
-		}, "dropped"),
+		}, "released"),
 	)
 })
--- a/peer/session.go
+++ b/peer/session.go
@@ -125,7 +125,7 @@
 
 // suspectIfSilent marks the session as suspect if no data arrived for SilenceTimeout
 // while a call waited for an answer. Either the peer hangs, or the connection is
-// half-open, or the answers just take long; verifySuspect finds out.
+// half-open, or the handlers are slow; verifySuspect tells these cases apart.
 func (s *session) suspectIfSilent() {
 	silent := s.silence() >= s.transport.cfg.SilenceTimeout
 	if !silent || !s.usable() || !s.suspect.CompareAndSwap(false, true) {
@@ -148,7 +148,7 @@
 	s.closeSilent()
 }
 
-// recordSilence counts the session as silent and sets the reason that callers get while
+// recordSilence counts the session as silent and sets the error that calls return while
 // the host is being dialled again.
 func (s *session) recordSilence() {
 	s.transport.counters.silentSessions.Inc()
@@ -228,7 +228,7 @@
 	t.mu.Lock()
 	live := t.liveSessions()
 	t.mu.Unlock()
-	t.cfg.Logger.Warn("this host slept; sessions are proved", zap.Duration("slept", suspendedFor), zap.Int("sessions", len(live)))
+	t.cfg.Logger.Warn("host was suspended; verifying peer sessions", zap.Duration("slept", suspendedFor), zap.Int("sessions", len(live)))
 	for _, s := range live {
 		go s.verifyAfterResume()
 	}
