--- a/bundle/bench_test.go
+++ b/bundle/bench_test.go
@@ -12,7 +12,7 @@
 var benchSizes = []struct {
 	name  string
 	sizes bundletest.Sizes
-}{{"today", bundletest.Today}, {"target", bundletest.Target}}
+}{{"today", bundletest.CurrentSizes}, {"target", bundletest.TargetSizes}}
 
 // BenchmarkOpen measures the verification, parsing and validation of a signed
 // bundle.
@@ -24,7 +24,7 @@
 			b.ReportAllocs()
 			b.ReportMetric(float64(len(signed)), "bundle-bytes")
 			for b.Loop() {
-				if _, err := bundle.Open(signed, []ed25519.PublicKey{publicOf(key)}); err != nil {
+				if _, err := bundle.VerifyAndParse(signed, []ed25519.PublicKey{publicOf(key)}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -139,8 +139,8 @@
 	Quantile float64 `yaml:"quantile" validate:"gte=0,lt=1"`
 }
 
-// Supports lists the optional features that the upstreams of a pool support.
-type Supports struct {
+// UpstreamFeatures lists the optional features that the upstreams of a pool support.
+type UpstreamFeatures struct {
 	Priority        bool `yaml:"priority"`
 	Cancellation    bool `yaml:"cancellation"`
 	IdempotencyKeys bool `yaml:"idempotency_keys"`
@@ -156,8 +156,8 @@
 	Version  string   `yaml:"model_version,omitempty"`
 	Adapters []string `yaml:"adapters,omitempty"`
 	// Role is the engines' role: "mixed", "prefill" or "decode".
-	Role     string   `yaml:"role,omitempty" validate:"omitempty,oneof=mixed prefill decode"`
-	Supports Supports `yaml:"supports"`
+	Role     string           `yaml:"role,omitempty" validate:"omitempty,oneof=mixed prefill decode"`
+	Supports UpstreamFeatures `yaml:"supports"`
 	// Concurrency is the initial value of the adaptive concurrency limit of
 	// one upstream: the number of calls that it runs well at a time.
 	Concurrency int `yaml:"concurrency" validate:"gte=1"`
--- a/bundle/bundletest/bundletest.go
+++ b/bundle/bundletest/bundletest.go
@@ -23,13 +23,13 @@
 	Customers int
 }
 
-// Target is the target size of a deployment.
-var Target = Sizes{
+// TargetSizes is the target size of a deployment.
+var TargetSizes = Sizes{
 	Regions: 3, Domains: 8, Hosts: 410, Models: 27, Upstreams: 610, Pipelines: 12, Customers: 410,
 }
 
-// Today is the approximate size of a current deployment.
-var Today = Sizes{
+// CurrentSizes is the approximate size of a current deployment.
+var CurrentSizes = Sizes{
 	Regions: 1, Domains: 4, Hosts: 7, Models: 1, Upstreams: 36, Pipelines: 4, Customers: 5,
 }
 
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -42,7 +42,7 @@
 		return
 	}
 	if first, seen := paths[value]; seen {
-		c.Add(path, "%q is already used by %s", value, first)
+		c.AddProblem(path, "%q is already used by %s", value, first)
 		return
 	}
 	paths[value] = path
@@ -77,21 +77,21 @@
 	if err == nil && address.Port() != 0 && !address.Addr().IsUnspecified() {
 		return
 	}
-	if !c.Has(path) {
-		c.Add(path, "must be an address in the form ip:port")
+	if !c.HasProblemAt(path) {
+		c.AddProblem(path, "must be an address in the form ip:port")
 	}
 }
 
 // checkFailureDomain reports a problem if no failure domain has that name.
 func (c *checker) checkFailureDomain(name, path string) {
 	if name != "" && !c.failureDomains[name] {
-		c.Add(path, "no failure domain is named %q", name)
+		c.AddProblem(path, "no failure domain is named %q", name)
 	}
 }
 
 func (c *checker) checkObjective() {
-	if c.bundle.Objective.Attainment == 0 && c.bundle.Objective.CostByStage == 0 && !c.Has("objective") {
-		c.Add("objective", "one of attainment and cost_by_stage must be above 0")
+	if c.bundle.Objective.Attainment == 0 && c.bundle.Objective.CostByStage == 0 && !c.HasProblemAt("objective") {
+		c.AddProblem("objective", "one of attainment and cost_by_stage must be above 0")
 	}
 }
 
@@ -103,7 +103,7 @@
 		addresses.checkUnique(c, h.PeerAddress, path+".peer_address")
 		c.checkAddress(h.PeerAddress, path+".peer_address")
 		if !h.EndedAt.IsZero() {
-			c.Add(path+".ended_at", "is allowed only for hosts in views")
+			c.AddProblem(path+".ended_at", "is allowed only for hosts in views")
 		}
 		c.checkFailureDomain(h.FailureDomain, path+".failure_domain")
 	}
@@ -118,7 +118,7 @@
 	for i, v := range c.bundle.Views {
 		path := indexedPath("views", i)
 		if v.Version >= newer {
-			c.Add(path+".version", "%d is not below %d: views must be ordered newest first, with versions below the bundle's", v.Version, newer)
+			c.AddProblem(path+".version", "%d is not below %d: views must be ordered newest first, with versions below the bundle's", v.Version, newer)
 		}
 		newer = v.Version
 		names := firstPaths{}
@@ -132,20 +132,20 @@
 	p := c.bundle.Claims
 	switch {
 	case p.GroupSize < 1:
-		c.Add("claims.group_size", "must be 1 or more")
+		c.AddProblem("claims.group_size", "must be 1 or more")
 	case p.GroupSize%2 == 0:
-		c.Add("claims.group_size", "%d is even: it tolerates no more failures than %d", p.GroupSize, p.GroupSize-1)
+		c.AddProblem("claims.group_size", "%d is even: it tolerates no more failures than %d", p.GroupSize, p.GroupSize-1)
 	case p.GroupSize > len(c.bundle.Hosts):
-		c.Add("claims.group_size", "%d is more than the number of hosts (%d)", p.GroupSize, len(c.bundle.Hosts))
+		c.AddProblem("claims.group_size", "%d is more than the number of hosts (%d)", p.GroupSize, len(c.bundle.Hosts))
 	}
 	if p.MaxClockSkew <= 0 {
-		c.Add("claims.max_clock_skew", "must be above 0")
+		c.AddProblem("claims.max_clock_skew", "must be above 0")
 	}
 	if p.MaxKeyAhead < 0 {
-		c.Add("claims.max_key_ahead", "must be 0 or more")
+		c.AddProblem("claims.max_key_ahead", "must be 0 or more")
 	}
 	if p.Retention <= p.MaxClockSkew+p.MaxKeyAhead {
-		c.Add("claims.retention", "must be above max_clock_skew + max_key_ahead (%s)", p.MaxClockSkew+p.MaxKeyAhead)
+		c.AddProblem("claims.retention", "must be above max_clock_skew + max_key_ahead (%s)", p.MaxClockSkew+p.MaxKeyAhead)
 	}
 }
 
@@ -173,13 +173,13 @@
 
 func (c *checker) checkPoolKind(p Pool, path string) {
 	if p.Kind == PoolEngine && p.Model == "" {
-		c.Add(path+".model", "is required for an engine pool")
+		c.AddProblem(path+".model", "is required for an engine pool")
 	}
 	if p.Kind != PoolService {
 		return
 	}
 	if p.Model != "" || p.Version != "" || len(p.Adapters) > 0 || p.Role != "" {
-		c.Add(path, "model, model_version, adapters and role are allowed only for engine pools")
+		c.AddProblem(path, "model, model_version, adapters and role are allowed only for engine pools")
 	}
 }
 
@@ -207,37 +207,37 @@
 		nonRepeatable = nonRepeatable || s.NonRepeatable
 	}
 	if p.Deadline > 0 && expected > p.Deadline {
-		c.Add(path+".deadline", "%s cannot be met: the stages are expected to take %s", p.Deadline, expected)
+		c.AddProblem(path+".deadline", "%s cannot be met: the stages are expected to take %s", p.Deadline, expected)
 	}
 	claims := c.bundle.Claims
 	if nonRepeatable && p.Deadline+claims.MaxClockSkew+claims.MaxKeyAhead >= claims.Retention {
-		c.Add(path+".deadline", "%s with max_clock_skew and max_key_ahead is not below claims.retention (%s), "+
+		c.AddProblem(path+".deadline", "%s with max_clock_skew and max_key_ahead is not below claims.retention (%s), "+
 			"so a claim could expire while its request is still running", p.Deadline, claims.Retention)
 	}
 }
 
 func (c *checker) checkStage(s Stage, path string) {
 	if s.NonRepeatable && s.Kind != StageCall {
-		c.Add(path+".non_repeatable", "only a stage of kind call can be non-repeatable; this stage is of kind %s", s.Kind)
+		c.AddProblem(path+".non_repeatable", "only a stage of kind call can be non-repeatable; this stage is of kind %s", s.Kind)
 	}
 	if s.MaxTokens > 0 && s.Kind != StageGenerate {
-		c.Add(path+".max_tokens", "is allowed only for stages of kind generate")
+		c.AddProblem(path+".max_tokens", "is allowed only for stages of kind generate")
 	}
 	if s.Path != "" && !strings.HasPrefix(s.Path, "/") {
-		c.Add(path+".path", "must start with /")
+		c.AddProblem(path+".path", "must start with /")
 	}
 	if s.Path != "" && s.Kind == StageGenerate {
-		c.Add(path+".path", "is allowed only for stages that call services")
+		c.AddProblem(path+".path", "is allowed only for stages that call services")
 	}
 	pool, known := c.pools[s.Pool]
 	switch {
 	case s.Pool == "":
 	case !known:
-		c.Add(path+".pool", "no pool is named %q", s.Pool)
+		c.AddProblem(path+".pool", "no pool is named %q", s.Pool)
 	case s.Kind == StageGenerate && pool.Kind != PoolEngine:
-		c.Add(path+".pool", "a generate stage requires an engine pool; %q is of kind %s", s.Pool, pool.Kind)
+		c.AddProblem(path+".pool", "a generate stage requires an engine pool; %q is of kind %s", s.Pool, pool.Kind)
 	case s.Kind != StageGenerate && pool.Kind != PoolService:
-		c.Add(path+".pool", "a stage of kind %s requires a service pool; %q is of kind %s", s.Kind, s.Pool, pool.Kind)
+		c.AddProblem(path+".pool", "a stage of kind %s requires a service pool; %q is of kind %s", s.Kind, s.Pool, pool.Kind)
 	}
 }
 
@@ -254,7 +254,7 @@
 			pipeline := indexedPath(path+".pipelines", j)
 			pipelineNames.checkUnique(c, name, pipeline)
 			if name != "" && !c.pipelines[name] {
-				c.Add(pipeline, "no pipeline is named %q", name)
+				c.AddProblem(pipeline, "no pipeline is named %q", name)
 			}
 		}
 	}
@@ -266,7 +266,7 @@
 func (c *checker) checkKeyHash(hashPaths firstPaths, hash, path string) {
 	hash = strings.ToLower(hash)
 	if first, seen := hashPaths[hash]; seen {
-		c.Add(path, "key hash %s is already used by %s", shortHash(hash), first)
+		c.AddProblem(path, "key hash %s is already used by %s", shortHash(hash), first)
 		return
 	}
 	hashPaths[hash] = path
--- a/bundle/diff.go
+++ b/bundle/diff.go
@@ -67,7 +67,7 @@
 func (d *differ) diffStruct(path string, a, b reflect.Value) {
 	for i := range a.NumField() {
 		field := a.Type().Field(i)
-		d.diffValue(strictyaml.Join(path, strictyaml.Key(field)), a.Field(i), b.Field(i), isSecret(field))
+		d.diffValue(strictyaml.JoinPath(path, strictyaml.FieldKey(field)), a.Field(i), b.Field(i), isSecret(field))
 	}
 }
 
@@ -192,7 +192,7 @@
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
 		if !v.Field(i).IsZero() {
-			parts = append(parts, strictyaml.Key(field)+": "+formatFlow(v.Field(i), isSecret(field)))
+			parts = append(parts, strictyaml.FieldKey(field)+": "+formatFlow(v.Field(i), isSecret(field)))
 		}
 	}
 	return "{" + strings.Join(parts, ", ") + "}"
--- a/bundle/docs_test.go
+++ b/bundle/docs_test.go
@@ -10,7 +10,7 @@
 
 var _ = Describe("docs/CONFIGURATION.md", func() {
 	It("lists exactly the keys of the bundle", func() {
-		listed, err := doccheck.ListedKeys("../docs/CONFIGURATION.md", "## Bundle")
+		listed, err := doccheck.DocumentedKeys("../docs/CONFIGURATION.md", "## Bundle")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(listed).To(ConsistOf(doccheck.Keys(bundle.Bundle{})))
 	})
--- a/bundle/fields.go
+++ b/bundle/fields.go
@@ -19,7 +19,7 @@
 
 func newFieldValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
-	v.RegisterTagNameFunc(strictyaml.Key)
+	v.RegisterTagNameFunc(strictyaml.FieldKey)
 	must(v.RegisterValidation("name", func(f validator.FieldLevel) bool {
 		return namePattern.MatchString(f.Field().String())
 	}))
@@ -42,10 +42,10 @@
 	reported := strictyaml.Report{Problems: r.Problems}
 	for _, fieldError := range fieldErrors {
 		_, path, _ := strings.Cut(fieldError.Namespace(), ".")
-		if reported.Has(path) || reported.HasWithin(path) {
+		if reported.HasProblemAt(path) || reported.HasProblemWithin(path) {
 			continue
 		}
-		r.Add(path, "%s", validationMessage(fieldError))
+		r.AddProblem(path, "%s", validationMessage(fieldError))
 	}
 }
 
--- a/bundle/heap_bench_test.go
+++ b/bundle/heap_bench_test.go
@@ -13,7 +13,7 @@
 // while the numbers of hosts, models, upstreams and customers grow to the target
 // size.
 func BenchmarkHeap(b *testing.B) {
-	target := bundletest.Target
+	target := bundletest.TargetSizes
 	for _, divisor := range []int{8, 4, 2, 1} {
 		sizes := bundletest.Sizes{
 			Regions: target.Regions, Domains: target.Domains, Pipelines: target.Pipelines,
--- a/bundle/parse.go
+++ b/bundle/parse.go
@@ -31,7 +31,7 @@
 func Parse(raw []byte) (*Bundle, error) {
 	if len(raw) > MaxSignedBytes {
 		r := &strictyaml.Report{}
-		r.Add("", "%d bytes; at most %d are allowed", len(raw), MaxSignedBytes)
+		r.AddProblem("", "%d bytes; at most %d are allowed", len(raw), MaxSignedBytes)
 		return nil, checkError(r)
 	}
 	b := newBundleWithDefaults()
--- a/bundle/parse_test.go
+++ b/bundle/parse_test.go
@@ -67,7 +67,7 @@
 		signed := bundle.Sign(readExample("demo.yaml"), other)
 		signed = bundle.Sign(signed, key)
 		Expect(bytes.Count(signed, []byte("wheatseam-signature"))).To(Equal(1))
-		b, err := bundle.Open(signed, []ed25519.PublicKey{publicOf(other), publicOf(key)})
+		b, err := bundle.VerifyAndParse(signed, []ed25519.PublicKey{publicOf(other), publicOf(key)})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(b.Deployment).To(Equal("demo"))
 		Expect(bundle.StripSignature(signed)).To(Equal(readExample("demo.yaml")))
@@ -75,17 +75,17 @@
 
 	It("rejects unsigned and changed bundles and those signed by an untrusted key", func() {
 		trusted := []ed25519.PublicKey{publicOf(key)}
-		_, err := bundle.Open(readExample("demo.yaml"), trusted)
+		_, err := bundle.VerifyAndParse(readExample("demo.yaml"), trusted)
 		Expect(err).To(MatchError(bundle.ErrUnsigned))
 
 		signed := bundle.Sign(readExample("demo.yaml"), key)
-		_, err = bundle.Open(bytes.Replace(signed, []byte("weight: 3"), []byte("weight: 9"), 1), trusted)
+		_, err = bundle.VerifyAndParse(bytes.Replace(signed, []byte("weight: 3"), []byte("weight: 9"), 1), trusted)
 		Expect(err).To(MatchError(bundle.ErrBadSignature))
 
-		_, err = bundle.Open(append(signed, "policy: round_robin\n"...), trusted)
+		_, err = bundle.VerifyAndParse(append(signed, "policy: round_robin\n"...), trusted)
 		Expect(err).To(MatchError(bundle.ErrUnsigned))
 
-		_, err = bundle.Open(bundle.Sign(signed, other), trusted)
+		_, err = bundle.VerifyAndParse(bundle.Sign(signed, other), trusted)
 		Expect(err).To(MatchError(bundle.ErrUnknownKey))
 	})
 
--- a/bundle/parts_test.go
+++ b/bundle/parts_test.go
@@ -54,8 +54,8 @@
 	})
 
 	It("change only where an edit touches them", func() {
-		before := bundle.Sign(bundletest.YAML(bundletest.Target, 7), testKey(1))
-		edited := bytes.Replace(bundletest.YAML(bundletest.Target, 8),
+		before := bundle.Sign(bundletest.YAML(bundletest.TargetSizes, 7), testKey(1))
+		edited := bytes.Replace(bundletest.YAML(bundletest.TargetSizes, 8),
 			[]byte("name: customer-200\n"), []byte("name: renamed-customer-200\n"), 1)
 		after := bundle.Sign(edited, testKey(1))
 		knownParts := partStore{}
@@ -65,7 +65,7 @@
 	})
 
 	It("fail to join if one is missing or does not match the digest", func() {
-		signed := bundle.Sign(bundletest.YAML(bundletest.Target, 7), testKey(1))
+		signed := bundle.Sign(bundletest.YAML(bundletest.TargetSizes, 7), testKey(1))
 		manifest := bundle.NewManifest(7, signed)
 		parts := partStore{}
 		parts.add(signed)
@@ -82,7 +82,7 @@
 	})
 
 	It("can be generated from test bundles of the requested sizes", func() {
-		for _, sizes := range []bundletest.Sizes{bundletest.Target, bundletest.Today} {
+		for _, sizes := range []bundletest.Sizes{bundletest.TargetSizes, bundletest.CurrentSizes} {
 			b := bundletest.Bundle(sizes, 3)
 			upstreams := 0
 			for _, p := range b.Pools {
--- a/bundle/successor.go
+++ b/bundle/successor.go
@@ -16,10 +16,10 @@
 func CheckSuccessor(current, next *Bundle) error {
 	r := &strictyaml.Report{}
 	if next.Version <= current.Version {
-		r.Add("version", "%d is not above %d, the active version", next.Version, current.Version)
+		r.AddProblem("version", "%d is not above %d, the active version", next.Version, current.Version)
 	}
 	if next.Deployment != current.Deployment {
-		r.Add("deployment", "%q is not %q, the active deployment", next.Deployment, current.Deployment)
+		r.AddProblem("deployment", "%q is not %q, the active deployment", next.Deployment, current.Deployment)
 	}
 	checkHostListHistory(current, next, r)
 	return checkError(r)
@@ -40,11 +40,11 @@
 	epoch := current.HostsEpoch()
 	switch {
 	case next.HostsEpoch() < epoch:
-		r.Add("views", "the newest view must be %d or later: the active host list is list %d", epoch-1, epoch)
+		r.AddProblem("views", "the newest view must be %d or later: the active host list is list %d", epoch-1, epoch)
 	case next.HostsEpoch() == epoch && !SameHosts(current.Hosts, next.Hosts):
-		r.Add("views", "the host list changed: add the active list to views as the first entry, with version %d", epoch)
+		r.AddProblem("views", "the host list changed: add the active list to views as the first entry, with version %d", epoch)
 	case next.HostsEpoch() > epoch && !next.hasView(epoch):
-		r.Add("views", "the active host list is missing: it is list %d", epoch)
+		r.AddProblem("views", "the active host list is missing: it is list %d", epoch)
 	}
 	hostsByEpoch := map[uint64][]Host{epoch: current.Hosts}
 	for _, v := range current.Views {
@@ -53,7 +53,7 @@
 	for i, v := range next.Views {
 		hosts, ok := hostsByEpoch[v.Version]
 		if ok && !SameHosts(hosts, v.Hosts) {
-			r.Add(indexedPath("views", i)+".hosts", "differ from the hosts of list %d", v.Version)
+			r.AddProblem(indexedPath("views", i)+".hosts", "differ from the hosts of list %d", v.Version)
 		}
 	}
 }
--- a/cluster/cluster_test.go
+++ b/cluster/cluster_test.go
@@ -58,7 +58,7 @@
 func newFleet(n int) *fleet {
 	_, private, err := ed25519.GenerateKey(nil)
 	Expect(err).NotTo(HaveOccurred())
-	f := &fleet{sizes: bundletest.Today, key: private, platform: standinplatform.New(standinplatform.Config{})}
+	f := &fleet{sizes: bundletest.CurrentSizes, key: private, platform: standinplatform.New(standinplatform.Config{})}
 	f.sizes.Hosts = n
 	f.sizes.Domains = 3
 	server := httptest.NewServer(f.platform)
--- a/cluster/rollouts.go
+++ b/cluster/rollouts.go
@@ -29,7 +29,7 @@
 // NewCodec returns a codec for bundles that are signed by one of the keys.
 func NewCodec(keys []ed25519.PublicKey) rollout.Codec {
 	return rollout.Codec{
-		Open:           func(signed []byte) (*bundle.Bundle, error) { return bundle.Open(signed, keys) },
+		Open:           func(signed []byte) (*bundle.Bundle, error) { return bundle.VerifyAndParse(signed, keys) },
 		Split:          splitParts,
 		CheckSuccessor: bundle.CheckSuccessor,
 	}
@@ -68,7 +68,7 @@
 // inspect runs f with the machine in the loop's goroutine. It waits until f has run or
 // ctx ends.
 func (l *rolloutLoop) inspect(ctx context.Context, f func(*rollout.Machine)) {
-	l.queue.Inspect(ctx, func() { f(l.machine) })
+	l.queue.RunAndWait(ctx, func() { f(l.machine) })
 }
 
 // step passes an event to the machine and executes the resulting actions.
--- a/cmd/wheatseam/compare.go
+++ b/cmd/wheatseam/compare.go
@@ -22,7 +22,7 @@
 			"not reported as a change.",
 		Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var sets []compare.Set
+			var sets []compare.RunSet
 			for _, arg := range args {
 				s, err := readReportSet(arg)
 				if err != nil {
@@ -47,12 +47,12 @@
 }
 
 // readReportSet reads the reports of one LABEL=FILE,FILE argument.
-func readReportSet(arg string) (compare.Set, error) {
+func readReportSet(arg string) (compare.RunSet, error) {
 	label, files, ok := strings.Cut(arg, "=")
 	if !ok {
-		return compare.Set{}, fmt.Errorf("%q does not have the form LABEL=FILE,FILE", arg)
+		return compare.RunSet{}, fmt.Errorf("%q does not have the form LABEL=FILE,FILE", arg)
 	}
-	s := compare.Set{Label: label}
+	s := compare.RunSet{Label: label}
 	for file := range strings.SplitSeq(files, ",") {
 		text, err := os.ReadFile(file)
 		if err != nil {
--- a/cmd/wheatseam/replay.go
+++ b/cmd/wheatseam/replay.go
@@ -57,7 +57,7 @@
 	f.StringVar(&o.label, "label", "run", "name of the measured variant, such as the policy")
 	f.Uint64Var(&o.seed, "seed", 1, "random seed for the choice of hosts")
 	f.Float64Var(&o.speed, "speed", 1, "divisor of the offsets in the trace; deadlines do not change")
-	f.DurationVar(&o.config.Grace, "grace", replay.DefaultGrace, "time after its deadline during which a response is still accepted")
+	f.DurationVar(&o.config.GracePeriod, "grace", replay.DefaultGrace, "time after its deadline during which a response is still accepted")
 	f.IntVar(&o.config.MaxInFlight, "max-in-flight", replay.DefaultMaxInFlight, "maximum number of requests in flight")
 	f.DurationVar(&o.config.MaxDuration, "max-duration", replay.DefaultMaxDuration, "maximum time during which requests are sent")
 	f.DurationVar(&o.settleTimeout, "settle", 5*time.Second, "maximum time to wait for executions still running at the end")
@@ -97,7 +97,7 @@
 	if err = errors.Join(err, clearErr); err != nil {
 		return err
 	}
-	entries, err := reader.Settle(ctx, o.settleTimeout)
+	entries, err := reader.WaitUntilIdle(ctx, o.settleTimeout)
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 	if outcomes == nil {
 		return nil
 	}
-	v := outcomes.Judge(r)
+	v := outcomes.Evaluate(r)
 	if err := v.Write(out); err != nil {
 		return err
 	}
--- a/cmd/wheatseam/soak.go
+++ b/cmd/wheatseam/soak.go
@@ -77,7 +77,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return false, err
 	}
-	report, err := soak.Do(ctx, soak.Config{
+	report, err := soak.Execute(ctx, soak.Config{
 		Binary: o.binary, Dir: dir, Seed: seed, Duration: o.duration, Daemons: o.daemons, Callers: o.callers,
 	})
 	if err != nil {
--- a/cmd/wheatseam/standins.go
+++ b/cmd/wheatseam/standins.go
@@ -91,7 +91,7 @@
 	var errs []error
 	for _, s := range in.standIns {
 		if faultyPools[s.Pool] {
-			errs = append(errs, replay.PostFault(ctx, client, s.Address, []byte("{}")))
+			errs = append(errs, replay.ReplaceFaults(ctx, client, s.Address, []byte("{}")))
 		}
 	}
 	return errors.Join(errs...)
--- a/cmd/wheatseam/trace.go
+++ b/cmd/wheatseam/trace.go
@@ -32,7 +32,7 @@
 			if o.Bundle, err = readBundleFile(bundleFile); err != nil {
 				return err
 			}
-			t, err := scenario.Make(args[0], o)
+			t, err := scenario.Generate(args[0], o)
 			if err != nil {
 				return err
 			}
@@ -44,7 +44,7 @@
 	f.Uint64Var(&o.Seed, "seed", 1, "random seed")
 	f.Float64Var(&o.Load, "load", 1, "mean request rate as a multiple of the bundle's capacity")
 	f.DurationVar(&o.Duration, "duration", time.Minute, "time from the first arrival to the last")
-	f.Float64Var(&o.Patience, "patience", scenario.DefaultPatience, "deadlines as a multiple of the expected duration")
+	f.Float64Var(&o.DeadlineFactor, "patience", scenario.DefaultDeadlineFactor, "deadlines as a multiple of the expected duration")
 	f.StringVar(&out, "out", "", "output file; standard output if empty")
 	_ = c.MarkFlagRequired("bundle")
 	return c
--- a/core/rollout/bench_test.go
+++ b/core/rollout/bench_test.go
@@ -40,7 +40,7 @@
 			if b, ok := opened[h]; ok {
 				return b, nil
 			}
-			b, err := bundle.Open(signed, keys)
+			b, err := bundle.VerifyAndParse(signed, keys)
 			opened[h] = b
 			return b, err
 		},
@@ -58,7 +58,7 @@
 // benchDocument returns a signed bundle for n hosts. Each version changes the
 // weight of one customer.
 func benchDocument(n int, version uint64) []byte {
-	target := bundletest.Target
+	target := bundletest.TargetSizes
 	sizes := bundletest.Sizes{
 		Regions: benchRegions, Domains: benchDomains, Hosts: n, Pipelines: target.Pipelines,
 		Models:    max(1, target.Models*n/target.Hosts),
--- a/daemon/call_test.go
+++ b/daemon/call_test.go
@@ -13,7 +13,7 @@
 	soon := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
 	It("is higher for a call that must start sooner", func() {
-		p := bundle.Pool{Supports: bundle.Supports{Priority: true}}
+		p := bundle.Pool{Supports: bundle.UpstreamFeatures{Priority: true}}
 		Expect(enginePriority(p, soon)).To(BeNumerically(">", enginePriority(p, soon.Add(time.Millisecond))))
 	})
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -241,7 +241,7 @@
 // tickAdmission ticks the admission controller, which ends the waits of requests that
 // can no longer get a slot in time, until ctx ends.
 func (d *Daemon) tickAdmission(ctx context.Context) {
-	periodic.Do(ctx, admissionTickInterval, func() {
+	periodic.Every(ctx, admissionTickInterval, func() {
 		for _, g := range d.decisionDeps.Admitter.Tick(d.Now()) {
 			d.deliverGrant(g)
 		}
--- a/daemon/loadexchange.go
+++ b/daemon/loadexchange.go
@@ -25,7 +25,7 @@
 // daemons until ctx ends.
 func (d *Daemon) exchangeLoads(ctx context.Context) {
 	lastReceived := map[string]time.Time{}
-	periodic.Do(ctx, loadExchangeInterval, func() {
+	periodic.Every(ctx, loadExchangeInterval, func() {
 		d.loads.SetLiveHosts(liveMembers(d.cluster.Members(), d.settings.Host, d.settings.FailureDomain))
 		d.cluster.SetSlot(member.SlotLoad, d.loads.Digest(), false)
 		d.mergeLoadDigests(lastReceived)
--- a/daemon/operators_test.go
+++ b/daemon/operators_test.go
@@ -23,7 +23,7 @@
 	RunSpecs(t, "daemon")
 }
 
-var _ = AfterSuite(proctest.Cleanup)
+var _ = AfterSuite(proctest.RemoveDaemonBinary)
 
 var _ = Describe("the operator API of three daemons", Ordered, func() {
 	var f *proctest.Fleet
@@ -36,7 +36,7 @@
 
 	get := func(i int, path string, into any) {
 		GinkgoHelper()
-		Expect(f.Operate(i, http.MethodGet, path, into)).To(Succeed())
+		Expect(f.CallOperatorAPI(i, http.MethodGet, path, into)).To(Succeed())
 	}
 
 	It("explains an answered request at any host, from receipt to finish", func() {
@@ -92,7 +92,7 @@
 	It("exports no metric that docs/OPERATIONS.md does not list", func() {
 		text, err := f.Metrics(0)
 		Expect(err).NotTo(HaveOccurred())
-		listed, err := doccheck.ListedKeys("../docs/OPERATIONS.md", "## Metrics")
+		listed, err := doccheck.DocumentedKeys("../docs/OPERATIONS.md", "## Metrics")
 		Expect(err).NotTo(HaveOccurred())
 		names := regexp.MustCompile(`(?m)^wheatseam_[a-z_]+`).FindAllString(text, -1)
 		Expect(len(names)).To(BeNumerically(">", 10))
@@ -104,7 +104,7 @@
 
 	It("drains and exits on an operator's request as on SIGTERM", func() {
 		var st operator.Status
-		Expect(f.Operate(2, http.MethodPost, "/v1/drain", &st)).To(Succeed())
+		Expect(f.CallOperatorAPI(2, http.MethodPost, "/v1/drain", &st)).To(Succeed())
 		Expect(st.Draining).To(BeTrue())
 		Expect(f.Daemons[2].Wait(10 * time.Second)).To(Succeed())
 		Expect(f.Daemons[2].Log()).To(ContainSubstring("msg=drained"))
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -117,7 +117,7 @@
 	switch {
 	case upstreamAnswered(err):
 		d.quarantine.RunSucceeded(fingerprint)
-	case !httpbody.BrokenOff(err) || clock.SuspendedTime() > start.suspendedBefore || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
+	case !httpbody.IsConnectionBroken(err) || clock.SuspendedTime() > start.suspendedBefore || slices.Contains(d.cluster.LeavingUpstreams(), c.Choice.Upstream):
 		// The connection was not broken off, or the cause is not a crash: this host
 		// was suspended, or the upstream is leaving.
 	default:
@@ -134,7 +134,7 @@
 		return true
 	}
 	var e *service.Error
-	return errors.As(err, &e) && e.Status >= http.StatusBadRequest && !e.NotExecuted && !httpbody.BrokenOff(err)
+	return errors.As(err, &e) && e.Status >= http.StatusBadRequest && !e.NotExecuted && !httpbody.IsConnectionBroken(err)
 }
 
 // quarantinedCall returns the failure of a call that must not be sent to an upstream.
--- a/daemon/storedresults.go
+++ b/daemon/storedresults.go
@@ -51,7 +51,7 @@
 
 // expireStoredResults removes expired results until ctx ends.
 func (d *Daemon) expireStoredResults(ctx context.Context) {
-	periodic.Do(ctx, expireInterval, func() { d.resultStore.Expire(d.Now()) })
+	periodic.Every(ctx, expireInterval, func() { d.resultStore.Expire(d.Now()) })
 }
 
 // storedResultsKey returns the key of a request's stored results. Its digest covers the
--- a/discovery/config.go
+++ b/discovery/config.go
@@ -85,7 +85,7 @@
 
 // awaitConfigWork waits until syncConfig may have work to do, at most for limit.
 func (d *Discovery) awaitConfigWork(ctx context.Context, limit time.Duration) {
-	periodic.Await(ctx, d.configWork, limit)
+	periodic.WaitForSignal(ctx, d.configWork, limit)
 }
 
 // wakeConfigSync makes syncConfig check for work.
--- a/discovery/replicas.go
+++ b/discovery/replicas.go
@@ -60,7 +60,7 @@
 // host then watches the store and informs the others. 295 hosts that each watched the
 // store made some 1,900 calls.
 func (d *Discovery) awaitFirstPeers(ctx context.Context) {
-	periodic.Await(ctx, d.firstConfigRead, minRetryInterval)
+	periodic.WaitForSignal(ctx, d.firstConfigRead, minRetryInterval)
 	if d.configMissing.Load() {
 		d.awaitFormed(ctx)
 	}
@@ -79,7 +79,7 @@
 	d.mu.Lock()
 	changed := d.viewChanged
 	d.mu.Unlock()
-	periodic.Await(ctx, changed, limit)
+	periodic.WaitForSignal(ctx, changed, limit)
 }
 
 // interval returns the time between two reads of the replicas, which is short until there
--- a/engine/client.go
+++ b/engine/client.go
@@ -75,12 +75,12 @@
 		return Output{}, &service.Error{NotExecuted: true, Err: err}
 	}
 	if !c.now().Before(g.NotAfter) {
-		return Output{}, &service.Error{NotExecuted: true, Err: httpbody.ErrTooLate}
+		return Output{}, &service.Error{NotExecuted: true, Err: httpbody.ErrDeadlinePassed}
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return Output{}, &service.Error{
-			NotExecuted: httpbody.NotSent(err), Err: fmt.Errorf("call %s: %w", g.Address, err),
+			NotExecuted: httpbody.IsNotSent(err), Err: fmt.Errorf("call %s: %w", g.Address, err),
 		}
 	}
 	defer resp.Body.Close()
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -29,7 +29,7 @@
 	f := newFixtureOf(t)
 	core, logs := observer.New(zapcore.InfoLevel)
 	g := f.startLogged(zap.New(core)).ready()
-	f.replicas["p1"].AdvertiseRateLimit("2.5")
+	f.replicas["p1"].AnnounceRateLimit("2.5")
 	f.Eventually(func() int {
 		g.send(http.MethodPost, safePath, "", nil)
 		return loggedCount(logs, "replica announced a rate limit")
@@ -37,7 +37,7 @@
 	f.Expect(logs.FilterMessage("replica announced a rate limit").All()[0].ContextMap()).To(And(
 		HaveKeyWithValue("replica", "p1"), HaveKeyWithValue("service", "plain"), HaveKeyWithValue("per_second", 2.5)))
 	f.Expect(g.metricLines(gauge)).To(ConsistOf(gauge + " 1"))
-	f.replicas["p1"].AdvertiseRateLimit("")
+	f.replicas["p1"].AnnounceRateLimit("")
 	f.Eventually(func() int {
 		g.send(http.MethodPost, safePath, "", nil)
 		return loggedCount(logs, "replica lifted its rate limit")
@@ -140,7 +140,7 @@
 			t.Parallel()
 			f := newFixtureOf(t)
 			hosts := f.startThreeHosts()
-			f.replicas[load.replica].AdvertiseRateLimit(strconv.Itoa(perSecond))
+			f.replicas[load.replica].AnnounceRateLimit(strconv.Itoa(perSecond))
 			named := time.Now()
 			p := sendLoad(hosts, 150*time.Millisecond, settleTime+2*window, load.path, load.change)
 			f.expectAllServed(p)
@@ -158,7 +158,7 @@
 	g := f.start().ready()
 	for _, r := range f.replicas {
 		if r.Kind != site.Stage {
-			r.AdvertiseRateLimit("0.5")
+			r.AnnounceRateLimit("0.5")
 		}
 	}
 	for _, path := range []string{safePath, sealPath, resumePath} {
@@ -187,12 +187,12 @@
 	t.Parallel()
 	f := newFixtureOf(t)
 	g := f.start().ready()
-	f.replicas["p1"].AdvertiseRateLimit("1")
+	f.replicas["p1"].AnnounceRateLimit("1")
 	f.Eventually(func() int {
 		ran, _ := sendSafeRequests(f, g, 100*time.Millisecond)
 		return ran["p1"]
 	}, "8s").Should(BeZero())
-	f.replicas["p1"].AdvertiseRateLimit("")
+	f.replicas["p1"].AnnounceRateLimit("")
 	f.Eventually(func() int {
 		ran, _ := sendSafeRequests(f, g, 300*time.Millisecond)
 		return ran["p1"]
@@ -207,7 +207,7 @@
 	const gauge = "wheatseam_replicas_limited"
 	f := newFixtureOf(t)
 	hosts := f.startThreeHosts()
-	f.replicas["p1"].AdvertiseRateLimit("0.5")
+	f.replicas["p1"].AnnounceRateLimit("0.5")
 	known := func() []string {
 		return slices.Concat(hosts[0].metricLines(gauge), hosts[1].metricLines(gauge), hosts[2].metricLines(gauge))
 	}
@@ -216,7 +216,7 @@
 		return f.replicas["p1"].ArrivalTimes()
 	}, "4s").Should(HaveLen(1))
 	f.Eventually(known, "3s").Should(HaveEach(gauge + " 1"))
-	f.replicas["p1"].AdvertiseRateLimit("")
+	f.replicas["p1"].AnnounceRateLimit("")
 	began := len(f.replicas["p1"].ArrivalTimes())
 	f.Eventually(func() int {
 		for _, g := range hosts {
@@ -233,7 +233,7 @@
 	f := newFixtureOf(t)
 	core, logs := observer.New(zapcore.InfoLevel)
 	g := f.startLogged(zap.New(core)).ready()
-	f.replicas["p1"].AdvertiseLeaving()
+	f.replicas["p1"].AnnounceLeaving()
 	f.Eventually(func() int {
 		g.send(http.MethodPost, safePath, "", nil)
 		return loggedCount(logs, "replica announced that it is leaving")
@@ -263,7 +263,7 @@
 			f := newFixtureOf(t)
 			hosts := f.startThreeHosts()
 			leaving := f.replicas[load.replica]
-			leaving.AdvertiseLeaving()
+			leaving.AnnounceLeaving()
 			began := time.Now()
 			p := sendLoad(hosts, 150*time.Millisecond, bound+3*time.Second, load.path, load.change)
 			f.expectAllServed(p)
@@ -280,8 +280,8 @@
 	t.Parallel()
 	f := newFixtureOf(t)
 	g := f.start().ready()
-	f.replicas["p1"].AdvertiseLeaving()
-	f.replicas["p2"].AdvertiseLeaving()
+	f.replicas["p1"].AnnounceLeaving()
+	f.replicas["p2"].AnnounceLeaving()
 	var refused answer
 	var id string
 	f.Eventually(func() int {
@@ -304,7 +304,7 @@
 	const gauge = "wheatseam_replicas_said_leaving "
 	f := newFixtureOf(t)
 	hosts := f.startThreeHosts()
-	f.replicas["p1"].AdvertiseLeaving()
+	f.replicas["p1"].AnnounceLeaving()
 	f.Eventually(func() []time.Time {
 		hosts[0].send(http.MethodPost, safePath, "", nil)
 		return f.replicas["p1"].ArrivalTimes()
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -195,7 +195,7 @@
 	x := t.x
 	resp, err := x.g.client.Do(t.ctx, t.newCall())
 	if err != nil {
-		if httpbody.NotSent(err) {
+		if httpbody.IsNotSent(err) {
 			return notSent, withRetryAfter(problem.New(problem.NoUpstream, "no connection to a replica"), refusedRetryAfter)
 		}
 		x.runs++
@@ -251,7 +251,7 @@
 	if errors.As(context.Cause(t.ctx), &t.stallError) {
 		return stalled, problem.New(problem.UpstreamFailed, "this host cancelled the attempt: %v", t.stallError)
 	}
-	if httpbody.BrokenOff(err) {
+	if httpbody.IsConnectionBroken(err) {
 		t.reportBrokenConnection()
 	}
 	return failed, problem.New(problem.UpstreamFailed, "the replica broke off: %v", err)
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -162,7 +162,7 @@
 			return
 		}
 		if _, err := netip.ParseAddrPort(v); err != nil {
-			r.Add(path, "want ip:port, got %q", v)
+			r.AddProblem(path, "want ip:port, got %q", v)
 		}
 	}
 	address("host", s.Host, true)
@@ -175,33 +175,33 @@
 		address(fmt.Sprintf("seeds[%d]", i), seed, true)
 	}
 	if _, err := zapcore.ParseLevel(s.Log.Level); err != nil {
-		r.Add("log.level", "want debug, info, warn or error, got %q", s.Log.Level)
+		r.AddProblem("log.level", "want debug, info, warn or error, got %q", s.Log.Level)
 	}
 	if s.FailureDomain == "" {
-		r.Add("failure_domain", "want a name")
+		r.AddProblem("failure_domain", "want a name")
 	}
 	if s.Bounds.Drain <= 0 || s.Bounds.Configuration <= 0 {
-		r.Add("bounds", "want times over 0")
+		r.AddProblem("bounds", "want times over 0")
 	}
 	if s.Drain.Grace <= 0 {
-		r.Add("drain.grace", "want a time over 0")
+		r.AddProblem("drain.grace", "want a time over 0")
 	}
 	if s.Budget.Ratio < 0 || s.Budget.Slack < 0 || s.Budget.Window <= 0 {
-		r.Add("budget", "want a ratio and slack of 0 or more and a window over 0")
+		r.AddProblem("budget", "want a ratio and slack of 0 or more and a window over 0")
 	}
 	if s.Cold.Overage <= 0 || s.Cold.Slack < 0 {
-		r.Add("cold", "want an overage over 0 and a slack of 0 or more")
+		r.AddProblem("cold", "want an overage over 0 and a slack of 0 or more")
 	}
 	if s.Backoff.Max <= 0 {
-		r.Add("rest.most", "want a time over 0")
+		r.AddProblem("rest.most", "want a time over 0")
 	}
 	if s.Limits.Processors < 1 {
-		r.Add("limits.processors", "want 1 or more")
+		r.AddProblem("limits.processors", "want 1 or more")
 	}
 	if s.Limits.ProcessorShare <= 0 {
-		r.Add("limits.processor_share", "want more than 0")
+		r.AddProblem("limits.processor_share", "want more than 0")
 	}
 	if s.Limits.MemoryMB < 1 {
-		r.Add("limits.memory_mb", "want 1 or more")
+		r.AddProblem("limits.memory_mb", "want 1 or more")
 	}
 }
--- a/gateway/settings_test.go
+++ b/gateway/settings_test.go
@@ -102,7 +102,7 @@
 	)
 
 	It("are all listed in docs/CONFIGURATION.md, and no others", func() {
-		listed, err := doccheck.ListedKeys("../docs/CONFIGURATION.md", "## Gateway settings")
+		listed, err := doccheck.DocumentedKeys("../docs/CONFIGURATION.md", "## Gateway settings")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(listed).To(ConsistOf(doccheck.Keys(gateway.Settings{})))
 	})
--- a/gateway/stallwatch_test.go
+++ b/gateway/stallwatch_test.go
@@ -228,8 +228,8 @@
 // announceBothLeaving makes the engines announce in their answers from now on that they are
 // leaving: the daemon learns it from the answer to its reservation.
 func announceBothLeaving(f *fixture, _ pauseCase) {
-	f.replicas["e1"].AdvertiseLeaving()
-	f.replicas["e2"].AdvertiseLeaving()
+	f.replicas["e1"].AnnounceLeaving()
+	f.replicas["e2"].AnnounceLeaving()
 }
 
 // refuseAtBothEngines makes the engines refuse all requests from now on.
--- a/internal/doccheck/doccheck.go
+++ b/internal/doccheck/doccheck.go
@@ -45,10 +45,10 @@
 // backquotes.
 var firstCellPattern = regexp.MustCompile("(?m)^\\| `([^`]+)` \\|")
 
-// ListedKeys returns the first cells of the table rows in one section of a
+// DocumentedKeys returns the first cells of the table rows in one section of a
 // Markdown file. heading is the whole heading line of the section. It fails if the
 // file cannot be read or has no such section.
-func ListedKeys(file, heading string) ([]string, error) {
+func DocumentedKeys(file, heading string) ([]string, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fmt.Errorf("doccheck: %w", err)
--- a/internal/faultrelay/relay.go
+++ b/internal/faultrelay/relay.go
@@ -141,10 +141,10 @@
 	r.update(func() { r.callerConditions[ip] = c })
 }
 
-// Silence makes every connection that is open now a permanent blackhole in both
+// BlackholeOpenConnections makes every connection that is open now a permanent blackhole in both
 // directions: the endpoints can detect this only by a timeout. It returns the number
 // of these connections.
-func (r *Relay) Silence() int {
+func (r *Relay) BlackholeOpenConnections() int {
 	var n int
 	r.update(func() {
 		n = len(r.links)
--- a/internal/faultrelay/relay_test.go
+++ b/internal/faultrelay/relay_test.go
@@ -196,7 +196,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		one := make([]byte, 1)
 		Expect(oldServer.Read(one)).To(Equal(1))
-		Expect(relay.Silence()).To(Equal(1))
+		Expect(relay.BlackholeOpenConnections()).To(Equal(1))
 		relay.Heal()
 		_, err = old.Write([]byte("2"))
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/httpbody/broken.go
+++ b/internal/httpbody/broken.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// BrokenOff reports whether err means that the peer closed or reset the connection,
+// IsConnectionBroken reports whether err means that the peer closed or reset the connection,
 // as opposed to a timeout or a malformed message.
-func BrokenOff(err error) bool {
+func IsConnectionBroken(err error) bool {
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
 		return false
--- a/internal/httpbody/upstream.go
+++ b/internal/httpbody/upstream.go
@@ -28,7 +28,7 @@
 // each upstream; 0 means no limit.
 func NewTransport(maxConns int) *http.Transport {
 	return &http.Transport{
-		DialContext:         Dial(&net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}),
+		DialContext:         NewDialFunc(&net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}),
 		MaxIdleConnsPerHost: max(maxConns, 64),
 		MaxConnsPerHost:     maxConns,
 		IdleConnTimeout:     idleConnTimeout,
@@ -36,9 +36,9 @@
 	}
 }
 
-// Dial returns a DialContext function for an http.Transport. Its errors are
+// NewDialFunc returns a DialContext function for an http.Transport. Its errors are
 // *DialError, so that a failure to connect can be told from a later one.
-func Dial(d *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
+func NewDialFunc(d *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := d.DialContext(ctx, network, address)
 		if err != nil {
@@ -57,11 +57,11 @@
 // Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Err }
 
-// NotSent reports whether err means that no byte of the request was sent.
-func NotSent(err error) bool {
+// IsNotSent reports whether err means that no byte of the request was sent.
+func IsNotSent(err error) bool {
 	var d *DialError
-	return errors.As(err, &d) || errors.Is(err, ErrTooLate)
+	return errors.As(err, &d) || errors.Is(err, ErrDeadlinePassed)
 }
 
-// ErrTooLate is returned for a call whose deadline passed before it was sent.
-var ErrTooLate = errors.New("deadline passed before the call was sent")
+// ErrDeadlinePassed is returned for a call whose deadline passed before it was sent.
+var ErrDeadlinePassed = errors.New("deadline passed before the call was sent")
--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// Await waits until a value is received from the channel or the channel is closed,
+// WaitForSignal waits until a value is received from the channel or the channel is closed,
 // until d has passed, or until ctx is done.
-func Await(ctx context.Context, from <-chan struct{}, d time.Duration) {
+func WaitForSignal(ctx context.Context, from <-chan struct{}, d time.Duration) {
 	timer := clock.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -32,9 +32,9 @@
 	}
 }
 
-// Do calls f at an interval until ctx is done. Calls do not overlap: a call that
+// Every calls f at an interval until ctx is done. Calls do not overlap: a call that
 // takes longer than the interval delays the next one.
-func Do(ctx context.Context, interval time.Duration, f func()) {
+func Every(ctx context.Context, interval time.Duration, f func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -61,11 +61,11 @@
 	<-p.done
 }
 
-// Freeze suspends the process with SIGSTOP until Thaw is called.
-func (p *Process) Freeze() error { return p.Signal(syscall.SIGSTOP) }
+// Suspend suspends the process with SIGSTOP until Thaw is called.
+func (p *Process) Suspend() error { return p.Signal(syscall.SIGSTOP) }
 
-// Thaw resumes a suspended process with SIGCONT.
-func (p *Process) Thaw() error { return p.Signal(syscall.SIGCONT) }
+// Resume resumes a suspended process with SIGCONT.
+func (p *Process) Resume() error { return p.Signal(syscall.SIGCONT) }
 
 // Wait waits until the process has exited and returns the error of its exit. It
 // returns an error if the process is still running after timeout.
--- a/internal/proctest/bundle.go
+++ b/internal/proctest/bundle.go
@@ -78,8 +78,8 @@
 // upstream and returns its ip:port.
 func addPools(b *bundle.Bundle, listen func(name string) (string, error)) error {
 	b.Pools = []bundle.Pool{
-		{Name: "encoders", Kind: bundle.PoolService, Concurrency: 32, Supports: bundle.Supports{Cancellation: true}},
-		{Name: "lm", Kind: bundle.PoolEngine, Model: "lm", Concurrency: 16, Supports: bundle.Supports{Cancellation: true}},
+		{Name: "encoders", Kind: bundle.PoolService, Concurrency: 32, Supports: bundle.UpstreamFeatures{Cancellation: true}},
+		{Name: "lm", Kind: bundle.PoolEngine, Model: "lm", Concurrency: 16, Supports: bundle.UpstreamFeatures{Cancellation: true}},
 		{Name: "signing", Kind: bundle.PoolService, Concurrency: 32},
 	}
 	for i := range b.Pools {
--- a/internal/proctest/call.go
+++ b/internal/proctest/call.go
@@ -110,9 +110,9 @@
 
 const operatorTimeout = time.Second
 
-// Operate calls the operators' listener of daemon i and decodes the JSON
+// CallOperatorAPI calls the operators' listener of daemon i and decodes the JSON
 // answer into into, if that is not nil. Any status but 200 is an error.
-func (f *Fleet) Operate(i int, method, path string, into any) error {
+func (f *Fleet) CallOperatorAPI(i int, method, path string, into any) error {
 	resp, err := f.callOperatorAPI(i, method, path)
 	if err != nil {
 		return err
--- a/internal/proctest/fleet.go
+++ b/internal/proctest/fleet.go
@@ -350,7 +350,7 @@
 func (f *Fleet) Close() {
 	for _, p := range f.Daemons {
 		if p != nil {
-			_ = p.Thaw()
+			_ = p.Resume()
 			p.Kill()
 		}
 	}
--- a/internal/proctest/inspect.go
+++ b/internal/proctest/inspect.go
@@ -39,7 +39,7 @@
 // does not answer.
 func (f *Fleet) BundleVersion(i int) uint64 {
 	var hosts []operator.Status
-	if err := f.Operate(i, http.MethodGet, "/v1/bundle", &hosts); err != nil {
+	if err := f.CallOperatorAPI(i, http.MethodGet, "/v1/bundle", &hosts); err != nil {
 		return 0
 	}
 	for _, h := range hosts {
@@ -70,7 +70,7 @@
 			} `json:"membership"`
 		} `json:"cluster"`
 	}
-	if err := f.Operate(i, http.MethodGet, "/v1/dump?section=cluster", &dump); err != nil {
+	if err := f.CallOperatorAPI(i, http.MethodGet, "/v1/dump?section=cluster", &dump); err != nil {
 		return nil
 	}
 	return dump.Cluster.Membership.Leaving
@@ -82,7 +82,7 @@
 	var dump struct {
 		Kept results.Stats `json:"kept_results"`
 	}
-	if err := f.Operate(i, http.MethodGet, "/v1/dump?section=kept_results", &dump); err != nil {
+	if err := f.CallOperatorAPI(i, http.MethodGet, "/v1/dump?section=kept_results", &dump); err != nil {
 		return -1
 	}
 	return dump.Kept.Requests
--- a/internal/proctest/process.go
+++ b/internal/proctest/process.go
@@ -47,8 +47,8 @@
 	return filepath.Join(build.dir, "wheatseamd"), build.err
 }
 
-// Cleanup removes the daemon binary. Call it once after all tests.
-func Cleanup() {
+// RemoveDaemonBinary removes the daemon binary. Call it once after all tests.
+func RemoveDaemonBinary() {
 	if build.dir != "" {
 		_ = os.RemoveAll(build.dir)
 	}
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -25,7 +25,7 @@
 		{Name: "llm", Kind: bundle.PoolEngine, Model: "m", Concurrency: 4, Upstreams: []bundle.Upstream{upstream("e1")}},
 		{
 			Name: "seal", Kind: bundle.PoolService, Concurrency: 4,
-			Supports:  bundle.Supports{IdempotencyKeys: true},
+			Supports:  bundle.UpstreamFeatures{IdempotencyKeys: true},
 			Upstreams: []bundle.Upstream{upstream("s1"), upstream("s2")},
 		},
 	},
--- a/internal/standin/site/replica.go
+++ b/internal/standin/site/replica.go
@@ -255,17 +255,17 @@
 	})
 }
 
-// AdvertiseRateLimit makes every response advertise the given rate limit verbatim; ""
+// AnnounceRateLimit makes every response advertise the given rate limit verbatim; ""
 // ends that. The replica does not enforce the limit.
-func (r *Replica) AdvertiseRateLimit(perSecond string) {
+func (r *Replica) AnnounceRateLimit(perSecond string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rateLimit = perSecond
 }
 
-// AdvertiseLeaving makes every response advertise that the replica is leaving. The
+// AnnounceLeaving makes every response advertise that the replica is leaving. The
 // replica still serves requests, and its store entry does not change.
-func (r *Replica) AdvertiseLeaving() {
+func (r *Replica) AnnounceLeaving() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = true
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -45,12 +45,12 @@
 		return nil
 	}
 	if len(file.Docs) == 0 || file.Docs[0].Body == nil {
-		d.Add("", "want one YAML document, got none")
+		d.AddProblem("", "want one YAML document, got none")
 		return nil
 	}
 	if len(file.Docs) > 1 {
 		d.recordLine("", file.Docs[1])
-		d.Add("", "want one YAML document, got %d", len(file.Docs))
+		d.AddProblem("", "want one YAML document, got %d", len(file.Docs))
 		return nil
 	}
 	return file.Docs[0].Body
@@ -71,10 +71,10 @@
 	d.recordLine(path, node)
 	switch node.(type) {
 	case *ast.NullNode:
-		d.Add(path, "has no value")
+		d.AddProblem(path, "has no value")
 		return
 	case *ast.AnchorNode, *ast.AliasNode, *ast.TagNode:
-		d.Add(path, "anchors, aliases and tags are not allowed")
+		d.AddProblem(path, "anchors, aliases and tags are not allowed")
 		return
 	}
 	switch {
@@ -106,17 +106,17 @@
 	case *ast.MappingValueNode:
 		pairs = []*ast.MappingValueNode{n}
 	default:
-		d.Add(path, "want a mapping, got %s", kindName(node))
+		d.AddProblem(path, "want a mapping, got %s", kindName(node))
 		return
 	}
 	fields := fieldIndexes(v.Type())
 	for _, pair := range pairs {
 		key := pair.Key.GetToken().Value
-		child := Join(path, key)
+		child := JoinPath(path, key)
 		d.recordLine(child, pair.Key)
 		index, known := fields[key]
 		if !known {
-			d.Add(child, "unknown key")
+			d.AddProblem(child, "unknown key")
 			continue
 		}
 		d.decodeValue(pair.Value, v.Field(index), child)
@@ -126,7 +126,7 @@
 func (d *decoder) decodeSequence(node ast.Node, v reflect.Value, path string) {
 	list, ok := node.(*ast.SequenceNode)
 	if !ok {
-		d.Add(path, "want a list, got %s", kindName(node))
+		d.AddProblem(path, "want a list, got %s", kindName(node))
 		return
 	}
 	items := reflect.MakeSlice(v.Type(), len(list.Values), len(list.Values))
@@ -150,11 +150,11 @@
 // library would convert a fraction to an integer or a number to a string.
 func (d *decoder) decodeScalar(node ast.Node, v reflect.Value, path string) {
 	if !acceptsNode(node, v.Type()) {
-		d.Add(path, "want %s, got %s", typeDescription(v.Type()), kindName(node))
+		d.AddProblem(path, "want %s, got %s", typeDescription(v.Type()), kindName(node))
 		return
 	}
 	if err := convert(node, v); err != nil {
-		d.Add(path, "want %s: %s", typeDescription(v.Type()), shortMessage(err))
+		d.AddProblem(path, "want %s: %s", typeDescription(v.Type()), shortMessage(err))
 	}
 }
 
@@ -189,16 +189,16 @@
 func fieldIndexes(t reflect.Type) map[string]int {
 	fields := make(map[string]int, t.NumField())
 	for i := range t.NumField() {
-		if key := Key(t.Field(i)); key != "" && key != "-" {
+		if key := FieldKey(t.Field(i)); key != "" && key != "-" {
 			fields[key] = i
 		}
 	}
 	return fields
 }
 
-// Key returns the YAML key of a struct field; "-" means that the field is not
+// FieldKey returns the YAML key of a struct field; "-" means that the field is not
 // decoded.
-func Key(field reflect.StructField) string {
+func FieldKey(field reflect.StructField) string {
 	key, _, _ := strings.Cut(field.Tag.Get("yaml"), ",")
 	return key
 }
@@ -230,8 +230,8 @@
 	return err.Error()
 }
 
-// Join returns the path of key inside path.
-func Join(path, key string) string {
+// JoinPath returns the path of key inside path.
+func JoinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
--- a/internal/strictyaml/report.go
+++ b/internal/strictyaml/report.go
@@ -43,9 +43,9 @@
 // then only report every required one as missing.
 func (r *Report) Unreadable() bool { return r.unreadable }
 
-// Add records a problem at path. Its line is that of the path or, if the value is
+// AddProblem records a problem at path. Its line is that of the path or, if the value is
 // missing, of the nearest enclosing value.
-func (r *Report) Add(path, format string, args ...any) {
+func (r *Report) AddProblem(path, format string, args ...any) {
 	r.Problems = append(r.Problems, Problem{Path: path, Line: r.Line(path), Message: fmt.Sprintf(format, args...)})
 }
 
@@ -61,8 +61,8 @@
 	return r.lines[""]
 }
 
-// Has reports whether a problem was recorded at path or at a value that encloses it.
-func (r *Report) Has(path string) bool {
+// HasProblemAt reports whether a problem was recorded at path or at a value that encloses it.
+func (r *Report) HasProblemAt(path string) bool {
 	return slices.ContainsFunc(r.Problems, func(p Problem) bool {
 		rest, ok := strings.CutPrefix(path, p.Path)
 		return ok && p.Path != "" && (rest == "" || rest[0] == '.' || rest[0] == '[')
@@ -74,8 +74,8 @@
 	return path[:max(strings.LastIndexAny(path, ".["), 0)]
 }
 
-// HasWithin reports whether a problem was recorded at a value inside path.
-func (r *Report) HasWithin(path string) bool {
+// HasProblemWithin reports whether a problem was recorded at a value inside path.
+func (r *Report) HasProblemWithin(path string) bool {
 	for _, p := range r.Problems {
 		if strings.HasPrefix(p.Path, path+".") || strings.HasPrefix(p.Path, path+"[") {
 			return true
--- a/internal/workqueue/workqueue.go
+++ b/internal/workqueue/workqueue.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// Inspect calls f in the goroutine of Run and waits until f has returned or ctx is
+// RunAndWait calls f in the goroutine of Run and waits until f has returned or ctx is
 // done. In the latter case f may still be called later.
-func (q *Queue) Inspect(ctx context.Context, f func()) {
+func (q *Queue) RunAndWait(ctx context.Context, f func()) {
 	done := make(chan struct{})
 	q.Add(func() { f(); close(done) })
 	select {
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -115,7 +115,7 @@
 // Inspect runs f with the machine in the loop's goroutine. It waits until f has run or
 // ctx ends.
 func (l *Loop) Inspect(ctx context.Context, f func(*member.Machine)) {
-	l.queue.Inspect(ctx, func() { f(l.machine) })
+	l.queue.RunAndWait(ctx, func() { f(l.machine) })
 }
 
 // step passes an event to the state machine and executes the resulting actions.
--- a/peer/failure_test.go
+++ b/peer/failure_test.go
@@ -80,7 +80,7 @@
 		DeferCleanup(relay.Close)
 		f.setAddress("b", relay.Address())
 		Expect(echo(a, "b", "1", time.Second)).To(Equal("a:1"))
-		Expect(relay.Silence()).To(Equal(1))
+		Expect(relay.BlackholeOpenConnections()).To(Equal(1))
 		Eventually(func() (string, error) { return echo(a, "b", "2", 50*time.Millisecond) }, "3s", "10ms").Should(Equal("a:2"))
 		Expect(cfg.Metrics.GetOrCreateCounter("wheatseam_peer_silent_sessions_total").Get()).To(BeEquivalentTo(1))
 	})
--- a/peer/silent_test.go
+++ b/peer/silent_test.go
@@ -102,7 +102,7 @@
 	p := newBlockingPair(t)
 	_, ended := p.call(context.Background())
 	g.Eventually(p.started).Should(Receive())
-	g.Expect(p.relay.Silence()).To(Equal(1))
+	g.Expect(p.relay.BlackholeOpenConnections()).To(Equal(1))
 	g.Consistently(ended, 2*silenceTimeout).ShouldNot(Receive())
 	ctx, cancel := context.WithTimeout(context.Background(), answerDelay)
 	defer cancel()
--- a/peer/suspend_test.go
+++ b/peer/suspend_test.go
@@ -31,7 +31,7 @@
 		Expect(a.Sessions()).To(HaveExactElements(HaveField("Opened", before)))
 
 		By("closing a session that went silent during the suspension, without losing a call on it")
-		Expect(relay.Silence()).To(Equal(1))
+		Expect(relay.BlackholeOpenConnections()).To(Equal(1))
 		clock.SimulateSuspension(time.Minute)
 		Eventually(func() int { return len(a.Sessions()) }, "5s", "1ms").Should(BeZero(), "closed although no call was made")
 		Expect(echo(a, "b", "3", 5*time.Second)).To(Equal("a:3"))
--- a/problem/problem_test.go
+++ b/problem/problem_test.go
@@ -49,7 +49,7 @@
 	})
 
 	It("lists the kinds that docs/OPERATIONS.md gives advice for", func() {
-		listed, err := doccheck.ListedKeys("../docs/OPERATIONS.md", "### What each refusal means, and what to do")
+		listed, err := doccheck.DocumentedKeys("../docs/OPERATIONS.md", "### What each refusal means, and what to do")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(listed).To(Equal(kinds))
 	})
--- a/proofs/at_most_once_test.go
+++ b/proofs/at_most_once_test.go
@@ -68,9 +68,9 @@
 		key := proctest.NewKey()
 		sent := callInBackground(f, 0, key)
 		Eventually(func() int { return len(f.Executions(key)) }).Should(Equal(1))
-		Expect(f.Daemons[0].Freeze()).To(Succeed())
+		Expect(f.Daemons[0].Suspend()).To(Succeed())
 		again := retryUntilConclusive(f, 1, proctest.PipelineSeal, key, "deed")
-		Expect(f.Daemons[0].Thaw()).To(Succeed())
+		Expect(f.Daemons[0].Resume()).To(Succeed())
 		expectAtMostOnce(f, key, again, <-sent)
 	})
 
@@ -222,9 +222,9 @@
 		}
 		i := rng.IntN(len(f.Daemons))
 		if rng.IntN(2) == 0 {
-			Expect(f.Daemons[i].Freeze()).To(Succeed())
+			Expect(f.Daemons[i].Suspend()).To(Succeed())
 			time.Sleep(time.Duration(50+rng.IntN(500)) * time.Millisecond)
-			Expect(f.Daemons[i].Thaw()).To(Succeed())
+			Expect(f.Daemons[i].Resume()).To(Succeed())
 			continue
 		}
 		f.Daemons[i].Kill()
--- a/proofs/suite_test.go
+++ b/proofs/suite_test.go
@@ -22,7 +22,7 @@
 	RunSpecs(t, "proofs")
 }
 
-var _ = AfterSuite(proctest.Cleanup)
+var _ = AfterSuite(proctest.RemoveDaemonBinary)
 
 // startFleet starts a fleet that is closed at the end of the spec. The spec fails if
 // a daemon logs a data race, and prints the daemons' logs if it fails.
--- a/proofs/view_change_test.go
+++ b/proofs/view_change_test.go
@@ -45,13 +45,13 @@
 	})
 
 	It("while a host that was frozen and isolated still uses the old host list", func() {
-		Expect(f.Daemons[0].Freeze()).To(Succeed())
+		Expect(f.Daemons[0].Suspend()).To(Succeed())
 		Expect(f.Publish(bundleReplacingHost0(f, 2))).To(Succeed())
 		Eventually(func() []uint64 { return []uint64{f.BundleVersion(1), f.BundleVersion(2), f.BundleVersion(3)} }).
 			Should(HaveEach(BeEquivalentTo(2)))
 		f.Isolate(0)
 		f.Platform.Faults().Set(standin.Faults{Down: true})
-		Expect(f.Daemons[0].Thaw()).To(Succeed())
+		Expect(f.Daemons[0].Resume()).To(Succeed())
 		for n := range 10 {
 			key := proctest.NewKey()
 			outcomes := callThroughAllHosts(f, key, fmt.Sprintf("deed %d", n))
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -49,7 +49,7 @@
 		if s.pruneReports() {
 			wait = reportRetryInterval
 		}
-		periodic.Await(ctx, s.wakeup, wait)
+		periodic.WaitForSignal(ctx, s.wakeup, wait)
 		for _, h := range s.coordinators() {
 			s.sendReports(ctx, h)
 		}
--- a/replay/compare/compare.go
+++ b/replay/compare/compare.go
@@ -28,8 +28,8 @@
 	verdict.EngineSeconds, verdict.EngineSecondsPerAttained, verdict.WastedShare, verdict.ViolationCount,
 }
 
-// Set holds the runs of one deployment in chronological order.
-type Set struct {
+// RunSet holds the runs of one deployment in chronological order.
+type RunSet struct {
 	Label   string
 	Reports []*report.Report
 }
@@ -79,7 +79,7 @@
 
 // New compares sets. It fails unless there are at least two sets with the same number
 // of runs, all of the same trace, seed and speed and all valid.
-func New(sets []Set) (*Comparison, error) {
+func New(sets []RunSet) (*Comparison, error) {
 	if err := validate(sets); err != nil {
 		return nil, err
 	}
@@ -96,7 +96,7 @@
 	return c, nil
 }
 
-func validate(sets []Set) error {
+func validate(sets []RunSet) error {
 	if len(sets) < 2 {
 		return errors.New("a comparison requires at least two sets of runs")
 	}
@@ -119,7 +119,7 @@
 }
 
 // values returns the value of the metric for each run; NaN if a run has none.
-func values(s Set, m verdict.Metric) []float64 {
+func values(s RunSet, m verdict.Metric) []float64 {
 	out := make([]float64, len(s.Reports))
 	for i, r := range s.Reports {
 		v, err := verdict.Outcome{Metric: m}.Value(r)
--- a/replay/compare/compare_test.go
+++ b/replay/compare/compare_test.go
@@ -17,8 +17,8 @@
 	RunSpecs(t, "compare")
 }
 
-func set(label string, attainment ...float64) compare.Set {
-	s := compare.Set{Label: label}
+func set(label string, attainment ...float64) compare.RunSet {
+	s := compare.RunSet{Label: label}
 	for _, a := range attainment {
 		s.Reports = append(s.Reports, &report.Report{
 			Trace: "t", Speed: 1, All: report.Group{Attainment: report.Share{Met: 1, Of: 1, Share: a}, Tries: report.Share{Met: 1, Of: 1}},
@@ -38,8 +38,8 @@
 
 var _ = Describe("Comparison", func() {
 	DescribeTable("concludes a change only if all differences have the same sign",
-		func(base, other compare.Set, judgement compare.Judgement) {
-			c, err := compare.New([]compare.Set{base, other})
+		func(base, other compare.RunSet, judgement compare.Judgement) {
+			c, err := compare.New([]compare.RunSet{base, other})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(cell(c, verdict.Attainment, 1).Judgement).To(Equal(judgement))
 		},
@@ -51,7 +51,7 @@
 	)
 
 	It("calculates the spreads of the values and of the paired differences", func() {
-		c, err := compare.New([]compare.Set{set("a", .5, .6, .7), set("b", .6, .8, .7)})
+		c, err := compare.New([]compare.RunSet{set("a", .5, .6, .7), set("b", .6, .8, .7)})
 		Expect(err).NotTo(HaveOccurred())
 		got := cell(c, verdict.Attainment, 1)
 		Expect(got.Values).To(Equal(compare.Spread{Median: .7, Min: .6, Max: .8}))
@@ -66,7 +66,7 @@
 		otherTrace, invalid := set("b", .5), set("b", .5)
 		otherTrace.Reports[0].Trace = "u"
 		invalid.Reports[0].NotSent = 1
-		for message, sets := range map[string][]compare.Set{
+		for message, sets := range map[string][]compare.RunSet{
 			"at least two sets": {set("a", .5)},
 			"paired":            {set("a", .5, .6), set("b", .5)},
 			"another trace":     {set("a", .5), otherTrace},
--- a/replay/faults.go
+++ b/replay/faults.go
@@ -53,15 +53,15 @@
 	}
 	var errs []error
 	for _, a := range addresses {
-		errs = append(errs, PostFault(ctx, r.cfg.Client, a, f.Body))
+		errs = append(errs, ReplaceFaults(ctx, r.cfg.Client, a, f.Body))
 	}
 	return errors.Join(errs...)
 }
 
-// PostFault replaces the active faults of the stand-in at address with body, a JSON
+// ReplaceFaults replaces the active faults of the stand-in at address with body, a JSON
 // object; an empty object clears them. It fails if the stand-in cannot be reached or
 // its status is not 2xx.
-func PostFault(ctx context.Context, client *http.Client, address string, body []byte) error {
+func ReplaceFaults(ctx context.Context, client *http.Client, address string, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/control/faults", bytes.NewReader(body))
--- a/replay/fleetfiles/fleetfiles_test.go
+++ b/replay/fleetfiles/fleetfiles_test.go
@@ -43,7 +43,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		signed, err := os.ReadFile(filepath.Join(dir, fleetfiles.FileSigned))
 		Expect(err).NotTo(HaveOccurred())
-		written, err := bundle.Open(signed, s.BundleKeys)
+		written, err := bundle.VerifyAndParse(signed, s.BundleKeys)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(written.Policy).To(Equal(bundle.PolicyRoundRobin))
 		Expect(written.Claims).To(Equal(b.Claims))
--- a/replay/ledger/ledger.go
+++ b/replay/ledger/ledger.go
@@ -65,10 +65,10 @@
 	})
 }
 
-// Settle reads all ledgers repeatedly until no execution is running or maxWait has
+// WaitUntilIdle reads all ledgers repeatedly until no execution is running or maxWait has
 // passed, and returns the entries of the last read. After maxWait they may include
 // running executions.
-func (r *Reader) Settle(ctx context.Context, maxWait time.Duration) ([]Entry, error) {
+func (r *Reader) WaitUntilIdle(ctx context.Context, maxWait time.Duration) ([]Entry, error) {
 	deadline := time.Now().Add(maxWait)
 	for {
 		entries, err := r.Read(ctx)
--- a/replay/run.go
+++ b/replay/run.go
@@ -37,8 +37,8 @@
 	// Speed divides every offset: 2 sends at twice the rate of the trace.
 	// Deadlines are not scaled. 0 means 1.
 	Speed float64
-	// Grace is how long a call waits for a response after its deadline.
-	Grace time.Duration
+	// GracePeriod is how long a call waits for a response after its deadline.
+	GracePeriod time.Duration
 	// MaxInFlight and MaxDuration limit the run; requests beyond these limits
 	// are not sent and count as NotSent.
 	MaxInFlight int
@@ -117,8 +117,8 @@
 	if cfg.Speed == 0 {
 		cfg.Speed = 1
 	}
-	if cfg.Grace == 0 {
-		cfg.Grace = DefaultGrace
+	if cfg.GracePeriod == 0 {
+		cfg.GracePeriod = DefaultGrace
 	}
 	if cfg.MaxInFlight == 0 {
 		cfg.MaxInFlight = DefaultMaxInFlight
@@ -222,7 +222,7 @@
 	}
 	r.pending.Go(func() {
 		defer func() { <-r.inFlight }()
-		callCtx, cancel := context.WithDeadline(ctx, due.Add(q.Deadline()+r.cfg.Grace))
+		callCtx, cancel := context.WithDeadline(ctx, due.Add(q.Deadline()+r.cfg.GracePeriod))
 		defer cancel()
 		c.SentAt = time.Now()
 		c.SendLag = c.SentAt.Sub(due)
--- a/replay/run_test.go
+++ b/replay/run_test.go
@@ -47,7 +47,7 @@
 		t := traceOf(auto, silent, stream, request("refuse", 0, "refuse"), request("broken", 0, "broken"),
 			request("bare", 0, "bare"), request("cut", 0, "cut"), request("late-error", 0, "late-error"))
 		t.Prefixes = []trace.Prefix{{Name: "lease", Text: "ab", Repeat: 2}}
-		result := run(replay.Config{Hosts: []string{host.address()}, Grace: 50 * time.Millisecond}, t)
+		result := run(replay.Config{Hosts: []string{host.address()}, GracePeriod: 50 * time.Millisecond}, t)
 
 		outcomes := map[string]replay.Outcome{}
 		calls := map[string]*replay.Call{}
--- a/replay/scenario/builder.go
+++ b/replay/scenario/builder.go
@@ -26,14 +26,14 @@
 	Load float64
 	// Duration is the time from the first arrival to the last.
 	Duration time.Duration
-	// Patience is the callers' deadline as a multiple of the expected duration of
+	// DeadlineFactor is the callers' deadline as a multiple of the expected duration of
 	// the pipeline's stages. The deadline is at least minDeadline and at most the
 	// pipeline's own deadline.
-	Patience float64
+	DeadlineFactor float64
 }
 
-// DefaultPatience is the default of Options.Patience.
-const DefaultPatience = 4
+// DefaultDeadlineFactor is the default of Options.Patience.
+const DefaultDeadlineFactor = 4
 
 // minDeadline is the shortest deadline of callers, unless the pipeline's own deadline
 // is shorter.
@@ -49,8 +49,8 @@
 	switch {
 	case o.Load <= 0 || o.Load > maxLoad:
 		return fmt.Errorf("load %g is outside the range 0 to %d", o.Load, maxLoad)
-	case o.Patience < 1:
-		return fmt.Errorf("patience %g is less than 1", o.Patience)
+	case o.DeadlineFactor < 1:
+		return fmt.Errorf("patience %g is less than 1", o.DeadlineFactor)
 	case o.Duration < time.Second || o.Duration > maxDuration:
 		return fmt.Errorf("duration %v is outside the range 1s to %v", o.Duration, maxDuration)
 	}
@@ -73,7 +73,7 @@
 	b.trace.Header = trace.Header{
 		Version: trace.FormatVersion, Name: name, Seed: o.Seed,
 		Program: fmt.Sprintf("wheatseam trace make %s --seed %d --load %g --duration %s --patience %g (bundle %s version %d)",
-			name, o.Seed, o.Load, o.Duration, o.Patience, o.Bundle.Deployment, o.Bundle.Version),
+			name, o.Seed, o.Load, o.Duration, o.DeadlineFactor, o.Bundle.Deployment, o.Bundle.Version),
 	}
 	for _, p := range o.Bundle.Pipelines {
 		b.pipelineWeights[p.Name] = 1
@@ -197,7 +197,7 @@
 	for _, s := range p.Stages {
 		expected += s.Expected
 	}
-	requested := max(minDeadline, time.Duration(b.Patience*float64(expected)))
+	requested := max(minDeadline, time.Duration(b.DeadlineFactor*float64(expected)))
 	return min(p.Deadline, requested.Round(time.Millisecond))
 }
 
--- a/replay/scenario/committed_test.go
+++ b/replay/scenario/committed_test.go
@@ -64,7 +64,7 @@
 			var name, duration, deployment string
 			var o scenario.Options
 			_, err = fmt.Sscanf(t.Header.Program, "wheatseam trace make %s --seed %d --load %g --duration %s --patience %g (bundle %s",
-				&name, &o.Seed, &o.Load, &duration, &o.Patience, &deployment)
+				&name, &o.Seed, &o.Load, &duration, &o.DeadlineFactor, &deployment)
 			Expect(err).NotTo(HaveOccurred(), t.Header.Program)
 			o.Duration, err = time.ParseDuration(duration)
 			Expect(err).NotTo(HaveOccurred())
--- a/replay/scenario/scenario.go
+++ b/replay/scenario/scenario.go
@@ -43,9 +43,9 @@
 	return out
 }
 
-// Make generates a trace with the scenario called name. It fails for an unknown name,
+// Generate generates a trace with the scenario called name. It fails for an unknown name,
 // invalid options, or a bundle that the scenario cannot be applied to.
-func Make(name string, o Options) (*trace.Trace, error) {
+func Generate(name string, o Options) (*trace.Trace, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
 	}
--- a/replay/scenario/scenario_test.go
+++ b/replay/scenario/scenario_test.go
@@ -42,12 +42,12 @@
 }
 
 func options() scenario.Options {
-	return scenario.Options{Bundle: testBundle(), Seed: 11, Load: 1, Duration: 40 * time.Second, Patience: 2}
+	return scenario.Options{Bundle: testBundle(), Seed: 11, Load: 1, Duration: 40 * time.Second, DeadlineFactor: 2}
 }
 
 func create(name string, o scenario.Options) *trace.Trace {
 	GinkgoHelper()
-	t, err := scenario.Make(name, o)
+	t, err := scenario.Generate(name, o)
 	Expect(err).NotTo(HaveOccurred())
 	return t
 }
@@ -171,16 +171,16 @@
 	It("rejects invalid options and unknown scenarios", func() {
 		for message, invalidate := range map[string]func(*scenario.Options){
 			"load":     func(o *scenario.Options) { o.Load = 0 },
-			"patience": func(o *scenario.Options) { o.Patience = 0 },
+			"patience": func(o *scenario.Options) { o.DeadlineFactor = 0 },
 			"duration": func(o *scenario.Options) { o.Duration = time.Hour },
 			"no pool":  func(o *scenario.Options) { o.Bundle.Pipelines = nil },
 		} {
 			o := options()
 			invalidate(&o)
-			_, err := scenario.Make("steady", o)
+			_, err := scenario.Generate("steady", o)
 			Expect(err).To(MatchError(ContainSubstring(message)))
 		}
-		_, err := scenario.Make("luck", options())
+		_, err := scenario.Generate("luck", options())
 		Expect(err).To(MatchError(ContainSubstring("unknown scenario")))
 	})
 })
--- a/replay/verdict/verdict.go
+++ b/replay/verdict/verdict.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// Judge evaluates r against the outcomes.
-func (o *Outcomes) Judge(r *report.Report) Verdict {
+// Evaluate evaluates r against the outcomes.
+func (o *Outcomes) Evaluate(r *report.Report) Verdict {
 	var v Verdict
 	if o.Trace != "" && o.Trace != r.Trace {
 		v.InvalidReasons = append(v.InvalidReasons, fmt.Sprintf("the outcomes are for trace %s, not %s", o.Trace, r.Trace))
--- a/replay/verdict/verdict_test.go
+++ b/replay/verdict/verdict_test.go
@@ -38,7 +38,7 @@
 	GinkgoHelper()
 	o, err := verdict.Parse([]byte("trace: t\noutcomes:\n  - " + outcome))
 	Expect(err).NotTo(HaveOccurred())
-	return o.Judge(exampleReport())
+	return o.Evaluate(exampleReport())
 }
 
 var _ = Describe("Verdict", func() {
@@ -78,7 +78,7 @@
 			invalidate(r)
 			o, err := verdict.Parse([]byte("trace: t\noutcomes: [{metric: attainment, min: 0}]"))
 			Expect(err).NotTo(HaveOccurred())
-			v := o.Judge(r)
+			v := o.Evaluate(r)
 			Expect(v.InvalidReasons).To(HaveLen(1))
 			Expect(v.Met()).To(BeFalse())
 			var text bytes.Buffer
--- a/replica/client.go
+++ b/replica/client.go
@@ -53,7 +53,7 @@
 
 func newTransport() *http.Transport {
 	return &http.Transport{
-		DialContext:        httpbody.Dial(&net.Dialer{Timeout: connectTimeout, KeepAlive: -1}),
+		DialContext:        httpbody.NewDialFunc(&net.Dialer{Timeout: connectTimeout, KeepAlive: -1}),
 		DisableCompression: true,
 		WriteBufferSize:    4 << 10,
 		ReadBufferSize:     4 << 10,
--- a/replica/engine.go
+++ b/replica/engine.go
@@ -33,7 +33,7 @@
 func (c *Client) EngineReport(ctx context.Context, replica, address string) (platform.EngineReport, error) {
 	status, body, err := c.doSingleUse(ctx, newEngineCall(http.MethodGet, platform.ReportPath, replica, address, nil), maxReportBytes)
 	switch {
-	case err != nil && httpbody.BrokenOff(err):
+	case err != nil && httpbody.IsConnectionBroken(err):
 		return platform.EngineReport{}, fmt.Errorf("%w: %w", ErrUnsupportedCall, err)
 	case err != nil:
 		return platform.EngineReport{}, err
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -82,7 +82,7 @@
 		c := replica.NewClient(nil)
 		request := stage.Release{Replica: "r", Address: relay.Address(), Handles: []string{"h"}}
 		Expect(c.ReleaseResults(context.Background(), request)).To(Succeed())
-		Expect(relay.Silence()).To(Equal(1))
+		Expect(relay.BlackholeOpenConnections()).To(Equal(1))
 		boundedCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		Expect(c.ReleaseResults(boundedCtx, request)).To(Succeed())
--- a/replica/stage.go
+++ b/replica/stage.go
@@ -34,7 +34,7 @@
 	call.ExecutesRequest = true
 	resp, err := c.Do(ctx, call)
 	if err != nil {
-		if httpbody.NotSent(err) {
+		if httpbody.IsNotSent(err) {
 			return nil, stage.CallUnreachable, err
 		}
 		return nil, stage.CallFailed, err
--- a/service/client.go
+++ b/service/client.go
@@ -98,11 +98,11 @@
 		return nil, &Error{NotExecuted: true, Err: err}
 	}
 	if !c.now().Before(call.NotAfter) {
-		return nil, &Error{NotExecuted: true, Err: httpbody.ErrTooLate}
+		return nil, &Error{NotExecuted: true, Err: httpbody.ErrDeadlinePassed}
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, &Error{NotExecuted: httpbody.NotSent(err), Err: fmt.Errorf("call %s: %w", call.Address, err)}
+		return nil, &Error{NotExecuted: httpbody.IsNotSent(err), Err: fmt.Errorf("call %s: %w", call.Address, err)}
 	}
 	defer resp.Body.Close()
 	raw, err := httpbody.Read(resp.Body, maxResponseBytes)
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -85,7 +85,7 @@
 		defer server.Close()
 		_, e := do(strings.TrimPrefix(server.URL, "http://"), now)
 		Expect(e.NotExecuted).To(BeTrue())
-		Expect(e).To(MatchError(httpbody.ErrTooLate))
+		Expect(e).To(MatchError(httpbody.ErrDeadlinePassed))
 	})
 
 	It("never resends a call when a reused connection breaks", func() {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -142,7 +142,7 @@
 
 var _ = Describe("docs/CONFIGURATION.md", func() {
 	It("lists exactly the keys of the settings", func() {
-		listed, err := doccheck.ListedKeys("../docs/CONFIGURATION.md", "## Settings")
+		listed, err := doccheck.DocumentedKeys("../docs/CONFIGURATION.md", "## Settings")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(listed).To(ConsistOf(doccheck.Keys(settings.Settings{})))
 	})
--- a/soak/backoff.go
+++ b/soak/backoff.go
@@ -41,7 +41,7 @@
 		r.mu.Lock()
 		r.leavingSince[rep.ID] = time.Now()
 		r.mu.Unlock()
-		rep.AdvertiseLeaving()
+		rep.AnnounceLeaving()
 		time.AfterFunc(2*drainBound, func() { r.store.Delete("servers/" + rep.ID) })
 	}
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -145,7 +145,7 @@
 // blackholeOpenConnections makes the connections that a relay to or from a daemon has
 // open a permanent blackhole; new connections work.
 func (r *runner) blackholeOpenConnections(d *daemon, relay *faultrelay.Relay, peer string) {
-	n := relay.Silence()
+	n := relay.BlackholeOpenConnections()
 	d.recordDisturbance()
 	r.recordFault("%s and its %s: %d open connections are a permanent blackhole", d.name, peer, n)
 }
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -38,12 +38,12 @@
 		period := &r.limits[len(r.limits)-1]
 		r.mu.Unlock()
 		r.recordFault("%s announces a limit of %g requests a second", rep.ID, perSecond)
-		rep.AdvertiseRateLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
+		rep.AnnounceRateLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
 		sleep(ctx, randomDuration(rng, 4*time.Second, 9*time.Second))
 		r.mu.Lock()
 		period.until = time.Now()
 		r.mu.Unlock()
-		rep.AdvertiseRateLimit("")
+		rep.AnnounceRateLimit("")
 		r.recordFault("%s no longer announces a limit", rep.ID)
 	}
 }
--- a/soak/run.go
+++ b/soak/run.go
@@ -97,9 +97,9 @@
 	return at.Before(att.startedAt.Add(callDeadline))
 }
 
-// Do runs a soak and returns its report. It returns an error if the soak could not
+// Execute runs a soak and returns its report. It returns an error if the soak could not
 // be run; violated guarantees are in the report.
-func Do(ctx context.Context, cfg Config) (Report, error) {
+func Execute(ctx context.Context, cfg Config) (Report, error) {
 	r := &runner{
 		cfg: cfg, faultRNG: rand.New(rand.NewPCG(cfg.Seed, 1)), startedAt: time.Now(), store: site.NewStore(), ledger: site.NewLedger(),
 		drainingSince: map[string]time.Time{}, crashTimes: map[string][]time.Time{}, revokedAt: map[string]time.Time{}, leavingSince: map[string]time.Time{}, apiKeys: []string{"key-0", "key-1"},
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -48,7 +48,7 @@
 func expectNoViolations(seed uint64, daemons int, duration time.Duration) {
 	dir, err := os.MkdirTemp("", "wheatseam-soak-test-")
 	Expect(err).NotTo(HaveOccurred())
-	report, err := soak.Do(context.Background(), soak.Config{
+	report, err := soak.Execute(context.Background(), soak.Config{
 		Binary: daemonBinary, Dir: dir, Seed: seed, Duration: duration, Daemons: daemons, Callers: 2 * daemons,
 	})
 	Expect(err).NotTo(HaveOccurred())
--- a/upstreamload/poller.go
+++ b/upstreamload/poller.go
@@ -70,7 +70,7 @@
 	defer p.client.Close()
 	var polls sync.WaitGroup
 	defer polls.Wait()
-	periodic.Do(ctx, scheduleInterval, func() {
+	periodic.Every(ctx, scheduleInterval, func() {
 		for _, name := range p.table.DuePolls(p.now()) {
 			p.startPoll(ctx, &polls, name)
 		}
