--- a/bundle/parse.go
+++ b/bundle/parse.go
@@ -27,7 +27,7 @@
 
 // Parse decodes one YAML document, signed or not, applies the defaults and
 // validates it. Its error is a *CheckError with every problem found. Parse does
-// not verify the signature; Open does. It is safe for concurrent use.
+// not verify the signature; VerifyAndParse does. It is safe for concurrent use.
 func Parse(raw []byte) (*Bundle, error) {
 	if len(raw) > MaxSignedBytes {
 		r := &strictyaml.Report{}
--- a/bundle/parts.go
+++ b/bundle/parts.go
@@ -160,8 +160,8 @@
 
 // Join reassembles the signed bundle of m from its parts and verifies the digest.
 // getPart returns the content of a part, or false if the part is missing. Errors
-// wrap ErrMissingPart or ErrDigestMismatch. Join does not verify the signature; Open
-// does.
+// wrap ErrMissingPart or ErrDigestMismatch. Join does not verify the signature;
+// VerifyAndParse does.
 func Join(m Manifest, getPart func(Hash) ([]byte, bool)) ([]byte, error) {
 	var signed []byte
 	for _, h := range m.Parts {
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -24,7 +24,7 @@
 // keyIDBytes is the number of hash bytes in a key ID.
 const keyIDBytes = 8
 
-// The errors of Open.
+// The errors of VerifyAndParse.
 var (
 	ErrUnsigned     = errors.New("bundle: no signature line at the end")
 	ErrUnknownKey   = errors.New("bundle: signed by a key that is not trusted")
--- a/cmd/wheatseam/replay.go
+++ b/cmd/wheatseam/replay.go
@@ -26,12 +26,12 @@
 type replayOptions struct {
 	trace, keys, bundle, outcomes, json, label string
 
-	callers       []string
-	control       []string
-	seed          uint64
-	speed         float64
-	settleTimeout time.Duration
-	config        replay.Config
+	callers           []string
+	control           []string
+	seed              uint64
+	speed             float64
+	ledgerIdleTimeout time.Duration
+	config            replay.Config
 }
 
 func newReplayCommand() *cobra.Command {
@@ -60,7 +60,7 @@
 	f.DurationVar(&o.config.GracePeriod, "grace", replay.DefaultGrace, "time after its deadline during which a response is still accepted")
 	f.IntVar(&o.config.MaxInFlight, "max-in-flight", replay.DefaultMaxInFlight, "maximum number of requests in flight")
 	f.DurationVar(&o.config.MaxDuration, "max-duration", replay.DefaultMaxDuration, "maximum time during which requests are sent")
-	f.DurationVar(&o.settleTimeout, "settle", 5*time.Second, "maximum time to wait for executions still running at the end")
+	f.DurationVar(&o.ledgerIdleTimeout, "settle", 5*time.Second, "maximum time to wait for executions still running at the end")
 	for _, name := range []string{"trace", "keys", "callers"} {
 		_ = c.MarkFlagRequired(name)
 	}
@@ -97,7 +97,7 @@
 	if err = errors.Join(err, clearErr); err != nil {
 		return err
 	}
-	entries, err := reader.WaitUntilIdle(ctx, o.settleTimeout)
+	entries, err := reader.WaitUntilIdle(ctx, o.ledgerIdleTimeout)
 	if err != nil {
 		return err
 	}
--- a/internal/faultrelay/relay.go
+++ b/internal/faultrelay/relay.go
@@ -11,9 +11,9 @@
 //     dropping it and delivers it in order when the fault ends. A new connection is
 //     accepted, but its target is dialled only when neither direction is a
 //     blackhole, since a handshake needs both.
-//   - Silence: every connection that is open at that moment becomes a permanent
-//     blackhole in both directions, without either side being notified. New
-//     connections work.
+//   - BlackholeOpenConnections: every connection that is open at that moment
+//     becomes a permanent blackhole in both directions, without either side being
+//     notified. New connections work.
 //   - Delay of a direction: all data arrives later by that time. With up to 512 KiB
 //     in flight the delay does not limit the bandwidth.
 //
@@ -141,9 +141,9 @@
 	r.update(func() { r.callerConditions[ip] = c })
 }
 
-// BlackholeOpenConnections makes every connection that is open now a permanent blackhole in both
-// directions: the endpoints can detect this only by a timeout. It returns the number
-// of these connections.
+// BlackholeOpenConnections makes every connection that is open now a permanent
+// blackhole in both directions: the endpoints can detect this only by a timeout. It
+// returns the number of these connections.
 func (r *Relay) BlackholeOpenConnections() int {
 	var n int
 	r.update(func() {
@@ -155,7 +155,8 @@
 	return n
 }
 
-// Heal ends all faults except those of connections that Silence affected.
+// Heal ends all faults, but connections that BlackholeOpenConnections affected stay
+// blackholes.
 func (r *Relay) Heal() {
 	r.update(func() {
 		r.conditions = Conditions{}
@@ -177,7 +178,8 @@
 	}
 }
 
-// fullBlackhole is in force for connections that Silence affected.
+// fullBlackhole holds the conditions of connections that BlackholeOpenConnections
+// affected.
 var fullBlackhole = Conditions{ToTarget: Direction{Blackhole: true}, ToCaller: Direction{Blackhole: true}}
 
 // conditionsOf returns the conditions of a link; the caller holds mu.
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -61,7 +61,7 @@
 	<-p.done
 }
 
-// Suspend suspends the process with SIGSTOP until Thaw is called.
+// Suspend suspends the process with SIGSTOP until Resume is called.
 func (p *Process) Suspend() error { return p.Signal(syscall.SIGSTOP) }
 
 // Resume resumes a suspended process with SIGCONT.
--- a/proofs/at_most_once_test.go
+++ b/proofs/at_most_once_test.go
@@ -62,7 +62,7 @@
 		expectAtMostOnce(f, key, again)
 	})
 
-	It("when its host is frozen after sending and resumes later", func() {
+	It("when its host is suspended after sending and resumes later", func() {
 		f := startFleet(proctest.Options{})
 		f.SetPoolFaults("signing", standin.Faults{ResponseDelayMS: 300})
 		key := proctest.NewKey()
@@ -139,7 +139,7 @@
 		expectAtMostOnce(f, key, o)
 	})
 
-	It("under random kills and freezes, with callers that retry through other hosts", func() {
+	It("under random kills and suspensions, with callers that retry through other hosts", func() {
 		f := startFleet(proctest.Options{})
 		f.SetPoolFaults("signing", standin.Faults{ResponseDelayMS: 150})
 		const callers, rounds = 24, 5
@@ -211,7 +211,7 @@
 	return outcomes
 }
 
-// disturbDaemons kills and restarts or freezes one daemon at a time until stop is closed.
+// disturbDaemons kills and restarts or suspends one daemon at a time until stop is closed.
 func disturbDaemons(f *proctest.Fleet, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(11, 13))
 	for {
--- a/proofs/fault_pairs_test.go
+++ b/proofs/fault_pairs_test.go
@@ -24,7 +24,7 @@
 	{"a host is killed and starts again",
 		func(f *proctest.Fleet) { f.Daemons[0].Kill() },
 		func(f *proctest.Fleet) { Expect(f.StartDaemon(0)).To(Succeed()) }},
-	{"a host is frozen and resumed",
+	{"a host is suspended and resumed",
 		func(f *proctest.Fleet) { Expect(f.Daemons[1].Suspend()).To(Succeed()) },
 		func(f *proctest.Fleet) { Expect(f.Daemons[1].Resume()).To(Succeed()) }},
 	{"a host is isolated",
--- a/proofs/recovery_bench_test.go
+++ b/proofs/recovery_bench_test.go
@@ -85,7 +85,7 @@
 }
 
 func reportRecovery(b *testing.B, samples []sample) {
-	var during, after, duringOK, afterOK, notRun, mayHaveRun, unheard float64
+	var during, after, duringOK, afterOK, notRun, mayHaveRun, noResponse float64
 	var failures []time.Duration
 	for _, s := range samples {
 		ok := s.outcome.Answered()
@@ -104,14 +104,14 @@
 		failures = append(failures, s.sent)
 		notRun += boolToFloat(s.outcome.Execution == problem.NotRun)
 		mayHaveRun += boolToFloat(s.outcome.Execution == problem.MayHaveRun)
-		unheard += boolToFloat(s.outcome.Err != nil)
+		noResponse += boolToFloat(s.outcome.Err != nil)
 	}
 	b.ReportMetric(100*duringOK/during, "%during")
 	b.ReportMetric(100*afterOK/after, "%after")
 	b.ReportMetric(recoveryTime(failures).Seconds(), "s-to-recover")
 	b.ReportMetric(notRun, "not_run")
 	b.ReportMetric(mayHaveRun, "may_have_run")
-	b.ReportMetric(unheard, "unheard")
+	b.ReportMetric(noResponse, "unheard")
 }
 
 func boolToFloat(b bool) float64 {
--- a/proofs/view_change_test.go
+++ b/proofs/view_change_test.go
@@ -44,7 +44,7 @@
 		AddReportEntry("new keys accepted under the new list after", time.Since(began).Round(time.Millisecond).String())
 	})
 
-	It("while a host that was frozen and isolated still uses the old host list", func() {
+	It("while a host that was suspended and isolated still uses the old host list", func() {
 		Expect(f.Daemons[0].Suspend()).To(Succeed())
 		Expect(f.Publish(bundleReplacingHost0(f, 2))).To(Succeed())
 		Eventually(func() []uint64 { return []uint64{f.BundleVersion(1), f.BundleVersion(2), f.BundleVersion(3)} }).
--- a/replay/ledger/ledger.go
+++ b/replay/ledger/ledger.go
@@ -13,11 +13,11 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// requestTimeout limits one request to a stand-in. settlePollInterval is the delay
+// requestTimeout limits one request to a stand-in. idlePollInterval is the delay
 // between two reads while executions are still running.
 const (
-	requestTimeout     = 15 * time.Second
-	settlePollInterval = 100 * time.Millisecond
+	requestTimeout   = 15 * time.Second
+	idlePollInterval = 100 * time.Millisecond
 )
 
 // State is the state of an execution.
@@ -78,7 +78,7 @@
 		select {
 		case <-ctx.Done():
 			return entries, ctx.Err()
-		case <-time.After(settlePollInterval):
+		case <-time.After(idlePollInterval):
 		}
 	}
 }
--- a/replay/scenario/builder.go
+++ b/replay/scenario/builder.go
@@ -32,7 +32,7 @@
 	DeadlineFactor float64
 }
 
-// DefaultDeadlineFactor is the default of Options.Patience.
+// DefaultDeadlineFactor is the default of Options.DeadlineFactor.
 const DefaultDeadlineFactor = 4
 
 // minDeadline is the shortest deadline of callers, unless the pipeline's own deadline
--- a/replay/scenario/scenario_test.go
+++ b/replay/scenario/scenario_test.go
@@ -113,7 +113,7 @@
 		}
 	})
 
-	It("calculates deadlines from Patience within the limits", func() {
+	It("calculates deadlines from DeadlineFactor within the limits", func() {
 		deadlines := map[string]int64{}
 		for _, r := range create("steady", options()).Requests {
 			deadlines[r.Pipeline] = r.DeadlineMS
--- a/replay/verdict/verdict_test.go
+++ b/replay/verdict/verdict_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func judge(outcome string) verdict.Verdict {
+func evaluate(outcome string) verdict.Verdict {
 	GinkgoHelper()
 	o, err := verdict.Parse([]byte("trace: t\noutcomes:\n  - " + outcome))
 	Expect(err).NotTo(HaveOccurred())
@@ -44,7 +44,7 @@
 var _ = Describe("Verdict", func() {
 	DescribeTable("compares a metric with its limits",
 		func(outcome string, value float64, met bool) {
-			v := judge(outcome)
+			v := evaluate(outcome)
 			Expect(v.Results[0].Value).To(BeNumerically("~", value, 1e-9))
 			Expect(v.Met()).To(Equal(met))
 		},
@@ -64,7 +64,7 @@
 	)
 
 	DescribeTable("is not met if there is no value",
-		func(outcome string) { Expect(judge(outcome).Met()).To(BeFalse()) },
+		func(outcome string) { Expect(evaluate(outcome).Met()).To(BeFalse()) },
 		Entry("customer", "{metric: attainment, customer: nobody, min: 0}"),
 		Entry("tokens", "{metric: first_token_p50_ms, max: 1000}"),
 		Entry("stage", "{metric: wasted_share, stage: none, max: 1}"),
@@ -108,7 +108,7 @@
 
 	It("prints each outcome with its value", func() {
 		var text strings.Builder
-		Expect(judge("{metric: attainment, pipeline: seal, min: 1}").Write(&text)).To(Succeed())
+		Expect(evaluate("{metric: attainment, pipeline: seal, min: 1}").Write(&text)).To(Succeed())
 		Expect(text.String()).To(Equal("ok   attainment{pipeline=seal} = 1, min 1\nverdict: met\n"))
 	})
 })
--- a/soak/backoff.go
+++ b/soak/backoff.go
@@ -12,7 +12,7 @@
 
 // The guarantee for replicas that ask a daemon to back off: after a replica has refused a
 // request of a daemon process, from backoffPropagation later until the end of the requested
-// back-off, at most maxRequestsDuringBackoff requests of that process reach the replica.
+// backoff, at most maxRequestsDuringBackoff requests of that process reach the replica.
 const (
 	backoffPropagation       = 500 * time.Millisecond
 	maxRequestsDuringBackoff = 2
@@ -46,7 +46,7 @@
 	}
 }
 
-// requestBackoffs lets replicas refuse all work and ask for a back-off, one after the other,
+// requestBackoffs lets replicas refuse all work and ask for a backoff, one after the other,
 // until ctx ends.
 func (r *runner) requestBackoffs(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
@@ -55,7 +55,7 @@
 		rep := r.replicas[rng.IntN(len(r.replicas))]
 		r.mu.Unlock()
 		seconds := strconv.FormatFloat(0.5+2.5*rng.Float64(), 'f', 2, 64)
-		r.recordFault("%s refuses all work and asks for a back-off of %s s", rep.ID, seconds)
+		r.recordFault("%s refuses all work and asks for a backoff of %s s", rep.ID, seconds)
 		rep.RefuseWithRetryAfter(seconds)
 		sleep(ctx, randomDuration(rng, 500*time.Millisecond, 3*time.Second))
 		rep.RefuseWithRetryAfter("")
@@ -94,15 +94,15 @@
 		}
 		for _, a := range r.replicaByID(replica).Arrivals() {
 			s, known := senders[a.RequestID]
-			toldAt, informed := informedAt[s.daemonIncarnation]
-			if known && informed && s.startedAt.Sub(toldAt) > drainBound && s.daemon.ranUninterrupted(toldAt, a.ArrivedAt) {
-				r.recordViolation("leaving: %s reached %s %s after it had told %s that it is leaving", a.RequestID, replica, s.startedAt.Sub(toldAt).Round(time.Millisecond), s.daemon.name)
+			at, informed := informedAt[s.daemonIncarnation]
+			if known && informed && s.startedAt.Sub(at) > drainBound && s.daemon.ranUninterrupted(at, a.ArrivedAt) {
+				r.recordViolation("leaving: %s reached %s %s after it had announced to %s that it is leaving", a.RequestID, replica, s.startedAt.Sub(at).Round(time.Millisecond), s.daemon.name)
 			}
 		}
 	}
 }
 
-// checkBackoffs checks that daemon processes that ran uninterrupted keep to the back-offs
+// checkBackoffs checks that daemon processes that ran uninterrupted keep to the backoffs
 // that replicas asked for.
 func (r *runner) checkBackoffs() {
 	senders := r.sendersByRequest()
@@ -116,7 +116,7 @@
 			}
 			until := refusal.ArrivedAt.Add(time.Duration(seconds * float64(time.Second)))
 			if n := s.countArrivals(arrivals[i+1:], senders, refusal.ArrivedAt.Add(backoffPropagation), until); n > maxRequestsDuringBackoff && s.daemon.ranUninterrupted(refusal.ArrivedAt.Add(-undisturbedMargin), until) {
-				r.recordViolation("back-off: %s got %d requests from %s in the back-off of %s s that it had asked for", rep.ID, n, s.daemon.name, refusal.RetryAfter)
+				r.recordViolation("backoff: %s got %d requests from %s in the backoff of %s s that it had asked for", rep.ID, n, s.daemon.name, refusal.RetryAfter)
 			}
 		}
 	}
--- a/soak/daemon.go
+++ b/soak/daemon.go
@@ -34,9 +34,10 @@
 	return fmt.Sprintf("127.%d.%d.%d", 130+os.Getpid()>>8&0x3f, os.Getpid()&0xff, 1+ipCounter.Add(1)%250)
 }
 
-// simulatedSleep is the time that a daemon takes its host to have slept when it gets
-// SIGUSR1. It stands for real host sleep, which a test cannot cause.
-const simulatedSleep = 4 * time.Second
+// simulatedSuspension is the time for which a daemon takes its host to have been
+// suspended when it gets SIGUSR1. It replaces a real suspension of the host, which a
+// test cannot cause.
+const simulatedSuspension = 4 * time.Second
 
 // daemon is one gateway daemon, which may be restarted with the same settings.
 type daemon struct {
@@ -57,10 +58,10 @@
 	sigtermSent bool
 	// lastDisturbed is the time of the last fault that may make its requests fail.
 	lastDisturbed time.Time
-	// interruptions are the times at which the process was killed, paused (SIGSTOP) or
-	// resumed (SIGCONT); paused is set while it is paused.
+	// interruptions are the times at which the process was killed, suspended (SIGSTOP)
+	// or resumed (SIGCONT); suspended is set while it is suspended.
 	interruptions []time.Time
-	paused        bool
+	suspended     bool
 	// sigtermTimes are the times at which SIGTERM was sent.
 	sigtermTimes []time.Time
 	// unexpectedExits counts exits that no signal requested or caused.
@@ -126,7 +127,7 @@
 func (d *daemon) start() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	p, err := process.Start(filepath.Join(d.dir, d.name+".log"), d.binary, "gateway", "--settings", d.settingsPath(), "--simulated-sleep", simulatedSleep.String())
+	p, err := process.Start(filepath.Join(d.dir, d.name+".log"), d.binary, "gateway", "--settings", d.settingsPath(), "--simulated-sleep", simulatedSuspension.String())
 	if err != nil {
 		return err
 	}
@@ -169,9 +170,9 @@
 	case syscall.SIGKILL, syscall.SIGSTOP:
 		d.lastDisturbed = time.Now()
 	}
-	if s == syscall.SIGKILL || s == syscall.SIGSTOP || s == syscall.SIGCONT && d.paused {
+	if s == syscall.SIGKILL || s == syscall.SIGSTOP || s == syscall.SIGCONT && d.suspended {
 		d.interruptions = append(d.interruptions, time.Now())
-		d.paused = s == syscall.SIGSTOP
+		d.suspended = s == syscall.SIGSTOP
 	}
 	_ = d.process.Signal(s) // fails if the process has exited
 }
@@ -227,7 +228,7 @@
 	return d.lastDisturbed.Before(since)
 }
 
-// ranUninterrupted reports whether the process was not killed, paused or resumed between
+// ranUninterrupted reports whether the process was not killed, suspended or resumed between
 // from and to.
 func (d *daemon) ranUninterrupted(from, to time.Time) bool {
 	d.mu.Lock()
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -3,7 +3,7 @@
 // guarantees against what callers and replicas observe.
 //
 // The faults, which may overlap:
-//   - Daemons are stopped, paused, killed and restarted by signals, and told to
+//   - Daemons are stopped, suspended, killed and restarted by signals, and told to
 //     reload their settings.
 //   - Relays on the loopback interface delay, reset or blackhole the daemons'
 //     connections to the store and to each other, in one or both directions, or
@@ -12,7 +12,7 @@
 //   - Replicas break off answers, refuse, hang, drain and are replaced.
 //   - API keys are revoked.
 //   - Requests crash the replicas that run them.
-//   - Hosts sleep; a signal simulates this to the daemon.
+//   - Hosts are suspended; a signal simulates this to the daemon.
 //
 // The guarantees:
 //   - A request that may not be repeated runs at most once.
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -30,12 +30,12 @@
 	faults := []func(){
 		func() { r.restartDaemon(d, syscall.SIGTERM, "stopped") },
 		func() { r.restartDaemon(d, syscall.SIGKILL, "killed") },
-		func() { r.pauseDaemon(d, duration) },
+		func() { r.suspendDaemon(d, duration) },
 		func() { r.reloadSettings(d) },
 		func() { r.injectRelayFault(d, d.storeRelay, "store", duration) },
-		func() { r.injectRelayFault(d, d.peerRelay, "fellows", duration) },
+		func() { r.injectRelayFault(d, d.peerRelay, "peers", duration) },
 		func() { r.blackholeOpenConnections(d, d.storeRelay, "store") },
-		func() { r.blackholeOpenConnections(d, d.peerRelay, "fellows") },
+		func() { r.blackholeOpenConnections(d, d.peerRelay, "peers") },
 		func() { r.injectStoreFault(duration) },
 		func() { r.injectMisbehaviour(rep, duration) },
 		func() { r.injectMisbehaviour(rep, duration) },
@@ -77,8 +77,8 @@
 	time.Sleep(20 * time.Millisecond)
 }
 
-func (r *runner) pauseDaemon(d *daemon, duration time.Duration) {
-	r.recordFault("%s is paused for %s", d.name, duration)
+func (r *runner) suspendDaemon(d *daemon, duration time.Duration) {
+	r.recordFault("%s is suspended for %s", d.name, duration)
 	d.signal(syscall.SIGSTOP)
 	time.AfterFunc(duration, func() {
 		d.recordDisturbance()
@@ -86,15 +86,16 @@
 	})
 }
 
-// suspendHost pauses a daemon and, when it resumes it, tells it by SIGUSR1 that its host
-// has slept for longer than the monotonic clock shows. It skips a daemon that is not
-// ready, since SIGUSR1 would end a process that has not yet installed its handler.
+// suspendHost simulates that the host of a daemon is suspended. It suspends the process
+// and, when it resumes it, signals with SIGUSR1 that the host was suspended for longer
+// than the monotonic clock shows. It skips a daemon that is not ready, since SIGUSR1 would
+// end a process that has not yet installed its handler.
 func (r *runner) suspendHost(d *daemon, duration time.Duration) {
 	incarnation := d.currentIncarnation()
 	if !d.ready() {
 		return
 	}
-	r.recordFault("the host of %s sleeps for %s", d.name, duration+simulatedSleep)
+	r.recordFault("the host of %s is suspended for %s", d.name, duration+simulatedSuspension)
 	d.signal(syscall.SIGSTOP)
 	time.AfterFunc(duration, func() {
 		d.recordDisturbance()
@@ -128,9 +129,9 @@
 		c    faultrelay.Conditions
 	}{
 		{"cut", faultrelay.Conditions{Cut: true}},
-		{"silenced", faultrelay.Conditions{ToTarget: blackhole, ToCaller: blackhole}},
-		{"silenced one way", faultrelay.Conditions{ToCaller: blackhole}},
-		{"silenced the other way", faultrelay.Conditions{ToTarget: blackhole}},
+		{"blackholed", faultrelay.Conditions{ToTarget: blackhole, ToCaller: blackhole}},
+		{"blackholed one way", faultrelay.Conditions{ToCaller: blackhole}},
+		{"blackholed the other way", faultrelay.Conditions{ToTarget: blackhole}},
 		{"slow", faultrelay.Conditions{ToTarget: delayed, ToCaller: delayed}},
 	}
 	k := kinds[r.faultRNG.IntN(len(kinds))]
--- a/soak/poison.go
+++ b/soak/poison.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// suspendHosts simulates host sleep for random daemons until ctx ends.
+// suspendHosts simulates the suspension of random daemons' hosts until ctx ends.
 func (r *runner) suspendHosts(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		select {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -71,10 +71,10 @@
 		Entry("seed 128", uint64(128), 4, 8*time.Second),
 		Entry("seed 140", uint64(140), 4, 8*time.Second),
 		Entry("seed 151", uint64(151), 4, 8*time.Second),
-		// A planner was paused twice, and it and the planner that took over
+		// A planner was suspended twice, and it and the planner that took over
 		// both released the same results, so that the replica was told twice.
 		Entry("seed 52018", uint64(52018), 4, 8*time.Second),
-		// A planner was paused. Its call that releases results was sent again although
+		// A planner was suspended. Its call that releases results was sent again although
 		// the first call was answered.
 		Entry("seed 32007", uint64(32007), 4, 8*time.Second),
 	)
--- a/soak/streams.go
+++ b/soak/streams.go
@@ -13,7 +13,7 @@
 	// minStreamPause and maxStreamPause bound how long engines pause inside their streams.
 	minStreamPause = 900 * time.Millisecond
 	maxStreamPause = 3 * time.Second
-	// resumeMargin is how long a daemon that was paused and resumed may still wrongly end
+	// resumeMargin is how long a daemon that was suspended and resumed may still wrongly end
 	// streams.
 	resumeMargin = time.Second
 	// startMargin bounds the time between a request's arrival at a replica and the start of
