--- a/scripts/compare.sh
+++ b/scripts/compare.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Runs a trace against several policies by turns and sets them side by side.
+# Runs a trace against several policies in alternation and compares the results.
 #
 #   compare.sh TRACE BUNDLE RUNS SPEED POLICY...
 #
-# The first policy is the base. Reports stay in run/compare/ (or the directory
-# WHEATSEAM_COMPARE_DIR). STANDIN_FLAGS goes to the stand-ins. Every run has a
-# fleet of its own, so that no run inherits caches, estimates or queues.
+# The first policy is the baseline. Reports are kept in run/compare/ or in the
+# directory WHEATSEAM_COMPARE_DIR. STANDIN_FLAGS are passed to the stand-ins.
+# Each run starts a new fleet without caches, estimates or queues of earlier runs.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -26,7 +26,7 @@
   grep '^violations' "$dir/$policy-$run.txt"
 }
 
-# Even runs go through the policies backwards.
+# Even runs take the policies in reverse order.
 for run in $(seq "$runs"); do
   order=("${policies[@]}")
   if [ $((run % 2)) = 0 ]; then
--- a/scripts/days.sh
+++ b/scripts/days.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Plays the days of deploy/days/ on site files with the users' bench and prints a line
-# each; exits 1 if a rule is broken, a process ends by itself, or a day does not
-# play.
+# Runs the days of deploy/days/ on a site file with the users' bench and prints one
+# line for each. Exits with 1 if a rule is violated, a process exits unexpectedly or
+# a day cannot be run.
 #
 #   scripts/days.sh BENCH SITE [DAY...]
 set -uo pipefail
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Runs the demo fleet on loopback: three entry daemons, the platform's
-# stand-in, and stand-ins for engines and services.
+# Runs the demo fleet on loopback: three entry daemons and stand-ins for the
+# platform, the engines and the services.
 #
 #   demo.sh run    start, send requests, compare answers with the ledger, stop
 #   demo.sh up     start and leave running; prints the addresses
 #   demo.sh down   stop what "up" started
 #
-# WHEATSEAM_PORT_BASE (default 7000) moves all ports; WHEATSEAM_RUN_DIR
-# (default run/) holds the keys, settings, logs and pids.
+# WHEATSEAM_PORT_BASE (default 7000) is the base of all ports. WHEATSEAM_RUN_DIR
+# (default run/) is the directory for keys, settings, logs and pids.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -21,7 +21,7 @@
 operator_address() { address $((600 + $1)); }
 
 write_bundle() {
-  # The example's ports are 7xxx; move them to the base.
+  # The example uses ports 7xxx; moves them to the base.
   awk -v base="$BASE" '{
     out = ""
     while (match($0, /127\.0\.0\.1:7[0-9][0-9][0-9]/)) {
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Starts and stops a fleet for measurements on loopback: all entry hosts of a
-# bundle, the platform's stand-in, and stand-ins for all upstreams. The ports
-# are free ones; run/fleet-X/fleet.env holds the addresses.
+# bundle and stand-ins for the platform and all upstreams. It uses free ports;
+# DIR/fleet.env has the addresses.
 #
 #   fleet.sh up DIR BUNDLE [POLICY [STANDIN_FLAG,...]]
 #   fleet.sh down DIR
@@ -20,7 +20,7 @@
   done < "$dir/processes"
 }
 
-# await_ready waits until every entry host says that it is ready.
+# await_ready waits until every entry host reports that it is ready.
 await_ready() {
   local dir=$1 address
   # shellcheck source=/dev/null
--- a/scripts/goals.sh
+++ b/scripts/goals.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Makes the traces of docs/MEASUREMENTS.md that are not in traces/, and runs one
-# trace on a fleet of its own.
+# Generates the traces of docs/MEASUREMENTS.md that are not in traces/, and runs
+# one trace on a new fleet.
 #
-#   goals.sh traces                                makes run/goals/*.jsonl and bundles
+#   goals.sh traces                                writes run/goals/*.jsonl and bundles
 #   goals.sh run LABEL BUNDLE TRACE SEED [POLICY]  writes run/goals/LABEL.json and .txt
 #
 # bin/ must be built (make build).
@@ -17,7 +17,7 @@
   bin/wheatseam trace make "$scenario" --bundle "examples/$bundle.yaml" --out "$dir/$name.jsonl" "$@"
 }
 
-# with_objective writes a bundle with other weights.
+# with_objective writes a variant of a bundle with other objective weights.
 with_objective() {
   sed "s/^objective:.*/objective: {attainment: $3, cost_by_stage: $4}/" "examples/$1.yaml" > "$dir/$1-$2.yaml"
 }
--- a/scripts/traces.sh
+++ b/scripts/traces.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Makes the traces in traces/ and examples/ again from their programs and seeds.
+# Regenerates the traces in traces/ and examples/ from their scenarios and seeds.
 # bin/ must be built (make build).
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/variant.sh
+++ b/scripts/variant.sh
@@ -1,18 +1,18 @@
 #!/usr/bin/env bash
-# Writes a variant of a site file of the users' bench, for days on deployments
-# of the same kind that nobody has tuned anything to.
+# Writes a variant of a site file of the users' bench, to run days on deployments of
+# the same kind for which no parameter was tuned.
 #
 #   scripts/variant.sh SITE VARIANT OUT
 #
-#   one-zone     all machines, replicas and callers stand in one failure domain
-#   eight-zones  twice the failure domains, the new ones without callers of their own
-#   one-machine  one machine a zone
-#   two-replicas two replicas a service at most, in their zones
+#   one-zone     all machines, replicas and callers are in one failure domain
+#   eight-zones  twice the failure domains, the new ones without callers
+#   one-machine  one machine per failure domain
+#   two-replicas at most two replicas per service, in their failure domains
 #   no-tenants   callers need no key
 #   no-stages    requests have no stages
 #   tight        a quarter of the processor, 96 MB, 20 Mbit/s
 #   bounds       other bounds: drain and configuration in 3 s, grace 6 s
-#   far          5 ms between zones and 30 ms to callers
+#   far          5 ms between failure domains and 30 ms to callers
 set -euo pipefail
 site=$1 variant=$2 out=$3
 zone=$(sed -n 's/^  { name = "\([^"]*\)", region.*/\1/p' "$site" | head -1)
