--- a/bundle/bench_test.go
+++ b/bundle/bench_test.go
@@ -14,8 +14,8 @@
 	sizes bundletest.Sizes
 }{{"today", bundletest.CurrentSizes}, {"target", bundletest.TargetSizes}}
 
-// BenchmarkOpen measures the verification, parsing and validation of a signed
-// bundle.
+// BenchmarkOpen measures VerifyAndParse: the verification, parsing and validation of
+// a signed bundle.
 func BenchmarkOpen(b *testing.B) {
 	key := testKey(1)
 	for _, bench := range benchSizes {
--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -109,7 +109,7 @@
 type ClaimPolicy struct {
 	// GroupSize is the number of hosts that hold a claim. It is odd. Default 3.
 	GroupSize int `yaml:"group_size"`
-	// Retention is how long holders remember an idempotency key. Requests with
+	// Retention is how long holders store an idempotency key. Requests with
 	// older keys are rejected.
 	Retention time.Duration `yaml:"retention"`
 	// MaxClockSkew is the largest allowed difference between the clocks of two
--- a/bundle/parse_test.go
+++ b/bundle/parse_test.go
@@ -63,7 +63,7 @@
 var _ = Describe("signed bundles", func() {
 	key, other := testKey(1), testKey(2)
 
-	It("opens a signed bundle and replaces an earlier signature", func() {
+	It("verifies and parses a signed bundle and replaces an earlier signature", func() {
 		signed := bundle.Sign(readExample("demo.yaml"), other)
 		signed = bundle.Sign(signed, key)
 		Expect(bytes.Count(signed, []byte("wheatseam-signature"))).To(Equal(1))
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -76,8 +76,8 @@
 	return fmt.Errorf("%w: key ID %q", ErrUnknownKey, id)
 }
 
-// VerifyAndParse verifies the signature of a bundle and then parses it. It parses nothing if
-// the verification fails.
+// VerifyAndParse verifies the signature of a bundle and then parses it. It parses
+// nothing if the verification fails.
 func VerifyAndParse(signed []byte, keys []ed25519.PublicKey) (*Bundle, error) {
 	if len(signed) > MaxSignedBytes {
 		return nil, fmt.Errorf("bundle: %d bytes; at most %d are allowed", len(signed), MaxSignedBytes)
--- a/cmd/standin/platform.go
+++ b/cmd/standin/platform.go
@@ -24,7 +24,7 @@
 			if err := setInitialState(p, bundleFile, hostsFile); err != nil {
 				return err
 			}
-			// Waiting watch requests would delay the shutdown.
+			// Close ends the waiting watch requests, which would delay the shutdown.
 			defer context.AfterFunc(cmd.Context(), p.Close)()
 			return serve(cmd, listen, p)
 		},
--- a/internal/httpbody/upstream.go
+++ b/internal/httpbody/upstream.go
@@ -37,7 +37,7 @@
 }
 
 // NewDialFunc returns a DialContext function for an http.Transport. Its errors are
-// *DialError, so that a failure to connect can be told from a later one.
+// *DialError, so that a failure to connect can be distinguished from a later one.
 func NewDialFunc(d *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := d.DialContext(ctx, network, address)
--- a/internal/proctest/inspect.go
+++ b/internal/proctest/inspect.go
@@ -35,8 +35,8 @@
 	return &b
 }
 
-// BundleVersion returns the version of the bundle in force at host i; 0 if the host
-// does not answer.
+// BundleVersion returns the version of the active bundle of host i; 0 if the host does
+// not answer.
 func (f *Fleet) BundleVersion(i int) uint64 {
 	var hosts []operator.Status
 	if err := f.CallOperatorAPI(i, http.MethodGet, "/v1/bundle", &hosts); err != nil {
@@ -50,7 +50,7 @@
 	return 0
 }
 
-// BundleVersions returns the versions of the bundles in force at all hosts, by host
+// BundleVersions returns the versions of the active bundles of all hosts, by host
 // index.
 func (f *Fleet) BundleVersions() []uint64 {
 	all := make([]uint64, len(f.Daemons))
--- a/proofs/config_test.go
+++ b/proofs/config_test.go
@@ -14,12 +14,12 @@
 )
 
 var _ = Describe("An accepted configuration", func() {
-	It("is in force on all hosts within seconds", func() {
+	It("is active on all hosts within seconds", func() {
 		f := startFleet(proctest.Options{})
 		Expect(f.Publish(f.BundleWithVersion(2))).To(Succeed())
 		began := time.Now()
 		Eventually(f.BundleVersions).Should(Equal([]uint64{2, 2, 2}))
-		AddReportEntry("in force on all hosts after", time.Since(began).Round(time.Millisecond).String())
+		AddReportEntry("active on all hosts after", time.Since(began).Round(time.Millisecond).String())
 	})
 
 	It("does not revert when the service returns an older version, not even on a host that restarts", func() {
--- a/proofs/suite_test.go
+++ b/proofs/suite_test.go
@@ -1,6 +1,6 @@
-// Package proofs holds the process tests of the system's guarantees. They run real
-// daemons, inject faults and compare what callers receive with what the simulated
-// upstreams' ledger says was executed.
+// Package proofs contains the process tests of the system's guarantees. They run real
+// daemons, inject faults and compare the responses that callers receive with the
+// executions in the ledger of the simulated upstreams.
 package proofs
 
 import (
--- a/proofs/view_change_test.go
+++ b/proofs/view_change_test.go
@@ -59,7 +59,7 @@
 		}
 	})
 
-	It("and a bundle whose earlier views lack the host list in force is rejected with a log message", func() {
+	It("and a bundle whose earlier views lack the active host list is rejected with a log message", func() {
 		b := bundleReplacingHost0(f, 2)
 		b.Views = []bundle.View{{Version: 1, Hosts: f.Hosts[:2]}}
 		Expect(f.Publish(b)).To(Succeed())
--- a/replay/audit/audit.go
+++ b/replay/audit/audit.go
@@ -49,7 +49,7 @@
 	Violations []Violation
 	// Undelivered counts requests whose non-repeatable stage was completed but
 	// whose caller received no answer. This is no violation if the caller was
-	// told that the stage ran or may have run; any other case is reported as a
+	// informed that the stage ran or may have run; any other case is reported as a
 	// violation as well.
 	Undelivered int
 }
--- a/replay/audit/audit_test.go
+++ b/replay/audit/audit_test.go
@@ -159,7 +159,7 @@
 		Expect(f.Violations).To(BeEmpty())
 	})
 
-	It("counts completed executions whose caller was told that they may have run", func() {
+	It("counts completed executions whose caller was informed that they may have run", func() {
 		f := audit.Audit([]*replay.Call{refuse(a(), idA, problem.MayHaveRun)}, []ledger.Entry{seal(keyA, idA)}, pipelines)
 		Expect(f.Violations).To(BeEmpty())
 		Expect(f.Undelivered).To(Equal(1))
--- a/replay/doc.go
+++ b/replay/doc.go
@@ -5,7 +5,7 @@
 // regardless of the outcome of earlier requests, so that a slow system does not
 // reduce its own load. Latency is measured from the offset and not from the time of
 // sending, so that a delay in the sender is visible as latency. Each request is sent
-// to a host chosen by a seeded random generator, which stands for a load balancer; a
+// to a host chosen by a seeded random generator, which simulates a load balancer; a
 // caller's retry is sent to another host.
 //
 // A request is one operation that a caller wants done. Each submission of it, the
--- a/replay/report/cost.go
+++ b/replay/report/cost.go
@@ -132,7 +132,8 @@
 }
 
 // requestOf returns the request that e was executed for. If no call has the key or the
-// request id of e, it returns a name of its own, which does not count as attained.
+// request id of e, it returns a name made from the request id, which does not count as
+// attained.
 func (r requestIndex) requestOf(e ledger.Entry) string {
 	if firstTryID, ok := r.byKey[[2]string{e.Customer, e.Key}]; ok && e.Key != "" {
 		return firstTryID
--- a/replay/run.go
+++ b/replay/run.go
@@ -168,7 +168,8 @@
 	return time.Duration(float64(d) / r.cfg.Speed)
 }
 
-// waitUntil waits until the offset. It returns false if ctx is done before.
+// waitUntil waits until the offset and returns true, or returns false as soon as ctx is
+// done.
 func (r *runner) waitUntil(ctx context.Context, offset time.Duration) bool {
 	timer := time.NewTimer(time.Until(r.started.Add(offset)))
 	defer timer.Stop()
--- a/replay/scenario/builder.go
+++ b/replay/scenario/builder.go
@@ -39,7 +39,7 @@
 // is shorter.
 const minDeadline = time.Second
 
-// Limits of Options.
+// Upper limits of Options.Load and Options.Duration.
 const (
 	maxLoad     = 20
 	maxDuration = 20 * time.Minute
--- a/replay/scenario/scenario.go
+++ b/replay/scenario/scenario.go
@@ -43,8 +43,8 @@
 	return out
 }
 
-// Generate generates a trace with the scenario called name. It fails for an unknown name,
-// invalid options, or a bundle that the scenario cannot be applied to.
+// Generate generates a trace with the scenario called name. It fails for an unknown
+// name, invalid options, or a bundle that the scenario cannot be applied to.
 func Generate(name string, o Options) (*trace.Trace, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
--- a/replay/trace/trace.go
+++ b/replay/trace/trace.go
@@ -70,7 +70,7 @@
 	Note string `json:"note,omitempty"`
 }
 
-// Prefix is a prompt prefix that requests share by naming it.
+// Prefix is a prompt prefix that several requests can refer to by its name.
 type Prefix struct {
 	Name string `json:"name"`
 	Text string `json:"text"`
--- a/soak/check.go
+++ b/soak/check.go
@@ -89,13 +89,13 @@
 		}
 	}
 	if att.response.Err != nil && !att.abandoned && att.beforeDeadline(att.endedAt) && r.onlyStoppedGracefully(att) && len(runs) > 0 && r.neverMisbehaved(runs) {
-		r.recordViolation("graceful stop: %s of %s was broken off: %v", id, att.daemon.name, att.response.Err)
+		r.recordViolation("graceful stop: %s of %s was aborted: %v", id, att.daemon.name, att.response.Err)
 	}
 }
 
 // onlyStoppedGracefully reports whether the daemon was asked to stop and no other fault
 // disturbed it around a request. A daemon that was not stopped is excluded, since it may
-// break off an answer that a replica broke off.
+// abort an answer that a replica aborted.
 func (r *runner) onlyStoppedGracefully(att attempt) bool {
 	att.daemon.mu.Lock()
 	sigtermSent, incarnation := att.daemon.sigtermSent, att.daemon.incarnation
@@ -104,7 +104,7 @@
 }
 
 // neverMisbehaved reports whether none of the replicas of runs misbehaved at any time
-// during the soak, so that none of them can have broken the answer off. Replicas change
+// during the soak, so that none of them can have aborted the answer. Replicas change
 // their behaviour within seconds, so checking only the time of the request is not enough.
 func (r *runner) neverMisbehaved(runs []site.Run) bool {
 	r.mu.Lock()
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -9,7 +9,7 @@
 //     connections to the store and to each other, in one or both directions, or
 //     make the connections that are open at one moment a permanent blackhole.
 //   - The store fails or is slow.
-//   - Replicas break off answers, refuse, hang, drain and are replaced.
+//   - Replicas abort answers, refuse, hang, drain and are replaced.
 //   - API keys are revoked.
 //   - Requests crash the replicas that run them.
 //   - Hosts are suspended; a signal simulates this to the daemon.
@@ -23,7 +23,7 @@
 //   - A draining replica gets no new work after the drain bound.
 //   - A daemon does not go back to an older configuration.
 //   - Retries stay within the retry budget.
-//   - A graceful shutdown breaks off no request.
+//   - A graceful shutdown aborts no request.
 //   - A request that has crashed three replicas is sent to only a few more.
 //
 // A run ends only processes that it started itself, by their process ids.
--- a/soak/evacuate.go
+++ b/soak/evacuate.go
@@ -14,7 +14,7 @@
 // evacuation is an operator's order to send the replicas of a failure domain no new work.
 type evacuation struct {
 	domain string
-	// withdrawnAt is zero while the order is in force.
+	// withdrawnAt is zero while the order is active.
 	orderedAt, withdrawnAt time.Time
 }
 
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -177,8 +177,8 @@
 		name string
 		b    site.Behaviour
 	}{
-		{"breaks off before its answers", site.Behaviour{AbortBeforeResponse: true}},
-		{"breaks its answers off", site.Behaviour{Truncate: true, AbortAfterEvents: 2}},
+		{"aborts before its answers", site.Behaviour{AbortBeforeResponse: true}},
+		{"aborts its answers", site.Behaviour{Truncate: true, AbortAfterEvents: 2}},
 		{"refuses", site.Behaviour{Shed: true}},
 		{"refuses without saying that nothing ran", site.Behaviour{UnavailableAfterRun: true}},
 		{"hangs", site.Behaviour{Hang: true}},
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -23,7 +23,7 @@
 type limitPeriod struct {
 	replica   string
 	perSecond float64
-	// until is zero while the period lasts.
+	// until is the end of the period; zero if it has not ended.
 	from, until time.Time
 }
 
@@ -48,8 +48,8 @@
 	}
 }
 
-// checkLimits checks that daemon processes that ran uninterrupted keep to the limits that
-// they were told.
+// checkLimits checks that daemon processes that ran uninterrupted keep to the limits in
+// the answers that they passed on.
 func (r *runner) checkLimits() {
 	for _, s := range r.limits {
 		informedAt, arrivals := r.informedArrivals(s)
@@ -70,8 +70,9 @@
 }
 
 // informedArrivals returns when a caller first received an answer with the limit, and when
-// requests arrived from daemon processes that had been told at least limitPropagation before
-// and ran uninterrupted. The first is zero if no request ran at the replica in the period.
+// requests arrived from daemon processes that had passed on such an answer at least
+// limitPropagation before and ran uninterrupted. The first is zero if no request ran at
+// the replica in the period.
 func (r *runner) informedArrivals(s limitPeriod) (firstInformed time.Time, arrivals []time.Time) {
 	type arrival struct {
 		at   time.Time
--- a/soak/report.go
+++ b/soak/report.go
@@ -14,7 +14,7 @@
 	Duration time.Duration
 	Requests int
 	// Served, Refused (answered as not run), Failed, Incomplete (no complete answer) and
-	// Abandoned (the caller gave up) add up to Requests.
+	// Abandoned (by the caller) add up to Requests.
 	Served, Refused, Failed, Incomplete, Abandoned int
 	// PausedStreams counts the runs of streams at healthy replicas that completed after at
 	// least minStreamPause, the shortest pause that the soak injects.
--- a/soak/run.go
+++ b/soak/run.go
@@ -88,7 +88,7 @@
 	incarnation int
 	startedAt   time.Time
 	endedAt     time.Time
-	// abandoned is set when the caller gave up before it had an answer.
+	// abandoned is set when the caller disconnected before it had an answer.
 	abandoned bool
 }
 
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -72,7 +72,7 @@
 		Entry("seed 140", uint64(140), 4, 8*time.Second),
 		Entry("seed 151", uint64(151), 4, 8*time.Second),
 		// A planner was suspended twice, and it and the planner that took over
-		// both released the same results, so that the replica was told twice.
+		// both released the same results, so that the replica got two releases.
 		Entry("seed 52018", uint64(52018), 4, 8*time.Second),
 		// A planner was suspended. Its call that releases results was sent again although
 		// the first call was answered.
--- a/soak/streams.go
+++ b/soak/streams.go
@@ -59,7 +59,7 @@
 }
 
 // checkStreams checks that daemons don't end the streams of healthy replicas because a stream
-// pauses. A stream must not be broken off while its caller waits, and if a daemon ends a run,
+// pauses. A stream must not be aborted while its caller waits, and if a daemon ends a run,
 // another run must continue the request. Daemons that were interrupted, that are in the tail
 // of their shutdown grace, or whose request is past its deadline, are exempt.
 func (r *runner) checkStreams(att attempt, runs []site.Run) {
@@ -80,7 +80,7 @@
 	case last.End == site.Cancelled && att.beforeDeadline(last.EndedAt):
 		r.recordViolation("stream: %s of %s was ended at %s after %s, and no other run continued it", att.call.ID, att.daemon.name, last.Replica, last.EndedAt.Sub(last.StartedAt).Round(time.Millisecond))
 	case att.response.Err != nil && att.beforeDeadline(att.endedAt):
-		r.recordViolation("stream: %s of %s was broken off after %s; its state at %s: %s", att.call.ID, att.daemon.name, att.endedAt.Sub(att.startedAt).Round(time.Millisecond), last.Replica, last.End)
+		r.recordViolation("stream: %s of %s was aborted after %s; its state at %s: %s", att.call.ID, att.daemon.name, att.endedAt.Sub(att.startedAt).Round(time.Millisecond), last.Replica, last.End)
 	}
 }
 
