--- a/internal/proctest/bundle.go
+++ b/internal/proctest/bundle.go
@@ -24,7 +24,7 @@
 )
 
 // peerIP returns the loopback IP from which host i connects to its peers. Each
-// host has its own, by which the relays tell the callers apart.
+// host has its own, by which the relays distinguish the callers.
 func peerIP(i int) string { return fmt.Sprintf("127.0.0.%d", 10+i) }
 
 func newBundle(peers []string, listen func(string) (string, error)) (*bundle.Bundle, error) {
--- a/internal/proctest/call.go
+++ b/internal/proctest/call.go
@@ -29,7 +29,7 @@
 	// RetryAfter is the value of the Retry-After header.
 	RetryAfter string
 	Took       time.Duration
-	// Heard is when the answer was complete or the request failed.
+	// Heard is the time at which the answer was complete or the request failed.
 	Heard time.Time
 }
 
--- a/replay/doc.go
+++ b/replay/doc.go
@@ -8,7 +8,7 @@
 // to a host chosen by a seeded random generator, which simulates a load balancer; a
 // caller's retry is sent to another host.
 //
-// A request is one operation that a caller wants done. Each submission of it, the
+// A request is one operation that a caller requests. Each submission of it, the
 // first one or a retry, is a try and is recorded as one Call.
 //
 // Subpackages define the trace format (trace), generate traces (scenario), read the
--- a/replay/trace/trace.go
+++ b/replay/trace/trace.go
@@ -125,8 +125,7 @@
 // At returns the arrival offset.
 func (r Request) At() time.Duration { return time.Duration(r.AtMS) * time.Millisecond }
 
-// Deadline returns the time within which the caller wants the answer, counted from
-// the arrival.
+// Deadline returns the caller's time limit for the answer, counted from the arrival.
 func (r Request) Deadline() time.Duration {
 	return time.Duration(r.DeadlineMS) * time.Millisecond
 }
--- a/soak/backoff.go
+++ b/soak/backoff.go
@@ -18,9 +18,9 @@
 	maxRequestsDuringBackoff = 2
 )
 
-// announceLeaving lets replicas leave, one after the other, until ctx ends. They announce it
-// only in their answers: their entries in the store don't say so and are deleted when the
-// replicas have left.
+// announceLeaving lets replicas leave, one after the other, until ctx ends. Only the answers
+// of a replica announce that it is leaving; its entry in the store does not, and is deleted
+// when the replica has left.
 func (r *runner) announceLeaving(ctx context.Context, rng *rand.Rand) {
 	for n := 0; ctx.Err() == nil; n++ {
 		sleep(ctx, randomDuration(rng, 2*time.Second, 5*time.Second))
--- a/soak/check.go
+++ b/soak/check.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// checkConfigurations checks that no daemon process goes back to an older configuration:
+// checkConfigurations checks that no daemon process reverts to an older configuration:
 // once it has refused a revoked key, it serves no later request with that key.
 func (r *runner) checkConfigurations() {
 	type incarnationKey struct {
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -21,7 +21,7 @@
 //     run later.
 //   - The results of stages go to the request that they belong to.
 //   - A draining replica gets no new work after the drain bound.
-//   - A daemon does not go back to an older configuration.
+//   - A daemon does not revert to an older configuration.
 //   - Retries stay within the retry budget.
 //   - A graceful shutdown aborts no request.
 //   - A request that has crashed three replicas is sent to only a few more.
