--- a/cmd/wheatseam/replay.go
+++ b/cmd/wheatseam/replay.go
@@ -57,7 +57,7 @@
 	f.StringVar(&o.label, "label", "run", "name of the measured variant, such as the policy")
 	f.Uint64Var(&o.seed, "seed", 1, "random seed for the choice of hosts")
 	f.Float64Var(&o.speed, "speed", 1, "divisor of the offsets in the trace; deadlines do not change")
-	f.DurationVar(&o.config.GracePeriod, "grace", replay.DefaultGrace, "time after its deadline during which a response is still accepted")
+	f.DurationVar(&o.config.GracePeriod, "grace", replay.DefaultGracePeriod, "time after its deadline during which a response is still accepted")
 	f.IntVar(&o.config.MaxInFlight, "max-in-flight", replay.DefaultMaxInFlight, "maximum number of requests in flight")
 	f.DurationVar(&o.config.MaxDuration, "max-duration", replay.DefaultMaxDuration, "maximum time during which requests are sent")
 	f.DurationVar(&o.ledgerIdleTimeout, "settle", 5*time.Second, "maximum time to wait for executions still running at the end")
--- a/replay/run.go
+++ b/replay/run.go
@@ -18,7 +18,7 @@
 
 // Default values of Config.
 const (
-	DefaultGrace       = 2 * time.Second
+	DefaultGracePeriod = 2 * time.Second
 	DefaultMaxInFlight = 20_000
 	DefaultMaxDuration = 10 * time.Minute
 )
@@ -118,7 +118,7 @@
 		cfg.Speed = 1
 	}
 	if cfg.GracePeriod == 0 {
-		cfg.GracePeriod = DefaultGrace
+		cfg.GracePeriod = DefaultGracePeriod
 	}
 	if cfg.MaxInFlight == 0 {
 		cfg.MaxInFlight = DefaultMaxInFlight
