--- a/bench/fixture_test.go
+++ b/bench/fixture_test.go
@@ -210,7 +210,7 @@
 }
 
 // startDaemon runs the daemon and returns its address for callers once it serves
-// requests with the bundle. The daemon logs in the format of the program to /dev/null.
+// requests with the bundle. The daemon logs to /dev/null, in the format of wheatseamd.
 func startDaemon(addresses harnessAddresses, peers, public string) (string, error) {
 	dir, err := os.MkdirTemp("", "bench")
 	if err != nil {
--- a/internal/proctest/process.go
+++ b/internal/proctest/process.go
@@ -12,7 +12,7 @@
 )
 
 // RaceEnv is the environment variable that, if not empty, enables the race
-// detector in the daemons. It reports races in their logs (see RaceFound).
+// detector in the daemons, which reports races in their logs (see RaceFound).
 const RaceEnv = "WHEATSEAM_RACE"
 
 // Process is a daemon process that a test started.
