--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# wheatseam: `make demo` and `make test` are all a fresh clone needs.
+# wheatseam: a fresh clone needs only `make demo` and `make test`.
 GO ?= go
 STATICCHECK_VERSION := v0.8.2
 
@@ -13,8 +13,8 @@
 	$(GO) vet ./...
 	$(GO) tool staticcheck ./...
 
-# The tests that KNOWN-RED.txt lists are passed over; a line begins with the
-# test's name and a colon.
+# The tests listed in KNOWN-RED.txt are skipped; each line starts with the name of
+# the test and a colon.
 KNOWN_RED = $(shell test -s KNOWN-RED.txt && cut -d: -f1 KNOWN-RED.txt | paste -sd'|')
 
 test: lint build
@@ -32,6 +32,6 @@
 bench:
 	$(GO) test -run '^$$' -bench . -benchmem ./...
 
-# generate needs protoc and protoc-gen-go; its output is committed.
+# generate requires protoc and protoc-gen-go; the generated code is committed.
 generate:
 	protoc --go_out=. --go_opt=paths=source_relative wire/*.proto
