--- a/proofs/view_change_test.go
+++ b/proofs/view_change_test.go
@@ -44,7 +44,7 @@
 		AddReportEntry("new keys accepted under the new list after", time.Since(began).Round(time.Millisecond).String())
 	})
 
-	It("while a host that was frozen and isolated still uses the old host list", func() {
+	It("while a host that was suspended and isolated still uses the old host list", func() {
 		Expect(f.Daemons[0].Suspend()).To(Succeed())
 		Expect(f.Publish(bundleReplacingHost0(f, 2))).To(Succeed())
 		Eventually(func() []uint64 { return []uint64{f.BundleVersion(1), f.BundleVersion(2), f.BundleVersion(3)} }).
@@ -59,7 +59,7 @@
 		}
 	})
 
-	It("and a bundle whose earlier views lack the host list in force is rejected with a log message", func() {
+	It("and a bundle whose earlier views lack the active host list is rejected with a log message", func() {
 		b := bundleReplacingHost0(f, 2)
 		b.Views = []bundle.View{{Version: 1, Hosts: f.Hosts[:2]}}
 		Expect(f.Publish(b)).To(Succeed())
--- a/replay/run.go
+++ b/replay/run.go
@@ -18,7 +18,7 @@
 
 // Default values of Config.
 const (
-	DefaultGrace       = 2 * time.Second
+	DefaultGracePeriod = 2 * time.Second
 	DefaultMaxInFlight = 20_000
 	DefaultMaxDuration = 10 * time.Minute
 )
@@ -118,7 +118,7 @@
 		cfg.Speed = 1
 	}
 	if cfg.GracePeriod == 0 {
-		cfg.GracePeriod = DefaultGrace
+		cfg.GracePeriod = DefaultGracePeriod
 	}
 	if cfg.MaxInFlight == 0 {
 		cfg.MaxInFlight = DefaultMaxInFlight
@@ -168,7 +168,8 @@
 	return time.Duration(float64(d) / r.cfg.Speed)
 }
 
-// waitUntil waits until the offset. It returns false if ctx is done before.
+// waitUntil waits until the offset and returns true, or returns false as soon as ctx is
+// done.
 func (r *runner) waitUntil(ctx context.Context, offset time.Duration) bool {
 	timer := time.NewTimer(time.Until(r.started.Add(offset)))
 	defer timer.Stop()
--- a/replay/scenario/builder.go
+++ b/replay/scenario/builder.go
@@ -32,14 +32,14 @@
 	DeadlineFactor float64
 }
 
-// DefaultDeadlineFactor is the default of Options.Patience.
+// DefaultDeadlineFactor is the default of Options.DeadlineFactor.
 const DefaultDeadlineFactor = 4
 
 // minDeadline is the shortest deadline of callers, unless the pipeline's own deadline
 // is shorter.
 const minDeadline = time.Second
 
-// Limits of Options.
+// Upper limits of Options.Load and Options.Duration.
 const (
 	maxLoad     = 20
 	maxDuration = 20 * time.Minute
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -3,16 +3,16 @@
 // guarantees against what callers and replicas observe.
 //
 // The faults, which may overlap:
-//   - Daemons are stopped, paused, killed and restarted by signals, and told to
+//   - Daemons are stopped, suspended, killed and restarted by signals, and told to
 //     reload their settings.
 //   - Relays on the loopback interface delay, reset or blackhole the daemons'
 //     connections to the store and to each other, in one or both directions, or
 //     make the connections that are open at one moment a permanent blackhole.
 //   - The store fails or is slow.
-//   - Replicas break off answers, refuse, hang, drain and are replaced.
+//   - Replicas abort answers, refuse, hang, drain and are replaced.
 //   - API keys are revoked.
 //   - Requests crash the replicas that run them.
-//   - Hosts sleep; a signal simulates this to the daemon.
+//   - Hosts are suspended; a signal simulates this to the daemon.
 //
 // The guarantees:
 //   - A request that may not be repeated runs at most once.
@@ -21,9 +21,9 @@
 //     run later.
 //   - The results of stages go to the request that they belong to.
 //   - A draining replica gets no new work after the drain bound.
-//   - A daemon does not go back to an older configuration.
+//   - A daemon does not revert to an older configuration.
 //   - Retries stay within the retry budget.
-//   - A graceful shutdown breaks off no request.
+//   - A graceful shutdown aborts no request.
 //   - A request that has crashed three replicas is sent to only a few more.
 //
 // A run ends only processes that it started itself, by their process ids.
