--- a/claims/codec.go
+++ b/claims/codec.go
@@ -10,13 +10,15 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// errMalformed answers a message with a field of a wrong length.
+// errMalformed is returned for a message that has a field of a wrong length, no
+// record, or an owner that is not the sender.
 var errMalformed = errors.New("malformed claim message")
 
-// scopeSeparator joins customer and stage: a key is claimed for each stage.
+// scopeSeparator separates customer and stage in the customer field of a claim
+// key, since a key is claimed separately for each stage.
 const scopeSeparator = "\x00"
 
-func scope(customer, stage string) string { return customer + scopeSeparator + stage }
+func scopedCustomer(customer, stage string) string { return customer + scopeSeparator + stage }
 
 func encodeKey(k claim.Key) *wire.ClaimKey {
 	return &wire.ClaimKey{Customer: k.Customer, Id: k.ID[:]}
@@ -38,7 +40,7 @@
 	return claim.Owner{Host: o.GetHost(), Incarnation: o.GetIncarnation(), Request: o.GetRequest()}
 }
 
-// decodeDigest accepts no digest at all, for answers that carry none.
+// decodeDigest accepts an empty digest, since some replies have none.
 func decodeDigest(b []byte) (claim.Digest, error) {
 	if len(b) == 0 {
 		return claim.Digest{}, nil
@@ -63,14 +65,14 @@
 	return time.UnixMicro(us)
 }
 
-func encodeAsk(a claim.Acquire) *wire.ClaimAsk {
+func encodeAcquire(a claim.Acquire) *wire.ClaimAsk {
 	return &wire.ClaimAsk{
 		Key: encodeKey(a.Key), Owner: encodeOwner(a.Owner), Digest: a.Digest[:],
 		Round: a.Round, Epoch: a.Epoch, ArrivedUnixUs: encodeTime(a.Arrived),
 	}
 }
 
-func decodeAsk(m *wire.ClaimAsk) (claim.Acquire, error) {
+func decodeAcquire(m *wire.ClaimAsk) (claim.Acquire, error) {
 	key, err := decodeKey(m.Key)
 	if err != nil {
 		return claim.Acquire{}, err
@@ -110,7 +112,8 @@
 	}
 }
 
-// decodeReply names the holder by the host that was asked, which TLS verified.
+// decodeReply takes the holder's name from the host that was called, which TLS
+// has verified, and not from the message.
 func decodeReply(holder string, m *wire.ClaimReply) (claim.Reply, error) {
 	digest, err := decodeDigest(m.Digest)
 	if err != nil {
--- a/daemon/call_test.go
+++ b/daemon/call_test.go
@@ -12,12 +12,12 @@
 var _ = Describe("Engine priority", func() {
 	soon := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-	It("is higher for a generation that must start sooner", func() {
+	It("is higher for a call that must start sooner", func() {
 		p := bundle.Pool{Supports: bundle.UpstreamFeatures{Priority: true}}
-		Expect(priorityOf(p, soon)).To(BeNumerically(">", priorityOf(p, soon.Add(time.Millisecond))))
+		Expect(enginePriority(p, soon)).To(BeNumerically(">", enginePriority(p, soon.Add(time.Millisecond))))
 	})
 
-	It("is left out for engines that do not honour it", func() {
-		Expect(priorityOf(bundle.Pool{}, soon)).To(BeZero())
+	It("is 0 for engines that do not support it", func() {
+		Expect(enginePriority(bundle.Pool{}, soon)).To(BeZero())
 	})
 })
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon wires the parts of an entry daemon together: it carries out
-// the actions of the request machines and feeds their events back.
+// Package daemon connects the components of an entry daemon. It performs the
+// actions that the requests' state machines return and delivers the resulting
+// events to them.
 package daemon
 
 import (
@@ -38,134 +39,135 @@
 	"github.com/wheatseam/wheatseam/shares"
 )
 
-// tickEvery is how often waits that can no longer succeed are ended.
-const tickEvery = 10 * time.Millisecond
+// admissionTickInterval is the interval at which admission ends the waits of requests
+// that can no longer get a slot in time.
+const admissionTickInterval = 10 * time.Millisecond
 
-// recordBytes bounds the memory of the decision records.
-const recordBytes = 32 << 20
+// maxRecordBytes bounds the memory of the decision records.
+const maxRecordBytes = 32 << 20
 
 // Daemon is one entry daemon.
 type Daemon struct {
-	settings *settings.Settings
-	log      *zap.Logger
-	bundle   atomic.Pointer[bundle.Bundle]
-	upstream atomic.Pointer[clients]
-	draining atomic.Bool
-	serving  atomic.Int64 // requests of callers
+	settings             *settings.Settings
+	log                  *zap.Logger
+	bundle               atomic.Pointer[bundle.Bundle]
+	upstreamClients      atomic.Pointer[clients]
+	draining             atomic.Bool
+	activeCallerRequests atomic.Int64 // requests of callers being served
 
-	table         *request.Table
-	sessions      sessions
-	deps          request.Deps
+	requestTable  *request.Table
+	sessions      sessionTable
+	decisionDeps  request.Deps
 	router        *route.Router
 	loads         *loadView
 	admitter      *admit.Controller
 	shares        *shares.Service
 	budgets       retry.Budgets
-	health        *breaker.Set
+	breakers      *breaker.Set
 	records       *record.Store
-	kept          *results.Service
-	keptStore     *results.Store
+	resultService *results.Service
+	resultStore   *results.Store
 	claims        *claims.Service
-	claimsSettled atomic.Bool
+	claimsReady   atomic.Bool
 
-	incarnation uint64 // start of the process in Unix milliseconds
-	cluster     *cluster.Cluster
-	quarantine  *quarantine.Service
-	inForceFrom atomic.Pointer[time.Time]
-	metrics     *metrics.Set
-	peerMux     *peer.Mux
-	peers       *peer.Transport
-	sections    *operator.Sections
-	operators   *operator.Server
-	// leave starts the way out; Run sets it.
-	leave context.CancelFunc
-	// appliers get every bundle that comes into force.
-	appliers []applier
+	incarnation     uint64 // start time of the process in Unix milliseconds
+	cluster         *cluster.Cluster
+	quarantine      *quarantine.Service
+	bundleAppliedAt atomic.Pointer[time.Time]
+	metrics         *metrics.Set
+	peerMux         *peer.Mux
+	peerTransport   *peer.Transport
+	dumpSections    *operator.Sections
+	operatorServer  *operator.Server
+	// startDrain makes Run drain and return. It is set by Run.
+	startDrain context.CancelFunc
+	// bundleAppliers are given every bundle that becomes active, in this order.
+	bundleAppliers []bundleApplier
 }
 
-// applier takes a new bundle. Apply is called by one goroutine at a time.
-type applier interface{ Apply(b *bundle.Bundle) }
+// bundleApplier applies a new bundle. Apply is called by one goroutine at a time.
+type bundleApplier interface{ Apply(b *bundle.Bundle) }
 
-// New returns a daemon that has not started.
+// New returns a daemon. Run starts it.
 func New(s *settings.Settings, log *zap.Logger) (*Daemon, error) {
 	d := &Daemon{
-		settings: s, log: log, table: request.NewTable(), records: record.NewStore(recordBytes),
-		metrics: metrics.NewSet(), peerMux: peer.NewMux(), sections: operator.NewSections(),
+		settings: s, log: log, requestTable: request.NewTable(), records: record.NewStore(maxRecordBytes),
+		metrics: metrics.NewSet(), peerMux: peer.NewMux(), dumpSections: operator.NewSections(),
 	}
 	d.incarnation = uint64(d.Now().UnixMilli())
 	d.sessions.init()
-	d.addDecisionParts()
+	d.addDecisionComponents()
 	if err := d.addCluster(); err != nil {
 		return nil, err
 	}
 	d.addQuarantine()
 	d.addClaims()
-	d.addKept()
+	d.addStoredResults()
 	return d, nil
 }
 
-// Run serves until ctx ends, then drains: requests in flight are finished, at
-// the longest for the drain bound of the settings or until cut ends.
-func (d *Daemon) Run(ctx, cut context.Context) error {
-	ctx, d.leave = context.WithCancel(ctx)
-	defer d.leave()
-	listener, err := d.open()
+// Run serves until ctx ends and then drains: it waits for the requests in flight
+// until the drain bound of the settings has passed or abort ends.
+func (d *Daemon) Run(ctx, abort context.Context) error {
+	ctx, d.startDrain = context.WithCancel(ctx)
+	defer d.startDrain()
+	listener, err := d.openListeners()
 	if err != nil {
 		return err
 	}
-	server := d.callerServer(caller.NewServer(caller.Config{Backend: d, MaxBodyBytes: d.settings.Limits.MaxBodyBytes}))
+	server := d.newCallerServer(caller.NewServer(caller.Config{Backend: d, MaxBodyBytes: d.settings.Limits.MaxBodyBytes}))
 	d.log.Info("listening", zap.String("callers", listener.Addr().String()),
-		zap.String("peers", d.peers.Addr()), zap.String("operators", d.operators.Addr()))
-	running, stop := context.WithCancel(context.Background())
-	defer stop()
+		zap.String("peers", d.peerTransport.Addr()), zap.String("operators", d.operatorServer.Addr()))
+	backgroundCtx, stopBackground := context.WithCancel(context.Background())
+	defer stopBackground()
 	var group errgroup.Group
 	group.Go(func() error { return ignoreClosed(server.Serve(listener)) })
-	group.Go(d.operators.Serve)
-	group.Go(func() error { return d.cluster.Run(running, d.peers) })
-	group.Go(func() error { d.shares.Run(running, d.peers); return nil })
-	group.Go(func() error { d.tick(running); return nil })
-	group.Go(func() error { clock.Watch(running); return nil })
-	group.Go(func() error { d.quarantine.Run(running); return nil })
-	group.Go(func() error { d.claims.Run(running); return nil })
-	group.Go(func() error { d.expireKept(running); return nil })
-	group.Go(func() error { d.loads.Run(running); return nil })
-	group.Go(func() error { d.exchangeLoads(running); return nil })
+	group.Go(d.operatorServer.Serve)
+	group.Go(func() error { return d.cluster.Run(backgroundCtx, d.peerTransport) })
+	group.Go(func() error { d.shares.Run(backgroundCtx, d.peerTransport); return nil })
+	group.Go(func() error { d.tickAdmission(backgroundCtx); return nil })
+	group.Go(func() error { clock.Watch(backgroundCtx); return nil })
+	group.Go(func() error { d.quarantine.Run(backgroundCtx); return nil })
+	group.Go(func() error { d.claims.Run(backgroundCtx); return nil })
+	group.Go(func() error { d.expireStoredResults(backgroundCtx); return nil })
+	group.Go(func() error { d.loads.Run(backgroundCtx); return nil })
+	group.Go(func() error { d.exchangeLoads(backgroundCtx); return nil })
 	<-ctx.Done()
-	d.drain(cut)
-	shutdown, cancel := clock.WithTimeout(context.Background(), time.Second)
+	d.drain(abort)
+	shutdownCtx, cancel := clock.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if err := server.Shutdown(shutdown); err != nil {
+	if err := server.Shutdown(shutdownCtx); err != nil {
 		_ = server.Close()
 	}
-	stop()
-	d.closeListeners(shutdown)
+	stopBackground()
+	d.closeListeners(shutdownCtx)
 	return group.Wait()
 }
 
-// open opens the three listeners, all or none.
-func (d *Daemon) open() (net.Listener, error) {
+// openListeners opens the listeners for peers, operators and callers, all or none.
+func (d *Daemon) openListeners() (net.Listener, error) {
 	if err := d.openPeers(); err != nil {
 		return nil, err
 	}
 	if err := d.openOperators(); err != nil {
-		return nil, errors.Join(err, d.peers.Close())
+		return nil, errors.Join(err, d.peerTransport.Close())
 	}
 	listener, err := net.Listen("tcp", d.settings.Listen.Callers)
 	if err != nil {
 		err = fmt.Errorf("listen for callers: %w", err)
-		return nil, errors.Join(err, d.operators.Shutdown(context.Background()), d.peers.Close())
+		return nil, errors.Join(err, d.operatorServer.Shutdown(context.Background()), d.peerTransport.Close())
 	}
 	return listener, nil
 }
 
-// closeListeners ends the sessions with fellow daemons, then the operators'
-// listener, so that a waiting operator sees the end.
+// closeListeners closes the sessions with peer daemons first and the operators'
+// listener last, so that operators can follow the drain to its end.
 func (d *Daemon) closeListeners(ctx context.Context) {
-	if err := d.peers.Shutdown(ctx); err != nil {
-		d.log.Warn("peers cut", zap.Error(err))
+	if err := d.peerTransport.Shutdown(ctx); err != nil {
+		d.log.Warn("shutdown of the peer sessions was not graceful", zap.Error(err))
 	}
-	if err := d.operators.Shutdown(ctx); err != nil {
-		d.log.Warn("operators cut", zap.Error(err))
+	if err := d.operatorServer.Shutdown(ctx); err != nil {
+		d.log.Warn("shutdown of the operator listener was not graceful", zap.Error(err))
 	}
 }
 
@@ -176,11 +178,12 @@
 	return err
 }
 
-// callerServer has the requests of callers served by a handler, and counts them.
-func (d *Daemon) callerServer(handler http.Handler) *http.Server {
+// newCallerServer returns the HTTP server for callers, which counts the requests
+// that its handler is serving.
+func (d *Daemon) newCallerServer(handler http.Handler) *http.Server {
 	limits := d.settings.Limits
 	return &http.Server{
-		Handler:           d.counted(handler),
+		Handler:           d.countActive(handler),
 		MaxHeaderBytes:    limits.MaxHeaderBytes,
 		ReadHeaderTimeout: limits.ReadHeaderTimeout,
 		ReadTimeout:       limits.ReadTimeout,
@@ -188,31 +191,32 @@
 	}
 }
 
-// counted counts the requests that a handler serves, from their head to the last byte
-// of their answer.
-func (d *Daemon) counted(handler http.Handler) http.Handler {
+// countActive wraps a handler to count the requests that it is serving, from the end
+// of the request header to the last byte of the response.
+func (d *Daemon) countActive(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.serving.Add(1)
-		defer d.serving.Add(-1)
+		d.activeCallerRequests.Add(1)
+		defer d.activeCallerRequests.Add(-1)
 		handler.ServeHTTP(w, r)
 	})
 }
 
-// drainPoll is how often a draining daemon looks whether it is done.
-const drainPoll = 10 * time.Millisecond
+// drainPollInterval is the interval at which a draining daemon checks whether it is
+// idle.
+const drainPollInterval = 10 * time.Millisecond
 
-func (d *Daemon) drain(cut context.Context) {
+func (d *Daemon) drain(abort context.Context) {
 	d.draining.Store(true)
 	d.cluster.Leave()
-	d.log.Info("draining", zap.Int("in_flight", d.table.Len()))
-	bound, cancel := clock.WithTimeout(cut, d.settings.Drain.Bound)
+	d.log.Info("draining", zap.Int("in_flight", d.requestTable.Len()))
+	drainCtx, cancel := clock.WithTimeout(abort, d.settings.Drain.Bound)
 	defer cancel()
-	poll := time.NewTicker(drainPoll)
+	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
 	for !d.idle() {
 		select {
-		case <-bound.Done():
-			d.logCut()
+		case <-drainCtx.Done():
+			d.logAborted()
 			return
 		case <-poll.C:
 		}
@@ -220,36 +224,39 @@
 	d.log.Info("drained")
 }
 
-// idle says whether no request of a caller is in flight: none is being served, and no
-// call outlives the answer of one that was.
-func (d *Daemon) idle() bool { return d.serving.Load() == 0 && d.table.Len() == 0 }
+// idle reports whether no request of a caller is in flight: none is being served,
+// and no upstream call is still running for a request that has been answered.
+func (d *Daemon) idle() bool { return d.activeCallerRequests.Load() == 0 && d.requestTable.Len() == 0 }
 
-// maxCutLogged bounds the requests named in the log when a drain is cut.
-const maxCutLogged = 100
+// maxAbortedLogged bounds the requests that are logged when a drain ends before all
+// requests have finished.
+const maxAbortedLogged = 100
 
-func (d *Daemon) logCut() {
-	for _, o := range d.table.Overviews(maxCutLogged) {
+func (d *Daemon) logAborted() {
+	for _, o := range d.requestTable.Overviews(maxAbortedLogged) {
 		d.log.Warn("cut", logging.Request(o.ID), zap.String("pipeline", o.Pipeline), zap.String("stage", o.Stage))
 	}
 }
 
-// tick ends waits that can no longer succeed.
-func (d *Daemon) tick(ctx context.Context) {
-	periodic.Every(ctx, tickEvery, func() {
-		for _, g := range d.deps.Admitter.Tick(d.Now()) {
-			d.notify(g)
+// tickAdmission ticks the admission controller, which ends the waits of requests that
+// can no longer get a slot in time, until ctx ends.
+func (d *Daemon) tickAdmission(ctx context.Context) {
+	periodic.Every(ctx, admissionTickInterval, func() {
+		for _, g := range d.decisionDeps.Admitter.Tick(d.Now()) {
+			d.deliverGrant(g)
 		}
 	})
 }
 
-// apply puts a bundle into force. Requests in flight keep theirs.
+// apply makes a bundle the active one. Requests in flight keep the bundle under
+// which they arrived.
 func (d *Daemon) apply(b *bundle.Bundle) {
-	d.upstream.Store(newClients(b, d.upstream.Load(), d.Now))
-	for _, a := range d.appliers {
+	d.upstreamClients.Store(newClients(b, d.upstreamClients.Load(), d.Now))
+	for _, a := range d.bundleAppliers {
 		a.Apply(b)
 	}
 	d.bundle.Store(b)
-	d.log.Info("bundle in force", zap.Uint64("version", b.Version))
+	d.log.Info("bundle applied", zap.Uint64("version", b.Version))
 }
 
 // Bundle implements caller.Backend.
@@ -258,16 +265,17 @@
 // Now implements caller.Backend.
 func (d *Daemon) Now() time.Time { return clock.Now() }
 
-// NewRequestID implements caller.Backend. The id names the host, so that any
-// host knows whom to ask about it.
+// NewRequestID implements caller.Backend. The id starts with the name of this host,
+// so that any host knows which host has the request's records.
 func (d *Daemon) NewRequestID() string {
 	return d.settings.Host + "." + uuid.Must(uuid.NewV7()).String()
 }
 
-// retryElsewhere is told to callers that should go to another host.
-const retryElsewhere = time.Second
+// retryElsewhereAfter is the retry delay returned to callers that should retry at
+// another host.
+const retryElsewhereAfter = time.Second
 
-// Admittable implements caller.Backend.
+// CheckAdmission implements caller.Backend.
 func (d *Daemon) CheckAdmission() *problem.Error {
 	var e *problem.Error
 	switch {
@@ -277,34 +285,36 @@
 		e = problem.New(problem.NotReady, "no configuration is in force yet")
 	case !d.cluster.Ready():
 		e = problem.New(problem.NotReady, "host %s has not heard enough of its fellows yet", d.settings.Host)
-	case !d.settled():
+	case !d.claimsReadyOrTimedOut():
 		e = problem.New(problem.NotReady, "host %s has not caught up with the claims of its fellows yet", d.settings.Host)
 	default:
 		return nil
 	}
-	e.RetryAfter = retryElsewhere
+	e.RetryAfter = retryElsewhereAfter
 	return e
 }
 
-// The steps that this package records.
+// The steps that this package adds to decision records.
 const (
 	stepReceive record.Step = "receive"
 	stepRefuse  record.Step = "refuse"
 )
 
-// refusedEntry says why a request was not served at all.
-func refusedEntry(now time.Time, e *problem.Error) record.Entry {
+// refusalEntry returns the record entry of a request that was refused before it was
+// served.
+func refusalEntry(now time.Time, e *problem.Error) record.Entry {
 	return record.Entry{At: now, Step: stepRefuse, Outcome: string(e.Kind), Fields: []record.Field{
 		{Key: "execution", Value: string(e.Execution)}, {Key: "detail", Value: e.Detail},
 	}}
 }
 
-// Refused implements caller.Backend. What anybody can send without an API key
-// is logged and counted only: it must not push other requests' records out.
+// RecordRefusal implements caller.Backend. Refusals that a client can cause without an
+// API key are only logged and counted, since recording them would let such clients
+// evict the records of other requests.
 func (d *Daemon) RecordRefusal(id string, e *problem.Error) {
 	d.countRefused(e)
 	if e.Kind != problem.Unauthorized && e.Kind != problem.NotFound {
-		d.records.GetOrCreate(id).Add(refusedEntry(d.Now(), e))
+		d.records.GetOrCreate(id).Add(refusalEntry(d.Now(), e))
 	}
 	d.log.Info("refused", logging.Request(id), zap.String("kind", string(e.Kind)), zap.String("detail", e.Detail))
 }
--- a/internal/standin/site/behaviour.go
+++ b/internal/standin/site/behaviour.go
@@ -2,87 +2,91 @@
 
 import "time"
 
-// Behaviour is what a replica does to the requests that it gets. The zero value
-// serves well.
+// Behaviour determines how a replica handles requests. A replica with the zero value
+// is healthy.
 type Behaviour struct {
-	// Work is how long a request, or a call for pieces, takes.
+	// ServiceTime is the service time of a request or a piece call.
 	ServiceTime time.Duration
-	// ReadToken is how long an engine reads one token of the prompt.
+	// PrefillPerToken is the prefill time of an engine for each prompt token.
 	PrefillPerToken time.Duration
-	// Status is answered in place of 200, after the run.
+	// Status replaces the response status 200 after the run, unless 0.
 	Status int
-	// Shed refuses requests with a word that they were not run.
+	// Shed refuses requests and marks the refusal as not executed.
 	Shed bool
-	// ShedFree refuses likewise, and tells that it has free places.
+	// ShedWithFreeSlots refuses like Shed and reports a load with free slots.
 	ShedWithFreeSlots bool
-	// RetryAfter is what a refusal says of when to come back; "" for nothing.
+	// RetryAfter is the Retry-After header of refusals; "" for none.
 	RetryAfter string
-	// ShedSilently answers 503 without that word, after the run.
+	// UnavailableAfterRun responds with 503 after the run, without marking the response
+	// as not executed.
 	UnavailableAfterRun bool
-	// CutBefore closes the connection after the run and before any answer.
+	// AbortBeforeResponse closes the connection after the run, before any response.
 	AbortBeforeResponse bool
-	// CutAfterEvents closes the connection inside the event after so many; 0
-	// never does.
+	// AbortAfterEvents closes the connection in the middle of the event after this
+	// many events; 0 means never.
 	AbortAfterEvents int
-	// Truncate breaks the body of an answer off.
+	// Truncate closes the connection in the middle of the response body.
 	Truncate bool
-	// Unframed sends no length.
+	// NoContentLength omits the Content-Length.
 	NoContentLength bool
-	// Extra sends a second answer after the first.
+	// ExtraResponse sends a second response after the first on the same connection.
 	ExtraResponse bool
-	// Unsigned leaves the signature out.
+	// Unsigned omits the response signature.
 	Unsigned bool
-	// Hang answers nothing until the connection closes.
+	// Hang sends no response until the connection closes.
 	Hang bool
-	// Early answers before the body was read.
-	Early bool
-	// EventEvery is the time from one event of an engine's stream to the next;
-	// 0 is eventEvery.
+	// RespondBeforeBody responds with 400 before reading the request body.
+	RespondBeforeBody bool
+	// EventInterval is the interval between the events of an engine's stream; 0
+	// means defaultEventInterval.
 	EventInterval time.Duration
-	// PauseAfterEvents is the number of events after which an engine's stream falls
-	// silent; 0 is before the first, with the head of the answer sent.
+	// PauseAfterEvents is the number of events after which an engine's stream
+	// pauses; 0 means after the response headers, before the first event.
 	PauseAfterEvents int
-	// Pause is for how long it is silent before it goes on.
+	// Pause is the duration of that pause.
 	Pause time.Duration
-	// Silence is how it is silent for good, after Pause.
+	// Stall is how the stream stalls permanently after Pause.
 	Stall Stall
-	// HoldWork is how long an engine takes to answer with a hold that it keeps already.
+	// ReservationDelay is the delay of the response to a reservation call, after the
+	// engine has made the reservation.
 	ReservationDelay time.Duration
-	// HangReports answers nothing to asks for the report.
+	// HangReports sends no response to engine report calls.
 	HangReports bool
-	// NoHolds refuses to hold a place.
+	// NoReservations refuses all reservations.
 	NoReservations bool
-	// NoOrders answers 404 to asks for the report and for holds, as an engine that
-	// does not know them.
+	// NoEngineCalls responds with 404 to engine report and reservation calls, like an
+	// engine that does not support them.
 	NoEngineCalls bool
 }
 
-// Silence is how a stream falls silent for good.
+// Stall is how a stream stalls permanently.
 type Stall uint8
 
-// The ways to fall silent for good.
+// The kinds of permanent stalls.
 const (
-	// Speaking goes on.
-	Speaking Stall = iota
-	// StandsStill makes no more events in this run; the process answers other calls.
+	// NoStall means that the stream continues.
+	NoStall Stall = iota
+	// RunStalled stops generating events in this run. The process still serves
+	// other calls.
 	RunStalled
-	// Muted makes the events and ends the run, but nothing arrives any more; the
-	// connection stays open.
+	// OutputStalled generates the remaining events and completes the run, but sends
+	// nothing. The connection stays open.
 	OutputStalled
-	// Frozen stops the process: all its streams are silent, and it takes connections
-	// on which nothing is answered.
+	// ProcessFrozen freezes the process: all its streams stall, and it accepts
+	// connections but sends no responses.
 	ProcessFrozen
-	// Vanished is as Frozen, but the port takes no connections.
+	// ProcessUnreachable is like ProcessFrozen, but the port refuses connections.
 	ProcessUnreachable
 )
 
-// Poison is a body under which a replica's process ends.
+// PoisonRequest is a request body that crashes a replica's process.
 type PoisonRequest struct {
-	// Body is "" for none.
+	// Body is the request body that causes the crash; "" for none.
 	Body string
-	// After is how long it runs until the process ends, with all its connections,
-	// and Down how long until it starts again under its id; 0 leaves it down.
+	// CrashDelay is the time from the start of the run until the process crashes and
+	// all its connections close. Downtime is the time until the process restarts with
+	// the same id; 0 means that it does not restart.
 	CrashDelay, Downtime time.Duration
-	// Crashed is told of each crash under the body; nil for nobody.
+	// OnCrash, if not nil, is called after each crash caused by the body.
 	OnCrash func(body string)
 }
--- a/internal/standin/site/execution.go
+++ b/internal/standin/site/execution.go
@@ -7,69 +7,71 @@
 	"time"
 )
 
-// execution is a run at a replica, with what only the replica knows of it.
+// execution is a run on a replica, with the state that is private to the replica.
 type execution struct {
 	replica *Replica
 	run     *Run
-	// process numbers the process that runs it.
-	process int
-	// tokens is the length of the prompt, priority that of the request and after the
-	// event after which the stream goes on.
-	tokens, priority, after int
-	// end is what the run comes to unless something else happens.
-	end End
+	// processGeneration is the value of Replica.crashes at the start of the run. It
+	// identifies the process that executes the run.
+	processGeneration int
+	// promptTokens is the number of prompt tokens, priority the request priority,
+	// and lastEventID the event after which the stream resumes.
+	promptTokens, priority, lastEventID int
+	// finalEnd is the End that recordEnd records.
+	finalEnd End
 
-	// made has the time of each event, ended that of the end; the replica's mutex
-	// guards them.
-	made  []time.Time
-	ended time.Time
+	// eventTimes has the time of each generated event, endedAt the end of the run.
+	// Both are guarded by the mutex of the replica.
+	eventTimes []time.Time
+	endedAt    time.Time
 }
 
-// defaultPriority is that of requests that name none.
+// defaultPriority is the priority of requests without a Request-Priority header.
 const defaultPriority = 5
 
-// begin notes a run.
-func (r *Replica) begin(req *http.Request, id, body string) *execution {
+// beginRun records the start of a run.
+func (r *Replica) beginRun(req *http.Request, id, body string) *execution {
 	run := &Run{
 		RequestID: id, Replica: r.ID, Service: r.Service, Tenant: req.Header.Get("Tenant"), Method: req.Method,
 		Target: req.RequestURI, Body: body, StartedAt: time.Now(), HasAPIKey: req.Header.Get("X-Api-Key") != "", LastEventID: req.Header.Get("Last-Event-Id"),
 		CacheSource: req.Header.Get("Kv-Fetch"),
 	}
-	e := &execution{replica: r, run: run, tokens: promptTokens(req), priority: defaultPriority, end: Cut}
+	e := &execution{replica: r, run: run, promptTokens: promptTokens(req), priority: defaultPriority, finalEnd: Aborted}
 	if p, err := strconv.Atoi(req.Header.Get("Request-Priority")); err == nil {
 		e.priority = p
 	}
-	e.after, _ = strconv.Atoi(run.LastEventID) // 0 from the start
-	r.ledger.ran(run)
+	e.lastEventID, _ = strconv.Atoi(run.LastEventID) // 0 if the stream starts at the beginning
+	r.ledger.recordRun(run)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e.process = r.crashes
-	r.forget(run.StartedAt.Add(-r.ReportLag))
+	e.processGeneration = r.crashes
+	r.pruneRuns(run.StartedAt.Add(-r.ReportLag))
 	r.runs = append(r.runs, e)
 	return e
 }
 
-// finish notes the end of a run, if it is not noted.
-func (e *execution) finish() {
+// recordEnd records the end of the run, unless it is already recorded.
+func (e *execution) recordEnd() {
 	r := e.replica
 	r.mu.Lock()
-	noted := !e.ended.IsZero()
-	if !noted {
-		e.ended = time.Now()
+	recorded := !e.endedAt.IsZero()
+	if !recorded {
+		e.endedAt = time.Now()
 	}
 	r.mu.Unlock()
-	if !noted {
-		r.ledger.ended(e.run, e.end)
+	if !recorded {
+		r.ledger.recordEnd(e.run, e.finalEnd)
 	}
 }
 
-// complete notes that a run came to its end.
+// complete records that the run has completed.
 func (e *execution) complete() {
-	e.end = Completed
-	e.finish()
+	e.finalEnd = Completed
+	e.recordEnd()
 }
 
-// wait works for a while; it says whether the host still wants the answer by then.
+// wait waits for d. If ctx is done first, it records the cancellation and returns
+// false.
 func (e *execution) wait(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -77,27 +79,27 @@
 	case <-timer.C:
 		return true
 	case <-ctx.Done():
-		e.cancelled()
+		e.cancel()
 		return false
 	}
 }
 
-// cancelled notes that the connection has closed; the host did that unless the
-// process has ended.
-func (e *execution) cancelled() {
+// cancel records that the connection has closed. The run counts as cancelled by the
+// host unless the process of the replica has crashed or was closed.
+func (e *execution) cancel() {
 	r := e.replica
 	r.mu.Lock()
 	r.cancelled++
-	if !r.closed && r.crashes == e.process {
-		e.end = Cancelled
+	if !r.closed && r.crashes == e.processGeneration {
+		e.finalEnd = Cancelled
 	}
 	r.mu.Unlock()
-	e.finish()
+	e.recordEnd()
 }
 
-// makes notes that an event was made.
-func (e *execution) makes() {
+// recordEvent records that an event was generated.
+func (e *execution) recordEvent() {
 	e.replica.mu.Lock()
 	defer e.replica.mu.Unlock()
-	e.made = append(e.made, time.Now())
+	e.eventTimes = append(e.eventTimes, time.Now())
 }
--- a/replay/fleetfiles/fleetfiles_test.go
+++ b/replay/fleetfiles/fleetfiles_test.go
@@ -28,8 +28,8 @@
 	return b
 }
 
-var _ = Describe("the files of a fleet", func() {
-	It("are a signed bundle with the policy asked for, and settings that load", func() {
+var _ = Describe("Write", func() {
+	It("writes a signed bundle with the given policy and valid settings", func() {
 		dir := GinkgoT().TempDir()
 		b := example()
 		before := b.Hosts[0].PeerAddress
@@ -43,15 +43,15 @@
 		Expect(err).NotTo(HaveOccurred())
 		signed, err := os.ReadFile(filepath.Join(dir, fleetfiles.FileSigned))
 		Expect(err).NotTo(HaveOccurred())
-		moved, err := bundle.VerifyAndParse(signed, s.BundleKeys)
+		written, err := bundle.VerifyAndParse(signed, s.BundleKeys)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(moved.Policy).To(Equal(bundle.PolicyRoundRobin))
-		Expect(moved.Claims).To(Equal(b.Claims))
-		Expect(moved.Pipelines).To(Equal(b.Pipelines))
-		Expect(moved.Hosts[1].PeerAddress).To(Equal(s.Listen.Peers))
+		Expect(written.Policy).To(Equal(bundle.PolicyRoundRobin))
+		Expect(written.Claims).To(Equal(b.Claims))
+		Expect(written.Pipelines).To(Equal(b.Pipelines))
+		Expect(written.Hosts[1].PeerAddress).To(Equal(s.Listen.Peers))
 
 		addresses := map[string]bool{}
-		for _, p := range moved.Pools {
+		for _, p := range written.Pools {
 			for _, u := range p.Upstreams {
 				addresses[u.Address] = true
 			}
--- a/replay/ledger/ledger.go
+++ b/replay/ledger/ledger.go
@@ -1,4 +1,5 @@
-// Package ledger reads what the stand-ins executed, from GET /control/ledger.
+// Package ledger reads the execution ledgers of the stand-ins, which simulate the
+// upstreams, from GET /control/ledger.
 package ledger
 
 import (
@@ -12,17 +13,17 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// timeout bounds one call to a stand-in; settlePoll is the pause between two
-// readings while executions still run.
+// requestTimeout limits one request to a stand-in. idlePollInterval is the delay
+// between two reads while executions are still running.
 const (
-	timeout    = 15 * time.Second
-	settlePoll = 100 * time.Millisecond
+	requestTimeout   = 15 * time.Second
+	idlePollInterval = 100 * time.Millisecond
 )
 
-// State says how far an execution came.
+// State is the state of an execution.
 type State string
 
-// The states. An execution that failed may have had its effect.
+// States of an execution. A failed execution may have had its side effect.
 const (
 	Running   State = "running"
 	Done      State = "done"
@@ -30,7 +31,7 @@
 	Failed    State = "failed"
 )
 
-// Entry is one execution.
+// Entry is the ledger entry of one execution of a stage.
 type Entry struct {
 	Key            string  `json:"key"`
 	RequestID      string  `json:"request_id"`
@@ -57,26 +58,27 @@
 	Upstreams []Upstream
 }
 
-// Clear empties every ledger.
+// Clear deletes all entries of every ledger.
 func (r *Reader) Clear(ctx context.Context) error {
-	return r.each(ctx, func(ctx context.Context, _ int, u Upstream) error {
+	return r.forEachUpstream(ctx, func(ctx context.Context, _ int, u Upstream) error {
 		return r.call(ctx, http.MethodDelete, u, "", nil)
 	})
 }
 
-// Settle reads all ledgers until no execution runs any more or patience has
-// passed; executions that still run are then among the entries.
-func (r *Reader) WaitUntilIdle(ctx context.Context, patience time.Duration) ([]Entry, error) {
-	end := time.Now().Add(patience)
+// WaitUntilIdle reads all ledgers repeatedly until no execution is running or maxWait has
+// passed, and returns the entries of the last read. After maxWait they may include
+// running executions.
+func (r *Reader) WaitUntilIdle(ctx context.Context, maxWait time.Duration) ([]Entry, error) {
+	deadline := time.Now().Add(maxWait)
 	for {
 		entries, err := r.Read(ctx)
-		if err != nil || !anyRunning(entries) || time.Now().After(end) {
+		if err != nil || !anyRunning(entries) || time.Now().After(deadline) {
 			return entries, err
 		}
 		select {
 		case <-ctx.Done():
 			return entries, ctx.Err()
-		case <-time.After(settlePoll):
+		case <-time.After(idlePollInterval):
 		}
 	}
 }
@@ -90,11 +92,11 @@
 	return false
 }
 
-// Read reads all ledgers once. It fails when a ledger has lost entries to its
-// limit, since nothing can be judged by the rest.
+// Read reads all ledgers once. It fails if a ledger has overwritten entries because of
+// its size limit, since an incomplete ledger cannot be audited.
 func (r *Reader) Read(ctx context.Context) ([]Entry, error) {
 	lists := make([][]Entry, len(r.Upstreams))
-	err := r.each(ctx, func(ctx context.Context, i int, u Upstream) error {
+	err := r.forEachUpstream(ctx, func(ctx context.Context, i int, u Upstream) error {
 		var summary struct {
 			Overwritten int `json:"overwritten"`
 		}
@@ -110,7 +112,7 @@
 		if err := r.call(ctx, http.MethodGet, u, "", &list); err != nil {
 			return err
 		}
-		lists[i] = own(list.Entries, u)
+		lists[i] = ownEntries(list.Entries, u)
 		return nil
 	})
 	var out []Entry
@@ -120,9 +122,9 @@
 	return out, err
 }
 
-// own leaves out the entries of other replicas: stand-ins in one process may
-// share a ledger.
-func own(entries []Entry, u Upstream) []Entry {
+// ownEntries returns the entries of u. Stand-ins in one process may share a ledger, so
+// that it also has entries of other upstreams.
+func ownEntries(entries []Entry, u Upstream) []Entry {
 	var out []Entry
 	for _, e := range entries {
 		if u.Name == "" || e.Upstream == "" || e.Upstream == u.Name {
@@ -132,8 +134,8 @@
 	return out
 }
 
-// each calls f for every stand-in at a time and joins their errors.
-func (r *Reader) each(ctx context.Context, f func(context.Context, int, Upstream) error) error {
+// forEachUpstream calls f concurrently for every stand-in and joins the errors.
+func (r *Reader) forEachUpstream(ctx context.Context, f func(context.Context, int, Upstream) error) error {
 	errs := make([]error, len(r.Upstreams))
 	var g errgroup.Group
 	for i, u := range r.Upstreams {
@@ -147,7 +149,7 @@
 }
 
 func (r *Reader) call(ctx context.Context, method string, u Upstream, query string, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+u.Address+"/control/ledger"+query, nil)
 	if err != nil {
--- a/replay/report/cost.go
+++ b/replay/report/cost.go
@@ -8,7 +8,7 @@
 	"github.com/wheatseam/wheatseam/replay/ledger"
 )
 
-// Spent is work of one sort.
+// Spent is the cost of a set of executions.
 type Spent struct {
 	Calls         int     `json:"calls"`
 	EngineSeconds float64 `json:"engine_seconds"`
@@ -21,25 +21,27 @@
 	s.Tokens += e.Tokens
 }
 
-// StageCost is what one stage cost and what share of it was wasted.
+// StageCost is the cost of one stage and the share of it that was wasted.
 type StageCost struct {
 	Stage string `json:"stage"`
 	All   Spent  `json:"all"`
-	// Retries is the work of attempts whose request was answered in time by
-	// another attempt, begun after they had ended.
+	// Retries is the cost of attempts for requests that were answered in time by
+	// another attempt that did not run at the same time.
 	Retries Spent `json:"retries"`
-	// Hedges is the work of attempts that ran beside the one that was used.
+	// Hedges is the cost of attempts that ran at the same time as the attempt
+	// whose result was used.
 	Hedges Spent `json:"hedges"`
-	// Late is work for requests that were not answered in time, Cancelled the
-	// part of such work that was given up on the way.
+	// Late is the cost of executions for requests that were not answered in
+	// time, Cancelled that of such executions that were cancelled. Late does not
+	// include Cancelled.
 	Late      Spent `json:"late"`
 	Cancelled Spent `json:"cancelled"`
-	// WastedShare is the share of the engine seconds, or of the calls where no
-	// engine seconds are known, that the four sorts above make up.
+	// WastedShare is the share of Retries, Hedges, Late and Cancelled in the
+	// engine seconds, or in the calls if no engine seconds are known.
 	WastedShare float64 `json:"wasted_share"`
 }
 
-func (c *StageCost) finish() {
+func (c *StageCost) computeWastedShare() {
 	seconds, calls := 0.0, 0
 	for _, s := range []Spent{c.Retries, c.Hedges, c.Late, c.Cancelled} {
 		seconds += s.EngineSeconds
@@ -53,47 +55,47 @@
 	}
 }
 
-// use is what an execution was good for.
-type use uint8
+// executionUse says what an execution contributed to its request.
+type executionUse uint8
 
 const (
-	useNeeded use = iota
+	useNeeded executionUse = iota
 	useRetry
 	useHedge
 	useLate
 	useCancelled
 )
 
-// unit is all work for one stage of one request.
-type unit struct{ request, stage string }
+// stageWork identifies the executions for one stage of one request.
+type stageWork struct{ request, stage string }
 
-// costs sums up the entries by stage.
-func costs(calls []*replay.Call, entries []ledger.Entry) []StageCost {
-	attained := attainedRequests(calls)
-	units := map[unit][]ledger.Entry{}
+// stageCosts sums up the entries by stage and sorts the result by stage name.
+func stageCosts(calls []*replay.Call, entries []ledger.Entry) []StageCost {
+	index := newRequestIndex(calls)
+	units := map[stageWork][]ledger.Entry{}
 	for _, e := range entries {
-		u := unit{attained.requestOf(e), e.Stage}
+		u := stageWork{index.requestOf(e), e.Stage}
 		units[u] = append(units[u], e)
 	}
 	stages := map[string]*StageCost{}
-	for u, work := range units {
+	for u, executions := range units {
 		if stages[u.stage] == nil {
 			stages[u.stage] = &StageCost{Stage: u.stage}
 		}
-		for i, s := range uses(work, attained.met[u.request]) {
-			stages[u.stage].take(work[i], s)
+		for i, s := range classifyExecutions(executions, index.attained[u.request]) {
+			stages[u.stage].addEntry(executions[i], s)
 		}
 	}
 	out := []StageCost{}
 	for _, c := range stages {
-		c.finish()
+		c.computeWastedShare()
 		out = append(out, *c)
 	}
 	slices.SortFunc(out, func(a, b StageCost) int { return cmp.Compare(a.Stage, b.Stage) })
 	return out
 }
 
-func (c *StageCost) take(e ledger.Entry, s use) {
+func (c *StageCost) addEntry(e ledger.Entry, s executionUse) {
 	c.All.add(e)
 	switch s {
 	case useRetry:
@@ -107,57 +109,60 @@
 	}
 }
 
-// requests tells which request an execution served and whether it was met.
-type requests struct {
-	byID  map[string]string
-	byKey map[[2]string]string
-	met   map[string]bool
+// requestIndex finds the request of an execution and whether the request was answered
+// in time. Requests are identified by the id of their first try.
+type requestIndex struct {
+	byID     map[string]string
+	byKey    map[[2]string]string
+	attained map[string]bool
 }
 
-func attainedRequests(calls []*replay.Call) requests {
-	r := requests{byID: map[string]string{}, byKey: map[[2]string]string{}, met: map[string]bool{}}
+func newRequestIndex(calls []*replay.Call) requestIndex {
+	r := requestIndex{byID: map[string]string{}, byKey: map[[2]string]string{}, attained: map[string]bool{}}
 	for _, c := range calls {
 		if id := c.RequestID(); id != "" {
-			r.byID[id] = c.Root
+			r.byID[id] = c.FirstTryID
 		}
 		if c.Key != "" {
-			r.byKey[[2]string{c.Request.Customer, c.Key}] = c.Root
+			r.byKey[[2]string{c.Request.Customer, c.Key}] = c.FirstTryID
 		}
-		r.met[c.Root] = r.met[c.Root] || c.Attained()
+		r.attained[c.FirstTryID] = r.attained[c.FirstTryID] || c.Attained()
 	}
 	return r
 }
 
-// requestOf returns the request that e served; one that no caller's answer
-// names stands for itself and is not met.
-func (r requests) requestOf(e ledger.Entry) string {
-	if root, ok := r.byKey[[2]string{e.Customer, e.Key}]; ok && e.Key != "" {
-		return root
+// requestOf returns the request that e was executed for. If no call has the key or the
+// request id of e, it returns a name made from the request id, which does not count as
+// attained.
+func (r requestIndex) requestOf(e ledger.Entry) string {
+	if firstTryID, ok := r.byKey[[2]string{e.Customer, e.Key}]; ok && e.Key != "" {
+		return firstTryID
 	}
-	if root, ok := r.byID[e.RequestID]; ok {
-		return root
+	if firstTryID, ok := r.byID[e.RequestID]; ok {
+		return firstTryID
 	}
 	return "unknown " + e.RequestID
 }
 
-// uses says what each execution for one stage of one request was good for.
-func uses(work []ledger.Entry, met bool) []use {
-	out := make([]use, len(work))
-	used := -1
-	for i, e := range work {
-		if e.State == ledger.Done && (used < 0 || e.FinishedUnixMS < work[used].FinishedUnixMS) {
-			used = i
+// classifyExecutions returns the use of each execution for one stage of one request.
+// The result of the execution that completed first is the one that was used.
+func classifyExecutions(executions []ledger.Entry, attained bool) []executionUse {
+	out := make([]executionUse, len(executions))
+	firstDone := -1
+	for i, e := range executions {
+		if e.State == ledger.Done && (firstDone < 0 || e.FinishedUnixMS < executions[firstDone].FinishedUnixMS) {
+			firstDone = i
 		}
 	}
-	for i, e := range work {
+	for i, e := range executions {
 		switch {
-		case !met && e.State == ledger.Cancelled:
+		case !attained && e.State == ledger.Cancelled:
 			out[i] = useCancelled
-		case !met:
+		case !attained:
 			out[i] = useLate
-		case i == used:
+		case i == firstDone:
 			out[i] = useNeeded
-		case used >= 0 && overlap(e, work[used]):
+		case firstDone >= 0 && overlap(e, executions[firstDone]):
 			out[i] = useHedge
 		default:
 			out[i] = useRetry
@@ -166,13 +171,13 @@
 	return out
 }
 
-// overlap says whether two executions ran at the same time.
+// overlap reports whether two executions ran at the same time.
 func overlap(a, b ledger.Entry) bool {
 	return a.StartedUnixMS < b.FinishedUnixMS && (b.StartedUnixMS < a.FinishedUnixMS || a.State == ledger.Running)
 }
 
-// Sum adds up the costs of several stages.
-func Sum(stages []StageCost) StageCost {
+// SumCosts adds up the costs of several stages.
+func SumCosts(stages []StageCost) StageCost {
 	var out StageCost
 	for _, c := range stages {
 		out.All.merge(c.All)
@@ -181,7 +186,7 @@
 		out.Late.merge(c.Late)
 		out.Cancelled.merge(c.Cancelled)
 	}
-	out.finish()
+	out.computeWastedShare()
 	return out
 }
 
--- a/replay/scenario/capacity.go
+++ b/replay/scenario/capacity.go
@@ -6,41 +6,44 @@
 	"github.com/wheatseam/wheatseam/bundle"
 )
 
-// Capacity returns the requests a second that the bundle's pools carry at a mix
-// of pipelines (name to weight): the rate at which the busiest pool has all of
-// its slots taken, by the expected durations of the stages. It is an estimate;
-// a replay shows what is really carried.
-func Capacity(b *bundle.Bundle, mix map[string]float64) float64 {
-	shares := pipelineShares(b, mix)
-	least := math.Inf(1)
+// Capacity estimates how many requests per second the bundle's pools can serve if
+// pipelines are requested by pipelineWeights (name to relative frequency). It is the
+// rate at which all slots of the busiest pool are in use, calculated from the
+// expected durations of the stages; the rate that a fleet really sustains must be
+// measured with a replay. It is +Inf if no pipeline uses a pool.
+func Capacity(b *bundle.Bundle, pipelineWeights map[string]float64) float64 {
+	shares := pipelineShares(b, pipelineWeights)
+	lowestRate := math.Inf(1)
 	for _, pool := range b.Pools {
-		need := poolNeed(b, pool.Name, shares)
-		if need == 0 {
+		slotSeconds := slotSecondsPerRequest(b, pool.Name, shares)
+		if slotSeconds == 0 {
 			continue
 		}
 		slots := float64(len(pool.Upstreams) * pool.Concurrency)
-		least = math.Min(least, slots/need)
+		lowestRate = math.Min(lowestRate, slots/slotSeconds)
 	}
-	return least
+	return lowestRate
 }
 
-// BusiestPool returns the pool that limits Capacity.
-func BusiestPool(b *bundle.Bundle, mix map[string]float64) bundle.Pool {
-	shares := pipelineShares(b, mix)
+// BusiestPool returns the pool that limits Capacity: the one with the highest
+// utilization.
+func BusiestPool(b *bundle.Bundle, pipelineWeights map[string]float64) bundle.Pool {
+	shares := pipelineShares(b, pipelineWeights)
 	var busiest bundle.Pool
-	highest := -1.0
+	highestUtilization := -1.0
 	for _, pool := range b.Pools {
-		load := poolNeed(b, pool.Name, shares) / float64(len(pool.Upstreams)*pool.Concurrency)
-		if load > highest {
-			busiest, highest = pool, load
+		utilization := slotSecondsPerRequest(b, pool.Name, shares) / float64(len(pool.Upstreams)*pool.Concurrency)
+		if utilization > highestUtilization {
+			busiest, highestUtilization = pool, utilization
 		}
 	}
 	return busiest
 }
 
-// pipelineShares returns the share of the requests that each pipeline gets, as
-// arrive draws them: a customer by its weight, then one of its pipelines.
-func pipelineShares(b *bundle.Bundle, mix map[string]float64) map[string]float64 {
+// pipelineShares returns the share of requests of each pipeline. It follows
+// addRandomRequest, which chooses a customer by weight and then one of the customer's
+// pipelines by weight.
+func pipelineShares(b *bundle.Bundle, pipelineWeights map[string]float64) map[string]float64 {
 	weights := 0.0
 	for _, c := range b.Customers {
 		weights += c.Weight
@@ -49,26 +52,27 @@
 	for _, c := range b.Customers {
 		sum := 0.0
 		for _, p := range c.Pipelines {
-			sum += mix[p]
+			sum += pipelineWeights[p]
 		}
 		for _, p := range c.Pipelines {
 			if sum > 0 {
-				shares[p] += c.Weight / weights * mix[p] / sum
+				shares[p] += c.Weight / weights * pipelineWeights[p] / sum
 			}
 		}
 	}
 	return shares
 }
 
-// poolNeed returns the seconds of a pool's slots that a mean request needs.
-func poolNeed(b *bundle.Bundle, pool string, shares map[string]float64) float64 {
-	need := 0.0
+// slotSecondsPerRequest returns how long a request occupies slots of the pool on
+// average, in seconds.
+func slotSecondsPerRequest(b *bundle.Bundle, pool string, shares map[string]float64) float64 {
+	slotSeconds := 0.0
 	for _, p := range b.Pipelines {
 		for _, s := range p.Stages {
 			if s.Pool == pool {
-				need += shares[p.Name] * s.Expected.Seconds()
+				slotSeconds += shares[p.Name] * s.Expected.Seconds()
 			}
 		}
 	}
-	return need
+	return slotSeconds
 }
