--- a/core/claim/void.go
+++ b/core/claim/void.go
@@ -3,13 +3,13 @@
 import "time"
 
 // Void asks a holder to refuse every attempt at the key that arrived up to Until,
-// including attempts of a daemon that was paused and resumes later. An owner sends
+// including attempts of a daemon that is suspended and resumes later. An owner sends
 // it before it reports that the request has not run, so that the report stays true.
 // Attempts that arrive after Until may claim the key.
 type Void struct {
 	Key Key
-	// Owner is the attempt that is refused. The holder frees the key if it was
-	// granted to this attempt.
+	// Owner is the attempt that is refused. The holder releases the key if the
+	// key was granted to this attempt.
 	Owner Owner
 	// Epoch is the epoch of the owner's current host list.
 	Epoch uint64
@@ -31,8 +31,8 @@
 		r.Verdict = Taken
 		return r
 	}
-	ask := Acquire{Key: m.Key, Owner: m.Owner, Round: unreleasedRound, Epoch: m.Epoch}
-	if r.Verdict = h.refusal(env, ask, e); r.Verdict != 0 {
+	acquire := Acquire{Key: m.Key, Owner: m.Owner, Round: unreleasedRound, Epoch: m.Epoch}
+	if r.Verdict = h.refusal(env, acquire, e); r.Verdict != 0 {
 		return r
 	}
 	if e == nil {
--- a/core/rollout/event.go
+++ b/core/rollout/event.go
@@ -61,8 +61,8 @@
 // ServiceFailed reports that a read of the service failed.
 type ServiceFailed struct{ Err error }
 
-// Resumed reports that the process was paused. It is not ready until its peers have
-// answered again.
+// Resumed reports that the process was suspended. The daemon is not ready until its peers
+// have answered again.
 type Resumed struct{}
 
 func (Tick) isEvent()             {}
@@ -129,7 +129,7 @@
 type ServiceStale struct{ ServedVersion, ActiveVersion uint64 }
 
 // BecameReady reports that the daemon became ready: its active bundle is the newest
-// one announced to it. Alone reports that too few peers answered in time to
+// one announced to it. Unconfirmed is set if too few peers answered in time to
 // confirm that.
 type BecameReady struct{ Unconfirmed bool }
 
--- a/core/stage/action.go
+++ b/core/stage/action.go
@@ -33,16 +33,16 @@
 type Abandon struct{ Call uint64 }
 
 // Release releases results at the replica that holds them. Calls to that replica that are
-// issued in the same step or later rely on the memory that this frees, so the caller sends
-// them only after the replica has answered the release.
+// issued in the same step or later rely on the memory that the release frees, so the caller
+// sends them only after the replica has answered the release.
 type Release struct {
 	Replica string
 	Address string
 	Handles []string
 }
 
-// QueryMemory asks a replica how much memory it has free for results. The caller reports one
-// Inspected in return, or nothing if the replica does not answer.
+// QueryMemory asks a replica how much memory it has free for results. The caller reports
+// one MemoryReported in return, or nothing if the replica does not answer.
 type QueryMemory struct {
 	Service string
 	Replica string
@@ -55,9 +55,9 @@
 	Piece CompletedPiece
 }
 
-// NotifyOwner asks the caller to report a job's progress to the job's owner at once: results
-// reported to the owner have been read, and are released once the owner has acknowledged
-// that.
+// NotifyOwner asks the caller to report a job's progress to the job's owner at once:
+// results reported to the owner have been read, and are released once the owner has
+// acknowledged the progress.
 type NotifyOwner struct{ Job string }
 
 // Ready delivers the results of a job: those of the stages that no other stage reads,
@@ -81,11 +81,11 @@
 // Timing is the time that one stage of a job spent waiting and executing.
 type Timing struct {
 	Stage int
-	// Wait is the time from the last input to the start of the last call, Work the duration
-	// of that call.
+	// Wait is the time from the last input to the start of the last call, and Execution the
+	// time from then until the last piece was completed.
 	Wait, Execution time.Duration
-	// CrossDomain says that some results were computed outside the stage's preferred failure
-	// domain.
+	// CrossDomain says that some results were computed outside the stage's preferred
+	// failure domain.
 	CrossDomain bool
 }
 
@@ -114,8 +114,8 @@
 	// Predicted is the predicted time from now until the results; 0 if no prediction was
 	// made.
 	Predicted time.Duration
-	// ResultsHeld says that results reported to the job's owner are kept until the owner has
-	// acknowledged the refusal, which the caller reports with Cancelled.
+	// ResultsHeld says that results reported to the job's owner are kept until the owner
+	// has acknowledged the refusal, which the caller reports with Cancelled.
 	ResultsHeld bool
 }
 
@@ -125,8 +125,8 @@
 	// Cause is the outcome of the replica's call, or "overdue" or "lapsed" if the call has
 	// not ended.
 	Cause string
-	// Failures is the number of consecutive failures, For the time for which the replica is
-	// avoided.
+	// Failures is the number of consecutive failures, and Duration the time for which no
+	// calls are made to the replica.
 	Failures int
 	Duration time.Duration
 }
--- a/core/stage/machine.go
+++ b/core/stage/machine.go
@@ -144,7 +144,7 @@
 		r = &replica{service: s, latencyRatio: 1}
 		m.replicas[listed.ID] = r
 	}
-	r.gate = m.cfg.Gates.Get(listed.ID)
+	r.limiter = m.cfg.Limiters.Get(listed.ID)
 	r.Replica, r.listed, r.service = listed, true, s
 }
 
@@ -338,5 +338,5 @@
 	}
 }
 
-// isPlanned says whether a piece belongs to a job that is still planned.
+// isPlanned reports whether a piece belongs to a job that is still planned.
 func (m *Machine) isPlanned(p *piece) bool { return m.jobs[p.job.ID] == p.job }
--- a/core/stage/timeout.go
+++ b/core/stage/timeout.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// A call that times out is not ended: its replica may have paused, and will go on with the
-// call that it is executing whether or not anyone waits for it. A timed-out call no longer
-// takes a slot at the replica. Its pieces are queued again, possibly for the same replica,
-// and the first result is used. Once no job needs the call it is abandoned, but only if the
-// replica can still drop it: the results of a call that is being executed would take up
-// memory with no planner left to release them.
+// A call that times out is not ended: its replica may have been suspended, and continues
+// the call that it is executing whether or not anyone waits for it. A timed-out call no
+// longer takes a slot at the replica. Its pieces are queued again, possibly for the same
+// replica, and the first result is used. Once no job needs the call it is abandoned, but
+// only if the replica can still drop it: the results of a call that is being executed would
+// take up memory with no planner left to release them.
 
 // timedOutCheckInterval is the interval at which it is checked whether a timed-out call is
 // still needed.
@@ -71,7 +71,7 @@
 	}
 }
 
-// mayBeExecuting says whether the replica may be executing a timed-out call. A replica
+// mayBeExecuting reports whether the replica may be executing a timed-out call. A replica
 // starts calls in order, up to Concurrency at once, so this is the case if fewer calls than
 // that come before this one. A call after which that many later ones were answered has most
 // likely ended, and its answer was lost. Calls of other planners are not known: a call that
@@ -87,7 +87,7 @@
 	return !r.replaced && !c.overtaken() && before < r.service.params.Concurrency
 }
 
-// overtaken says whether so many later calls have been answered that the replica is no
+// overtaken reports whether so many later calls have been answered that the replica is no
 // longer executing this one.
 func (c *call) overtaken() bool { return c.laterAnswers >= c.replica.service.params.Concurrency }
 
@@ -101,7 +101,7 @@
 	}
 }
 
-// needed says whether a job still needs any piece of a call.
+// needed reports whether a job still needs any piece of a call.
 func (m *Machine) needed(c *call) bool {
 	return slices.ContainsFunc(c.pieces, func(p *piece) bool { return m.isPlanned(p) && p.state != completed })
 }
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -22,7 +22,7 @@
 	// Get reads one item; the error is platform.ErrNotFound if there is none.
 	Get(ctx context.Context, key string) (item platform.Item, revision uint64, err error)
 	// Changes waits for items under a prefix that were written or removed after a
-	// revision; the error is platform.ErrHistoryGone when the store no longer has the
+	// revision; the error is platform.ErrCompacted when the store no longer has the
 	// history since then.
 	Changes(ctx context.Context, prefix string, after uint64, wait time.Duration) (items []platform.Item, revision uint64, err error)
 }
@@ -46,11 +46,11 @@
 	// Mux is where the Discovery registers the methods that peers may call.
 	Mux    *peer.Mux
 	Logger *zap.Logger
-	// PropagationBound returns the time within which a change that the store acknowledged must be
-	// active here.
+	// PropagationBound returns the time within which a change that the store acknowledged
+	// must be active here.
 	PropagationBound func() time.Duration
-	// OnViewChange is called with every view whose content differs from the previous one, by
-	// one goroutine at a time.
+	// OnViewChange is called with every view whose content differs from the previous one,
+	// by one goroutine at a time.
 	OnViewChange func(*View)
 }
 
@@ -68,7 +68,7 @@
 	// replicaReadFailed and configReadFailed report that the last read of the replicas, or
 	// of the configuration, failed.
 	replicaReadFailed, configReadFailed bool
-	avoided                             fleet.HostBackoff
+	hostBackoff                         fleet.HostBackoff
 	// source is the host that is asked for changes, or this host while it reads the store.
 	source string
 	// lastPeerRequest is when a peer last asked for changes, as returned by clock.Nanos.
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -13,14 +13,14 @@
 // Guards against a request that crashes one replica after another. Callers sent requests
 // under which engines crashed about 50 ms after they had started, and retried them under
 // new IDs at any host; 14 to 16 engines crashed under each. The attempts were limited by
-// request ID only, and what one daemon had seen was unknown to the others. In the log, the
-// lines "replica ended under requests" show the same content under different IDs and from
-// different hosts.
+// request ID only, and what one daemon had seen was unknown to the others. The log
+// lines about the crashes showed the same content under different IDs and from different
+// hosts.
 var _ = Describe("a request that crashes its replicas", func() {
 	const (
-		// spreadTime is how long after the third crash a daemon may still not know the
-		// request.
-		spreadTime = 3 * time.Second
+		// propagationTime is how long after the third crash a daemon may still be unaware
+		// of the request.
+		propagationTime = 3 * time.Second
 		// crashesToQuarantine are the crashes after which a request is quarantined, and
 		// maxSendsAfter the sends that the users allow after that.
 		crashesToQuarantine = 3
@@ -73,7 +73,7 @@
 			}
 			thirdCrashAt := time.Now()
 			By("retrying when every daemon must know")
-			time.Sleep(time.Until(thirdCrashAt.Add(spreadTime)))
+			time.Sleep(time.Until(thirdCrashAt.Add(propagationTime)))
 			before := len(f.ledger.RunsWithBody(culprit))
 			for i := range 4 * maxSendsAfter {
 				a, _ := gateways[i%len(gateways)].send(http.MethodPost, path, culprit, change)
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -141,11 +141,11 @@
 			f := newFixtureOf(t)
 			hosts := f.startThreeHosts()
 			f.replicas[load.replica].AnnounceRateLimit(strconv.Itoa(perSecond))
-			named := time.Now()
+			announcedAt := time.Now()
 			p := sendLoad(hosts, 150*time.Millisecond, settleTime+2*window, load.path, load.change)
 			f.expectAllServed(p)
 			arrived := f.replicas[load.replica].ArrivalTimes()
-			f.Expect(maxInWindow(arrived, named.Add(settleTime), window)).To(And(BeNumerically("<=", allowed), BeNumerically(">", 0)))
+			f.Expect(maxInWindow(arrived, announcedAt.Add(settleTime), window)).To(And(BeNumerically("<=", allowed), BeNumerically(">", 0)))
 		})
 	}
 }
@@ -247,8 +247,8 @@
 // announced in an answer that it is leaving, while the store still lists it as ready.
 func TestLeavingReplicaGetsNoMoreCalls(t *testing.T) {
 	t.Parallel()
-	// bound is how long a host may still send requests that arrived before it learned of
-	// it.
+	// bound is how long a host may still send requests that arrived before it was notified
+	// that the replica is leaving.
 	const bound = 2 * time.Second
 	for _, load := range []struct {
 		name, replica, path string
@@ -325,9 +325,9 @@
 	f.replicas["p1"].SetBehaviour(site.Behaviour{Shed: true, RetryAfter: "1000000"})
 	f.Eventually(func() int {
 		g.send(http.MethodPost, safePath, "", nil)
-		return loggedCount(logs, "replica asked for back-off")
+		return loggedCount(logs, "replica asked for a backoff")
 	}, "4s").Should(Equal(1))
-	f.Expect(logs.FilterMessage("replica asked for back-off").All()[0].ContextMap()).To(And(
+	f.Expect(logs.FilterMessage("replica asked for a backoff").All()[0].ContextMap()).To(And(
 		HaveKeyWithValue("replica", "p1"), HaveKeyWithValue("service", "plain"), HaveKeyWithValue("for", 2*time.Second)))
 	f.Expect(g.metricLines(gauge)).To(ConsistOf(gauge + "1"))
 	f.replicas["p1"].SetBehaviour(site.Behaviour{Shed: true, RetryAfter: "soon"})
@@ -337,12 +337,12 @@
 	}, "4s").Should(ConsistOf(gauge + "0"))
 	f.Eventually(func() int {
 		g.send(http.MethodPost, safePath, "", nil)
-		return loggedCount(logs, "replica sent an invalid back-off time")
+		return loggedCount(logs, "replica sent an invalid backoff time")
 	}, "4s").Should(Equal(1))
 }
 
 // Guards against requests, streams and calls for pieces that reach a replica which has
-// refused a call of this host and asked for back-off.
+// refused a call of this host and asked for a backoff.
 func TestReplicaGetsNoCallsDuringBackoff(t *testing.T) {
 	t.Parallel()
 	const (
@@ -369,7 +369,7 @@
 			p := sendLoad([]*gatewayProcess{g}, 100*time.Millisecond, 3*backoff, load.path, load.change)
 			f.expectAllServed(p)
 			arrived := refusing.ArrivalTimes()
-			f.Expect(len(arrived)).To(BeNumerically(">", 1), "it is called again after its back-off")
+			f.Expect(len(arrived)).To(BeNumerically(">", 1), "it is called again after its backoff")
 			for _, asked := range arrived {
 				during := slices.DeleteFunc(slices.Clone(arrived), func(at time.Time) bool {
 					return at.Before(asked.Add(inFlightTime)) || !at.Before(asked.Add(backoff))
@@ -403,7 +403,7 @@
 	}, "4s").Should(Equal(http.StatusOK))
 }
 
-// Guards against a back-off that is lost when the list of replicas names the instance that
+// Guards against a backoff that is lost when the list of replicas names the instance that
 // asked for it, which had started at its address while the store was unavailable.
 func TestBackoffHoldsForReplicaListedLater(t *testing.T) {
 	t.Parallel()
--- a/gateway/prompts.go
+++ b/gateway/prompts.go
@@ -16,10 +16,11 @@
 
 const (
 	methodPrompt = "gateway.prompt"
-	// announceReadTimePerHost times the number of hosts is the reading time from which
-	// peers are told of a prompt: the time that they save grows with the reading time, and
-	// the cost of telling them with their number. With an engine that reads 38 tokens per
-	// millisecond, these are prompts of 920 tokens with six hosts, and of 9,300 with sixty.
+	// announceReadTimePerHost times the number of hosts is the reading time from which a
+	// prompt is announced to peers: the time that they save grows with the reading time,
+	// and the cost of the announcement with their number. With an engine that reads 38
+	// tokens per millisecond, these are prompts of 920 tokens with six hosts, and of 9,300
+	// with sixty.
 	announceReadTimePerHost = 4 * time.Millisecond
 	// announceTimeout limits the call to one peer; a later announcement is of no use.
 	announceTimeout = 200 * time.Millisecond
@@ -28,20 +29,20 @@
 // promptIndex records which engines hold the prefixes of which prompts. It is safe for
 // concurrent use.
 type promptIndex struct {
-	mu      sync.Mutex
-	holders prefix.Index
+	mu    sync.Mutex
+	index prefix.Index
 }
 
-// prefixHashes returns the hash of the first part of the prompt, of the first two and so
-// on, without the last part, which no other prompt shares.
+// prefixHashes returns the hash of the first segment of the prompt, of the first two and so
+// on, without the last segment, which no other prompt shares.
 func (x *exchange) prefixHashes() []uint64 {
-	parts := x.req.Prompt
-	if len(parts) < 2 {
+	segments := x.req.Prompt
+	if len(segments) < 2 {
 		return nil
 	}
 	d := xxhash.New()
-	hashes := make([]uint64, 0, len(parts)-1)
-	for _, p := range parts[:len(parts)-1] {
+	hashes := make([]uint64, 0, len(segments)-1)
+	for _, p := range segments[:len(segments)-1] {
 		_, _ = d.WriteString(p.ID) // never fails
 		hashes = append(hashes, d.Sum64())
 	}
@@ -54,7 +55,7 @@
 	now := clock.Now()
 	g.prompts.mu.Lock()
 	defer g.prompts.mu.Unlock()
-	from, ok := g.prompts.holders.CopySource(now, hashes, c.Upstream, func(e prefix.Engine) bool {
+	from, ok := g.prompts.index.CopySource(now, hashes, c.Upstream, func(e prefix.Engine) bool {
 		return g.router.CanServeCopies(now, c.Pool, e.Name, e.Address)
 	})
 	if !ok {
@@ -70,8 +71,8 @@
 	engine := prefix.Engine{Name: c.Upstream, Address: c.Address}
 	now := clock.Now()
 	g.prompts.mu.Lock()
-	known := g.prompts.holders.HasPrefix(now, hashes, c.Upstream)
-	g.prompts.holders.RecordPrompt(now, hashes, engine)
+	known := g.prompts.index.HasPrefix(now, hashes, c.Upstream)
+	g.prompts.index.RecordPrompt(now, hashes, engine)
 	g.prompts.mu.Unlock()
 	read, _ := g.streamTimes.readTime(x.service, x.unsharedTokens())
 	savedTime := read
@@ -93,8 +94,8 @@
 	}
 }
 
-// announcePrompt announces a prompt to one peer. A peer that misses it may choose an engine
-// less well.
+// announcePrompt announces a prompt to one peer. A peer that misses the announcement
+// may choose a less suitable engine.
 func (g *Gateway) announcePrompt(host string, p *wire.PromptSent) {
 	ctx, cancel := clock.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
@@ -110,7 +111,7 @@
 	peer.Handle(mux, methodPrompt, func(_ context.Context, _ peer.Sender, p *wire.PromptSent) (*wire.PromptNoted, error) {
 		now := clock.Now()
 		g.prompts.mu.Lock()
-		g.prompts.holders.RecordPrompt(now, p.GetLeading(), prefix.Engine{Name: p.GetReplica(), Address: p.GetAddress()})
+		g.prompts.index.RecordPrompt(now, p.GetLeading(), prefix.Engine{Name: p.GetReplica(), Address: p.GetAddress()})
 		g.prompts.mu.Unlock()
 		read := time.Duration(p.GetReadMs()) * time.Millisecond
 		g.router.ObservePeerPrompt(now, p.GetService(), p.GetReplica(), p.GetAddress(), read)
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -56,7 +56,7 @@
 	Address string `yaml:"address"`
 }
 
-// Bounds limit the time until what the store acknowledged must be in force here.
+// Bounds limit the time until changes that the store acknowledged must be in force here.
 type Bounds struct {
 	// Drain is for draining replicas, Configuration for configurations. Both default to 2s.
 	Drain         time.Duration `yaml:"drain"`
@@ -88,7 +88,7 @@
 	Slack   float64 `yaml:"slack"`
 }
 
-// Backoff limits the back-off that replicas may request from this host as they refuse a
+// Backoff limits the backoffs that replicas may request from this host as they refuse a
 // call.
 type Backoff struct {
 	// Max is the longest time for which one answer keeps this host from calling the
--- a/gateway/stallwatch_test.go
+++ b/gateway/stallwatch_test.go
@@ -17,7 +17,7 @@
 	"github.com/wheatseam/wheatseam/internal/standin/site"
 )
 
-// Guards against streams being broken off about 840 ms after their last event although no
+// Guards against streams being cancelled about 840 ms after their last event although no
 // engine was slow or failing; this happened 59 times on one day with 295 hosts. An engine
 // that reads a long prompt keeps its other streams silent for seconds. The daemon took a
 // silence of 0.6 of the route's objective for a failure of the engine, closed the
@@ -167,7 +167,7 @@
 	return ""
 }
 
-// replaceable says whether a stream could resume elsewhere.
+// replaceable reports whether a stream could resume elsewhere.
 func (c pauseCase) replaceable() bool {
 	return c.settings == nil && c.setup == nil && c.atFirstEvent == nil
 }
@@ -186,8 +186,8 @@
 func (f *fixture) expectNoReservations() {
 	f.test.Helper()
 	f.Eventually(func() int {
-		holds := f.ledger.Reservations()
-		return holds.Granted - holds.Used - holds.Released
+		reservations := f.ledger.Reservations()
+		return reservations.Granted - reservations.Used - reservations.Released
 	}, "1s").Should(BeZero(), "reservations that were neither used nor cancelled")
 }
 
@@ -226,7 +226,7 @@
 }
 
 // announceBothLeaving makes the engines announce in their answers from now on that they are
-// leaving: the daemon learns it from the answer to its reservation.
+// leaving: the daemon gets this notice with the answer to its reservation.
 func announceBothLeaving(f *fixture, _ pauseCase) {
 	f.replicas["e1"].AnnounceLeaving()
 	f.replicas["e2"].AnnounceLeaving()
@@ -388,7 +388,7 @@
 }
 
 // silence makes the first engine silent for good after a number of events. Events are
-// spaced out so that a muted run is still in progress when it is detected.
+// spaced out so that a silenced run is still in progress when the silence is detected.
 func (f *fixture) silence(silence site.Stall, afterEvents int) {
 	const eventInterval = 20 * time.Millisecond
 	f.replicas["e1"].SetBehaviour(site.Behaviour{PauseAfterEvents: afterEvents, Stall: silence, EventInterval: eventInterval})
@@ -398,8 +398,8 @@
 // that one and how long it took.
 func (f *fixture) sendUntilFirstEngine(g *gatewayProcess, change func(*http.Request)) (a answer, id string, took time.Duration) {
 	f.test.Helper()
-	const maxTries = 40 // the engine is chosen at random
-	for range maxTries {
+	const maxRequests = 40 // the engine is chosen at random
+	for range maxRequests {
 		began := time.Now()
 		a, id = g.sendLong(change, func() {})
 		if runs := f.ledger.Runs(id); len(runs) > 0 && runs[0].Replica == "e1" {
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -40,7 +40,7 @@
 		Expect(a.body).To(Equal(streamEvents(id, 3, 5)))
 	})
 
-	It("do not look complete when they broke off and may not resume elsewhere", func() {
+	It("do not look complete when they are interrupted and may not resume elsewhere", func() {
 		f := newFixture()
 		f.behave("llm", site.Behaviour{AbortAfterEvents: 2})
 		a, id := f.start().ready().send(http.MethodPost, streamPath, "prompt", nil)
@@ -53,7 +53,8 @@
 		f := newFixture()
 		f.replicas["e1"].SetBehaviour(site.Behaviour{AbortAfterEvents: 2})
 		g := f.start().ready()
-		// Engines are chosen at random: of 64 test runs with six requests, one never reaches e1.
+		// Engines are chosen at random: of 64 test runs with six requests, one never
+		// reaches e1.
 		const minRequests, maxRequests = 6, 40
 		resumed := 0
 		for n := 0; n < minRequests || resumed == 0 && n < maxRequests; n++ {
@@ -101,7 +102,7 @@
 		Expect(f.ledger.Runs(id)).To(BeEmpty())
 	})
 
-	It("survive a stage replica that breaks off during its work", func() {
+	It("survive a stage replica that closes the connection during its work", func() {
 		f := newFixture()
 		f.replicas["s1"].SetBehaviour(site.Behaviour{AbortBeforeResponse: true})
 		g := f.start().ready()
