--- a/cluster/cluster.go
+++ b/cluster/cluster.go
@@ -61,7 +61,7 @@
 }
 
 // New returns a cluster that has not started, and registers its methods in cfg.Mux. The
-// error names an invalid extension of cfg.Member.
+// error names an invalid slot of cfg.Member.
 func New(cfg Config) (*Cluster, error) {
 	if cfg.Seed == 0 {
 		cfg.Seed = rand.Uint64()
@@ -106,8 +106,8 @@
 // by one goroutine at a time and must not block.
 func (c *Cluster) OnMember(f func(member.Member)) { c.onMember = append(c.onMember, f) }
 
-// OnSlot registers f to be called with the values of an extension. Slots does not store
-// the values of that extension. f is called by one goroutine at a time and must not
+// OnSlot registers f to be called with the values of a slot. Slots does not store
+// the values of that slot. f is called by one goroutine at a time and must not
 // block.
 func (c *Cluster) OnSlot(id member.SlotID, f func(member.SlotReceived)) {
 	if c.onSlot == nil {
@@ -178,12 +178,12 @@
 	c.members.Post(member.UpstreamReported{Name: name, Leaving: leaving, AsOfUnixMS: asOf.UnixMilli()})
 }
 
-// SetSlot replaces this host's value of an extension.
+// SetSlot replaces this host's value of a slot.
 func (c *Cluster) SetSlot(id member.SlotID, value []byte, urgent bool) {
 	c.members.Post(member.SetSlot{ID: id, Value: value, Urgent: urgent})
 }
 
-// Slots returns the latest value of an extension received from each other host.
+// Slots returns the latest value of a slot received from each other host.
 func (c *Cluster) Slots(id member.SlotID) []SlotValue { return c.slots.values(id) }
 
 // Dump is the state of a cluster, for operators.
--- a/cluster/cluster_test.go
+++ b/cluster/cluster_test.go
@@ -231,7 +231,7 @@
 		f.eventuallyAll(10*time.Second, func(d *daemon) bool { return len(d.LeavingUpstreams()) == 1 })
 	})
 
-	It("delivers the values of extensions to the other daemons", func() {
+	It("delivers the values of slots to the other daemons", func() {
 		f.daemons[0].SetSlot(slotDirect, []byte("near"), false)
 		f.daemons[0].SetSlot(slotFleet, []byte("far"), true)
 		f.eventuallyAll(10*time.Second, func(d *daemon) bool {
--- a/cluster/members.go
+++ b/cluster/members.go
@@ -24,7 +24,7 @@
 	return membership.Hooks{SlotReceived: c.handleSlot, MemberChanged: c.handleMemberChange, FreshnessChanged: c.handleFreshness, ViewChanged: c.handleViewChange}
 }
 
-// handleSlot passes the bundle mark to the rollout and any other extension's value to
+// handleSlot passes the bundle mark to the rollout and any other slot's value to
 // its callback, or stores it if there is none.
 func (c *Cluster) handleSlot(a member.SlotReceived) {
 	if f := c.onSlot[a.ID]; f != nil {
--- a/cluster/slots.go
+++ b/cluster/slots.go
@@ -9,7 +9,7 @@
 	"github.com/wheatseam/wheatseam/core/member"
 )
 
-// SlotValue is the latest value of an extension received from another host.
+// SlotValue is the latest value of a slot received from another host.
 type SlotValue struct {
 	Host        string
 	Incarnation uint64
@@ -17,15 +17,15 @@
 	// ReceivedAt is when the value arrived.
 	ReceivedAt time.Time
 	// SentAt is the sender's wall clock time when it sent the value directly. It is
-	// zero for a value of a fleet-wide extension, which peers relay and which may have
+	// zero for a value of a fleet-wide slot, which peers relay and which may have
 	// been in transit for seconds.
 	SentAt time.Time
 }
 
-// maxSlotHosts bounds the number of hosts stored for one extension.
+// maxSlotHosts bounds the number of hosts stored for one slot.
 const maxSlotHosts = 4096
 
-// slotTable holds the latest extension values of the other hosts.
+// slotTable holds the latest slot values of the other hosts.
 type slotTable struct {
 	mu   sync.RWMutex
 	byID map[member.SlotID]map[string]SlotValue
@@ -54,7 +54,7 @@
 	hosts[s.Host] = v
 }
 
-// values returns the values of an extension, sorted by host.
+// values returns the values of a slot, sorted by host.
 func (t *slotTable) values(id member.SlotID) []SlotValue {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/daemon/cluster.go
+++ b/daemon/cluster.go
@@ -17,7 +17,7 @@
 	s := d.settings
 	host := member.Host{Name: s.Host, FailureDomain: s.FailureDomain}
 	members := member.DefaultConfig(host, d.incarnation)
-	members.Slots = append(members.Slots, loadExtension(), quarantine.Extension())
+	members.Slots = append(members.Slots, loadHeartbeatSlot(), quarantine.HeartbeatSlot())
 	c, err := cluster.New(cluster.Config{
 		Member:  members,
 		Rollout: rollout.DefaultConfig(cluster.NewCodec(s.BundleKeys)),
--- a/daemon/loadexchange.go
+++ b/daemon/loadexchange.go
@@ -16,8 +16,8 @@
 // updated and the received digests are merged: twice per probe interval.
 const loadExchangeInterval = 500 * time.Millisecond
 
-// loadExtension reserves space for load digests on the heartbeats.
-func loadExtension() member.SlotConfig {
+// loadHeartbeatSlot reserves space for load digests on the heartbeats.
+func loadHeartbeatSlot() member.SlotConfig {
 	return member.SlotConfig{ID: member.SlotLoad, MaxBytes: maxLoadDigestBytes}
 }
 
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -54,10 +54,10 @@
 	Logger *zap.Logger
 	// OnMemberChange is called when a host's membership state changes; it must not block.
 	OnMemberChange func(member.Member)
-	// HeartbeatExtensions are values that heartbeats carry. OnSlotUpdate is called with the
+	// HeartbeatSlots are values that heartbeats carry. OnSlotUpdate is called with the
 	// values that other hosts send; it must not block.
-	HeartbeatExtensions []member.SlotConfig
-	OnSlotUpdate        func(member.SlotReceived)
+	HeartbeatSlots []member.SlotConfig
+	OnSlotUpdate   func(member.SlotReceived)
 }
 
 // Fleet is this daemon's participation in its fleet. All methods are safe for concurrent
@@ -89,7 +89,7 @@
 	f.SetSeeds(cfg.Seeds)
 	peer.Handle(cfg.Mux, methodRoster, f.handleRosterRequest)
 	members := member.DefaultConfig(cfg.Self.Host, incarnation)
-	members.Slots = cfg.HeartbeatExtensions
+	members.Slots = cfg.HeartbeatSlots
 	loop, err := membership.New(members, rand.Uint64(), cfg.Mux, f.calls, membership.Hooks{MemberChanged: f.memberChanged, SlotReceived: cfg.OnSlotUpdate}, cfg.Logger)
 	if err != nil {
 		return nil, err
@@ -142,7 +142,7 @@
 // excluding this host.
 func (f *Fleet) Neighbours() []string { return f.loop.View().Neighbours }
 
-// SetSlot replaces the value that this host publishes for a membership extension.
+// SetSlot replaces the value that this host publishes for a membership slot.
 func (f *Fleet) SetSlot(id member.SlotID, value []byte) {
 	f.loop.Post(member.SetSlot{ID: id, Value: value})
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -91,7 +91,7 @@
 	members, err := fleet.New(fleet.Config{
 		Self:  fleet.Host{Host: member.Host{Name: s.Host, FailureDomain: s.FailureDomain}, Capacity: int(s.Limits.ProcessorShare * 1000)},
 		Seeds: s.Seeds, Listen: s.Listen.Peers, Mux: mux, Logger: log,
-		HeartbeatExtensions: []member.SlotConfig{quarantine.Extension()}, OnSlotUpdate: func(h member.SlotReceived) { g.quarantine.DigestReceived(h) },
+		HeartbeatSlots: []member.SlotConfig{quarantine.HeartbeatSlot()}, OnSlotUpdate: func(h member.SlotReceived) { g.quarantine.DigestReceived(h) },
 	})
 	if err != nil {
 		return nil, err
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -35,7 +35,7 @@
 // Hooks are callbacks of the loop. They are called in the loop's goroutine and must not
 // block. Each may be nil.
 type Hooks struct {
-	// SlotReceived is called with each extension value that arrives.
+	// SlotReceived is called with each slot value that arrives.
 	SlotReceived func(member.SlotReceived)
 	// MemberChanged is called with each change of a member's state.
 	MemberChanged func(member.Member)
@@ -79,7 +79,7 @@
 const publishInterval = time.Second
 
 // New returns a loop that has not started, and registers its methods in mux. The error
-// names an invalid extension of cfg.
+// names an invalid slot of cfg.
 func New(cfg member.Config, seed uint64, mux *peer.Mux, calls *CallPool, hooks Hooks, log *zap.Logger) (*Loop, error) {
 	m, err := member.New(cfg, clock.Now(), rand.New(rand.NewPCG(seed, 1)))
 	if err != nil {
--- a/quarantine/service.go
+++ b/quarantine/service.go
@@ -73,8 +73,8 @@
 // watch is a registration made with Service.Watch.
 type watch struct{ notify func() }
 
-// Extension returns the heartbeat slot that carries the digest of the verdicts.
-func Extension() member.SlotConfig {
+// HeartbeatSlot returns the heartbeat slot that carries the digest of the verdicts.
+func HeartbeatSlot() member.SlotConfig {
 	return member.SlotConfig{ID: member.SlotQuarantine, MaxBytes: digestBytes}
 }
 
