--- a/core/breaker/breaker.go
+++ b/core/breaker/breaker.go
@@ -2,8 +2,8 @@
 // which fails as a whole are refused on arrival, instead of after their first stages have
 // run in vain.
 //
-// A pool opens after a run of consecutive failures, from whichever upstreams. While it is
-// open, one request per ProbeInterval is let through, and the first success closes the
+// A pool opens after FailureThreshold consecutive failures, from whichever upstreams, over
+// at least MinFailureDuration. While it is open, one request per ProbeInterval is let through, and the first success closes the
 // pool. A single failing upstream is handled by the router: its pool still has successes
 // and stays closed.
 //
--- a/core/poison/detector.go
+++ b/core/poison/detector.go
@@ -7,7 +7,7 @@
 )
 
 // crashThreshold is the number of replicas that crash while running a request after which
-// it is quarantined. The requirement allows three.
+// it is quarantined. The users' requirements allow three.
 const crashThreshold = 3
 
 // unrelatedCrashThreshold is the number of crashes without a request, within
--- a/core/poison/detector_test.go
+++ b/core/poison/detector_test.go
@@ -197,7 +197,7 @@
 		return v
 	}
 
-	It("converge in any merge order", func() {
+	It("converge for every rotation of the merge order", func() {
 		all := []poison.Verdict{
 			verdict(nil), verdict(func(v *poison.Verdict) { v.Lifted = true }), verdict(func(v *poison.Verdict) { v.Trials = 1 }),
 			verdict(func(v *poison.Verdict) { v.Trials, v.UnusedTrials = 1, 1 }), verdict(func(v *poison.Verdict) { v.Doubtful = true }), verdict(func(v *poison.Verdict) { v.Round = 2 }),
@@ -215,7 +215,7 @@
 		Expect(digests).To(HaveEach(digests[0]))
 	})
 
-	It("are lifted by a machine that has recorded a later successful run", func() {
+	It("are lifted by a detector that has recorded a later successful run", func() {
 		var m poison.Detector
 		m.RecordSuccess(at(0.5), x)
 		Expect(m.Merge(at(2), []poison.Verdict{verdict(nil)})).To(ConsistOf(HaveField("Lifted", true)))
--- a/core/retry/budget_test.go
+++ b/core/retry/budget_test.go
@@ -72,7 +72,7 @@
 })
 
 // For any order of calls at any number of daemons, the extra attempts stay within the ratio
-// of the first attempts plus the floors.
+// of the first attempts plus the floors and their bursts.
 func TestExtraAttemptsStayWithinTheBudgetForAnyOrderOfCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ratio := rapid.Float64Range(0.01, 1).Draw(t, "ratio")
--- a/core/retry/shared_budget_test.go
+++ b/core/retry/shared_budget_test.go
@@ -21,7 +21,7 @@
 		Expect(b.Stats().Taken).To(Equal(uint64(1)))
 	})
 
-	It("keeps the fleet within ratio and slack in every window for any distribution of the requests", func() {
+	It("keeps the fleet within ratio and slack in every window for random distributions of the requests", func() {
 		for seed := range uint64(20) {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			hosts := 1 + rng.IntN(12)
--- a/core/stall/monitor_test.go
+++ b/core/stall/monitor_test.go
@@ -30,7 +30,7 @@
 	var m *stall.Monitor
 	BeforeEach(func() { m = stall.New(start, config) })
 
-	It("asks its replica before it suspects it", func() {
+	It("queries its replica before the suspect timeout, with one query at a time", func() {
 		Expect(m.Tick(at(599))).To(Equal(stall.None))
 		Expect(m.Next(at(599))).To(Equal(at(600)))
 		Expect(m.Tick(at(600))).To(Equal(stall.Query))
@@ -76,7 +76,7 @@
 		m.RecordStatus(at(600), stall.NoAnswer)
 		Expect(m.Tick(at(800))).To(Equal(stall.Reserve))
 		m.ReservationFailed(at(810))
-		Expect(m.Tick(at(900))).To(Equal(stall.Query), "the replica is asked again meanwhile")
+		Expect(m.Tick(at(900))).To(Equal(stall.Query), "the replica is queried again meanwhile")
 		Expect(m.Tick(at(1009))).To(Equal(stall.None))
 		Expect(m.Next(at(1009))).To(Equal(at(1010)))
 		Expect(m.Tick(at(1010))).To(Equal(stall.Reserve))
@@ -138,7 +138,7 @@
 	})
 }
 
-// modelOwner is the owner of a machine, with the state that the checks need.
+// modelOwner is the owner of a Monitor, with the state that the checks need.
 type modelOwner struct {
 	m                   *stall.Monitor
 	now                 int
--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 )
 
-// newColdSite is a site whose replicas of the service "plain" take two requests per second
+// newColdSite returns a site whose replicas of the service "plain" take two requests per second
 // while they are cold, with one gateway.
 func newColdSite(t *testing.T, change func(*fixture)) (*fixture, *gatewayProcess) {
 	f := newFixtureOf(t)
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -51,7 +51,7 @@
 		return n
 	}
 
-	DescribeTable("is soon kept from all replicas after it has crashed three, whichever daemons saw the crashes",
+	DescribeTable("is sent to replicas only a few more times after it has crashed three, whichever daemons saw the crashes",
 		func(path, service string, kind site.Kind, change func(*http.Request)) {
 			f := newFixture()
 			for _, id := range []string{"x1", "x2", "x3"} {
--- a/gateway/disconnect_test.go
+++ b/gateway/disconnect_test.go
@@ -50,7 +50,7 @@
 		Consistently(func() []site.Run { return f.ledger.Runs("early") }, "700ms").Should(BeEmpty())
 	})
 
-	It("while a replica works has its request cancelled, and receives nothing that looks like an answer", func() {
+	It("while a replica works receives nothing that looks like an answer", func() {
 		f := newFixture()
 		g := f.start().ready()
 		f.behave("plain", site.Behaviour{Hang: true})
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// newTwoDomainSite is a site with one replica of each service in each of two failure
+// newTwoDomainSite returns a site with one replica of each service in each of two failure
 // domains.
 func newTwoDomainSite(t *testing.T) (*fixture, *gatewayProcess) {
 	f := newFixtureOf(t)
@@ -62,10 +62,10 @@
 	f.store.Evacuate("x")
 	g.awaitEvacuatedDomains(1)
 	f.Expect(runsByReplica(f, g, safePath, nil)).To(And(HaveLen(1), HaveKey("p2")))
-	made := f.replicas["s1"].PiecesExecuted()
+	executed := f.replicas["s1"].PiecesExecuted()
 	f.Expect(runsByReplica(f, g, sealPath, nil)).To(And(HaveLen(1), HaveKey("p2")))
 	f.Expect(runsByReplica(f, g, resumePath, withStagePieces)).To(And(HaveLen(1), HaveKey("e2")))
-	f.Expect(f.replicas["s1"].PiecesExecuted()).To(Equal(made), "pieces produced in the evacuated domain")
+	f.Expect(f.replicas["s1"].PiecesExecuted()).To(Equal(executed), "pieces produced in the evacuated domain")
 	f.Expect(f.replicas["s2"].PiecesExecuted()).To(BeNumerically(">", 0))
 
 	f.store.CancelEvacuation("x")
--- a/gateway/forward_fuzz_test.go
+++ b/gateway/forward_fuzz_test.go
@@ -124,7 +124,7 @@
 // head is the start of a request that the gateway serves.
 const head = "POST /seal/a HTTP/1.1\r\nHost: api.example\r\nX-Api-Key: key-1\r\nDeadline-Ms: 900\r\n"
 
-// forgeries are requests with a header in all the forms in which a check by its name might
+// forgeries are requests with a header in several forms in which a check by its name might
 // miss it.
 func forgeries(name string) []string {
 	const end = "Content-Length: 0\r\n\r\n"
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestForgedHeaders sends every header that a caller may not set, in every form: the caller
-// must be served as if it had not sent it.
+// TestForgedHeaders sends each of forgedHeaders in each form of forgeries: the caller must
+// be served as if it had not sent the header.
 func TestForgedHeaders(t *testing.T) {
 	callers, replica := startWithRecordingReplica(t)
 	conn, err := net.Dial("tcp", callers)
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -26,7 +26,7 @@
 	invalidBackoff map[string]bool
 	// replicas are the replicas of the newest view.
 	replicas map[string]catalog.Replica
-	// limitsActive is set if a limit was in force at the last update.
+	// limitsActive is set if a limit was active at the last update.
 	limitsActive bool
 	// lastResent is when resendNotices last sent notices to the neighbours.
 	lastResent time.Time
@@ -138,7 +138,7 @@
 	g.limiters.SetQuotas(intake.Leaving, quotas)
 }
 
-// refreshLimitShares recomputes this host's shares of the limits in force, since hosts join
+// refreshLimitShares recomputes this host's shares of the active limits, since hosts join
 // and leave.
 func (g *Gateway) refreshLimitShares() {
 	g.notices.mu.Lock()
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -93,9 +93,9 @@
 	return p
 }
 
-// maxSendDelayAllowed is the send delay from which the machine is too busy to serve in time
-// even what the replicas have capacity for: requests then miss their deadlines, or are
-// refused since their stages would.
+// maxSendDelayAllowed is the send delay from which the machine counts as too busy to serve
+// in time even the requests that the replicas have capacity for. These then miss their
+// deadlines, or are refused because their stages would not be ready in time.
 const maxSendDelayAllowed = 50 * time.Millisecond
 
 // expectAllServed checks that all requests were served, unless the machine was too busy.
--- a/gateway/noticestate.go
+++ b/gateway/noticestate.go
@@ -12,7 +12,7 @@
 	AnnouncedS float64 `json:"named_s"`
 }
 
-// limitStates lists the limits in force, for operators.
+// limitStates lists the active limits, for operators.
 func (n *notices) limitStates(now time.Time) []LimitState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -6,7 +6,7 @@
 	"go.uber.org/zap"
 )
 
-// Settings returns the settings in force; they must not be modified.
+// Settings returns the active settings; they must not be modified.
 func (g *Gateway) Settings() *Settings { return g.settings.Load() }
 
 // Reload applies changed settings. Settings that a running process cannot change keep their
--- a/gateway/retry.go
+++ b/gateway/retry.go
@@ -66,8 +66,8 @@
 		return ""
 	}
 	if x.cancelledRun {
-		// This host cancelled a run for this attempt, so that the request is retried even
-		// without budget, and the budget is charged later.
+		// This host cancelled a run for this attempt, so the request is retried although
+		// the budget is used up. The balance of the budget becomes negative.
 		x.g.retryBudget(x.service).ForceWithdraw(clock.Now())
 		return ""
 	}
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -56,7 +56,7 @@
 	Address string `yaml:"address"`
 }
 
-// Bounds limit the time until changes that the store acknowledged must be in force here.
+// Bounds limit the time until changes that the store acknowledged must take effect here.
 type Bounds struct {
 	// Drain is for draining replicas, Configuration for configurations. Both default to 2s.
 	Drain         time.Duration `yaml:"drain"`
--- a/gateway/stallwatch.go
+++ b/gateway/stallwatch.go
@@ -19,17 +19,19 @@
 )
 
 const (
-	// A run at a replica that is suspected to have failed is replaced when its stream has
-	// had no event for suspectedFactor times its objective, at least minSuspectedSilence:
-	// the rest of the objective remains for the first event of another replica.
+	// A run at a replica that is suspected to have failed is due for replacement when its
+	// stream has had no event for suspectedFactor times its objective, at least
+	// minSuspectedSilence: the rest of the objective remains for the first event of another
+	// replica. It continues until a replacement has been reserved.
 	suspectedFactor     = 0.6
 	minSuspectedSilence = 800 * time.Millisecond
-	// A run at any replica is replaced after maxSilenceFactor times the objective without
-	// an event, at least minMaxSilence. Callers disconnect after four times the objective.
+	// A run at any replica is due for replacement after maxSilenceFactor times the objective
+	// without an event, at least minMaxSilence. Callers disconnect after four times the
+	// objective.
 	maxSilenceFactor = 2.0
 	minMaxSilence    = 2 * time.Second
 	// runQueryTimeout limits querying a replica for its runs. The query is sent that long
-	// before the run would be replaced.
+	// before the run is due for replacement.
 	runQueryTimeout = 200 * time.Millisecond
 	// replacementRetryInterval is the time after which reserving a replacement is
 	// retried: another request of this daemon may have added to the retry budget meanwhile.
@@ -209,35 +211,35 @@
 func (w *stallWatch) queryRunStatus(now time.Time) {
 	runs, err := w.attempt.x.g.queryRuns(w.attempt.choice)
 	w.mu.Lock()
-	made, status := classifyRun(runs, err, w.attempt.x.req.ID, w.progress)
+	produced, status := classifyRun(runs, err, w.attempt.x.req.ID, w.progress)
 	w.monitor.RecordStatus(now, status)
 	silence := w.monitor.Silence(clock.Now())
 	w.mu.Unlock()
 	w.attempt.x.g.countRunStatus(w.attempt.x.service, status)
 	w.attempt.x.g.log.Info("replica queried for the status of a run", logging.Request(w.attempt.x.req.ID), zap.String("replica", w.attempt.choice.Upstream),
-		zap.Stringer("account", status), zap.Int("made", made), zap.Int("waiting", runs.Queued), zap.Int("runs", len(runs.EventsByRequest)),
+		zap.Stringer("account", status), zap.Int("made", produced), zap.Int("waiting", runs.Queued), zap.Int("runs", len(runs.EventsByRequest)),
 		zap.Duration("silence", silence), zap.Duration("took", clock.Since(now)), zap.Error(err))
 	w.tick()
 }
 
 // classifyRun says what a replica's answer means for a run that has come this far here.
-func classifyRun(runs platform.EngineReport, err error, id string, at progress) (made int, status stall.RunStatus) {
-	made, listed := runs.EventsByRequest[id]
+func classifyRun(runs platform.EngineReport, err error, id string, at progress) (produced int, status stall.RunStatus) {
+	produced, listed := runs.EventsByRequest[id]
 	switch {
 	case errors.Is(err, replica.ErrUnsupportedCall) || errors.Is(err, platform.ErrMalformed):
-		return made, stall.Unknown
+		return produced, stall.Unknown
 	case err != nil:
-		return made, stall.NoAnswer
-	case listed && made > at.events:
-		return made, stall.OutputLost
+		return produced, stall.NoAnswer
+	case listed && produced > at.events:
+		return produced, stall.OutputLost
 	case listed:
-		return made, stall.Running
+		return produced, stall.Running
 	case !runs.HasRuns || runs.Queued > 0 || !at.started:
 		// A run that has not started, or was postponed in favour of others, may be waiting
 		// for its turn.
-		return made, stall.Unknown
+		return produced, stall.Unknown
 	}
-	return made, stall.NotListed
+	return produced, stall.NotListed
 }
 
 // queryRuns asks an engine for its list of runs; concurrent callers share one query.
--- a/gateway/stallwatch_test.go
+++ b/gateway/stallwatch_test.go
@@ -27,10 +27,11 @@
 // that the daemon's own context had ended while the replicas were working.
 
 const (
-	// enginePause is longer than the silence from which an engine alone is suspected to
-	// have failed.
+	// enginePause is longer than the silence after which a run at a suspected engine is
+	// replaced. Silence alone must not make an engine suspected.
 	enginePause = 1200 * time.Millisecond
-	// longPause is longer than any engine is waited for that could be replaced.
+	// longPause is longer than the silence after which a run at any engine is replaced if
+	// a replacement can be reserved.
 	longPause = 2500 * time.Millisecond
 	// staleReportAge is the age of stale run reports.
 	staleReportAge = 400 * time.Millisecond
@@ -261,8 +262,8 @@
 	}
 }
 
-// The same must hold for pauses longer than any engine is waited for that could be
-// replaced, whether engines report their runs or not.
+// The same must hold for pauses longer than the silence after which a run at any engine is
+// replaced if possible, whether engines report their runs or not.
 func TestLongPausedStreamsComplete(t *testing.T) {
 	t.Parallel()
 	for i := range 2 * len(pauseCases) {
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -87,8 +87,8 @@
 			Expect(a.body).To(Equal(streamEvents(id, 1, 5)))
 		}
 		Expect(f.ledger.Violations()).To(BeEmpty())
-		made, _, _ := f.ledger.Results()
-		Expect(made).To(Equal(25))
+		produced, _, _ := f.ledger.Results()
+		Expect(produced).To(Equal(25))
 		Eventually(func() int { _, _, held := f.ledger.Results(); return held }, "1s").Should(BeZero())
 	})
 
--- a/gateway/unanswered_test.go
+++ b/gateway/unanswered_test.go
@@ -108,6 +108,6 @@
 	})
 	f.Expect(a.err).To(HaveOccurred(), "the stream is waited for until its deadline")
 	f.Expect(f.ledger.Runs(id)).To(HaveLen(1))
-	made, _, _ := f.ledger.Results()
-	f.Expect(made).To(Equal(2), "only the pieces of the first run")
+	produced, _, _ := f.ledger.Results()
+	f.Expect(produced).To(Equal(2), "only the pieces of the first run")
 }
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -14,7 +14,7 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// applyVerdicts puts changed verdicts into force, whether received from a host or
+// applyVerdicts makes changed verdicts effective, whether received from a host or
 // decided locally: it notifies the watchers of each quarantined request and sends the
 // verdicts to all neighbours except the one they came from.
 func (s *Service) applyVerdicts(from string, verdicts []poison.Verdict) {
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -106,7 +106,8 @@
 }
 
 // pendingReports returns the reports that the host's current incarnation has not
-// acknowledged, except crashes that look like part of a mass outage (poison.Reportable).
+// acknowledged. If the recent crashes look like an outage of a machine or a network, it
+// leaves out the crashes and suspects that the outage explains (poison.Reportable).
 func (s *Service) pendingReports(h fleet.Host) []*report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/quarantine/service.go
+++ b/quarantine/service.go
@@ -151,8 +151,8 @@
 }
 
 // RequestTrial asks for a trial run of a quarantined request, which checks whether the
-// verdict was wrong. Only the first coordinator grants trials, so that one runs at a time;
-// if it does not answer, the trial is denied.
+// verdict was wrong. Only the first coordinator is asked; if it does not answer, the trial
+// is denied.
 func (s *Service) RequestTrial(ctx context.Context, v poison.Verdict) bool {
 	if v.RetryAfter(clock.Now()) > 0 {
 		return false
--- a/stages/handover_test.go
+++ b/stages/handover_test.go
@@ -23,7 +23,7 @@
 )
 
 var _ = Describe("a planner that is unreachable for a while", func() {
-	It("does not release results that another planner continues with", func() {
+	It("does not release results that another planner continues with, once it is reachable again", func() {
 		r := newReplicas()
 		nodes, _ := newNodes(r, 3)
 		silent := faultrelay.Direction{Blackhole: true}
--- a/stages/orphans.go
+++ b/stages/orphans.go
@@ -107,11 +107,11 @@
 	return now.Sub(e.outcomeSentAt) >= unreadTimeout
 }
 
-// dropAfterStall drops the unfinished jobs of other daemons if this process was suspended
-// (stopped, or the machine suspended) for so long that their owners have handed them over
-// to another planner. It detects this by the time since the last event, since a planner
-// with jobs receives events several times a second. Results that were reported to the
-// owners are not released. The caller holds the lock.
+// dropAfterStall drops the jobs of other daemons whose outcome has not been sent to their
+// owners, if this process was suspended (stopped, or the machine suspended) for so long that
+// the owners have handed them over to another planner. It detects this by the time since the
+// last event, since a planner with jobs receives events several times a second. Results that
+// were reported to the owners are not released. The caller holds the lock.
 func (p *planner) dropAfterStall(now time.Time) []stage.Action {
 	gap := now.Sub(p.lastStep)
 	p.lastStep = now
--- a/stages/stages_test.go
+++ b/stages/stages_test.go
@@ -140,7 +140,7 @@
 	return len(r.results)
 }
 
-func (r *replicas) piecesMadeBy(planner string) int {
+func (r *replicas) piecesRunBy(planner string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.piecesBy[planner]
@@ -300,7 +300,7 @@
 			})
 		}
 		wg.Wait()
-		Expect(r.piecesMadeBy(nodes[0].name)).To(Equal(150))
+		Expect(r.piecesRunBy(nodes[0].name)).To(Equal(150))
 		Eventually(r.resultCount, "2s").Should(BeZero())
 		Expect(r.violations).To(BeEmpty())
 	})
@@ -320,7 +320,7 @@
 		lose(nodes[0])
 		Eventually(done, "4s").Should(Receive())
 		Expect(time.Since(began)).To(BeNumerically("<", 2500*time.Millisecond))
-		Expect(r.piecesMadeBy(nodes[1].name)).To(BeNumerically(">", 0), "the next host in rank order plans")
+		Expect(r.piecesRunBy(nodes[1].name)).To(BeNumerically(">", 0), "the next host in rank order plans")
 		Expect(r.violations).To(BeEmpty())
 	},
 		Entry("exits", func(n *node) { _ = n.transport.Close(); _ = n.relay.Close() }),
@@ -345,7 +345,7 @@
 		Eventually(done, "4s").Should(Receive())
 		Expect(nodes[0].relay.BlackholeOpenConnections()).To(BeNumerically(">", 0), "again, with no job in progress")
 		prepare(nodes[2], "after")
-		Expect(r.piecesMadeBy(nodes[1].name)+r.piecesMadeBy(nodes[2].name)).To(BeZero(), "no other host has planned")
+		Expect(r.piecesRunBy(nodes[1].name)+r.piecesRunBy(nodes[2].name)).To(BeZero(), "no other host has planned")
 		Expect(r.violations).To(BeEmpty())
 	})
 
@@ -363,7 +363,7 @@
 		_ = nodes[0].transport.Close()
 		_ = nodes[0].relay.Close()
 		Eventually(done, "4s").Should(Receive())
-		Expect(r.piecesMadeBy(nodes[1].name)).To(Equal(3), "the three pieces of the second stage")
+		Expect(r.piecesRunBy(nodes[1].name)).To(Equal(3), "the three pieces of the second stage")
 		Expect(r.violations).To(BeEmpty())
 	})
 
@@ -387,8 +387,8 @@
 		nodes, m := newNodesOf(r, []uint64{100, 2, 3})
 		prepare(nodes[2], "one")
 		Expect(m.incarnation(nodes[0].name)).To(Equal(uint64(100)))
-		Expect(r.piecesMadeBy(nodes[0].name)).To(BeZero())
-		Expect(r.piecesMadeBy(nodes[1].name)).To(Equal(5))
+		Expect(r.piecesRunBy(nodes[0].name)).To(BeZero())
+		Expect(r.piecesRunBy(nodes[1].name)).To(Equal(5))
 	})
 
 	It("plans locally when no other host can be reached", func() {
@@ -398,10 +398,10 @@
 		began := clock.Now()
 		prepare(nodes[0], "alone")
 		Expect(time.Since(began)).To(BeNumerically("<", 2*time.Second))
-		Expect(r.piecesMadeBy(nodes[0].name)).To(Equal(5))
+		Expect(r.piecesRunBy(nodes[0].name)).To(Equal(5))
 	})
 
-	It("drops the jobs and releases the results of a daemon that stops responding", func() {
+	It("drops the jobs of a daemon that stops responding, and releases the results not reported to it", func() {
 		r := newReplicas()
 		r.work = 500 * time.Millisecond
 		nodes, _ := newNodes(r, 2)
@@ -428,11 +428,11 @@
 			prepared <- prepare(nodes[1], "early")
 		}()
 		Consistently(prepared, "200ms").ShouldNot(Receive())
-		Expect(r.piecesMadeBy(nodes[1].name)).To(BeZero())
+		Expect(r.piecesRunBy(nodes[1].name)).To(BeZero())
 		m.names.Store(&all)
 		close(m.forming)
 		Eventually(prepared, "2s").Should(Receive())
-		Expect(r.piecesMadeBy(nodes[0].name)).To(Equal(5))
+		Expect(r.piecesRunBy(nodes[0].name)).To(Equal(5))
 		nodes[1].service.Release("early")
 		Eventually(r.resultCount, "2s").Should(BeZero())
 	})
@@ -447,7 +447,7 @@
 		Expect(errors.Is(ctx.Err(), context.DeadlineExceeded)).To(BeTrue())
 		Eventually(r.resultCount, "1s").Should(BeZero())
 		time.Sleep(200 * time.Millisecond)
-		Expect(r.piecesMadeBy(nodes[0].name)).To(BeNumerically("<=", 2), "the second stage is not run")
+		Expect(r.piecesRunBy(nodes[0].name)).To(BeNumerically("<=", 2), "the second stage is not run")
 	})
 
 	It("returns refusals of the planner", func() {
