--- a/core/poison/random_test.go
+++ b/core/poison/random_test.go
@@ -24,7 +24,7 @@
 	maxReportDelay      = 100 * time.Millisecond
 	maxPropagationDelay = 300 * time.Millisecond
 	// detectionTime is how long a daemon may be unaware of a culprit after its third crash,
-	// and allowedLateRuns the number of runs that the requirement allows after that.
+	// and allowedLateRuns the number of runs that the users' requirements allow after that.
 	detectionTime   = 3 * time.Second
 	allowedLateRuns = 3
 )
@@ -304,7 +304,7 @@
 		Expect(notStopped).To(BeZero())
 		// Callers of harmless requests are served within their deadlines.
 		Expect(longestRefusal).To(BeNumerically("<", 15*time.Second))
-		// The requirement for legitimate requests that are refused: at most one in 500.
+		// The users' requirement for legitimate requests that are refused: at most one in 500.
 		Expect(refused).To(BeNumerically("<=", harmless/500))
 	},
 	Entry("one culprit", 1, time.Duration(0), time.Duration(0)),
--- a/core/poison/verdict.go
+++ b/core/poison/verdict.go
@@ -40,9 +40,9 @@
 	SecondTrial = 5 * time.Minute
 	// DoubtfulTrial replaces FirstTrial for doubtful verdicts.
 	DoubtfulTrial = 2 * time.Second
-	// MaxTrials is the maximum number of trials of a verdict that led to a run: the
-	// requirement allows three further runs. MaxUnusedTrials is the maximum number of
-	// trials that led to no run and are granted again.
+	// MaxTrials is the maximum number of trials of a verdict that led to a run: the users'
+	// requirements allow three further runs. MaxUnusedTrials is the maximum number of trials
+	// that led to no run and are granted again.
 	MaxTrials       = 2
 	MaxUnusedTrials = 16
 	// MaxVerdicts is the maximum number of retained verdicts, of which the newest are kept.
--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -94,8 +94,8 @@
 }
 
 // updateColdLimits gives the router this host's share of the requests that each cold
-// replica can take, from a new view or, with nil, from the last one: data of an older view
-// never replaces that of a newer one.
+// replica can take, from a new view or, with nil, from the last one. A periodic update reads
+// the last view under the lock, so that it does not overwrite the limits of a newer view.
 func (g *Gateway) updateColdLimits(v *discovery.View) {
 	g.coldTracker.mu.Lock()
 	defer g.coldTracker.mu.Unlock()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -155,7 +155,7 @@
 	group.Go(func() error { return g.fleet.Run(runCtx) })
 	g.serveMetrics(runCtx, &group)
 	if !clock.DetectsSuspension() {
-		g.log.Warn("the time that this host spent suspended cannot be read; suspends are not accounted for")
+		g.log.Warn("the time that this host spent suspended cannot be read; suspensions are not accounted for")
 	}
 	g.log.Info("started", zap.String("callers", s.Listen.Callers), zap.String("store", s.Store.Address),
 		zap.String("failure_domain", s.FailureDomain), zap.Strings("seeds", s.Seeds))
--- a/gateway/inputs.go
+++ b/gateway/inputs.go
@@ -11,11 +11,11 @@
 	"github.com/wheatseam/wheatseam/problem"
 )
 
-// The time from sending a request to an engine until its inputs are released. An engine
-// fetches them on arrival, long before the first event, so that prompts waiting for their
-// turn hold no memory at the replicas that produced the inputs. An engine that finds an
-// input gone refuses without running the request; the stages are then run again and the
-// retention time grows.
+// Bounds and rates of the retention time of inputs, which is the time from sending a request
+// to an engine until its inputs are released. An engine fetches them when the request
+// arrives, long before the first event, so that queued prompts hold no memory at the replicas
+// that produced the inputs. An engine that finds an input gone refuses without running the
+// request; the stages are then run again and the retention time grows.
 const (
 	minInputRetention = 80 * time.Millisecond
 	maxInputRetention = 2 * time.Second
--- a/gateway/prompts.go
+++ b/gateway/prompts.go
@@ -16,10 +16,10 @@
 
 const (
 	methodPrompt = "gateway.prompt"
-	// announceReadTimePerHost times the number of hosts is the reading time from which a
-	// prompt is announced to peers: the time that they save grows with the reading time,
-	// and the cost of the announcement with their number. With an engine that reads 38
-	// tokens per millisecond, these are prompts of 920 tokens with six hosts, and of 9,300
+	// A prompt is announced to peers if reading it takes at least announceReadTimePerHost
+	// times the number of hosts: the time that an announcement saves grows with the reading
+	// time, and its cost with the number of hosts. With an engine that reads 38 tokens per
+	// millisecond, these are prompts from 920 tokens on with six hosts, and from 9,300 on
 	// with sixty.
 	announceReadTimePerHost = 4 * time.Millisecond
 	// announceTimeout limits the call to one peer; a later announcement is of no use.
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -31,8 +31,8 @@
 	// minTimeLeft is the time sent to a replica when the request's deadline passes as it is
 	// sent: without a limit the replica would keep working.
 	minTimeLeft = time.Millisecond
-	// refusedRetryAfter is sent to callers whose request was refused by every replica that
-	// it was sent to.
+	// refusedRetryAfter is sent to callers whose last attempt did not run, because the
+	// replica refused it or could not be reached.
 	refusedRetryAfter = 500 * time.Millisecond
 )
 
--- a/gateway/replacement.go
+++ b/gateway/replacement.go
@@ -95,8 +95,8 @@
 	return x.confirmReplacement(r)
 }
 
-// confirmReplacement releases a replacement whose replica has announced meanwhile that it
-// takes no calls.
+// confirmReplacement returns a replacement, or releases it if its replica has announced
+// since it was picked that it takes no calls.
 func (x *exchange) confirmReplacement(r *replacement) (*replacement, denial) {
 	if !x.g.limiters.Get(r.choice.Upstream).RefusedByReplica(clock.Now()) {
 		return r, ""
@@ -108,7 +108,8 @@
 	return nil, deniedReplica
 }
 
-// renewReservation reserves capacity anew where the first reservation may expire.
+// renewReservation replaces a reservation that may expire soon by a new one at the same
+// replica.
 func (x *exchange) renewReservation(ctx context.Context, r *replacement) bool {
 	if r.reservation == "" {
 		return true
--- a/gateway/stallwatch.go
+++ b/gateway/stallwatch.go
@@ -36,8 +36,8 @@
 	// replacementRetryInterval is the time after which reserving a replacement is
 	// retried: another request of this daemon may have added to the retry budget meanwhile.
 	replacementRetryInterval = 200 * time.Millisecond
-	// suspendTolerance is the delay of a tick from which this host is taken to have been
-	// suspended.
+	// suspendTolerance is the delay of a tick above which this host is taken to have been
+	// suspended or without processor time.
 	suspendTolerance = 200 * time.Millisecond
 )
 
@@ -59,8 +59,8 @@
 	attempt *attempt
 	mu      sync.Mutex
 	monitor *stall.Monitor
-	// timer calls tick, at nextTick at the latest; nil for streams that cannot resume at
-	// another replica. suspended is for how long this host had been suspended at the last
+	// timer calls tick when it fires, which is due at nextTick; nil for streams that cannot
+	// resume at another replica. suspended is for how long this host had been suspended at the last
 	// tick.
 	timer     *clock.Timer
 	nextTick  time.Time
--- a/gateway/stallwatch_test.go
+++ b/gateway/stallwatch_test.go
@@ -438,8 +438,8 @@
 	}
 }
 
-// A stream whose engine may have failed must be waited for while no replacement is
-// available: the answer ends at the deadline.
+// The daemon must keep waiting for a stream whose engine may have failed while no
+// replacement is available: the answer ends at the deadline.
 func TestStreamsWithoutReplacementWaitForTheirDeadline(t *testing.T) {
 	t.Parallel()
 	const deadline = callerPatience
--- a/gateway/suspend_test.go
+++ b/gateway/suspend_test.go
@@ -29,7 +29,7 @@
 		var a answer
 		Eventually(ended, "2s").Should(Receive(&a))
 		Expect(a.status).To(Equal(http.StatusGatewayTimeout))
-		Expect(time.Since(began)).To(BeNumerically("<", 2900*time.Millisecond), "the route's timeout, on a clock that stops during a suspend")
+		Expect(time.Since(began)).To(BeNumerically("<", 2900*time.Millisecond), "the route's timeout, on a clock that stops during a suspension")
 
 		f.behave("plain", site.Behaviour{})
 		Eventually(func() int {
@@ -38,7 +38,7 @@
 		}, "5s").Should(Equal(http.StatusOK))
 	})
 
-	It("counts the suspend in the age of its view, and refreshes the view", func() {
+	It("counts a suspension in the age of its view, and refreshes the view", func() {
 		f := newFixture()
 		g := f.start().ready()
 		f.store.SetFailure(http.StatusServiceUnavailable)
--- a/gateway/unanswered_test.go
+++ b/gateway/unanswered_test.go
@@ -106,7 +106,7 @@
 	a, id := f.start().ready().sendLong(withLongDeadlineAndStage, func() {
 		f.add("e3", "llm", site.Engine).SetBehaviour(site.Behaviour{NoReservations: true})
 	})
-	f.Expect(a.err).To(HaveOccurred(), "the stream is waited for until its deadline")
+	f.Expect(a.err).To(HaveOccurred(), "the daemon waits for the stream until its deadline")
 	f.Expect(f.ledger.Runs(id)).To(HaveLen(1))
 	produced, _, _ := f.ledger.Results()
 	f.Expect(produced).To(Equal(2), "only the pieces of the first run")
--- a/stages/service.go
+++ b/stages/service.go
@@ -82,8 +82,8 @@
 	s.planner.configure(services, replicas)
 }
 
-// maxPlanners limits the number of planners to which one job is submitted; the last one is
-// the daemon's own.
+// maxPlanners limits the number of planners to which one job is submitted, not counting
+// those that answer that they have restarted; the last one is the daemon's own.
 const maxPlanners = 3
 
 // Prepare has the stages of a job run and returns the outcome. After a Ready outcome the
