--- a/core/stall/monitor_test.go
+++ b/core/stall/monitor_test.go
@@ -71,7 +71,7 @@
 		Entry("that reports no status", stall.Unknown),
 	)
 
-	It("continues while the reservation fails", func() {
+	It("continues when the reservation fails, and retries it after the interval", func() {
 		m.Tick(at(600))
 		m.RecordStatus(at(600), stall.NoAnswer)
 		Expect(m.Tick(at(800))).To(Equal(stall.Reserve))
@@ -108,8 +108,8 @@
 })
 
 // For any order of events, a run is abandoned only for one whose reservation completes at
-// that moment and is still wanted; every reservation is used or released; and a permanently
-// silent replica is abandoned as soon as the timeouts and the reservation allow.
+// that moment and is still wanted; every reservation is used or released; and the run at a
+// permanently silent replica is abandoned within the bound of checkPermanentSilence.
 func TestInvariantsHoldForAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := modelOwner{m: stall.New(start, config), lastEvent: start}
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -158,8 +158,8 @@
 }
 
 // checkQuarantine refuses a quarantined request. The refusal implies that the request has
-// not run under this ID, unless fail states otherwise. A retry before the given Retry-After
-// would only be refused again.
+// not run under this ID; if it has, fail answers with another error. A retry before the
+// given Retry-After would only be refused again.
 func (x *exchange) checkQuarantine() *problem.Error {
 	v, quarantined := x.g.quarantine.Quarantined(x.fingerprint)
 	if !quarantined || x.trialRun {
--- a/replica/engine.go
+++ b/replica/engine.go
@@ -28,8 +28,9 @@
 // EngineReport fetches an engine's report of its runs. It opens a new connection, since an
 // existing one may itself be what has failed. It returns ErrUnsupportedCall when the
 // engine answers with another status than 200 or resets the connection, and
-// platform.ErrMalformed when the report can't be parsed. Any other error means that
-// the engine did not respond.
+// platform.ErrMalformed when the report can't be parsed. It returns ErrMisdirected when
+// another replica has the address, and an error of package httpbody when the report exceeds
+// maxReportBytes. Any other error means that the engine did not respond.
 func (c *Client) EngineReport(ctx context.Context, replica, address string) (platform.EngineReport, error) {
 	status, body, err := c.doSingleUse(ctx, newEngineCall(http.MethodGet, platform.ReportPath, replica, address, nil), maxReportBytes)
 	switch {
--- a/stages/planner_test.go
+++ b/stages/planner_test.go
@@ -140,7 +140,7 @@
 			clock.SimulateSuspension(2 * time.Second)
 			p.tick()
 		}
-		Eventually(replicas.calls.Load).Should(BeEquivalentTo(2), "the pieces are called again")
+		Eventually(replicas.calls.Load).Should(BeEquivalentTo(2), "the pieces are requested again")
 		Consistently(replicas.cancelled.Load, 20*time.Millisecond).Should(BeZero())
 		p.dropJobs("", []string{"own"}, false)
 		clock.SimulateSuspension(time.Second)
