--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -106,8 +106,9 @@
 }
 
 // pendingReports returns the reports that the host's current incarnation has not
-// acknowledged. If the recent crashes look like an outage of a machine or a network, it
-// leaves out the crashes and suspects that the outage explains (poison.Reportable).
+// acknowledged. If the crashes within poison.OutageWindow look like an outage of a machine
+// or a network, it leaves out those of them, and the suspects, that the outage explains
+// (poison.Reportable).
 func (s *Service) pendingReports(h fleet.Host) []*report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
