--- a/proofs/caller_gone_test.go
+++ b/proofs/caller_gone_test.go
@@ -31,7 +31,7 @@
 		Expect(f.StartedCount()).To(Equal(1), "no later stage")
 	})
 
-	It("leaves a non-repeatable call that was already sent to complete and to be recorded", func() {
+	It("does not stop a non-repeatable call that was already sent, whose result a retry receives", func() {
 		f := startFleet(proctest.Options{})
 		f.SetPoolFaults("signing", standin.Faults{ResponseDelayMS: 400})
 		key := proctest.NewKey()
--- a/proofs/config_test.go
+++ b/proofs/config_test.go
@@ -13,7 +13,7 @@
 	"github.com/wheatseam/wheatseam/internal/standin/platform"
 )
 
-var _ = Describe("An accepted configuration", func() {
+var _ = Describe("A published configuration", func() {
 	It("is active on all hosts within seconds", func() {
 		f := startFleet(proctest.Options{})
 		Expect(f.Publish(f.BundleWithVersion(2))).To(Succeed())
@@ -88,7 +88,7 @@
 		Expect(o.BundleVersion).To(BeEquivalentTo(1))
 	})
 
-	It("is the highest version when operators publish concurrently", func() {
+	It("is replaced only by a higher version, in whatever order versions are published", func() {
 		f := startFleet(proctest.Options{})
 		highest := uint64(0)
 		for _, v := range []uint64{5, 3, 7, 6, 4} {
--- a/soak/check.go
+++ b/soak/check.go
@@ -93,9 +93,9 @@
 	}
 }
 
-// onlyStoppedGracefully reports whether the daemon was asked to stop and no other fault
-// disturbed it around a request. A daemon that was not stopped is excluded, since it may
-// abort an answer that a replica aborted.
+// onlyStoppedGracefully reports whether the daemon was asked to stop, and no other fault
+// has disturbed it since undisturbedMargin before the request. A daemon that was not
+// stopped is excluded, since it may abort an answer that a replica aborted.
 func (r *runner) onlyStoppedGracefully(att attempt) bool {
 	att.daemon.mu.Lock()
 	sigtermSent, incarnation := att.daemon.sigtermSent, att.daemon.incarnation
@@ -127,7 +127,7 @@
 }
 
 // checkDrain checks that a draining replica got no new work after drainBound, from
-// daemons that were undisturbed in the meantime.
+// daemons that have been undisturbed since before the replica began to drain.
 func (r *runner) checkDrain(att attempt, runs []site.Run) {
 	for _, run := range runs {
 		since, draining := r.drainingSince[run.Replica]
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -12,6 +12,9 @@
 //   - Replicas abort answers, refuse, hang, drain and are replaced.
 //   - API keys are revoked.
 //   - Requests crash the replicas that run them.
+//   - Replicas announce rate limits, announce that they are leaving, or ask the daemons
+//     to back off. Engines pause inside their streams.
+//   - An operator evacuates failure domains.
 //   - Hosts are suspended; a signal simulates this to the daemon.
 //
 // The guarantees:
@@ -20,7 +23,12 @@
 //   - If an answer says that the request has not run, it has not run and does not
 //     run later.
 //   - The results of stages go to the request that they belong to.
-//   - A draining replica gets no new work after the drain bound.
+//   - A replica that drains, or whose failure domain is evacuated, gets no new work
+//     after the drain bound. Nor does a replica that announces in its answers that it is
+//     leaving, from a daemon that has passed on such an answer.
+//   - Daemons keep to the rate limits and the backoffs that replicas ask for, within the
+//     tolerances of limits.go and backoff.go.
+//   - A stream is not ended because a healthy engine pauses.
 //   - A daemon does not revert to an older configuration.
 //   - Retries stay within the retry budget.
 //   - A graceful shutdown aborts no request.
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -86,10 +86,10 @@
 	})
 }
 
-// suspendHost simulates that the host of a daemon is suspended. It suspends the process
-// and, when it resumes it, signals with SIGUSR1 that the host was suspended for longer
-// than the monotonic clock shows. It skips a daemon that is not ready, since SIGUSR1 would
-// end a process that has not yet installed its handler.
+// suspendHost simulates that the host of a daemon is suspended. It suspends the process and
+// resumes it after duration with a SIGUSR1 pending, at which the process takes the host to
+// have been suspended for longer than the monotonic clock shows. It skips a daemon that is
+// not ready, since SIGUSR1 would end a process that has not yet installed its handler.
 func (r *runner) suspendHost(d *daemon, duration time.Duration) {
 	incarnation := d.currentIncarnation()
 	if !d.ready() {
@@ -198,10 +198,10 @@
 // it is draining already.
 func (r *runner) replaceReplica(rep *site.Replica) {
 	r.mu.Lock()
-	_, leaving := r.drainingSince[rep.ID]
+	_, draining := r.drainingSince[rep.ID]
 	id := fmt.Sprintf("%s-%d", rep.Service, len(r.replicas))
 	r.mu.Unlock()
-	if leaving {
+	if draining {
 		return
 	}
 	r.recordFault("%s drains, %s replaces it", rep.ID, id)
--- a/soak/poison.go
+++ b/soak/poison.go
@@ -55,7 +55,7 @@
 func (r *runner) registerRestarted(rep *site.Replica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, leaving := r.drainingSince[rep.ID]; !leaving {
+	if _, draining := r.drainingSince[rep.ID]; !draining {
 		r.store.Put("servers/"+rep.ID, site.StoreEntry(rep, "ready"))
 	}
 }
@@ -85,8 +85,8 @@
 	}
 }
 
-// checkPoisonRequests checks that undisturbed daemons stop sending poison requests to
-// replicas.
+// checkPoisonRequests checks that undisturbed daemons send a poison request to replicas at
+// most maxLateAttempts times from propagationTime after the crash that quarantines it.
 func (r *runner) checkPoisonRequests() {
 	attempts := map[string]attempt{}
 	for _, att := range r.attempts {
--- a/soak/run.go
+++ b/soak/run.go
@@ -21,8 +21,9 @@
 	// shutdownGraceTail is the last part of shutdownGrace, in which daemons may end
 	// requests that are still running.
 	shutdownGraceTail = shutdownGrace / 6
-	// budgetSlack and budgetRatio (0.2) limit the retries of all daemons together: in
-	// any 10 s, budgetRatio times the requests plus budgetSlack.
+	// budgetRatio and budgetSlack limit the retries of a service by all daemons together,
+	// over the whole run: budgetRatio times its requests, plus budgetSlack for every 10 s
+	// of the run (at least 10 s) and once more.
 	budgetSlack = 40
 	budgetRatio = 0.2
 	// drainBound is the time after which a draining replica gets no new work. It
@@ -140,7 +141,7 @@
 		return err
 	}
 	r.server = &http.Server{Handler: r.store, ReadHeaderTimeout: time.Minute}
-	go func() { _ = r.server.Serve(l) }() // ends with close
+	go func() { _ = r.server.Serve(l) }() // returns after close
 	for i, service := range []string{"plain", "plain", "plain", "llm", "llm", "llm", "encode", "encode", "encode"} {
 		kind := map[string]site.Kind{"plain": site.Plain, "llm": site.Engine, "encode": site.Stage}[service]
 		if err := r.addReplica(fmt.Sprintf("%s%d", service, i), service, kind); err != nil {
--- a/soak/streams.go
+++ b/soak/streams.go
@@ -21,7 +21,7 @@
 	startMargin = 100 * time.Millisecond
 )
 
-// pauseEngines lets some or all engines pause inside their streams at a time, until ctx
+// pauseEngines repeatedly makes some or all engines pause inside their streams, until ctx
 // ends.
 func (r *runner) pauseEngines(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
@@ -94,6 +94,6 @@
 		return false
 	}
 	since, draining := r.drainingSince[run.Replica]
-	leaving := draining && since.Before(att.endedAt)
-	return !leaving && rep.HealthyThroughout(run.StartedAt.Add(-startMargin), att.endedAt)
+	drainedBeforeEnd := draining && since.Before(att.endedAt)
+	return !drainedBeforeEnd && rep.HealthyThroughout(run.StartedAt.Add(-startMargin), att.endedAt)
 }
