--- a/cmd/wheatseamd/gateway.go
+++ b/cmd/wheatseamd/gateway.go
@@ -117,7 +117,7 @@
 const settingsPollInterval = 5 * time.Second
 
 // reloadSettings reloads the settings at SIGHUP and when the file changes, until ctx
-// ends. An invalid file is logged and the current settings stay in effect.
+// ends. If the file is invalid, it logs the error and keeps the current settings.
 func reloadSettings(ctx context.Context, path string, g *gateway.Gateway, log *logging.BoundedLog) {
 	reloadSignals := make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -69,7 +69,7 @@
 	LoadLag        time.Duration
 	EventLag       time.Duration
 	EventLossRatio float64
-	// TimeScale multiplies all durations except the lags.
+	// TimeScale multiplies all durations except the lags; default 1.
 	TimeScale float64
 	Seed      uint64
 	// Ledger may be shared among replicas. Default: a new one.
@@ -172,6 +172,7 @@
 // Faults returns the fault injector.
 func (e *Engine) Faults() *standin.Injector { return e.faults }
 
+// Ledger returns the ledger of the executions.
 func (e *Engine) Ledger() *ledger.Ledger { return e.ledger }
 
 func (e *Engine) onFaultsChanged(f standin.Faults) {
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -97,6 +97,7 @@
 	cancel    context.CancelFunc
 }
 
+// New returns a Service that serves until Close.
 func New(cfg Config) *Service {
 	cfg = withDefaults(cfg)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -150,4 +151,5 @@
 // Faults returns the fault injector.
 func (s *Service) Faults() *standin.Injector { return s.faults }
 
+// Ledger returns the ledger of the executions.
 func (s *Service) Ledger() *ledger.Ledger { return s.ledger }
--- a/internal/standin/site/ledger.go
+++ b/internal/standin/site/ledger.go
@@ -32,7 +32,7 @@
 // End is how a run ended.
 type End uint8
 
-// The ends of runs.
+// The ways in which a run can end, and InProgress for one that has not ended.
 const (
 	// InProgress runs are in progress.
 	InProgress End = iota
@@ -44,6 +44,7 @@
 	Aborted
 )
 
+// String returns the name of the end as used in reports.
 func (e End) String() string {
 	return [...]string{"in progress", "completed", "cancelled", "aborted"}[e]
 }
