--- a/internal/standin/site/replica.go
+++ b/internal/standin/site/replica.go
@@ -250,8 +250,8 @@
 func (r *Replica) HealthyThroughout(from, to time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !slices.ContainsFunc(r.unhealthyPeriods, func(s unhealthyPeriod) bool {
-		return s.start.Before(to) && (s.end.IsZero() || s.end.After(from))
+	return !slices.ContainsFunc(r.unhealthyPeriods, func(period unhealthyPeriod) bool {
+		return period.start.Before(to) && (period.end.IsZero() || period.end.After(from))
 	})
 }
 
--- a/replay/audit/rules.go
+++ b/replay/audit/rules.go
@@ -63,13 +63,13 @@
 // once, regardless of the state of the executions: a failed one may have had its side
 // effect.
 func (a *auditor) findDuplicateExecution(g *requestGroup) {
-	begun := map[string][]ledger.Entry{}
+	started := map[string][]ledger.Entry{}
 	for _, e := range g.entries {
 		if a.isNonRepeatable(g, e) {
-			begun[e.Stage] = append(begun[e.Stage], e)
+			started[e.Stage] = append(started[e.Stage], e)
 		}
 	}
-	for stage, entries := range begun {
+	for stage, entries := range started {
 		if len(entries) < 2 {
 			continue
 		}
--- a/replay/report/cost.go
+++ b/replay/report/cost.go
@@ -72,18 +72,18 @@
 // stageCosts sums up the entries by stage and sorts the result by stage name.
 func stageCosts(calls []*replay.Call, entries []ledger.Entry) []StageCost {
 	index := newRequestIndex(calls)
-	units := map[stageWork][]ledger.Entry{}
+	executionsByWork := map[stageWork][]ledger.Entry{}
 	for _, e := range entries {
-		u := stageWork{index.requestOf(e), e.Stage}
-		units[u] = append(units[u], e)
+		work := stageWork{index.requestOf(e), e.Stage}
+		executionsByWork[work] = append(executionsByWork[work], e)
 	}
 	stages := map[string]*StageCost{}
-	for u, executions := range units {
-		if stages[u.stage] == nil {
-			stages[u.stage] = &StageCost{Stage: u.stage}
+	for work, executions := range executionsByWork {
+		if stages[work.stage] == nil {
+			stages[work.stage] = &StageCost{Stage: work.stage}
 		}
-		for i, s := range classifyExecutions(executions, index.attained[u.request]) {
-			stages[u.stage].addEntry(executions[i], s)
+		for i, use := range classifyExecutions(executions, index.attained[work.request]) {
+			stages[work.stage].addEntry(executions[i], use)
 		}
 	}
 	out := []StageCost{}
@@ -95,9 +95,9 @@
 	return out
 }
 
-func (c *StageCost) addEntry(e ledger.Entry, s executionUse) {
+func (c *StageCost) addEntry(e ledger.Entry, use executionUse) {
 	c.All.add(e)
-	switch s {
+	switch use {
 	case useRetry:
 		c.Retries.add(e)
 	case useHedge:
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -51,14 +51,14 @@
 // checkLimits checks that daemon processes that ran uninterrupted keep to the limits in
 // the answers that they passed on.
 func (r *runner) checkLimits() {
-	for _, s := range r.limits {
-		informedAt, arrivals := r.informedArrivals(s)
+	for _, period := range r.limits {
+		informedAt, arrivals := r.informedArrivals(period)
 		if informedAt.IsZero() {
 			continue
 		}
-		bound := int(limitOverage*s.perSecond*limitWindow.Seconds()) + limitSlack
+		bound := int(limitOverage*period.perSecond*limitWindow.Seconds()) + limitSlack
 		if n := maxInWindow(arrivals, informedAt.Add(propagationTime), limitWindow); n > bound {
-			r.recordViolation("limit: %s got %d requests in %s while its limit was %g a second; allowed %d", s.replica, n, limitWindow, s.perSecond, bound)
+			r.recordViolation("limit: %s got %d requests in %s while its limit was %g a second; allowed %d", period.replica, n, limitWindow, period.perSecond, bound)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 // requests arrived from daemon processes that had passed on such an answer at least
 // limitPropagation before and ran uninterrupted. The first is zero if no request ran at
 // the replica in the period.
-func (r *runner) informedArrivals(s limitPeriod) (firstInformed time.Time, arrivals []time.Time) {
+func (r *runner) informedArrivals(period limitPeriod) (firstInformed time.Time, arrivals []time.Time) {
 	type arrival struct {
 		at   time.Time
 		from daemonIncarnation
@@ -82,7 +82,7 @@
 	informedAt := map[daemonIncarnation]time.Time{}
 	for _, att := range r.attempts {
 		for _, run := range r.ledger.Runs(att.call.ID) {
-			if run.Replica != s.replica || run.StartedAt.Before(s.from) || !s.until.IsZero() && run.StartedAt.After(s.until) {
+			if run.Replica != period.replica || run.StartedAt.Before(period.from) || !period.until.IsZero() && run.StartedAt.After(period.until) {
 				continue
 			}
 			p := daemonIncarnation{att.daemon, att.incarnation}
@@ -96,7 +96,7 @@
 		}
 	}
 	for _, a := range all {
-		if a.at.Sub(informedAt[a.from]) >= limitPropagation && a.from.daemon.ranUninterrupted(s.from.Add(-undisturbedMargin), a.at) {
+		if a.at.Sub(informedAt[a.from]) >= limitPropagation && a.from.daemon.ranUninterrupted(period.from.Add(-undisturbedMargin), a.at) {
 			arrivals = append(arrivals, a.at)
 		}
 	}
--- a/soak/poison.go
+++ b/soak/poison.go
@@ -64,9 +64,9 @@
 // until ctx ends.
 func (r *runner) sendPoisonRequests(ctx context.Context, rng *rand.Rand) {
 	for n := 0; ctx.Err() == nil; n++ {
-		c := poisonRequests[rng.IntN(len(poisonRequests))]
+		poison := poisonRequests[rng.IntN(len(poisonRequests))]
 		call := site.Call{
-			ID: fmt.Sprintf("%d-culprit-%d", r.cfg.Seed, n), Deadline: callDeadline, Key: r.randomKey(rng), Path: c.path, Content: c.content,
+			ID: fmt.Sprintf("%d-culprit-%d", r.cfg.Seed, n), Deadline: callDeadline, Key: r.randomKey(rng), Path: poison.path, Content: poison.content,
 		}
 		r.send(http.DefaultClient, rng, r.daemons[rng.IntN(len(r.daemons))], call)
 		time.Sleep(time.Duration(100+rng.IntN(300)) * time.Millisecond)
@@ -92,21 +92,21 @@
 	for _, att := range r.attempts {
 		attempts[att.call.ID] = att
 	}
-	for _, c := range poisonRequests {
-		crashes := r.crashTimes[c.content]
+	for _, poison := range poisonRequests {
+		crashes := r.crashTimes[poison.content]
 		if len(crashes) < crashesToQuarantine {
 			continue
 		}
 		third := crashes[crashesToQuarantine-1]
 		lateRuns := 0
-		for _, run := range r.ledger.RunsWithBody(c.content) {
+		for _, run := range r.ledger.RunsWithBody(poison.content) {
 			att, ok := attempts[run.RequestID]
 			if ok && run.StartedAt.After(third.Add(propagationTime)) && att.daemon.undisturbedSince(third) && att.incarnation == att.daemon.currentIncarnation() {
 				lateRuns++
 			}
 		}
 		if lateRuns > maxLateAttempts {
-			r.recordViolation("poison request: %s was sent to replicas %d times later than %s after it had crashed three; %d crashed", c.content, lateRuns, propagationTime, len(crashes))
+			r.recordViolation("poison request: %s was sent to replicas %d times later than %s after it had crashed three; %d crashed", poison.content, lateRuns, propagationTime, len(crashes))
 		}
 	}
 }
