--- a/internal/standin/service/http.go
+++ b/internal/standin/service/http.go
@@ -91,9 +91,9 @@
 	s.responder.Respond(w, r, ResponseBody{RequestID: req.RequestID, Attempt: req.Attempt, Result: result})
 }
 
-// runFor simulates an execution by waiting for the scaled service time. It returns
-// the service time spent, before scaling, and the final state of the execution. The
-// execution fails if the replica goes down or is closed.
+// runFor simulates an execution by waiting for nominal times Config.TimeScale. It
+// returns the service time spent, without that scale, and the final state of the
+// execution. The execution fails if the replica goes down or is closed.
 func (s *Service) runFor(clientCtx context.Context, nominal time.Duration) (time.Duration, ledger.State) {
 	timer := time.NewTimer(time.Duration(float64(nominal) * s.cfg.TimeScale))
 	defer timer.Stop()
@@ -114,8 +114,8 @@
 	return s.elapsedServiceTime(start, nominal), ledger.Failed
 }
 
-// elapsedServiceTime returns the service time spent since start, before scaling, at
-// most nominal.
+// elapsedServiceTime returns the service time spent since start, without
+// Config.TimeScale, at most nominal.
 func (s *Service) elapsedServiceTime(start time.Time, nominal time.Duration) time.Duration {
 	return min(time.Duration(float64(time.Since(start))/s.cfg.TimeScale), nominal)
 }
@@ -158,7 +158,7 @@
 	standin.WriteJSON(w, http.StatusOK, s.slots.loadReporter.Report(time.Now()))
 }
 
-// serviceTime draws the service time of a call, before scaling.
+// serviceTime draws the service time of a call, without slow factor and time scale.
 func (s *Service) serviceTime(req Request) time.Duration {
 	h := xxhash.Sum64String(req.RequestID + "/" + req.Stage + "/" + strconv.Itoa(req.Attempt))
 	random := rand.New(rand.NewPCG(s.cfg.Seed, h))
--- a/replay/client.go
+++ b/replay/client.go
@@ -208,7 +208,7 @@
 }
 
 // streamedTextDiffers reports whether the streamed text differs from the text of the
-// result. A result without text cannot be compared; the function then returns false.
+// result. It returns false if no text was streamed or the result has none to compare.
 func streamedTextDiffers(streamedText string, result json.RawMessage) bool {
 	var decoded struct {
 		Text *string `json:"text"`
--- a/soak/daemon.go
+++ b/soak/daemon.go
@@ -29,7 +29,8 @@
 // ipCounter numbers the IPs that uniqueLoopbackIP has returned.
 var ipCounter atomic.Uint32
 
-// uniqueLoopbackIP returns a loopback IP that no other process uses.
+// uniqueLoopbackIP returns a loopback IP that other soaks on this machine are unlikely to
+// use: it is made of 14 bits of the process id and a number that repeats after 250 calls.
 func uniqueLoopbackIP() string {
 	return fmt.Sprintf("127.%d.%d.%d", 130+os.Getpid()>>8&0x3f, os.Getpid()&0xff, 1+ipCounter.Add(1)%250)
 }
--- a/soak/evacuate.go
+++ b/soak/evacuate.go
@@ -38,7 +38,7 @@
 }
 
 // checkEvacuations checks that replicas in an evacuated failure domain got no new work after
-// drainBound, from daemons that were undisturbed in the meantime.
+// drainBound, from daemons that have been undisturbed since before the order.
 func (r *runner) checkEvacuations(att attempt, runs []site.Run) {
 	for _, run := range runs {
 		domain := r.domainOf(run.Replica)
