--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -21,7 +21,7 @@
 	// process.
 	FreezeMS int64 `json:"freeze_ms,omitempty"`
 	// DropResponse executes the request, then closes the connection without a
-	// response.
+	// response. A stream ends without its final event and [DONE].
 	DropResponse bool `json:"drop_answer,omitempty"`
 	// DuplicateResponse writes each complete response twice on its connection.
 	DuplicateResponse bool `json:"duplicate_answer,omitempty"`
--- a/replay/audit/audit.go
+++ b/replay/audit/audit.go
@@ -18,7 +18,7 @@
 
 const (
 	// Lost means that a caller received neither an answer nor a refusal, or an
-	// answer with a stage that was not executed.
+	// answer although one of its stages has no completed execution.
 	Lost Kind = "lost"
 	// DuplicateExecution means that a non-repeatable stage was started more than
 	// once for the same request.
--- a/replay/audit/rules.go
+++ b/replay/audit/rules.go
@@ -28,7 +28,7 @@
 }
 
 // findLost reports a request whose caller received neither an answer nor a refusal, and
-// an answer with a stage that was not executed.
+// an answer although one of its stages has no completed execution.
 func (a *auditor) findLost(g *requestGroup) {
 	answer := g.answered()
 	unanswered := g.unanswered()
