--- a/replay/audit/audit.go
+++ b/replay/audit/audit.go
@@ -111,15 +111,15 @@
 
 // groupCalls groups the sent calls by their first try.
 func (a *auditor) groupCalls(calls []*replay.Call) {
-	roots := map[string]*requestGroup{}
+	groupsByFirstTry := map[string]*requestGroup{}
 	for _, c := range calls {
 		if !c.Sent() {
 			continue
 		}
-		g := roots[c.FirstTryID]
+		g := groupsByFirstTry[c.FirstTryID]
 		if g == nil {
 			g = &requestGroup{firstTryID: c.FirstTryID, requestIDs: map[string]bool{}}
-			roots[c.FirstTryID] = g
+			groupsByFirstTry[c.FirstTryID] = g
 			a.groups = append(a.groups, g)
 		}
 		g.calls = append(g.calls, c)
--- a/replay/report/calls.go
+++ b/replay/report/calls.go
@@ -82,8 +82,8 @@
 
 func (g groupBuilders) build() map[string]Group {
 	out := make(map[string]Group, len(g))
-	for key, one := range g {
-		out[key] = one.build()
+	for key, builder := range g {
+		out[key] = builder.build()
 	}
 	return out
 }
--- a/replay/verdict/verdict.go
+++ b/replay/verdict/verdict.go
@@ -110,8 +110,8 @@
 			v.InvalidReasons = append(v.InvalidReasons, fmt.Sprintf("the fault at %d ms was not injected: %s", f.AtMS, f.Error))
 		}
 	}
-	for _, one := range o.Outcomes {
-		v.Results = append(v.Results, one.evaluate(r))
+	for _, outcome := range o.Outcomes {
+		v.Results = append(v.Results, outcome.evaluate(r))
 	}
 	return v
 }
@@ -124,8 +124,8 @@
 
 // Met reports whether the run is valid and every outcome is met.
 func (v Verdict) Met() bool {
-	for _, l := range v.Results {
-		if !l.Met {
+	for _, result := range v.Results {
+		if !result.Met {
 			return false
 		}
 	}
@@ -137,14 +137,14 @@
 	for _, reason := range v.InvalidReasons {
 		fmt.Fprintf(w, "void: %s\n", reason)
 	}
-	for _, l := range v.Results {
-		fmt.Fprintln(w, l)
+	for _, result := range v.Results {
+		fmt.Fprintln(w, result)
 	}
-	result := "met"
+	conclusion := "met"
 	if !v.Met() {
-		result = "NOT MET"
+		conclusion = "NOT MET"
 	}
-	_, err := fmt.Fprintf(w, "verdict: %s\n", result)
+	_, err := fmt.Fprintf(w, "verdict: %s\n", conclusion)
 	return err
 }
 
--- a/soak/daemon.go
+++ b/soak/daemon.go
@@ -124,7 +124,7 @@
 	return out
 }
 
-// start starts the process.
+// start starts the process. Once it has exited, an unexpected exit is counted.
 func (d *daemon) start() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/soak/run.go
+++ b/soak/run.go
@@ -22,7 +22,7 @@
 	// requests that are still running.
 	shutdownGraceTail = shutdownGrace / 6
 	// budgetRatio and budgetSlack limit the retries of a service by all daemons together,
-	// over the whole run: budgetRatio times its requests, plus budgetSlack for every 10 s
+	// over the whole run: budgetRatio (0.2) times its requests, plus budgetSlack for every 10 s
 	// of the run (at least 10 s) and once more.
 	budgetSlack = 40
 	budgetRatio = 0.2
