--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -21,7 +21,7 @@
 operator_address() { address $((600 + $1)); }
 
 write_bundle() {
-  # The example uses ports 7xxx; sed moves them to the base.
+  # Moves the example's ports, 7xxx, to the base.
   awk -v base="$BASE" '{
     out = ""
     while (match($0, /127\.0\.0\.1:7[0-9][0-9][0-9]/)) {
