--- a/core/admit/bench_test.go
+++ b/core/admit/bench_test.go
@@ -76,7 +76,7 @@
 	return 1
 }
 
-func BenchmarkArriveLeave(b *testing.B) {
+func BenchmarkAdmitFinish(b *testing.B) {
 	c, plans := New(Config{}), benchPlanList()
 	c.Apply(benchBundle())
 	b.ReportAllocs()
--- a/core/admit/limit.go
+++ b/core/admit/limit.go
@@ -40,8 +40,8 @@
 	growthPerSqrtLimit = 0.25
 	// latencySmoothing is the weight of a new sample in the smoothed latency.
 	latencySmoothing = 0.1
-	// highLatencyDeviations is the number of mean deviations above the mean latency
-	// that a call is given when the time that it may wait is calculated.
+	// highLatencyDeviations defines the high latency of a call, from which the time
+	// that it may wait is calculated: the mean plus this many mean deviations.
 	highLatencyDeviations = 2.0
 )
 
--- a/core/admit/overload_test.go
+++ b/core/admit/overload_test.go
@@ -57,8 +57,8 @@
 		Expect(goodput(adaptive)).To(BeNumerically(">=", 0.90))
 		Expect(goodput(unlimited)).To(BeNumerically("<=", 0.30))
 		Expect(counts.refusalWaits[len(counts.refusalWaits)/2]).To(BeNumerically("<=", 50*time.Millisecond))
-		// Tick is called every 10 ms. Because of the margin, tickets expire before the
-		// latest start that is used here.
+		// Tick is called every 10 ms. Tickets expire earlier than the latest start from
+		// which the delay is measured, since admission adds a margin to service times.
 		Expect(counts.maxRefusalDelay).To(BeNumerically("<=", 10*time.Millisecond))
 	},
 		Entry(nil, 1), Entry(nil, 7),
--- a/core/admit/pool.go
+++ b/core/admit/pool.go
@@ -72,9 +72,9 @@
 }
 
 // enqueue adds t to the queue. If the queue is full, it evicts a ticket of the
-// customer with the longest queue relative to its weight. It returns false if that
-// would be t's own customer or one whose queue would not be longer than that of t's
-// customer with t. The caller must hold mu.
+// customer with the longest queue relative to its weight. It returns false, and t is
+// not queued, if that is t's own customer, or if the queue of t's customer would
+// become at least as long with t. The caller must hold mu.
 func (p *pool) enqueue(now time.Time, t request.Ticket, latestStart time.Time, weight, slots float64) bool {
 	bound := max(p.cfg.MinQueue, int(slots)*p.cfg.QueuePerSlot)
 	if p.queue.len() >= bound && !p.evictFor(t.Customer, weight, slots) {
--- a/core/admit/queue.go
+++ b/core/admit/queue.go
@@ -7,8 +7,9 @@
 	"github.com/wheatseam/wheatseam/core/request"
 )
 
-// fairnessWindow is the number of mean weighted service times by which a customer's
-// virtual time may be ahead of the lowest one for its more urgent ticket to be chosen.
+// fairnessWindow is how far a customer's virtual time may be ahead of the lowest one
+// for its ticket to be chosen as the most urgent. The unit is the mean, over the waiting
+// customers, of the service time of their first ticket divided by their weight.
 const fairnessWindow = 2.0
 
 // ticketKey identifies a ticket.
--- a/core/request/machine_test.go
+++ b/core/request/machine_test.go
@@ -58,7 +58,7 @@
 		Expect(actions[Call](h.actionLog)).To(BeEmpty())
 	})
 
-	It("refuses without sending a call when the pool of a later stage fails as a whole", func() {
+	It("refuses as not_run when the pool of a later stage fails as a whole", func() {
 		h = newHarness(false)
 		h.health.failing = "lm"
 		h.step(Start{})
@@ -260,7 +260,7 @@
 	})
 
 	Describe("streaming", func() {
-		It("forwards the stream of the first attempt to deliver a token and resets the caller when it fails", func() {
+		It("forwards the stream of an attempt once it delivers a token, and tells the caller to discard the text when it fails", func() {
 			h = newHarness(false, func(s *Spec) { s.Stream = true })
 			h.step(Start{})
 			h.succeed(1)
@@ -344,7 +344,7 @@
 			Expect(h.finishAction().Err.Execution).To(Equal(problem.MayHaveRun))
 		})
 
-		It("is sent to another upstream when it was not executed", func() {
+		It("is sent again when it was not executed, and the caller is answered even if the result cannot be recorded", func() {
 			startClaiming()
 			h.step(ClaimDecided{Won: true})
 			h.step(CallEnded{Attempt: 2, Result: CallRefused, NotExecuted: true})
