--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -238,9 +238,10 @@
 	return c.startRound()
 }
 
-// Send returns true, at most once, if the request may be sent. The caller must
-// read now and call Send immediately before it writes the first byte, so that the
-// deadline check sees clock steps and process suspensions up to that point.
+// Send returns true if the request may be sent. It returns true only once, unless
+// NotExecuted reverts it. The caller must read now and call Send immediately before
+// it writes the first byte, so that the deadline check sees clock steps and process
+// suspensions up to that point.
 func (c *Claim) Send(now time.Time) bool {
 	if c.phase != won || deadlinePassed(now, c.cfg.Deadline) {
 		return false
--- a/core/claim/disabled_checks.go
+++ b/core/claim/disabled_checks.go
@@ -1,7 +1,8 @@
 package claim
 
 // disabledChecks disables single checks of the protocol. Tests use it to show that
-// the state exploration finds a violation when a check is missing. The zero value
+// the state exploration finds a violation without the check; disabledCheckCases lists
+// the checks for which they do. The zero value
 // leaves all checks enabled; only the tests of this package can set it.
 type disabledChecks struct {
 	exclusiveGrant    bool // a holder grants a key that another owner has
--- a/core/claim/explore_test.go
+++ b/core/claim/explore_test.go
@@ -165,7 +165,7 @@
 }
 
 var _ = Describe("exhaustive exploration of the claim protocol", func() {
-	It("keeps its invariants in every scenario", func() {
+	It("finds no violation in any scenario", func() {
 		results := make([]string, len(scenarios))
 		counts := make([]int, len(scenarios))
 		var group errgroup.Group
@@ -187,7 +187,7 @@
 		fmt.Printf("claim protocol: %d states in %d scenarios\n", total, len(scenarios))
 	})
 
-	It("finds a violation for each disabled check", func() {
+	It("finds a violation in each case of disabledCheckCases", func() {
 		violations := make([]string, len(disabledCheckCases))
 		var group errgroup.Group
 		group.SetLimit(maxParallel)
--- a/core/claim/holder_test.go
+++ b/core/claim/holder_test.go
@@ -76,7 +76,7 @@
 	acquire := func(h *Holder, e Env, tail byte) Verdict {
 		return h.Acquire(e, Acquire{Key: keyAt(e.Now, tail), Owner: ownerOf("a", "r"), Round: 1, Epoch: 1}).Verdict
 	}
-	It("refuses new keys when full and evicts none before its retention ends", func() {
+	It("refuses new keys when full, keeps the granted ones, and evicts them after their retention", func() {
 		h := NewHolder("a", 1, baseTime.Add(-time.Hour), testPolicy)
 		for i := range testPolicy.MaxKeys {
 			Expect(acquire(h, env, byte(i))).To(Equal(Granted))
@@ -103,7 +103,7 @@
 		acquire(h, later, 3)
 		Expect(h.Stats().Bytes).To(BeZero())
 	})
-	It("refuses an Ask that arrives after the release of its round", func() {
+	It("refuses an Acquire that arrives after the release of its round", func() {
 		h := NewHolder("a", 1, baseTime.Add(-time.Hour), testPolicy)
 		h.Release(env, Release{Key: keyAt(baseTime, 1), Owner: ownerOf("a", "r"), Round: 1})
 		Expect(acquire(h, env, 1)).To(Equal(Superseded))
@@ -123,7 +123,7 @@
 		c.HandleReply(baseTime, Reply{Holder: "a", Incarnation: 1, Verdict: Granted, Round: 1})
 		Expect(c.HandleReply(baseTime, Reply{Holder: "b", Incarnation: 1, Verdict: Granted, Round: 1})).To(Equal([]Action{Won{}}))
 	}
-	It("sends once, and not at or after the deadline", func() {
+	It("may be sent once and not at the deadline, and is not aborted after that", func() {
 		c := newClaim(baseTime.Add(time.Second))
 		win(c)
 		Expect(c.Send(baseTime.Add(time.Second))).To(BeFalse())
@@ -181,16 +181,16 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(l).To(Equal(twoLineages[1]))
 	})
-	It("rejects a lineage that lacks the list in force or reuses its epoch", func() {
+	It("rejects a lineage that lacks the current list or reuses its epoch, and ignores an older one", func() {
 		v := NewViews("a", 1, baseTime, Lineage{Current: viewABC}, testPolicy)
 		Expect(v.Adopt(baseTime, Lineage{Current: viewBCD})).To(MatchError(ErrCurrentListMissing))
 		other := view(1, "x", "y", "z")
 		Expect(v.Adopt(baseTime, Lineage{Current: other})).To(MatchError(ErrEpochReused))
 		Expect(v.Adopt(baseTime, twoLineages[1])).To(Succeed())
 		Expect(v.Adopt(baseTime, Lineage{Current: viewABC})).To(Succeed())
-		Expect(v.Epoch()).To(Equal(uint64(2)), "a list in force never reverts")
+		Expect(v.Epoch()).To(Equal(uint64(2)), "an older list is not adopted again")
 	})
-	It("retires a list whose hosts have ended, for keys created after that", func() {
+	It("retires a list for later keys once most of its hosts have ended permanently", func() {
 		ended := view(1, "a", "b", "c")
 		ended.Hosts[0].EndedAt, ended.Hosts[1].EndedAt = baseTime, baseTime
 		v := NewViews("c", 1, baseTime, Lineage{Current: view(2, "c", "d", "e"), Earlier: []View{ended}}, testPolicy)
--- a/core/claim/views.go
+++ b/core/claim/views.go
@@ -10,12 +10,12 @@
 
 // Errors of Views.Adopt.
 var (
-	// ErrCurrentListMissing rejects a lineage that lacks the host list in force:
+	// ErrCurrentListMissing rejects a lineage that lacks the current host list:
 	// adopting it could lead to two separate majorities for one key.
-	ErrCurrentListMissing = errors.New("lineage lacks the host list in force")
-	// ErrEpochReused rejects a lineage that gives the epoch in force to a
+	ErrCurrentListMissing = errors.New("lineage lacks the current host list")
+	// ErrEpochReused rejects a lineage that gives the current epoch to a
 	// different host list.
-	ErrEpochReused = errors.New("epoch in force belongs to a different host list")
+	ErrEpochReused = errors.New("current epoch belongs to a different host list")
 )
 
 // Adoption records when a daemon adopted a host list. From the time At, by the
@@ -32,7 +32,7 @@
 	Adopted     []Adoption
 }
 
-// epoch returns the epoch of the list in force at the daemon; 0 if there is none.
+// epoch returns the epoch of the list that is current at the daemon; 0 if there is none.
 func (a Ack) epoch() uint64 {
 	if len(a.Adopted) == 0 {
 		return 0
@@ -104,7 +104,7 @@
 }
 
 // Adopt replaces the lineage by l. It ignores an l whose current epoch is older than
-// the one in force, since a list in force never reverts.
+// that of v, since a daemon never reverts to an earlier list.
 func (v *Views) Adopt(now time.Time, l Lineage) error {
 	current := v.lineage.Current
 	if l.Current.Epoch < current.Epoch {
@@ -112,7 +112,7 @@
 	}
 	same, ok := l.find(current.Epoch)
 	if !ok {
-		return fmt.Errorf("%w: epoch %d, in force %d", ErrCurrentListMissing, l.Current.Epoch, current.Epoch)
+		return fmt.Errorf("%w: epoch %d, current epoch %d", ErrCurrentListMissing, l.Current.Epoch, current.Epoch)
 	}
 	if !same.sameHosts(current) {
 		return fmt.Errorf("%w: epoch %d", ErrEpochReused, current.Epoch)
--- a/core/share/doc.go
+++ b/core/share/doc.go
@@ -1,4 +1,4 @@
-// Package share divides limits that hold over the whole fleet, such as a
+// Package share divides limits that apply to the whole fleet, such as a
 // customer's requests per second or a pool's concurrency, among the daemons,
 // without a shared counter.
 //
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -74,7 +74,7 @@
 		}
 	})
 
-	It("are leased in each partition without exceeding the limit in total", func() {
+	It("stay within the limit in total before and during a partition, with capacity leased", func() {
 		f := newFleet(7, customersOf(5), 4)
 		for i, r := range f.resources {
 			f.nodes[f.names[i]].demand[r] = 2
@@ -92,7 +92,7 @@
 		f.run(30*time.Second, check)
 	})
 
-	DescribeTable("never exceed the limit under delay, loss, reordering, partitions and pauses",
+	DescribeTable("stay within the limit under delay, loss, reordering, partitions and pauses",
 		func(seed uint64) {
 			f := newFleet(9, customersOf(4), seed)
 			check, highestSum := checkSums(f, noExcess)
--- a/core/share/view.go
+++ b/core/share/view.go
@@ -10,7 +10,7 @@
 	localShares map[ID]localShare
 }
 
-// View returns the shares in force.
+// View returns a snapshot of the current shares.
 func (m *Machine) View(now time.Time) *View {
 	if !m.dirty {
 		return m.view
