--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -85,7 +85,7 @@
 		Expect(f.nodes["entry-006"].machine.hosts["entry-007"].incarnation).To(BeNumerically(">", old))
 	})
 
-	It("tells a process that a later process under its name supersedes it", func() {
+	It("lets a resumed process detect that a later process under its name has superseded it", func() {
 		f := newFleet(7, 3, 3, nil)
 		f.run(10 * time.Second)
 		old := f.nodes["entry-002"]
@@ -169,8 +169,8 @@
 	It("recovers the full view after a partition heals", func() {
 		f := newFleet(40, 4, 7, nil)
 		f.run(20 * time.Second)
-		side := func(name string) bool { return f.nodes[name].machine.cfg.Self.FailureDomain == "domain-0" }
-		f.dropped = func(from, to string) bool { return side(from) != side(to) }
+		inDomain0 := func(name string) bool { return f.nodes[name].machine.cfg.Self.FailureDomain == "domain-0" }
+		f.dropped = func(from, to string) bool { return inDomain0(from) != inDomain0(to) }
 		_, ok := f.runUntil(45*time.Second, f.onAllNodes(func(n *node) bool { l := n.machine.LiveHosts(); return l == 10 || l == 30 }))
 		Expect(ok).To(BeTrue())
 		f.dropped = func(string, string) bool { return false }
@@ -201,14 +201,14 @@
 		Expect(f.nodes["entry-000"].machine.Skewed()).To(BeFalse())
 	})
 
-	It("rejects slots that are too large", func() {
+	It("rejects a direct slot above the limit", func() {
 		c := DefaultConfig(Host{"a", "d"}, 1)
 		c.Slots = []SlotConfig{{ID: 9, MaxBytes: MaxDirectSlotBytes + 1}}
 		_, err := New(c, startTime, rand.New(rand.NewPCG(1, 1)))
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("limits the size of every ping when all hosts change at once", func() {
+	It("limits the gossip in a ping when all hosts change at once", func() {
 		f := newFleet(60, 3, 10, withTestSlots)
 		f.run(10 * time.Second)
 		largest := 0
--- a/core/member/probe.go
+++ b/core/member/probe.go
@@ -145,8 +145,8 @@
 	p.requester, p.requesterSeq = requester, msg.GetSeq()
 }
 
-// maxProbes limits the pings in flight beyond which requests of other daemons
-// are refused.
+// maxProbes is the number of pings in flight from which ping requests of other
+// daemons are rejected.
 const maxProbes = 64
 
 // handleFailed schedules the indirect probes for the next tick when a ping did
--- a/core/member/upstream.go
+++ b/core/member/upstream.go
@@ -6,8 +6,9 @@
 	"github.com/wheatseam/wheatseam/wire"
 )
 
-// The limits on marks: their number, needed while the bundle and so the list of
-// upstreams is unknown, and how far their time may be ahead of the local clock.
+// The limits on marks: the number of marks, which the bundle's list of upstreams does
+// not bound while it is unknown, and how far the time of a mark may be ahead of the
+// local clock.
 const (
 	maxUpstreamMarks = 4096
 	maxMarkFuture    = time.Minute
--- a/core/rollout/rollout_test.go
+++ b/core/rollout/rollout_test.go
@@ -48,7 +48,7 @@
 		Expect(took).To(BeNumerically("<", activationLimit))
 	}, Entry("at 7 hosts", 7), Entry("at 100 hosts", 100))
 
-	It("is read from the service at a rate that does not grow with the fleet", func() {
+	It("is read from the service less than three times per second by 100 daemons", func() {
 		startFleet(100)
 		f.service.reads = 0
 		f.run(100 * time.Second)
@@ -135,7 +135,7 @@
 		Expect(requestedParts).To(BeNumerically("<=", 240+MaxBatchParts), "only the lost answer is requested again")
 	})
 
-	It("stays active while the service is down for a long time", func() {
+	It("stays active while the service is down for ten minutes, and is replaced afterwards", func() {
 		startFleet(7)
 		f.service.down = true
 		f.run(10 * time.Minute)
