--- a/discovery/config.go
+++ b/discovery/config.go
@@ -231,8 +231,8 @@
 	if len(changes) > 0 {
 		d.applyEvacuations(d.View().Evacuations.With(changes))
 	}
-	// All changes up to this revision are known. A check that started earlier would return
-	// the same changes at once.
+	// All changes up to this revision are known. A check from an earlier revision would
+	// return the same changes at once.
 	d.checkedRevisions = checkedRevisions{newest}
 }
 
--- a/discovery/delta.go
+++ b/discovery/delta.go
@@ -41,7 +41,7 @@
 	}
 	encoder, err := zstd.NewWriter(nil, options...)
 	if err != nil {
-		return configDelta{}, fmt.Errorf("step to %d: %w", revision, err)
+		return configDelta{}, fmt.Errorf("encode configuration delta to revision %d: %w", revision, err)
 	}
 	defer encoder.Close()
 	data := encoder.EncodeAll(raw, nil)
@@ -72,7 +72,7 @@
 const (
 	// maxDeltas and maxDeltaBytes limit the deltas that are kept for hosts with an older
 	// configuration. They suffice for a change every third of a second over five seconds,
-	// a little over a megabyte in all. Hosts with older configurations fetch the whole.
+	// a little over a megabyte in all. Hosts further behind fetch the whole configuration.
 	maxDeltas     = 16
 	maxDeltaBytes = 1 << 20
 )
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -222,19 +222,19 @@
 		for _, host := range []string{"host-1", "host-2", "host-3"} {
 			Eventually(replicas(host), "3s").Should(Equal(2))
 		}
-		cut := func(is bool) {
+		setDisconnected := func(disconnected bool) {
 			f.hosts.mu.Lock()
 			defer f.hosts.mu.Unlock()
-			f.hosts.disconnected["host-2"] = is
+			f.hosts.disconnected["host-2"] = disconnected
 		}
-		cut(true)
+		setDisconnected(true)
 		f.setStoreDown("host-2", true)
 		f.store.Delete(platform.ReplicaPrefix + "i-2")
 		for _, host := range []string{"host-1", "host-3"} {
 			Eventually(replicas(host), "6s").Should(Equal(1))
 		}
 		time.Sleep(4 * time.Second) // by then host-2 has noticed that it lost the store
-		cut(false)
+		setDisconnected(false)
 		f.setStoreDown("host-2", false)
 		for range 80 {
 			Expect(replicas("host-1")()).To(Equal(1))
@@ -261,7 +261,7 @@
 		}
 	})
 
-	It("learns from a peer while the store rejects this host, also at startup", func() {
+	It("learns from a peer when the store rejects this host from its start", func() {
 		f := newTestFleet(2)
 		f.setStoreDown("host-2", true)
 		f.run("host-1", "host-2")
@@ -277,7 +277,7 @@
 		Expect(f.discoveries["host-2"].View().AsOf).To(BeTemporally("~", time.Now(), bound))
 	})
 
-	It("never activates an older or an invalid configuration", func() {
+	It("does not activate an older or an invalid configuration", func() {
 		f := newTestFleet(1)
 		f.run("host-1")
 		f.writeConfig(5)
--- a/discovery/doc.go
+++ b/discovery/doc.go
@@ -13,9 +13,9 @@
 // configuration is fetched separately, as a compressed delta from the local revision, in
 // blocks whose size limits how long a link is occupied and each with its own timeout. The
 // received part of a delta is kept and completed from another host, so that a slow link
-// delays a transfer but never repeats it. The time until a configuration is active
-// therefore depends on the capacity of the links, and not on the sum of delays and
-// timeouts along the tree.
+// delays a transfer but does not make a host fetch the same bytes again. The time until a
+// configuration is active therefore depends on how long the links take to transfer its
+// delta, and not on the number of routes in the whole configuration.
 //
 // The daemon that reads the store lists the replicas at an interval and watches for a
 // newer configuration for just as long: the store sends a configuration only when there is
--- a/discovery/invalid_entries_test.go
+++ b/discovery/invalid_entries_test.go
@@ -44,7 +44,7 @@
 		}
 	})
 
-	It("are counted and logged once a change", func() {
+	It("are counted, and logged once per change", func() {
 		core, logs := observer.New(zapcore.WarnLevel)
 		f := newTestFleet(1, func(c *discovery.Config) { c.Logger = zap.New(core) })
 		writeEntries(f)
--- a/discovery/large_config_test.go
+++ b/discovery/large_config_test.go
@@ -19,11 +19,11 @@
 // new routes. Requests were routed by the version before last and reached replicas that
 // had announced 3.8 s before that they were leaving.
 //
-// Each change passed on the whole configuration, 0.7 MB, in the message that also carried
-// the drains of replicas, from each host to eight others. Calls had fixed timeouts
-// regardless of size: hosts abandoned a call to a peer after 1.45 s, then one to the store
-// after 1 s, and then asked the next peer, while nearly all links were full. The part of a
-// reply that had arrived was discarded, so that every attempt began at the first byte.
+// For each change, a host sent the whole configuration, 0.7 MB, to eight others, in the
+// message that also carried the drains of replicas. Calls had fixed timeouts regardless of
+// their size: hosts abandoned a call to a peer after 1.45 s, then one to the store after
+// 1 s, and then asked the next peer, while nearly all links were full. The part of a reply
+// that had arrived was discarded, so that every attempt began at the first byte.
 //
 // The links were the limit: those of two hosts of three were full from the change on, no
 // processor was above 14 %, and the store rejected no request. The same hosts and links
--- a/discovery/simulation_test.go
+++ b/discovery/simulation_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// simulatedFleet is a fleet of discoveries whose messages visit the time that the links
-// between the hosts need. It runs on a simulated clock.
+// simulatedFleet is a fleet of discoveries whose messages take as long as the links
+// between the hosts need to transfer them. It runs on a simulated clock.
 type simulatedFleet struct {
 	names       []string
 	machines    map[string]*machine
--- a/discovery/stale_view_test.go
+++ b/discovery/stale_view_test.go
@@ -13,7 +13,7 @@
 // Guards against peers waiting for a host that reads the store for all, has lost it for
 // seconds, and can still be reached.
 var _ = Describe("a host that has lost the store", func() {
-	It("answers peers at once that its view is old, so that they ask elsewhere", func() {
+	It("answers peers before the requested wait ends that its view is old, so that they can ask elsewhere", func() {
 		f := newTestFleet(1)
 		f.run("host-1")
 		Eventually(func() bool { return f.discoveries["host-1"].View().Ready() }, "2s").Should(BeTrue())
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -65,7 +65,7 @@
 		}
 	})
 
-	It("returns the seeds as reachable until one has answered", func() {
+	It("returns the seeds as reachable while none has answered", func() {
 		self, seed := address(), address()
 		f, _ := start(self, 1, seed)
 		Expect(names(f)()).To(ConsistOf(self, seed))
