--- a/core/claim/holder.go
+++ b/core/claim/holder.go
@@ -140,8 +140,9 @@
 	})
 }
 
-// Release releases a key whose owner has not sent the request. It is idempotent, and a
-// release that arrives before its Acquire has the same effect.
+// Release releases a key whose owner has not sent the request. It is idempotent. A
+// release that arrives before its Acquire makes the holder refuse that Acquire, unless
+// the holder was full and could not record the release.
 func (h *Holder) Release(env Env, m Release) {
 	h.evictExpired(env.Now)
 	e := h.entries[m.Key]
@@ -178,7 +179,8 @@
 
 // Store records a result. Only the owner that won a key sends results for it, so
 // the first result is kept. The holder accepts it whether or not it has granted the
-// key to that owner.
+// key to that owner, unless the key is too old, or is new to the holder and the holder
+// is full.
 func (h *Holder) Store(env Env, m Store) Reply {
 	h.evictExpired(env.Now)
 	r := h.newReply(env, 0)
--- a/core/claim/views.go
+++ b/core/claim/views.go
@@ -199,7 +199,8 @@
 // daemon may count as acknowledged. That is the case when a majority of the current
 // list's hosts are synced and have replied to this incarnation: a host that
 // acknowledged a later list is among them. When a deployment starts, no host is
-// synced; then all hosts of the list must have replied.
+// synced; then all hosts of the list must have replied. While a reply has a later
+// epoch, the daemon must first adopt that list.
 func (v *Views) updateSynced() {
 	if v.synced {
 		return
--- a/core/member/probe.go
+++ b/core/member/probe.go
@@ -44,7 +44,9 @@
 // neighbours, since their own probers may have failed along with the dead one.
 const deadNeighbourProbeEvery = 4
 
-// nextProbeTarget iterates over the neighbours in rounds of random order.
+// nextProbeTarget iterates over the neighbours in rounds of random order. It returns
+// a random host that is not a neighbour for every RandomProbeEvery-th probe, and for
+// most turns of dead neighbours.
 func (m *Machine) nextProbeTarget() (string, bool) {
 	if len(m.neighbours) == 0 {
 		return "", false
--- a/core/member/sync.go
+++ b/core/member/sync.go
@@ -24,7 +24,8 @@
 type syncState struct {
 	startedAt time.Time // start of the last sync; zero after a start or a pause
 	// differentSince is when the first of the peers with a different hash was
-	// seen, plus random jitter; zero once a peer had the same hash.
+	// seen, plus random jitter; zero once a peer had the same hash or a sync has
+	// been started.
 	differentSince time.Time
 }
 
--- a/core/request/attempt.go
+++ b/core/request/attempt.go
@@ -344,7 +344,7 @@
 }
 
 // retryObstacle returns the reason why the stage must not be retried, or "" if it
-// may be.
+// may be. In the latter case it has withdrawn the retry from the budget.
 func (m *Machine) retryObstacle(now time.Time, err *problem.Error) string {
 	if err.Kind != problem.UpstreamFailed {
 		return string(err.Kind)
--- a/core/rollout/machine.go
+++ b/core/rollout/machine.go
@@ -250,7 +250,7 @@
 }
 
 // reportStale reports a service that serves a lower version than the active one,
-// once per served version.
+// unless it reported the same version last.
 func (m *Machine) reportStale(source Source, served uint64) {
 	if source.Peer != "" || m.reportedStale == served {
 		return
@@ -261,7 +261,8 @@
 
 // updateReady makes the daemon ready once it has a bundle, a majority of the
 // neighbours has answered or StartTimeout has passed, and no higher version is
-// being fetched. Step starts a fetch before it calls this method.
+// being fetched. Without neighbours, or after StartTimeout, a read of the service must
+// also have ended. Step starts a fetch before it calls this method.
 func (m *Machine) updateReady(now time.Time) {
 	if m.ready || m.active == nil || m.fetch != nil {
 		return
--- a/core/share/config.go
+++ b/core/share/config.go
@@ -12,9 +12,11 @@
 	// Interval is the time between the reports of a daemon that wants more than
 	// its equal share.
 	Interval time.Duration
-	// LeaseDuration is how long a lease lasts.
+	// LeaseDuration is how long an allocator counts a lease. The daemon uses it for
+	// less, by a margin for clock drift.
 	LeaseDuration time.Duration
-	// CapDuration is how long a daemon obeys a cap.
+	// CapDuration is how long an allocator relies on a cap. The daemon obeys it for
+	// longer, by a margin for clock drift.
 	CapDuration time.Duration
 	// ReportRequestsPerInterval is the maximum number of hosts that an allocator
 	// asks for a report in one Interval.
--- a/core/share/doc.go
+++ b/core/share/doc.go
@@ -2,8 +2,8 @@
 // customer's requests per second or a pool's concurrency, among the daemons,
 // without a shared counter.
 //
-// It is part of the decision core: no I/O, no clock, no goroutine. A Machine is
-// driven by Step, which takes the time and one typed event and returns the
+// It does no I/O, reads no clock and starts no goroutine. A Machine is driven by
+// Step, which takes the current time and one typed event and returns the
 // messages to send. Messages may be lost, delayed, duplicated and reordered. A
 // Machine is not safe for concurrent use; View is an immutable snapshot for any
 // number of concurrent readers.
--- a/core/share/local_share.go
+++ b/core/share/local_share.go
@@ -62,8 +62,8 @@
 }
 
 // setDemand sets the demand of each resource. For a resource of which this daemon
-// wants more than its share, the next report is due half an interval after the last
-// one.
+// wants more than its share, the next report is due at most half an interval after
+// the last one.
 func (m *Machine) setDemand(now time.Time, demand map[Resource]float64) {
 	byID := make(map[ID]int64, len(demand))
 	for r, d := range demand {
