--- a/discovery/config.go
+++ b/discovery/config.go
@@ -316,8 +316,8 @@
 }
 
 // activateConfig activates a configuration if its version is newer than the current
-// one: versions never decrease. An invalid configuration is not requested again. Only
-// syncConfig calls it.
+// one: versions never decrease. An invalid or older configuration is not requested again.
+// Only syncConfig calls it.
 func (d *Discovery) activateConfig(raw []byte, revision uint64, source string) {
 	config, err := decodeConfig(raw)
 	d.mu.Lock()
--- a/discovery/export_test.go
+++ b/discovery/export_test.go
@@ -29,8 +29,9 @@
 }
 
 // DeltaRoundTrip returns the size in bytes of the delta between two configurations. It
-// returns an error if the delta does not produce the second one, if it also does so from
-// another base, or if a damaged delta can be applied.
+// returns an error if the delta does not produce the second one, if a damaged delta can be
+// applied, or, when the first configuration is the longer one, if the delta also produces
+// the second one from another base.
 func DeltaRoundTrip(from, to string) (int, error) {
 	delta, err := newConfigDelta(1, []byte(from), 2, []byte(to))
 	if err != nil {
--- a/discovery/first_config_test.go
+++ b/discovery/first_config_test.go
@@ -13,7 +13,7 @@
 // Guards against every host reading the store for itself when a whole fleet starts for the
 // first time, a moment before the operator writes the first configuration.
 var _ = Describe("a fleet that starts before the first configuration", func() {
-	It("has one host watch for it, and all hosts are ready within the bound", func() {
+	It("makes few calls to the store, and all hosts are ready within twice the bound", func() {
 		const hosts = 24
 		f := newTestFleet(hosts)
 		f.store.Delete(platform.ConfigKey)
--- a/discovery/propagation_test.go
+++ b/discovery/propagation_test.go
@@ -36,7 +36,7 @@
 			}
 		}
 	}
-	t.Log("| hosts (fast) | routes | s to force | kB received by one host | kB sent by one host | idle kB/s, busiest |")
+	t.Log("| hosts (fast) | routes | s until active | kB received by one host | kB sent by one host | idle kB/s, busiest |")
 	for _, s := range cases {
 		synctest.Test(t, func(t *testing.T) { s.measure(t) })
 	}
--- a/discovery/source.go
+++ b/discovery/source.go
@@ -18,15 +18,18 @@
 // stopped answering: the call to it ends after changesWaitFraction and replyGrace, and the
 // store is read within a third of a second; the sum is within the bound.
 const (
+	// readFraction is the interval between reads of the replicas from the store.
 	readFraction = 0.3
 	// idleReadFraction is the interval between reads of a host that no peer asks, whose
 	// reads need not pass through another host. It is below staleFraction, so that the
 	// view is recent enough for the first peer that does ask. With it, 100 hosts that are
 	// disconnected from their peers for 12 s make a third fewer calls; each list takes
 	// eight.
-	idleReadFraction    = 0.45
+	idleReadFraction = 0.45
+	// changesWaitFraction is how long a peer may wait for changes before it replies.
 	changesWaitFraction = 0.4
-	staleFraction       = 0.5
+	// staleFraction is the age above which a peer's view is not accepted.
+	staleFraction = 0.5
 )
 
 // fanout is the number of hosts that ask the same host for changes. Without the limit, one
@@ -37,10 +40,10 @@
 	// minRetryInterval is the wait after a failed read. It doubles with each further
 	// failure, up to maxRetryInterval, or in a large fleet up to retryIntervalPerHost for
 	// each host, limited to maxRetryFraction of the bound. While the store is down every
-	// host retries, and all together make some 250 calls a second at any fleet size;
-	// without the scaling 295 hosts made 1,300. The first failure is retried as soon as in
-	// a small fleet, and a host that keeps failing learns that the store is back from the
-	// first peer that notices.
+	// host retries, and all together make some 250 calls a second, as long as that limit
+	// is not reached; without the scaling 295 hosts made 1,300. The first failure is
+	// retried as soon as in a small fleet, and a host that keeps failing learns that the
+	// store is back from the first peer that notices.
 	minRetryInterval     = 100 * time.Millisecond
 	maxRetryInterval     = 500 * time.Millisecond
 	retryIntervalPerHost = 8 * time.Millisecond
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -286,7 +286,7 @@
 func (f *Fleet) requestRosters(ctx context.Context, one bool) bool {
 	targets := f.rosterTargets()
 	if len(targets) == 0 {
-		return true // the settings name no other host
+		return true // there is neither another seed nor another live host
 	}
 	if one {
 		targets = targets[:1]
--- a/fleet/form.go
+++ b/fleet/form.go
@@ -32,8 +32,9 @@
 
 // Formed returns a channel that is closed once this host knows the fleet well enough to
 // agree with its peers on which host ranks first, that is once a seed that has formed has
-// reported the highest-ranked hosts. It is closed after formTimeout in any case, since a
-// host may be disconnected.
+// reported the highest-ranked hosts. On a seed it is closed after seedSettleTime, or at
+// once if there is no other seed. It is closed after formTimeout in any case, since a host
+// may be disconnected.
 //
 // Hosts that start together know different parts of the fleet for a moment. Each of them
 // would then do the work that only one host of the fleet should do.
