--- a/core/member/config.go
+++ b/core/member/config.go
@@ -71,7 +71,8 @@
 	// RandomProbeEvery sends every n-th probe to a random host that is not a
 	// neighbour; 0 disables these probes.
 	RandomProbeEvery int
-	// MaxGossipBytes bounds the gossip items in one ping or ack.
+	// MaxGossipBytes is the total size of the gossip items in one ping or ack from
+	// which no further item is added.
 	MaxGossipBytes int
 	// PauseThreshold is the smallest gap since the last tick that counts as a
 	// pause of the process.
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -77,8 +77,8 @@
 	peerReplies     atomic.Uint64
 
 	// advertised is the newest configuration that a peer has advertised, rejectedRevision
-	// is the last revision that was invalid, and checkedRevisions records how far the
-	// store was checked.
+	// is the last revision that was invalid or not newer than the active version, and
+	// checkedRevisions records how far the store was checked.
 	advertised       advertisedConfig
 	rejectedRevision uint64
 	checkedRevisions checkedRevisions
@@ -93,8 +93,8 @@
 	// configCheckRequested makes syncConfig check the store once for a newer
 	// configuration.
 	configCheckRequested atomic.Bool
-	// firstConfigRead is closed after the first read of the configuration from the store,
-	// and configMissing reports that none had been written yet.
+	// firstConfigRead is closed after the first attempt to read the configuration from the
+	// store, and configMissing reports that none had been written yet.
 	firstConfigRead     chan struct{}
 	firstConfigReadOnce sync.Once
 	configMissing       atomic.Bool
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -343,7 +343,8 @@
 	return true
 }
 
-// removeLongDead removes hosts that have been dead for longer than deadRetention.
+// removeLongDead removes hosts that have been dead for longer than deadRetention, except
+// seeds.
 func (f *Fleet) removeLongDead() {
 	var dead []string
 	for _, m := range f.Members() {
