--- a/core/share/config.go
+++ b/core/share/config.go
@@ -34,9 +34,9 @@
 	// more than its share while another daemon does.
 	contendedIntervals = 3
 	// uncontendedIntervals is the time between reports while no daemon wants more.
-	// These reports only detect a state that differs between daemon and allocator:
-	// a daemon that wants more reports at once, and the allocator then asks the
-	// others.
+	// These reports only detect a state that differs between daemon and allocator: a
+	// daemon that wants a larger share sends a report without waiting for its turn,
+	// and the allocator then asks the others for theirs.
 	uncontendedIntervals  = 60
 	defaultReportRequests = 100
 	// driftDivisor defines the maximum difference in rate of two clocks: 1 in 20.
