--- a/core/load/pollers.go
+++ b/core/load/pollers.go
@@ -9,8 +9,8 @@
 }
 
 // pollersPerUpstream returns how many daemons poll each upstream: as many as the hosts
-// can at PollsPerSecond with the configured interval, but at least 1 and at most
-// MaxPollers.
+// can at PollsPerSecond with the configured interval, but at least 1, and at most
+// MaxPollers or the number of hosts.
 func (c Config) pollersPerUpstream(hosts, upstreams int) int {
 	if upstreams == 0 {
 		return 0
@@ -37,8 +37,8 @@
 type pollerSelector struct {
 	hosts []rankedHost
 	self  int // index in hosts, or -1 if absent
-	// firstInDomain holds, for the upstream ranked last, the index of the first host of
-	// each failure domain.
+	// firstInDomain holds the index of the first host of each failure domain, for the
+	// upstream of the latest call of rank.
 	firstInDomain []int
 }
 
@@ -61,8 +61,8 @@
 }
 
 // assignedUpstreams returns the upstreams that self polls. All daemons with the same
-// lists compute the same assignment. A host that joins or leaves moves only the
-// upstreams that it polls.
+// lists compute the same assignment. As long as the number of pollers stays the same, a
+// host that joins or leaves moves only the upstreams that it polls.
 func assignedUpstreams(self string, hosts []Host, upstreams []string, pollers int) []string {
 	p := newPollerSelector(self, hosts)
 	if p.self < 0 {
--- a/core/prefix/index.go
+++ b/core/prefix/index.go
@@ -11,8 +11,8 @@
 	// after minutes. Trying to copy from an engine that has evicted them costs a round
 	// trip.
 	EntryLifetime = 30 * time.Second
-	// MaxPrefixes bounds the number of stored prefixes, at about 200 bytes each. The
-	// least recently used ones are evicted.
+	// MaxPrefixes bounds the number of stored prefixes, at about 200 bytes each. Those
+	// that were not recorded again recently are evicted, half of the bound at a time.
 	MaxPrefixes = 8192
 	// maxEnginesPerPrefix bounds the engines stored for each prefix. One is enough to
 	// copy from; the others are fallbacks for when it becomes unusable.
--- a/core/route/config.go
+++ b/core/route/config.go
@@ -57,12 +57,12 @@
 // EjectionConfig configures the ejection of failing and slow upstreams.
 type EjectionConfig struct {
 	// ConsecutiveFailures is the number of failures in a row that ejects an upstream,
-	// unless half or more of the recent calls to the rest of the pool fail too. Default
-	// 3.
+	// unless half or more of the recent calls to the rest of the pool fail too. While
+	// an upstream is being readmitted, one failure is enough. Default 3.
 	ConsecutiveFailures int
-	// FailureRate is the failure rate that ejects an upstream if at least MinCalls
-	// recent calls were counted and the rest of the pool has less than half that rate.
-	// Defaults 0.5 and 8.
+	// FailureRate is the failure rate from which an upstream is ejected if at least
+	// MinCalls recent calls were counted and the failure rate of the rest of the pool
+	// is less than half of the upstream's. Defaults 0.5 and 8.
 	FailureRate float64
 	MinCalls    float64
 	// SlowRatio is the smoothed multiple of the pool's median latency that ejects an
--- a/core/route/fleet_test.go
+++ b/core/route/fleet_test.go
@@ -37,7 +37,7 @@
 	rng             *rand.Rand
 	routers         []*Router
 	now             time.Time
-	arrivalInterval time.Duration // between arrivals
+	arrivalInterval time.Duration
 	serviceTime     func(upstream string) time.Duration
 	result          func(upstream string) request.CallResult
 
--- a/core/route/latency.go
+++ b/core/route/latency.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// addCancelledFirstByte does the same for the latency to the first byte, for a call
-// that was cancelled before it.
+// addCancelledFirstByte is like addCancelled, but for the latency to the first byte of a
+// call that was cancelled before its first byte.
 func (s *stageLatency) addCancelledFirstByte(now time.Time, latency time.Duration) {
 	if s.firstByte.median > 0 && latency > s.firstByte.median {
 		s.firstByte.add(now, latency)
--- a/core/route/prefill_test.go
+++ b/core/route/prefill_test.go
@@ -97,7 +97,7 @@
 		Expect(r.CanServeCopies(now, "llm", "unknown", "unknown")).To(BeFalse())
 	})
 
-	It("takes no progress from a pick for which no call was sent", func() {
+	It("does not count a pick for which no call was sent as progress", func() {
 		r := engines(1)
 		c := pick(r, now, "x", time.Second)
 		st := r.current.Load().pools["llm"].members[0].state
--- a/core/route/router.go
+++ b/core/route/router.go
@@ -142,7 +142,8 @@
 }
 
 // Unavailable reports whether all upstreams of a pool are leaving or blocked by their
-// limiters, and how long this lasts at least. A pool without upstreams is not unavailable.
+// limiters, and how long this lasts at least. It returns false for a pool without
+// upstreams.
 func (r *Router) Unavailable(now time.Time, pool string) (time.Duration, bool) {
 	p := r.current.Load().pools[pool]
 	if p == nil {
--- a/core/route/state.go
+++ b/core/route/state.go
@@ -53,13 +53,13 @@
 	slownessAt                 time.Time
 	successCount, failureCount float64
 	countsAt                   time.Time
-	consecutiveFailures        int // consecutive
+	consecutiveFailures        int
 
 	prefillQueue prefillQueue
 	limiter      *intake.Limiter
 
 	busyUntil           time.Time
-	consecutiveRefusals int // consecutive
+	consecutiveRefusals int
 
 	ejection ejection
 
--- a/core/stage/action.go
+++ b/core/stage/action.go
@@ -18,8 +18,9 @@
 	Inputs []string
 }
 
-// Run starts one call to a replica. The call is abandoned after Timeout if no job needs any
-// of its pieces any more.
+// Run starts one call to a replica. After Timeout the Machine abandons the call once no job
+// needs any of its pieces any more and the replica is presumed not to execute it; see
+// Abandon.
 type Run struct {
 	Call    uint64
 	Service string
@@ -29,7 +30,8 @@
 	Timeout time.Duration
 }
 
-// Abandon cancels a call that no job needs any more and that its replica is not executing.
+// Abandon cancels a call that no job needs any more and that its replica is presumed not to
+// execute.
 type Abandon struct{ Call uint64 }
 
 // Release releases results at the replica that holds them. Calls to that replica that are
--- a/core/stage/admit.go
+++ b/core/stage/admit.go
@@ -63,7 +63,6 @@
 	return min(maxReservedShare, m.cfg.ReservedSharePerRank*float64(ranks))
 }
 
-// anyUsable reports whether the service has a usable replica.
 func (s *service) anyUsable(now time.Time) bool {
 	for _, r := range s.replicas {
 		if r.usable(now) {
--- a/core/stage/deferred_start_test.go
+++ b/core/stage/deferred_start_test.go
@@ -45,7 +45,7 @@
 		Expect(stagesOf(h.submit(j))).To(ConsistOf(0, 0, 1))
 	})
 
-	It("starts when a failed call of the chain beside it has been repeated", func() {
+	It("starts when a failed call of the chain beside it has been retried", func() {
 		h := newHarness(pieceParams(20, 0), "x", "x")
 		runs := h.submit(withIndependentStage(h, "j"))
 		h.end(runs[0].Call, CallUnreachable)
--- a/core/stage/dispatch.go
+++ b/core/stage/dispatch.go
@@ -231,7 +231,8 @@
 	return j.stages[readers[0]].service
 }
 
-// addReaderLoad adds the work for the readers of a group that is executed in a domain.
+// addReaderLoad records that a group is executed in a domain: it adds the pieces of the
+// stage that reads the group's results to the load of the reading service in that domain.
 func (g *group) addReaderLoad(domain string) {
 	reader := g.job.reader(g.stage)
 	if reader == nil || reader.readerLoad == nil {
@@ -243,7 +244,9 @@
 
 // maxDomainWait returns how long to wait for a replica in the preferred domain before the
 // group goes to another one. It grows with the bytes that would cross failure domains, both
-// the group's inputs and its results for its readers, and never makes the job late.
+// the group's inputs and its results for its readers. It is at most DomainWaitSlackShare of
+// the job's slack, divided by the consecutive calls that the job still needs, so that the
+// wait alone should not make the job late.
 func (m *Machine) maxDomainWait(g *group) time.Duration {
 	worthwhile := time.Duration(float64(g.job.crossDomainBytes(g.stage)) / m.cfg.CrossDomainBytesPerMs * float64(time.Millisecond))
 	return min(worthwhile, time.Duration(m.cfg.DomainWaitSlackShare*float64(g.slack))/time.Duration(max(1, g.calls)))
--- a/core/stage/doc.go
+++ b/core/stage/doc.go
@@ -5,9 +5,9 @@
 // whatever number of pieces it holds, so pieces of many requests are batched into one call.
 // A Machine holds the queue of the whole fleet, or of its part, for every stage service.
 // One daemon, the planner, plans for the others. Calls and results of an earlier planner
-// are unknown to it; it learns of them when replicas refuse calls. When a planner is lost,
-// the owners of its jobs submit them to the next planner, together with the progress that
-// was reported to them.
+// are unknown to it; it learns of them from refused calls and from the free memory that
+// replicas report. When a planner is lost, the owners of its jobs submit them to the next
+// planner, together with the progress that was reported to them.
 //
 // # Contract
 //
--- a/core/stage/handover.go
+++ b/core/stage/handover.go
@@ -124,8 +124,7 @@
 }
 
 // releaseTransferable releases the results of a stage of a transferable job that have been
-// read.
-// If some of them need the owner's acknowledgement, the owner is notified.
+// read. If some of them need the owner's acknowledgement, the owner is notified.
 func (m *Machine) releaseTransferable(j *job, i int) {
 	st := &j.stages[i]
 	st.released = true
--- a/core/stage/job.go
+++ b/core/stage/job.go
@@ -84,7 +84,9 @@
 	// effectiveDue is the key by which jobs are ordered: Due, plus delays for customers and
 	// routes of lower priority.
 	effectiveDue time.Time
-	// refuseAt is when the job is refused if it is not ready.
+	// refuseAt is LateGrace after Latest, or Deadline if that is earlier. From then on a job
+	// that is not ready is refused, unless all its remaining pieces are in calls and its
+	// deadline has not passed.
 	refuseAt time.Time
 	// recomputations counts how often lost inputs were computed again.
 	recomputations int
--- a/core/stage/machine_test.go
+++ b/core/stage/machine_test.go
@@ -91,7 +91,7 @@
 		Expect(h.results).To(BeEmpty())
 	})
 
-	It("go to another replica if one is unreachable, and are repeated later if it refuses", func() {
+	It("go to another replica if one is unreachable, and are retried later if it refuses", func() {
 		h := newHarness(pieceParams(4, 0), "x", "x")
 		run := h.submit(h.newChain("j", Stage{Service: "a", Pieces: 1}))[0]
 		repeated := h.end(run.Call, CallUnreachable)
@@ -111,7 +111,7 @@
 		Expect(h.advance(41 * time.Millisecond)).To(HaveLen(1))
 	})
 
-	It("are not repeated after MaxAttempts failures, and the job is refused", func() {
+	It("are not retried after MaxAttempts failures, and the job is refused", func() {
 		h := newHarness(pieceParams(4, 0), "x", "x", "x", "x", "x", "x")
 		h.submit(h.newChain("j", Stage{Service: "a", Pieces: 1}))
 		for len(h.running) > 0 {
@@ -316,7 +316,7 @@
 		Expect(h.answer(first.Call)[0].Pieces[0].Job).To(Equal("may-be"), "cannot is due first, but can no longer be on time")
 	})
 
-	It("refuses a job that is not ready LateGrace after its due time", func() {
+	It("refuses a job that still needs calls LateGrace after its due time", func() {
 		h := newHarness(pieceParams(4, 0), "x")
 		first := h.submit(h.newChain("first", Stage{Service: "a", Pieces: 4}))[0]
 		starved := h.newChain("starved", Stage{Service: "a", Pieces: 4})
--- a/core/stage/memory.go
+++ b/core/stage/memory.go
@@ -4,8 +4,8 @@
 
 // Results of other planners, earlier or concurrent ones, take up memory at the replicas
 // that this planner does not know of. Replicas report their free memory, with some delay.
-// Replicas are queried when the first job arrives, since another planner may have used them
-// before, when a replica had no memory for a result, and for as long as other planners'
+// Replicas are queried when the first job is admitted, since another planner may have used
+// them before, when a replica had no memory for a result, and for as long as other planners'
 // results are present.
 const (
 	// memoryQueryInterval is the interval at which a replica is queried while it holds
@@ -20,11 +20,11 @@
 	memoryQueriesPerCall = 2
 	// memoryReportLag is how old the free memory that a replica reports may be.
 	memoryReportLag = 300 * time.Millisecond
-	// memoryQueryTimeout is how long an answer to a query is waited for.
+	// memoryQueryTimeout is the time after which a query without an answer is retried.
 	memoryQueryTimeout = time.Second
 )
 
-// queryAllOnFirstJob queries all replicas when the first job arrives.
+// queryAllOnFirstJob queries all replicas when the first job is admitted.
 func (m *Machine) queryAllOnFirstJob(now time.Time) {
 	if m.firstJobSeen {
 		return
--- a/core/stage/random_test.go
+++ b/core/stage/random_test.go
@@ -11,8 +11,9 @@
 	"github.com/wheatseam/wheatseam/core/catalog"
 )
 
-// The guarantees of the package hold whatever happens to calls: the harness checks inputs,
-// repeated releases and repeated ends with each action.
+// The guarantees of the package hold for any outcome of the calls: with each action the
+// harness checks that inputs exist, that no result is released twice and that no job ends
+// twice.
 var _ = Describe("random events", func() {
 	for seed := range uint64(60) {
 		It(fmt.Sprint("keeps its guarantees with seed ", seed), func() { runRandomEvents(seed) })
--- a/core/stage/replica.go
+++ b/core/stage/replica.go
@@ -86,7 +86,8 @@
 	// consecutive refusals.
 	busyUntil time.Time
 	refusals  int
-	// noMemoryUntil is until when no calls are made since there was no memory for a result.
+	// No calls are made to the replica until noMemoryUntil, because it had no memory for a
+	// result.
 	noMemoryUntil time.Time
 	// foreignBytes is the memory that other planners' results took at foreignBytesAt; see
 	// currentForeignBytes.
@@ -240,8 +241,8 @@
 	s.meanCallPieces += serviceLatencyWeight * (float64(pieces) - s.meanCallPieces)
 }
 
-// noteRefusal records a call that the replica refused since another planner's call runs
-// there.
+// noteRefusal records a call that was not executed, usually because the replica refused it
+// while another planner's call runs there.
 func (r *replica) noteRefusal(now time.Time, c Config) {
 	r.busyUntil = now.Add(c.RefusalBackoff << min(r.refusals, maxBackoffDoublings))
 	r.refusals++
--- a/core/stage/timeout.go
+++ b/core/stage/timeout.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// untrackTimedOut removes the call from them.
+// untrackTimedOut removes the call from the timed-out calls that may still return.
 func (c *call) untrackTimedOut() {
 	c.replica.timedOutCalls = slices.DeleteFunc(c.replica.timedOutCalls, func(o *call) bool { return o == c })
 	for _, p := range c.pieces {
@@ -72,10 +72,11 @@
 }
 
 // mayBeExecuting reports whether the replica may be executing a timed-out call. A replica
-// starts calls in order, up to Concurrency at once, so this is the case if fewer calls than
-// that come before this one. A call after which that many later ones were answered has most
-// likely ended, and its answer was lost. Calls of other planners are not known: a call that
-// is queued behind those is assumed to be executing.
+// starts calls in order and executes up to Concurrency of them at once, so it may be
+// executing this call if fewer than Concurrency earlier ones have not ended. Once
+// Concurrency later calls have been answered, this call has most likely ended and its answer
+// was lost. Calls of other planners are not known: a call that is queued behind those is
+// assumed to be executing.
 func (c *call) mayBeExecuting() bool {
 	r := c.replica
 	before := 0
