--- a/core/intake/doc.go
+++ b/core/intake/doc.go
@@ -19,10 +19,11 @@
 // than its share of the limit. A host that does not know its fleet yet must use NoQuota.
 //
 // A limit does not expire if its replica has not repeated it for a long time. Instead the
-// hosts without a quota may begin single probe calls in turn, and the first response to a
-// served run that does not announce the limit lifts it. Thus a replica with a limit of zero
-// is probed again, even if all replicas of a service announce such a limit, and the end of
-// a limit is detected even if no host has a quota of it.
+// hosts without a quota may begin single probe calls in turn. The limit is lifted by the
+// first response that does not announce it, if the response is to an executed request or
+// call for pieces (ReplicaResponse.Served). Thus a replica with a limit of zero is probed
+// again, even if all replicas of a service announce such a limit, and the end of a limit is
+// detected even if no host has a quota of it.
 //
 // A Limiter counts every call that begins at its replica, whichever component makes it. It
 // enforces all quotas that are set, and each call counts against all of them.
--- a/core/intake/limit.go
+++ b/core/intake/limit.go
@@ -19,8 +19,10 @@
 	probeInterval = 10 * time.Second
 	// plannerShare is the fraction of a limit that is reserved for the planner of stages,
 	// which makes the calls for pieces on behalf of all hosts; the rest is divided among
-	// the hosts for requests. It leaves enough of the limit for two planners that succeed
-	// each other within a window.
+	// the hosts for requests. It is below 1 so that the calls of two planners that succeed
+	// each other within a window, and both use it, stay within the tolerated excess over
+	// the limit. TestTwoConsecutivePlannersStayWithinTheLimit checks that for limits of up
+	// to 4 calls a second.
 	plannerShare = 0.75
 )
 
--- a/core/intake/limit_table.go
+++ b/core/intake/limit_table.go
@@ -23,7 +23,7 @@
 	// response of the replica, since the time that the report took to arrive is unknown.
 	refreshThreshold = time.Second
 	// liftedRetention is how long a lifted limit is retained, so that peers which still
-	// have it in force are notified.
+	// have it as active are notified.
 	liftedRetention = 10 * time.Second
 	// unlistedRetention is how long the information about an unlisted replica is retained:
 	// a replica may be missing from the list temporarily.
@@ -46,9 +46,9 @@
 }
 
 // Observe processes a response, and returns the replica's limit if the response changed it.
-// A limit is in force until a served response omits it whose request was sent after the
-// limit was last announced; responses to earlier requests are ignored, since responses may
-// be reordered.
+// A limit is active until a response with Served set omits it. The request of that
+// response must have been sent after the limit was last announced here: the omission in
+// responses to earlier requests is ignored, since responses may be reordered.
 func (a *LimitTable) Observe(now time.Time, response ReplicaResponse) (ReplicaLimit, bool) {
 	known := a.entries[response.Replica]
 	limit := response.Notice.Limit
@@ -74,7 +74,7 @@
 }
 
 // supersedes reports whether a report replaces another one. If two hosts observed different
-// limits in the same round, the stricter one is used; the next response to a served run
+// limits in the same round, the stricter one is used; the next response with Served set
 // corrects it.
 func (l *ReplicaLimit) supersedes(o *ReplicaLimit) bool {
 	switch {
@@ -139,7 +139,7 @@
 	})
 }
 
-// Limits returns the limits in force, ordered by replica.
+// Limits returns the active limits, ordered by replica.
 func (a *LimitTable) Limits() []ReplicaLimit {
 	return a.filter(func(l *limitEntry) bool { return l.Limit.Announced })
 }
--- a/core/intake/limit_table_test.go
+++ b/core/intake/limit_table_test.go
@@ -13,7 +13,8 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// runResponse is the response to a served run; it announces no limit if limit is negative.
+// runResponse returns the response to an executed request; it announces no limit if limit is
+// negative.
 func runResponse(sent, limit float64) intake.ReplicaResponse {
 	a := intake.ReplicaResponse{Replica: "r", Sent: at(sent), Served: true}
 	if limit >= 0 {
--- a/core/intake/limit_test.go
+++ b/core/intake/limit_test.go
@@ -34,8 +34,8 @@
 }
 
 // Two planners that succeed each other within the checked window may both have begun their
-// calls. Together with the other hosts they must stay within the limit, while a single
-// planner gets most of it.
+// calls. Together with those of the other hosts these must stay within allowedRequests,
+// while a single planner gets at least half of the limit.
 func TestTwoConsecutivePlannersStayWithinTheLimit(t *testing.T) {
 	hosts := hostNames(60)
 	for _, limit := range []float64{0.5, 1, 2.5, 4} {
--- a/core/intake/random_test.go
+++ b/core/intake/random_test.go
@@ -96,7 +96,7 @@
 	at   time.Time
 	to   *simHost
 	from *simHost
-	// limits have times as of when they were sent.
+	// The times in limits and leavingReplicas are those of the observation at the sender.
 	limits          []intake.ReplicaLimit
 	leavingReplicas []intake.LeavingReplica
 	sent            time.Time
@@ -313,7 +313,8 @@
 	return maxInWindow(counted, checkWindow)
 }
 
-// allowedRequests returns the number of requests that a limit allows in a checkWindow.
+// allowedRequests returns the number of requests in a checkWindow that is tolerated with a
+// limit.
 func allowedRequests(limit float64) int {
 	return int(allowedFactor*limit*checkWindow.Seconds()) + allowedExtra
 }
@@ -322,7 +323,8 @@
 func seedCount(hosts int) uint64 { return uint64(max(1, 120/hosts)) }
 
 // Hosts learn of a limit from their own responses only, at different times, and have
-// different lists of hosts. The limit must hold for all hosts that have been notified.
+// different lists of hosts. The requests of all hosts that have been notified must stay
+// within allowedRequests.
 func TestLimitHoldsUnderDifferentHostLists(t *testing.T) {
 	for _, n := range []int{6, 60, 300} {
 		for _, limit := range []float64{0, 0.1, 0.5, 1, 2.5, 20} {
@@ -374,7 +376,7 @@
 	return maxInWindow(times, checkWindow)
 }
 
-// hostsWithLimit returns the number of hosts that know of a limit in force.
+// hostsWithLimit returns the number of hosts that know of an active limit.
 func (f *simFleet) hostsWithLimit() (n int) {
 	for _, h := range f.hosts {
 		if len(h.limitTable.Limits()) > 0 {
@@ -394,10 +396,10 @@
 	return 2*max(checkWindow, time.Duration(float64(time.Second)/limit)) + 2*time.Second
 }
 
-// Hosts exchange their observations. Once the notice time has passed, the limit must hold
-// for all requests, including those of hosts that got no response themselves; when it is
-// lifted, all hosts must learn of it. One host is partitioned from the others for some
-// seconds meanwhile.
+// Hosts exchange their observations. Once fleetNoticeTime has passed, all requests together
+// must stay within allowedRequests, including those of hosts that got no response
+// themselves. When the limit is lifted, all hosts must learn of it. One host is partitioned
+// from the others for 3 s meanwhile.
 func TestLimitAndItsEndReachAllHosts(t *testing.T) {
 	for _, n := range []int{6, 60, 300} {
 		for _, limit := range []float64{0, 0.5, 1, 2.5, 20} {
@@ -453,8 +455,8 @@
 }
 
 // Hosts learn that a replica is leaving from its responses and, for half of the seeds, from
-// peers, while up to a quarter of the hosts are partitioned from the others. Hosts that
-// have been notified must stop sending to the replica.
+// peers, while up to a quarter of the hosts are partitioned from the others. Hosts that got
+// such a response themselves must stop sending to the replica within leavingNoticeTime.
 func TestNotifiedHostsSendNothingToALeavingReplica(t *testing.T) {
 	for _, n := range []int{6, 60, 300} {
 		t.Run(fmt.Sprint(n, " hosts"), func(t *testing.T) {
--- a/core/load/digest.go
+++ b/core/load/digest.go
@@ -16,7 +16,7 @@
 //	1 byte   number of running and queued calls, see encodeLoad; the top bit means leaving
 //
 // Daemons with different lists cannot read each other's digests. This happens while a
-// bundle with other upstreams is rolled out, until it is in force at both daemons. AsOf
+// bundle with other upstreams is rolled out, until it is active at both daemons. AsOf
 // is set by the upstream, so that a report keeps its identity and its order however
 // often it is forwarded.
 const (
--- a/core/route/apply.go
+++ b/core/route/apply.go
@@ -73,8 +73,7 @@
 	}
 }
 
-// droppedCopy returns a copy of a pool that is marked as missing from the bundle in
-// force.
+// droppedCopy returns a copy of a pool that is marked as missing from the active bundle.
 func (p *poolView) droppedCopy() *poolView {
 	pool := *p
 	pool.dropped = true
@@ -162,11 +161,11 @@
 	for _, n := range names {
 		r.markedLeaving[n] = true
 	}
-	for name, places := range r.current.Load().byUpstream {
-		for _, pl := range places {
-			pl.pool.shard.mu.Lock()
-			pl.state.markedLeaving = r.markedLeaving[name]
-			pl.pool.shard.mu.Unlock()
+	for name, refs := range r.current.Load().byUpstream {
+		for _, ref := range refs {
+			ref.pool.shard.mu.Lock()
+			ref.state.markedLeaving = r.markedLeaving[name]
+			ref.pool.shard.mu.Unlock()
 		}
 	}
 }
@@ -176,10 +175,10 @@
 func (r *Router) Observe(reports ...load.Report) {
 	snap := r.current.Load()
 	for _, rep := range reports {
-		for _, pl := range snap.byUpstream[rep.Upstream] {
-			pl.pool.shard.mu.Lock()
-			pl.state.observeReport(rep)
-			pl.pool.shard.mu.Unlock()
+		for _, ref := range snap.byUpstream[rep.Upstream] {
+			ref.pool.shard.mu.Lock()
+			ref.state.observeReport(rep)
+			ref.pool.shard.mu.Unlock()
 		}
 	}
 }
--- a/core/route/eject.go
+++ b/core/route/eject.go
@@ -25,8 +25,9 @@
 	reason    string
 	startedAt time.Time
 	until     time.Time
-	// consecutive counts the ejections that followed each other closely. The duration
-	// doubles with each of them.
+	// consecutive counts the ejections in a row, each of which began within twice
+	// RampDuration of the end of the previous one. The duration doubles with each of
+	// them.
 	consecutive int
 }
 
--- a/core/route/fleet_behaviour_test.go
+++ b/core/route/fleet_behaviour_test.go
@@ -60,7 +60,7 @@
 		Entry("ten upstreams, eight dead", 10, 8, 6),
 	)
 
-	It("does not eject the upstreams of a pool that fails as a whole", func() {
+	It("ejects at most one upstream of a pool that fails as a whole", func() {
 		f := newFleet(1, 10, 1000, bundle.PolicyAdaptive)
 		f.result = func(string) request.CallResult { return request.CallFailed }
 		f.run(2 * time.Second)
--- a/core/route/prefill_test.go
+++ b/core/route/prefill_test.go
@@ -41,9 +41,9 @@
 		r.Apply(&bundle.Bundle{Version: 1, Policy: bundle.PolicyAdaptive, Pools: []bundle.Pool{pool}})
 		return r
 	}
-	pick := func(r *Router, now time.Time, id string, read time.Duration) request.Choice {
+	pick := func(r *Router, now time.Time, id string, prefillTime time.Duration) request.Choice {
 		c, err := r.Pick(now, request.Query{
-			Request: id, Pool: "llm", Stage: "s", Kind: bundle.StageGenerate, Prefix: 7, PrefillTime: read, ExpectedFirstByte: read + 50*time.Millisecond,
+			Request: id, Pool: "llm", Stage: "s", Kind: bundle.StageGenerate, Prefix: 7, PrefillTime: prefillTime, ExpectedFirstByte: prefillTime + 50*time.Millisecond,
 		}, nil)
 		Expect(err).To(BeNil())
 		return c
--- a/core/route/record.go
+++ b/core/route/record.go
@@ -69,8 +69,8 @@
 
 func formatCost(x float64) string { return strconv.FormatFloat(x, 'f', 3, 64) }
 
-// wasDrawn reports whether candidate i is among drawn, because the filters that reject
-// it were relaxed.
+// wasDrawn reports whether candidate i was sampled. That is possible for a rejected
+// candidate if the filters that reject it were relaxed.
 func wasDrawn(drawn []scoredCandidate, i int) bool {
 	return slices.ContainsFunc(drawn, func(d scoredCandidate) bool { return d.index == i })
 }
--- a/core/route/router.go
+++ b/core/route/router.go
@@ -195,7 +195,7 @@
 
 // CanServeCopies reports whether an upstream can serve calls other than those for which it
 // is picked: it is known, is neither leaving, limited nor ejected, and does not have calls
-// in flight without any progress.
+// in flight without progress for minStallTimeout.
 func (r *Router) CanServeCopies(now time.Time, pool, upstream, address string) bool {
 	usable := false
 	r.updateState(pool, upstream, address, func(st *memberState) {
--- a/core/route/shard.go
+++ b/core/route/shard.go
@@ -44,7 +44,7 @@
 	members         []member
 	steps           *policySteps
 	shard           *shard
-	// dropped is set if the bundle in force does not contain the pool.
+	// dropped is set if the active bundle does not contain the pool.
 	dropped bool
 }
 
--- a/core/stage/handover_test.go
+++ b/core/stage/handover_test.go
@@ -101,9 +101,9 @@
 
 	// handedOver returns the job as its owner hands it over, with the results that the
 	// owner knows of.
-	handedOver := func(h *harness, made ...CompletedPiece) Job {
+	handedOver := func(h *harness, pieces ...CompletedPiece) Job {
 		j := h.newTransferableChain("j", stages...)
-		for _, p := range made {
+		for _, p := range pieces {
 			j.Completed = append(j.Completed, p)
 			h.results[p.Handle] = Piece{Job: "j", Stage: p.Stage, Index: p.Index}
 		}
--- a/core/stage/job.go
+++ b/core/stage/job.go
@@ -176,9 +176,9 @@
 }
 
 // earlyStartCalls is how many of its own call times before the expected completion of the
-// rest of the job a deferred stage is started: one for the call and one for queueing. With
-// one and three, the mean attained value of a deployment with scarce result memory was
-// lower by 0.012 and 0.006.
+// rest of the job a deferred stage is started: one for the call and one for queueing. With a
+// value of one or three, the mean attained value of a deployment with scarce result memory
+// was lower by 0.012 or 0.006, respectively.
 const earlyStartCalls = 2
 
 // shouldDefer reports whether stage i would complete long before other stages of the job
@@ -222,7 +222,7 @@
 }
 
 // allInCalls reports whether every piece that is not completed is in a call that is running
-// or has timed out but may still return.
+// or has timed out but may still return, and none of them has been queued again.
 func (j *job) allInCalls() bool {
 	for i := range j.stages {
 		for k := range j.stages[i].pieces {
--- a/core/stage/loadsim_test.go
+++ b/core/stage/loadsim_test.go
@@ -173,8 +173,8 @@
 		if r.down || s.m != planner {
 			return
 		}
-		least := (r.params.ResultCapacityBytes - r.reportedBytes) / memoryReportUnit * memoryReportUnit
-		s.step(MemoryReported{Replica: a.Replica, QueriedAt: queriedAt, Free: FreeMemory{least, min(least+memoryReportUnit, r.params.ResultCapacityBytes)}})
+		minFree := (r.params.ResultCapacityBytes - r.reportedBytes) / memoryReportUnit * memoryReportUnit
+		s.step(MemoryReported{Replica: a.Replica, QueriedAt: queriedAt, Free: FreeMemory{minFree, min(minFree+memoryReportUnit, r.params.ResultCapacityBytes)}})
 	})
 }
 
@@ -263,8 +263,8 @@
 // inputsExist reports whether all inputs are held by some replica.
 func (s *loadSim) inputsExist(inputs []string) bool {
 	for _, h := range inputs {
-		maker, _, _ := strings.Cut(h, ":")
-		if _, ok := s.replicas[maker].results[h]; !ok {
+		holder, _, _ := strings.Cut(h, ":")
+		if _, ok := s.replicas[holder].results[h]; !ok {
 			return false
 		}
 	}
--- a/core/stage/machine.go
+++ b/core/stage/machine.go
@@ -80,7 +80,7 @@
 
 func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// configure applies the services and replicas in force. Replicas that are no longer listed
+// configure replaces the current services and replicas. Replicas that are no longer listed
 // are kept while they have running or timed-out calls.
 func (m *Machine) configure(e Configured) {
 	for name, s := range e.Services {
--- a/core/stage/machine_test.go
+++ b/core/stage/machine_test.go
@@ -94,10 +94,10 @@
 	It("go to another replica if one is unreachable, and are retried later if it refuses", func() {
 		h := newHarness(pieceParams(4, 0), "x", "x")
 		run := h.submit(h.newChain("j", Stage{Service: "a", Pieces: 1}))[0]
-		repeated := h.end(run.Call, CallUnreachable)
-		Expect(repeated).To(HaveLen(1))
-		Expect(repeated[0].Replica).NotTo(Equal(run.Replica))
-		Expect(h.end(repeated[0].Call, CallNotExecuted)).To(BeEmpty())
+		retried := h.end(run.Call, CallUnreachable)
+		Expect(retried).To(HaveLen(1))
+		Expect(retried[0].Replica).NotTo(Equal(run.Replica))
+		Expect(h.end(retried[0].Call, CallNotExecuted)).To(BeEmpty())
 		Expect(h.advance(100 * time.Millisecond)).To(HaveLen(1))
 	})
 
--- a/core/stage/queue.go
+++ b/core/stage/queue.go
@@ -14,8 +14,9 @@
 	pieces []*piece
 	// preferredDomain is the failure domain in which the pieces are best executed.
 	preferredDomain string
-	// slack is how long the job may wait in total over that many calls, and late says that
-	// it can no longer be on time; both as of the last pass.
+	// slack is how long the job may wait in total, calls the number of consecutive calls
+	// over which that wait is spread, and late says that the job can no longer be on time;
+	// all as of the last pass.
 	slack time.Duration
 	calls int
 	late  bool
@@ -145,7 +146,8 @@
 	}
 }
 
-// countUpTo returns the number of pieces of jobs that are due no later than a time.
+// countUpTo returns the number of pieces of jobs whose effective due time is no later than
+// due or in the same slot.
 func (b *backlog) countUpTo(due time.Time) int {
 	last, n := backlogSlot(due), 0
 	for _, o := range b.buckets {
--- a/core/stage/replica.go
+++ b/core/stage/replica.go
@@ -65,7 +65,7 @@
 	service *service
 	// limiter limits the calls to the replica, together with the other calls of this host.
 	limiter *intake.Limiter
-	// listed says that the replica is in the configuration in force.
+	// listed says that the replica is in the current configuration.
 	listed bool
 	// replaced says that the restarted replica, or another one, has this replica's address.
 	replaced bool
--- a/core/stage/resume_test.go
+++ b/core/stage/resume_test.go
@@ -145,9 +145,9 @@
 		Expect(run.Pieces).To(HaveLen(9), "one result is present")
 		Expect(endOutOfMemory(h, run, 1)).To(BeEmpty(), "800 of 1000 bytes are taken by others")
 		Expect(h.advance(400*time.Millisecond)).To(BeEmpty(), "80 bytes may be free")
-		repeated := h.advance(200 * time.Millisecond)
-		Expect(repeated).To(HaveLen(1))
-		Expect(repeated[0].Pieces).To(HaveLen(1), "120 bytes may be free")
+		retried := h.advance(200 * time.Millisecond)
+		Expect(retried).To(HaveLen(1))
+		Expect(retried[0].Pieces).To(HaveLen(1), "120 bytes may be free")
 	})
 
 	It("is all available once those results have expired", func() {
--- a/core/stage/timeout.go
+++ b/core/stage/timeout.go
@@ -17,8 +17,8 @@
 // still needed.
 const timedOutCheckInterval = 250 * time.Millisecond
 
-// timeOutCalls handles the calls that have timed out, and abandons those that are no longer
-// needed.
+// timeOutCalls handles the calls that have timed out, and abandons those that no job needs
+// and that the replica is presumed not to execute.
 func (m *Machine) timeOutCalls(now time.Time) {
 	if !m.nextTimeout.due(now) {
 		return
--- a/core/stage/timeout_test.go
+++ b/core/stage/timeout_test.go
@@ -36,11 +36,11 @@
 func TestTimedOutCallHoldsNoSlot(t *testing.T) {
 	RegisterTestingT(t)
 	h, hung := newTimedOutCall(4, "x")
-	repeated := h.advance(time.Second)
-	Expect(repeated).To(HaveLen(1))
-	Expect(repeated[0].Replica).To(Equal(hung.Replica))
-	Expect(repeated[0].Pieces).To(HaveLen(2))
-	h.answer(repeated[0].Call)
+	retried := h.advance(time.Second)
+	Expect(retried).To(HaveLen(1))
+	Expect(retried[0].Replica).To(Equal(hung.Replica))
+	Expect(retried[0].Pieces).To(HaveLen(2))
+	h.answer(retried[0].Call)
 	Expect(h.ready).To(HaveKey("j"))
 	h.advance(timedOutCheckInterval)
 	Expect(h.running).To(BeEmpty(), "the hung call is abandoned")
@@ -55,15 +55,16 @@
 func TestTimedOutCallThatMayBeExecutingIsNotAbandoned(t *testing.T) {
 	RegisterTestingT(t)
 	h, paused := newTimedOutCall(4, "x", "x")
-	repeated := h.running[1]
-	Expect(repeated.Replica).NotTo(Equal(paused.Replica))
-	h.answer(repeated.Call)
+	retried := h.running[1]
+	Expect(retried.Replica).NotTo(Equal(paused.Replica))
+	h.answer(retried.Call)
 	Expect(h.ready).To(HaveKey("j"))
 	h.expectOnlyAwaits(paused, 4*timedOutCheckInterval)
 }
 
-// expectOnlyAwaits cancels the job and checks that only the call that may be executing is
-// still awaited, and that its results are released.
+// expectOnlyAwaits cancels the job and checks that all calls are abandoned except the one
+// that the suspended replica may be executing, and that the results of that one are
+// released.
 func (h *harness) expectOnlyAwaits(paused Run, after time.Duration) {
 	h.endJob("j", Cancelled{Job: "j"})
 	h.advance(after)
@@ -91,11 +92,11 @@
 func TestResultsOfTimedOutCallAreAccepted(t *testing.T) {
 	RegisterTestingT(t)
 	h, slow := newTimedOutCall(4, "x")
-	repeated := h.advance(time.Second)[0]
+	retried := h.advance(time.Second)[0]
 	h.answer(slow.Call)
 	Expect(h.ready).To(HaveKey("j"))
 	Expect(h.results).To(HaveLen(2))
-	h.answer(repeated.Call)
+	h.answer(retried.Call)
 	Expect(h.results).To(HaveLen(2), "the second results are released")
 	h.endJob("j", Cancelled{Job: "j"})
 	Expect(h.results).To(BeEmpty())
@@ -104,10 +105,10 @@
 }
 
 // failOthers fails all calls but one until no others are made.
-func (h *harness) failOthers(but Run) {
+func (h *harness) failOthers(except Run) {
 	for range 10 {
 		for _, r := range slices.Clone(h.running) {
-			if r.Call != but.Call {
+			if r.Call != except.Call {
 				h.end(r.Call, CallFailed)
 			}
 		}
