--- a/core/catalog/config.go
+++ b/core/catalog/config.go
@@ -52,7 +52,8 @@
 	// Streaming says that responses are event streams.
 	Streaming    bool
 	RepeatPolicy RepeatPolicy
-	// Resumable streams may be continued at another replica after the last event.
+	// Resumable streams may be continued at another replica, after the last event that the
+	// caller was sent.
 	Resumable bool
 	// Objective is the operator's target for the time to the response, or to the first
 	// event of a stream.
--- a/core/stage/memory_test.go
+++ b/core/stage/memory_test.go
@@ -24,7 +24,7 @@
 		return h.step(MemoryReported{Replica: "a1", QueriedAt: h.now, Free: FreeMemory{free, free}})
 	}
 
-	It("is queried once, when the first job arrives", func() {
+	It("is queried once, when the first job is admitted", func() {
 		h := newHarness(pieceParams(20, capacity), "x", "x")
 		h.jobs["j"] = h.newChain("j", work)
 		Expect(countQueries(h, Submitted{h.jobs["j"]})).To(Equal(6), "one for each replica")
--- a/core/stage/memorybound_test.go
+++ b/core/stage/memorybound_test.go
@@ -32,7 +32,7 @@
 var _ = Describe("a burst of the most urgent kind with scarce result memory", func() {
 	const end, review, summary, extract = 20, 0, 1, 2
 	for seed := range uint64(4) {
-		It("degrades the least urgent kind, is refused on arrival, and ends soon after", func() {
+		It("degrades the least urgent kind more, is refused mostly on arrival, and ends soon after", func() {
 			s := newFourDomainSim(seed)
 			s.kinds[summary].burst(5*time.Second, 6*time.Second, 2.4)
 			s.run(end * time.Second)
--- a/core/stage/overload_test.go
+++ b/core/stage/overload_test.go
@@ -34,7 +34,7 @@
 
 	// The kind with the large results arrives more often while a third of the replicas that
 	// compute them are lost.
-	It("of large results with lost replicas does not degrade the other kinds", func() {
+	It("of large results with lost replicas does not degrade the most urgent kind", func() {
 		s := runWith(func(s *loadSim) {
 			s.kinds[review].burst(8*time.Second, 6500*time.Millisecond, 2.5)
 			s.down("audit", 0.3, 9*time.Second, 5*time.Second)
@@ -46,7 +46,7 @@
 
 	// All kinds arrive more than twice as often, which exceeds the capacity of the
 	// replicas: the excess is refused or late, starting with the least urgent kind.
-	It("of all kinds is served in the order of urgency", func() {
+	It("of all kinds degrades the least urgent kind more than the most urgent one", func() {
 		s := runWith(func(s *loadSim) {
 			for _, k := range s.kinds {
 				k.burst(6*time.Second, 8*time.Second, 2.2)
--- a/core/stage/ranks_test.go
+++ b/core/stage/ranks_test.go
@@ -13,7 +13,7 @@
 var _ = Describe("the slack reserved for more urgent ranks", func() {
 	rank := func(route int) catalog.Rank { return catalog.Rank{Customer: 1, Route: route} }
 
-	It("counts only ranks that ask for the same services, and only for a while", func() {
+	It("counts only more urgent routes of the same customer priority, and only for rankRetention", func() {
 		r, now := recentRanks{}, time.Unix(1000, 0)
 		r[rank(0)], r[rank(2)], r[catalog.Rank{Route: 0}] = now, now, now
 		Expect(r.countMoreUrgent(now, rank(0))).To(BeZero())
--- a/core/stage/resume_test.go
+++ b/core/stage/resume_test.go
@@ -43,7 +43,7 @@
 		Expect(runs[0].Pieces[0].Index).To(Equal(1))
 	})
 
-	It("repeats pieces whose results are not usable", func() {
+	It("executes pieces again whose results are not usable", func() {
 		h, j := startedJob(plain)
 		j.Completed = []CompletedPiece{
 			{Stage: 0, Index: 0, Handle: "old/1", Replica: "gone"}, {Stage: 0, Index: 1, Handle: "old/2", Replica: "b1"},
@@ -118,11 +118,11 @@
 
 var _ = Describe("memory that another planner's results take", func() {
 	// endOutOfMemory ends a call in which there was memory only for the first pieces.
-	endOutOfMemory := func(h *harness, run Run, made int) []Run {
+	endOutOfMemory := func(h *harness, run Run, fitting int) []Run {
 		h.removeCall(run.Call)
 		e := CallEnded{Call: run.Call}
 		for i, p := range run.Pieces {
-			if i >= made {
+			if i >= fitting {
 				e.Results = append(e.Results, Result{Kind: PieceOutOfMemory})
 				continue
 			}
