--- a/core/stage/loadsim_test.go
+++ b/core/stage/loadsim_test.go
@@ -46,7 +46,8 @@
 	// onTimeValue and lateValue are the values of an answer.
 	onTimeValue, lateValue float64
 	stages                 func(*rand.Rand) []Stage
-	domain                 bool
+	// domain says that the results are to be read in a given, random failure domain.
+	domain bool
 
 	buckets map[int]*simTally
 }
@@ -78,11 +79,13 @@
 	usedBytes int64
 	// reportedBytes is usedBytes as of the last report.
 	reportedBytes int64
-	slowFactor    float64
-	down          bool
-	results       map[string]int64
-	incarnation   int
-	baseFactor    float64
+	// slowFactor scales the call times while the replica is slow, baseFactor always.
+	slowFactor float64
+	down       bool
+	results    map[string]int64
+	// incarnation counts the times that the replica went down.
+	incarnation int
+	baseFactor  float64
 }
 
 type simEvent struct {
@@ -231,6 +234,7 @@
 		h := fmt.Sprintf("%s/%d", r.Address, s.handles)
 		r.usedBytes += size
 		r.results[h] = size
+		// A piece with a small result takes less time.
 		sizeFactor := 1.0
 		if size == smallResult {
 			sizeFactor = 0.3
