--- a/bundle/parts.go
+++ b/bundle/parts.go
@@ -57,8 +57,9 @@
 
 // Split divides a signed bundle into parts by content-defined chunking: boundaries
 // are at line ends selected by the hash of the preceding lines, so that an edit
-// changes only the parts that it touches. The same bytes yield the same parts on
-// every host. An empty bundle has no parts.
+// leaves the parts before it and, from the next common boundary on, those after it
+// unchanged. The same bytes yield the same parts on every host. An empty bundle has
+// no parts.
 //
 // The version line and the signature line, which change with every version, are
 // separate parts.
--- a/bundle/parts_test.go
+++ b/bundle/parts_test.go
@@ -53,7 +53,7 @@
 		})
 	})
 
-	It("change only where an edit touches them", func() {
+	It("change only for the version, the signature and an edited customer", func() {
 		before := bundle.Sign(bundletest.YAML(bundletest.TargetSizes, 7), testKey(1))
 		edited := bytes.Replace(bundletest.YAML(bundletest.TargetSizes, 8),
 			[]byte("name: customer-200\n"), []byte("name: renamed-customer-200\n"), 1)
--- a/certs/certs.go
+++ b/certs/certs.go
@@ -176,7 +176,7 @@
 	}
 	ecKey, ok := key.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, fmt.Errorf("certs: %s: want an ECDSA key, have %T", keyFile, key)
+		return nil, fmt.Errorf("certs: %s: key type is %T, not ECDSA", keyFile, key)
 	}
 	return newAuthority(cert, ecKey)
 }
--- a/claims/acquire.go
+++ b/claims/acquire.go
@@ -109,8 +109,10 @@
 	}
 }
 
-// refusalDecision returns the error for a refused claim. It reports NotRun only
-// after the key has been voided, so that no earlier attempt can run any more.
+// refusalDecision returns the error for a refused claim. Before it reports NotRun it
+// voids the key, so that no earlier attempt can run any more; if that fails it
+// reports MayHaveRun. It does not void a key that was refused as KeyReused, since
+// that key belongs to a request with another digest.
 func (s *Service) refusalDecision(ctx context.Context, r *acquisition, a claim.Refuse) request.ClaimDecided {
 	e := problem.New(a.Kind, "%s", refusalDetail(a))
 	e.Execution = a.Execution
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// upstreamAnswered reports whether a call ran and its upstream is alive, since the
-// upstream answered completely, be it with an error.
+// upstreamAnswered reports whether a call ran and its upstream is still alive: the
+// upstream sent a complete response, either a result or an error status.
 func upstreamAnswered(err error) bool {
 	if err == nil {
 		return true
--- a/daemon/session.go
+++ b/daemon/session.go
@@ -54,7 +54,7 @@
 }
 
 func newSession(sub caller.Submission, digest [32]byte, c *clients) *session {
-	// Only a streaming request needs the queue, which takes 1.5 kB.
+	// Only streaming requests need the queue, which takes 1.5 kB per request.
 	queue := 0
 	if sub.Stream {
 		queue = maxQueuedOutput
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -72,6 +72,9 @@
 	Expect(c.suspendedTime()).To(BeNumerically("~", 70*time.Second, timeTolerance))
 }
 
+// Guards against missing a suspension when the wall clock is stepped back by the length
+// of the suspension: the drift then does not change, so that only the measurement that
+// is due every maxMeasureInterval can detect it.
 func TestSuspensionHiddenByWallClockStepIsDetected(t *testing.T) {
 	s, c := newTestClock(t)
 	before := c.now()
--- a/internal/clock/timer.go
+++ b/internal/clock/timer.go
@@ -84,8 +84,8 @@
 
 // WithDeadline returns a context that ends at the given time of this package, or on
 // resume if that time passed while the host was suspended. The context's own Deadline
-// follows the monotonic clock. A deadline that passed during a suspension cancels the
-// context with DeadlineExceeded as the cause.
+// follows the monotonic clock. If the host was suspended before the deadline passed, the
+// context ends by cancellation: its Err is Canceled and its Cause is DeadlineExceeded.
 func WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	return host.withTimeout(parent, at.Sub(host.now()))
 }
--- a/peer/failure_test.go
+++ b/peer/failure_test.go
@@ -259,7 +259,7 @@
 		cfg := f.config("a")
 		cfg.TLS = f.issueCert("mallory")
 		_, err := peer.NewTransport(cfg)
-		Expect(err).To(MatchError(peer.ErrIdentity), "the certificate is checked against the own host name at the start")
+		Expect(err).To(MatchError(peer.ErrIdentity), "the transport checks its own certificate against its host name at the start")
 
 		conn := dialTLS(b.Addr(), "b", cfg.TLS)
 		defer conn.Close()
--- a/results/store.go
+++ b/results/store.go
@@ -49,7 +49,7 @@
 }
 
 // resultOverheadBytes is the memory that a stored result takes beyond its own bytes
-// (key, map entries and slice header), rounded up.
+// (key, map entries and slice header), rounded up from what BenchmarkMemory measures.
 const resultOverheadBytes = 656
 
 // NewStore returns a store that holds up to about maxBytes, overhead included.
@@ -66,8 +66,7 @@
 }
 
 // Put stores a result until the given time. It returns false if there is not enough
-// free memory.
-// The caller must not modify the result afterwards.
+// free memory. The caller must not modify the result afterwards.
 func (s *Store) Put(now time.Time, r Request, stage string, result []byte, until time.Time) bool {
 	sh := s.shardOf(r)
 	sh.mu.Lock()
--- a/shares/service_test.go
+++ b/shares/service_test.go
@@ -120,7 +120,8 @@
 		greedy, other := n.admitters["host-0"], n.admitters["host-1"]
 		Expect(greedy.customerShare()).To(BeNumerically("~", 1.0/3, 0.001))
 		greedy.setDemand(2)
-		// An allocator leases nothing for the duration of a cap after its start.
+		// After its start an allocator grants no leases for the duration of a cap, until
+		// the leases of an earlier allocator have ended.
 		Eventually(greedy.customerShare).WithTimeout(15 * time.Second).Should(BeNumerically(">", 0.7))
 		Expect(n.services["host-0"].ResourceShares()).To(ConsistOf(HaveField("Share", BeNumerically(">", 0.7))))
 		other.setDemand(0.3)
