--- a/bundle/bundletest/bundletest.go
+++ b/bundle/bundletest/bundletest.go
@@ -33,7 +33,6 @@
 	Regions: 1, Domains: 4, Hosts: 7, Models: 1, Upstreams: 36, Pipelines: 4, Customers: 5,
 }
 
-// servicePools are the names of the service pools.
 var servicePools = []string{"encoders", "retrievers", "rerankers", "signing"}
 
 // engineUpstreamTenths is the fraction of upstreams that are engines, in tenths.
--- a/caller/server.go
+++ b/caller/server.go
@@ -71,7 +71,6 @@
 	WriteGrace time.Duration
 }
 
-// defaultWriteGrace is the default of Config.WriteGrace.
 const defaultWriteGrace = time.Second
 
 // Server is the http.Handler of the listener for callers.
--- a/claims/fleet_test.go
+++ b/claims/fleet_test.go
@@ -159,7 +159,6 @@
 	}
 }
 
-// newKey returns a fresh key.
 func newKey() request.ClaimKey {
 	return request.ClaimKey{Customer: "customer", Key: uuid.Must(uuid.NewV7()).String(), Stage: "seal"}
 }
--- a/cluster/cluster_test.go
+++ b/cluster/cluster_test.go
@@ -35,7 +35,6 @@
 	slotFleet  member.SlotID = 101
 )
 
-// daemon is one daemon of the fleet under test.
 type daemon struct {
 	*cluster.Cluster
 	transport *peer.Transport
--- a/cluster/rollouts.go
+++ b/cluster/rollouts.go
@@ -79,7 +79,6 @@
 	l.cluster.ready.Store(l.machine.Ready())
 }
 
-// execute executes one action.
 func (l *rolloutLoop) execute(action rollout.Action) {
 	log := l.cluster.log
 	switch a := action.(type) {
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -33,7 +33,6 @@
 		"wheatseam_refused_early_total{kind=%q}", problem.Lookup(e.Kind).Kind)).Inc()
 }
 
-// registerGauges registers the gauges of this package.
 func (d *Daemon) registerGauges() {
 	gauge := func(name string, f func() float64) { d.metrics.GetOrCreateGauge(name, f) }
 	gauge("wheatseam_requests_in_flight", func() float64 { return float64(d.requestTable.Len()) })
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -88,7 +88,8 @@
 }
 
 // callAllowed reports whether a call may be sent to an upstream. It is checked for each
-// attempt, since the request may be quarantined before a retry or a hedge.
+// attempt, since the request may be quarantined before a retry or a hedge. A call of a
+// quarantined stage is allowed once if a trial was granted, which it uses up.
 func (d *Daemon) callAllowed(s *session, c request.Call) bool {
 	_, quarantined := d.quarantine.Quarantined(s.stageFingerprint(c.Stage.Name))
 	return !quarantined || s.trialFingerprint.Swap(nil) != nil
--- a/daemon/session.go
+++ b/daemon/session.go
@@ -107,7 +107,6 @@
 	s.timers = nil
 }
 
-// sessionShards is the number of shards of the session table.
 const sessionShards = 64
 
 // sessionTable maps request ids to sessions.
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -150,7 +150,6 @@
 	}
 }
 
-// execute executes one action.
 func (l *Loop) execute(action member.Action) {
 	log := l.log
 	l.viewChanged = l.viewChanged || affectsView(action)
--- a/peer/errors.go
+++ b/peer/errors.go
@@ -81,7 +81,6 @@
 	codeTimeout       = "timeout"
 )
 
-// codeErrors maps each error code to its error.
 var codeErrors = map[string]error{
 	codeUnknownMethod: ErrUnknownMethod,
 	codeTooLarge:      ErrTooLarge,
