--- a/claims/service_test.go
+++ b/claims/service_test.go
@@ -58,7 +58,7 @@
 		Eventually(func() bool { return f.acquire("b", key, "r2", within).Won }, within).Should(BeTrue())
 	})
 
-	It("refuses at once without a majority, and does not report not_run", func() {
+	It("refuses a claim without a majority, and does not report not_run", func() {
 		key := newKey()
 		f.setPartitioned(true, "b", "c")
 		d := f.acquire("a", key, "r1", within)
--- a/daemon/loadview_test.go
+++ b/daemon/loadview_test.go
@@ -34,8 +34,8 @@
 	g.Expect(reported).To(Equal([]bool{true, false}))
 }
 
-// TestLiveMembers checks that live and suspected members divide the polls among them,
-// and that this host always takes part.
+// TestLiveMembers checks which hosts divide the polls among them: live and suspected
+// members, and always this host.
 func TestLiveMembers(t *testing.T) {
 	g := NewWithT(t)
 	var members []member.Member
@@ -53,7 +53,8 @@
 	g.Expect(names("entry-9")).To(Equal([]string{"entry-1", "entry-2", "entry-9"}))
 }
 
-// TestNewerSlotValues checks that each value is returned once.
+// TestNewerSlotValues guards against merging a digest twice: each value is returned
+// once, and hosts that no longer have a value are removed from lastReceived.
 func TestNewerSlotValues(t *testing.T) {
 	g := NewWithT(t)
 	at := time.Unix(1000, 0)
--- a/daemon/operators_test.go
+++ b/daemon/operators_test.go
@@ -59,7 +59,7 @@
 		Expect(e.Entries[0].Outcome).To(Equal("key_required"))
 	})
 
-	It("returns every dump section of another host, without secrets", func() {
+	It("returns the dump sections of another host, without hashes of API keys", func() {
 		var raw json.RawMessage
 		get(0, "/v1/dump?host=entry-2", &raw)
 		for _, c := range f.Bundle.Customers {
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -88,7 +88,7 @@
 		Expect(e).To(MatchError(httpbody.ErrDeadlinePassed))
 	})
 
-	It("never resends a call when a reused connection breaks", func() {
+	It("does not resend a call when a reused connection breaks", func() {
 		var calls atomic.Int32
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if calls.Add(1) == 1 {
--- a/shares/service.go
+++ b/shares/service.go
@@ -28,7 +28,7 @@
 	measureInterval = 250 * time.Millisecond
 	callTimeout     = 2 * time.Second
 	// maxCallsInFlight bounds the calls in flight. Further messages are dropped,
-	// since the machine repeats those that matter.
+	// since the machine resends those that matter.
 	maxCallsInFlight = 64
 )
 
