--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -30,8 +30,8 @@
 )
 
 // BoundedLog is a log that never blocks its writers and limits its volume. Lines over
-// the rate limit, and lines that find the queue full, are dropped and counted. A
-// later line reports the count.
+// the rate limit, and lines that find the queue full, are dropped and counted. The count
+// is reported after a later line, at most once per dropReportInterval.
 type BoundedLog struct {
 	// Logger writes to the log.
 	Logger *zap.Logger
--- a/peer/session.go
+++ b/peer/session.go
@@ -158,8 +158,8 @@
 	h.lastErr = errSilent
 }
 
-// silence returns how long no data has arrived while an answer has been awaited, or 0
-// if none is awaited.
+// silence returns how long no data has arrived since an answer began to be awaited, or
+// 0 if no answer has been awaited since data last arrived.
 func (s *session) silence() time.Duration {
 	since := s.conn.silentSince.Load()
 	if since == 0 {
@@ -239,7 +239,7 @@
 type meteredConn struct {
 	net.Conn
 	counters       *counters
-	silentSince    atomic.Int64 // by clock.Nanos; 0 if no answer was awaited when data last arrived
+	silentSince    atomic.Int64 // by clock.Nanos; 0 if no answer has been awaited since data last arrived
 	pendingAnswers atomic.Int32 // the number of answers that are awaited
 }
 
--- a/results/service.go
+++ b/results/service.go
@@ -65,7 +65,8 @@
 // Keep stores a stage's result at other hosts until the given time, for at most 5
 // minutes, and returns the number of hosts that have stored it. It returns
 // ErrTooLarge for a result over MaxResultBytes, and else the joined errors of the
-// hosts that failed.
+// hosts that failed. A host that has no memory left for the result is not counted, but
+// is not an error either.
 func (s *Service) Keep(ctx context.Context, r Request, stage string, result []byte, until time.Time) (int, error) {
 	if len(result) > MaxResultBytes {
 		return 0, ErrTooLarge
