--- a/caller/customers.go
+++ b/caller/customers.go
@@ -44,8 +44,8 @@
 }
 
 // lookup returns the customer that owns the API key, or nil. The time that the
-// map lookup takes depends only on the hash of the presented key, so that it
-// reveals nothing about other keys.
+// map lookup takes depends on the presented key only through its hash, which
+// reveals nothing about a key that the client does not know already.
 func (x *keyIndex) lookup(key string) *bundle.Customer {
 	hash := keyHash(sha256.Sum256([]byte(key)))
 	entry := x.entries[hash]
--- a/certs/certs.go
+++ b/certs/certs.go
@@ -136,7 +136,7 @@
 	return filepath.Join(dir, name+".pem"), filepath.Join(dir, name+"-key.pem")
 }
 
-// Write writes the pair to two files. The key file is readable by its owner only.
+// Write writes the pair to two files. A new key file is readable by its owner only.
 func (p KeyPair) Write(certFile, keyFile string) error {
 	if err := os.WriteFile(certFile, p.Cert, 0o644); err != nil {
 		return fmt.Errorf("certs: %w", err)
--- a/cluster/slots.go
+++ b/cluster/slots.go
@@ -31,7 +31,8 @@
 	byID map[member.SlotID]map[string]SlotValue
 }
 
-// put stores a value unless one from a later process of the same host is stored.
+// put stores a value, unless one from a later process of the same host is stored or
+// the host is new and maxSlotHosts hosts have a value already.
 func (t *slotTable) put(s member.SlotReceived, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
