--- a/certs/certs.go
+++ b/certs/certs.go
@@ -136,7 +136,7 @@
 	return filepath.Join(dir, name+".pem"), filepath.Join(dir, name+"-key.pem")
 }
 
-// Write writes the pair to two files. The key file is readable by its owner only.
+// Write writes the pair to two files. A new key file is readable by its owner only.
 func (p KeyPair) Write(certFile, keyFile string) error {
 	if err := os.WriteFile(certFile, p.Cert, 0o644); err != nil {
 		return fmt.Errorf("certs: %w", err)
@@ -176,7 +176,7 @@
 	}
 	ecKey, ok := key.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, fmt.Errorf("certs: %s: want an ECDSA key, have %T", keyFile, key)
+		return nil, fmt.Errorf("certs: %s: key type is %T, not ECDSA", keyFile, key)
 	}
 	return newAuthority(cert, ecKey)
 }
--- a/core/stage/resume_test.go
+++ b/core/stage/resume_test.go
@@ -43,7 +43,7 @@
 		Expect(runs[0].Pieces[0].Index).To(Equal(1))
 	})
 
-	It("repeats pieces whose results are not usable", func() {
+	It("executes pieces again whose results are not usable", func() {
 		h, j := startedJob(plain)
 		j.Completed = []CompletedPiece{
 			{Stage: 0, Index: 0, Handle: "old/1", Replica: "gone"}, {Stage: 0, Index: 1, Handle: "old/2", Replica: "b1"},
@@ -118,11 +118,11 @@
 
 var _ = Describe("memory that another planner's results take", func() {
 	// endOutOfMemory ends a call in which there was memory only for the first pieces.
-	endOutOfMemory := func(h *harness, run Run, made int) []Run {
+	endOutOfMemory := func(h *harness, run Run, fitting int) []Run {
 		h.removeCall(run.Call)
 		e := CallEnded{Call: run.Call}
 		for i, p := range run.Pieces {
-			if i >= made {
+			if i >= fitting {
 				e.Results = append(e.Results, Result{Kind: PieceOutOfMemory})
 				continue
 			}
@@ -145,9 +145,9 @@
 		Expect(run.Pieces).To(HaveLen(9), "one result is present")
 		Expect(endOutOfMemory(h, run, 1)).To(BeEmpty(), "800 of 1000 bytes are taken by others")
 		Expect(h.advance(400*time.Millisecond)).To(BeEmpty(), "80 bytes may be free")
-		repeated := h.advance(200 * time.Millisecond)
-		Expect(repeated).To(HaveLen(1))
-		Expect(repeated[0].Pieces).To(HaveLen(1), "120 bytes may be free")
+		retried := h.advance(200 * time.Millisecond)
+		Expect(retried).To(HaveLen(1))
+		Expect(retried[0].Pieces).To(HaveLen(1), "120 bytes may be free")
 	})
 
 	It("is all available once those results have expired", func() {
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -88,7 +88,8 @@
 }
 
 // callAllowed reports whether a call may be sent to an upstream. It is checked for each
-// attempt, since the request may be quarantined before a retry or a hedge.
+// attempt, since the request may be quarantined before a retry or a hedge. A call of a
+// quarantined stage is allowed once if a trial was granted, which it uses up.
 func (d *Daemon) callAllowed(s *session, c request.Call) bool {
 	_, quarantined := d.quarantine.Quarantined(s.stageFingerprint(c.Stage.Name))
 	return !quarantined || s.trialFingerprint.Swap(nil) != nil
@@ -127,8 +128,8 @@
 	}
 }
 
-// upstreamAnswered reports whether a call ran and its upstream is alive, since the
-// upstream answered completely, be it with an error.
+// upstreamAnswered reports whether a call ran and its upstream is still alive: the
+// upstream sent a complete response, either a result or an error status.
 func upstreamAnswered(err error) bool {
 	if err == nil {
 		return true
