--- a/discovery/blocks.go
+++ b/discovery/blocks.go
@@ -32,7 +32,7 @@
 	errBlockOutOfOrder = errors.New("discovery: block at an unexpected offset")
 	errNoNewerConfig   = errors.New("discovery: peer has no newer configuration")
 	errBaseMismatch    = errors.New("discovery: configuration delta has another base revision")
-	errBlockPending    = errors.New("discovery: block has not arrived yet")
+	errBlockPending    = errors.New("discovery: block not here yet")
 )
 
 // download is a configuration delta that is being fetched. It continues from another host
--- a/discovery/delta.go
+++ b/discovery/delta.go
@@ -41,7 +41,7 @@
 	}
 	encoder, err := zstd.NewWriter(nil, options...)
 	if err != nil {
-		return configDelta{}, fmt.Errorf("encode configuration delta to revision %d: %w", revision, err)
+		return configDelta{}, fmt.Errorf("step to %d: %w", revision, err)
 	}
 	defer encoder.Close()
 	data := encoder.EncodeAll(raw, nil)
