--- a/core/member/probe.go
+++ b/core/member/probe.go
@@ -44,7 +44,9 @@
 // neighbours, since their own probers may have failed along with the dead one.
 const deadNeighbourProbeEvery = 4
 
-// nextProbeTarget iterates over the neighbours in rounds of random order.
+// nextProbeTarget iterates over the neighbours in rounds of random order. It returns
+// a random host that is not a neighbour for every RandomProbeEvery-th probe, and for
+// most turns of dead neighbours.
 func (m *Machine) nextProbeTarget() (string, bool) {
 	if len(m.neighbours) == 0 {
 		return "", false
@@ -145,8 +147,8 @@
 	p.requester, p.requesterSeq = requester, msg.GetSeq()
 }
 
-// maxProbes limits the pings in flight beyond which requests of other daemons
-// are refused.
+// maxProbes is the number of pings in flight from which ping requests of other
+// daemons are rejected.
 const maxProbes = 64
 
 // handleFailed schedules the indirect probes for the next tick when a ping did
--- a/core/share/config.go
+++ b/core/share/config.go
@@ -12,9 +12,11 @@
 	// Interval is the time between the reports of a daemon that wants more than
 	// its equal share.
 	Interval time.Duration
-	// LeaseDuration is how long a lease lasts.
+	// LeaseDuration is how long an allocator counts a lease. The daemon uses it for
+	// less, by a margin for clock drift.
 	LeaseDuration time.Duration
-	// CapDuration is how long a daemon obeys a cap.
+	// CapDuration is how long an allocator relies on a cap. The daemon obeys it for
+	// longer, by a margin for clock drift.
 	CapDuration time.Duration
 	// ReportRequestsPerInterval is the maximum number of hosts that an allocator
 	// asks for a report in one Interval.
@@ -32,9 +34,9 @@
 	// more than its share while another daemon does.
 	contendedIntervals = 3
 	// uncontendedIntervals is the time between reports while no daemon wants more.
-	// These reports only detect a state that differs between daemon and allocator:
-	// a daemon that wants more reports at once, and the allocator then asks the
-	// others.
+	// These reports only detect a state that differs between daemon and allocator: a
+	// daemon that wants a larger share sends a report without waiting for its turn,
+	// and the allocator then asks the others for theirs.
 	uncontendedIntervals  = 60
 	defaultReportRequests = 100
 	// driftDivisor defines the maximum difference in rate of two clocks: 1 in 20.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -286,7 +286,7 @@
 func (f *Fleet) requestRosters(ctx context.Context, one bool) bool {
 	targets := f.rosterTargets()
 	if len(targets) == 0 {
-		return true // the settings name no other host
+		return true // there is neither another seed nor another live host
 	}
 	if one {
 		targets = targets[:1]
@@ -343,7 +343,8 @@
 	return true
 }
 
-// removeLongDead removes hosts that have been dead for longer than deadRetention.
+// removeLongDead removes hosts that have been dead for longer than deadRetention, except
+// seeds.
 func (f *Fleet) removeLongDead() {
 	var dead []string
 	for _, m := range f.Members() {
