--- a/replay/audit/rules.go
+++ b/replay/audit/rules.go
@@ -28,7 +28,7 @@
 }
 
 // findLost reports a request whose caller received neither an answer nor a refusal, and
-// an answer with a stage that was not executed.
+// an answer although one of its stages has no completed execution.
 func (a *auditor) findLost(g *requestGroup) {
 	answer := g.answered()
 	unanswered := g.unanswered()
@@ -63,13 +63,13 @@
 // once, regardless of the state of the executions: a failed one may have had its side
 // effect.
 func (a *auditor) findDuplicateExecution(g *requestGroup) {
-	begun := map[string][]ledger.Entry{}
+	started := map[string][]ledger.Entry{}
 	for _, e := range g.entries {
 		if a.isNonRepeatable(g, e) {
-			begun[e.Stage] = append(begun[e.Stage], e)
+			started[e.Stage] = append(started[e.Stage], e)
 		}
 	}
-	for stage, entries := range begun {
+	for stage, entries := range started {
 		if len(entries) < 2 {
 			continue
 		}
