--- a/core/route/router.go
+++ b/core/route/router.go
@@ -142,7 +142,8 @@
 }
 
 // Unavailable reports whether all upstreams of a pool are leaving or blocked by their
-// limiters, and how long this lasts at least. A pool without upstreams is not unavailable.
+// limiters, and how long this lasts at least. It returns false for a pool without
+// upstreams.
 func (r *Router) Unavailable(now time.Time, pool string) (time.Duration, bool) {
 	p := r.current.Load().pools[pool]
 	if p == nil {
@@ -194,7 +195,7 @@
 
 // CanServeCopies reports whether an upstream can serve calls other than those for which it
 // is picked: it is known, is neither leaving, limited nor ejected, and does not have calls
-// in flight without any progress.
+// in flight without progress for minStallTimeout.
 func (r *Router) CanServeCopies(now time.Time, pool, upstream, address string) bool {
 	usable := false
 	r.updateState(pool, upstream, address, func(st *memberState) {
--- a/discovery/config.go
+++ b/discovery/config.go
@@ -231,8 +231,8 @@
 	if len(changes) > 0 {
 		d.applyEvacuations(d.View().Evacuations.With(changes))
 	}
-	// All changes up to this revision are known. A check that started earlier would return
-	// the same changes at once.
+	// All changes up to this revision are known. A check from an earlier revision would
+	// return the same changes at once.
 	d.checkedRevisions = checkedRevisions{newest}
 }
 
@@ -316,8 +316,8 @@
 }
 
 // activateConfig activates a configuration if its version is newer than the current
-// one: versions never decrease. An invalid configuration is not requested again. Only
-// syncConfig calls it.
+// one: versions never decrease. An invalid or older configuration is not requested again.
+// Only syncConfig calls it.
 func (d *Discovery) activateConfig(raw []byte, revision uint64, source string) {
 	config, err := decodeConfig(raw)
 	d.mu.Lock()
--- a/replay/audit/audit.go
+++ b/replay/audit/audit.go
@@ -18,7 +18,7 @@
 
 const (
 	// Lost means that a caller received neither an answer nor a refusal, or an
-	// answer with a stage that was not executed.
+	// answer although one of its stages has no completed execution.
 	Lost Kind = "lost"
 	// DuplicateExecution means that a non-repeatable stage was started more than
 	// once for the same request.
@@ -111,15 +111,15 @@
 
 // groupCalls groups the sent calls by their first try.
 func (a *auditor) groupCalls(calls []*replay.Call) {
-	roots := map[string]*requestGroup{}
+	groupsByFirstTry := map[string]*requestGroup{}
 	for _, c := range calls {
 		if !c.Sent() {
 			continue
 		}
-		g := roots[c.FirstTryID]
+		g := groupsByFirstTry[c.FirstTryID]
 		if g == nil {
 			g = &requestGroup{firstTryID: c.FirstTryID, requestIDs: map[string]bool{}}
-			roots[c.FirstTryID] = g
+			groupsByFirstTry[c.FirstTryID] = g
 			a.groups = append(a.groups, g)
 		}
 		g.calls = append(g.calls, c)
