--- a/core/stall/monitor_test.go
+++ b/core/stall/monitor_test.go
@@ -30,7 +30,7 @@
 	var m *stall.Monitor
 	BeforeEach(func() { m = stall.New(start, config) })
 
-	It("asks its replica before it suspects it", func() {
+	It("queries its replica before the suspect timeout, with one query at a time", func() {
 		Expect(m.Tick(at(599))).To(Equal(stall.None))
 		Expect(m.Next(at(599))).To(Equal(at(600)))
 		Expect(m.Tick(at(600))).To(Equal(stall.Query))
@@ -71,12 +71,12 @@
 		Entry("that reports no status", stall.Unknown),
 	)
 
-	It("continues while the reservation fails", func() {
+	It("continues when the reservation fails, and retries it after the interval", func() {
 		m.Tick(at(600))
 		m.RecordStatus(at(600), stall.NoAnswer)
 		Expect(m.Tick(at(800))).To(Equal(stall.Reserve))
 		m.ReservationFailed(at(810))
-		Expect(m.Tick(at(900))).To(Equal(stall.Query), "the replica is asked again meanwhile")
+		Expect(m.Tick(at(900))).To(Equal(stall.Query), "the replica is queried again meanwhile")
 		Expect(m.Tick(at(1009))).To(Equal(stall.None))
 		Expect(m.Next(at(1009))).To(Equal(at(1010)))
 		Expect(m.Tick(at(1010))).To(Equal(stall.Reserve))
@@ -108,8 +108,8 @@
 })
 
 // For any order of events, a run is abandoned only for one whose reservation completes at
-// that moment and is still wanted; every reservation is used or released; and a permanently
-// silent replica is abandoned as soon as the timeouts and the reservation allow.
+// that moment and is still wanted; every reservation is used or released; and the run at a
+// permanently silent replica is abandoned within the bound of checkPermanentSilence.
 func TestInvariantsHoldForAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := modelOwner{m: stall.New(start, config), lastEvent: start}
@@ -138,7 +138,7 @@
 	})
 }
 
-// modelOwner is the owner of a machine, with the state that the checks need.
+// modelOwner is the owner of a Monitor, with the state that the checks need.
 type modelOwner struct {
 	m                   *stall.Monitor
 	now                 int
